--- /dev/null
+++ b/tests/compatibility/wire.rs
@@ -0,0 +1,1147 @@
+//! Messages between processes: each is read from its fixture, equals the value
+//! built here, and is written as the fixture has it. JSON is also read with
+//! unknown fields added and with nulls left out, frames with unknown fields.
+
+use pathwinch::protocol::{
+    cloud::{
+        ListedMachine, ListedState, MAX_RENT, MachineList, MachineNames, MachineType, MachineTypes,
+        Rent,
+    },
+    market::{AWARDS, Lendable, MOST_LENDABLE, Marked, PREFIX},
+    peers::{Follow, Frame, MAX_FRAME, MachineHolds, MayRun, Reply, Request, Seen, VERSION},
+    state::{Event, Guard, Item, LeaseGranted, Page, Revision, Txn, Watched, Write},
+    status::{
+        Due, Explained, Explanation, Failure, Fleet, Group, MOST_ROWS, Picture, Reason,
+        StandbyStatus, Status, TeamUse, Trouble,
+    },
+    users::{JobSpec, JobState, JobStatus, Kind, MAX_TASKS, Priority},
+    workers::{
+        Command, DirectOrder, Report, ReportReply, ReportedTask, TaskState, Why, split_task,
+    },
+};
+use serde::{Serialize, de::DeserializeOwned};
+use serde_json::{Value, json};
+use std::{
+    collections::{BTreeMap, BTreeSet},
+    fmt::Debug,
+};
+
+const JSON: &str = include_str!("../fixtures/compatibility/wire.txt");
+const FRAMES: &str = include_str!("../fixtures/compatibility/frames.txt");
+const SUBMISSIONS: &str = include_str!("../fixtures/compatibility/submissions.txt");
+
+/// Lines `NAME TEXT` of one kind of message; every one has to be used.
+struct Pins {
+    lines: BTreeMap<&'static str, &'static str>,
+    used: BTreeSet<&'static str>,
+}
+
+impl Pins {
+    /// Those whose names begin with `prefix`.
+    fn of(file: &'static str, prefix: &str) -> Self {
+        let mut lines = BTreeMap::new();
+        for line in file.lines() {
+            let (name, text) = line.split_once(' ').unwrap();
+            if name.starts_with(prefix) {
+                assert!(lines.insert(name, text).is_none(), "{name} is there twice");
+            }
+        }
+        let used = BTreeSet::new();
+        Pins { lines, used }
+    }
+
+    fn text(&mut self, name: &str) -> &'static str {
+        let found = self.lines.get_key_value(name);
+        let (name, text) = found.unwrap_or_else(|| panic!("no fixture {name}"));
+        self.used.insert(name);
+        text
+    }
+
+    /// JSON that is read as `value` and written from it.
+    fn json<T: Serialize + DeserializeOwned + Debug>(&mut self, name: &str, value: &T) {
+        let text = self.text(name);
+        assert_eq!(serde_json::to_string(value).unwrap(), text, "{name}");
+        reads(text, name, value);
+    }
+
+    /// JSON that is read as `value`, though it would be written otherwise.
+    fn json_read<T: DeserializeOwned + Debug>(&mut self, name: &str, value: &T) {
+        reads(self.text(name), name, value);
+    }
+
+    /// The hex of a frame that is read as `body` and written from it.
+    fn frame<T: Serialize + DeserializeOwned + Debug>(&mut self, name: &str, body: T) {
+        let text = self.text(name);
+        let frame = Frame { v: VERSION, body };
+        assert_eq!(hex(&cbor(&frame)), text, "{name}");
+        let bytes = unhex(text);
+        let read: Frame<T> = ciborium::from_reader(bytes.as_slice()).unwrap();
+        same(&read, &frame, name);
+        let mut more: ciborium::Value = ciborium::from_reader(bytes.as_slice()).unwrap();
+        add_unknown_cbor(&mut more);
+        let read: Frame<T> = ciborium::from_reader(cbor(&more).as_slice()).unwrap();
+        same(&read, &frame, name);
+    }
+
+    /// As it was written before `fields` were there.
+    fn frame_without<T: DeserializeOwned + Debug>(&mut self, name: &str, fields: &[&str], body: T) {
+        let bytes = unhex(self.text(name));
+        let mut old: ciborium::Value = ciborium::from_reader(bytes.as_slice()).unwrap();
+        let removed = remove_cbor(&mut old, fields);
+        assert_eq!(removed, fields.len(), "{name}: {fields:?}");
+        let read: Frame<T> = ciborium::from_reader(cbor(&old).as_slice()).unwrap();
+        same(&read, &Frame { v: VERSION, body }, name);
+    }
+
+    fn end(self) {
+        let unused: Vec<_> = self
+            .lines
+            .keys()
+            .filter(|name| !self.used.contains(*name))
+            .collect();
+        assert!(unused.is_empty(), "{unused:?}");
+        assert!(!self.used.is_empty());
+    }
+}
+
+/// Not every message can be compared, but each shows all its fields.
+fn same<T: Debug>(read: &T, value: &T, name: &str) {
+    assert_eq!(format!("{read:?}"), format!("{value:?}"), "{name}");
+}
+
+fn reads<T: DeserializeOwned + Debug>(text: &str, name: &str, value: &T) {
+    same(&serde_json::from_str::<T>(text).unwrap(), value, name);
+    let plain: Value = serde_json::from_str(text).unwrap();
+    let mut more = plain.clone();
+    add_unknown(&mut more);
+    assert_ne!(more, plain);
+    same(&serde_json::from_value::<T>(more).unwrap(), value, name);
+    let mut less = plain;
+    omit_nulls(&mut less);
+    same(&serde_json::from_value::<T>(less).unwrap(), value, name);
+}
+
+/// Values that are kept for others: whatever is in them counts.
+const OPAQUE: &str = "data";
+
+fn add_unknown(value: &mut Value) {
+    match value {
+        Value::Object(fields) => {
+            let inner = fields.iter_mut().filter(|(name, _)| *name != OPAQUE);
+            inner.for_each(|(_, v)| add_unknown(v));
+            fields.insert("a_later_field".into(), json!({ "deep": [1, null] }));
+        }
+        Value::Array(list) => list.iter_mut().for_each(add_unknown),
+        _ => {}
+    }
+}
+
+fn omit_nulls(value: &mut Value) {
+    match value {
+        Value::Object(fields) => {
+            fields.retain(|name, v| name == OPAQUE || !v.is_null());
+            let inner = fields.iter_mut().filter(|(name, _)| *name != OPAQUE);
+            inner.for_each(|(_, v)| omit_nulls(v));
+        }
+        Value::Array(list) => list.iter_mut().for_each(omit_nulls),
+        _ => {}
+    }
+}
+
+/// Adds to every struct; a variant is a map too, but its one key is capital.
+fn add_unknown_cbor(value: &mut ciborium::Value) {
+    match value {
+        ciborium::Value::Map(fields) => {
+            fields.iter_mut().for_each(|(_, v)| add_unknown_cbor(v));
+            let variant = fields
+                .iter()
+                .filter_map(|(name, _)| name.as_text())
+                .any(|name| name.starts_with(char::is_uppercase));
+            if !variant {
+                let unknown = ciborium::Value::Array(vec![true.into(), "x".into()]);
+                fields.insert(0, ("a_later_field".into(), unknown));
+            }
+        }
+        ciborium::Value::Array(list) => list.iter_mut().for_each(add_unknown_cbor),
+        _ => {}
+    }
+}
+
+fn remove_cbor(value: &mut ciborium::Value, names: &[&str]) -> usize {
+    match value {
+        ciborium::Value::Map(fields) => {
+            let before = fields.len();
+            fields.retain(|(name, _)| !name.as_text().is_some_and(|n| names.contains(&n)));
+            let here = before - fields.len();
+            let inner = fields.iter_mut().map(|(_, v)| remove_cbor(v, names));
+            here + inner.sum::<usize>()
+        }
+        ciborium::Value::Array(list) => list.iter_mut().map(|v| remove_cbor(v, names)).sum(),
+        _ => 0,
+    }
+}
+
+fn cbor<T: Serialize>(value: &T) -> Vec<u8> {
+    let mut out = Vec::new();
+    ciborium::into_writer(value, &mut out).unwrap();
+    out
+}
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|b| format!("{b:02x}")).collect()
+}
+
+fn unhex(text: &str) -> Vec<u8> {
+    assert!(text.len().is_multiple_of(2));
+    let digits = |i: usize| &text[2 * i..2 * i + 2];
+    (0..text.len() / 2)
+        .map(|i| u8::from_str_radix(digits(i), 16).unwrap())
+        .collect()
+}
+
+fn strings(list: &[&str]) -> Vec<String> {
+    list.iter().map(|s| s.to_string()).collect()
+}
+
+#[test]
+fn constants_on_the_wire_stay() {
+    assert_eq!(VERSION, 1);
+    assert_eq!(MAX_FRAME, 98_304);
+    assert_eq!(PREFIX, "market/");
+    assert_eq!(AWARDS, "market/award/");
+    assert_eq!(MOST_LENDABLE, 100);
+    assert_eq!(MAX_TASKS, 100_000);
+    assert_eq!(MAX_RENT, 50);
+    assert_eq!(MOST_ROWS, 100);
+    assert_eq!(split_task("j-000412/4"), Some(("j-000412", 4)));
+    assert_eq!(split_task("j-000412"), None);
+    assert_eq!(split_task("j-000412/x"), None);
+}
+
+fn task(name: &str, attempt: u64, state: TaskState) -> ReportedTask {
+    ReportedTask {
+        task: name.into(),
+        attempt,
+        state,
+        why: None,
+        saved: false,
+    }
+}
+
+fn ended(n: u64, why: Why, saved: bool) -> ReportedTask {
+    ReportedTask {
+        task: format!("j-000398/{n}"),
+        attempt: 100 + n,
+        state: TaskState::Exited,
+        why: Some(why),
+        saved,
+    }
+}
+
+fn report(tasks: Vec<ReportedTask>) -> Report {
+    Report {
+        machine: "i-000231".into(),
+        addr: "10.1.0.232:9000".into(),
+        type_name: "g8".into(),
+        zone: "a".into(),
+        spot: true,
+        session: 3,
+        seq: 88,
+        token: 41,
+        notice_s: Some(17.5),
+        tasks,
+    }
+}
+
+#[test]
+fn report_stays_with_every_state_and_every_exit() {
+    let mut pins = Pins::of(JSON, "report.");
+    pins.json(
+        "report.full",
+        &report(vec![
+            task("j-000412/3", 2, TaskState::Fetching),
+            task("j-000412/4", 5, TaskState::Waiting),
+            task("j-000413/0", u64::MAX, TaskState::Running),
+            task("j-000414/99999", 7, TaskState::Saving),
+            ended(0, Why::Done, false),
+            ended(1, Why::Stopped, true),
+            ended(2, Why::Peers, false),
+            ended(3, Why::Alone, false),
+            ended(4, Why::Error, false),
+            ended(5, Why::NoRoom, false),
+            ended(6, Why::Busy, false),
+            ended(7, Why::Unknown, false),
+        ]),
+    );
+    let minimal = Report {
+        machine: "i-9".into(),
+        addr: "[::1]:1".into(),
+        type_name: "s".into(),
+        zone: "b".into(),
+        spot: false,
+        session: 1,
+        seq: 2,
+        token: 0,
+        notice_s: None,
+        tasks: Vec::new(),
+    };
+    pins.json("report.minimal", &minimal);
+    pins.json_read("report.omitted", &minimal);
+    let later = report(vec![ended(8, Why::Other, false)]);
+    pins.json_read("report.later_exit", &later);
+    pins.end();
+}
+
+fn commands() -> Vec<Command> {
+    vec![
+        Command::Start {
+            task: "j-000412/4".into(),
+            attempt: 2,
+        },
+        Command::Stop {
+            task: "j-000377/1".into(),
+            attempt: 3,
+            grace_s: 10.0,
+        },
+        Command::Forget {
+            task: "j-000398/0".into(),
+            attempt: 4,
+        },
+    ]
+}
+
+#[test]
+fn commands_to_workers_stay() {
+    let mut pins = Pins::of(JSON, "orders.");
+    pins.json(
+        "orders.reply",
+        &ReportReply {
+            token: 41,
+            commands: commands(),
+        },
+    );
+    pins.json(
+        "orders.reply_empty",
+        &ReportReply {
+            token: 0,
+            commands: Vec::new(),
+        },
+    );
+    pins.json(
+        "orders.direct",
+        &DirectOrder {
+            token: u64::MAX,
+            session: 6,
+            commands: commands(),
+        },
+    );
+    pins.json(
+        "orders.direct_empty",
+        &DirectOrder {
+            token: 1,
+            session: 2,
+            commands: Vec::new(),
+        },
+    );
+    pins.end();
+}
+
+fn full_spec() -> JobSpec {
+    JobSpec {
+        id: "j-000412".into(),
+        class: "train".into(),
+        team: "vision".into(),
+        kind: Kind::Gang,
+        priority: Priority::High,
+        tasks: 16,
+        cpus: 8.0,
+        gpus: 1.0,
+        memory_gb: 64.0,
+        image: "img-07".into(),
+        image_gb: 6.2,
+        types: Some(strings(&["g8", "g4"])),
+        zone: Some("a".into()),
+        one_zone: true,
+        spread: false,
+        spot: true,
+        estimate_s: 240.0,
+        checkpoint_s: 30.0,
+        save_s: 4.0,
+        deadline_s: Some(900.0),
+        needs: strings(&["j-000409", "j-000408"]),
+    }
+}
+
+fn minimal_spec() -> JobSpec {
+    JobSpec {
+        id: "j-000000000000000001".into(),
+        class: "c".into(),
+        team: "t".into(),
+        kind: Kind::Array,
+        priority: Priority::Low,
+        tasks: 1,
+        cpus: 0.5,
+        gpus: 0.0,
+        memory_gb: 0.25,
+        image: "i".into(),
+        image_gb: 0.125,
+        types: None,
+        zone: None,
+        one_zone: false,
+        spread: true,
+        spot: false,
+        estimate_s: 1.5,
+        checkpoint_s: 2.5,
+        save_s: 3.5,
+        deadline_s: None,
+        needs: Vec::new(),
+    }
+}
+
+#[test]
+fn job_stays_in_every_form() {
+    let mut pins = Pins::of(JSON, "job.");
+    pins.json("job.full", &full_spec());
+    pins.json("job.minimal", &minimal_spec());
+    pins.json_read("job.nulls", &minimal_spec());
+    let service = JobSpec {
+        kind: Kind::Service,
+        priority: Priority::Production,
+        ..minimal_spec()
+    };
+    pins.json("job.service", &service);
+    let normal = JobSpec {
+        priority: Priority::Normal,
+        ..minimal_spec()
+    };
+    pins.json("job.normal", &normal);
+    for (name, spec) in [
+        ("job.full", full_spec()),
+        ("job.minimal", minimal_spec()),
+        ("job.nulls", minimal_spec()),
+        ("job.service", service),
+        ("job.normal", normal),
+    ] {
+        assert_eq!(JobSpec::parse(pins.text(name).as_bytes()), Ok(spec));
+    }
+    pins.end();
+}
+
+#[test]
+fn job_status_stays_in_every_state() {
+    let mut pins = Pins::of(JSON, "job_status.");
+    for (name, state) in [
+        ("job_status.pending", JobState::Queued),
+        ("job_status.running", JobState::Running),
+        ("job_status.done", JobState::Done),
+        ("job_status.withdrawn", JobState::Cancelled),
+    ] {
+        let status = JobStatus {
+            id: "j-000412".into(),
+            state,
+            done: 3,
+            running: 13,
+        };
+        pins.json(name, &status);
+    }
+    pins.end();
+}
+
+/// A submission, field by field.
+const FIELDS: [(&str, &str); 21] = [
+    ("ref", r#""j-000412""#),
+    ("job_family", r#""train""#),
+    ("owner_crew", r#""vision""#),
+    ("run_shape", r#""gang""#),
+    ("urgency", r#""urgent""#),
+    ("pieces", "16"),
+    ("cores", "8.0"),
+    ("accelerators", "1.0"),
+    ("memory_gb", "64.0"),
+    ("bundle", r#""img-07""#),
+    ("image_gb", "6.2"),
+    ("rigs", r#"["g8"]"#),
+    ("hall", r#""a""#),
+    ("same_place", "true"),
+    ("apart", "false"),
+    ("lendback", "true"),
+    ("expected_s", "240.0"),
+    ("snapshot_every_s", "30.0"),
+    ("snapshot_cost_s", "4.0"),
+    ("due_s", "900.0"),
+    ("waits_on", r#"["j-000409"]"#),
+];
+
+fn submission(fields: &[(&str, &str)]) -> String {
+    let fields: Vec<String> = fields
+        .iter()
+        .map(|(f, v)| format!(r#""{f}":{v}"#))
+        .collect();
+    format!("{{{}}}", fields.join(","))
+}
+
+/// What else a field may hold.
+fn odd_values() -> Vec<(&'static str, String)> {
+    let list = |n: usize, item: &str| format!("[{}]", vec![item; n].join(","));
+    let bytes = |n: usize| format!("\"{}\"", "x".repeat(n));
+    vec![
+        ("null", "null".into()),
+        ("bool", "true".into()),
+        ("zero", "0".into()),
+        ("negative", "-1".into()),
+        ("fraction", "1.5".into()),
+        ("100000", "100000".into()),
+        ("100001", "100001".into()),
+        ("1e9", "1e9".into()),
+        ("above_1e9", "1000000000.5".into()),
+        ("2^32", "4294967296".into()),
+        ("1e400", "1e400".into()),
+        ("empty_text", bytes(0)),
+        ("text", r#""nonsense""#.into()),
+        ("200_bytes", bytes(200)),
+        ("201_bytes", bytes(201)),
+        ("short_ref", r#""j-00041""#.into()),
+        ("long_ref", r#""j-0000000000000000412""#.into()),
+        ("object", "{}".into()),
+        ("empty_list", "[]".into()),
+        ("list_of_numbers", "[1]".into()),
+        ("list_of_nulls", "[null]".into()),
+        ("64_names", list(64, r#""x""#)),
+        ("65_names", list(65, r#""x""#)),
+        ("long_name", format!("[{}]", bytes(201))),
+        ("refs", r#"["j-000408","j-000409","j-000408"]"#.into()),
+        ("syntax", "nonsense".into()),
+    ]
+}
+
+fn submissions() -> Vec<(String, Vec<u8>)> {
+    let mut all = Vec::new();
+    let odd = odd_values();
+    for (at, (field, value)) in FIELDS.iter().enumerate() {
+        let mut fields = FIELDS.to_vec();
+        fields.remove(at);
+        all.push((format!("{field}.missing"), submission(&fields)));
+        fields.insert(at, (field, value));
+        fields.push((field, value));
+        all.push((format!("{field}.twice"), submission(&fields)));
+        fields.pop();
+        for (name, odd) in &odd {
+            fields[at].1 = odd;
+            all.push((format!("{field}.{name}"), submission(&fields)));
+        }
+    }
+    let good = submission(&FIELDS);
+    for (name, body) in [
+        ("good", good.clone()),
+        ("spaces_around", format!(" \n{good}\r\n ")),
+        ("trailing_text", format!("{good}x")),
+        ("trailing_object", format!("{good} {{}}")),
+        ("cut", good[..good.len() - 1].to_owned()),
+        ("cut_in_field", good[..40].to_owned()),
+        ("empty", String::new()),
+        ("empty_object", "{}".into()),
+        ("list", "[]".into()),
+        ("null", "null".into()),
+        ("text", "nonsense".into()),
+        ("unknown_field", good.replacen('{', r#"{"later":[{}],"#, 1)),
+        ("two_lines", good.replacen("16", "\n\"16\"", 1)),
+    ] {
+        all.push((format!("body.{name}"), body));
+    }
+    let mut all: Vec<_> = all.into_iter().map(|(n, b)| (n, b.into_bytes())).collect();
+    let mut not_utf8 = good.into_bytes();
+    not_utf8[10] = 0xff;
+    all.push(("body.not_utf8".into(), not_utf8));
+    all
+}
+
+#[test]
+fn submission_is_refused_in_the_same_words_when_a_field_is_at_fault() {
+    let mut pins = Pins::of(SUBMISSIONS, "");
+    for (name, body) in submissions() {
+        let said = match JobSpec::parse(&body) {
+            Ok(_) => "(taken)".to_owned(),
+            Err(why) => why,
+        };
+        assert_eq!(said, pins.text(&name), "{name}");
+    }
+    pins.end();
+}
+
+#[test]
+fn cloud_messages_stay() {
+    let mut pins = Pins::of(JSON, "cloud.");
+    let g8 = MachineType {
+        name: "g8".into(),
+        cpus: 96.0,
+        gpus: 8.0,
+        memory_gb: 768.0,
+        cache_gb: 200.0,
+        fetch_gb_per_s: 1.5,
+        price: 12.0,
+        spot_price: 4.5,
+        boot_s: 45.0,
+        zones: strings(&["a", "b"]),
+    };
+    let bare = MachineType {
+        name: "s".into(),
+        cpus: 2.0,
+        gpus: 0.0,
+        memory_gb: 3.0,
+        cache_gb: 0.0,
+        fetch_gb_per_s: 0.0,
+        price: 0.5,
+        spot_price: 0.25,
+        boot_s: 0.0,
+        zones: Vec::new(),
+    };
+    let types = vec![g8, bare.clone()];
+    pins.json("cloud.types", &MachineTypes { types });
+    let types = vec![bare];
+    pins.json_read("cloud.types_omitted", &MachineTypes { types });
+    pins.json(
+        "cloud.rent",
+        &Rent {
+            request: "r-17".into(),
+            type_name: "g8".into(),
+            zone: "a".into(),
+            spot: true,
+            count: 12,
+        },
+    );
+    let machines = strings(&["i-000231", "i-000232"]);
+    pins.json("cloud.names", &MachineNames { machines });
+    let machines = Vec::new();
+    pins.json("cloud.names_empty", &MachineNames { machines });
+    let listed = |n: u64, state| ListedMachine {
+        id: format!("i-00023{n}"),
+        addr: format!("10.1.0.{n}:9000"),
+        type_name: format!("g{n}"),
+        zone: format!("z{n}"),
+        spot: n.is_multiple_of(2),
+        state,
+        age_s: 61.5 + n as f64,
+    };
+    pins.json(
+        "cloud.list",
+        &MachineList {
+            machines: vec![
+                listed(1, ListedState::Booting),
+                listed(2, ListedState::Running),
+                listed(3, ListedState::Failed),
+            ],
+            more: true,
+        },
+    );
+    let bare = ListedMachine {
+        addr: String::new(),
+        age_s: 0.0,
+        ..listed(4, ListedState::Booting)
+    };
+    pins.json_read(
+        "cloud.list_omitted",
+        &MachineList {
+            machines: vec![bare],
+            more: false,
+        },
+    );
+    pins.end();
+}
+
+#[test]
+fn state_messages_stay() {
+    let mut pins = Pins::of(JSON, "state.");
+    let item = |key: &str, value, version| Item {
+        key: key.into(),
+        value,
+        version,
+    };
+    let value = json!({ "inner": [1, null, "x"] });
+    pins.json("state.item", &item("a/b", value.clone(), 412));
+    pins.json(
+        "state.page",
+        &Page {
+            items: vec![item("c/7", value.clone(), 5), item("c/8", Value::Null, 6)],
+            more: true,
+            revision: 431,
+        },
+    );
+    pins.json_read(
+        "state.page_omitted",
+        &Page {
+            items: Vec::new(),
+            more: false,
+            revision: 0,
+        },
+    );
+    let guard = |key: &str, version| Guard {
+        key: key.into(),
+        version,
+    };
+    let put = |key: &str, lease| Write::Put {
+        key: key.into(),
+        value: value.clone(),
+        lease,
+    };
+    pins.json(
+        "state.txn",
+        &Txn {
+            guards: vec![guard("a/b", 0), guard("a/c", 17)],
+            writes: vec![
+                put("a/b", Some(7)),
+                put("a/c", None),
+                Write::Delete { key: "c/d".into() },
+            ],
+        },
+    );
+    pins.json("state.txn_empty", &Txn::default());
+    pins.json_read("state.txn_omitted", &Txn::default());
+    pins.json(
+        "state.failed",
+        &Revision {
+            revision: 431,
+            failed: strings(&["a/b", "c/d"]),
+        },
+    );
+    pins.json_read(
+        "state.done",
+        &Revision {
+            revision: 432,
+            failed: Vec::new(),
+        },
+    );
+    pins.json("state.lease", &LeaseGranted { lease: 7 });
+    let set = |key: Option<&str>| Event {
+        put: key.map(str::to_owned),
+    };
+    let events = vec![set(Some("c/9")), set(None)];
+    let watched = Watched {
+        revision: 433,
+        events,
+    };
+    pins.json("state.watched", &watched);
+    pins.json_read("state.watched_in_full", &watched);
+    pins.json_read(
+        "state.watched_omitted",
+        &Watched {
+            revision: 434,
+            events: Vec::new(),
+        },
+    );
+    pins.end();
+}
+
+fn follow(machines: Vec<MachineHolds>) -> Follow {
+    Follow {
+        term: 71,
+        stream: 72,
+        part: 73,
+        whole: true,
+        named: false,
+        machines,
+    }
+}
+
+fn holds() -> Vec<MachineHolds> {
+    let runs = vec![
+        MayRun(3, 4, 5, Seen::Sent),
+        MayRun(6, 7, 8, Seen::Running),
+        MayRun(99_999, u64::MAX, 9, Seen::Done),
+    ];
+    vec![
+        MachineHolds {
+            machine: "i-000231".into(),
+            jobs: vec![("j-000412".into(), runs), ("j-000413".into(), Vec::new())],
+        },
+        MachineHolds {
+            machine: "i-000232".into(),
+            jobs: Vec::new(),
+        },
+    ]
+}
+
+#[test]
+fn requests_between_controllers_stay() {
+    let mut pins = Pins::of(FRAMES, "request.");
+    let forward = |body: &[u8]| Request::Forward {
+        method: "POST".into(),
+        path: "/v1/jobs".into(),
+        body: body.to_vec(),
+    };
+    let lent = vec![("j-000412".into(), 61), ("j-000413".into(), u64::MAX)];
+    for (name, request) in [
+        ("request.forward", forward(b"{}\xff\x00")),
+        ("request.forward_empty", forward(b"")),
+        (
+            "request.polls",
+            Request::Polls {
+                ids: strings(&["j-000412", "j-000413"]),
+            },
+        ),
+        ("request.polls_empty", Request::Polls { ids: Vec::new() }),
+        (
+            "request.promise",
+            Request::Promise {
+                term: 11,
+                leader: "winchpost-2".into(),
+                for_ms: 12_000,
+            },
+        ),
+        (
+            "request.unheard",
+            Request::Unheard {
+                machines: strings(&["i-000231", "i-000232"]),
+                for_ms: 1300,
+            },
+        ),
+        ("request.greeting", Request::greeting()),
+        ("request.follow", Request::Follow(follow(holds()))),
+        ("request.follow_empty", Request::Follow(follow(Vec::new()))),
+        ("request.resigned", Request::Resigned { term: 14 }),
+        ("request.status", Request::Status),
+        ("request.leader_status", Request::LeaderStatus),
+        (
+            "request.explain",
+            Request::Explain {
+                id: "j-000412".into(),
+                forwarded: true,
+            },
+        ),
+        ("request.lendable", Request::Lendable { lent }),
+        (
+            "request.lendable_empty",
+            Request::Lendable { lent: Vec::new() },
+        ),
+        (
+            "request.lend",
+            Request::Lend {
+                id: "j-000412".into(),
+                award: 21,
+                market: "north".into(),
+                version: 22,
+            },
+        ),
+        (
+            "request.take_back",
+            Request::TakeBack {
+                id: "j-000412".into(),
+                award: 23,
+                done: vec![(0, 3), (5, 5)],
+            },
+        ),
+    ] {
+        pins.frame(name, request);
+    }
+    pins.end();
+}
+
+#[test]
+fn what_a_standby_is_told_reads_no_other_state_of_a_task() {
+    for (n, seen) in [(0, Seen::Sent), (1, Seen::Running), (2, Seen::Done)] {
+        assert_eq!(u8::from(seen), n);
+        assert_eq!(Seen::try_from(n), Ok(seen));
+    }
+    assert_eq!(Seen::try_from(3), Err("no such state of a task: 3".into()));
+}
+
+fn lendable() -> Vec<Lendable> {
+    vec![
+        Lendable {
+            spec: full_spec(),
+            done: vec![(0, 3), (7, 7)],
+            waited_ms: 31,
+            left_ms: Some(-32),
+            here_ms: Some(33),
+            rent: 34,
+            kept: true,
+        },
+        Lendable {
+            spec: minimal_spec(),
+            done: Vec::new(),
+            waited_ms: 35,
+            left_ms: None,
+            here_ms: None,
+            rent: 36,
+            kept: false,
+        },
+    ]
+}
+
+const REASONS: [Reason; 12] = [
+    Reason::New,
+    Reason::TeamLimit,
+    Reason::NoRoom,
+    Reason::MachineBooting,
+    Reason::CloudRefuses,
+    Reason::GangIncomplete,
+    Reason::RoomBeingMade,
+    Reason::OldAttempt,
+    Reason::Settling,
+    Reason::FailsEverywhere,
+    Reason::Lent,
+    Reason::NeedsOthers,
+];
+
+fn picture() -> Picture {
+    Picture {
+        term: 51,
+        since_s: 52.5,
+        settled: true,
+        jobs: 53,
+        groups: vec![Group {
+            class: "train".into(),
+            team: "vision".into(),
+            waiting: 54,
+            running: 55,
+            oldest_wait_s: 56.5,
+            reasons: REASONS.into_iter().zip(100..).collect(),
+            late_jobs: 57,
+            at_risk_jobs: 58,
+        }],
+        teams: vec![TeamUse {
+            name: "speech".into(),
+            cpus: 1.5,
+            gpus: 2.5,
+            cpus_guaranteed: 3.5,
+            gpus_guaranteed: 4.5,
+            cpus_max: 5.5,
+            gpus_max: 6.5,
+        }],
+        fleet: vec![Fleet {
+            type_name: "g8".into(),
+            zone: "a".into(),
+            spot: true,
+            up: 61,
+            booting: 62,
+            leaving: 63,
+            load: 0.75,
+        }],
+        troubles: vec![Trouble {
+            machine: "i-000231".into(),
+            why: "silent".into(),
+        }],
+        failures: vec![Failure {
+            task: "j-000412/3".into(),
+            machine: "i-000232".into(),
+            why: "error".into(),
+            ago_s: 64.5,
+        }],
+        lent: vec![("north".into(), 65)],
+        standbys: vec![StandbyStatus {
+            node: "winchpost-3".into(),
+            warm: true,
+            since_s: Some(66.5),
+            owes_s: 67.5,
+            why_not: Some("copy begins".into()),
+        }],
+        took_over: "warm".into(),
+    }
+}
+
+fn status(picture: Option<Picture>) -> Status {
+    Status {
+        node: "winchpost-1".into(),
+        leader: Some("winchpost-2".into()),
+        age_s: 41.5,
+        picture,
+        versions: vec![
+            ("winchpost-1".into(), Some("0.1.0".into())),
+            ("winchpost-2".into(), None),
+        ],
+        upgraded: true,
+        stopped: Some(("lease lost".into(), 42.5)),
+    }
+}
+
+fn explained(due: Due) -> Explained {
+    Explained {
+        id: "j-000412".into(),
+        class: "train".into(),
+        team: "vision".into(),
+        state: "running".into(),
+        tasks: 81,
+        done: 82,
+        running: 83,
+        waiting: 84,
+        age_s: 85.5,
+        reason: Some(Reason::TeamLimit),
+        verdict: Some("held back".into()),
+        due: Some(due),
+        deadline_s: Some(86.5),
+        places: vec![(87, "i-000231".into(), "saving".into())],
+        left_s: Some(88.5),
+        needs: vec![("j-000409".into(), "pending".into())],
+        needs_all: 89,
+    }
+}
+
+fn explained_bare() -> Explained {
+    Explained {
+        reason: None,
+        verdict: None,
+        due: None,
+        deadline_s: None,
+        places: Vec::new(),
+        left_s: None,
+        needs: Vec::new(),
+        needs_all: 0,
+        ..explained(Due::Late)
+    }
+}
+
+fn job(explained: Explained) -> Reply {
+    Reply::Explained(Explanation::Job(Box::new(explained)))
+}
+
+fn promise(granted: bool, state_ok: bool, running_ms: Option<u64>) -> Reply {
+    Reply::Promise {
+        granted,
+        state_ok,
+        running_ms,
+    }
+}
+
+#[test]
+fn replies_between_controllers_stay() {
+    let mut pins = Pins::of(FRAMES, "reply.");
+    let over = Explanation::Over {
+        state: "done".into(),
+        done: 91,
+    };
+    let polled = vec![
+        Some((JobState::Queued, 0, 0)),
+        Some((JobState::Running, 3, 13)),
+        Some((JobState::Done, 16, 0)),
+        Some((JobState::Cancelled, 4, 5)),
+        None,
+    ];
+    for (name, reply) in [
+        (
+            "reply.forwarded",
+            Reply::Forwarded {
+                status: 503,
+                retry_after_s: Some(2),
+                body: b"{}\xff".to_vec(),
+            },
+        ),
+        (
+            "reply.forwarded_bare",
+            Reply::Forwarded {
+                status: 200,
+                retry_after_s: None,
+                body: Vec::new(),
+            },
+        ),
+        ("reply.polled", Reply::Polled(polled)),
+        ("reply.polled_empty", Reply::Polled(Vec::new())),
+        (
+            "reply.followed",
+            Reply::Followed {
+                incarnation: u64::MAX,
+                taken: true,
+            },
+        ),
+        ("reply.not_leader", Reply::NotLeader),
+        ("reply.promise", promise(true, false, Some(1234))),
+        ("reply.promise_old", promise(false, true, None)),
+        ("reply.ok", Reply::Ok),
+        (
+            "reply.greeted",
+            Reply::Greeted {
+                leader: Some(("winchpost-2".into(), 15)),
+            },
+        ),
+        ("reply.greeted_none", Reply::Greeted { leader: None }),
+        (
+            "reply.status",
+            Reply::Status(Box::new(status(Some(picture())))),
+        ),
+        ("reply.status_empty", Reply::Status(Box::default())),
+        ("reply.explained_in_time", job(explained(Due::InTime))),
+        ("reply.explained_at_risk", job(explained(Due::AtRisk))),
+        ("reply.explained_late", job(explained(Due::Late))),
+        ("reply.explained_bare", job(explained_bare())),
+        ("reply.explained_over", Reply::Explained(over)),
+        (
+            "reply.explained_no_job",
+            Reply::Explained(Explanation::NoSuchJob),
+        ),
+        (
+            "reply.explained_unknown",
+            Reply::Explained(Explanation::Unknown("nobody leads".into())),
+        ),
+        (
+            "reply.lendable",
+            Reply::Lendable {
+                jobs: lendable(),
+                recall: strings(&["j-000414", "j-000415"]),
+            },
+        ),
+        (
+            "reply.lendable_empty",
+            Reply::Lendable {
+                jobs: Vec::new(),
+                recall: Vec::new(),
+            },
+        ),
+        ("reply.lent_yes", Reply::Lent(Marked::Yes)),
+        ("reply.lent_no", Reply::Lent(Marked::No)),
+        ("reply.lent_not_yet", Reply::Lent(Marked::NotYet)),
+        ("reply.taken_back", Reply::TakenBack(true)),
+        ("reply.not_taken_back", Reply::TakenBack(false)),
+    ] {
+        pins.frame(name, reply);
+    }
+    pins.end();
+}
+
+#[test]
+fn replies_from_before_a_field_came_are_read() {
+    let mut pins = Pins::of(FRAMES, "reply.");
+    pins.frame_without("reply.promise", &["running_ms"], promise(true, false, None));
+    let old = Status {
+        picture: Some(Picture {
+            lent: Vec::new(),
+            standbys: Vec::new(),
+            took_over: String::new(),
+            ..picture()
+        }),
+        versions: Vec::new(),
+        upgraded: false,
+        stopped: None,
+        ..status(None)
+    };
+    pins.frame_without(
+        "reply.status",
+        &[
+            "lent",
+            "standbys",
+            "took_over",
+            "versions",
+            "upgraded",
+            "stopped",
+        ],
+        Reply::Status(Box::new(old)),
+    );
+    let old = Explained {
+        verdict: None,
+        left_s: None,
+        needs: Vec::new(),
+        needs_all: 0,
+        ..explained(Due::Late)
+    };
+    pins.frame_without(
+        "reply.explained_late",
+        &["verdict", "left_s", "needs", "needs_all"],
+        job(old),
+    );
+}
+
+#[test]
+fn what_could_be_lent_stays_as_json() {
+    let mut pins = Pins::of(JSON, "lendable.");
+    for (name, lendable) in ["lendable.full", "lendable.minimal"].iter().zip(lendable()) {
+        pins.json(name, &lendable);
+    }
+    pins.end();
+}
