--- /dev/null
+++ b/crates/market/tests/compatibility.rs
@@ -0,0 +1,319 @@
+//! What markets and the broker's records must stay like, byte for byte,
+//! whatever types and fields are called in the code. The fixtures are the
+//! expectation and are never edited.
+
+use pathwinch_market::{
+    books::LINE,
+    lending::{self, Waiting},
+    ranges::Ranges,
+    records::{
+        self, AwardRecord, End, HorizonRecord, SpentRecord, Why, award_key, horizon_key, spent_key,
+        standing_key,
+    },
+    reputation::{Outcome, Reputation},
+    schema::{self, Reader},
+    serve::PATH,
+    wire::{
+        Ask, Award, AwardSaid, Bid, BidSaid, Job, MAX_BODY, MAX_OFFERS, MAX_ROWS, Offer, Reply,
+        Request, Say, Slot, State, Sync, Synced, Until, VERSION,
+    },
+};
+use serde::{Serialize, de::DeserializeOwned};
+use serde_json::Value;
+use std::fmt::Debug;
+
+const FIXTURES: &str = include_str!("fixtures/compatibility/market.txt");
+
+fn fixture(name: &str) -> &'static str {
+    let named = FIXTURES.lines().filter_map(|line| line.split_once(' '));
+    let found: Vec<_> = named.filter(|(n, _)| *n == name).collect();
+    let [(_, text)] = found[..] else {
+        panic!("{} fixtures {name}", found.len());
+    };
+    text
+}
+
+/// Written as the fixture has it, and read from it, also without its nulls.
+fn pinned<T: Serialize + DeserializeOwned + PartialEq + Debug>(name: &str, value: &T) {
+    let text = fixture(name);
+    assert_eq!(serde_json::to_string(value).unwrap(), text, "{name}");
+    assert_eq!(serde_json::from_str::<T>(text).unwrap(), *value, "{name}");
+    let mut less: Value = serde_json::from_str(text).unwrap();
+    omit_nulls(&mut less);
+    assert_eq!(serde_json::from_value::<T>(less).unwrap(), *value, "{name}");
+}
+
+fn omit_nulls(value: &mut Value) {
+    match value {
+        Value::Object(fields) => {
+            fields.retain(|_, v| !v.is_null());
+            fields.values_mut().for_each(omit_nulls);
+        }
+        Value::Array(list) => list.iter_mut().for_each(omit_nulls),
+        _ => {}
+    }
+}
+
+/// Pinned, and the published schema takes it; no unknown field is taken.
+fn message<T: Serialize + DeserializeOwned + PartialEq + Debug>(
+    name: &str,
+    schema: &Value,
+    value: &T,
+) {
+    pinned(name, value);
+    let reader = Reader::new(schema).unwrap();
+    let text = fixture(name);
+    assert_eq!(reader.read::<T>(text.as_bytes()).as_ref(), Ok(value));
+    let more = text.replacen('{', r#"{"later":1,"#, 1);
+    assert!(reader.read::<T>(more.as_bytes()).is_err(), "{name}");
+    assert!(serde_json::from_str::<T>(&more).is_err(), "{name}");
+}
+
+fn slot() -> Slot {
+    Slot {
+        cpus: 8.0,
+        gpus: 1.5,
+        memory_gb: 64.25,
+    }
+}
+
+fn at(epoch: u64) -> Until {
+    Until {
+        epoch,
+        clock_ms: epoch + 1000,
+    }
+}
+
+fn request(ask: Ask) -> Request {
+    Request {
+        v: VERSION,
+        message: 11,
+        home: "south".into(),
+        term: 12,
+        ask,
+    }
+}
+
+fn reply(say: Say) -> Reply {
+    Reply {
+        v: VERSION,
+        message: 13,
+        epoch: 14,
+        clock_ms: 15,
+        cleared: true,
+        say,
+    }
+}
+
+#[test]
+fn requests_to_a_market_stay() {
+    let bid = |bid| Bid {
+        bid,
+        offer: format!("o-{bid}"),
+        slots: 32,
+        price: 33,
+    };
+    let award = |gang, done| Award {
+        award: 41,
+        bid: 42,
+        start_by: at(43),
+        cap: 44,
+        job: Job {
+            id: "j-000412".into(),
+            gang,
+            tasks: 45,
+            done,
+            slot: slot(),
+            image: "img-07".into(),
+            image_gb: 6.5,
+            estimate_s: 240.5,
+        },
+    };
+    let sync = Sync {
+        until: Some(at(21)),
+        awards: vec![22, 23],
+        recall: vec![24],
+        settled: vec![25, 26, 27],
+        release: vec![28],
+    };
+    let some = Ranges(vec![(0, 3), (7, 7)]);
+    for (name, ask) in [
+        ("request.sync", Ask::Sync(sync)),
+        ("request.sync_empty", Ask::Sync(Sync::default())),
+        ("request.bids", Ask::Bids(vec![bid(30), bid(31)])),
+        ("request.bids_empty", Ask::Bids(Vec::new())),
+        ("request.award", Ask::Award(award(true, some))),
+        (
+            "request.award_bare",
+            Ask::Award(award(false, Ranges::default())),
+        ),
+    ] {
+        message(name, &schema::request(), &request(ask));
+    }
+}
+
+#[test]
+fn replies_of_a_market_stay() {
+    let offer = |n: u32| Offer {
+        offer: format!("o-{n}"),
+        slot: slot(),
+        slots: n + 1,
+        price: u64::from(n) + 2,
+        valid_until_ms: u64::from(n) + 3,
+    };
+    let states = || {
+        [
+            State::Unknown,
+            State::Void,
+            State::Running { done: 61 },
+            State::Withdrawn {
+                done: Ranges(vec![(0, 3), (7, 7)]),
+                charge: 62,
+            },
+            State::Done {
+                result: "r-1".into(),
+                charge: 63,
+            },
+        ]
+    };
+    let synced = Synced {
+        offers: vec![offer(51), offer(56)],
+        awards: states()
+            .into_iter()
+            .zip(70..)
+            .map(|(state, award)| AwardSaid { award, state })
+            .collect(),
+    };
+    let accepted = BidSaid::Accepted {
+        price: 81,
+        until_ms: 82,
+    };
+    for (name, say) in [
+        ("reply.synced", Say::Synced(synced)),
+        ("reply.synced_empty", Say::Synced(Synced::default())),
+        ("reply.bids", Say::Bids(vec![accepted, BidSaid::Refused])),
+        ("reply.fenced", Say::Fenced { term: 83 }),
+    ] {
+        message(name, &schema::reply(), &reply(say));
+    }
+    let names = ["unknown", "void", "running", "withdrawn", "done"];
+    for (name, state) in names.iter().zip(states()) {
+        let reply = reply(Say::Award(state));
+        message(&format!("reply.award_{name}"), &schema::reply(), &reply);
+    }
+}
+
+#[test]
+fn records_of_the_broker_stay() {
+    let award = |end| AwardRecord {
+        award: 91,
+        market: "north".into(),
+        team: "vision".into(),
+        tasks: 92,
+        cap: 93,
+        start_by: at(94),
+        end,
+    };
+    pinned("record.award_open", &award(None));
+    for (name, why) in [
+        ("done", Why::Done),
+        ("withdrawn", Why::Withdrawn),
+        ("void", Why::Void),
+        ("expired", Why::Expired),
+        ("not_sent", Why::NotSent),
+    ] {
+        let done = why == Why::Done;
+        let end = End {
+            done: Ranges(vec![(0, 3), (7, 7)]),
+            result: done.then(|| "r-1".into()),
+            charge: 95,
+            why,
+        };
+        pinned(&format!("record.award_{name}"), &award(Some(end)));
+    }
+    pinned("record.horizon", &HorizonRecord { until_ms: 96 });
+    pinned("record.spent", &SpentRecord { day: 97, spent: 98 });
+    pinned("record.standing_new", &Reputation::default());
+    let mut standing = Reputation::default();
+    for outcome in [Outcome::Kept, Outcome::Late, Outcome::Lied] {
+        standing.note(outcome);
+    }
+    pinned("record.standing", &standing);
+}
+
+#[test]
+fn names_and_limits_on_the_wire_stay() {
+    assert_eq!(award_key("j-000412"), "award/j-000412");
+    assert_eq!(horizon_key("north"), "horizon/north");
+    assert_eq!(standing_key("north"), "standing/north");
+    assert_eq!(spent_key("vision"), "spent/vision");
+    assert_eq!(LINE, "line");
+    assert_eq!(PATH, "/market/v1");
+    assert_eq!(records::day(86_400_000 * 7 - 1), 6);
+    assert_eq!(
+        (VERSION, MAX_BODY, MAX_OFFERS, MAX_ROWS),
+        (1, 1_048_576, 1000, 1000)
+    );
+    for (name, outcome) in [
+        ("kept", Outcome::Kept),
+        ("late", Outcome::Late),
+        ("withdrawn", Outcome::Withdrawn),
+        ("refused", Outcome::Refused),
+        ("lost", Outcome::Lost),
+        ("lied", Outcome::Lied),
+    ] {
+        pinned(&format!("outcome.{name}"), &outcome);
+    }
+}
+
+#[test]
+fn waiting_job_stays() {
+    let waiting = |kind, left_ms, here_ms| Waiting {
+        job: "j-000412".into(),
+        class: "train".into(),
+        team: "vision".into(),
+        kind,
+        tasks: 101,
+        done: Ranges(vec![(0, 3)]),
+        slot: slot(),
+        image: "img-07".into(),
+        image_gb: 6.5,
+        estimate_s: 240.5,
+        waited_ms: 102,
+        left_ms,
+        here_ms,
+        rent: 103,
+        placed: 104,
+        kept: true,
+    };
+    let gang = waiting(lending::Kind::Gang, Some(-105), Some(106));
+    pinned("waiting.gang", &gang);
+    pinned("waiting.array", &waiting(lending::Kind::Array, None, None));
+    pinned(
+        "waiting.service",
+        &waiting(lending::Kind::Service, None, None),
+    );
+}
+
+#[test]
+fn schemas_stay_as_published() {
+    for (name, made, published) in [
+        (
+            "request",
+            schema::request(),
+            include_str!("../schemas/request.json"),
+        ),
+        (
+            "reply",
+            schema::reply(),
+            include_str!("../schemas/reply.json"),
+        ),
+    ] {
+        assert_eq!(
+            made,
+            serde_json::from_str::<Value>(published).unwrap(),
+            "{name}"
+        );
+        assert_eq!(made.to_string(), fixture(&format!("schema.{name}")));
+    }
+}
