--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -7,68 +7,12 @@
 use pathwinch::{
     bookkeeping::{
         pieces::PIECES,
-        records::{self, FinalRecord, LeaderRecord, MachineRecord, StandbyRecord, StoredJob},
-    },
-    protocol::{
-        peers::{Frame, Reply, Request, VERSION},
-        users::{JobSpec, JobState, Kind},
+        records::{self, FinalRecord},
     },
+    protocol::users::{JobSpec, JobState, Kind},
 };
-use serde::{Serialize, de::DeserializeOwned};
 use world::{World, job};
 
-/// Written by the program that was in production before chains came.
-const PRODUCTION: &str = include_str!("fixtures/production.txt");
-
-fn again<T: Serialize + DeserializeOwned>(text: &str) -> serde_json::Value {
-    let record: T = serde_json::from_str(text).unwrap();
-    serde_json::to_value(record).unwrap()
-}
-
-fn frame_again<T: Serialize + DeserializeOwned>(hex: &str) -> String {
-    let bytes: Vec<u8> = (0..hex.len() / 2)
-        .map(|i| u8::from_str_radix(&hex[2 * i..2 * i + 2], 16).unwrap())
-        .collect();
-    let frame: Frame<T> = ciborium::from_reader(bytes.as_slice()).unwrap();
-    assert_eq!(frame.v, VERSION);
-    let mut out = Vec::new();
-    ciborium::into_writer(&frame, &mut out).unwrap();
-    out.iter().map(|b| format!("{b:02x}")).collect()
-}
-
-#[test]
-fn what_production_wrote_is_read_and_written_back_as_it_was() {
-    let mut seen = 0;
-    for line in PRODUCTION.lines() {
-        let (what, text) = line.split_once(' ').unwrap();
-        let value = || serde_json::from_str::<serde_json::Value>(text).unwrap();
-        match what {
-            "job" => {
-                let record = StoredJob::read(value()).unwrap();
-                assert_eq!(record.stored(), value());
-            }
-            "final" => assert_eq!(again::<FinalRecord>(text), value()),
-            "leader" => assert_eq!(again::<LeaderRecord>(text), value()),
-            "standbys" => assert_eq!(again::<StandbyRecord>(text), value()),
-            "machine" => assert_eq!(again::<MachineRecord>(text), value()),
-            "request" => assert_eq!(frame_again::<Request>(text), text),
-            // Operators' answers have grown; the rest is as it was.
-            "reply" => {
-                let same = frame_again::<Reply>(text);
-                let grown = text.contains(&hex("Status")) || text.contains(&hex("Explained"));
-                assert!(same == text || grown, "{text}");
-            }
-            _ => panic!("{what}"),
-        }
-        seen += 1;
-    }
-    assert_eq!(seen, 32);
-}
-
-fn hex(text: &str) -> String {
-    text.bytes().map(|b| format!("{b:02x}")).collect()
-}
-
 /// An installation whose state service will have lower limits.
 fn warned(seed: u64, machines: usize) -> World {
     led(seed, machines, false)
