--- a/tests/compatibility/operators.rs
+++ b/tests/compatibility/operators.rs
@@ -600,6 +600,47 @@
     listener.local_addr().unwrap()
 }
 
+/// Gives each request this answer, for as long as the tests run.
+fn answering(status: u16, body: &'static str) -> String {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let at = listener.local_addr().unwrap().to_string();
+    thread::spawn(move || {
+        for stream in listener.incoming() {
+            let mut stream = stream.unwrap();
+            let mut request = [0; 4096];
+            let _ = stream.read(&mut request);
+            let length = body.len();
+            let answer = format!(
+                "HTTP/1.1 {status} -\r\nContent-Type: application/json\r\n\
+                 Content-Length: {length}\r\nConnection: close\r\n\r\n{body}"
+            );
+            let _ = stream.write_all(answer.as_bytes());
+        }
+    });
+    at
+}
+
+#[test]
+fn answers_to_users_end_with_the_exit_codes_that_they_did() {
+    let told = r#"{"ref":"j-000412","stage":"running","done":1,"running":2}"#;
+    for (status, body, polled, aborted) in [
+        (200, told, 0, 0),
+        (404, r#"{"error":"no such job"}"#, 4, 4),
+        // A poll asks once, and is to be made again later.
+        (422, r#"{"error":"refused"}"#, 3, 5),
+    ] {
+        let at = answering(status, body);
+        let poll = ["poll", "j-000412", "--json", "--at", &at];
+        let said = pathwinch(&poll);
+        assert_eq!(said.status.code(), Some(polled), "{status}");
+        if status == 200 {
+            assert_eq!(String::from_utf8(said.stdout).unwrap(), format!("{told}\n"));
+        }
+        let abort = ["abort", "j-000412", "--at", &at];
+        assert_eq!(code(&abort), Some(aborted), "{status}");
+    }
+}
+
 #[test]
 fn reasons_are_named_as_they_were() {
     let reasons = [
@@ -839,7 +880,10 @@
     stream
         .set_read_timeout(Some(Duration::from_secs(20)))
         .unwrap();
-    let request = format!("{what} HTTP/1.1\r\nHost: {at}\r\nConnection: close\r\n\r\n");
+    let request = format!(
+        "{what} HTTP/1.1\r\nHost: {at}\r\nContent-Length: 0\r\n\
+                 Connection: close\r\n\r\n"
+    );
     stream.write_all(request.as_bytes()).unwrap();
     let mut answer = String::new();
     stream.read_to_string(&mut answer).unwrap();
@@ -850,10 +894,17 @@
 fn figures_are_named_as_they_were() {
     let dir = Dir::new("figures");
     let (_controller, listen) = alone(&dir);
-    let told = ask(listen, "GET /v1/jobs/j-000001");
-    assert!(told.starts_with("HTTP/1.1 "), "{told}");
+    for (what, request) in [
+        ("GET /v1/jobs/j-000001", "poll"),
+        ("POST /v1/jobs", "submit"),
+        ("POST /v1/jobs/j-000001/abort", "abort"),
+    ] {
+        let told = ask(listen, what);
+        assert!(told.starts_with("HTTP/1.1 "), "{told}");
+        let figure = format!("pathwinch_answer_seconds_count{{request=\"{request}\"}} 1\n");
+        assert!(ask(listen, "GET /metrics").contains(&figure), "{figure}");
+    }
     let answer = ask(listen, "GET /metrics");
-    assert!(answer.contains("pathwinch_answer_seconds_count{request=\"poll\"} 1"));
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
     let content = "application/openmetrics-text; version=1.0.0; charset=utf-8";
     assert!(answer.contains(content), "{answer}");
