--- a/crates/lab/src/base.rs
+++ b/crates/lab/src/base.rs
@@ -3,15 +3,15 @@
 
 use crate::{
     children::Program,
-    controllers, front, hosts,
+    controllers, hosts,
     installation::{Lab, loopback},
-    services,
+    load_balancer, services,
     site::Site,
 };
 use anyhow::{Context, Result};
 use pathwinch_protocol::settings::Services;
 use pathwinch_transport::{
-    lanes::Lanes,
+    priority_executor::Lanes,
     server::{self, HttpRequest, HttpResponse, Limits},
 };
 use std::{
@@ -73,9 +73,9 @@
         let lab = self.lab;
         serve_on(&lab, self.state_listener, services::state);
         serve_on(&lab, self.cloud_listener, services::cloud);
-        serve_on(&lab, self.users_listener, front::front);
+        serve_on(&lab, self.users_listener, load_balancer::front);
         lab.lanes.spawn(hosts::run(lab.clone())).detach();
-        lab.lanes.spawn(front::probe(lab.clone())).detach();
+        lab.lanes.spawn(load_balancer::probe(lab.clone())).detach();
     }
 }
 
--- a/crates/lab/src/cloud.rs
+++ b/crates/lab/src/cloud.rs
@@ -5,7 +5,7 @@
 use pathwinch_protocol::cloud::{
     ListedMachine, ListedState, MAX_RENT, MachineList, MachineNames, MachineType, Rent,
 };
-use pathwinch_transport::budget::Budget;
+use pathwinch_transport::rate_limit::Budget;
 use std::collections::{BTreeMap, HashMap};
 
 #[derive(Debug, Clone)]
--- a/crates/lab/src/installation.rs
+++ b/crates/lab/src/installation.rs
@@ -2,10 +2,11 @@
 //! and the clock that all of them are told.
 
 use crate::{
-    Ms, cloud::Cloud, depot::Depot, millis, site::Site, state::StateService, traffic::Traffic,
+    Ms, cloud::Cloud, millis, object_store::Depot, site::Site, state::StateService,
+    traffic::Traffic,
 };
 use anyhow::{Context, Result};
-use pathwinch_transport::{client::Client, lanes::Lanes};
+use pathwinch_transport::{client::Client, priority_executor::Lanes};
 use std::{
     cell::{Cell, RefCell},
     net::{SocketAddr, TcpListener},
--- a/crates/lab/src/scale/users.rs
+++ b/crates/lab/src/scale/users.rs
@@ -5,7 +5,7 @@
     history::{Answered, History, Said},
     plan::Plan,
 };
-use crate::{Ms, depot::Started, installation::Lab, traffic};
+use crate::{Ms, installation::Lab, object_store::Started, traffic};
 use async_io::Timer;
 use hdrhistogram::Histogram;
 use http_types::Method;
--- a/crates/lab/src/state.rs
+++ b/crates/lab/src/state.rs
@@ -6,7 +6,7 @@
     settings::StateLimits,
     state::{Txn, Write},
 };
-use pathwinch_transport::budget::Budget;
+use pathwinch_transport::rate_limit::Budget;
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
--- a/crates/lab/src/worker.rs
+++ b/crates/lab/src/worker.rs
@@ -1,9 +1,8 @@
 //! One worker: what it reports, how it takes commands, what its tasks do.
 
 use crate::{
-    Ms,
-    depot::{Depot, GangState},
-    millis,
+    Ms, millis,
+    object_store::{Depot, GangState},
 };
 use pathwinch_protocol::{
     cloud::MachineType,
--- a/crates/market/examples/nights.rs
+++ b/crates/market/examples/nights.rs
@@ -5,10 +5,10 @@
 //!     nights worth       money and deadlines of a night with and without
 //!                        markets, and messages a job
 
-#[path = "../tests/world/mod.rs"]
-mod world;
+#[path = "../tests/simulation/mod.rs"]
+mod simulation;
 
-use world::{Ms, World};
+use simulation::{Ms, World};
 
 /// All jobs lent and running for long, then the broker's process ends.
 fn settle(jobs: u32, down: bool) -> (usize, Ms) {
--- a/crates/market/src/broker/calls.rs
+++ b/crates/market/src/broker/calls.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 use crate::{
+    call_policy::Outcome,
     clock::{Look, Reading},
-    gate::Outcome,
     wire::{Ask, MAX_OFFERS, MAX_ROWS, Reply, Request, Say, Sync, Synced, VERSION},
 };
 use std::collections::HashSet;
--- a/crates/market/src/broker/mod.rs
+++ b/crates/market/src/broker/mod.rs
@@ -11,10 +11,10 @@
 
 use crate::{
     Money, Ms,
-    books::{Books, News, Step, Wrote},
+    call_policy::{Gate, Limits},
     clearing::Effort,
     clock::{Clock, Tenancy},
-    gate::{Gate, Limits},
+    ledger_sync::{Books, News, Step, Wrote},
     lending::{Stays, Waiting},
     options::Options,
     records::{
--- a/crates/market/src/lib.rs
+++ b/crates/market/src/lib.rs
@@ -2,11 +2,11 @@
 //! decides without clock or sockets: state, an event and the time go in,
 //! effects come out. `docs/markets.md` says why it is safe.
 
-pub mod books;
 pub mod broker;
+pub mod call_policy;
 pub mod clearing;
 pub mod clock;
-pub mod gate;
+pub mod ledger_sync;
 pub mod lending;
 pub mod options;
 pub mod ranges;
--- a/crates/market/src/serve/mod.rs
+++ b/crates/market/src/serve/mod.rs
@@ -7,8 +7,8 @@
 
 use crate::{
     Ms,
-    books::Step,
     broker::{Broker, Counts, Effect, Event, Missing},
+    ledger_sync::Step,
     options::Options,
     schema::{self, Reader},
     wire,
@@ -26,7 +26,7 @@
     keys::{Texts, system_time},
     reload::{Followed, Seen},
 };
-use pathwinch_transport::{client::CallError, lanes::Lanes};
+use pathwinch_transport::{client::CallError, priority_executor::Lanes};
 use state::{Held, Lost, State};
 use std::{
     cell::{Cell, RefCell},
--- a/crates/market/src/serve/state.rs
+++ b/crates/market/src/serve/state.rs
@@ -3,7 +3,7 @@
 
 use crate::{
     Ms,
-    books::{Change, Wrote},
+    ledger_sync::{Change, Wrote},
 };
 use async_io::Timer;
 use http_types::Method;
@@ -13,8 +13,8 @@
     state::{Guard, LeaseGranted, Page, Revision, Txn, Write},
 };
 use pathwinch_transport::{
-    budget::Budget,
     client::{Answer, CallError, Client},
+    rate_limit::Budget,
 };
 use serde_json::{Value, json};
 use std::{cell::RefCell, collections::BTreeMap, net::SocketAddr, time::Duration, time::Instant};
--- a/crates/market/tests/compatibility.rs
+++ b/crates/market/tests/compatibility.rs
@@ -3,7 +3,7 @@
 //! expectation and are never edited.
 
 use pathwinch_market::{
-    books::LINE,
+    ledger_sync::LINE,
     lending::{self, Waiting},
     ranges::Ranges,
     records::{
--- a/crates/market/tests/histories.rs
+++ b/crates/market/tests/random_histories.rs
@@ -2,9 +2,9 @@
 //! twice, withdraws or lies, each job has one final answer and runs in one
 //! place at a time. `SEEDS=n` runs more of them.
 
-mod world;
+mod simulation;
 
-use world::{Faults, World};
+use simulation::{Faults, World};
 
 /// A night with everything that can go wrong, then calm.
 fn night(seed: u64, jobs: u32) -> World {
--- a/crates/market/tests/stories.rs
+++ b/crates/market/tests/scenarios.rs
@@ -1,9 +1,9 @@
 //! What the broker does when one thing goes wrong at a time.
 
-mod world;
+mod simulation;
 
 use pathwinch_market::broker::Phase;
-use world::{Ms, World};
+use simulation::{Ms, World};
 
 /// A calm world, in which nothing starts at home by itself.
 fn calm(jobs: u32) -> World {
--- a/crates/market/tests/world/mod.rs
+++ b/crates/market/tests/simulation/mod.rs
@@ -7,9 +7,9 @@
 use fastrand::Rng;
 use pathwinch_lab::market::{Did, MarketSim};
 use pathwinch_market::{
-    books::{Change, Step, Wrote},
     broker::{Broker, Effect, Event, Missing},
     clearing::Effort,
+    ledger_sync::{Change, Step, Wrote},
     lending::{Kind, Waiting},
     options::Options,
     ranges::Ranges,
--- a/crates/tls/src/http.rs
+++ b/crates/tls/src/http.rs
@@ -10,7 +10,7 @@
 use pathwinch_transport::{
     Slot, Stream,
     client::{Answer, CallError},
-    lanes::Lanes,
+    priority_executor::Lanes,
     server::{HttpRequest, HttpResponse, receive, respond},
     within,
 };
--- a/crates/tls/tests/loopback.rs
+++ b/crates/tls/tests/loopback.rs
@@ -7,7 +7,7 @@
     keys::{At, Texts},
     reload::Followed,
 };
-use pathwinch_transport::{client::CallError, lanes::Lanes, server::HttpResponse};
+use pathwinch_transport::{client::CallError, priority_executor::Lanes, server::HttpResponse};
 use std::{
     cell::RefCell,
     net::{SocketAddr, TcpListener},
--- a/crates/transport/src/frames.rs
+++ b/crates/transport/src/frames.rs
@@ -1,6 +1,6 @@
 //! Length-prefixed CBOR frames between controllers.
 
-use super::{Slot, Stream, client::CallError, lanes::Lanes, within};
+use super::{Slot, Stream, client::CallError, priority_executor::Lanes, within};
 use anyhow::{Result, ensure};
 use async_io::{Async, Timer};
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,10 +1,10 @@
 //! Sockets: HTTP server and client, frames between controllers, time limits
 //! and the budget of sockets.
 
-pub mod budget;
 pub mod client;
 pub mod frames;
-pub mod lanes;
+pub mod priority_executor;
+pub mod rate_limit;
 pub mod server;
 
 use async_io::{Async, Timer};
--- a/crates/transport/src/server.rs
+++ b/crates/transport/src/server.rs
@@ -1,6 +1,6 @@
 //! The HTTP server of the users' and workers' interface.
 
-use super::{Slot, Stream, lanes::Lanes, within};
+use super::{Slot, Stream, priority_executor::Lanes, within};
 use async_h1::server::{Encoder, decode};
 use async_io::{Async, Timer};
 use futures_lite::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt, io};
--- a/crates/transport/tests/server.rs
+++ b/crates/transport/tests/server.rs
@@ -3,7 +3,7 @@
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use pathwinch_transport::{
-    lanes::Lanes,
+    priority_executor::Lanes,
     server::{self, HttpResponse, Limits},
 };
 use std::{
--- a/examples/limits/main.rs
+++ b/examples/limits/main.rs
@@ -15,10 +15,9 @@
 
 use anyhow::{Context, Result, bail};
 use pathwinch::{
-    bookkeeping::records::{JobRecord, MachineRecord, StandbyRecord},
-    coordination::{
+    control::{
         leader::Leader,
-        standby::copy::{Copy, Follower},
+        standby::replica::{Copy, Follower},
     },
     options::Options,
     protocol::{
@@ -28,6 +27,7 @@
         users::{JobSpec, JobState, JobStatus},
         workers::Report,
     },
+    state::records::{JobRecord, MachineRecord, StandbyRecord},
     transport::frames,
 };
 use std::rc::Rc;
--- a/examples/limits/passes.rs
+++ b/examples/limits/passes.rs
@@ -3,10 +3,10 @@
 
 use anyhow::{Context, Result, ensure};
 use pathwinch::{
-    bookkeeping::records::{JobRecord, MachineRecord},
-    coordination::leader::Leader,
+    control::leader::Leader,
     options::Options,
     protocol::{cloud::MachineType, settings::Settings, users::JobSpec, workers::Report},
+    state::records::{JobRecord, MachineRecord},
 };
 use std::rc::Rc;
 
--- a/src/command.rs
+++ b/src/command.rs
@@ -4,13 +4,13 @@
 use anyhow::Result;
 use clap::{Args, Parser, Subcommand};
 use pathwinch::{
-    node, operator,
+    declare_upgraded, operator,
     options::Options,
     protocol::{
         settings::Settings,
         users::{JobSpec, JobState, JobStatus},
     },
-    upgraded,
+    server,
 };
 use pathwinch_client::{Client, Failure, retry::Rules};
 use std::{
@@ -261,7 +261,7 @@
     let said = match &cli.command {
         Command::Serve(files) => {
             let (settings, options) = files.load()?;
-            node::run(settings, options)?;
+            server::run(settings, options)?;
             return Ok(ExitCode::SUCCESS);
         }
         Command::CheckConfig(files) => {
@@ -270,7 +270,9 @@
         }
         Command::Upgraded { node, config } => {
             let settings = Settings::load(config)?;
-            Ok(async_io::block_on(upgraded::declare(&settings, node))?)
+            Ok(async_io::block_on(declare_upgraded::declare(
+                &settings, node,
+            ))?)
         }
         Command::Other(words) => match other(words) {
             Ok(code) => return Ok(code),
--- a/src/coordination/notices.rs
+++ b/src/control/acceptance_feed.rs
@@ -1,6 +1,6 @@
 //! Where a leader stands in the notices of jobs that other nodes accepted.
 
-use crate::{bookkeeping::records, protocol::state::Watched};
+use crate::{protocol::state::Watched, state::records};
 
 /// What to do after an answer to the watch.
 #[derive(Debug, PartialEq)]
--- a/src/coordination/admission.rs
+++ b/src/control/admission.rs
@@ -1,12 +1,12 @@
 //! Whether a job can run at all.
 
 use crate::{
-    bookkeeping::amounts::Amounts,
     protocol::{
         cloud::MachineType,
         settings::Settings,
         users::{JobSpec, Kind},
     },
+    state::resources::Amounts,
 };
 
 /// `Some`: why the job can never run.
--- a/src/coordination/election.rs
+++ b/src/control/election.rs
@@ -3,8 +3,8 @@
 //! service fails all nodes alike, their promises prolong it, as far as the
 //! leader can know of every withdrawal that a user was told of.
 
-use super::bounds::{Bounds, at_least, at_most};
-use crate::bookkeeping::Ms;
+use super::safety_bounds::{Bounds, at_least, at_most};
+use crate::state::Ms;
 
 /// Life of the lease behind the leader's key.
 pub const LEASE_LIFE_MS: Ms = 4000;
--- a/src/coordination/bars.rs
+++ b/src/control/exclusions.rs
@@ -12,13 +12,13 @@
 //! known, and an absent key none at all: its lease is ended, and nothing can
 //! be attached to that any more.
 
-use super::{bounds::at_least, reach::Reach};
+use super::{failure_detector::Reach, safety_bounds::at_least};
 use crate::{
-    bookkeeping::{
+    protocol::state::{Guard, Txn, Write},
+    state::{
         Ms,
         records::{LEADER, bar_key},
     },
-    protocol::state::{Guard, Txn, Write},
 };
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -197,7 +197,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::coordination::reach::Contact;
+    use crate::control::failure_detector::Contact;
 
     fn silent(r: &mut Reach, peer: usize) {
         r.asked(peer, 0);
--- a/src/coordination/reach.rs
+++ b/src/control/failure_detector.rs
@@ -3,7 +3,7 @@
 //! A node that hangs gives no error: without this, each request to it and
 //! each worker that is sent there takes a time-out of its own.
 
-use crate::bookkeeping::Ms;
+use crate::state::Ms;
 
 /// A question that has been open for so long makes a node silent.
 pub const PATIENCE: Ms = 350;
--- a/src/coordination/relay.rs
+++ b/src/control/heartbeat_relay.rs
@@ -3,7 +3,7 @@
 //! Guards against a cut between the leader and the workers alone: a worker
 //! needs 5 s of its lease to try another node, and would be sent straight back.
 
-use crate::bookkeeping::Ms;
+use crate::state::Ms;
 use std::collections::HashMap;
 
 /// A worker that was sent to the leader and is back within this time could
--- a/src/coordination/leader/chains.rs
+++ b/src/control/leader/dependencies.rs
@@ -1,7 +1,7 @@
 //! Chains of jobs: what durable ends of jobs mean for those that need them.
 
 use super::*;
-use crate::bookkeeping::chains::{Gate, Need};
+use crate::state::dependencies::{Gate, Need};
 
 /// Needs that are looked up at a time.
 const SOUGHT: usize = 200;
--- a/src/coordination/leader/takeover.rs
+++ b/src/control/leader/failover.rs
@@ -3,13 +3,13 @@
 
 use super::*;
 use crate::{
-    bookkeeping::records::StandbyRecord,
-    coordination::standby::{
+    control::standby::{
         Written,
-        checks::{self, Claim},
-        copy::Copy,
+        failover_checks::{self, Claim},
+        replica::Copy,
     },
     protocol::peers::{Follow, MayRun, Seen},
+    state::records::StandbyRecord,
 };
 
 /// What this node brought with it when it took the lead.
@@ -74,7 +74,7 @@
             record: self.recovery.takeover.record.as_ref(),
             copy: copy.as_ref(),
         };
-        match (checks::judge(&claim), copy) {
+        match (failover_checks::judge(&claim), copy) {
             (Ok(()), Some(copy)) => {
                 let (held, machines) = self.go_by(&copy, now);
                 self.recovery.takeover.warm = true;
--- a/src/coordination/leader/gather.rs
+++ b/src/control/leader/gang_reservation.rs
@@ -1,7 +1,7 @@
 //! Gangs of several tasks: rooms that come free one by one are kept together
 //! until all tasks find one, and made by preemption where that is enough.
 
-use super::{preempt::Preemption, *};
+use super::{victims::Preemption, *};
 
 /// After this long, where no aim for starting says otherwise, other work of
 /// the same priority no longer passes a gang by taking the rooms it gathers.
@@ -170,7 +170,7 @@
             .map(|m| self.model.types[m.type_ix].fetch_gb_per_s)
             .fold(f64::INFINITY, f64::min)
             .max(0.001);
-        let worth = (preempt::fetch_worth(j, rate) + preempt::WORTH) * chosen.len() as f64;
+        let worth = (victims::fetch_worth(j, rate) + victims::WORTH) * chosen.len() as f64;
         match self.gang_rooms(job_ix, now, |m| m.images.contains(&image)) {
             Some((lost, rooms)) if lost as f64 <= worth => {
                 self.preempt_all(job_ix, rooms, now);
--- a/src/coordination/leader/mod.rs
+++ b/src/control/leader/mod.rs
@@ -1,54 +1,42 @@
 //! The leader of one term: binds the model, placement, dispatch and
 //! provisioning. It is told of events and asked for what to do next.
 
-mod away;
-mod chains;
-mod deaf;
-mod gather;
-mod limits;
-mod machines;
-mod make_room;
+mod dependencies;
+mod expiry;
+mod failover;
+mod faults;
+mod fleet_view;
+mod gang_reservation;
+mod headroom;
+mod inventory;
+mod offload;
+mod partitions;
 mod parts;
-mod pass;
-mod pieces;
-mod place;
-mod preempt;
+mod persistence;
+mod preemption;
 mod queue;
-mod records;
+mod quotas;
 mod recovery;
-mod rent;
-mod reserves;
-mod rooms;
+mod scale_out;
+mod scheduling_cycle;
+mod spec_chunks;
 mod status;
-mod takeover;
-mod upkeep;
-mod verdicts;
-mod zones;
+mod task_placement;
+mod victims;
+mod zone_health;
 
 use super::{
-    bounds::Bounds,
-    dispatch,
     placement::{
         self, Policy,
         fleet::{Choice, Fleet, RankingId, Request, Room},
     },
     polls::Finals,
     provision::{self, Bin, Demand, Offer},
+    reconciliation,
+    safety_bounds::Bounds,
     standby::Standbys,
 };
 use crate::{
-    bookkeeping::{
-        Ms,
-        amounts::Amounts,
-        away::Away,
-        blame::{JobFile, MachineFile},
-        chains::{Chains, Gate},
-        model::{Assignment, Job, Machine, Model, NONE, ORDER, Phase, Place, Roster},
-        records::{
-            self as keys, Bits, FinalRecord, JobRecord, LEADER, MachineRecord, chunk_key,
-            final_key, job_key, machine_key,
-        },
-    },
     options::{LoadResource, Options},
     protocol::{
         cloud::{ListedMachine, ListedState, MAX_RENT, MachineType, Rent},
@@ -58,6 +46,18 @@
         users::{JobSpec, JobState, JobStatus, Kind, Priority},
         workers::{Command, DirectOrder, Report, ReportReply, Why},
     },
+    state::{
+        Ms,
+        cluster::{Assignment, Job, Machine, Model, NONE, ORDER, Phase, Place, Roster},
+        dependencies::{Chains, Gate},
+        fault_attribution::{JobFile, MachineFile},
+        offload::Away,
+        records::{
+            self as keys, Bits, FinalRecord, JobRecord, LEADER, MachineRecord, chunk_key,
+            final_key, job_key, machine_key,
+        },
+        resources::Amounts,
+    },
 };
 use std::{
     collections::{BTreeSet, HashMap, HashSet, VecDeque},
@@ -140,8 +140,8 @@
     NoAnswer,
 }
 
-pub use records::acceptance_with_notice;
-use reserves::Reserve;
+use headroom::Reserve;
+pub use persistence::acceptance_with_notice;
 pub use status::Tally;
 
 pub struct Leader {
@@ -155,7 +155,7 @@
     /// Which jobs wait for which.
     chains: Chains,
     /// Descriptions that are being cut.
-    cuts: pieces::Cuts,
+    cuts: spec_chunks::Cuts,
     /// Something changed since placement was last tried.
     changed: bool,
     wall_ms: u64,
@@ -193,13 +193,13 @@
             term,
             finals: Finals::default(),
             chains: Chains::default(),
-            cuts: pieces::Cuts::default(),
+            cuts: spec_chunks::Cuts::default(),
             changed: true,
             wall_ms: 0,
             recovery: recovery::Recovery::begun(now, report),
             planning: parts::Planning::new(policy),
             // Workers need some time to find a new leader.
-            renting: parts::Renting::new(vec![zones::ZoneLife::since(now + FOUND); zones]),
+            renting: parts::Renting::new(vec![zone_health::ZoneLife::since(now + FOUND); zones]),
             desk: parts::Desk::default(),
             events: parts::Events::default(),
             standbys,
@@ -341,7 +341,8 @@
         let fresh = m.up && (report.session, report.seq) == (m.session, m.seq);
         let commands = if fresh {
             let confirmed = self.standbys.confirmed();
-            let commands = dispatch::commands(&mut self.model, ix, None, report.seq, confirmed);
+            let commands =
+                reconciliation::commands(&mut self.model, ix, None, report.seq, confirmed);
             self.count_orders(&commands);
             commands
         } else {
@@ -355,7 +356,7 @@
 
     fn take_in(&mut self, ix: u32, report: &Report, beat: bool, now: Ms) {
         let floor = self.floor();
-        let news = dispatch::take_in(&mut self.model, ix, report, floor, beat, now);
+        let news = reconciliation::take_in(&mut self.model, ix, report, floor, beat, now);
         self.changed |= news.changed;
         self.judge_hearing(ix, &news);
         if let Some(m) = self.model.machine(ix)
@@ -399,11 +400,11 @@
                 .model
                 .machine(ix)
                 .is_some_and(|m| m.up && !m.ordering && now >= m.order_retry);
-            if !ready || !dispatch::wants_direct(&self.model, ix, confirmed) {
+            if !ready || !reconciliation::wants_direct(&self.model, ix, confirmed) {
                 continue;
             }
             let token = self.token(ix);
-            let commands = dispatch::commands(&mut self.model, ix, Some(token), 0, confirmed);
+            let commands = reconciliation::commands(&mut self.model, ix, Some(token), 0, confirmed);
             self.count_orders(&commands);
             if let Some(m) = self.model.machine_mut(ix)
                 && let Some(addr) = m.addr
@@ -448,11 +449,11 @@
         }
         match outcome {
             DirectOutcome::Executed(report) => {
-                dispatch::settle_direct(&mut self.model, ix, token, true);
+                reconciliation::settle_direct(&mut self.model, ix, token, true);
                 self.take_in(ix, &report, false, now);
             }
             DirectOutcome::Refused(report) => {
-                dispatch::settle_direct(&mut self.model, ix, token, false);
+                reconciliation::settle_direct(&mut self.model, ix, token, false);
                 if let Some(m) = self.model.machine_mut(ix) {
                     m.order_retry = now + retry;
                 }
@@ -461,7 +462,7 @@
                 }
             }
             DirectOutcome::NotSent => {
-                dispatch::settle_direct(&mut self.model, ix, token, false);
+                reconciliation::settle_direct(&mut self.model, ix, token, false);
                 if let Some(m) = self.model.machine_mut(ix) {
                     m.order_retry = now + retry;
                 }
--- a/src/coordination/leader/away.rs
+++ b/src/control/leader/offload.rs
@@ -3,11 +3,11 @@
 
 use super::*;
 use crate::{
-    bookkeeping::{
-        away::{Away, Lent},
+    protocol::market::{Lendable, Marked},
+    state::{
+        offload::{Away, Lent},
         records::award_key,
     },
-    protocol::market::{Lendable, Marked},
 };
 
 impl Leader {
@@ -224,7 +224,7 @@
             };
             plan.txn.guards.push(j.guard());
             plan.txn.guards.push(award);
-            let value = records::job_record(j, j.cancelled, Some(lent.clone()));
+            let value = persistence::job_record(j, j.cancelled, Some(lent.clone()));
             bytes += value.to_string().len();
             plan.txn.writes.push(Write::Put {
                 key: job_key(&j.id),
@@ -259,7 +259,7 @@
                 plan.txn.guards.push(j.guard());
                 plan.txn.writes.push(Write::Put {
                     key: job_key(&j.id),
-                    value: records::job_record(j, false, None),
+                    value: persistence::job_record(j, false, None),
                     lease: None,
                 });
                 plan.items.push(Item::Lift(ix, j.id.clone()));
--- a/src/coordination/leader/deaf.rs
+++ b/src/control/leader/partitions.rs
@@ -66,7 +66,7 @@
     }
 
     /// After a report was taken in.
-    pub(super) fn judge_hearing(&mut self, ix: u32, news: &dispatch::News) {
+    pub(super) fn judge_hearing(&mut self, ix: u32, news: &reconciliation::News) {
         // Had its lease ended for lack of reports, it would not count as up.
         let lost = news.lost_orders > 0 || news.new_session;
         let Some(m) = self.model.machine_mut(ix) else {
--- a/src/coordination/leader/parts.rs
+++ b/src/control/leader/parts.rs
@@ -1,6 +1,6 @@
 //! What the leader keeps beside its picture, by what each part is for.
 
-use super::{pass::Pass, reserves::Class, status, zones::ZoneLife, *};
+use super::{headroom::Class, scheduling_cycle::Pass, status, zone_health::ZoneLife, *};
 
 /// Placement: the order of service, and when it is looked at again.
 pub(super) struct Planning {
--- a/src/coordination/leader/records.rs
+++ b/src/control/leader/persistence.rs
@@ -3,8 +3,8 @@
 
 use super::*;
 use crate::{
-    bookkeeping::{away::Lent, pieces::Pieces, records::StoredJob},
     protocol::market::AWARDS,
+    state::{offload::Lent, records::StoredJob, spec_chunks::Pieces},
 };
 
 impl Leader {
--- a/src/coordination/leader/make_room.rs
+++ b/src/control/leader/preemption.rs
@@ -1,7 +1,7 @@
 //! At the end of a pass: room made by stopping tasks, for jobs of high priority
 //! that found none. Searches that are sure to find nothing are left out.
 
-use super::{preempt::GUARANTEE_S, *};
+use super::{victims::GUARANTEE_S, *};
 
 /// Machines on which tasks are stopped in one pass; a gang that has begun with
 /// fewer is not cut short.
--- a/src/coordination/leader/queue.rs
+++ b/src/control/leader/queue.rs
@@ -1,6 +1,6 @@
 //! The order of service of what waits.
 
-use super::{pass::is_queued, *};
+use super::{scheduling_cycle::is_queued, *};
 
 impl Leader {
     /// Waiting jobs in the order in which they are served.
--- a/src/coordination/leader/recovery.rs
+++ b/src/control/leader/recovery.rs
@@ -48,7 +48,7 @@
     pub(super) settled: bool,
     /// When this process last went on after it had stood still.
     pub(super) resumed: Ms,
-    pub(super) takeover: super::takeover::Takeover,
+    pub(super) takeover: super::failover::Takeover,
     /// Machines that were heard, and those that were not yet.
     pub(super) heard: usize,
     pub(super) unheard: usize,
--- a/src/coordination/leader/pass.rs
+++ b/src/control/leader/scheduling_cycle.rs
@@ -2,7 +2,7 @@
 //! bounded amount of work at once and goes on where it stopped, so that reports
 //! are answered in between.
 
-use super::{place::Outcome, *};
+use super::{task_placement::Outcome, *};
 
 /// Machines chosen and jobs looked at before reports are answered again: some
 /// milliseconds.
--- a/src/coordination/leader/pieces.rs
+++ b/src/control/leader/spec_chunks.rs
@@ -3,7 +3,7 @@
 //! read as it is, and its job be ended; only what marks it needs the cut first.
 
 use super::*;
-use crate::bookkeeping::pieces::{self, Pieces};
+use crate::state::spec_chunks::{self, Pieces};
 
 /// A description on its way into pieces.
 struct Cut {
@@ -38,7 +38,7 @@
         bytes: &mut usize,
     ) {
         if self.open.get(&ix).is_none_or(|c| c.id != j.id) {
-            match pieces::cut(&j.spec) {
+            match spec_chunks::cut(&j.spec) {
                 Ok((pieces, values)) => {
                     let (id, written) = (j.id.clone(), 0);
                     let cut = Cut {
@@ -109,7 +109,7 @@
         if !self.cuts.allowed || keys::fits(keys::whole_size(spec), limits.value_kb) {
             return Ok(None);
         }
-        let (pieces, values) = pieces::cut(spec)?;
+        let (pieces, values) = spec_chunks::cut(spec)?;
         let puts: Vec<Write> = values
             .into_iter()
             .map(|(key, value)| Write::Put {
--- a/src/coordination/placement/fleet.rs
+++ b/src/control/placement/fleet.rs
@@ -7,7 +7,7 @@
 //! last used. So choosing a machine costs what has changed, not what there is.
 
 use super::{Policy, fragmentation, free_counts::FreeCounts, load};
-use crate::bookkeeping::{Ms, amounts::Amounts};
+use crate::state::{Ms, resources::Amounts};
 use rustc_hash::FxHashMap;
 use std::{
     cell::RefCell,
--- a/src/coordination/placement/free_counts.rs
+++ b/src/control/placement/free_counts.rs
@@ -1,7 +1,7 @@
 //! The most of each resource that is free on one machine of a group, kept as
 //! machines change.
 
-use crate::bookkeeping::amounts::Amounts;
+use crate::state::resources::Amounts;
 use std::collections::BTreeMap;
 
 /// How many machines have each free amount.
--- a/src/coordination/placement/mod.rs
+++ b/src/control/placement/mod.rs
@@ -6,8 +6,8 @@
 pub mod free_counts;
 
 use crate::{
-    bookkeeping::amounts::Amounts,
     options::{LoadResource, Shape},
+    state::resources::Amounts,
 };
 
 /// What the order of machines depends on beside the machines.
--- a/src/coordination/polls.rs
+++ b/src/control/polls.rs
@@ -1,10 +1,10 @@
 //! Polls at a node: those of one job share an answer, many travel together,
 //! and final states are remembered, as they never change.
 
-use super::bounds::end_hold_ms;
+use super::safety_bounds::end_hold_ms;
 use crate::{
-    bookkeeping::{Ms, recent::Recent},
     protocol::users::{JobState, JobStatus},
+    state::{Ms, bounded_cache::Recent},
 };
 use std::collections::{HashMap, VecDeque};
 
--- a/src/coordination/provision.rs
+++ b/src/control/provision.rs
@@ -1,7 +1,7 @@
 //! How many machines of which kind: waiting work against what is there, on
 //! its way, and worth its price.
 
-use crate::bookkeeping::amounts::Amounts;
+use crate::state::resources::Amounts;
 
 /// Work that waits: equal tasks of one job.
 #[derive(Debug, Clone)]
--- a/src/coordination/dispatch.rs
+++ b/src/control/reconciliation.rs
@@ -2,14 +2,14 @@
 //! report changes in the model, and which commands follow.
 
 use crate::{
-    bookkeeping::{
-        Ms,
-        model::{Model, NONE, Phase, Place},
-    },
     protocol::{
         users::Kind,
         workers::{Command, Report, TaskState, Why, split_task},
     },
+    state::{
+        Ms,
+        cluster::{Model, NONE, Phase, Place},
+    },
 };
 use std::collections::HashSet;
 
--- a/src/coordination/answers/mod.rs
+++ b/src/control/requests/mod.rs
@@ -9,33 +9,33 @@
 //! any answer given. As it leaves it is looked at once more: an end that this
 //! node has learned meanwhile goes before it.
 
-mod basis;
+mod cancel;
 mod poll;
+mod provenance;
 mod request;
 mod settle;
 mod submit;
 #[cfg(test)]
 mod tests;
 mod view;
-mod withdraw;
 
-pub use basis::{Basis, Reading, Source};
 pub use poll::polled;
+pub use provenance::{Basis, Reading, Source};
 pub use request::Request;
 pub use view::NodeView;
 
-use super::{bounds::MAX_READING_AGE_MS, leader::Leader, polls::Finals};
+use super::{leader::Leader, polls::Finals, safety_bounds::MAX_READING_AGE_MS};
 use crate::{
-    bookkeeping::{
-        Ms,
-        records::{FinalRecord, JobRecord},
-    },
     protocol::{
         cloud::MachineType,
         settings::Settings,
         state::Txn,
         users::{JobSpec, JobState, JobStatus, valid_ref},
     },
+    state::{
+        Ms,
+        records::{FinalRecord, JobRecord},
+    },
 };
 use std::collections::HashMap;
 
--- a/src/coordination/answers/basis.rs
+++ b/src/control/requests/provenance.rs
@@ -2,7 +2,7 @@
 //! when.
 
 use super::{Event, Found};
-use crate::{bookkeeping::Ms, protocol::users::JobStatus};
+use crate::{protocol::users::JobStatus, state::Ms};
 
 /// A job's state as another node or the state service gave it.
 #[derive(Debug, Clone, PartialEq)]
--- a/src/coordination/answers/request.rs
+++ b/src/control/requests/request.rs
@@ -10,7 +10,7 @@
 enum Work {
     Poll,
     Submit(Box<submit::Submit>),
-    Withdraw(withdraw::Withdraw),
+    Withdraw(cancel::Withdraw),
     Settle(settle::Settle),
 }
 
--- a/src/coordination/answers/submit.rs
+++ b/src/control/requests/submit.rs
@@ -3,12 +3,12 @@
 
 use super::*;
 use crate::{
-    bookkeeping::{
-        pieces::Pieces,
+    control::{admission, leader::acceptance_with_notice},
+    protocol::users::Kind,
+    state::{
         records::{self, LEADER},
+        spec_chunks::Pieces,
     },
-    coordination::{admission, leader::acceptance_with_notice},
-    protocol::users::Kind,
 };
 
 const NOT_UPGRADED: &str = "waits_on: not every controller runs a version that knows it yet";
--- a/src/coordination/bounds.rs
+++ b/src/control/safety_bounds.rs
@@ -2,7 +2,7 @@
 //! count some of them: between two machines steady clocks drift apart by up to
 //! 0.05%, so a span is taken longer or shorter by more than that.
 
-use crate::{bookkeeping::Ms, protocol::settings::Workers};
+use crate::{protocol::settings::Workers, state::Ms};
 
 /// Timers fire late.
 const MARGIN: Ms = 150;
--- a/src/coordination/standby/checks.rs
+++ b/src/control/standby/failover_checks.rs
@@ -2,8 +2,8 @@
 //! must be yes; any no takes the cold way, on which nothing older than the
 //! term is placed before every machine was heard or its lease has lapsed.
 
-use super::copy::Copy;
-use crate::bookkeeping::records::StandbyRecord;
+use super::replica::Copy;
+use crate::state::records::StandbyRecord;
 
 /// The checks, in order. The one for authority, and the one that the process
 /// did not stand still, are made with each decision: without authority nothing
--- a/src/coordination/standby/mod.rs
+++ b/src/control/standby/mod.rs
@@ -9,21 +9,21 @@
 //! What holds at all times: *whoever the record names knows at least all that
 //! may run.* `docs/design.md` has the argument.
 
-pub mod checks;
-pub mod copy;
-mod feed;
-mod roll;
+pub mod failover_checks;
+mod registry;
+pub mod replica;
+mod replication_stream;
 
 use crate::{
-    bookkeeping::{Ms, model::Model, records::StandbyRecord},
     protocol::{
         peers::{Follow, MachineHolds},
         state::Txn,
         status::StandbyStatus,
     },
+    state::{Ms, cluster::Model, records::StandbyRecord},
 };
-use feed::Feed;
-use roll::Roll;
+use registry::Roll;
+use replication_stream::Feed;
 use std::collections::BTreeSet;
 
 /// A standby that owes a confirmation for so long is struck.
--- a/src/coordination/standby/roll.rs
+++ b/src/control/standby/registry.rs
@@ -2,11 +2,11 @@
 
 use super::Written;
 use crate::{
-    bookkeeping::{
+    protocol::state::{Guard, Txn, Write},
+    state::{
         Ms,
         records::{LEADER, STANDBYS, StandbyRecord},
     },
-    protocol::state::{Guard, Txn, Write},
 };
 
 /// After a write that was refused.
--- a/src/coordination/standby/copy.rs
+++ b/src/control/standby/replica.rs
@@ -2,8 +2,8 @@
 //! machines.
 
 use crate::{
-    bookkeeping::Ms,
     protocol::peers::{Follow, MayRun},
+    state::Ms,
 };
 use std::collections::BTreeMap;
 
--- a/src/coordination/standby/feed.rs
+++ b/src/control/standby/replication_stream.rs
@@ -2,11 +2,11 @@
 
 use super::{CONFIRM, LONGEST_REST, Picture, REST};
 use crate::{
-    bookkeeping::Ms,
     protocol::{
         peers::{Follow, MAX_FRAME, MachineHolds},
         status::StandbyStatus,
     },
+    state::Ms,
 };
 use std::collections::BTreeSet;
 
--- a/src/upgraded.rs
+++ b/src/declare_upgraded.rs
@@ -2,11 +2,11 @@
 //! older version again, so that the others need not wait for its own mark.
 
 use crate::{
-    bookkeeping::records::{FORMAT, VersionRecord, version_key},
     protocol::{
         settings::Settings,
         state::{Guard, Txn, Write},
     },
+    state::records::{FORMAT, VersionRecord, version_key},
     transport::client::Client,
 };
 use anyhow::{Result, anyhow, bail, ensure};
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,11 +2,11 @@
 //! `node` binds `coordination` to `transport`; both use `bookkeeping` and
 //! `protocol`.
 
-pub mod bookkeeping;
-pub mod coordination;
-pub mod node;
+pub mod control;
+pub mod declare_upgraded;
 pub mod options;
-pub mod upgraded;
+pub mod server;
+pub mod state;
 
 pub use pathwinch_client::operator;
 pub use pathwinch_protocol as protocol;
--- a/src/node/evidence.rs
+++ b/src/server/audit_log.rs
@@ -4,12 +4,12 @@
 
 use super::Node;
 use crate::{
-    bookkeeping::{Ms, budget::Budget, recent::Recent},
-    coordination::{
-        answers::{Answer, Basis},
+    control::{
         election::Lead,
+        requests::{Answer, Basis},
     },
     protocol::users::JobState,
+    state::{Ms, bounded_cache::Recent, rate_limit::Budget},
 };
 use std::cell::{Cell, RefCell};
 
--- a/src/node/users.rs
+++ b/src/server/client_api.rs
@@ -2,9 +2,9 @@
 
 use super::Node;
 use crate::{
-    bookkeeping::Ms,
-    coordination::answers::{Answer, Event, Next, NodeView, Request as Asked},
+    control::requests::{Answer, Event, Next, NodeView, Request as Asked},
     protocol::peers::{Reply, Request},
+    state::Ms,
     transport::server::HttpResponse,
 };
 use async_io::Timer;
--- a/src/node/cloud.rs
+++ b/src/server/cloud.rs
@@ -2,7 +2,7 @@
 
 use super::Node;
 use crate::{
-    coordination::leader::CloudOp,
+    control::leader::CloudOp,
     protocol::cloud::{MachineList, MachineNames, MachineType, MachineTypes},
     transport::client::CallError,
 };
--- a/src/node/engine.rs
+++ b/src/server/control_loop.rs
@@ -1,11 +1,11 @@
 //! The leader's loop: time passes, and what it wants done is begun.
 
-use super::{Node, lead::Stop, store::USUAL};
+use super::{Node, leadership::Stop, store::USUAL};
 use crate::{
-    bookkeeping::{budget::share, model::ORDER, records::LEADER},
-    coordination::answers::{Found, TxnResult, final_status},
-    coordination::leader::{Direct, DirectOutcome, Leader, Plan},
+    control::leader::{Direct, DirectOutcome, Leader, Plan},
+    control::requests::{Found, TxnResult, final_status},
     protocol::workers::Report,
+    state::{cluster::ORDER, rate_limit::share, records::LEADER},
     transport::{client::CallError, within},
 };
 use async_io::Timer;
--- a/src/node/bars.rs
+++ b/src/server/exclusions.rs
@@ -2,12 +2,12 @@
 
 use super::{Node, store::USUAL};
 use crate::{
-    bookkeeping::records::{BARS, LEADER},
-    coordination::{
-        answers::TxnResult,
-        bars::{Bars, LEASE_LIFE_MS, Step, bar_txn, lift_txn},
+    control::{
+        exclusions::{Bars, LEASE_LIFE_MS, Step, bar_txn, lift_txn},
+        requests::TxnResult,
     },
     protocol::state::{LeaseGranted, Txn},
+    state::records::{BARS, LEADER},
 };
 use async_io::Timer;
 use http_types::Method;
--- a/src/node/workers.rs
+++ b/src/server/heartbeats.rs
@@ -3,7 +3,7 @@
 
 use super::Node;
 use crate::{
-    coordination::reach::Foreman,
+    control::failure_detector::Foreman,
     protocol::{
         peers::{Reply, Request},
         workers::Report,
--- a/src/node/lead/seek.rs
+++ b/src/server/leadership/campaign.rs
@@ -1,15 +1,15 @@
 //! A node that does not lead: watches the leader's key, and takes the lead where
 //! nobody holds it.
 
-use super::{super::Node, PROBE_TIMEOUT, load::load};
+use super::{super::Node, PROBE_TIMEOUT, load_state::load};
 use crate::{
-    bookkeeping::records::{self, LEADER, LeaderRecord},
-    coordination::{
-        answers::TxnResult,
+    control::{
         election::{LEASE_LIFE_MS, SEEK_STEP_MS},
         leader::Leader,
+        requests::TxnResult,
     },
     protocol::state::{Guard, LeaseGranted, Txn, Write},
+    state::records::{self, LEADER, LeaderRecord},
 };
 use http_types::Method;
 use std::{rc::Rc, time::Duration};
--- a/src/node/lead/load.rs
+++ b/src/server/leadership/load_state.rs
@@ -2,16 +2,17 @@
 
 use super::super::Node;
 use crate::{
-    bookkeeping::{
-        Ms, pieces,
-        records::{self, MachineRecord, StoredJob},
-    },
-    coordination::{
-        answers::Found,
+    control::{
+        acceptance_feed::{Next, Notices},
         leader::Leader,
-        notices::{Next, Notices},
+        requests::Found,
     },
     protocol::state::Item,
+    state::{
+        Ms,
+        records::{self, MachineRecord, StoredJob},
+        spec_chunks,
+    },
 };
 use async_io::Timer;
 use http_types::Method;
@@ -99,7 +100,7 @@
         }
         let jobs = self.list(records::JOBS).await?;
         let chunks = self.list(records::CHUNKS).await?;
-        let pieces = self.list(pieces::PIECES).await?;
+        let pieces = self.list(spec_chunks::PIECES).await?;
         let notices = self.list(records::NOTICES).await?;
         let standbys = self.read_standbys().await?;
         self.read_bars(term).await?;
@@ -144,7 +145,7 @@
         let whole = stored.map_err(anyhow::Error::from).and_then(|s| {
             s.whole(|p| {
                 let values = p.keys(id).filter_map(|k| text.get(k.as_str()).copied());
-                pieces::join(p, values)
+                spec_chunks::join(p, values)
             })
         });
         match whole {
@@ -162,7 +163,7 @@
 
 fn load_pieces(l: &mut Leader, pieces: &[Item], unreadable: &HashSet<String>) {
     let cleared = pieces.iter().filter(|i| {
-        let id = pieces::Pieces::job_of(&i.key);
+        let id = spec_chunks::Pieces::job_of(&i.key);
         id.is_none_or(|id| !unreadable.contains(id))
     });
     l.load_pieces(cleared.map(|i| (i.key.clone(), i.version)).collect());
--- a/src/node/lead/mod.rs
+++ b/src/server/leadership/mod.rs
@@ -1,8 +1,8 @@
 //! Leadership of this node: seeks it, keeps it, gives it up.
 
-mod keep;
-mod load;
-mod seek;
+mod campaign;
+mod load_state;
+mod renew;
 
 use super::Node;
 use crate::protocol::peers::Request;
--- a/src/node/lead/keep.rs
+++ b/src/server/leadership/renew.rs
@@ -6,12 +6,12 @@
     PROBE_TIMEOUT, Stop,
 };
 use crate::{
-    bookkeeping::records::LEADER,
-    coordination::election::{
+    control::election::{
         Election, Extended, LEASE_LIFE_MS, Lead, PROMISE_CHECK_MS, PROMISE_MS, Promised,
         RENEWAL_TIMEOUT_MS,
     },
     protocol::peers::{Reply, Request},
+    state::records::LEADER,
     transport::{client::CallError, within},
 };
 use async_executor::Task;
@@ -265,7 +265,7 @@
         Duration::from_millis(100)
     }
 
-    pub(in crate::node) async fn promise(&self, term: u64, for_ms: u64) -> Reply {
+    pub(in crate::server) async fn promise(&self, term: u64, for_ms: u64) -> Reply {
         // A fresh look: what was true a second ago says nothing.
         let state_ok = {
             let now = self.now();
--- a/src/node/market.rs
+++ b/src/server/market.rs
@@ -2,11 +2,11 @@
 
 use super::Node;
 use crate::{
-    bookkeeping::away::Lent,
     protocol::{
         market::{MOST_LENDABLE, Marked},
         peers::Reply,
     },
+    state::offload::Lent,
 };
 use async_io::Timer;
 use std::time::Duration;
--- a/src/node/metrics.rs
+++ b/src/server/metrics.rs
@@ -2,9 +2,9 @@
 
 use super::Node;
 use crate::{
-    bookkeeping::Ms,
-    coordination::{election::Right, leader::Tally},
+    control::{election::Right, leader::Tally},
     protocol::users::JobState,
+    state::Ms,
     transport::server::HttpResponse,
 };
 use prometheus_client::{
--- a/src/node/mod.rs
+++ b/src/server/mod.rs
@@ -2,11 +2,13 @@
 //! one thread and one executor; state is shared through `RefCell`s that are
 //! never held across an await.
 
-mod bars;
+mod audit_log;
+mod client_api;
 mod cloud;
-mod engine;
-mod evidence;
-mod lead;
+mod control_loop;
+mod exclusions;
+mod heartbeats;
+mod leadership;
 mod market;
 mod metrics;
 mod peers;
@@ -15,28 +17,26 @@
 mod status;
 mod store;
 mod upgrade;
-mod users;
-mod workers;
 
 use crate::{
-    bookkeeping::{
+    control::{
+        election::Election, exclusions::Bars, failure_detector::Reach, heartbeat_relay::Relays,
+        leader::Leader, polls::Finals, safety_bounds::Bounds, standby::replica::Follower,
+    },
+    options::Options,
+    protocol::{cloud::MachineType, settings::Settings},
+    state::{
         Ms,
-        budget::{
+        rate_limit::{
             Budget,
             share::{self, Role},
         },
         records::StandbyRecord,
     },
-    coordination::{
-        bars::Bars, bounds::Bounds, election::Election, leader::Leader, polls::Finals,
-        reach::Reach, relay::Relays, standby::copy::Follower,
-    },
-    options::Options,
-    protocol::{cloud::MachineType, settings::Settings},
     transport::{
         client::Client,
         frames::{self, PeerClient},
-        lanes::Lanes,
+        priority_executor::Lanes,
         server::{self, HttpRequest, HttpResponse},
     },
 };
@@ -76,7 +76,7 @@
     /// While it leads: the last renewal failed.
     renewals_fail: Cell<bool>,
     /// When and why it last gave up the lead.
-    stopped: Cell<Option<(Ms, lead::Stop)>>,
+    stopped: Cell<Option<(Ms, leadership::Stop)>>,
     flushing: Cell<bool>,
     seeking: Cell<bool>,
     /// Changes that a transaction may hold, since one was rejected.
@@ -93,7 +93,7 @@
     relays: RefCell<Relays>,
     last_picture: RefCell<status::LastPicture>,
     figures: RefCell<metrics::Metrics>,
-    evidence: evidence::Evidence,
+    evidence: audit_log::Evidence,
     wake: (async_channel::Sender<()>, async_channel::Receiver<()>),
 }
 
@@ -151,15 +151,15 @@
         relays: RefCell::new(Relays::default()),
         last_picture: RefCell::new(None),
         figures: RefCell::new(metrics::Metrics::new()),
-        evidence: evidence::Evidence::default(),
+        evidence: audit_log::Evidence::default(),
         wake: async_channel::bounded(1),
     });
     async_io::block_on(lanes.run(async {
-        lanes.spawn(lead::run(node.clone())).detach();
-        lanes.spawn(engine::run(node.clone())).detach();
+        lanes.spawn(leadership::run(node.clone())).detach();
+        lanes.spawn(control_loop::run(node.clone())).detach();
         lanes.spawn(cloud::types(node.clone())).detach();
         lanes.spawn(peers::watch(node.clone())).detach();
-        lanes.spawn(bars::run(node.clone())).detach();
+        lanes.spawn(exclusions::run(node.clone())).detach();
         lanes.spawn(upgrade::run(node.clone())).detach();
         lanes.spawn_second(polls::ask_leader(node.clone())).detach();
         lanes
--- a/src/node/peers.rs
+++ b/src/server/peers.rs
@@ -3,10 +3,10 @@
 
 use super::{BEAT, Node};
 use crate::{
-    bookkeeping::Ms,
-    bookkeeping::away::Lent,
-    coordination::reach::{Contact, PATIENCE},
+    control::failure_detector::{Contact, PATIENCE},
     protocol::peers::{Reply, Request},
+    state::Ms,
+    state::offload::Lent,
     transport::client::CallError,
 };
 use async_io::Timer;
--- a/src/node/polls.rs
+++ b/src/server/polls.rs
@@ -2,16 +2,16 @@
 
 use super::Node;
 use crate::{
-    bookkeeping::Ms,
-    bookkeeping::records::{FINALS, JOBS, StoredJob, job_key},
-    coordination::{
-        answers::{Found, Reading, final_status, polled},
+    control::{
         polls::Batch,
+        requests::{Found, Reading, final_status, polled},
     },
     protocol::{
         peers::{Reply, Request},
         users::JobStatus,
     },
+    state::Ms,
+    state::records::{FINALS, JOBS, StoredJob, job_key},
 };
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
--- a/src/node/standby.rs
+++ b/src/server/standby.rs
@@ -2,12 +2,12 @@
 
 use super::{Node, store::USUAL};
 use crate::{
-    bookkeeping::records::{LEADER, STANDBYS, StandbyRecord},
-    coordination::{answers::TxnResult, reach::Contact, standby::Written},
+    control::{failure_detector::Contact, requests::TxnResult, standby::Written},
     protocol::{
         peers::{Follow, Reply, Request},
         state::Txn,
     },
+    state::records::{LEADER, STANDBYS, StandbyRecord},
 };
 use async_io::Timer;
 use std::{rc::Rc, time::Duration};
@@ -80,7 +80,7 @@
             TxnResult::Done(version) => Written::Done(version),
             TxnResult::Refused | TxnResult::Rejected => Written::Refused,
             TxnResult::Conflict(failed) if failed.iter().any(|k| k == LEADER) => {
-                self.resign(term, super::lead::Stop::Replaced);
+                self.resign(term, super::leadership::Stop::Replaced);
                 return;
             }
             TxnResult::Conflict(_) | TxnResult::Unknown => loop {
--- a/src/node/status.rs
+++ b/src/server/status.rs
@@ -3,12 +3,12 @@
 
 use super::Node;
 use crate::{
-    bookkeeping::Ms,
-    coordination::answers::Found,
+    control::requests::Found,
     protocol::{
         peers::{Reply, Request},
         status::{Explanation, Picture, Status},
     },
+    state::Ms,
 };
 use std::{rc::Rc, time::Duration};
 
--- a/src/node/store.rs
+++ b/src/server/store.rs
@@ -2,15 +2,15 @@
 
 use super::Node;
 use crate::{
-    bookkeeping::{
-        pieces,
-        records::{FINALS, JOBS, JobRecord, StoredJob, final_key, job_key},
-    },
-    coordination::{
-        answers::{Found, Looked, TxnResult},
-        pages::Pages,
+    control::{
+        key_pages::Pages,
+        requests::{Found, Looked, TxnResult},
     },
     protocol::state::{Item, Page, Revision, Txn},
+    state::{
+        records::{FINALS, JOBS, JobRecord, StoredJob, final_key, job_key},
+        spec_chunks,
+    },
     transport::client::{Answer, CallError},
 };
 use http_types::Method;
@@ -231,7 +231,7 @@
             None => Vec::new(),
         };
         let texts = items.iter().filter_map(|i| i.value.as_str());
-        let whole = stored.whole(|p| pieces::join(p, texts));
+        let whole = stored.whole(|p| spec_chunks::join(p, texts));
         whole.map_err(|e| format!("record of {id}: {e:#}"))
     }
 
--- a/src/node/upgrade.rs
+++ b/src/server/upgrade.rs
@@ -3,9 +3,9 @@
 
 use super::{Node, store::USUAL};
 use crate::{
-    bookkeeping::records::{FORMAT, VERSIONS, VersionRecord, version_key},
-    coordination::answers::TxnResult,
+    control::requests::TxnResult,
     protocol::state::{Guard, Txn, Write},
+    state::records::{FORMAT, VERSIONS, VersionRecord, version_key},
 };
 use async_io::Timer;
 use std::{
--- a/src/bookkeeping/model/job.rs
+++ b/src/state/cluster/job.rs
@@ -2,20 +2,20 @@
 
 use super::{DONE, Machine, NONE};
 use crate::{
-    bookkeeping::{
-        Ms,
-        amounts::Amounts,
-        away::Away,
-        blame::JobFile,
-        chains::Gate,
-        pieces::Pieces,
-        records::{Bits, CHUNK_TASKS, job_key},
-    },
     protocol::{
         state::Guard,
         status::Reason,
         users::{JobSpec, JobState, JobStatus, Kind, Priority},
     },
+    state::{
+        Ms,
+        dependencies::Gate,
+        fault_attribution::JobFile,
+        offload::Away,
+        records::{Bits, CHUNK_TASKS, job_key},
+        resources::Amounts,
+        spec_chunks::Pieces,
+    },
 };
 
 /// Where one task of a job is.
--- a/src/bookkeeping/model/machine.rs
+++ b/src/state/cluster/machine.rs
@@ -1,8 +1,8 @@
 //! A machine, and what is or may be on it.
 
 use crate::{
-    bookkeeping::{Ms, amounts::Amounts, blame::MachineFile},
     protocol::workers::Why,
+    state::{Ms, fault_attribution::MachineFile, resources::Amounts},
 };
 use std::net::SocketAddr;
 
--- a/src/bookkeeping/model/mod.rs
+++ b/src/state/cluster/mod.rs
@@ -1,24 +1,24 @@
 //! The leader's picture of jobs, machines and what runs where. Names are
 //! mapped to dense indices at the door; everything inside uses those.
 
+mod interner;
 mod job;
 mod machine;
-mod names;
+mod replication;
 mod stale;
-mod told;
 
+pub use interner::Names;
 pub use job::{Job, Place};
 pub use machine::{Assignment, Machine, ORDER, Phase, Roster};
-pub use names::Names;
 use stale::StaleMachines;
 
 use super::{
     Ms,
-    amounts::Amounts,
-    away::Away,
-    blame::{JobFile, MachineFile},
-    chains::Gate,
+    dependencies::Gate,
+    fault_attribution::{JobFile, MachineFile},
+    offload::Away,
     records::{Bits, whole_size},
+    resources::Amounts,
 };
 use crate::protocol::{
     cloud::MachineType,
--- a/src/bookkeeping/records.rs
+++ b/src/state/records.rs
@@ -1,6 +1,6 @@
 //! What is kept in the state service, and under which keys.
 
-use super::{away::Lent, pieces::Pieces};
+use super::{offload::Lent, spec_chunks::Pieces};
 use crate::protocol::{
     market::AWARDS,
     users::{JobSpec, JobState, JobStatus},
--- a/tests/compatibility/operators.rs
+++ b/tests/compatibility/operators.rs
@@ -3,7 +3,7 @@
 
 use super::{fixture, is_pinned, reads_as};
 use pathwinch::{
-    coordination::{answers::Source, election::Right},
+    control::{election::Right, requests::Source},
     options::{LoadResource, Options, Shape},
     protocol::{
         settings::{
--- a/tests/compatibility/stored.rs
+++ b/tests/compatibility/stored.rs
@@ -2,16 +2,8 @@
 
 use super::{fixture, reads_as};
 use pathwinch::{
-    bookkeeping::{
-        away::Lent,
-        pieces::{self, PIECES, Pieces},
-        records::{
-            self, Bits, FinalRecord, JobRecord, LeaderRecord, MachineRecord, StandbyRecord,
-            StoredJob, VersionRecord,
-        },
-    },
-    coordination::{
-        bars::{bar_txn, lift_txn},
+    control::{
+        exclusions::{bar_txn, lift_txn},
         leader::acceptance_with_notice,
     },
     protocol::{
@@ -20,6 +12,14 @@
         state::{Txn, Write},
         users::{JobSpec, JobState, Kind, Priority},
     },
+    state::{
+        offload::Lent,
+        records::{
+            self, Bits, FinalRecord, JobRecord, LeaderRecord, MachineRecord, StandbyRecord,
+            StoredJob, VersionRecord,
+        },
+        spec_chunks::{self, PIECES, Pieces},
+    },
 };
 use serde::{Serialize, de::DeserializeOwned};
 use std::fmt::Debug;
@@ -167,7 +167,7 @@
 
 #[test]
 fn a_jobs_record_in_pieces_names_them_as_it_did() {
-    let (pieces, values) = pieces::cut(&long_spec()).unwrap();
+    let (pieces, values) = spec_chunks::cut(&long_spec()).unwrap();
     let record = JobRecord {
         spec: long_spec(),
         pieces: Some(pieces.clone()),
@@ -180,19 +180,19 @@
     job_is_stored("job/pieces", &record, |read| {
         assert_eq!(read, &pieces);
         let texts = values.iter().map(|(_, text)| text.as_str());
-        pieces::join(read, texts).unwrap()
+        spec_chunks::join(read, texts).unwrap()
     });
     is_stored("pieces", &pieces);
 }
 
 #[test]
 fn a_long_description_is_cut_into_the_pieces_that_it_was() {
-    let (pieces, values) = pieces::cut(&long_spec()).unwrap();
+    let (pieces, values) = spec_chunks::cut(&long_spec()).unwrap();
     is_stored("pieces/values", &values);
     let kept: Vec<(String, String)> =
         serde_json::from_str(fixture(STORED, "pieces/values")).unwrap();
     let texts = kept.iter().map(|(_, text)| text.as_str());
-    assert_eq!(pieces::join(&pieces, texts).unwrap(), long_spec());
+    assert_eq!(spec_chunks::join(&pieces, texts).unwrap(), long_spec());
     for (key, _) in &kept {
         assert!(pieces.names("j-000412", key), "{key}");
         assert_eq!(Pieces::job_of(key), Some("j-000412"));
--- a/tests/controllers.rs
+++ b/tests/controllers.rs
@@ -1,10 +1,10 @@
 //! Stories of controllers that stand still, fall silent or are cut off in
 //! part, against a whole installation in memory.
 
-mod world;
+mod simulation;
 
 use pathwinch::protocol::users::{JobState, Kind, Priority};
-use world::{Cut, Side, World, job};
+use simulation::{Cut, Side, World, job};
 
 /// Services on all machines, led for a while.
 fn serving(seed: u64, nodes: usize) -> World {
--- a/tests/chains.rs
+++ b/tests/dependencies.rs
@@ -1,12 +1,12 @@
 //! Short stories about jobs that need others.
 
-mod world;
+mod simulation;
 
 use pathwinch::{
-    bookkeeping::records,
     protocol::users::{JobSpec, JobState, Kind, Priority},
+    state::records,
 };
-use world::{Net, World, job};
+use simulation::{Net, World, job};
 
 /// One that needs these.
 fn after(n: u32, tasks: u32, needs: &[u32]) -> JobSpec {
@@ -276,7 +276,7 @@
                 j.needs = needs;
             }
             if w.rng.u8(..5) == 0 {
-                j.types = Some(world::many_types());
+                j.types = Some(simulation::many_types());
             }
             if n == 30 && seed % 2 == 0 {
                 w.lower();
--- a/tests/takeover.rs
+++ b/tests/failover.rs
@@ -2,7 +2,7 @@
 //! the state service and one worker; messages that are lost, late or come
 //! twice, leaders that act on though their key is gone, nodes that end and
 //! begin anew. What decides is the program's own: the leader's side, the copy
-//! and the checks of `coordination::standby`. No clock is relied on: a leader
+//! and the checks of `control::standby`. No clock is relied on: a leader
 //! here acts until it ends, whoever leads by then.
 //!
 //! Bounds are raised by hand, see `docs/results.md`:
@@ -10,19 +10,19 @@
 //!     BOUNDS=starts,ends,losses,strikes,rounds cargo test --release --test takeover -- --nocapture
 
 use pathwinch::{
-    bookkeeping::{
-        Ms,
-        records::{STANDBYS, StandbyRecord},
-    },
-    coordination::standby::{
+    control::standby::{
         Picture, Standbys, Written,
-        checks::{self, Claim},
-        copy::{Copy, Follower},
+        failover_checks::{self, Claim},
+        replica::{Copy, Follower},
     },
     protocol::{
         peers::{Follow, MachineHolds, MayRun, Seen},
         state::{Txn, Write},
     },
+    state::{
+        Ms,
+        records::{STANDBYS, StandbyRecord},
+    },
 };
 use std::{
     collections::{BTreeMap, BTreeSet, HashSet},
@@ -328,7 +328,7 @@
             record: record.as_ref().map(|(r, _)| r),
             copy: l.copy.as_ref(),
         };
-        if checks::judge(&claim).is_ok() {
+        if failover_checks::judge(&claim).is_ok() {
             let copy = l.copy.take().unwrap_or_default();
             for (_, _, MayRun(task, attempt, ..)) in copy.latest_first() {
                 l.picture.put(task, attempt, true);
--- a/tests/meetings.rs
+++ b/tests/fault_combinations.rs
@@ -1,16 +1,16 @@
 //! When two troubles meet: stories of a leader that is cut off and may not
 //! know what users were told, and drawn days of any two troubles at once.
 
-mod world;
+mod simulation;
 
 use pathwinch::{
-    bookkeeping::records::{self, LEADER, StoredJob, job_key},
     protocol::{
         state::{Txn, Write},
         users::{JobState, Kind},
     },
+    state::records::{self, LEADER, StoredJob, job_key},
 };
-use world::{Ask, CANCEL, Cut, LEASE, Net, Side, World, job};
+use simulation::{Ask, CANCEL, Cut, LEASE, Net, Side, World, job};
 
 fn id(n: u32) -> String {
     format!("j-{n:06}")
@@ -347,7 +347,7 @@
         let l = w.nodes[leader].leader.as_mut().unwrap();
         let plan = l.plan_flush(12).expect("its end is to be written");
         l.in_doubt(&plan);
-        for key in pathwinch::coordination::leader::Leader::keys_of(&plan) {
+        for key in pathwinch::control::leader::Leader::keys_of(&plan) {
             l.reread(&key, w.store.kv.get(&key).cloned(), w.now);
         }
         l.reread_done(&plan);
@@ -378,7 +378,7 @@
     let older = done(&mut w, 8_500);
     let l = w.nodes[leader].leader.as_mut().unwrap();
     l.in_doubt(&older);
-    for key in pathwinch::coordination::leader::Leader::keys_of(&older) {
+    for key in pathwinch::control::leader::Leader::keys_of(&older) {
         l.reread(&key, w.store.kv.get(&key).cloned(), w.now);
     }
     l.reread_done(&older);
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -1,10 +1,10 @@
 //! Stories of jobs that fail everywhere and machines that fail everything,
 //! against a whole installation in memory.
 
-mod world;
+mod simulation;
 
 use pathwinch::protocol::users::{JobState, Kind, Priority};
-use world::{World, job};
+use simulation::{World, job};
 
 fn quiet(seed: u64, machines: usize) -> World {
     let mut w = World::new(seed, machines, 0.0);
--- a/tests/input.rs
+++ b/tests/input.rs
@@ -1,9 +1,9 @@
 //! What is refused at the door, and with what words.
 
-mod world;
+mod simulation;
 
 use pathwinch::{
-    coordination::admission::never_runs,
+    control::admission::never_runs,
     operator,
     options::Options,
     protocol::{
@@ -14,7 +14,7 @@
     },
     transport::frames,
 };
-use world::{job, settings, types};
+use simulation::{job, settings, types};
 
 fn with(field: &str, value: serde_json::Value) -> Result<JobSpec, String> {
     let mut v = serde_json::to_value(job(1, Kind::Array, 3)).unwrap();
--- a/tests/checker.rs
+++ b/tests/invariant_checker.rs
@@ -1,16 +1,16 @@
 //! The checker itself: each rule, and what the users count besides, with a
 //! fault that is planted.
 
-mod world;
+mod simulation;
 
 use pathwinch::{
-    bookkeeping::records::{self, FinalRecord},
     protocol::{
         users::{JobState, Kind},
         workers::TaskState,
     },
+    state::records::{self, FinalRecord},
 };
-use world::{CANCEL, Task, World, job};
+use simulation::{CANCEL, Task, World, job};
 
 fn id(n: u32) -> String {
     format!("j-{n:06}")
--- a/tests/known.rs
+++ b/tests/job_liveness.rs
@@ -2,13 +2,13 @@
 //! that come again, of controllers that hear only workers, and of whatever is
 //! back at once.
 
-mod world;
+mod simulation;
 
 use pathwinch::{
-    coordination::answers::Answer,
+    control::requests::Answer,
     protocol::users::{JobSpec, Kind, Priority},
 };
-use world::{Ask, Cut, LEASE, Net, Side, World, job};
+use simulation::{Ask, Cut, LEASE, Net, Side, World, job};
 
 fn id(n: u32) -> String {
     format!("j-{n:06}")
@@ -201,7 +201,7 @@
     let now = w.now;
     let l = w.nodes[i].leader.as_mut().unwrap();
     assert!(l.on_beat(&copy, now).is_none());
-    let machine = |l: &pathwinch::coordination::leader::Leader| {
+    let machine = |l: &pathwinch::control::leader::Leader| {
         let ix = l.model.machine_ix(&copy.machine).unwrap();
         l.model.machine(ix).map(|m| (m.up, m.session))
     };
--- a/tests/handovers.rs
+++ b/tests/leader_changes.rs
@@ -1,13 +1,13 @@
 //! What falls into the seconds in which one controller's work changes hands:
 //! limits, withdrawals, old reports, machines that can't be asked, new ones.
 
-mod world;
+mod simulation;
 
 use pathwinch::{
-    coordination::answers::Answer,
+    control::requests::Answer,
     protocol::users::{JobState, Kind, Priority},
 };
-use world::{Ask, CANCEL, Cut, LEASE, Net, Side, World, job};
+use simulation::{Ask, CANCEL, Cut, LEASE, Net, Side, World, job};
 
 fn id(n: u32) -> String {
     format!("j-{n:06}")
--- a/tests/lent.rs
+++ b/tests/offload.rs
@@ -1,19 +1,19 @@
 //! Jobs that are lent to neighbouring markets: while one is marked nothing of
 //! it starts here, and what comes back is kept once.
 
-mod world;
+mod simulation;
 
 use pathwinch::{
-    bookkeeping::{away::Lent, records::award_key},
-    coordination::leader::Leader,
+    control::leader::Leader,
     protocol::{
         market::Marked,
         status::Reason,
         users::{JobState, Kind},
     },
+    state::{offload::Lent, records::award_key},
 };
 use serde_json::json;
-use world::{World, job};
+use simulation::{World, job};
 
 const ID: &str = "j-000001";
 
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -2,13 +2,13 @@
 //! looks at every machine for every task.
 
 use pathwinch::{
-    bookkeeping::amounts::Amounts,
-    coordination::placement::{
+    control::placement::{
         Policy,
         fleet::{Fleet, Request, Room, SURPLUS},
         fragmentation, load,
     },
     options::LoadResource,
+    state::resources::Amounts,
 };
 
 const CAPACITIES: [(f64, f64, f64); 2] = [(64.0, 0.0, 256.0), (48.0, 4.0, 384.0)];
--- a/tests/went_back.rs
+++ b/tests/read_monotonicity.rs
@@ -1,9 +1,9 @@
 //! A job's told state goes back: each way in which that was found to happen.
 
-mod world;
+mod simulation;
 
 use pathwinch::protocol::users::{JobState, Kind};
-use world::{Ask, Cut, Side, World, job};
+use simulation::{Ask, Cut, Side, World, job};
 
 const ID: &str = "j-000001";
 
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -1,29 +1,29 @@
 //! Many machines and jobs at once: what a leader does in its first seconds.
 
-mod world;
+mod simulation;
 
 use pathwinch::{
-    bookkeeping::{Ms, records::JobRecord},
-    coordination::{
-        answers::Answer,
+    control::{
         leader::{CloudOp, Leader},
+        requests::Answer,
     },
     options::Options,
     protocol::{
         cloud::MachineType,
         users::{JobSpec, Kind, Priority},
     },
+    state::{Ms, records::JobRecord},
 };
+use simulation::{Ask, LEASE, Net, World, job};
 use std::rc::Rc;
-use world::{Ask, LEASE, Net, World, job};
 
 fn types() -> Vec<MachineType> {
-    let mut dear = world::types().remove(0);
+    let mut dear = simulation::types().remove(0);
     dear.name = "g4".into();
     dear.gpus = 4.0;
     dear.price = 12.0;
     dear.spot_price = 4.0;
-    let mut all = world::types();
+    let mut all = simulation::types();
     all.push(dear);
     all
 }
@@ -34,7 +34,7 @@
 
 fn load_machines(l: &mut Leader, machines: u32) {
     for n in 0..machines {
-        l.load_machine(&format!("i-{n:06}"), world::roster_record(), 3, 0);
+        l.load_machine(&format!("i-{n:06}"), simulation::roster_record(), 3, 0);
     }
 }
 
@@ -55,7 +55,7 @@
 }
 
 fn leader(term: u64) -> Leader {
-    let settings = Rc::new(world::settings(0.0));
+    let settings = Rc::new(simulation::settings(0.0));
     Leader::new(settings, Options::default(), types(), term, 0)
 }
 
--- a/tests/answers.rs
+++ b/tests/request_consistency.rs
@@ -2,13 +2,13 @@
 //! the nodes take, and a history of which no answer may be older than one that
 //! came before its question was sent.
 
-mod world;
+mod simulation;
 
 use pathwinch::{
-    coordination::answers::Answer,
+    control::requests::Answer,
     protocol::users::{JobSpec, JobState, Kind},
 };
-use world::{Ask, Cut, Side, World, job};
+use simulation::{Ask, Cut, Side, World, job};
 
 fn id(n: u32) -> String {
     format!("j-{n:06}")
@@ -519,7 +519,7 @@
     w.submit(job(1, Kind::Array, 1));
     w.until(10_000, "running", |w| w.running(&id(1)) == 1);
     w.run(2_000);
-    w.workers[0].net = world::Net::Lose;
+    w.workers[0].net = simulation::Net::Lose;
     w.cancel(&id(1));
     w.run(3_000);
     assert_eq!((w.running(&id(1)), w.done(&id(1))), (1, false));
--- a/tests/stories.rs
+++ b/tests/scenarios.rs
@@ -1,15 +1,15 @@
 //! Short stories about failures, each against a whole installation in memory.
 
-mod world;
+mod simulation;
 
-use pathwinch::coordination::leader::Plan;
+use pathwinch::control::leader::Plan;
 use pathwinch::protocol::{
     state::Txn,
     status::Reason,
     users::{JobSpec, JobState, Kind, Priority},
     workers::TaskState,
 };
-use world::{Cut, LEASE, Net, Side, World, job};
+use simulation::{Cut, LEASE, Net, Side, World, job};
 
 fn quiet(seed: u64, machines: usize, limit: f64) -> World {
     World::led(seed, machines, limit)
--- a/tests/passes.rs
+++ b/tests/scheduling_cycles.rs
@@ -2,14 +2,14 @@
 //! between is taken in, and nobody is served out of order.
 
 use pathwinch::{
-    bookkeeping::records::{JobRecord, MachineRecord},
-    coordination::leader::Leader,
+    control::leader::Leader,
     options::Options,
     protocol::{
         settings::Settings,
         users::JobSpec,
         workers::{Report, ReportedTask, TaskState, Why},
     },
+    state::records::{JobRecord, MachineRecord},
 };
 use std::{collections::BTreeSet, rc::Rc};
 
--- a/tests/world/mod.rs
+++ b/tests/simulation/mod.rs
@@ -21,27 +21,20 @@
 use fastrand::Rng;
 use net::Msg;
 use pathwinch::{
-    bookkeeping::{
-        Ms,
-        budget::Budget,
-        model::ORDER,
-        pieces::PIECES,
-        records::{self, Bits, FinalRecord, LEADER, MachineRecord, StoredJob},
-    },
-    coordination::{
-        answers::{Answer, TxnResult, final_status},
-        bars::{self, Bars, Step, bar_txn, lift_txn},
-        bounds::Bounds,
+    control::{
+        acceptance_feed::{self, Notices},
         election::{
             Election, Extended, LEASE_LIFE_MS, PROMISE_CHECK_MS, PROMISE_MS, Promised,
             RENEWAL_TIMEOUT_MS, SEEK_STEP_MS,
         },
+        exclusions::{self, Bars, Step, bar_txn, lift_txn},
+        failure_detector::{Contact, Foreman, Reach},
+        heartbeat_relay::Relays,
         leader::{CloudOp, Direct, DirectOutcome, Leader, Plan},
-        notices::{self, Notices},
         polls::Finals,
-        reach::{Contact, Foreman, Reach},
-        relay::Relays,
-        standby::{Written, copy::Follower},
+        requests::{Answer, TxnResult, final_status},
+        safety_bounds::Bounds,
+        standby::{Written, replica::Follower},
     },
     options::Options,
     protocol::{
@@ -52,6 +45,13 @@
         users::{JobSpec, JobState, JobStatus, Kind, Priority},
         workers::{Command, DirectOrder, Report, ReportReply, ReportedTask, TaskState, Why},
     },
+    state::{
+        Ms,
+        cluster::ORDER,
+        rate_limit::Budget,
+        records::{self, Bits, FinalRecord, LEADER, MachineRecord, StoredJob},
+        spec_chunks::PIECES,
+    },
 };
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
--- a/tests/world/nodes.rs
+++ b/tests/simulation/nodes.rs
@@ -98,7 +98,7 @@
             && !stalled
             && let Some(notices) = node.notices.as_mut()
             && let Some(body) = self.store.noticed(notices.from())
-            && let notices::Next::Look(keys) = notices.answered(200, &body)
+            && let acceptance_feed::Next::Look(keys) = notices.answered(200, &body)
         {
             for key in keys {
                 let id = key.trim_start_matches(records::NOTICES).to_owned();
@@ -476,7 +476,7 @@
                         (Some(_), None) => self.nodes[i].bars.lost(),
                         (_, Some(lease)) => self.nodes[i].bars.leased(lease, now),
                         (None, None) => {
-                            let lease = self.store.grant(now, bars::LEASE_LIFE_MS);
+                            let lease = self.store.grant(now, exclusions::LEASE_LIFE_MS);
                             self.nodes[i].bars.leased(lease, now);
                         }
                     }
--- a/tests/world/standbys.rs
+++ b/tests/simulation/standbys.rs
@@ -2,7 +2,7 @@
 //! the record names knows at least all that is on machines.
 
 use super::*;
-use pathwinch::{bookkeeping::records::StandbyRecord, protocol::workers::split_task};
+use pathwinch::{protocol::workers::split_task, state::records::StandbyRecord};
 
 impl World {
     fn record_of_standbys(&self) -> Option<(StandbyRecord, u64)> {
--- a/tests/world/store.rs
+++ b/tests/simulation/store.rs
@@ -1,11 +1,12 @@
 //! The state service.
 
 use pathwinch::{
-    bookkeeping::{
-        Ms, pieces,
+    protocol::state::{Txn, Write},
+    state::{
+        Ms,
         records::{JobRecord, NOTICES, StoredJob},
+        spec_chunks,
     },
-    protocol::state::{Txn, Write},
 };
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
@@ -135,7 +136,7 @@
         let stored: StoredJob = serde_json::from_value(value).unwrap();
         let whole = stored.whole(|p| {
             let texts = p.keys(id).filter_map(|k| self.kv.get(&k)?.0.as_str());
-            pieces::join(p, texts)
+            spec_chunks::join(p, texts)
         });
         whole.unwrap()
     }
--- a/tests/world/users.rs
+++ b/tests/simulation/users.rs
@@ -4,11 +4,11 @@
 
 use super::*;
 use pathwinch::{
-    bookkeeping::budget::share::{self, Role},
-    coordination::answers::{
+    control::requests::{
         Event, Found, Looked, Next, NodeView, Reading, Request, TxnResult, polled,
     },
-    coordination::bounds::MAX_READING_AGE_MS,
+    control::safety_bounds::MAX_READING_AGE_MS,
+    state::rate_limit::share::{self, Role},
 };
 
 /// What a user asks.
--- a/tests/standby.rs
+++ b/tests/standby.rs
@@ -2,19 +2,19 @@
 //! that take over: whoever is named knows at least all that may run, which the
 //! world's checker asserts at every step, and decides at once.
 
-mod world;
+mod simulation;
 
 use pathwinch::{
-    bookkeeping::records::StandbyRecord,
-    coordination::{leader::Leader, standby::copy::Follower},
+    control::{leader::Leader, standby::replica::Follower},
     options::Options,
     protocol::{
         peers::{Follow, MachineHolds, MayRun, Seen},
         users::{JobSpec, JobState, Kind, Priority},
     },
+    state::records::StandbyRecord,
 };
+use simulation::{Cut, LEASE, Net, STEP, Side, World, job};
 use std::{collections::BTreeSet, rc::Rc};
-use world::{Cut, LEASE, Net, STEP, Side, World, job};
 
 /// A leader with warm standbys, and a service of two replicas a machine on all
 /// but one of the machines.
@@ -384,7 +384,7 @@
     w.until(8_000, "running", |w| w.running("j-000002") == 2);
     let (old, starts) = (w.leader().unwrap(), w.starts);
     let on = w.workers.iter().position(|m| {
-        let of = |t: &world::Task| t.name.starts_with("j-000002");
+        let of = |t: &simulation::Task| t.name.starts_with("j-000002");
         m.tasks.iter().any(of)
     });
     // Told to the leader, and not recorded.
@@ -509,8 +509,8 @@
         machines: holds,
     };
     assert!(follower.take_in(part, 0));
-    let settings = Rc::new(world::settings(0.0));
-    let mut l = Leader::new(settings, Options::default(), world::types(), 9, 0);
+    let settings = Rc::new(simulation::settings(0.0));
+    let mut l = Leader::new(settings, Options::default(), simulation::types(), 9, 0);
     l.inherit(7, follower.take_over(9));
     let record = StandbyRecord {
         term: 5,
@@ -519,7 +519,7 @@
     };
     l.load_standbys(Some((record, 6)));
     for n in 0..machines {
-        l.load_machine(&machine(n), world::roster_record(), 3, 0);
+        l.load_machine(&machine(n), simulation::roster_record(), 3, 0);
     }
     let (_, record) = l.acceptance(&spec, None, 0);
     l.load_job(record, 4, 0);
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -2,16 +2,16 @@
 //! used and written so that it can read it again, until all controllers run
 //! this one; and what is written then fits limits that fall without notice.
 
-mod world;
+mod simulation;
 
 use pathwinch::{
-    bookkeeping::{
-        pieces::PIECES,
+    protocol::users::{JobSpec, JobState, Kind},
+    state::{
         records::{self, FinalRecord},
+        spec_chunks::PIECES,
     },
-    protocol::users::{JobSpec, JobState, Kind},
 };
-use world::{World, job};
+use simulation::{World, job};
 
 /// An installation whose state service will have lower limits.
 fn warned(seed: u64, machines: usize) -> World {
@@ -30,7 +30,7 @@
 /// One whose description alone is over 2 KiB.
 fn long(n: u32, tasks: u32) -> JobSpec {
     let mut spec = job(n, Kind::Array, tasks);
-    spec.types = Some(world::many_types());
+    spec.types = Some(simulation::many_types());
     spec
 }
 
