--- a/examples/limits/main.rs
+++ b/examples/limits/main.rs
@@ -65,7 +65,7 @@
 
 /// What a standby is told of these machines, as part `part` of its stream.
 fn tell(l: &Leader, part: u64, machines: impl Iterator<Item = usize>) -> Follow {
-    let held = machines.map(|n| l.model.held_on(&format!("i-{n:06}")));
+    let held = machines.map(|n| l.cluster.held_on(&format!("i-{n:06}")));
     Follow {
         term: 1,
         stream: 1,
@@ -168,7 +168,7 @@
             let line = status.lines().find(|l| l.starts_with("VmRSS"));
             println!(
                 "{} {}",
-                l.model.live_jobs(),
+                l.cluster.live_jobs(),
                 line.unwrap_or("VmRSS unknown")
             );
         }
--- a/examples/limits/passes.rs
+++ b/examples/limits/passes.rs
@@ -152,8 +152,12 @@
             self.leader.accepted(record, 2, NOW);
             self.leader.tick(NOW, NOW);
             let id = format!("j-{number:06}");
-            let ix = self.leader.model.job_ix(&id).context("not known")?;
-            let waiting = self.leader.model.job(ix).map_or(tasks, |j| j.waiting());
+            let ix = self.leader.cluster.job_index(&id).context("not known")?;
+            let waiting = self
+                .leader
+                .cluster
+                .job(ix)
+                .map_or(tasks, |j| j.waiting_count());
             ensure!(waiting == 0, "{waiting} of {tasks} tasks still wait");
         }
         Ok(())
--- a/src/control/admission.rs
+++ b/src/control/admission.rs
@@ -6,7 +6,7 @@
         settings::Settings,
         users::{JobSpec, Kind},
     },
-    state::resources::Amounts,
+    state::resources::Resources,
 };
 
 /// `Some`: why the job can never run.
@@ -18,10 +18,10 @@
     if spec.needs.contains(&spec.id) {
         return Some("waits_on: the job itself".into());
     }
-    let need = Amounts::need(spec.cpus, spec.gpus, spec.memory_gb);
+    let need = Resources::need(spec.cpus, spec.gpus, spec.memory_gb);
     let named = |t: &&MachineType| spec.types.as_ref().is_none_or(|n| n.contains(&t.name));
     let there = |t: &&MachineType| spec.zone.as_ref().is_none_or(|z| t.zones.contains(z));
-    let offers = |t: &MachineType| need.fits(&Amounts::offer(t.cpus, t.gpus, t.memory_gb));
+    let offers = |t: &MachineType| need.fits(&Resources::offer(t.cpus, t.gpus, t.memory_gb));
     let allowed = || types.iter().filter(named).filter(there);
     if !allowed().any(offers) {
         let field = if !types.iter().any(|t| named(&t)) {
@@ -40,7 +40,7 @@
         Kind::Gang | Kind::Service => i64::from(spec.tasks),
     };
     let all = need.scaled(tasks);
-    let limit = Amounts::offer(team.cpus_max, team.gpus_max, 0.0);
+    let limit = Resources::offer(team.cpus_max, team.gpus_max, 0.0);
     if (limit.cpus > 0 && all.cpus > limit.cpus) || (limit.gpus > 0 && all.gpus > limit.gpus) {
         return Some(format!("needs more than the limit of team {}", team.name));
     }
--- a/src/control/leader/dependencies.rs
+++ b/src/control/leader/dependencies.rs
@@ -9,7 +9,7 @@
 impl Leader {
     /// How a job stands that another names.
     fn standing(&self, id: &str) -> Need {
-        let Some(ix) = self.model.job_ix(id) else {
+        let Some(ix) = self.cluster.job_index(id) else {
             return match self.finals.get(id).map(|s| s.state) {
                 Some(JobState::Done) => Need::Done,
                 Some(_) => Need::Withdrawn,
@@ -20,7 +20,7 @@
     }
 
     fn standing_of(&self, ix: u32) -> Need {
-        match self.model.job(ix) {
+        match self.cluster.job(ix) {
             Some(j) if !j.cancelled => Need::Live(ix, j.spec.priority),
             _ => Need::Withdrawn,
         }
@@ -28,7 +28,9 @@
 
     /// A job came to be known.
     pub(super) fn link(&mut self, ix: u32) {
-        let Some(j) = self.model.job(ix) else { return };
+        let Some(j) = self.cluster.job(ix) else {
+            return;
+        };
         let (id, own) = (j.id.clone(), j.spec.priority);
         let needs = j.spec.needs.iter();
         let needs: Vec<(&str, Need)> = needs.map(|n| (n.as_str(), self.standing(n))).collect();
@@ -40,8 +42,8 @@
             self.chains.found(&id, need);
         }
         let gate = self.chains.gate(ix);
-        if let Some(j) = self.model.job_mut(ix) {
-            j.gate = gate;
+        if let Some(j) = self.cluster.job_mut(ix) {
+            j.readiness = gate;
         }
     }
 
@@ -52,13 +54,13 @@
             let gate = self.chains.gate(ix);
             let rank = self.chains.priority(ix);
             let wall = self.wall_ms;
-            let Some(j) = self.model.job_mut(ix) else {
+            let Some(j) = self.cluster.job_mut(ix) else {
                 continue;
             };
             if let Some(rank) = rank {
-                j.rank = rank;
+                j.effective_priority = rank;
             }
-            let was = std::mem::replace(&mut j.gate, gate);
+            let was = std::mem::replace(&mut j.readiness, gate);
             if gate != Gate::Open || was == gate {
                 continue;
             }
@@ -66,18 +68,18 @@
             if was == Gate::Shut {
                 // Its last need ended in this term, so that nobody can have
                 // started it before. Other times count from now.
-                j.fresh = true;
-                j.turn_ms = wall;
+                j.accepted_this_term = true;
+                j.queued_since_ms = wall;
             }
-            j.known_ms = now;
+            j.known_since = now;
             j.reason = Reason::New;
             log::debug!("job {} has all that it needs", j.id);
             self.note_arrival(ix, now);
         }
         for ix in lost.into_iter().filter(|ix| self.chains.is_lost(*ix)) {
-            if let Some(j) = self.model.job_mut(ix).filter(|j| !j.cancelled) {
+            if let Some(j) = self.cluster.job_mut(ix).filter(|j| !j.cancelled) {
                 log::info!("job {} goes with a job that it needs", j.id);
-                j.cancel_wanted = true;
+                j.cancel_requested = true;
             }
         }
     }
@@ -111,7 +113,11 @@
     pub fn needs_unknown(&self, spec: &JobSpec) -> Result<Vec<String>, String> {
         let mut unknown = Vec::new();
         for id in &spec.needs {
-            match self.model.job_ix(id).and_then(|ix| self.model.job(ix)) {
+            match self
+                .cluster
+                .job_index(id)
+                .and_then(|ix| self.cluster.job(ix))
+            {
                 Some(j) if j.spec.kind == Kind::Service => return Err(id.clone()),
                 Some(_) => {}
                 None if self.finals.get(id).is_some() => {}
@@ -124,8 +130,8 @@
     /// Until when jobs of chains have to be done, by the time of day.
     pub(super) fn due_in_chains(&self) -> HashMap<u32, u64> {
         self.chains.due_by(|ix| {
-            self.model.job(ix).map_or((None, 0), |j| {
-                let due = j.spec.deadline_s.map(|d| j.at_ms + millis(d));
+            self.cluster.job(ix).map_or((None, 0), |j| {
+                let due = j.spec.deadline_s.map(|d| j.accepted_at_ms + millis(d));
                 (due, millis(j.spec.estimate_s))
             })
         })
@@ -134,16 +140,16 @@
     /// Jobs that it waits for, with how each stands.
     pub(super) fn open_needs(&self, ix: u32, most: usize) -> (Vec<(String, String)>, usize) {
         let (live, sought) = self.chains.open(ix);
-        let mut live: Vec<&Job> = live.filter_map(|b| self.model.job(b)).collect();
+        let mut live: Vec<&Job> = live.filter_map(|b| self.cluster.job(b)).collect();
         live.sort_by(|a, b| a.id.cmp(&b.id));
         let all = live.len() + sought;
         let rows = live.into_iter().take(most).map(|j| {
-            let state = match (j.complete(), j.gate) {
+            let state = match (j.is_complete(), j.readiness) {
                 (true, _) => "done, not recorded yet".to_owned(),
                 (_, Gate::Shut) => "waits for others itself".to_owned(),
                 _ => format!(
                     "{} of {} done, {} running",
-                    j.done_n, j.spec.tasks, j.running
+                    j.completed_count, j.spec.tasks, j.running_count
                 ),
             };
             (j.id.clone(), state)
--- a/src/control/leader/expiry.rs
+++ b/src/control/leader/expiry.rs
@@ -23,7 +23,7 @@
         let report = millis(self.settings.cluster.workers.report_s);
         let mut heard = 0;
         let mut names = Vec::new();
-        for m in self.model.each_machine().filter(|m| m.up) {
+        for m in self.cluster.each_machine().filter(|m| m.up) {
             if now > m.heard.max(self.recovery.resumed) + report + report / 2 + 500 {
                 names.push(m.name.clone());
             } else {
@@ -38,10 +38,10 @@
         let after = self.lapse_after();
         let overdue = millis(self.settings.cluster.workers.report_s * 2.5) + 500;
         let resumed = self.recovery.resumed;
-        let mut silent = vec![0; self.model.zones.len()];
+        let mut silent = vec![0; self.cluster.zones.len()];
         let (mut up, mut overdue_now, mut unheard) = (0, 0, 0);
-        for ix in self.model.machine_range() {
-            let Some(m) = self.model.machine(ix) else {
+        for ix in self.cluster.machine_range() {
+            let Some(m) = self.cluster.machine(ix) else {
                 continue;
             };
             let suspect = m.up && now > m.heard.max(resumed) + overdue;
@@ -56,7 +56,7 @@
             if !changed && !lapsed {
                 continue;
             }
-            let Some(m) = self.model.machine_mut(ix) else {
+            let Some(m) = self.cluster.machine_mut(ix) else {
                 continue;
             };
             if changed {
@@ -78,7 +78,7 @@
             // Also one of which only reports came that were no news.
             m.min_session = m.session.max(m.latest.0) + 1;
             m.since = now;
-            self.model.clear_machine(ix);
+            self.cluster.clear_machine(ix);
             self.changed = true;
         }
         (self.recovery.heard, self.recovery.unheard) = (up, unheard);
@@ -91,8 +91,8 @@
     /// A machine is to be taken away: tasks that can save do so now, as the
     /// notice may be half as long as it says. The others may yet complete.
     pub(super) fn save_before_notice(&mut self) {
-        for ix in self.model.machine_range() {
-            let Some(m) = self.model.machine(ix).filter(|m| m.notice.is_some()) else {
+        for ix in self.cluster.machine_range() {
+            let Some(m) = self.cluster.machine(ix).filter(|m| m.notice.is_some()) else {
                 continue;
             };
             let saving: Vec<usize> = m
@@ -101,7 +101,7 @@
                 .enumerate()
                 .filter(|(_, a)| a.phase == Phase::Running && a.stop.is_none())
                 .filter(|(_, a)| {
-                    self.model
+                    self.cluster
                         .job(a.job)
                         .is_some_and(|j| j.spec.checkpoint_s > 0.0)
                 })
@@ -116,13 +116,13 @@
     /// Tasks of withdrawn jobs, and what is left of gangs that lost a task.
     pub(super) fn stop_what_must(&mut self) {
         let mut stop = Vec::new();
-        for (ix, job) in self.model.jobs.iter().enumerate() {
+        for (ix, job) in self.cluster.jobs.iter().enumerate() {
             if let Some(j) = job
-                && j.live > 0
+                && j.live_count > 0
                 && (j.cancelled
-                    || j.cancel_open
+                    || j.cancel_indeterminate
                     || j.spec.kind == Kind::Gang
-                        && j.waiting() > 0
+                        && j.waiting_count() > 0
                         && self.hears_all_of(ix as u32)
                         && self.gang_to_complete(ix as u32).is_none())
             {
@@ -132,25 +132,25 @@
         if stop.is_empty() {
             return;
         }
-        for m in self.model.each_machine_mut() {
+        for m in self.cluster.each_machine_mut() {
             for a in m.tasks.iter_mut() {
                 if a.job != NONE && a.live() && a.stop.is_none() && stop.contains(&a.job) {
                     a.stop = Some(0.0);
                 }
             }
         }
-        for ix in self.model.machine_range() {
-            let Some(m) = self.model.machine(ix) else {
+        for ix in self.cluster.machine_range() {
+            let Some(m) = self.cluster.machine(ix) else {
                 continue;
             };
             // Never sent, not even in doubt: simply not launched.
             for at in (0..m.tasks.len()).rev() {
-                let drop = self.model.machine(ix).is_some_and(|m| {
+                let drop = self.cluster.machine(ix).is_some_and(|m| {
                     let a = &m.tasks[at];
                     a.phase == Phase::New && a.stop.is_some() && a.doubt == 0
                 });
                 if drop {
-                    self.model.unassign(ix, at);
+                    self.cluster.unassign(ix, at);
                     self.changed = true;
                 }
             }
--- a/src/control/leader/failover.rs
+++ b/src/control/leader/failover.rs
@@ -58,8 +58,8 @@
         if self.recovery.settled || !self.recovery.takeover.warm {
             return self.recovery.settled;
         }
-        let mut on = self.model.live_of(job_ix);
-        on.all(|(ix, _)| self.model.machine(ix).is_some_and(|m| !m.unknown))
+        let mut on = self.cluster.live_tasks_of(job_ix);
+        on.all(|(ix, _)| self.cluster.machine(ix).is_some_and(|m| !m.unknown))
     }
 
     /// The first thing done with authority once the records are read.
@@ -103,7 +103,10 @@
         // Guards against doing once more what ended before the old leader
         // could record it.
         for (_, job, MayRun(task, ..)) in all.iter().filter(|(.., t)| t.3 == Seen::Done) {
-            let job = self.model.job_ix(job).and_then(|ix| self.model.job_mut(ix));
+            let job = self
+                .cluster
+                .job_index(job)
+                .and_then(|ix| self.cluster.job_mut(ix));
             if let Some(j) = job.filter(|j| *task < j.spec.tasks && !j.cancelled) {
                 j.mark_done(*task);
             }
@@ -112,7 +115,7 @@
         for (machine, job, may_run) in all.into_iter().filter(|(.., t)| t.3 != Seen::Done) {
             held += usize::from(self.put_back(machine, job, may_run, now));
         }
-        let unheard = self.model.each_machine().filter(|m| m.unknown);
+        let unheard = self.cluster.each_machine().filter(|m| m.unknown);
         (held, unheard.count())
     }
 
@@ -120,34 +123,41 @@
     /// gone, and so is all of a job that has no record.
     fn put_back(&mut self, machine: &str, job: &str, may_run: MayRun, now: Ms) -> bool {
         let MayRun(task, attempt, _, seen) = may_run;
-        let (Some(ix), Some(job_ix)) = (self.model.machine_ix(machine), self.model.job_ix(job))
-        else {
+        let (Some(ix), Some(job_ix)) = (
+            self.cluster.machine_index(machine),
+            self.cluster.job_index(job),
+        ) else {
             return false;
         };
-        let unheard = self.model.machine(ix).is_some_and(|m| m.unknown);
-        let Some(j) = self.model.job_mut(job_ix).filter(|_| unheard) else {
+        let unheard = self.cluster.machine(ix).is_some_and(|m| m.unknown);
+        let Some(j) = self.cluster.job_mut(job_ix).filter(|_| unheard) else {
             return false;
         };
         let phase = match seen {
             Seen::Running => Phase::Running,
             _ => Phase::Sent,
         };
-        match j.place(task) {
+        match j.placement(task) {
             _ if task >= j.spec.tasks => return false,
-            Place::Nowhere => {}
+            Placement::Unplaced => {}
             // It completed elsewhere while it was started again.
-            Place::Done => {
-                self.model
-                    .assign_beside(job_ix, task, ix, attempt, phase, now);
+            Placement::Done => {
+                self.cluster
+                    .assign_duplicate(job_ix, task, ix, attempt, phase, now);
                 return true;
             }
             // Put there later than here: it was gone from here.
-            Place::On(_) => return false,
+            Placement::On(_) => return false,
         }
         j.has_run = true;
-        let gone = j.cancelled || j.cancel_wanted;
-        self.model.assign(job_ix, task, ix, attempt, phase, now);
-        if gone && let Some(a) = self.model.machine_mut(ix).and_then(|m| m.tasks.last_mut()) {
+        let gone = j.cancelled || j.cancel_requested;
+        self.cluster.assign(job_ix, task, ix, attempt, phase, now);
+        if gone
+            && let Some(a) = self
+                .cluster
+                .machine_mut(ix)
+                .and_then(|m| m.tasks.last_mut())
+        {
             a.stop = Some(0.0);
         }
         true
@@ -159,7 +169,8 @@
             return None;
         }
         let complete = self.recovery.knows_all();
-        self.standbys.step(&mut self.model, complete, answers, now)
+        self.standbys
+            .step(&mut self.cluster, complete, answers, now)
     }
 
     /// How the write of the record of standbys came out.
@@ -178,11 +189,11 @@
 
     /// What a peer is to be told next.
     pub fn next_told(&mut self, peer: usize, now: Ms) -> Option<Follow> {
-        self.standbys.next(peer, &mut self.model, now)
+        self.standbys.next(peer, &mut self.cluster, now)
     }
 
     /// Who answered, and whether it was taken in; `None`: no answer.
     pub fn told_standby(&mut self, peer: usize, answer: Option<(u64, bool)>, now: Ms) {
-        self.recovery.takeover.released |= self.standbys.answered(peer, answer, &self.model, now);
+        self.recovery.takeover.released |= self.standbys.answered(peer, answer, &self.cluster, now);
     }
 }
--- a/src/control/leader/faults.rs
+++ b/src/control/leader/faults.rs
@@ -4,18 +4,18 @@
 
 impl Leader {
     pub(super) fn on_ended(&mut self, machine: u32, job_ix: u32, task: u32, why: Why, now: Ms) {
-        let Some(job) = self.model.job_mut(job_ix) else {
+        let Some(job) = self.cluster.job_mut(job_ix) else {
             return;
         };
         match why {
-            Why::Done => job.refusals = 0,
+            Why::Done => job.consecutive_refusals = 0,
             Why::Error => {
-                job.file.note(machine, now);
-                job.file.put_off(now);
-                let (id, proven) = (job.id.clone(), job.file.proven);
-                let suspected = job.file.suspected;
+                job.failures.note(machine, now);
+                job.failures.put_off(now);
+                let (id, proven) = (job.id.clone(), job.failures.proven);
+                let suspected = job.failures.suspected;
                 // The word of a suspected job is worth nothing.
-                if let Some(m) = self.model.machine_mut(machine).filter(|_| !suspected) {
+                if let Some(m) = self.cluster.machine_mut(machine).filter(|_| !suspected) {
                     m.file.note(&id, proven, 1, now);
                 }
                 if !proven && !self.events.accused.contains(&job_ix) {
@@ -29,15 +29,15 @@
         }
         // Guards against starting again in a tight loop what comes to nothing
         // each time, if only one task of a job that runs otherwise.
-        let counts = |j: &&mut Job| why != Why::Done && (why != Why::Error || j.file.proven);
-        if let Some(j) = self.model.job_mut(job_ix).filter(counts) {
-            j.refusals += 1;
-            if j.refusals > 2 {
-                j.backoff_until = now + (500 << j.refusals.min(7));
+        let counts = |j: &&mut Job| why != Why::Done && (why != Why::Error || j.failures.proven);
+        if let Some(j) = self.cluster.job_mut(job_ix).filter(counts) {
+            j.consecutive_refusals += 1;
+            if j.consecutive_refusals > 2 {
+                j.backoff_until = now + (500 << j.consecutive_refusals.min(7));
             }
         }
         if why != Why::Done
-            && let (Some(j), Some(m)) = (self.model.job(job_ix), self.model.machine(machine))
+            && let (Some(j), Some(m)) = (self.cluster.job(job_ix), self.cluster.machine(machine))
         {
             let (task, machine) = (format!("{}/{task}", j.id), m.name.clone());
             log::debug!("task {task} failed on {machine}: {why:?}");
@@ -47,13 +47,13 @@
 
     /// A task of the job, started then, runs there or has completed.
     pub(super) fn on_ran(&mut self, machine: u32, job_ix: u32, started: Ms, now: Ms) {
-        if let Some(m) = self.model.machine_mut(machine) {
+        if let Some(m) = self.cluster.machine_mut(machine) {
             m.file.ran(started);
         }
-        if let Some(j) = self.model.job_mut(job_ix).filter(|j| !j.file.proven) {
-            let accused = j.file.failures().to_vec();
-            let was = j.file.suspected;
-            j.file.ran();
+        if let Some(j) = self.cluster.job_mut(job_ix).filter(|j| !j.failures.proven) {
+            let accused = j.failures.failures().to_vec();
+            let was = j.failures.suspected;
+            j.failures.ran();
             let id = j.id.clone();
             if was {
                 self.verdict(job_ix);
@@ -62,7 +62,7 @@
             // It runs, so what failed it is the machine, unless one that was
             // started there later runs too.
             for f in accused {
-                if let Some(m) = self.model.machine_mut(f.machine)
+                if let Some(m) = self.cluster.machine_mut(f.machine)
                     && m.file.good().is_none_or(|good| good <= f.last)
                 {
                     m.file.pardon(&id);
@@ -79,11 +79,11 @@
     fn judge_accused(&mut self, machine: u32, now: Ms) {
         let mut accused = std::mem::take(&mut self.events.accused);
         accused.retain(|j| {
-            let job = self.model.job(*j);
-            job.is_some_and(|j| !j.file.proven && !j.file.failures().is_empty())
+            let job = self.cluster.job(*j);
+            job.is_some_and(|j| !j.failures.proven && !j.failures.failures().is_empty())
         });
         for &j in &accused {
-            let there = self.model.job(j).map(|j| j.file.failed_on(machine));
+            let there = self.cluster.job(j).map(|j| j.failures.failed_on(machine));
             if there == Some(true) {
                 self.judge_job(j, now);
             }
@@ -92,25 +92,25 @@
     }
 
     fn judge_job(&mut self, job_ix: u32, now: Ms) {
-        let Some(j) = self.model.job(job_ix) else {
+        let Some(j) = self.cluster.job(job_ix) else {
             return;
         };
-        let mut file = j.file.clone();
+        let mut file = j.failures.clone();
         let changed = file.judge(now, |m| {
-            let m = self.model.machine(m);
+            let m = self.cluster.machine(m);
             m.map_or((false, None), |m| (m.file.surely_at_fault(), m.file.good()))
         });
         let (id, suspected) = (j.id.clone(), file.suspected);
         let accused = file.failures().to_vec();
-        if let Some(j) = self.model.job_mut(job_ix) {
-            j.file = file;
+        if let Some(j) = self.cluster.job_mut(job_ix) {
+            j.failures = file;
         }
         if !changed {
             return;
         }
         self.verdict(job_ix);
         for f in accused.iter().filter(|_| suspected) {
-            if let Some(m) = self.model.machine_mut(f.machine) {
+            if let Some(m) = self.cluster.machine_mut(f.machine) {
                 m.file.pardon(&id);
             }
             self.judge_machine(f.machine, now);
@@ -120,20 +120,20 @@
     /// Notes and records that a job is suspected, or no longer.
     fn verdict(&mut self, job_ix: u32) {
         self.changed = true;
-        if let Some(j) = self.model.job_mut(job_ix) {
-            match j.file.suspected {
+        if let Some(j) = self.cluster.job_mut(job_ix) {
+            match j.failures.suspected {
                 true => log::info!("job {} is suspected: it fails wherever it starts", j.id),
                 false => log::info!("job {} is no longer suspected", j.id),
             }
             // It is written with the first tasks done.
-            if let Some(first) = j.dirty.first_mut() {
+            if let Some(first) = j.dirty_segments.first_mut() {
                 *first = true;
             }
         }
     }
 
     fn judge_machine(&mut self, machine: u32, now: Ms) {
-        let Some(m) = self.model.machine_mut(machine) else {
+        let Some(m) = self.cluster.machine_mut(machine) else {
             return;
         };
         if !m.file.judge(now) {
@@ -148,8 +148,8 @@
         // What failed there says nothing of the jobs, also once it is gone.
         if m.file.surely_at_fault() {
             for j in self.events.accused.clone() {
-                if let Some(j) = self.model.job_mut(j) {
-                    j.file.forget(machine);
+                if let Some(j) = self.cluster.job_mut(j) {
+                    j.failures.forget(machine);
                 }
                 self.judge_job(j, now);
             }
@@ -159,11 +159,11 @@
 
     /// Machines that are set aside, but can't be returned, are tried again.
     pub(super) fn try_again(&mut self, now: Ms) {
-        let all = self.model.indexed_machines();
+        let all = self.cluster.indexed_machines();
         let aside = all.filter(|(_, m)| m.file.set_aside && m.live_tasks() > 0);
         let aside: Vec<u32> = aside.map(|(ix, _)| ix).collect();
         for ix in aside {
-            if let Some(m) = self.model.machine_mut(ix)
+            if let Some(m) = self.cluster.machine_mut(ix)
                 && m.file.tried_again(now)
             {
                 log::info!("machine {} is tried again", m.name);
--- a/src/control/leader/fleet_view.rs
+++ b/src/control/leader/fleet_view.rs
@@ -26,8 +26,8 @@
     pub(super) fn refresh_fleet(&mut self, now: Ms) {
         let planning = &mut self.planning;
         planning.fleet.set_policy(&planning.policy);
-        for ix in self.model.take_stale() {
-            let usable = self.model.machine(ix).filter(|m| m.usable());
+        for ix in self.cluster.take_stale() {
+            let usable = self.cluster.machine(ix).filter(|m| m.usable());
             let room = usable.map(room_of);
             if !planning.in_pass {
                 planning.fleet.set(ix, room, now);
@@ -43,24 +43,24 @@
         self.planning.in_pass = false;
         self.planning.fleet.release_withheld();
         for ix in std::mem::take(&mut self.planning.gained) {
-            self.model.mark_stale(ix);
+            self.cluster.mark_stale(ix);
         }
     }
 
     /// Machines with room for a task of the job, ranked as things stand.
     pub(super) fn ranking_for(&mut self, job_ix: u32, now: Ms) -> Option<RankingId> {
         self.refresh_fleet(now);
-        let request = self.request_of(self.model.job(job_ix)?, now);
+        let request = self.request_of(self.cluster.job(job_ix)?, now);
         Some(self.planning.fleet.ranking(&request, now))
     }
 
     fn request_of(&self, job: &Job, now: Ms) -> Request {
         let time_left = self.time_to_aim(job, now);
-        let late = self.model.types.iter().map(|t| {
+        let late = self.cluster.types.iter().map(|t| {
             let fetch_s = job.spec.image_gb / t.fetch_gb_per_s.max(0.001);
             time_left.is_some_and(|left| fetch_s > left)
         });
-        let ranks = (0..self.model.types.len())
+        let ranks = (0..self.cluster.types.len())
             .map(|ix| [false, true].map(|spot| self.task_price(&job.need, ix, spot)));
         Request {
             need: job.need,
@@ -74,8 +74,8 @@
 
     /// Seconds left to the nearest aim for starting that can still be met.
     pub(super) fn time_to_aim(&self, job: &Job, now: Ms) -> Option<f64> {
-        let age = (now - job.known_ms) as f64 / 1000.0;
-        let team = self.model.teams.get(job.team);
+        let age = (now - job.known_since) as f64 / 1000.0;
+        let team = self.cluster.teams.get(job.team);
         let guaranteed = team.is_some_and(|t| {
             (job.need.gpus > 0 && t.gpus > 0.0) || (job.need.gpus == 0 && t.cpus > 0.0)
         });
@@ -100,11 +100,11 @@
     /// thousandths of the price unit. Which node a job should run on is left
     /// open by the paper; cheaper kinds go first here, and its method chooses
     /// among machines of a kind.
-    pub(super) fn task_price(&self, need: &Amounts, type_ix: usize, spot: bool) -> u32 {
-        let Some(t) = self.model.types.get(type_ix) else {
+    pub(super) fn task_price(&self, need: &Resources, type_ix: usize, spot: bool) -> u32 {
+        let Some(t) = self.cluster.types.get(type_ix) else {
             return u32::MAX;
         };
-        let whole = Amounts::offer(t.cpus, t.gpus, t.memory_gb);
+        let whole = Resources::offer(t.cpus, t.gpus, t.memory_gb);
         let share = placement::load(&whole, &whole.minus(*need), LoadResource::Scarcest);
         // Current prices move by a third; steps keep the order steady.
         (t.price_of(spot) * share * 1000.0)
--- a/src/control/leader/gang_reservation.rs
+++ b/src/control/leader/gang_reservation.rs
@@ -11,13 +11,13 @@
     /// Zones that could take the missing tasks of a gang: the one its tasks
     /// are in already, if it must stay together. `None`: any mixture.
     pub(super) fn gang_zones(&self, job_ix: u32) -> Vec<Option<usize>> {
-        let Some(j) = self.model.job(job_ix) else {
+        let Some(j) = self.cluster.job(job_ix) else {
             return Vec::new();
         };
         if !j.spec.one_zone {
             return vec![None];
         }
-        let there = self.model.zones_of(job_ix);
+        let there = self.cluster.live_tasks_by_zone(job_ix);
         let begun = there.iter().any(|n| *n > 0);
         (0..there.len())
             .filter(|z| !begun || there[*z] > 0)
@@ -27,22 +27,22 @@
 
     /// Whether the gang waits for nothing but room.
     pub(super) fn wants_room(&self, job_ix: u32) -> bool {
-        self.model.job(job_ix).is_some_and(|j| {
-            (j.live == 0 || self.gang_to_complete(job_ix).is_some())
-                && self.within_limit(j.team, &j.need, i64::from(j.waiting()))
+        self.cluster.job(job_ix).is_some_and(|j| {
+            (j.live_count == 0 || self.gang_to_complete(job_ix).is_some())
+                && self.within_limit(j.team, &j.need, i64::from(j.waiting_count()))
         })
     }
 
     /// A gang that has missed its aims for starting is not passed any more.
     pub(super) fn out_of_patience(&self, job_ix: u32, now: Ms) -> bool {
-        self.model.job(job_ix).is_some_and(|j| {
+        self.cluster.job(job_ix).is_some_and(|j| {
             let aims =
                 self.settings.cluster.objectives.iter().filter(|o| {
                     o.kind == "wait" && o.class.as_deref() == Some(j.spec.class.as_str())
                 });
             let last = aims.filter_map(|o| o.within_s).fold(0.0, f64::max);
             let patience = if last > 0.0 { millis(last) } else { PATIENCE };
-            now > j.known_ms + patience
+            now > j.known_since + patience
         })
     }
 
@@ -57,10 +57,10 @@
         let Some(ranking) = self.ranking_for(job_ix, now) else {
             return;
         };
-        let Some(j) = self.model.job(job_ix) else {
+        let Some(j) = self.cluster.job(job_ix) else {
             return;
         };
-        let (need, missing) = (j.need, i64::from(j.waiting()));
+        let (need, missing) = (j.need, i64::from(j.waiting_count()));
         let zones = self.gang_zones(job_ix);
         let found = |zone: &Option<usize>| -> i64 {
             let rooms = self.rooms_for_gang(job_ix, *zone, ranking, now);
@@ -88,18 +88,18 @@
         ranking: RankingId,
         now: Ms,
     ) -> Vec<(u32, i64)> {
-        let Some(j) = self.model.job(job_ix) else {
+        let Some(j) = self.cluster.job(job_ix) else {
             return Vec::new();
         };
         let fleet = &self.planning.fleet;
         let open = |machine: &u32| {
-            let m = self.model.machine(*machine);
+            let m = self.cluster.machine(*machine);
             m.is_some_and(|m| j.allows(m) && m.open_to(job_ix, now))
         };
         let machines = fleet.ranked(ranking, |z| zone.is_none_or(|only| only == z));
         let with_room = machines.into_iter().filter(open).filter_map(|machine| {
             let tasks = fleet.room(machine)?.free.count(&j.need);
-            Some((machine, tasks.min(i64::from(j.waiting()))))
+            Some((machine, tasks.min(i64::from(j.waiting_count()))))
         });
         with_room.collect()
     }
@@ -112,14 +112,15 @@
         now: Ms,
         there: impl Fn(&Machine) -> bool,
     ) -> Option<(i64, Vec<Preemption>)> {
-        let j = self.model.job(job_ix).filter(|j| !j.spec.spread)?;
-        let (missing, priority, need) = (i64::from(j.waiting()), j.rank, j.need);
+        let j = self.cluster.job(job_ix).filter(|j| !j.spec.spread)?;
+        let (missing, priority, need) =
+            (i64::from(j.waiting_count()), j.effective_priority, j.need);
         let guaranteed = self.within_guarantee(j, now);
         let mut best: Option<(i64, Vec<Preemption>)> = None;
         for zone in self.gang_zones(job_ix) {
-            let mut rooms: Vec<Preemption> = (self.model.machine_range())
+            let mut rooms: Vec<Preemption> = (self.cluster.machine_range())
                 .filter(|ix| {
-                    let m = self.model.machine(*ix);
+                    let m = self.cluster.machine(*ix);
                     m.is_some_and(|m| zone.is_none_or(|z| z == m.zone) && there(m))
                 })
                 .filter_map(|ix| self.room_on(ix, job_ix, priority, guaranteed, now))
@@ -130,7 +131,10 @@
                 if left <= 0 {
                     break;
                 }
-                let free = self.model.machine(r.machine).map(|m| m.free().count(&need));
+                let free = self
+                    .cluster
+                    .machine(r.machine)
+                    .map(|m| m.free().count(&need));
                 left -= free.unwrap_or(0).max(1);
                 lost += r.lost;
                 n += 1;
@@ -148,15 +152,15 @@
     /// the lesser loss. Returns whether the gang is to wait for such rooms.
     pub(super) fn gang_room_with_image(&mut self, job_ix: u32, chosen: &[u32], now: Ms) -> bool {
         let held = |m: &Machine| m.is_held_for(job_ix, now);
-        let Some(j) = self.model.job(job_ix) else {
+        let Some(j) = self.cluster.job(job_ix) else {
             return false;
         };
-        let high = j.rank >= Priority::High && !j.file.suspected;
+        let high = j.effective_priority >= Priority::High && !j.failures.suspected;
         let image = j.image;
         if !high
             || chosen
                 .iter()
-                .filter_map(|ix| self.model.machine(*ix))
+                .filter_map(|ix| self.cluster.machine(*ix))
                 .any(held)
         {
             return false;
@@ -166,8 +170,8 @@
         }
         let rate = chosen
             .iter()
-            .filter_map(|ix| self.model.machine(*ix))
-            .map(|m| self.model.types[m.type_ix].fetch_gb_per_s)
+            .filter_map(|ix| self.cluster.machine(*ix))
+            .map(|m| self.cluster.types[m.type_ix].fetch_gb_per_s)
             .fold(f64::INFINITY, f64::min)
             .max(0.001);
         let worth = (victims::fetch_worth(j, rate) + victims::WORTH) * chosen.len() as f64;
--- a/src/control/leader/headroom.rs
+++ b/src/control/leader/headroom.rs
@@ -8,7 +8,7 @@
 pub(super) struct Class {
     pub(super) kind: Kind,
     pub(super) priority: Priority,
-    pub(super) need: Amounts,
+    pub(super) need: Resources,
     pub(super) types: Vec<bool>,
     pub(super) spot: bool,
 }
@@ -16,7 +16,7 @@
 /// Room kept free of work of lower priority.
 pub(super) struct Reserve {
     pub(super) priority: Priority,
-    pub(super) need: Amounts,
+    pub(super) need: Resources,
     pub(super) types: Vec<bool>,
     pub(super) spot: bool,
     /// Tasks that still fit, and how many should.
@@ -44,14 +44,16 @@
     }
 
     /// How many fewer would fit with this task placed.
-    pub(super) fn loss(&self, free: &Amounts, need: &Amounts) -> i64 {
+    pub(super) fn loss(&self, free: &Resources, need: &Resources) -> i64 {
         free.count(&self.need).min(1000) - free.minus(*need).count(&self.need).min(1000)
     }
 }
 
 impl Leader {
     pub(super) fn note_arrival(&mut self, ix: u32, now: Ms) {
-        let Some(j) = self.model.job(ix) else { return };
+        let Some(j) = self.cluster.job(ix) else {
+            return;
+        };
         let class = Class {
             kind: j.spec.kind,
             priority: j.spec.priority,
@@ -87,12 +89,12 @@
             let mut r = c.reserve(0);
             // Not at any price: on kinds that cost up to twice the cheapest.
             let price = |ix: usize| {
-                let t = &self.model.types[ix];
+                let t = &self.cluster.types[ix];
                 let per = t.price_of(c.spot);
-                let whole = Amounts::offer(t.cpus, t.gpus, t.memory_gb);
+                let whole = Resources::offer(t.cpus, t.gpus, t.memory_gb);
                 per / (whole.count(&c.need).max(1) as f64)
             };
-            let least = (0..self.model.types.len())
+            let least = (0..self.cluster.types.len())
                 .filter(|ix| c.types.get(*ix) == Some(&true))
                 .map(price)
                 .min_by(f64::total_cmp)
@@ -101,10 +103,10 @@
                 *allowed &= price(ix) <= 2.0 * least;
             }
             let mut most = 0;
-            for m in self.model.each_machine() {
+            for m in self.cluster.each_machine() {
                 let of_class = |a: &&Assignment| {
                     a.live()
-                        && self.model.job(a.job).is_some_and(|j| {
+                        && self.cluster.job(a.job).is_some_and(|j| {
                             j.spec.kind == Kind::Service && j.need == c.need && j.types == c.types
                         })
                 };
@@ -124,11 +126,11 @@
         out
     }
 
-    pub(super) fn held_by_batches(&self, m: &Machine) -> Amounts {
-        let mut held = Amounts::default();
+    pub(super) fn held_by_batches(&self, m: &Machine) -> Resources {
+        let mut held = Resources::default();
         for a in m.tasks.iter().filter(|a| a.live()) {
             if self
-                .model
+                .cluster
                 .job(a.job)
                 .is_some_and(|j| j.spec.kind == Kind::Array)
             {
@@ -181,7 +183,7 @@
         if !self.options.shapes.is_empty() {
             return;
         }
-        let need = Amounts::need(spec.cpus, spec.gpus, spec.memory_gb);
+        let need = Resources::need(spec.cpus, spec.gpus, spec.memory_gb);
         match self.planning.shapes.iter().position(|(s, _)| *s == need) {
             Some(at) => self.planning.shapes[at].1 += 1,
             None if self.planning.shapes.len() < 64 => self.planning.shapes.push((need, 1)),
--- a/src/control/leader/inventory.rs
+++ b/src/control/leader/inventory.rs
@@ -10,7 +10,7 @@
 /// A machine that services may move to.
 struct MoveTarget {
     machine: u32,
-    free: Amounts,
+    free: Resources,
     price: f64,
 }
 
@@ -43,18 +43,18 @@
         if self.recovery.settled || asked < self.list_tells_from() {
             return;
         }
-        let machines = self.model.indexed_machines();
+        let machines = self.cluster.indexed_machines();
         let gone: Vec<u32> = machines
             .filter(|(_, m)| m.unknown && m.listed < asked)
             .map(|(ix, _)| ix)
             .collect();
         for ix in &gone {
-            if let Some(m) = self.model.machine_mut(*ix) {
+            if let Some(m) = self.cluster.machine_mut(*ix) {
                 m.unknown = false;
                 m.since = now;
             }
             // What an earlier leader had there.
-            self.model.clear_machine(*ix);
+            self.cluster.clear_machine(*ix);
         }
         if !gone.is_empty() {
             let gone = gone.len();
@@ -69,28 +69,28 @@
                 continue;
             }
             if l.state == ListedState::Failed {
-                if let Some(ix) = self.model.machine_ix(&l.id) {
+                if let Some(ix) = self.cluster.machine_index(&l.id) {
                     // It stopped by itself: nothing runs there any more.
-                    self.model.clear_machine(ix);
+                    self.cluster.clear_machine(ix);
                     self.release(ix, "failed", now);
-                    if let Some(m) = self.model.machine_mut(ix) {
+                    if let Some(m) = self.cluster.machine_mut(ix) {
                         m.up = false;
                         m.unknown = false;
                         m.min_session = m.session + 1;
                     }
                     self.changed = true;
                 } else if let Some(ix) =
-                    self.model
+                    self.cluster
                         .insert_machine(&l.id, &l.addr, &l.type_name, &l.zone, l.spot, now)
                 {
                     self.release(ix, "failed", now);
                 }
                 continue;
             }
-            let ix = self
-                .model
-                .insert_machine(&l.id, &l.addr, &l.type_name, &l.zone, l.spot, now);
-            if let Some(m) = ix.and_then(|ix| self.model.machine_mut(ix)) {
+            let ix =
+                self.cluster
+                    .insert_machine(&l.id, &l.addr, &l.type_name, &l.zone, l.spot, now);
+            if let Some(m) = ix.and_then(|ix| self.cluster.machine_mut(ix)) {
                 m.listed = now;
                 if m.since == now && l.state == ListedState::Booting {
                     m.since = now.saturating_sub(millis(l.age_s));
@@ -100,7 +100,7 @@
     }
 
     pub(super) fn release(&mut self, ix: u32, why: &str, now: Ms) {
-        if let Some(m) = self.model.machine_mut(ix)
+        if let Some(m) = self.cluster.machine_mut(ix)
             && !m.releasing
         {
             log::info!("machine {} to be released: {why}", m.name);
@@ -115,7 +115,7 @@
             return ops;
         }
         self.renting.at = now + 1000;
-        self.model.note_batches(now);
+        self.cluster.record_batch_activity(now);
         self.return_machines(now);
         self.drain(now);
         let names = self.take_releases();
@@ -143,12 +143,12 @@
                 && !m.writing
                 && m.live_tasks() == 0
         };
-        let all = self.model.indexed_machines();
+        let all = self.cluster.indexed_machines();
         let all = all.filter(|(_, m)| due(m)).map(|(ix, _)| ix);
         let due: Vec<u32> = all.take(MOST_RELEASED).collect();
         let mut names = Vec::with_capacity(due.len());
         for ix in due {
-            if let Some(m) = self.model.machine_mut(ix) {
+            if let Some(m) = self.cluster.machine_mut(ix) {
                 m.release_sent = true;
                 names.push(m.name.clone());
             }
@@ -170,12 +170,12 @@
     }
 
     fn price(&self, m: &Machine) -> f64 {
-        self.model.types[m.type_ix].price_of(m.spot)
+        self.cluster.types[m.type_ix].price_of(m.spot)
     }
 
     /// A dear machine is kept idle for less long than a cheap one of its type.
     pub(super) fn idle_allowance(&self, m: &Machine, idle: Ms) -> Ms {
-        let t = &self.model.types[m.type_ix];
+        let t = &self.cluster.types[m.type_ix];
         if m.spot || t.price <= t.spot_price {
             return idle;
         }
@@ -191,14 +191,14 @@
         let mut held = self.reserves(60_000, KEEP_IDLE, now);
         held.extend(self.spares());
         let mut gone = Vec::new();
-        for ix in self.model.machine_range() {
-            let Some(m) = self.model.machine(ix) else {
+        for ix in self.cluster.machine_range() {
+            let Some(m) = self.cluster.machine(ix) else {
                 continue;
             };
             if m.releasing || m.unknown {
                 continue;
             }
-            let boot = millis(self.model.types[m.type_ix].boot_s);
+            let boot = millis(self.cluster.types[m.type_ix].boot_s);
             let empty = m.tasks.is_empty();
             let why = if m.up && m.file.set_aside && empty {
                 Some("tasks fail on it")
@@ -248,10 +248,10 @@
         }
         for ix in gone {
             // Names don't recur: what still comes of one that ran is late.
-            if let Some(m) = self.model.machine(ix).filter(|m| m.latest.0 > 0) {
+            if let Some(m) = self.cluster.machine(ix).filter(|m| m.latest.0 > 0) {
                 self.renting.released.insert(m.name.clone(), now);
             }
-            self.model.remove_machine(ix);
+            self.cluster.remove_machine(ix);
         }
     }
 
@@ -264,7 +264,7 @@
         self.planning.drain_at = now + 2000;
         let idle = millis(self.options.idle_s);
         let mut order: Vec<u32> = Vec::new();
-        for (ix, m) in self.model.indexed_machines() {
+        for (ix, m) in self.cluster.indexed_machines() {
             if m.draining && m.up && !m.releasing {
                 // One at a time.
                 if m.live_tasks() > 0 {
@@ -278,7 +278,7 @@
         }
         order.sort_by(|a, b| {
             let key = |ix: &u32| {
-                self.model
+                self.cluster
                     .machine(*ix)
                     .map_or((0.0, 0), |m| (self.price(m), m.live_tasks()))
             };
@@ -291,11 +291,11 @@
                 // Without this, batch tasks took the places with the image
                 // while the services stopped, and those had to fetch.
                 for to in targets {
-                    if let Some(m) = self.model.machine_mut(to) {
+                    if let Some(m) = self.cluster.machine_mut(to) {
                         m.no_batch_until = now + MOVE;
                     }
                 }
-                if let Some(m) = self.model.machine_mut(ix) {
+                if let Some(m) = self.cluster.machine_mut(ix) {
                     log::info!(
                         "machine {} drained: {} services move",
                         m.name,
@@ -313,7 +313,7 @@
 
     /// Machines that services may move to.
     fn move_targets(&self) -> Vec<MoveTarget> {
-        let all = self.model.indexed_machines();
+        let all = self.cluster.indexed_machines();
         let open = all.filter(|(_, m)| m.usable() && m.held_for.is_none() && m.live_tasks() > 0);
         let target = |(machine, m): (u32, &Machine)| MoveTarget {
             machine,
@@ -325,27 +325,27 @@
 
     /// Where the services of a machine would go, if all of them can.
     fn can_empty(&self, ix: u32, targets: &[MoveTarget], now: Ms) -> Option<Vec<u32>> {
-        let from = self.model.machine(ix)?;
+        let from = self.cluster.machine(ix)?;
         let price = self.price(from);
         // One that has long been of no other use, and is dear, may cost its
         // services a short fetch. Between machines of one price that was
         // tried: 4 s of two replicas are 2% of what the worst 30 s counts.
         let long = now >= from.batch_until + 3 * millis(self.options.idle_s);
-        let mut moved: Vec<(u32, Amounts)> = Vec::new();
+        let mut moved: Vec<(u32, Resources)> = Vec::new();
         for a in from.tasks.iter().filter(|a| a.live()) {
-            let job = self.model.job(a.job)?;
-            if a.phase != Phase::Running || job.cancelled || job.cancel_wanted {
+            let job = self.cluster.job(a.job)?;
+            if a.phase != Phase::Running || job.cancelled || job.cancel_requested {
                 return None;
             }
             let may_move = |to: &MoveTarget| {
-                self.model.machine(to.machine).is_some_and(|m| {
+                self.cluster.machine(to.machine).is_some_and(|m| {
                     job.allows(m)
                         && (m.zone == from.zone || !(job.spec.one_zone || job.spec.spread))
                         && (m.images.contains(&job.image)
                             || long
                                 && price >= 2.0 * to.price
                                 && job.spec.image_gb
-                                    <= self.model.types[m.type_ix].fetch_gb_per_s * SHORT_FETCH_S)
+                                    <= self.cluster.types[m.type_ix].fetch_gb_per_s * SHORT_FETCH_S)
                 })
             };
             let has_room = |to: &MoveTarget| {
--- a/src/control/leader/mod.rs
+++ b/src/control/leader/mod.rs
@@ -48,7 +48,7 @@
     },
     state::{
         Ms,
-        cluster::{Assignment, Job, Machine, Model, NONE, ORDER, Phase, Place, Roster},
+        cluster::{Assignment, ClusterState, Job, Machine, NONE, ORDER, Phase, Placement, Roster},
         dependencies::{Chains, Gate},
         fault_attribution::{JobFile, MachineFile},
         offload::Away,
@@ -56,7 +56,7 @@
             self as keys, Bits, FinalRecord, JobRecord, LEADER, MachineRecord, chunk_key,
             final_key, job_key, machine_key,
         },
-        resources::Amounts,
+        resources::Resources,
     },
 };
 use std::{
@@ -148,7 +148,7 @@
     settings: Rc<Settings>,
     options: Options,
     /// The picture: jobs, machines, and what is or may be on them.
-    pub model: Model,
+    pub cluster: ClusterState,
     pub term: u64,
     /// Final states told or learned; they outlast the term.
     pub finals: Finals,
@@ -175,7 +175,7 @@
         term: u64,
         now: Ms,
     ) -> Self {
-        let model = Model::new(&settings, types);
+        let model = ClusterState::new(&settings, types);
         let zones = model.zones.len();
         let peers = settings.peers.iter();
         let peers = peers.map(|p| (p.name.clone(), p.zone != settings.zone));
@@ -189,7 +189,7 @@
         Leader {
             settings,
             options,
-            model,
+            cluster: model,
             term,
             finals: Finals::default(),
             chains: Chains::default(),
@@ -211,7 +211,7 @@
     }
 
     fn token(&self, ix: u32) -> u64 {
-        self.floor() | self.model.machine(ix).map_or(0, |m| m.fence)
+        self.floor() | self.cluster.machine(ix).map_or(0, |m| m.fence)
     }
 
     fn lapse_after(&self) -> Ms {
@@ -236,31 +236,39 @@
         let pieces = record.pieces;
         let away = Away::loaded(record.lent);
         let ix = self
-            .model
+            .cluster
             .insert_job(record.spec, at_ms, version, done, record.cancelled, now);
-        if let Some(j) = self.model.job_mut(ix) {
-            j.fresh |= version > self.term;
-            if j.version == version {
-                j.pieces = pieces;
+        if let Some(j) = self.cluster.job_mut(ix) {
+            j.accepted_this_term |= version > self.term;
+            if j.record_version == version {
+                j.spec_chunks = pieces;
             }
-            if !away.is_here() && j.version == version {
-                j.away = away;
+            if !away.is_here() && j.record_version == version {
+                j.offload = away;
                 j.reason = Reason::Lent;
             }
-            if suspected && !j.file.proven && !j.file.suspected {
-                j.file = JobFile::suspected_before(now);
+            if suspected && !j.failures.proven && !j.failures.suspected {
+                j.failures = JobFile::suspected_before(now);
             }
         }
         self.link(ix);
         let age = self.wall_ms.saturating_sub(at_ms);
-        if self.model.job(ix).is_some_and(|j| j.gate == Gate::Open) {
+        if self
+            .cluster
+            .job(ix)
+            .is_some_and(|j| j.readiness == Gate::Open)
+        {
             self.note_arrival(ix, now.saturating_sub(age));
         }
         ix
     }
 
     pub fn load_chunk(&mut self, id: &str, chunk: usize, text: &str) {
-        let Some(job) = self.model.job_ix(id).and_then(|ix| self.model.job_mut(ix)) else {
+        let Some(job) = self
+            .cluster
+            .job_index(id)
+            .and_then(|ix| self.cluster.job_mut(ix))
+        else {
             self.desk.orphans.push(chunk_key(id, chunk));
             return;
         };
@@ -271,13 +279,13 @@
                 job.mark_done(t);
             }
         }
-        if let Some(d) = job.dirty.get_mut(chunk) {
+        if let Some(d) = job.dirty_segments.get_mut(chunk) {
             *d = false;
         }
     }
 
     pub fn load_machine(&mut self, name: &str, record: MachineRecord, version: u64, now: Ms) {
-        let ix = self.model.insert_machine(
+        let ix = self.cluster.insert_machine(
             name,
             &record.addr,
             &record.type_name,
@@ -285,7 +293,7 @@
             record.spot,
             now,
         );
-        if let Some(m) = ix.and_then(|ix| self.model.machine_mut(ix)) {
+        if let Some(m) = ix.and_then(|ix| self.cluster.machine_mut(ix)) {
             m.roster = Roster::Present;
             m.version = version;
             m.releasing = record.releasing && !record.lapsed;
@@ -303,9 +311,9 @@
             let images: Vec<u32> = record
                 .images
                 .iter()
-                .map(|i| self.model.images.intern(i))
+                .map(|i| self.cluster.images.intern(i))
                 .collect();
-            if let Some(m) = self.model.machine_mut(ix) {
+            if let Some(m) = self.cluster.machine_mut(ix) {
                 m.images = images;
             }
         }
@@ -325,7 +333,7 @@
         if self.renting.released.contains_key(&report.machine) {
             return None;
         }
-        let ix = self.model.insert_machine(
+        let ix = self.cluster.insert_machine(
             &report.machine,
             &report.addr,
             &report.type_name,
@@ -337,12 +345,12 @@
             return None;
         }
         self.take_in(ix, report, true, now);
-        let m = self.model.machine_mut(ix)?;
+        let m = self.cluster.machine_mut(ix)?;
         let fresh = m.up && (report.session, report.seq) == (m.session, m.seq);
         let commands = if fresh {
             let confirmed = self.standbys.confirmed();
             let commands =
-                reconciliation::commands(&mut self.model, ix, None, report.seq, confirmed);
+                reconciliation::commands(&mut self.cluster, ix, None, report.seq, confirmed);
             self.count_orders(&commands);
             commands
         } else {
@@ -356,18 +364,18 @@
 
     fn take_in(&mut self, ix: u32, report: &Report, beat: bool, now: Ms) {
         let floor = self.floor();
-        let news = reconciliation::take_in(&mut self.model, ix, report, floor, beat, now);
+        let news = reconciliation::take_in(&mut self.cluster, ix, report, floor, beat, now);
         self.changed |= news.changed;
         self.judge_hearing(ix, &news);
-        if let Some(m) = self.model.machine(ix)
+        if let Some(m) = self.cluster.machine(ix)
             && m.heard == now
         {
             self.zone_heard(m.zone, now);
         }
         for job_ix in news.started {
-            if let Some(j) = self.model.job_mut(job_ix).filter(|j| !j.has_run) {
+            if let Some(j) = self.cluster.job_mut(job_ix).filter(|j| !j.has_run) {
                 j.has_run = true;
-                let waited = (now - j.known_ms) as f64 / 1000.0;
+                let waited = (now - j.known_since) as f64 / 1000.0;
                 self.events.tally.waits.push((j.spec.class.clone(), waited));
             }
         }
@@ -395,18 +403,19 @@
             return out;
         }
         let confirmed = self.standbys.confirmed();
-        for ix in self.model.machine_range() {
+        for ix in self.cluster.machine_range() {
             let ready = self
-                .model
+                .cluster
                 .machine(ix)
                 .is_some_and(|m| m.up && !m.ordering && now >= m.order_retry);
-            if !ready || !reconciliation::wants_direct(&self.model, ix, confirmed) {
+            if !ready || !reconciliation::wants_direct(&self.cluster, ix, confirmed) {
                 continue;
             }
             let token = self.token(ix);
-            let commands = reconciliation::commands(&mut self.model, ix, Some(token), 0, confirmed);
+            let commands =
+                reconciliation::commands(&mut self.cluster, ix, Some(token), 0, confirmed);
             self.count_orders(&commands);
-            if let Some(m) = self.model.machine_mut(ix)
+            if let Some(m) = self.cluster.machine_mut(ix)
                 && let Some(addr) = m.addr
             {
                 m.ordering = true;
@@ -429,11 +438,11 @@
     }
 
     pub fn direct_done(&mut self, machine: &str, token: u64, outcome: DirectOutcome, now: Ms) {
-        let Some(ix) = self.model.machine_ix(machine) else {
+        let Some(ix) = self.cluster.machine_index(machine) else {
             return;
         };
         let retry = millis(self.settings.cluster.workers.report_s) * 2;
-        if let Some(m) = self.model.machine_mut(ix) {
+        if let Some(m) = self.cluster.machine_mut(ix) {
             m.ordering = false;
             if let Some(sent) = m.starting.take() {
                 match &outcome {
@@ -449,12 +458,12 @@
         }
         match outcome {
             DirectOutcome::Executed(report) => {
-                reconciliation::settle_direct(&mut self.model, ix, token, true);
+                reconciliation::settle_direct(&mut self.cluster, ix, token, true);
                 self.take_in(ix, &report, false, now);
             }
             DirectOutcome::Refused(report) => {
-                reconciliation::settle_direct(&mut self.model, ix, token, false);
-                if let Some(m) = self.model.machine_mut(ix) {
+                reconciliation::settle_direct(&mut self.cluster, ix, token, false);
+                if let Some(m) = self.cluster.machine_mut(ix) {
                     m.order_retry = now + retry;
                 }
                 if let Some(report) = report {
@@ -462,15 +471,15 @@
                 }
             }
             DirectOutcome::NotSent => {
-                reconciliation::settle_direct(&mut self.model, ix, token, false);
-                if let Some(m) = self.model.machine_mut(ix) {
+                reconciliation::settle_direct(&mut self.cluster, ix, token, false);
+                if let Some(m) = self.cluster.machine_mut(ix) {
                     m.order_retry = now + retry;
                 }
             }
             DirectOutcome::NoAnswer => {
                 // It may be carried out minutes later: raise the fence, so
                 // that the machine refuses it once it has seen the new token.
-                if let Some(m) = self.model.machine_mut(ix) {
+                if let Some(m) = self.cluster.machine_mut(ix) {
                     m.fence += 1;
                     m.order_retry = now + retry;
                 }
@@ -486,8 +495,8 @@
     }
 
     fn in_picture(&self, id: &str) -> Option<JobStatus> {
-        let ix = self.model.job_ix(id)?;
-        self.model.job(ix).map(Job::status)
+        let ix = self.cluster.job_index(id)?;
+        self.cluster.job(ix).map(Job::status)
     }
 
     /// The job's state as a user may be told it. Not while its end is being
@@ -505,16 +514,19 @@
     /// A job that it needs is withdrawn, and so will it be. What stands of it
     /// until that is recorded may be told no more by then.
     pub fn is_withheld(&self, id: &str) -> bool {
-        let ix = self.model.job_ix(id);
+        let ix = self.cluster.job_index(id);
         ix.is_some_and(|ix| {
-            self.chains.is_lost(ix) && self.model.job(ix).is_some_and(|j| !j.cancelled)
+            self.chains.is_lost(ix) && self.cluster.job(ix).is_some_and(|j| !j.cancelled)
         })
     }
 
     /// Its end is being recorded.
     pub fn is_closing(&self, id: &str) -> bool {
-        let job = self.model.job_ix(id).and_then(|ix| self.model.job(ix));
-        job.is_some_and(Job::is_closing)
+        let job = self
+            .cluster
+            .job_index(id)
+            .and_then(|ix| self.cluster.job(ix));
+        job.is_some_and(Job::is_ending)
     }
 
     /// It was learned now.
@@ -552,8 +564,12 @@
     /// Marks a known job for withdrawal. Its tasks stop only once that is
     /// recorded: until then it may still complete.
     pub fn cancel(&mut self, id: &str) {
-        if let Some(job) = self.model.job_ix(id).and_then(|ix| self.model.job_mut(ix)) {
-            job.cancel_wanted = true;
+        if let Some(job) = self
+            .cluster
+            .job_index(id)
+            .and_then(|ix| self.cluster.job_mut(ix))
+        {
+            job.cancel_requested = true;
         }
     }
 
@@ -570,14 +586,14 @@
         self.take_over(now);
         self.lapse(now);
         if !self.recovery.settled {
-            self.recovery.settled = !self.model.each_machine().any(|m| m.unknown);
+            self.recovery.settled = !self.cluster.each_machine().any(|m| m.unknown);
             if self.recovery.settled {
                 log::info!(
                     "term {} settled after {} ms: {} jobs, {} machines",
                     self.term,
                     now - self.recovery.acquired,
-                    self.model.live_jobs(),
-                    self.model.machine_count()
+                    self.cluster.live_jobs(),
+                    self.cluster.machine_count()
                 );
                 self.changed = true;
             }
@@ -586,7 +602,7 @@
         self.stop_what_must();
         self.save_before_notice();
         let backoff = self
-            .model
+            .cluster
             .jobs
             .iter()
             .flatten()
@@ -610,7 +626,7 @@
     pub fn finish_loading(&mut self, now: Ms) {
         self.recovery.loaded = true;
         self.planning.arrivals.make_contiguous().sort_unstable();
-        for m in self.model.each_machine_mut() {
+        for m in self.cluster.each_machine_mut() {
             m.answered = now;
         }
     }
--- a/src/control/leader/offload.rs
+++ b/src/control/leader/offload.rs
@@ -18,14 +18,14 @@
             return Vec::new();
         }
         let mut list: Vec<(u32, &Job)> = Vec::new();
-        for (ix, j) in self.model.jobs.iter().enumerate() {
+        for (ix, j) in self.cluster.jobs.iter().enumerate() {
             if let Some(j) = j
-                && j.waiting() > 0
-                && j.live == 0
+                && j.waiting_count() > 0
+                && j.live_count == 0
                 && j.spec.kind != Kind::Service
                 && !j.cancelled
-                && !j.cancel_wanted
-                && !j.file.suspected
+                && !j.cancel_requested
+                && !j.failures.suspected
                 && matches!(
                     j.reason,
                     Reason::NoRoom | Reason::TeamLimit | Reason::GangIncomplete
@@ -34,7 +34,7 @@
                 list.push((ix as u32, j));
             }
         }
-        list.sort_by_key(|(ix, j)| (j.at_ms, *ix));
+        list.sort_by_key(|(ix, j)| (j.accepted_at_ms, *ix));
         let (mut offers, mut bytes) = (Vec::new(), 0);
         for (_, j) in list.into_iter().take(most) {
             let offer = self.offer(j);
@@ -48,12 +48,12 @@
     }
 
     fn offer(&self, j: &Job) -> Lendable {
-        let waited_ms = self.wall_ms.saturating_sub(j.at_ms);
+        let waited_ms = self.wall_ms.saturating_sub(j.accepted_at_ms);
         let left = j
             .spec
             .deadline_s
             .map(|d| (d * 1000.0) as i64 - waited_ms as i64);
-        let coming = j.supply == Some(Reason::MachineBooting);
+        let coming = j.supply_reason == Some(Reason::MachineBooting);
         Lendable {
             waited_ms,
             left_ms: left,
@@ -75,7 +75,7 @@
         let share = |need: f64, have: f64| if need > 0.0 { need / have } else { 0.0 };
         let hours = j.spec.estimate_s.max(1.0) / 3600.0;
         let each = self
-            .model
+            .cluster
             .types
             .iter()
             .zip(&j.types)
@@ -87,7 +87,7 @@
                 part * t.price_of(j.spec.spot)
             })
             .fold(f64::INFINITY, f64::min);
-        let cost = each * hours * f64::from(j.waiting()) * 1e6;
+        let cost = each * hours * f64::from(j.waiting_count()) * 1e6;
         if cost.is_finite() { cost as u64 } else { 0 }
     }
 
@@ -95,14 +95,14 @@
     /// team runs.
     fn guaranteed(&self, j: &Job) -> bool {
         let Some((team, used)) = self
-            .model
+            .cluster
             .teams
             .get(j.team)
-            .zip(self.model.usage.get(j.team))
+            .zip(self.cluster.team_usage.get(j.team))
         else {
             return false;
         };
-        let mut all = j.need.scaled(i64::from(j.waiting()));
+        let mut all = j.need.scaled(i64::from(j.waiting_count()));
         all += *used;
         let within = |used: i64, most: f64| used as f64 <= most * 1000.0;
         within(all.cpus, team.cpus) && within(all.gpus, team.gpus)
@@ -112,9 +112,14 @@
     /// not marked as its.
     pub fn not_needed(&self, lent: &[(String, u64)]) -> Vec<String> {
         let needed = |id: &str, award: u64| {
-            let job = self.model.job_ix(id).and_then(|ix| self.model.job(ix));
+            let job = self
+                .cluster
+                .job_index(id)
+                .and_then(|ix| self.cluster.job(ix));
             job.is_some_and(|j| {
-                !j.cancelled && !j.cancel_wanted && j.away.lent().is_none_or(|l| l.award == award)
+                !j.cancelled
+                    && !j.cancel_requested
+                    && j.offload.lent().is_none_or(|l| l.award == award)
             })
         };
         let idle = lent.iter().filter(|(id, award)| !needed(id, *award));
@@ -124,31 +129,31 @@
     /// Asks for the mark, or how it stands with it. `version`: of the award's
     /// record, which the mark's write is guarded on.
     pub fn lend(&mut self, id: &str, lent: Lent, version: u64) -> Marked {
-        let Some(ix) = self.model.job_ix(id) else {
+        let Some(ix) = self.cluster.job_index(id) else {
             return Marked::No;
         };
-        let Some(j) = self.model.job(ix) else {
+        let Some(j) = self.cluster.job(ix) else {
             return Marked::No;
         };
-        match &j.away {
+        match &j.offload {
             Away::Lent(l) if *l == lent => return Marked::Yes,
             Away::Leaving { lent: l, .. } if *l == lent => return Marked::NotYet,
             Away::Here => {}
             Away::Refused(award) if *award != lent.award => {}
             _ => return Marked::No,
         }
-        let free = j.live == 0
-            && j.waiting() > 0
+        let free = j.live_count == 0
+            && j.waiting_count() > 0
             && !j.cancelled
-            && !j.cancel_wanted
-            && !j.closing
+            && !j.cancel_requested
+            && !j.ending_in_flight
             && j.spec.kind != Kind::Service
             && self.job_settled(j);
         if !free {
             return Marked::No;
         }
-        if let Some(j) = self.model.job_mut(ix) {
-            j.away = Away::Leaving { lent, version };
+        if let Some(j) = self.cluster.job_mut(ix) {
+            j.offload = Away::Leaving { lent, version };
             j.reason = Reason::Lent;
             self.desk.moving.push(ix);
             self.changed = true;
@@ -162,13 +167,13 @@
         if done.iter().any(|(first, last)| first > last) {
             return false;
         }
-        let Some(ix) = self.model.job_ix(id) else {
+        let Some(ix) = self.cluster.job_index(id) else {
             return true;
         };
-        let Some(j) = self.model.job_mut(ix) else {
+        let Some(j) = self.cluster.job_mut(ix) else {
             return true;
         };
-        match &j.away {
+        match &j.offload {
             Away::Lent(l) if l.award == award => {
                 let lent = l.clone();
                 // Of a gang all is done or nothing.
@@ -180,7 +185,7 @@
                         j.mark_done(task);
                     }
                 }
-                j.away = Away::Back(lent);
+                j.offload = Away::Back(lent);
                 j.reason = Reason::New;
                 self.desk.moving.push(ix);
                 self.changed = true;
@@ -206,23 +211,23 @@
         let mut bytes = 0;
         for n in 0..self.desk.moving.len() {
             let ix = self.desk.moving[n];
-            let Some(j) = self.model.job_mut(ix).filter(|j| !j.writing) else {
+            let Some(j) = self.cluster.job_mut(ix).filter(|j| !j.write_in_flight) else {
                 continue;
             };
-            let Away::Leaving { lent, version } = &j.away else {
+            let Away::Leaving { lent, version } = &j.offload else {
                 continue;
             };
             if plan.txn.writes.len() >= room || bytes > MARK_BYTES {
                 break;
             }
-            if j.cancel_wanted || self.cuts.is_due(j, value_kb) {
+            if j.cancel_requested || self.cuts.is_due(j, value_kb) {
                 continue;
             }
             let award = Guard {
                 key: award_key(&j.id),
                 version: *version,
             };
-            plan.txn.guards.push(j.guard());
+            plan.txn.guards.push(j.record_condition());
             plan.txn.guards.push(award);
             let value = persistence::job_record(j, j.cancelled, Some(lent.clone()));
             bytes += value.to_string().len();
@@ -232,11 +237,11 @@
                 lease: None,
             });
             plan.items.push(Item::Lend(ix, j.id.clone()));
-            j.writing = true;
+            j.write_in_flight = true;
         }
         self.desk
             .moving
-            .retain(|ix| self.model.job(*ix).is_some_and(|j| j.away.moves()));
+            .retain(|ix| self.cluster.job(*ix).is_some_and(|j| j.offload.moves()));
         self.desk.marked_last = !plan.items.is_empty();
         (!plan.txn.writes.is_empty()).then_some(plan)
     }
@@ -246,24 +251,24 @@
         let value_kb = self.settings.cluster.state.always().value_kb;
         for n in 0..self.desk.moving.len() {
             let ix = self.desk.moving[n];
-            let Some(j) = self.model.job_mut(ix) else {
+            let Some(j) = self.cluster.job_mut(ix) else {
                 continue;
             };
-            let due = matches!(j.away, Away::Back(_))
-                && !j.writing
+            let due = matches!(j.offload, Away::Back(_))
+                && !j.write_in_flight
                 && !j.is_dirty()
-                && !j.complete()
+                && !j.is_complete()
                 && !j.cancelled
                 && !self.cuts.is_due(j, value_kb);
             if due && plan.txn.writes.len() < room {
-                plan.txn.guards.push(j.guard());
+                plan.txn.guards.push(j.record_condition());
                 plan.txn.writes.push(Write::Put {
                     key: job_key(&j.id),
                     value: persistence::job_record(j, false, None),
                     lease: None,
                 });
                 plan.items.push(Item::Lift(ix, j.id.clone()));
-                j.writing = true;
+                j.write_in_flight = true;
             }
         }
     }
@@ -271,11 +276,14 @@
     /// The award's record as it stands: once it has another version, the mark
     /// can't be set any more.
     pub(super) fn award_seen(&mut self, id: &str, found: u64) {
-        if let Some(j) = self.model.job_ix(id).and_then(|ix| self.model.job_mut(ix))
-            && let Away::Leaving { version, .. } = j.away
+        if let Some(j) = self
+            .cluster
+            .job_index(id)
+            .and_then(|ix| self.cluster.job_mut(ix))
+            && let Away::Leaving { version, .. } = j.offload
             && version != found
         {
-            j.away.stays();
+            j.offload.stays();
             j.reason = Reason::New;
         }
     }
@@ -300,10 +308,10 @@
 /// Finished tasks as sorted ranges, both ends included.
 fn ranges(j: &Job) -> Vec<(u32, u32)> {
     let mut list: Vec<(u32, u32)> = Vec::new();
-    if j.done_n == 0 {
+    if j.completed_count == 0 {
         return list;
     }
-    for n in (0..j.spec.tasks).filter(|n| j.done.get(*n)) {
+    for n in (0..j.spec.tasks).filter(|n| j.completed.get(*n)) {
         match list.last_mut() {
             Some((_, last)) if *last + 1 == n => *last = n,
             _ => list.push((n, n)),
--- a/src/control/leader/partitions.rs
+++ b/src/control/leader/partitions.rs
@@ -21,7 +21,7 @@
         // nothing is lost. Guards against a leader that is too slow for a
         // while, and would give up machines that hear it well.
         let over = self.recovery.acquired + self.lapse_after();
-        let Some(m) = self.model.machine_mut(ix) else {
+        let Some(m) = self.cluster.machine_mut(ix) else {
             return false;
         };
         let this = (report.session, report.seq);
@@ -60,7 +60,7 @@
     /// all it can have seen.
     pub(super) fn ask_for_proof(&mut self, ix: u32) {
         let token = self.token(ix);
-        if let Some(m) = self.model.machine_mut(ix) {
+        if let Some(m) = self.cluster.machine_mut(ix) {
             m.proof = token;
         }
     }
@@ -69,7 +69,7 @@
     pub(super) fn judge_hearing(&mut self, ix: u32, news: &reconciliation::News) {
         // Had its lease ended for lack of reports, it would not count as up.
         let lost = news.lost_orders > 0 || news.new_session;
-        let Some(m) = self.model.machine_mut(ix) else {
+        let Some(m) = self.cluster.machine_mut(ix) else {
             return;
         };
         if !lost || m.is_deaf() {
@@ -81,13 +81,13 @@
         self.changed = true;
         // What was ordered in an answer that it did not get never runs there.
         for at in self.never_there(ix) {
-            self.model.unassign(ix, at);
+            self.cluster.unassign(ix, at);
         }
     }
 
     /// Orders that were given and are surely not carried out, last first.
     fn never_there(&self, ix: u32) -> Vec<usize> {
-        let tasks = self.model.machine(ix).map_or(&[][..], |m| &m.tasks);
+        let tasks = self.cluster.machine(ix).map_or(&[][..], |m| &m.tasks);
         let new = tasks.iter().enumerate();
         let new = new.filter(|(_, a)| a.phase == Phase::New && a.doubt == 0);
         let mut at: Vec<usize> = new.map(|(at, _)| at).collect();
--- a/src/control/leader/parts.rs
+++ b/src/control/leader/parts.rs
@@ -5,7 +5,7 @@
 /// Placement: the order of service, and when it is looked at again.
 pub(super) struct Planning {
     pub(super) policy: Policy,
-    pub(super) shapes: Vec<(Amounts, u64)>,
+    pub(super) shapes: Vec<(Resources, u64)>,
     pub(super) order: Vec<u32>,
     /// Recent arrivals: time, index into `classes`, tasks.
     pub(super) arrivals: VecDeque<(Ms, usize, u32)>,
@@ -15,7 +15,7 @@
     /// Attempts given out in this term.
     pub(super) attempts: u64,
     /// By team, see `count_unseen`; empty once all that may run is known.
-    pub(super) unseen: Vec<Amounts>,
+    pub(super) unseen: Vec<Resources>,
     /// Machines that tasks may be placed on.
     pub(super) fleet: Fleet,
     /// A pass that stopped for its bound, and goes on where it stopped.
--- a/src/control/leader/persistence.rs
+++ b/src/control/leader/persistence.rs
@@ -68,35 +68,35 @@
         // Withdrawals, then endings, then progress.
         let knows_all = self.recovery.knows_all();
         for pass in 0..3 {
-            for ix in 0..self.model.jobs.len() {
+            for ix in 0..self.cluster.jobs.len() {
                 if plan.txn.writes.len() + 2 > room || bytes > byte_limit {
                     break;
                 }
-                let Some(j) = self.model.jobs[ix].as_mut() else {
+                let Some(j) = self.cluster.jobs[ix].as_mut() else {
                     continue;
                 };
-                if j.writing {
+                if j.write_in_flight {
                     continue;
                 }
-                let gone = j.live == 0 && knows_all;
+                let gone = j.live_count == 0 && knows_all;
                 // Of one that is to be withdrawn and has nothing anywhere the
                 // end is recorded at once, without a mark before it.
-                let marked = j.cancelled || j.cancel_wanted && j.away.is_here();
-                let over = if j.complete() && !j.cancelled {
+                let marked = j.cancelled || j.cancel_requested && j.offload.is_here();
+                let over = if j.is_complete() && !j.cancelled {
                     Some(JobState::Done)
                 } else if marked && gone {
                     Some(JobState::Cancelled)
                 } else {
                     None
                 };
-                let awaited = j.cancel_wanted && !j.cancelled && over != Some(JobState::Done);
+                let awaited = j.cancel_requested && !j.cancelled && over != Some(JobState::Done);
                 let due = match (awaited, over) {
                     (true, _) => 0,
                     (false, Some(_)) => 1,
                     (false, None) => 2,
                 };
                 // Its record can't be written as it is: first the pieces.
-                let rewrites = over.is_none() && (awaited || j.is_dirty() || j.away.moves());
+                let rewrites = over.is_none() && (awaited || j.is_dirty() || j.offload.moves());
                 if rewrites && self.cuts.is_due(j, value_limits) {
                     if pass == 0 {
                         let most = room.saturating_sub(plan.txn.writes.len());
@@ -104,16 +104,16 @@
                     }
                     continue;
                 }
-                let guard = j.guard();
+                let guard = j.record_condition();
                 match (pass, over) {
                     _ if pass != due => {}
                     (0, None) => {
                         plan.txn.guards.push(guard);
-                        let record = job_record(j, true, j.away.mark());
+                        let record = job_record(j, true, j.offload.mark());
                         put(&mut plan, &mut bytes, job_key(&j.id), record);
                         plan.items.push(Item::Cancel(ix as u32, j.id.clone()));
-                        j.writing = true;
-                        j.closing = true;
+                        j.write_in_flight = true;
+                        j.ending_in_flight = true;
                     }
                     (_, Some(state)) => {
                         plan.txn.guards.push(guard);
@@ -123,7 +123,7 @@
                         });
                         let record = FinalRecord {
                             state,
-                            done: j.done_n,
+                            done: j.completed_count,
                         };
                         let value = serde_json::to_value(record).unwrap_or_default();
                         put(&mut plan, &mut bytes, final_key(&j.id), value);
@@ -131,8 +131,8 @@
                             key: job_key(&j.id),
                         });
                         plan.items.push(Item::Final(ix as u32, j.id.clone(), state));
-                        j.writing = true;
-                        j.closing = true;
+                        j.write_in_flight = true;
+                        j.ending_in_flight = true;
                     }
                     (2, None) if j.is_dirty() && !j.cancelled => {
                         let mut chunks = Vec::new();
@@ -140,26 +140,26 @@
                         // With each chunk goes the record, so that its version
                         // moves on. Guards against an older state of a chunk
                         // that is carried out late, over a newer one.
-                        for c in 0..j.dirty.len() {
-                            if c > 0 && (!j.dirty[c] || plan.txn.writes.len() + 1 > room) {
+                        for c in 0..j.dirty_segments.len() {
+                            if c > 0 && (!j.dirty_segments[c] || plan.txn.writes.len() + 1 > room) {
                                 continue;
                             }
                             if c > 0 {
-                                let value = serde_json::Value::String(j.done.chunk(c));
+                                let value = serde_json::Value::String(j.completed.chunk(c));
                                 put(&mut plan, &mut bytes, chunk_key(&j.id, c), value);
                                 chunks.push(c);
                             } else {
-                                let record = job_record(j, false, j.away.mark());
+                                let record = job_record(j, false, j.offload.mark());
                                 put(&mut plan, &mut bytes, job_key(&j.id), record);
                                 chunks.push(c);
                             }
                         }
                         for c in &chunks {
-                            j.dirty[*c] = false;
+                            j.dirty_segments[*c] = false;
                         }
                         plan.items
                             .push(Item::Progress(ix as u32, j.id.clone(), chunks));
-                        j.writing = true;
+                        j.write_in_flight = true;
                     }
                     _ => {}
                 }
@@ -188,11 +188,11 @@
     /// nothing waits for.
     fn plan_roster(&mut self, plan: &mut Plan, room: usize, spare: bool) -> Vec<u32> {
         let mut lapsed = Vec::new();
-        for ix in self.model.machine_range() {
+        for ix in self.cluster.machine_range() {
             if plan.txn.writes.len() + 1 > room {
                 return lapsed;
             }
-            let Some(m) = self.model.machine(ix).filter(|m| !m.writing) else {
+            let Some(m) = self.cluster.machine(ix).filter(|m| !m.writing) else {
                 continue;
             };
             if m.lapsed() && !m.releasing && !m.noted_empty {
@@ -226,7 +226,7 @@
 
     /// Adds a machine's record to what is to be written.
     fn plan_machine(&mut self, ix: u32, plan: &mut Plan) {
-        let Some(m) = self.model.machine(ix) else {
+        let Some(m) = self.cluster.machine(ix) else {
             return;
         };
         plan.txn.guards.push(Guard {
@@ -236,8 +236,8 @@
         let lapsed = m.lapsed() && !m.releasing;
         let record = MachineRecord {
             addr: m.addr.map(|a| a.to_string()).unwrap_or_default(),
-            type_name: self.model.types[m.type_ix].name.clone(),
-            zone: self.model.zones.name(m.zone).to_owned(),
+            type_name: self.cluster.types[m.type_ix].name.clone(),
+            zone: self.cluster.zones.name(m.zone).to_owned(),
             spot: m.spot,
             releasing: lapsed || m.releasing && m.roster == Roster::Present,
             lapsed,
@@ -257,7 +257,7 @@
             (false, true) => Item::Mark(ix, name),
             (false, false) => Item::Roster(ix, name),
         });
-        if let Some(m) = self.model.machine_mut(ix) {
+        if let Some(m) = self.cluster.machine_mut(ix) {
             m.writing = true;
             m.images_new = false;
             m.verdict_new = false;
@@ -272,7 +272,7 @@
         let empty = serde_json::to_value(&record).map_or(0, |v| v.to_string().len());
         let mut left = (limit as usize).saturating_sub(empty + 20);
         for i in images.iter().rev() {
-            let name = self.model.images.name(*i as usize);
+            let name = self.cluster.images.name(*i as usize);
             // As text in the value, however it is escaped there.
             let size = serde_json::to_string(name).map_or(usize::MAX, |t| t.len() + 1);
             if size > left {
@@ -285,7 +285,7 @@
     }
 
     pub(super) fn job_of(&mut self, ix: u32, id: &str) -> Option<&mut Job> {
-        self.model.job_mut(ix).filter(|j| j.id == id)
+        self.cluster.job_mut(ix).filter(|j| j.id == id)
     }
 
     pub fn flushed(&mut self, plan: &Plan, revision: u64, now: Ms) {
@@ -293,13 +293,13 @@
             match item {
                 Item::Cancel(ix, id) => {
                     if let Some(j) = self.job_of(*ix, id) {
-                        j.version = revision;
-                        j.writing = false;
-                        j.closing = false;
+                        j.record_version = revision;
+                        j.write_in_flight = false;
+                        j.ending_in_flight = false;
                         j.cancelled = true;
                         let status = j.status();
                         // A mark that was on its way can't be set any more.
-                        j.away.stays();
+                        j.offload.stays();
                         log::info!(
                             "job {id} withdrawn, by its mark at revision {revision} in term {}",
                             self.term
@@ -310,25 +310,25 @@
                 }
                 Item::Lend(ix, id) | Item::Lift(ix, id) => {
                     if let Some(j) = self.job_of(*ix, id) {
-                        j.version = revision;
-                        j.writing = false;
+                        j.record_version = revision;
+                        j.write_in_flight = false;
                         match item {
-                            Item::Lend(..) => j.away.marked(),
-                            _ => j.away.lifted(),
+                            Item::Lend(..) => j.offload.marked(),
+                            _ => j.offload.lifted(),
                         }
                     }
                 }
                 Item::Final(ix, id, state) => self.ended(*ix, id, *state, revision, now),
                 Item::Progress(ix, id, chunks) => {
                     if let Some(j) = self.job_of(*ix, id) {
-                        j.writing = false;
+                        j.write_in_flight = false;
                         if chunks.contains(&0) {
-                            j.version = revision;
+                            j.record_version = revision;
                         }
                     }
                 }
                 Item::Roster(ix, name) | Item::Mark(ix, name) | Item::Lapsed(ix, name) => {
-                    if let Some(m) = self.model.machine_mut(*ix).filter(|m| m.name == *name) {
+                    if let Some(m) = self.cluster.machine_mut(*ix).filter(|m| m.name == *name) {
                         m.writing = false;
                         m.roster = Roster::Present;
                         m.version = revision;
@@ -351,7 +351,7 @@
         let status = JobStatus {
             id: id.to_owned(),
             state,
-            done: j.done_n,
+            done: j.completed_count,
             running: 0,
         };
         log::info!(
@@ -359,8 +359,8 @@
             format!("{state:?}").to_lowercase(),
             term
         );
-        let chunks = j.dirty.len();
-        let pieces = j.pieces.clone();
+        let chunks = j.dirty_segments.len();
+        let pieces = j.spec_chunks.clone();
         for c in 1..chunks {
             self.desk.orphans.push(chunk_key(id, c));
         }
@@ -368,7 +368,7 @@
             self.desk.orphans.extend(pieces.keys(id));
         }
         self.drop_cut(ix);
-        self.model.remove_job(ix);
+        self.cluster.remove_job(ix);
         self.remember_final(&status, now);
         self.chains.over(ix, state == JobState::Done);
         self.changed = true;
@@ -389,9 +389,9 @@
             if let Item::Cancel(ix, id) | Item::Final(ix, id, _) = item
                 && let Some(j) = self.job_of(*ix, id)
             {
-                j.end_open = true;
+                j.end_indeterminate = true;
                 let withdrawn = matches!(item, Item::Final(_, _, JobState::Cancelled));
-                j.cancel_open |= withdrawn || matches!(item, Item::Cancel(..));
+                j.cancel_indeterminate |= withdrawn || matches!(item, Item::Cancel(..));
             }
         }
         self.changed = true;
@@ -412,29 +412,29 @@
         } else if let Some(id) = key.strip_prefix(keys::FINALS) {
             if let Some((value, version)) = found
                 && let Ok(record) = serde_json::from_value::<FinalRecord>(value)
-                && let Some(ix) = self.model.job_ix(id)
+                && let Some(ix) = self.cluster.job_index(id)
             {
                 self.ended(ix, id, record.state, version, now);
             }
         } else if let Some(id) = key.strip_prefix(keys::JOBS) {
             if let Some((value, version)) = found
                 && let Ok(record) = serde_json::from_value::<StoredJob>(value)
-                && let Some(ix) = self.model.job_ix(id)
-                && let Some(j) = self.model.job_mut(ix)
+                && let Some(ix) = self.cluster.job_index(id)
+                && let Some(j) = self.cluster.job_mut(ix)
             {
-                j.version = version;
-                j.pieces = record.pieces;
+                j.record_version = version;
+                j.spec_chunks = record.pieces;
                 j.cancelled |= record.cancelled;
-                j.away.reread(record.lent.as_ref());
+                j.offload.reread(record.lent.as_ref());
                 if j.cancelled {
                     self.chains.withdrawn(ix);
                 }
             }
         } else if let Some(name) = key.strip_prefix(keys::ROSTER) {
             if let Some(m) = self
-                .model
-                .machine_ix(name)
-                .and_then(|ix| self.model.machine_mut(ix))
+                .cluster
+                .machine_index(name)
+                .and_then(|ix| self.cluster.machine_mut(ix))
             {
                 match found {
                     Some((value, version)) => {
@@ -476,26 +476,26 @@
             match item {
                 Item::Cancel(ix, id) | Item::Final(ix, id, _) => {
                     if let Some(j) = self.job_of(*ix, id) {
-                        j.writing = false;
-                        j.closing = false;
+                        j.write_in_flight = false;
+                        j.ending_in_flight = false;
                     }
                 }
                 Item::Lend(ix, id) | Item::Lift(ix, id) => {
                     if let Some(j) = self.job_of(*ix, id) {
-                        j.writing = false;
+                        j.write_in_flight = false;
                     }
                 }
                 Item::Progress(ix, id, chunks) => {
                     let chunks = chunks.clone();
                     if let Some(j) = self.job_of(*ix, id) {
-                        j.writing = false;
+                        j.write_in_flight = false;
                         for c in chunks {
-                            j.dirty[c] = true;
+                            j.dirty_segments[c] = true;
                         }
                     }
                 }
                 Item::Roster(ix, name) | Item::Mark(ix, name) | Item::Lapsed(ix, name) => {
-                    if let Some(m) = self.model.machine_mut(*ix).filter(|m| m.name == *name) {
+                    if let Some(m) = self.cluster.machine_mut(*ix).filter(|m| m.name == *name) {
                         m.writing = false;
                         m.verdict_new |= m.file.set_aside;
                     }
@@ -561,11 +561,11 @@
 pub(super) fn job_record(j: &Job, cancelled: bool, lent: Option<Lent>) -> serde_json::Value {
     let record = JobRecord {
         spec: j.spec.clone(),
-        pieces: j.pieces.clone(),
-        at_ms: j.at_ms,
+        pieces: j.spec_chunks.clone(),
+        at_ms: j.accepted_at_ms,
         cancelled: cancelled || j.cancelled,
-        suspected: j.file.suspected,
-        done: j.done.chunk(0),
+        suspected: j.failures.suspected,
+        done: j.completed.chunk(0),
         lent,
     };
     record.stored()
--- a/src/control/leader/preemption.rs
+++ b/src/control/leader/preemption.rs
@@ -12,7 +12,7 @@
 struct SearchKey {
     /// All tasks at once: rooms without a task to stop count too.
     gang: bool,
-    need: Amounts,
+    need: Resources,
     types: Vec<bool>,
     zone: Option<usize>,
     spot: bool,
@@ -54,16 +54,19 @@
         let mut fruitless = Fruitless::default();
         let mut begun = 0;
         for &job_ix in wanting {
-            let Some(j) = self.model.job(job_ix) else {
+            let Some(j) = self.cluster.job(job_ix) else {
                 continue;
             };
             if begun >= MOST_BEGUN {
                 return;
             }
             let several = j.spec.kind == Kind::Gang && j.spec.tasks > 1;
-            let starts_over =
-                j.spec.kind == Kind::Gang && j.live > 0 && self.gang_to_complete(job_ix).is_none();
-            if starts_over || j.rank < Priority::High && !self.within_guarantee(j, now) {
+            let starts_over = j.spec.kind == Kind::Gang
+                && j.live_count > 0
+                && self.gang_to_complete(job_ix).is_none();
+            if starts_over
+                || j.effective_priority < Priority::High && !self.within_guarantee(j, now)
+            {
                 continue;
             }
             if several {
@@ -83,7 +86,7 @@
 
     fn search_key(&self, job: &Job, now: Ms) -> SearchKey {
         let guaranteed = self.within_guarantee(job, now);
-        let any_image = now >= job.known_ms + millis(GUARANTEE_S);
+        let any_image = now >= job.known_since + millis(GUARANTEE_S);
         SearchKey {
             gang: job.spec.kind == Kind::Gang && job.spec.tasks > 1,
             need: job.need,
@@ -91,7 +94,7 @@
             zone: job.zone,
             spot: job.spec.spot,
             one_zone: job.spec.one_zone,
-            priority: job.rank,
+            priority: job.effective_priority,
             guaranteed: guaranteed.then(|| Guaranteed {
                 team: job.team,
                 image: (!any_image).then_some(job.image),
@@ -108,13 +111,13 @@
         fruitless: &mut Fruitless,
         now: Ms,
     ) -> usize {
-        let Some(j) = self.model.job(job_ix) else {
+        let Some(j) = self.cluster.job(job_ix) else {
             return 0;
         };
-        let (need, team, priority) = (j.need, j.team, j.rank);
+        let (need, team, priority) = (j.need, j.team, j.effective_priority);
         let half = j.spec.spread.then(|| j.spec.tasks.div_ceil(2));
         let key = self.search_key(j, now);
-        let mut tasks = i64::from(j.waiting());
+        let mut tasks = i64::from(j.waiting_count());
         if holds {
             tasks -= self.tasks_that_held_room_takes(job_ix, &need, now);
         }
@@ -122,7 +125,7 @@
         if half.is_none() && fruitless.covers(&key, 1) {
             return 0;
         }
-        let mut zones = self.model.zones_of(job_ix);
+        let mut zones = self.cluster.live_tasks_by_zone(job_ix);
         let mut own = 0;
         while tasks > 0 && begun + own < MOST_BEGUN && self.within_limit(team, &need, 1) {
             let found = self.cheapest_room(job_ix, priority, now, |z| {
@@ -136,7 +139,7 @@
             };
             tasks -= 1;
             own += 1;
-            if let Some(m) = self.model.machine(room.machine) {
+            if let Some(m) = self.cluster.machine(room.machine) {
                 zones[m.zone] += 1;
             }
             self.preempt(job_ix, room, now);
@@ -144,8 +147,8 @@
         own
     }
 
-    fn tasks_that_held_room_takes(&self, job_ix: u32, need: &Amounts, now: Ms) -> i64 {
-        let held = self.model.each_machine();
+    fn tasks_that_held_room_takes(&self, job_ix: u32, need: &Resources, now: Ms) -> i64 {
+        let held = self.cluster.each_machine();
         let held = held.filter(|m| m.is_held_for(job_ix, now));
         held.map(|m| m.capacity.count(need)).sum()
     }
@@ -156,12 +159,12 @@
         if !self.wants_room(job_ix) {
             return 0;
         }
-        let Some(j) = self.model.job(job_ix) else {
+        let Some(j) = self.cluster.job(job_ix) else {
             return 0;
         };
         // Tasks that are there already may bind the rest to their zone.
-        let alone = j.live == 0 && !j.spec.spread;
-        let (key, missing) = (self.search_key(j, now), i64::from(j.waiting()));
+        let alone = j.live_count == 0 && !j.spec.spread;
+        let (key, missing) = (self.search_key(j, now), i64::from(j.waiting_count()));
         if alone && fruitless.covers(&key, missing) {
             return 0;
         }
--- a/src/control/leader/queue.rs
+++ b/src/control/leader/queue.rs
@@ -8,21 +8,22 @@
         self.refresh_fleet(now);
         let mut order = std::mem::take(&mut self.planning.order);
         order.clear();
-        for (ix, job) in self.model.jobs.iter().enumerate() {
+        for (ix, job) in self.cluster.jobs.iter().enumerate() {
             if job.as_ref().is_some_and(is_queued) {
                 order.push(ix as u32);
             }
         }
-        let jobs = &self.model.jobs;
+        let jobs = &self.cluster.jobs;
         let (objectives, wall) = (&self.settings.cluster.objectives, self.wall_ms);
         let fleet = self.planning.fleet.capacity();
         order.sort_by_cached_key(|ix| {
             jobs[*ix as usize].as_ref().map(|j| {
                 let begun = !self.begins_late(j);
-                let band = deadline_band(&j.spec, objectives, wall.saturating_sub(j.at_ms));
-                let rank = std::cmp::Reverse(j.rank);
-                let turn = j.turn_ms.saturating_add(yields_for(j, &fleet));
-                (j.file.suspected, begun, rank, band, turn, *ix)
+                let band =
+                    deadline_band(&j.spec, objectives, wall.saturating_sub(j.accepted_at_ms));
+                let rank = std::cmp::Reverse(j.effective_priority);
+                let turn = j.queued_since_ms.saturating_add(yields_for(j, &fleet));
+                (j.failures.suspected, begun, rank, band, turn, *ix)
             })
         });
         order
@@ -32,7 +33,7 @@
     /// now. Guards against large jobs that whatever is smaller, later or of
     /// higher priority passes for as long as that keeps coming.
     pub(super) fn begins_late(&self, j: &Job) -> bool {
-        if !self.waited_long(j) || j.has_run || j.done_n > 0 || j.live > 0 {
+        if !self.waited_long(j) || j.has_run || j.completed_count > 0 || j.live_count > 0 {
             return false;
         }
         // Guests begin where one room is enough: more would cost others theirs.
@@ -40,7 +41,7 @@
     }
 
     fn waited_long(&self, j: &Job) -> bool {
-        let waited = self.wall_ms.saturating_sub(j.turn_ms);
+        let waited = self.wall_ms.saturating_sub(j.queued_since_ms);
         let bound = millis(self.options.begin_s);
         bound > 0 && waited >= bound
     }
@@ -48,7 +49,7 @@
     /// All that runs of the job is what it began with. Guards against a
     /// beginning that is stopped at once for what it went ahead of.
     pub(super) fn only_begins(&self, j: &Job) -> bool {
-        j.live <= 1 && j.done_n == 0 && self.waited_long(j)
+        j.live_count <= 1 && j.completed_count == 0 && self.waited_long(j)
     }
 
     /// Neither its team nor its class is promised anything.
@@ -56,7 +57,7 @@
         let promised = |t: &crate::protocol::settings::Team| t.cpus > 0.0 || t.gpus > 0.0;
         let class = Some(j.spec.class.as_str());
         let aims = &self.settings.cluster.objectives;
-        !self.model.teams.get(j.team).is_some_and(promised)
+        !self.cluster.teams.get(j.team).is_some_and(promised)
             && !aims.iter().any(|o| o.class.as_deref() == class)
     }
 }
@@ -69,7 +70,7 @@
 /// milliseconds. Guards against a burst that makes all batches late by the same
 /// time, where most would keep their deadline if the few large ones waited; it
 /// ends by itself, so none waits for ever.
-fn yields_for(j: &Job, fleet: &Amounts) -> u64 {
+fn yields_for(j: &Job, fleet: &Resources) -> u64 {
     if j.spec.kind != Kind::Array || j.spec.deadline_s.is_none() {
         return 0;
     }
@@ -77,7 +78,7 @@
         0 => (j.need.cpus, fleet.cpus),
         n => (n, fleet.gpus),
     };
-    let left = f64::from(j.waiting()) * j.spec.estimate_s * each as f64;
+    let left = f64::from(j.waiting_count()) * j.spec.estimate_s * each as f64;
     (YIELD * 1000.0 * left / all.max(each).max(1) as f64) as u64
 }
 
--- a/src/control/leader/quotas.rs
+++ b/src/control/leader/quotas.rs
@@ -12,12 +12,12 @@
         }
         self.planning
             .unseen
-            .resize(self.model.teams.len(), Amounts::default());
-        for j in self.model.jobs.iter().flatten() {
+            .resize(self.cluster.teams.len(), Resources::default());
+        for j in self.cluster.jobs.iter().flatten() {
             if !self.job_settled(j)
                 && let Some(u) = self.planning.unseen.get_mut(j.team)
             {
-                *u += j.need.scaled(i64::from(j.may_run()));
+                *u += j.need.scaled(i64::from(j.possibly_running()));
             }
         }
     }
@@ -27,8 +27,8 @@
     /// heard nor lapsed is of a kind that the job allows.
     pub(super) fn job_settled(&self, job: &Job) -> bool {
         self.recovery.knows_all()
-            || job.fresh
-            || !self.model.each_machine().any(|m| {
+            || job.accepted_this_term
+            || !self.cluster.each_machine().any(|m| {
                 m.unknown
                     && job.types.get(m.type_ix).copied().unwrap_or(true)
                     && job.zone.is_none_or(|z| z == m.zone)
@@ -36,20 +36,20 @@
             })
     }
 
-    pub(super) fn within_limit(&self, team: usize, need: &Amounts, n: i64) -> bool {
+    pub(super) fn within_limit(&self, team: usize, need: &Resources, n: i64) -> bool {
         let unseen = self.planning.unseen.get(team).copied().unwrap_or_default();
-        self.model.within_limit(team, need, n, unseen)
+        self.cluster.within_quota(team, need, n, unseen)
     }
 
     /// How many of at most `n` such tasks the team may run beside `planned`.
     pub(super) fn most_within_limit(
         &self,
         team: usize,
-        need: &Amounts,
+        need: &Resources,
         n: u32,
-        mut planned: Amounts,
+        mut planned: Resources,
     ) -> i64 {
         planned += self.planning.unseen.get(team).copied().unwrap_or_default();
-        self.model.most_within_limit(team, need, n, planned)
+        self.cluster.max_within_quota(team, need, n, planned)
     }
 }
--- a/src/control/leader/recovery.rs
+++ b/src/control/leader/recovery.rs
@@ -124,12 +124,12 @@
     /// have. Batches do not count: they may wait for minutes on any day.
     fn owes_starts(&self) -> bool {
         let since = self.recovery.since;
-        self.model.jobs.iter().flatten().any(|j| {
+        self.cluster.jobs.iter().flatten().any(|j| {
             j.spec.kind != Kind::Array
-                && j.waiting() > 0
-                && j.known_ms <= since
+                && j.waiting_count() > 0
+                && j.known_since <= since
                 && !j.cancelled
-                && !j.cancel_wanted
+                && !j.cancel_requested
                 && !matches!(j.reason, Reason::TeamLimit | Reason::FailsEverywhere)
         })
     }
--- a/src/control/leader/scale_out.rs
+++ b/src/control/leader/scale_out.rs
@@ -60,7 +60,7 @@
 
 impl Leader {
     pub(super) fn boot_s(&self, types: &[bool]) -> f64 {
-        self.model
+        self.cluster
             .types
             .iter()
             .zip(types)
@@ -74,8 +74,8 @@
         let mut bins = Vec::new();
         let mut coming_bins = Vec::new();
         let mut batch_held = Vec::new();
-        for (ix, m) in self.model.indexed_machines() {
-            let boot = millis(self.model.types[m.type_ix].boot_s);
+        for (ix, m) in self.cluster.indexed_machines() {
+            let boot = millis(self.cluster.types[m.type_ix].boot_s);
             // One that is long overdue is not counted on any more.
             let coming = !m.up
                 && m.session == 0
@@ -108,9 +108,9 @@
             }
         }
         let mut offers = Vec::new();
-        for (type_ix, t) in self.model.types.iter().enumerate() {
+        for (type_ix, t) in self.cluster.types.iter().enumerate() {
             for zone in &t.zones {
-                let Some(zone) = self.model.zones.find(zone) else {
+                let Some(zone) = self.cluster.zones.find(zone) else {
                     continue;
                 };
                 for spot in [false, true] {
@@ -118,7 +118,7 @@
                         type_ix,
                         zone,
                         spot,
-                        capacity: Amounts::offer(t.cpus, t.gpus, t.memory_gb),
+                        capacity: Resources::offer(t.cpus, t.gpus, t.memory_gb),
                         price: t.price_of(spot),
                         refused: self.is_dark(zone, now)
                             || self
@@ -131,31 +131,31 @@
             }
         }
         let order = self.queue(now);
-        let free_before: Vec<Amounts> = bins.iter().map(|b| b.free).collect();
+        let free_before: Vec<Resources> = bins.iter().map(|b| b.free).collect();
         let mut wanted = Wanted::default();
         let mut batches = Wanted::default();
-        let mut planned: HashMap<usize, Amounts> = HashMap::new();
+        let mut planned: HashMap<usize, Resources> = HashMap::new();
         for &ix in &order {
-            let Some(j) = self.model.job(ix) else {
+            let Some(j) = self.cluster.job(ix) else {
                 continue;
             };
-            if j.file.suspected || j.refusals > 5 {
+            if j.failures.suspected || j.consecutive_refusals > 5 {
                 continue;
             }
             // What the team may not run yet needs no machine yet.
             let planned = planned.entry(j.team).or_default();
-            let count = self.most_within_limit(j.team, &j.need, j.waiting(), *planned);
+            let count = self.most_within_limit(j.team, &j.need, j.waiting_count(), *planned);
             *planned += j.need.scaled(count);
             if count <= 0 {
                 continue;
             }
             if j.spec.kind == Kind::Array {
-                let age = wall_ms.saturating_sub(j.at_ms) as f64 / 1000.0;
+                let age = wall_ms.saturating_sub(j.accepted_at_ms) as f64 / 1000.0;
                 let left = j
                     .spec
                     .deadline_s
                     .map(|d| d - age - self.boot_s(&j.types) - 5.0);
-                let live = i64::from(j.live);
+                let live = i64::from(j.live_count);
                 let at_once = provision::parallel(count, live, j.spec.estimate_s, left);
                 batches.add(ix, j, at_once);
             } else {
@@ -177,8 +177,8 @@
         for w in [&wanted, &batches] {
             // Those of no demand are not hurried: they will be in time without.
             for (ix, of) in &w.jobs {
-                if let Some(j) = self.model.job_mut(*ix) {
-                    j.supply = of.map(|of| match w.demands[of].refused {
+                if let Some(j) = self.cluster.job_mut(*ix) {
+                    j.supply_reason = of.map(|of| match w.demands[of].refused {
                         true => Reason::CloudRefuses,
                         false => Reason::MachineBooting,
                     });
@@ -215,7 +215,7 @@
         // A machine that still boots when its work is gone is given back, once
         // the least that it costs is spent.
         for (bin, ix) in coming_bins {
-            if let Some(m) = self.model.machine(ix)
+            if let Some(m) = self.cluster.machine(ix)
                 && untouched[bin]
                 && now > m.since + LEAST_CHARGE
             {
@@ -231,8 +231,8 @@
                 self.renting.requests += 1;
                 rents.push(Rent {
                     request: format!("r-{}-{}", self.term, self.renting.requests),
-                    type_name: self.model.types[p.type_ix].name.clone(),
-                    zone: self.model.zones.name(p.zone).to_owned(),
+                    type_name: self.cluster.types[p.type_ix].name.clone(),
+                    zone: self.cluster.zones.name(p.zone).to_owned(),
                     spot: p.spot,
                     count,
                 });
@@ -260,13 +260,13 @@
         );
         self.events.tally.rented += names.len() as u64;
         for name in names {
-            self.model
+            self.cluster
                 .insert_machine(name, "", &rent.type_name, &rent.zone, rent.spot, now);
         }
         if (names.len() as u32) < rent.count
             && let (Some(t), Some(z)) = (
-                self.model.type_index(&rent.type_name),
-                self.model.zones.find(&rent.zone),
+                self.cluster.type_index(&rent.type_name),
+                self.cluster.zones.find(&rent.zone),
             )
         {
             self.renting
@@ -278,22 +278,22 @@
     /// The cloud answered a release: the machines are gone.
     pub fn released(&mut self, names: &[String], ok: bool, now: Ms) {
         for name in names {
-            let Some(ix) = self.model.machine_ix(name) else {
+            let Some(ix) = self.cluster.machine_index(name) else {
                 continue;
             };
             if !ok {
-                if let Some(m) = self.model.machine_mut(ix) {
+                if let Some(m) = self.cluster.machine_mut(ix) {
                     m.release_sent = false;
                 }
                 continue;
             }
-            if let Some(m) = self.model.machine(ix)
+            if let Some(m) = self.cluster.machine(ix)
                 && m.roster == Roster::Present
             {
                 self.desk.drops.push((machine_key(name), m.version));
             }
             self.events.tally.released += 1;
-            self.model.remove_machine(ix);
+            self.cluster.remove_machine(ix);
             self.renting.released.insert(name.clone(), now);
             self.changed = true;
         }
--- a/src/control/leader/scheduling_cycle.rs
+++ b/src/control/leader/scheduling_cycle.rs
@@ -18,7 +18,7 @@
 /// What tasks ask of machines, for jobs that find none with room.
 #[derive(Debug, PartialEq)]
 struct Shape {
-    need: Amounts,
+    need: Resources,
     types: Vec<bool>,
     zone: Option<usize>,
     spot: bool,
@@ -54,8 +54,8 @@
         };
         let Some(mut pass) = pass else { return };
         while let Some(waiting) = pass.order.get(pass.next).copied() {
-            let there = self.model.job(waiting.job);
-            let still = there.is_some_and(|j| j.serial == waiting.serial && is_queued(j));
+            let there = self.cluster.job(waiting.job);
+            let still = there.is_some_and(|j| j.generation == waiting.serial && is_queued(j));
             if still && (!self.take_step() || !self.place_job(waiting.job, &mut pass, now)) {
                 self.planning.pass = Some(pass);
                 return;
@@ -91,7 +91,7 @@
         let reserves = self.reserves(RATE_WINDOW, keep, now);
         let held = self.jobs_with_held_room(now);
         let waiting = |ix: &u32| {
-            let serial = self.model.job(*ix)?.serial;
+            let serial = self.cluster.job(*ix)?.generation;
             Some(Waiting { job: *ix, serial })
         };
         let jobs = order.iter().filter_map(waiting).collect();
@@ -112,16 +112,16 @@
 
     /// Places what it can of one job; `false`: the pass was interrupted.
     fn place_job(&mut self, job_ix: u32, pass: &mut Pass, now: Ms) -> bool {
-        let Some(job) = self.model.job(job_ix) else {
+        let Some(job) = self.cluster.job(job_ix) else {
             return true;
         };
         // One try at a time.
-        let tried = job.file.suspected && job.live > 0;
-        if job.backoff_until > now || job.file.waits(now) || tried {
+        let tried = job.failures.suspected && job.live_count > 0;
+        if job.backoff_until > now || job.failures.waits(now) || tried {
             self.set_reason(job_ix, Reason::FailsEverywhere);
             return true;
         }
-        let suspected = job.file.suspected;
+        let suspected = job.failures.suspected;
         if !self.job_settled(job) {
             self.set_reason(job_ix, Reason::Settling);
             return true;
@@ -132,7 +132,7 @@
             zone: job.zone,
             spot: job.spec.spot,
         };
-        if job.rank < pass.gathering_priority {
+        if job.effective_priority < pass.gathering_priority {
             for gang in pass.gathering.drain(..) {
                 self.gather(gang, now);
             }
@@ -172,7 +172,7 @@
     }
 
     fn may_fit(&self, job_ix: u32) -> bool {
-        self.model.job(job_ix).is_some_and(|job| {
+        self.cluster.job(job_ix).is_some_and(|job| {
             let allows = |type_ix, zone, spot| job.allows_kind(type_ix, zone, spot);
             self.planning.fleet.may_fit(&job.need, allows)
         })
@@ -180,7 +180,7 @@
 
     /// Places what it can of a job for which there may be room.
     fn place_tasks(&mut self, job_ix: u32, pass: &mut Pass, now: Ms) -> Outcome {
-        let Some(job) = self.model.job(job_ix) else {
+        let Some(job) = self.cluster.job(job_ix) else {
             return Outcome::Placed;
         };
         let gang = job.spec.kind == Kind::Gang;
@@ -203,7 +203,7 @@
         // One task is a beginning; the rest takes its turn.
         let outcome = self.place_some(job_ix, 1, ranking, reserves, now);
         // Guards against a pass at every event while it finds no room.
-        if self.model.job(job_ix).is_some_and(|j| j.live > 0) {
+        if self.cluster.job(job_ix).is_some_and(|j| j.live_count > 0) {
             self.changed = true;
             return Outcome::Placed;
         }
@@ -212,10 +212,10 @@
 
     /// Keeps what a gang finds for it, or notes that the shape has no room.
     fn note_no_room(&mut self, job_ix: u32, shape: Shape, pass: &mut Pass, now: Ms) {
-        let Some(job) = self.model.job(job_ix) else {
+        let Some(job) = self.cluster.job(job_ix) else {
             return;
         };
-        let (team, priority) = (job.team, job.rank);
+        let (team, priority) = (job.team, job.effective_priority);
         let bound = job.spec.one_zone || job.spec.spread || job.spec.kind == Kind::Gang;
         if job.spec.kind == Kind::Gang {
             if self.begins_late(job) || self.out_of_patience(job_ix, now) {
@@ -232,12 +232,12 @@
 
     /// Notes why the rest of a job found no place in this pass.
     fn note_left(&mut self, job_ix: u32, held: bool) {
-        let Some(j) = self.model.job(job_ix) else {
+        let Some(j) = self.cluster.job(job_ix) else {
             return;
         };
         let gang = j.spec.kind == Kind::Gang;
-        let at_once = if gang { j.waiting() } else { 1 };
-        let reason = if gang && j.live > 0 && self.gang_to_complete(job_ix).is_none() {
+        let at_once = if gang { j.waiting_count() } else { 1 };
+        let reason = if gang && j.live_count > 0 && self.gang_to_complete(job_ix).is_none() {
             Reason::OldAttempt
         } else if !self.within_limit(j.team, &j.need, i64::from(at_once)) {
             Reason::TeamLimit
@@ -254,5 +254,5 @@
 
 /// The job waits for its turn.
 pub(super) fn is_queued(j: &Job) -> bool {
-    j.waiting() > 0 && !j.cancelled && !j.cancel_wanted
+    j.waiting_count() > 0 && !j.cancelled && !j.cancel_requested
 }
--- a/src/control/leader/spec_chunks.rs
+++ b/src/control/leader/spec_chunks.rs
@@ -25,7 +25,7 @@
 impl Cuts {
     /// The job's record can't be written before its description is cut.
     pub(super) fn is_due(&self, j: &Job, value_kb: f64) -> bool {
-        self.allowed && j.pieces.is_none() && !keys::fits(j.whole_size, value_kb)
+        self.allowed && j.spec_chunks.is_none() && !keys::fits(j.inline_size, value_kb)
     }
 
     /// Adds what comes next of a job's pieces to what is to be written.
@@ -88,8 +88,8 @@
         let Some(cut) = self.cuts.open.remove(&ix) else {
             return;
         };
-        if let Some(j) = self.job_of(ix, id).filter(|j| j.pieces.is_none()) {
-            j.pieces = Some(cut.pieces);
+        if let Some(j) = self.job_of(ix, id).filter(|j| j.spec_chunks.is_none()) {
+            j.spec_chunks = Some(cut.pieces);
         }
     }
 
@@ -129,13 +129,13 @@
     /// Guards against clearing away, as left over, what is being written again
     /// under the same key, or was since.
     pub(super) fn piece_in_use(&self, key: &str) -> bool {
-        let Some(ix) = Pieces::job_of(key).and_then(|id| self.model.job_ix(id)) else {
+        let Some(ix) = Pieces::job_of(key).and_then(|id| self.cluster.job_index(id)) else {
             return false;
         };
         let cut = self.cuts.open.get(&ix);
         let cut = cut.is_some_and(|c| c.values.iter().any(|(k, _)| k == key));
-        let job = self.model.job(ix);
-        cut || job.is_some_and(|j| j.pieces.as_ref().is_some_and(|p| p.names(&j.id, key)))
+        let job = self.cluster.job(ix);
+        cut || job.is_some_and(|j| j.spec_chunks.as_ref().is_some_and(|p| p.names(&j.id, key)))
     }
 
     /// Pieces as they were found in this term: those that no record names are
@@ -143,8 +143,11 @@
     pub fn load_pieces(&mut self, found: Vec<(String, u64)>) {
         for (key, version) in found {
             let id = Pieces::job_of(&key).unwrap_or_default();
-            let job = self.model.job_ix(id).and_then(|ix| self.model.job(ix));
-            let named = job.and_then(|j| j.pieces.as_ref());
+            let job = self
+                .cluster
+                .job_index(id)
+                .and_then(|ix| self.cluster.job(ix));
+            let named = job.and_then(|j| j.spec_chunks.as_ref());
             if !named.is_some_and(|p| p.names(id, &key)) {
                 self.desk.drops.push((key, version));
             }
--- a/src/control/leader/status.rs
+++ b/src/control/leader/status.rs
@@ -45,7 +45,7 @@
 
 impl Leader {
     pub(super) fn set_reason(&mut self, job_ix: u32, reason: Reason) {
-        if let Some(j) = self.model.job_mut(job_ix) {
+        if let Some(j) = self.cluster.job_mut(job_ix) {
             j.reason = reason;
         }
     }
@@ -63,10 +63,10 @@
     }
 
     fn reason_of(&self, job: &Job) -> Reason {
-        if job.gate != Gate::Open {
+        if job.readiness != Gate::Open {
             return Reason::NeedsOthers;
         }
-        match (job.reason, job.supply) {
+        match (job.reason, job.supply_reason) {
             (Reason::NoRoom, Some(supply)) => supply,
             (reason, _) => reason,
         }
@@ -83,7 +83,7 @@
 
     fn due_of(&self, job: &Job, left_s: Option<f64>) -> Option<Due> {
         let left = left_s?;
-        let starts = job.waiting() > 0 || job.gate != Gate::Open;
+        let starts = job.waiting_count() > 0 || job.readiness != Gate::Open;
         Some(if left < 0.0 {
             Due::Late
         } else if starts && left < job.spec.estimate_s {
@@ -94,7 +94,7 @@
     }
 
     fn age_s(&self, job: &Job) -> f64 {
-        self.wall_ms.saturating_sub(job.at_ms) as f64 / 1000.0
+        self.wall_ms.saturating_sub(job.accepted_at_ms) as f64 / 1000.0
     }
 
     pub fn picture(&self, now: Ms) -> Picture {
@@ -102,7 +102,7 @@
             term: self.term,
             since_s: (now - self.recovery.acquired) as f64 / 1000.0,
             settled: self.recovery.settled,
-            jobs: self.model.live_jobs() as u32,
+            jobs: self.cluster.live_jobs() as u32,
             groups: self.groups(),
             lent: self.at_markets(),
             standbys: self.standbys.status(now),
@@ -121,7 +121,7 @@
                 .collect(),
             ..Picture::default()
         };
-        for (t, used) in self.model.teams.iter().zip(&self.model.usage) {
+        for (t, used) in self.cluster.teams.iter().zip(&self.cluster.team_usage) {
             picture.teams.push(TeamUse {
                 name: clipped(&t.name),
                 cpus: units(used.cpus),
@@ -145,7 +145,7 @@
     fn groups(&self) -> Vec<Group> {
         let mut groups: HashMap<(&str, &str), Group> = HashMap::new();
         let in_chains = self.due_in_chains();
-        let jobs = self.model.jobs.iter().enumerate();
+        let jobs = self.cluster.jobs.iter().enumerate();
         for (ix, j) in jobs.filter_map(|(ix, j)| Some((ix as u32, j.as_ref()?))) {
             let key = (j.spec.class.as_str(), j.spec.team.as_str());
             let g = groups.entry(key).or_insert_with(|| Group {
@@ -153,7 +153,7 @@
                 team: clipped(&j.spec.team),
                 ..Group::default()
             });
-            g.running += j.running;
+            g.running += j.running_count;
             match self.due_of(j, self.left_s(ix, j, &in_chains)) {
                 Some(Due::Late) => g.late_jobs += 1,
                 Some(Due::AtRisk) => g.at_risk_jobs += 1,
@@ -161,9 +161,9 @@
             }
             // What is lent waits as well, for its market, and what needs
             // others for those.
-            let waiting = match j.away.is_here() && j.gate == Gate::Open {
-                true => j.waiting(),
-                false => j.spec.tasks - j.done_n,
+            let waiting = match j.offload.is_here() && j.readiness == Gate::Open {
+                true => j.waiting_count(),
+                false => j.spec.tasks - j.completed_count,
             };
             if waiting == 0 || j.cancelled {
                 continue;
@@ -187,14 +187,14 @@
 
     fn fleet(&self, picture: &mut Picture, now: Ms) {
         let mut kinds: Vec<((usize, usize, bool), Fleet, f64)> = Vec::new();
-        for m in self.model.each_machine() {
+        for m in self.cluster.each_machine() {
             let key = (m.type_ix, m.zone, m.spot);
             let at = match kinds.iter().position(|(k, ..)| *k == key) {
                 Some(at) => at,
                 None => {
                     let fleet = Fleet {
-                        type_name: clipped(&self.model.types[m.type_ix].name),
-                        zone: clipped(self.model.zones.name(m.zone)),
+                        type_name: clipped(&self.cluster.types[m.type_ix].name),
+                        zone: clipped(self.cluster.zones.name(m.zone)),
                         spot: m.spot,
                         ..Fleet::default()
                     };
@@ -211,7 +211,7 @@
             } else if m.session == 0 && !m.unknown {
                 fleet.booting += 1;
             }
-            let boot = millis(self.model.types[m.type_ix].boot_s);
+            let boot = millis(self.cluster.types[m.type_ix].boot_s);
             let why = if m.file.set_aside {
                 "set aside: jobs that run elsewhere, or several, fail on it"
             } else if m.unknown {
@@ -251,11 +251,11 @@
     fn at_markets(&self) -> Vec<(String, u32)> {
         let mut list: BTreeMap<&str, u32> = BTreeMap::new();
         for lent in self
-            .model
+            .cluster
             .jobs
             .iter()
             .flatten()
-            .filter_map(|j| j.away.lent())
+            .filter_map(|j| j.offload.lent())
         {
             *list.entry(&lent.market).or_default() += 1;
         }
@@ -264,8 +264,8 @@
     }
 
     fn lent_to(&self, job: &Job) -> Option<String> {
-        let lent = job.away.lent()?;
-        let how = match job.away {
+        let lent = job.offload.lent()?;
+        let how = match job.offload {
             Away::Leaving { .. } => "about to be lent to",
             Away::Back(_) => "coming back from",
             _ => "lent to",
@@ -275,14 +275,14 @@
     }
 
     fn verdict_on(&self, job: &Job, now: Ms) -> Option<String> {
-        let machines = job.file.failures().len();
+        let machines = job.failures.failures().len();
         let times = |n| if n == 1 { "machine" } else { "machines" };
-        if job.file.suspected {
+        if job.failures.suspected {
             let of = match machines {
                 0 => "as an earlier leader found".to_owned(),
                 n => format!("on {n} {} or more", times(n)),
             };
-            let next = job.file.next_try().saturating_sub(now).div_ceil(1000);
+            let next = job.failures.next_try().saturating_sub(now).div_ceil(1000);
             return Some(format!(
                 "suspected: its tasks failed {of} and none has run; the next try in {next} s"
             ));
@@ -297,13 +297,13 @@
 
     /// `None`: not a live job.
     pub fn explain(&self, id: &str, now: Ms) -> Option<Explained> {
-        let ix = self.model.job_ix(id)?;
-        let j = self.model.job(ix)?;
-        let waiting = j.waiting();
+        let ix = self.cluster.job_index(id)?;
+        let j = self.cluster.job(ix)?;
+        let waiting = j.waiting_count();
         let (needs, needs_all) = self.open_needs(ix, NEEDS);
         let left_s = self.left_s(ix, j, &self.due_in_chains());
-        let held = !j.away.is_here() || j.gate != Gate::Open;
-        let places = self.model.each_machine().flat_map(|m| {
+        let held = !j.offload.is_here() || j.readiness != Gate::Open;
+        let places = self.cluster.each_machine().flat_map(|m| {
             let own = m.tasks.iter().filter(|a| a.job == ix);
             own.map(|a| {
                 let stop = if a.stop.is_some() { ", to stop" } else { "" };
@@ -317,8 +317,8 @@
             team: clipped(&j.spec.team),
             state: format!("{:?}", j.status().state).to_lowercase(),
             tasks: j.spec.tasks,
-            done: j.done_n,
-            running: j.running,
+            done: j.completed_count,
+            running: j.running_count,
             waiting,
             age_s: self.age_s(j),
             reason: ((waiting > 0 || held) && !j.cancelled).then(|| self.reason_of(j)),
--- a/src/control/leader/task_placement.rs
+++ b/src/control/leader/task_placement.rs
@@ -30,11 +30,11 @@
         reserves: &[Reserve],
         now: Ms,
     ) -> bool {
-        let (Some(job), Some(m)) = (self.model.job(job_ix), self.model.machine(machine)) else {
+        let (Some(job), Some(m)) = (self.cluster.job(job_ix), self.cluster.machine(machine)) else {
             return false;
         };
         let leaves_reserve = |r: &Reserve| {
-            r.priority <= job.rank
+            r.priority <= job.effective_priority
                 || !r.covers(room.type_ix, room.spot)
                 || match r.loss(&room.free, &job.need) {
                     0 => true,
@@ -59,10 +59,10 @@
         now: Ms,
         zone_ok: impl Fn(usize) -> bool,
     ) -> Option<Choice> {
-        let job = self.model.job(job_ix)?;
+        let job = self.cluster.job(job_ix)?;
         let zone_ok = |zone| job.zone.is_none_or(|only| only == zone) && zone_ok(zone);
         // Where the job has failed, the fault may be there.
-        let failed = |machine| job.file.failed_on(machine);
+        let failed = |machine| job.failures.failed_on(machine);
         let admits = |machine, room: &Room| self.admits(job_ix, task, machine, room, reserves, now);
         let chosen = self.planning.fleet.choose(ranking, zone_ok, failed, admits);
         if log::log_enabled!(log::Level::Debug)
@@ -82,14 +82,16 @@
         log::debug!(
             "choice for {}/{task}: {}, load {:.2}, cost {:.3}{}",
             job.id,
-            self.model.machine(choice.machine).map_or("?", |m| &m.name),
+            self.cluster
+                .machine(choice.machine)
+                .map_or("?", |m| &m.name),
             placement::load(&room.capacity, &room.free, policy.load),
             placement::fragmentation(&room.capacity, &after, &policy.shapes),
             if choice.late { ", late" } else { "" },
         );
     }
 
-    fn take_reserve(&self, reserves: &mut [Reserve], machine: u32, need: &Amounts) {
+    fn take_reserve(&self, reserves: &mut [Reserve], machine: u32, need: &Resources) {
         if let Some(room) = self.planning.fleet.room(machine) {
             for r in reserves.iter_mut() {
                 if r.covers(room.type_ix, room.spot) {
@@ -108,7 +110,7 @@
         now: Ms,
     ) {
         self.set_reason(job_ix, Reason::FailsEverywhere);
-        let gang = self.model.job(job_ix).map(|j| j.spec.kind == Kind::Gang);
+        let gang = self.cluster.job(job_ix).map(|j| j.spec.kind == Kind::Gang);
         match gang {
             Some(true) => {
                 self.place_gang(job_ix, ranking, reserves, now);
@@ -128,20 +130,20 @@
         reserves: &mut [Reserve],
         now: Ms,
     ) -> Outcome {
-        let Some(job) = self.model.job(job_ix) else {
+        let Some(job) = self.cluster.job(job_ix) else {
             return Outcome::Placed;
         };
         let (need, team, one_zone, spread) =
             (job.need, job.team, job.spec.one_zone, job.spec.spread);
         let half = job.spec.tasks.div_ceil(2);
         let mut zones = if one_zone || spread {
-            self.model.zones_of(job_ix)
+            self.cluster.live_tasks_by_zone(job_ix)
         } else {
             Vec::new()
         };
         let mut placed = 0;
         loop {
-            let Some(task) = self.model.job_mut(job_ix).and_then(|j| j.next_waiting()) else {
+            let Some(task) = self.cluster.job_mut(job_ix).and_then(|j| j.next_waiting()) else {
                 return Outcome::Placed;
             };
             if placed >= most {
@@ -182,8 +184,8 @@
     /// wait on, and a replacement under the same number completes it.
     pub(super) fn gang_to_complete(&self, job_ix: u32) -> Option<u64> {
         let mut attempt = None;
-        for (ix, at) in self.model.live_of(job_ix) {
-            if let Some(a) = self.model.machine(ix).and_then(|m| m.tasks.get(at)) {
+        for (ix, at) in self.cluster.live_tasks_of(job_ix) {
+            if let Some(a) = self.cluster.machine(ix).and_then(|m| m.tasks.get(at)) {
                 let begun = matches!(a.phase, Phase::Running | Phase::Saving);
                 if begun || a.stop.is_some() || attempt.is_some_and(|n| n != a.attempt) {
                     return None;
@@ -202,12 +204,14 @@
         reserves: &mut [Reserve],
         now: Ms,
     ) -> bool {
-        let Some(job) = self.model.job(job_ix) else {
+        let Some(job) = self.cluster.job(job_ix) else {
             return true;
         };
         let (n, need, team) = (job.spec.tasks, job.need, job.team);
-        let missing: Vec<u32> = (0..n).filter(|t| job.place(*t) == Place::Nowhere).collect();
-        let again = match job.live {
+        let missing: Vec<u32> = (0..n)
+            .filter(|t| job.placement(*t) == Placement::Unplaced)
+            .collect();
+        let again = match job.live_count {
             0 => None,
             // Tasks of an attempt that had started must be gone first.
             _ => match self.gang_to_complete(job_ix) {
@@ -246,9 +250,9 @@
         reserves: &mut [Reserve],
         now: Ms,
     ) -> Option<Vec<Choice>> {
-        let job = self.model.job(job_ix)?;
+        let job = self.cluster.job(job_ix)?;
         let (need, spread, half) = (job.need, job.spec.spread, job.spec.tasks.div_ceil(2));
-        let mut per_zone = self.model.zones_of(job_ix);
+        let mut per_zone = self.cluster.live_tasks_by_zone(job_ix);
         let mut trial = Vec::with_capacity(missing.len());
         let mut chosen = Vec::with_capacity(missing.len());
         for &task in missing {
@@ -275,7 +279,7 @@
         only: Option<usize>,
         now: Ms,
     ) -> bool {
-        let several = self.model.job(job_ix).is_some_and(|j| j.spec.tasks > 1);
+        let several = self.cluster.job(job_ix).is_some_and(|j| j.spec.tasks > 1);
         if several {
             let machines: Vec<u32> = chosen.iter().map(|c| c.machine).collect();
             return chosen.iter().any(|c| c.late)
@@ -288,9 +292,9 @@
 
     pub(super) fn start(&mut self, job_ix: u32, task: u32, machine: u32, attempt: u64, now: Ms) {
         if log::log_enabled!(log::Level::Debug)
-            && let (Some(j), Some(m)) = (self.model.job(job_ix), self.model.machine(machine))
+            && let (Some(j), Some(m)) = (self.cluster.job(job_ix), self.cluster.machine(machine))
         {
-            let with_image = self.model.each_machine();
+            let with_image = self.cluster.each_machine();
             let with_image = with_image.filter(|o| o.images.contains(&j.image));
             let (mut cached, mut batch, mut fit) = (0, 0, 0);
             for o in with_image {
@@ -309,12 +313,12 @@
             );
         }
         // The room made for it is used; the rest of the machine is open again.
-        if let Some(m) = self.model.machine_mut(machine)
+        if let Some(m) = self.cluster.machine_mut(machine)
             && m.held_for.is_some_and(|(of, _)| of == job_ix)
         {
             m.held_for = None;
         }
-        self.model
+        self.cluster
             .assign(job_ix, task, machine, attempt, Phase::New, now);
         self.standbys.start_wanted();
     }
--- a/src/control/leader/victims.rs
+++ b/src/control/leader/victims.rs
@@ -39,7 +39,7 @@
 impl Leader {
     /// Jobs for which room is held, or being made.
     pub(super) fn jobs_with_held_room(&self, now: Ms) -> HashSet<u32> {
-        let held = self.model.each_machine().filter_map(|m| m.held_for);
+        let held = self.cluster.each_machine().filter_map(|m| m.held_for);
         let held = held.filter(|(_, until)| now < *until);
         held.map(|(job, _)| job).collect()
     }
@@ -47,7 +47,7 @@
     /// Room is held for the job, or being made.
     pub(super) fn holds_room(&self, job_ix: u32, now: Ms) -> bool {
         let held = |m: &Machine| m.is_held_for(job_ix, now);
-        self.model.each_machine().any(held)
+        self.cluster.each_machine().any(held)
     }
 
     /// The machine on which the least work is lost by making room for a task.
@@ -58,9 +58,9 @@
         now: Ms,
         zone_ok: impl Fn(usize) -> bool,
     ) -> Option<Preemption> {
-        let guaranteed = self.within_guarantee(self.model.job(job_ix)?, now);
-        (self.model.machine_range())
-            .filter(|ix| self.model.machine(*ix).is_some_and(|m| zone_ok(m.zone)))
+        let guaranteed = self.within_guarantee(self.cluster.job(job_ix)?, now);
+        (self.cluster.machine_range())
+            .filter(|ix| self.cluster.machine(*ix).is_some_and(|m| zone_ok(m.zone)))
             .filter_map(|ix| self.room_on(ix, job_ix, priority, guaranteed, now))
             .filter(|r| !r.victims.is_empty())
             .min_by_key(|r| (r.fetch, r.lost))
@@ -75,8 +75,8 @@
         guaranteed: bool,
         now: Ms,
     ) -> Option<Preemption> {
-        let job = self.model.job(job_ix)?;
-        let m = self.model.machine(ix)?;
+        let job = self.cluster.job(job_ix)?;
+        let m = self.cluster.machine(ix)?;
         let allowed = m.usable()
             && !self.planning.gained.contains(&ix)
             && m.held_for.is_none_or(|(_, until)| now >= until)
@@ -90,7 +90,8 @@
             job,
             priority,
             // Room without the image can't meet the aim any more.
-            beyond_guarantees: guaranteed && (!fetch || now >= job.known_ms + millis(GUARANTEE_S)),
+            beyond_guarantees: guaranteed
+                && (!fetch || now >= job.known_since + millis(GUARANTEE_S)),
             now,
         };
         let tasks = m.tasks.iter().enumerate();
@@ -127,11 +128,13 @@
     /// The work in core-seconds that is lost if this task is stopped for the
     /// job; `None`: it may not be stopped for it.
     fn loss_of(&self, a: &Assignment, search: &Search) -> Option<i64> {
-        let v = self.model.job(a.job)?;
+        let v = self.cluster.job(a.job)?;
         if !a.live() || a.stop.is_some() || v.spec.kind == Kind::Service {
             return None;
         }
-        let lower = v.rank < search.priority && v.spec.kind == Kind::Array && !self.only_begins(v);
+        let lower = v.effective_priority < search.priority
+            && v.spec.kind == Kind::Array
+            && !self.only_begins(v);
         let beyond = search.beyond_guarantees
             && v.team != search.job.team
             && search.now > a.since + SETTLED_IN
@@ -165,25 +168,25 @@
         if !at.late {
             return false;
         }
-        let Some(job) = self.model.job(job_ix) else {
+        let Some(job) = self.cluster.job(job_ix) else {
             return false;
         };
-        let priority = job.rank;
-        if priority < Priority::High || job.file.suspected {
+        let priority = job.effective_priority;
+        if priority < Priority::High || job.failures.suspected {
             return false;
         }
         let held = |m: &Machine| m.is_held_for(job_ix, now);
         // The room that was made for it is here. Guards against a service
         // that waited until the hold was over, as rooms without its image
         // looked like rooms still to come.
-        if self.model.machine(at.machine).is_some_and(held) {
+        if self.cluster.machine(at.machine).is_some_and(held) {
             return false;
         }
         if self.holds_room(job_ix, now) {
             return true;
         }
-        let rate = self.model.machine(at.machine).map_or(1.0, |m| {
-            self.model.types[m.type_ix].fetch_gb_per_s.max(0.001)
+        let rate = self.cluster.machine(at.machine).map_or(1.0, |m| {
+            self.cluster.types[m.type_ix].fetch_gb_per_s.max(0.001)
         });
         let least = match job.spec.kind {
             Kind::Service => WORTH_SERVICE,
@@ -201,10 +204,10 @@
     }
 
     pub(super) fn preempt(&mut self, job_ix: u32, room: Preemption, now: Ms) {
-        let id = self.model.job(job_ix).map(|j| j.id.clone());
+        let id = self.cluster.job(job_ix).map(|j| j.id.clone());
         self.set_reason(job_ix, Reason::RoomBeingMade);
         self.events.tally.preempted += room.victims.len() as u64;
-        let Some(m) = self.model.machine_mut(room.machine) else {
+        let Some(m) = self.cluster.machine_mut(room.machine) else {
             return;
         };
         if !room.victims.is_empty() {
@@ -224,21 +227,24 @@
     /// Tells a task to stop, with the time it needs to save; a gang is told
     /// as a whole, or the save would fail.
     pub(super) fn stop_orderly(&mut self, machine: u32, at: usize) {
-        let Some(a) = self.model.machine(machine).and_then(|m| m.tasks.get(at)) else {
+        let Some(a) = self.cluster.machine(machine).and_then(|m| m.tasks.get(at)) else {
             return;
         };
         let job_ix = a.job;
-        let (whole, grace) = match self.model.job(job_ix) {
+        let (whole, grace) = match self.cluster.job(job_ix) {
             Some(j) if j.spec.checkpoint_s > 0.0 => (j.spec.kind == Kind::Gang, j.spec.save_s),
             Some(j) => (j.spec.kind == Kind::Gang, 0.0),
             None => (false, 0.0),
         };
         let own: Vec<(u32, usize)> = match whole {
-            true => self.model.live_of(job_ix).collect(),
+            true => self.cluster.live_tasks_of(job_ix).collect(),
             false => vec![(machine, at)],
         };
         for (ix, at) in own {
-            let a = self.model.machine_mut(ix).and_then(|m| m.tasks.get_mut(at));
+            let a = self
+                .cluster
+                .machine_mut(ix)
+                .and_then(|m| m.tasks.get_mut(at));
             if let Some(a) = a.filter(|a| a.stop.is_none() && a.live()) {
                 a.stop = Some(grace);
             }
@@ -256,32 +262,35 @@
             .filter(|o| o.kind == "guarantee")
             .filter_map(|o| o.within_s)
             .fold(GUARANTEE_S, f64::min);
-        if now < job.known_ms + millis(within / 5.0) {
+        if now < job.known_since + millis(within / 5.0) {
             return false;
         }
-        let Some(t) = self.model.teams.get(job.team) else {
+        let Some(t) = self.cluster.teams.get(job.team) else {
             return false;
         };
-        let guarantee = Amounts::offer(t.cpus, t.gpus, 0.0);
-        let of = |a: &Amounts| if job.need.gpus > 0 { a.gpus } else { a.cpus };
+        let guarantee = Resources::offer(t.cpus, t.gpus, 0.0);
+        let of = |a: &Resources| if job.need.gpus > 0 { a.gpus } else { a.cpus };
         if of(&guarantee) <= 0 {
             return false;
         }
-        let mut all = Amounts::default();
-        for j in self.model.jobs.iter().flatten() {
+        let mut all = Resources::default();
+        for j in self.cluster.jobs.iter().flatten() {
             if j.team == job.team && !j.cancelled {
-                all += j.need.scaled(i64::from(j.waiting() + j.live));
+                all += j.need.scaled(i64::from(j.waiting_count() + j.live_count));
             }
         }
         of(&all) <= of(&guarantee)
     }
 
     /// Whether the team still has its guarantee without this task.
-    fn beyond_guarantee(&self, team: usize, task: &Amounts, wanted: &Amounts) -> bool {
-        let (Some(t), Some(used)) = (self.model.teams.get(team), self.model.usage.get(team)) else {
+    fn beyond_guarantee(&self, team: usize, task: &Resources, wanted: &Resources) -> bool {
+        let (Some(t), Some(used)) = (
+            self.cluster.teams.get(team),
+            self.cluster.team_usage.get(team),
+        ) else {
             return false;
         };
-        let guarantee = Amounts::offer(t.cpus, t.gpus, 0.0);
+        let guarantee = Resources::offer(t.cpus, t.gpus, 0.0);
         match wanted.gpus > 0 {
             true => task.gpus > 0 && used.gpus - task.gpus >= guarantee.gpus,
             false => used.cpus - task.cpus >= guarantee.cpus,
--- a/src/control/leader/zone_health.rs
+++ b/src/control/leader/zone_health.rs
@@ -40,7 +40,7 @@
 
     /// Another controller answered.
     pub fn controller_heard(&mut self, zone: &str, now: Ms) {
-        if let Some(zone) = self.model.zones.find(zone) {
+        if let Some(zone) = self.cluster.zones.find(zone) {
             self.zone_heard(zone, now);
         }
     }
@@ -48,7 +48,7 @@
     /// Several machines of a zone are silent, nothing else in it is heard,
     /// and this node does not stand there itself: it is cut off.
     pub(super) fn judge_zones(&mut self, silent: &[u32], overdue: Ms, now: Ms) {
-        let home = self.model.zones.find(&self.settings.zone);
+        let home = self.cluster.zones.find(&self.settings.zone);
         for (zone, n) in silent.iter().enumerate() {
             let Some(life) = self.renting.zone_life.get_mut(zone) else {
                 continue;
@@ -57,7 +57,7 @@
             if *n < SILENT || Some(zone) == home || now <= heard + overdue {
                 continue;
             }
-            let name = self.model.zones.name(zone);
+            let name = self.cluster.zones.name(zone);
             if now >= life.dark_until {
                 log::info!("zone {name} is silent");
             }
--- a/src/control/placement/fleet.rs
+++ b/src/control/placement/fleet.rs
@@ -7,7 +7,7 @@
 //! last used. So choosing a machine costs what has changed, not what there is.
 
 use super::{Policy, fragmentation, free_counts::FreeCounts, load};
-use crate::state::{Ms, resources::Amounts};
+use crate::state::{Ms, resources::Resources};
 use rustc_hash::FxHashMap;
 use std::{
     cell::RefCell,
@@ -34,8 +34,8 @@
     pub type_ix: usize,
     pub zone: usize,
     pub spot: bool,
-    pub capacity: Amounts,
-    pub free: Amounts,
+    pub capacity: Resources,
+    pub free: Resources,
     /// Images that it caches.
     pub images: Vec<u32>,
     /// Since when it has been empty, if it is.
@@ -45,7 +45,7 @@
 /// What a job asks of a machine. Jobs with equal requests share a ranking.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Request {
-    pub need: Amounts,
+    pub need: Resources,
     /// Allowed machine types, by index.
     pub types: Vec<bool>,
     pub spot: bool,
@@ -110,7 +110,7 @@
 struct Slot {
     room: Room,
     /// Kept for a gang that waits: not part of `room.free` any more.
-    withheld: Amounts,
+    withheld: Resources,
     surplus: bool,
 }
 
@@ -164,7 +164,7 @@
 pub struct Fleet {
     policy: Policy,
     /// By capacity and what is left: many machines are alike.
-    costs: RefCell<FxHashMap<(Amounts, Amounts), Cost>>,
+    costs: RefCell<FxHashMap<(Resources, Resources), Cost>>,
     slots: Vec<Option<Slot>>,
     rankings: Vec<Ranking>,
     /// Machines that changed, oldest first, and how many were dropped before.
@@ -175,7 +175,7 @@
     /// By type, zone and kind.
     free_counts: BTreeMap<(usize, usize, bool), FreeCounts>,
     withheld: BTreeSet<u32>,
-    capacity: Amounts,
+    capacity: Resources,
     usable: usize,
 }
 
@@ -191,7 +191,7 @@
             soon_surplus: BTreeSet::new(),
             free_counts: BTreeMap::new(),
             withheld: BTreeSet::new(),
-            capacity: Amounts::default(),
+            capacity: Resources::default(),
             usable: 0,
         }
     }
@@ -211,7 +211,7 @@
     }
 
     /// What all usable machines offer together.
-    pub fn capacity(&self) -> Amounts {
+    pub fn capacity(&self) -> Resources {
         self.capacity
     }
 
@@ -330,7 +330,7 @@
 
     /// Whether a machine that `allows` admits by type, zone and kind may have
     /// room. A "no" is sure.
-    pub fn may_fit(&self, need: &Amounts, allows: impl Fn(usize, usize, bool) -> bool) -> bool {
+    pub fn may_fit(&self, need: &Resources, allows: impl Fn(usize, usize, bool) -> bool) -> bool {
         self.free_counts
             .iter()
             .any(|((type_ix, zone, spot), counts)| {
@@ -442,7 +442,7 @@
         })
     }
 
-    fn cost(&self, capacity: &Amounts, left: &Amounts) -> Cost {
+    fn cost(&self, capacity: &Resources, left: &Resources) -> Cost {
         let mut costs = self.costs.borrow_mut();
         if costs.len() >= MOST_COSTS {
             costs.clear();
@@ -507,7 +507,7 @@
         }
     }
 
-    fn change_free(&mut self, machine: u32, change: impl Fn(&mut Amounts)) {
+    fn change_free(&mut self, machine: u32, change: impl Fn(&mut Resources)) {
         let Some(Some(slot)) = self.slots.get_mut(machine as usize) else {
             return;
         };
@@ -537,7 +537,7 @@
     }
 
     /// Keeps so much of what is free on the machine until `release_withheld`.
-    pub fn withhold(&mut self, machine: u32, amounts: Amounts) {
+    pub fn withhold(&mut self, machine: u32, amounts: Resources) {
         let Some(Some(slot)) = self.slots.get_mut(machine as usize) else {
             return;
         };
--- a/src/control/placement/free_counts.rs
+++ b/src/control/placement/free_counts.rs
@@ -1,7 +1,7 @@
 //! The most of each resource that is free on one machine of a group, kept as
 //! machines change.
 
-use crate::state::resources::Amounts;
+use crate::state::resources::Resources;
 use std::collections::BTreeMap;
 
 /// How many machines have each free amount.
@@ -34,14 +34,14 @@
 
 impl FreeCounts {
     /// A machine with this much free is one of the group.
-    pub fn add(&mut self, free: &Amounts) {
+    pub fn add(&mut self, free: &Resources) {
         add(&mut self.cpus, free.cpus);
         add(&mut self.gpus, free.gpus);
         add(&mut self.memory, free.memory);
     }
 
     /// A machine with this much free is no longer one of the group.
-    pub fn remove(&mut self, free: &Amounts) {
+    pub fn remove(&mut self, free: &Resources) {
         remove(&mut self.cpus, free.cpus);
         remove(&mut self.gpus, free.gpus);
         remove(&mut self.memory, free.memory);
@@ -49,8 +49,8 @@
 
     /// The most of each resource, each perhaps on another machine: what
     /// exceeds it fits nowhere. `None`: there is no machine.
-    pub fn most(&self) -> Option<Amounts> {
-        Some(Amounts {
+    pub fn most(&self) -> Option<Resources> {
+        Some(Resources {
             cpus: largest(&self.cpus)?,
             gpus: largest(&self.gpus)?,
             memory: largest(&self.memory)?,
--- a/src/control/placement/mod.rs
+++ b/src/control/placement/mod.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     options::{LoadResource, Shape},
-    state::resources::Amounts,
+    state::resources::Resources,
 };
 
 /// What the order of machines depends on beside the machines.
@@ -17,13 +17,13 @@
     pub threshold: f64,
     pub load: LoadResource,
     /// Common shapes of tasks that fragmentation is averaged over.
-    pub shapes: Vec<Amounts>,
+    pub shapes: Vec<Resources>,
 }
 
 impl Policy {
     /// A shape as the operators state it.
-    pub fn shape(s: &Shape) -> Amounts {
-        Amounts::need(s.cpus, s.gpus, s.memory_gb)
+    pub fn shape(s: &Shape) -> Resources {
+        Resources::need(s.cpus, s.gpus, s.memory_gb)
     }
 }
 
@@ -32,7 +32,7 @@
 }
 
 /// Requested share of the load resource.
-pub fn load(capacity: &Amounts, free: &Amounts, resource: LoadResource) -> f64 {
+pub fn load(capacity: &Resources, free: &Resources, resource: LoadResource) -> f64 {
     let used = capacity.minus(*free);
     let cpu = share(used.cpus, capacity.cpus);
     let gpu = share(used.gpus, capacity.gpus);
@@ -47,7 +47,7 @@
 
 /// How many of a shape fit counting its main resource alone: the one of
 /// which it takes the greatest share of a whole machine.
-fn ideal(capacity: &Amounts, free: &Amounts, shape: &Amounts) -> i64 {
+fn ideal(capacity: &Resources, free: &Resources, shape: &Resources) -> i64 {
     [
         (shape.gpus, capacity.gpus, free.gpus),
         (shape.cpus, capacity.cpus, free.cpus),
@@ -69,7 +69,7 @@
 
 /// Fragmentation cost of a machine with this much left: the mean, over the
 /// common shapes, of one minus valid over ideal.
-pub fn fragmentation(capacity: &Amounts, free: &Amounts, shapes: &[Amounts]) -> f64 {
+pub fn fragmentation(capacity: &Resources, free: &Resources, shapes: &[Resources]) -> f64 {
     let mut sum = 0.0;
     let mut n = 0;
     for shape in shapes {
--- a/src/control/provision.rs
+++ b/src/control/provision.rs
@@ -1,12 +1,12 @@
 //! How many machines of which kind: waiting work against what is there, on
 //! its way, and worth its price.
 
-use crate::state::resources::Amounts;
+use crate::state::resources::Resources;
 
 /// Work that waits: equal tasks of one job.
 #[derive(Debug, Clone)]
 pub struct Demand {
-    pub need: Amounts,
+    pub need: Resources,
     /// How many must run at once to be in time.
     pub count: i64,
     pub types: Vec<bool>,
@@ -24,7 +24,7 @@
     pub type_ix: usize,
     pub zone: usize,
     pub spot: bool,
-    pub free: Amounts,
+    pub free: Resources,
 }
 
 /// What the cloud offers.
@@ -33,7 +33,7 @@
     pub type_ix: usize,
     pub zone: usize,
     pub spot: bool,
-    pub capacity: Amounts,
+    pub capacity: Resources,
     pub price: f64,
     /// Refused lately.
     pub refused: bool,
@@ -150,7 +150,7 @@
             type_ix,
             zone: 0,
             spot,
-            capacity: Amounts::offer(cpus, 0.0, cpus * 4.0),
+            capacity: Resources::offer(cpus, 0.0, cpus * 4.0),
             price,
             refused: false,
         }
@@ -158,7 +158,7 @@
 
     fn demand(count: i64) -> Demand {
         Demand {
-            need: Amounts::need(4.0, 0.0, 8.0),
+            need: Resources::need(4.0, 0.0, 8.0),
             count,
             types: vec![true, true],
             zone: None,
@@ -174,7 +174,7 @@
             type_ix: 0,
             zone: 0,
             spot: false,
-            free: Amounts::offer(8.0, 0.0, 32.0),
+            free: Resources::offer(8.0, 0.0, 32.0),
         }];
         let offers = [offer(0, false, 8.0, 0.33), offer(0, true, 8.0, 0.11)];
         assert_eq!(
--- a/src/control/reconciliation.rs
+++ b/src/control/reconciliation.rs
@@ -8,7 +8,7 @@
     },
     state::{
         Ms,
-        cluster::{Model, NONE, Phase, Place},
+        cluster::{ClusterState, NONE, Phase, Placement},
     },
 };
 use std::collections::HashSet;
@@ -51,7 +51,7 @@
 /// `beat`: it is a report, not the answer to a direct order. Only a report is
 /// sure to be later than the response to the report before it.
 pub fn take_in(
-    model: &mut Model,
+    cluster: &mut ClusterState,
     ix: u32,
     report: &Report,
     term_floor: u64,
@@ -59,7 +59,7 @@
     now: Ms,
 ) -> News {
     let mut news = News::default();
-    let Some(m) = model.machine_mut(ix) else {
+    let Some(m) = cluster.machine_mut(ix) else {
         return news;
     };
     let older = report.session < m.min_session
@@ -77,10 +77,10 @@
         m.older = ((0, 0), 0);
         m.latest = (report.session, report.seq);
         m.answered = now;
-        drop_what_was_before(model, ix, report.token);
+        drop_what_was_before(cluster, ix, report.token);
         news.changed = true;
     }
-    let Some(m) = model.machine_mut(ix) else {
+    let Some(m) = cluster.machine_mut(ix) else {
         return news;
     };
     if report.token >= m.reborn_at {
@@ -90,13 +90,13 @@
     if news.new_session && !m.tasks.is_empty() {
         // A new session: everything of the old one is gone, including
         // commands still on their way, which name the old session.
-        model.clear_machine(ix);
+        cluster.clear_machine(ix);
         news.changed = true;
     }
-    if model.machine(ix).is_some_and(|m| !m.up) {
-        drop_what_was_taken_over(model, ix, report);
+    if cluster.machine(ix).is_some_and(|m| !m.up) {
+        drop_what_was_taken_over(cluster, ix, report);
     }
-    let Some(m) = model.machine_mut(ix) else {
+    let Some(m) = cluster.machine_mut(ix) else {
         return news;
     };
     if !m.up {
@@ -123,7 +123,7 @@
     let mut listed = vec![false; m.tasks.len()];
     for t in &report.tasks {
         let phase = phase_of(t.state, t.why);
-        let found = model.machine(ix).and_then(|m| {
+        let found = cluster.machine(ix).and_then(|m| {
             m.tasks
                 .iter()
                 .position(|a| a.attempt == t.attempt && a.name == t.task)
@@ -133,7 +133,7 @@
                 if at < listed.len() {
                     listed[at] = true;
                 }
-                let Some(a) = model.machine(ix).and_then(|m| m.tasks.get(at)) else {
+                let Some(a) = cluster.machine(ix).and_then(|m| m.tasks.get(at)) else {
                     continue;
                 };
                 // Seen running once, it may be about to fail.
@@ -142,10 +142,10 @@
                 if ran {
                     news.ran.push((a.job, a.since));
                 }
-                if ran && let Some(m) = model.machine_mut(ix) {
+                if ran && let Some(m) = cluster.machine_mut(ix) {
                     m.tasks[at].ran = true;
                 }
-                let Some(a) = model.machine(ix).and_then(|m| m.tasks.get(at)) else {
+                let Some(a) = cluster.machine(ix).and_then(|m| m.tasks.get(at)) else {
                     continue;
                 };
                 if a.phase == phase || !a.live() {
@@ -160,11 +160,11 @@
                 }
                 news.changed = true;
                 log::debug!("task {}: {phase:?}", t.task);
-                model.set_phase(ix, at, phase);
+                cluster.set_phase(ix, at, phase);
             }
             None => {
                 news.changed = true;
-                adopt(model, ix, &t.task, t.attempt, phase, now);
+                adopt(cluster, ix, &t.task, t.attempt, phase, now);
             }
         }
     }
@@ -173,13 +173,13 @@
         if listed[at] {
             continue;
         }
-        let Some(a) = model.machine(ix).and_then(|m| m.tasks.get(at)) else {
+        let Some(a) = cluster.machine(ix).and_then(|m| m.tasks.get(at)) else {
             continue;
         };
-        let ordering = model.machine(ix).is_some_and(|m| m.ordering);
+        let ordering = cluster.machine(ix).is_some_and(|m| m.ordering);
         match a.phase {
             // Ended and reaped.
-            Phase::Ended(_) => model.unassign(ix, at),
+            Phase::Ended(_) => cluster.unassign(ix, at),
             Phase::New | Phase::Sent => {
                 // A direct launch without an answer may come yet, unless the
                 // machine has seen a higher token; one in a response can't
@@ -194,9 +194,9 @@
                 }
                 let withdrawn = a.stop.is_some();
                 if withdrawn {
-                    model.unassign(ix, at);
+                    cluster.unassign(ix, at);
                     news.changed = true;
-                } else if let Some(m) = model.machine_mut(ix) {
+                } else if let Some(m) = cluster.machine_mut(ix) {
                     let a = &mut m.tasks[at];
                     news.lost_orders += u32::from(a.phase == Phase::Sent && a.doubt == 0);
                     a.doubt = 0;
@@ -207,12 +207,12 @@
             // in the protocol does this; the newest message is to be believed.
             _ => {
                 log::error!("task {} vanished from a live session", a.name);
-                model.unassign(ix, at);
+                cluster.unassign(ix, at);
                 news.changed = true;
             }
         }
     }
-    if let Some(m) = model.machine_mut(ix)
+    if let Some(m) = cluster.machine_mut(ix)
         && m.live_tasks() > 0
     {
         m.idle_since = now;
@@ -223,23 +223,23 @@
 /// The machine has started anew, and has seen this token: all that is known of
 /// it is gone, but for starts sent directly that it may still carry out, as
 /// sessions count from one again as well.
-fn drop_what_was_before(model: &mut Model, ix: u32, token: u64) {
-    let Some(m) = model.machine(ix) else { return };
+fn drop_what_was_before(cluster: &mut ClusterState, ix: u32, token: u64) {
+    let Some(m) = cluster.machine(ix) else { return };
     let open = |at: &usize| {
         let a = &m.tasks[*at];
         a.phase == Phase::Sent && a.doubt != 0 && (m.ordering || token <= a.doubt)
     };
     let gone: Vec<usize> = (0..m.tasks.len()).filter(|at| !open(at)).collect();
     for at in gone.into_iter().rev() {
-        model.unassign(ix, at);
+        cluster.unassign(ix, at);
     }
 }
 
 /// The machine is heard for the first time in this term, so it has seen this
 /// term's token: of what an earlier leader had there, or had sent there, only
 /// what it lists is there or will ever be.
-fn drop_what_was_taken_over(model: &mut Model, ix: u32, report: &Report) {
-    let Some(m) = model.machine(ix).filter(|m| !m.tasks.is_empty()) else {
+fn drop_what_was_taken_over(cluster: &mut ClusterState, ix: u32, report: &Report) {
+    let Some(m) = cluster.machine(ix).filter(|m| !m.tasks.is_empty()) else {
         return;
     };
     let listed: HashSet<(&str, u64)> = report
@@ -251,35 +251,35 @@
         .filter(|at| !listed.contains(&(m.tasks[*at].name.as_str(), m.tasks[*at].attempt)))
         .collect();
     for at in gone.into_iter().rev() {
-        model.unassign(ix, at);
+        cluster.unassign(ix, at);
     }
 }
 
 /// A task that an earlier leader started.
-fn adopt(model: &mut Model, ix: u32, name: &str, attempt: u64, phase: Phase, now: Ms) {
-    let known = split_task(name).and_then(|(id, task)| Some((model.job_ix(id)?, task)));
+fn adopt(cluster: &mut ClusterState, ix: u32, name: &str, attempt: u64, phase: Phase, now: Ms) {
+    let known = split_task(name).and_then(|(id, task)| Some((cluster.job_index(id)?, task)));
     let Some((job_ix, task)) = known else {
-        model.assign_stray(ix, name, attempt, phase, now);
+        cluster.assign_orphan(ix, name, attempt, phase, now);
         return;
     };
-    let Some(job) = model.job_mut(job_ix) else {
+    let Some(job) = cluster.job_mut(job_ix) else {
         return;
     };
     let ended = matches!(phase, Phase::Ended(_));
     if phase == Phase::Ended(Why::Done) && job.spec.kind != Kind::Service && task < job.spec.tasks {
         job.mark_done(task);
     }
-    if !ended && task < job.spec.tasks && job.place(task) == Place::Nowhere {
-        let cancelled = job.cancelled || job.cancel_wanted;
-        model.assign(job_ix, task, ix, attempt, phase, now);
-        if cancelled && let Some(a) = model.machine_mut(ix).and_then(|m| m.tasks.last_mut()) {
+    if !ended && task < job.spec.tasks && job.placement(task) == Placement::Unplaced {
+        let cancelled = job.cancelled || job.cancel_requested;
+        cluster.assign(job_ix, task, ix, attempt, phase, now);
+        if cancelled && let Some(a) = cluster.machine_mut(ix).and_then(|m| m.tasks.last_mut()) {
             a.stop = Some(0.0);
         }
         return;
     }
-    model.assign_stray(ix, name, attempt, phase, now);
+    cluster.assign_orphan(ix, name, attempt, phase, now);
     // An ended task keeps its job, so that it is reaped only once recorded.
-    if ended && let Some(a) = model.machine_mut(ix).and_then(|m| m.tasks.last_mut()) {
+    if ended && let Some(a) = cluster.machine_mut(ix).and_then(|m| m.tasks.last_mut()) {
         a.job = job_ix;
         a.task = task;
     }
@@ -290,7 +290,7 @@
 /// Nothing is started of changes after `confirmed`: a standby that counts does
 /// not know of them.
 pub fn commands(
-    model: &mut Model,
+    cluster: &mut ClusterState,
     ix: u32,
     direct: Option<u64>,
     seq: u64,
@@ -298,7 +298,7 @@
 ) -> Vec<Command> {
     let mut out = Vec::new();
     let mut sent = 0;
-    let Some((m, jobs)) = model.machine_and_jobs(ix) else {
+    let Some((m, jobs)) = cluster.machine_with_jobs(ix) else {
         return out;
     };
     let seen = m.seen_token;
@@ -318,7 +318,7 @@
                     || jobs
                         .get(a.job as usize)
                         .and_then(Option::as_ref)
-                        .is_none_or(|j| !j.is_dirty() && !j.writing);
+                        .is_none_or(|j| !j.is_dirty() && !j.write_in_flight);
                 if !in_doubt && recorded {
                     out.push(Command::Forget { task, attempt });
                 }
@@ -352,14 +352,14 @@
             }
         }
     }
-    model.sent = model.sent.max(sent);
+    cluster.latest_sent_change = cluster.latest_sent_change.max(sent);
     out
 }
 
 /// A direct order was not carried out, or was answered: what it launched is
 /// no longer in doubt.
-pub fn settle_direct(model: &mut Model, ix: u32, token: u64, executed: bool) {
-    if let Some(m) = model.machine_mut(ix) {
+pub fn settle_direct(cluster: &mut ClusterState, ix: u32, token: u64, executed: bool) {
+    if let Some(m) = cluster.machine_mut(ix) {
         for a in m.tasks.iter_mut().filter(|a| a.doubt == token) {
             a.doubt = 0;
             if a.phase == Phase::Sent {
@@ -370,8 +370,8 @@
 }
 
 /// Is there anything to tell the machine that shouldn't wait for its report?
-pub fn wants_direct(model: &Model, ix: u32, confirmed: u64) -> bool {
-    model.machine(ix).is_some_and(|m| {
+pub fn wants_direct(cluster: &ClusterState, ix: u32, confirmed: u64) -> bool {
+    cluster.machine(ix).is_some_and(|m| {
         m.up && m.addr.is_some()
             && m.tasks.iter().any(|a| match (a.phase, a.stop) {
                 (Phase::New, None) => a.change <= confirmed,
--- a/src/control/standby/mod.rs
+++ b/src/control/standby/mod.rs
@@ -20,7 +20,7 @@
         state::Txn,
         status::StandbyStatus,
     },
-    state::{Ms, cluster::Model, records::StandbyRecord},
+    state::{Ms, cluster::ClusterState, records::StandbyRecord},
 };
 use registry::Roll;
 use replication_stream::Feed;
@@ -48,21 +48,21 @@
     fn take_touched(&mut self) -> BTreeSet<String>;
 }
 
-impl Picture for Model {
+impl Picture for ClusterState {
     fn changes(&self) -> u64 {
-        self.changes
+        self.change_count
     }
     fn sent(&self) -> u64 {
-        self.sent
+        self.latest_sent_change
     }
     fn held_on(&self, machine: &str) -> MachineHolds {
-        Model::held_on(self, machine)
+        ClusterState::held_on(self, machine)
     }
     fn held_machines(&self) -> BTreeSet<String> {
-        Model::held_machines(self)
+        ClusterState::held_machines(self)
     }
     fn take_touched(&mut self) -> BTreeSet<String> {
-        Model::take_touched(self)
+        ClusterState::take_touched(self)
     }
 }
 
--- a/src/server/cloud.rs
+++ b/src/server/cloud.rs
@@ -28,7 +28,7 @@
                 }
                 // Prices in force; the list of types is fixed for a term.
                 if let Some(l) = node.leader.borrow_mut().as_mut() {
-                    for t in l.model.types.iter_mut() {
+                    for t in l.cluster.types.iter_mut() {
                         if let Some(o) = own.iter().find(|o| o.name == t.name) {
                             t.price = o.price;
                             t.spot_price = o.spot_price;
--- a/src/server/metrics.rs
+++ b/src/server/metrics.rs
@@ -256,7 +256,7 @@
     pub(super) fn metrics(&self) -> HttpResponse {
         let led = self.acting(|l, now| {
             let warm = l.warm_standbys(now);
-            (l.model.live_jobs(), l.model.machine_count(), warm)
+            (l.cluster.live_jobs(), l.cluster.machine_count(), warm)
         });
         let m = self.figures.borrow();
         let (requests, bytes) = self.peers.exchanged();
--- a/src/state/cluster/interner.rs
+++ b/src/state/cluster/interner.rs
@@ -3,12 +3,12 @@
 use std::collections::HashMap;
 
 #[derive(Debug, Default)]
-pub struct Names {
+pub struct Interner {
     index: HashMap<String, u32>,
     names: Vec<String>,
 }
 
-impl Names {
+impl Interner {
     pub fn intern(&mut self, name: &str) -> u32 {
         if let Some(i) = self.index.get(name) {
             return *i;
--- a/src/state/cluster/machine.rs
+++ b/src/state/cluster/machine.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     protocol::workers::Why,
-    state::{Ms, fault_attribution::MachineFile, resources::Amounts},
+    state::{Ms, fault_attribution::MachineFile, resources::Resources},
 };
 use std::net::SocketAddr;
 
@@ -34,7 +34,7 @@
     pub task: u32,
     pub attempt: u64,
     pub team: usize,
-    pub need: Amounts,
+    pub need: Resources,
     pub phase: Phase,
     /// Grace in seconds of the halt that is wanted.
     pub stop: Option<f64>,
@@ -73,8 +73,8 @@
     pub type_ix: usize,
     pub zone: usize,
     pub spot: bool,
-    pub capacity: Amounts,
-    pub used: Amounts,
+    pub capacity: Resources,
+    pub used: Resources,
     pub tasks: Vec<Assignment>,
     pub session: u64,
     pub seq: u64,
@@ -148,7 +148,7 @@
 }
 
 impl Machine {
-    pub fn free(&self) -> Amounts {
+    pub fn free(&self) -> Resources {
         self.capacity.minus(self.used)
     }
     pub fn live_tasks(&self) -> usize {
--- a/src/state/cluster/mod.rs
+++ b/src/state/cluster/mod.rs
@@ -7,8 +7,8 @@
 mod replication;
 mod stale;
 
-pub use interner::Names;
-pub use job::{Job, Place};
+pub use interner::Interner;
+pub use job::{Job, Placement};
 pub use machine::{Assignment, Machine, ORDER, Phase, Roster};
 use stale::StaleMachines;
 
@@ -18,7 +18,7 @@
     fault_attribution::{JobFile, MachineFile},
     offload::Away,
     records::{Bits, whole_size},
-    resources::Amounts,
+    resources::Resources,
 };
 use crate::protocol::{
     cloud::MachineType,
@@ -34,45 +34,45 @@
 
 pub const NONE: u32 = u32::MAX;
 /// Images that are noted of a machine, so that its record stays small.
-const MOST_IMAGES: usize = 32;
+const MAX_IMAGES_PER_MACHINE: usize = 32;
 const DONE: u32 = u32::MAX - 1;
 
 #[derive(Debug, Default)]
-pub struct Model {
-    pub zones: Names,
-    pub team_names: Names,
+pub struct ClusterState {
+    pub zones: Interner,
+    pub team_names: Interner,
     pub teams: Vec<Team>,
-    pub usage: Vec<Amounts>,
+    pub team_usage: Vec<Resources>,
     pub types: Vec<MachineType>,
-    pub images: Names,
+    pub images: Interner,
     /// Their sizes, as far as known.
     image_gb: Vec<f64>,
     pub jobs: Vec<Option<Job>>,
     free_jobs: Vec<u32>,
     /// Of the job that was inserted last.
-    last_serial: u64,
-    by_ref: HashMap<String, u32>,
+    last_generation: u64,
+    job_index_by_id: HashMap<String, u32>,
     machines: Vec<Option<Machine>>,
     /// Machines looked at, one by one or in a pass over all: what tests of
     /// the work done go by.
-    looked_at: Cell<u64>,
+    inspections: Cell<u64>,
     free_machines: Vec<u32>,
     /// Machines that may have changed since `take_stale`.
-    stale: StaleMachines,
-    by_name: HashMap<String, u32>,
+    stale_machines: StaleMachines,
+    machine_index_by_name: HashMap<String, u32>,
     /// Changes of what is, or may be, on machines.
-    pub changes: u64,
+    pub change_count: u64,
     /// The latest change of which a start was sent.
-    pub sent: u64,
+    pub latest_sent_change: u64,
     /// Machines that changed since standbys were last told, if any are.
-    touched: Option<BTreeSet<String>>,
+    changed_machines: Option<BTreeSet<String>>,
 }
 
-impl Model {
+impl ClusterState {
     pub fn new(settings: &Settings, types: Vec<MachineType>) -> Self {
-        let mut m = Model {
+        let mut m = ClusterState {
             types,
-            ..Model::default()
+            ..ClusterState::default()
         };
         for z in &settings.cluster.zones {
             m.zones.intern(z);
@@ -81,7 +81,7 @@
             m.team_names.intern(&t.name);
         }
         m.teams = settings.cluster.teams.clone();
-        m.usage = vec![Amounts::default(); m.teams.len()];
+        m.team_usage = vec![Resources::default(); m.teams.len()];
         m
     }
 
@@ -91,24 +91,30 @@
 
     /// Whether the team stays within its limit with `n` more such tasks, if
     /// it uses `unseen` beside what is known.
-    pub fn within_limit(&self, team: usize, need: &Amounts, n: i64, unseen: Amounts) -> bool {
-        self.room_in_limit(team, need, unseen)
+    pub fn within_quota(&self, team: usize, need: &Resources, n: i64, unseen: Resources) -> bool {
+        self.quota_left(team, need, unseen)
             .is_some_and(|room| n <= room)
     }
 
     /// How many more such tasks, of at most `n`, the team may run beside what
     /// it uses and `unseen`.
-    pub fn most_within_limit(&self, team: usize, need: &Amounts, n: u32, unseen: Amounts) -> i64 {
-        let room = self.room_in_limit(team, need, unseen).unwrap_or(0);
+    pub fn max_within_quota(
+        &self,
+        team: usize,
+        need: &Resources,
+        n: u32,
+        unseen: Resources,
+    ) -> i64 {
+        let room = self.quota_left(team, need, unseen).unwrap_or(0);
         room.min(i64::from(n))
     }
 
     /// How many more such tasks the team may run. `None`: it is unknown, or
     /// past its limit, so that not even what takes nothing of it may start.
-    fn room_in_limit(&self, team: usize, need: &Amounts, unseen: Amounts) -> Option<i64> {
+    fn quota_left(&self, team: usize, need: &Resources, unseen: Resources) -> Option<i64> {
         let t = self.teams.get(team)?;
-        let limit = Amounts::offer(t.cpus_max, t.gpus_max, 0.0);
-        let mut used = self.usage[team];
+        let limit = Resources::offer(t.cpus_max, t.gpus_max, 0.0);
+        let mut used = self.team_usage[team];
         used += unseen;
         let room = |limit: i64, used: i64, each: i64| match (limit, each) {
             (0, _) => Some(i64::MAX),
@@ -120,8 +126,8 @@
         Some(cpus.min(room(limit.gpus, used.gpus, need.gpus)?))
     }
 
-    pub fn job_ix(&self, id: &str) -> Option<u32> {
-        self.by_ref.get(id).copied()
+    pub fn job_index(&self, id: &str) -> Option<u32> {
+        self.job_index_by_id.get(id).copied()
     }
     pub fn job(&self, ix: u32) -> Option<&Job> {
         self.jobs.get(ix as usize)?.as_ref()
@@ -129,8 +135,8 @@
     pub fn job_mut(&mut self, ix: u32) -> Option<&mut Job> {
         self.jobs.get_mut(ix as usize)?.as_mut()
     }
-    pub fn machine_ix(&self, name: &str) -> Option<u32> {
-        self.by_name.get(name).copied()
+    pub fn machine_index(&self, name: &str) -> Option<u32> {
+        self.machine_index_by_name.get(name).copied()
     }
     pub fn machine(&self, ix: u32) -> Option<&Machine> {
         self.count(1);
@@ -138,22 +144,22 @@
     }
     pub fn machine_mut(&mut self, ix: u32) -> Option<&mut Machine> {
         self.count(1);
-        self.stale.mark(ix);
+        self.stale_machines.mark(ix);
         self.machines.get_mut(ix as usize)?.as_mut()
     }
     /// Machines that may have changed since the last call, each once.
     pub fn take_stale(&mut self) -> Vec<u32> {
-        self.stale.take(self.machines.len())
+        self.stale_machines.take(self.machines.len())
     }
     /// The machine is among those that `take_stale` names next.
     pub fn mark_stale(&mut self, machine: u32) {
-        self.stale.mark(machine);
+        self.stale_machines.mark(machine);
     }
     fn count(&self, n: usize) {
-        self.looked_at.set(self.looked_at.get() + n as u64);
+        self.inspections.set(self.inspections.get() + n as u64);
     }
-    pub fn looked_at(&self) -> u64 {
-        self.looked_at.get()
+    pub fn inspections(&self) -> u64 {
+        self.inspections.get()
     }
     pub fn each_machine(&self) -> impl Iterator<Item = &Machine> {
         self.count(self.machines.len());
@@ -161,7 +167,7 @@
     }
     pub fn each_machine_mut(&mut self) -> impl Iterator<Item = &mut Machine> {
         self.count(self.machines.len());
-        self.stale.mark_all();
+        self.stale_machines.mark_all();
         self.machines.iter_mut().flatten()
     }
     pub fn indexed_machines(&self) -> impl Iterator<Item = (u32, &Machine)> {
@@ -170,7 +176,7 @@
         all.filter_map(|(ix, m)| Some((ix as u32, m.as_ref()?)))
     }
     /// Notes on which machines work other than services runs now.
-    pub fn note_batches(&mut self, now: Ms) {
+    pub fn record_batch_activity(&mut self, now: Ms) {
         self.count(self.machines.len());
         let jobs = &self.jobs;
         let is_batch = |a: &Assignment| {
@@ -184,9 +190,9 @@
             }
         }
     }
-    pub fn machine_and_jobs(&mut self, ix: u32) -> Option<(&mut Machine, &[Option<Job>])> {
+    pub fn machine_with_jobs(&mut self, ix: u32) -> Option<(&mut Machine, &[Option<Job>])> {
         self.count(1);
-        self.stale.mark(ix);
+        self.stale_machines.mark(ix);
         let m = self.machines.get_mut(ix as usize)?.as_mut()?;
         Some((m, &self.jobs))
     }
@@ -195,10 +201,10 @@
         0..self.machines.len() as u32
     }
     pub fn live_jobs(&self) -> usize {
-        self.by_ref.len()
+        self.job_index_by_id.len()
     }
     pub fn machine_count(&self) -> usize {
-        self.by_name.len()
+        self.machine_index_by_name.len()
     }
 
     pub fn insert_job(
@@ -210,10 +216,10 @@
         cancelled: bool,
         now: Ms,
     ) -> u32 {
-        if let Some(ix) = self.job_ix(&spec.id) {
+        if let Some(ix) = self.job_index(&spec.id) {
             return ix;
         }
-        self.last_serial += 1;
+        self.last_generation += 1;
         let n = spec.tasks;
         let slots = (0..n)
             .map(|i| if done.get(i) { DONE } else { NONE })
@@ -236,41 +242,41 @@
                 .zone
                 .as_ref()
                 .map(|z| self.zones.find(z).unwrap_or(usize::MAX)),
-            need: Amounts::need(spec.cpus, spec.gpus, spec.memory_gb),
-            at_ms,
-            fresh: false,
-            known_ms: now,
-            done_n: done.count(),
-            dirty: vec![false; done.chunks()],
-            done,
-            slots,
-            hint: 0,
-            live: 0,
-            running: 0,
+            need: Resources::need(spec.cpus, spec.gpus, spec.memory_gb),
+            accepted_at_ms: at_ms,
+            accepted_this_term: false,
+            known_since: now,
+            completed_count: done.count(),
+            dirty_segments: vec![false; done.chunks()],
+            completed: done,
+            task_slots: slots,
+            first_waiting_hint: 0,
+            live_count: 0,
+            running_count: 0,
             cancelled,
-            cancel_wanted: false,
-            cancel_open: false,
-            end_open: false,
-            version,
-            writing: false,
-            closing: false,
-            refusals: 0,
+            cancel_requested: false,
+            cancel_indeterminate: false,
+            end_indeterminate: false,
+            record_version: version,
+            write_in_flight: false,
+            ending_in_flight: false,
+            consecutive_refusals: 0,
             backoff_until: 0,
-            file: JobFile::default(),
+            failures: JobFile::default(),
             has_run: false,
-            serial: self.last_serial,
+            generation: self.last_generation,
             reason: Reason::New,
-            supply: None,
-            away: Away::Here,
-            pieces: None,
-            whole_size: whole_size(&spec),
+            supply_reason: None,
+            offload: Away::Here,
+            spec_chunks: None,
+            inline_size: whole_size(&spec),
             // Until somebody has looked how the others stand.
-            gate: match spec.needs.is_empty() {
+            readiness: match spec.needs.is_empty() {
                 true => Gate::Open,
                 false => Gate::Unsure,
             },
-            rank: spec.priority,
-            turn_ms: at_ms,
+            effective_priority: spec.priority,
+            queued_since_ms: at_ms,
             spec,
         };
         let ix = match self.free_jobs.pop() {
@@ -280,7 +286,7 @@
                 self.jobs.len() as u32 - 1
             }
         };
-        self.by_ref.insert(job.id.clone(), ix);
+        self.job_index_by_id.insert(job.id.clone(), ix);
         self.jobs[ix as usize] = Some(job);
         ix
     }
@@ -291,7 +297,7 @@
         let Some(job) = self.jobs.get_mut(ix as usize).and_then(Option::take) else {
             return;
         };
-        self.by_ref.remove(&job.id);
+        self.job_index_by_id.remove(&job.id);
         for m in self.machines.iter_mut().flatten() {
             for a in m.tasks.iter_mut().filter(|a| a.job == ix) {
                 a.job = NONE;
@@ -313,12 +319,12 @@
         spot: bool,
         now: Ms,
     ) -> Option<u32> {
-        if let Some(ix) = self.machine_ix(name) {
+        if let Some(ix) = self.machine_index(name) {
             return Some(ix);
         }
         let type_ix = self.type_index(type_name)?;
         let t = &self.types[type_ix];
-        let capacity = Amounts::offer(t.cpus, t.gpus, t.memory_gb);
+        let capacity = Resources::offer(t.cpus, t.gpus, t.memory_gb);
         let machine = Machine {
             name: name.to_owned(),
             addr: addr.parse().ok(),
@@ -326,7 +332,7 @@
             zone: self.zones.intern(zone) as usize,
             spot,
             capacity,
-            used: Amounts::default(),
+            used: Resources::default(),
             tasks: Vec::new(),
             session: 0,
             seq: 0,
@@ -376,8 +382,8 @@
                 self.machines.len() as u32 - 1
             }
         };
-        self.by_name.insert(machine.name.clone(), ix);
-        self.stale.mark(ix);
+        self.machine_index_by_name.insert(machine.name.clone(), ix);
+        self.stale_machines.mark(ix);
         self.machines[ix as usize] = Some(machine);
         Some(ix)
     }
@@ -385,9 +391,9 @@
     /// A machine that is surely gone: nothing is on it any more.
     pub fn remove_machine(&mut self, ix: u32) {
         self.clear_machine(ix);
-        self.stale.mark(ix);
+        self.stale_machines.mark(ix);
         if let Some(m) = self.machines.get_mut(ix as usize).and_then(Option::take) {
-            self.by_name.remove(&m.name);
+            self.machine_index_by_name.remove(&m.name);
             self.free_machines.push(ix);
         }
     }
@@ -397,10 +403,10 @@
         let Some(m) = self.machines.get_mut(ix as usize).and_then(Option::as_mut) else {
             return;
         };
-        self.stale.mark(ix);
+        self.stale_machines.mark(ix);
         let tasks = std::mem::take(&mut m.tasks);
         if !tasks.is_empty() {
-            self.touch(ix);
+            self.record_change(ix);
         }
         for a in tasks {
             if a.live() {
@@ -410,9 +416,9 @@
     }
 
     /// What is, or may be, on the machine has changed.
-    fn touch(&mut self, ix: u32) {
-        self.changes += 1;
-        if let Some(touched) = &mut self.touched
+    fn record_change(&mut self, ix: u32) {
+        self.change_count += 1;
+        if let Some(touched) = &mut self.changed_machines
             && let Some(Some(m)) = self.machines.get(ix as usize)
             && !touched.contains(&m.name)
         {
@@ -424,12 +430,12 @@
         if let Some(m) = self.machine_mut(machine) {
             m.used -= a.need;
         }
-        if let Some(u) = self.usage.get_mut(a.team) {
+        if let Some(u) = self.team_usage.get_mut(a.team) {
             *u -= a.need;
         }
         if let Some(job) = self.job_mut(a.job) {
             if a.phase == Phase::Running {
-                job.running -= 1;
+                job.running_count -= 1;
             }
             job.vacate(a.task, machine);
         }
@@ -450,16 +456,16 @@
         };
         job.occupy(task, machine);
         if phase == Phase::Running {
-            job.running += 1;
+            job.running_count += 1;
         }
         let (team, need, image, gb) = (job.team, job.need, job.image, job.spec.image_gb);
         let name = format!("{}/{task}", job.id);
-        if let Some(u) = self.usage.get_mut(team) {
+        if let Some(u) = self.team_usage.get_mut(team) {
             *u += need;
         }
-        self.note_image(machine, image, gb);
-        self.touch(machine);
-        let change = self.changes;
+        self.record_image_use(machine, image, gb);
+        self.record_change(machine);
+        let change = self.change_count;
         if let Some(m) = self.machine_mut(machine) {
             m.used += need;
             m.tasks.push(Assignment {
@@ -484,7 +490,7 @@
     /// The machine has the image, or fetches it: it becomes the most recently
     /// used of its cache, and the oldest that no longer fit are gone. Guards
     /// against taking large images for gone because many small ones came.
-    fn note_image(&mut self, machine: u32, image: u32, gb: f64) {
+    fn record_image_use(&mut self, machine: u32, image: u32, gb: f64) {
         if self.image_gb.len() <= image as usize {
             self.image_gb.resize(image as usize + 1, 0.0);
         }
@@ -512,7 +518,7 @@
             _ => f64::INFINITY,
         };
         let mut held: f64 = m.images.iter().map(size).sum();
-        while m.images.len() > 1 && (m.images.len() > MOST_IMAGES || held > cache) {
+        while m.images.len() > 1 && (m.images.len() > MAX_IMAGES_PER_MACHINE || held > cache) {
             held -= size(&m.images[0]);
             m.images.remove(0);
         }
@@ -520,7 +526,7 @@
 
     /// A task reported by a machine whose job is not known, or that should
     /// not be there: it is stopped, or reaped if it has ended.
-    pub fn assign_stray(&mut self, machine: u32, name: &str, attempt: u64, phase: Phase, now: Ms) {
+    pub fn assign_orphan(&mut self, machine: u32, name: &str, attempt: u64, phase: Phase, now: Ms) {
         if let Some(m) = self.machine_mut(machine) {
             m.tasks.push(Assignment {
                 name: name.to_owned(),
@@ -528,7 +534,7 @@
                 task: 0,
                 attempt,
                 team: usize::MAX,
-                need: Amounts::default(),
+                need: Resources::default(),
                 phase,
                 stop: Some(0.0),
                 told: false,
@@ -543,7 +549,7 @@
 
     /// A task that may be on the machine though its job has it as done: it
     /// counts there and for its team until it is gone, and is stopped.
-    pub fn assign_beside(
+    pub fn assign_duplicate(
         &mut self,
         job_ix: u32,
         task: u32,
@@ -555,14 +561,14 @@
         let Some(job) = self.job_mut(job_ix) else {
             return;
         };
-        job.running += u32::from(phase == Phase::Running);
+        job.running_count += u32::from(phase == Phase::Running);
         let (team, need, name) = (job.team, job.need, format!("{}/{task}", job.id));
-        if let Some(u) = self.usage.get_mut(team) {
+        if let Some(u) = self.team_usage.get_mut(team) {
             *u += need;
         }
-        self.assign_stray(machine, &name, attempt, phase, now);
-        self.touch(machine);
-        let change = self.changes;
+        self.assign_orphan(machine, &name, attempt, phase, now);
+        self.record_change(machine);
+        let change = self.change_count;
         if let Some(m) = self.machine_mut(machine) {
             m.used += need;
             if let Some(a) = m.tasks.last_mut() {
@@ -586,17 +592,17 @@
         let is_live = !matches!(phase, Phase::Ended(_));
         if was_live && !is_live {
             m.used -= need;
-            self.touch(machine);
-            if let Some(u) = self.usage.get_mut(team) {
+            self.record_change(machine);
+            if let Some(u) = self.team_usage.get_mut(team) {
                 *u -= need;
             }
         }
         if let Some(job) = self.job_mut(job_ix) {
             if before == Phase::Running {
-                job.running -= 1;
+                job.running_count -= 1;
             }
             if phase == Phase::Running {
-                job.running += 1;
+                job.running_count += 1;
             }
             if was_live && !is_live {
                 if phase == Phase::Ended(Why::Done) && job.spec.kind != Kind::Service {
@@ -615,14 +621,14 @@
         };
         let a = m.tasks.swap_remove(at);
         if a.live() {
-            self.touch(machine);
+            self.record_change(machine);
             self.release_resources(machine, &a);
         }
     }
 
     /// Where the job's live tasks are: machine, and place in its list.
-    pub fn live_of(&self, job: u32) -> impl Iterator<Item = (u32, usize)> {
-        let tasks = self.job(job).map_or(&[][..], |j| &j.slots);
+    pub fn live_tasks_of(&self, job: u32) -> impl Iterator<Item = (u32, usize)> {
+        let tasks = self.job(job).map_or(&[][..], |j| &j.task_slots);
         let placed = tasks.iter().filter(|m| !matches!(**m, NONE | DONE));
         let mut on: Vec<u32> = placed.copied().collect();
         on.sort_unstable();
@@ -635,9 +641,9 @@
     }
 
     /// Live tasks of a job per zone.
-    pub fn zones_of(&self, job: u32) -> Vec<u32> {
+    pub fn live_tasks_by_zone(&self, job: u32) -> Vec<u32> {
         let mut n = vec![0; self.zones.len()];
-        for (ix, _) in self.live_of(job) {
+        for (ix, _) in self.live_tasks_of(job) {
             if let Some(m) = self.machine(ix) {
                 n[m.zone] += 1;
             }
--- a/src/state/cluster/replication.rs
+++ b/src/state/cluster/replication.rs
@@ -1,23 +1,23 @@
 //! The picture as standbys are told of it.
 
-use super::{Model, Phase};
+use super::{ClusterState, Phase};
 use crate::protocol::{
     peers::{MachineHolds, MayRun, Seen},
     workers::Why,
 };
 use std::collections::BTreeSet;
 
-impl Model {
+impl ClusterState {
     /// Machines that changed since this was last called. They are noted from
     /// the first call on.
     pub fn take_touched(&mut self) -> BTreeSet<String> {
-        std::mem::take(self.touched.get_or_insert_default())
+        std::mem::take(self.changed_machines.get_or_insert_default())
     }
 
     /// What a standby is told of a machine.
     pub fn held_on(&self, name: &str) -> MachineHolds {
         let mut jobs: Vec<(String, Vec<MayRun>)> = Vec::new();
-        let tasks = self.machine_ix(name).and_then(|ix| self.machine(ix));
+        let tasks = self.machine_index(name).and_then(|ix| self.machine(ix));
         let mut of: Vec<u32> = Vec::new();
         for a in tasks.map_or(&[][..], |m| &m.tasks) {
             let seen = match a.phase {
--- a/src/state/resources.rs
+++ b/src/state/resources.rs
@@ -3,7 +3,7 @@
 use std::ops::{AddAssign, SubAssign};
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
-pub struct Amounts {
+pub struct Resources {
     pub cpus: i64,
     pub gpus: i64,
     pub memory: i64,
@@ -17,10 +17,10 @@
     (v * 1000.0 + 1e-6).floor() as i64
 }
 
-impl Amounts {
+impl Resources {
     /// What a task takes: rounded up.
     pub fn need(cpus: f64, gpus: f64, memory_gb: f64) -> Self {
-        Amounts {
+        Resources {
             cpus: up(cpus),
             gpus: up(gpus),
             memory: up(memory_gb),
@@ -29,40 +29,40 @@
 
     /// What a machine or a limit offers: rounded down.
     pub fn offer(cpus: f64, gpus: f64, memory_gb: f64) -> Self {
-        Amounts {
+        Resources {
             cpus: down(cpus),
             gpus: down(gpus),
             memory: down(memory_gb),
         }
     }
 
-    pub fn fits(&self, room: &Amounts) -> bool {
+    pub fn fits(&self, room: &Resources) -> bool {
         self.cpus <= room.cpus && self.gpus <= room.gpus && self.memory <= room.memory
     }
 
     /// Raises each amount to the other's.
-    pub fn widen(&mut self, other: &Amounts) {
+    pub fn widen(&mut self, other: &Resources) {
         self.cpus = self.cpus.max(other.cpus);
         self.gpus = self.gpus.max(other.gpus);
         self.memory = self.memory.max(other.memory);
     }
 
     /// The lesser of each amount.
-    pub fn least(&self, other: &Amounts) -> Amounts {
-        Amounts {
+    pub fn least(&self, other: &Resources) -> Resources {
+        Resources {
             cpus: self.cpus.min(other.cpus),
             gpus: self.gpus.min(other.gpus),
             memory: self.memory.min(other.memory),
         }
     }
 
-    pub fn minus(mut self, other: Amounts) -> Amounts {
+    pub fn minus(mut self, other: Resources) -> Resources {
         self -= other;
         self
     }
 
     /// How many of `each` fit into this.
-    pub fn count(&self, each: &Amounts) -> i64 {
+    pub fn count(&self, each: &Resources) -> i64 {
         [
             (self.cpus, each.cpus),
             (self.gpus, each.gpus),
@@ -75,8 +75,8 @@
         .unwrap_or(i64::MAX)
     }
 
-    pub fn scaled(self, n: i64) -> Amounts {
-        Amounts {
+    pub fn scaled(self, n: i64) -> Resources {
+        Resources {
             cpus: self.cpus * n,
             gpus: self.gpus * n,
             memory: self.memory * n,
@@ -84,16 +84,16 @@
     }
 }
 
-impl AddAssign for Amounts {
-    fn add_assign(&mut self, o: Amounts) {
+impl AddAssign for Resources {
+    fn add_assign(&mut self, o: Resources) {
         self.cpus += o.cpus;
         self.gpus += o.gpus;
         self.memory += o.memory;
     }
 }
 
-impl SubAssign for Amounts {
-    fn sub_assign(&mut self, o: Amounts) {
+impl SubAssign for Resources {
+    fn sub_assign(&mut self, o: Resources) {
         self.cpus -= o.cpus;
         self.gpus -= o.gpus;
         self.memory -= o.memory;
@@ -107,14 +107,14 @@
     #[test]
     fn what_fits_any_machine_fits_the_most_that_is_free_of_each_resource() {
         let mut rng = fastrand::Rng::with_seed(1);
-        let mut any = |most: i64| Amounts {
+        let mut any = |most: i64| Resources {
             cpus: rng.i64(0..=most),
             gpus: rng.i64(0..=most),
             memory: rng.i64(0..=most),
         };
         let (mut fitting, mut passed_over) = (0, 0);
         for _ in 0..2000 {
-            let machines: Vec<Amounts> = (0..5).map(|_| any(8)).collect();
+            let machines: Vec<Resources> = (0..5).map(|_| any(8)).collect();
             let need = any(10);
             let mut most = machines[0];
             machines.iter().for_each(|m| most.widen(m));
--- a/tests/fault_combinations.rs
+++ b/tests/fault_combinations.rs
@@ -340,8 +340,8 @@
             w.asks_to_cancel(&id(1));
         } else {
             let l = w.nodes[leader].leader.as_mut().unwrap();
-            let ix = l.model.job_ix(&id(1)).unwrap();
-            (0..4).for_each(|t| l.model.job_mut(ix).unwrap().mark_done(t));
+            let ix = l.cluster.job_index(&id(1)).unwrap();
+            (0..4).for_each(|t| l.cluster.job_mut(ix).unwrap().mark_done(t));
             w.finished.extend((0..4).map(|t| format!("{}/{t}", id(1))));
         }
         let l = w.nodes[leader].leader.as_mut().unwrap();
@@ -371,8 +371,8 @@
     w.run(2_000);
     let done = |w: &mut World, task: u32| {
         let l = w.nodes[leader].leader.as_mut().unwrap();
-        let ix = l.model.job_ix(&id(3)).unwrap();
-        l.model.job_mut(ix).unwrap().mark_done(task);
+        let ix = l.cluster.job_index(&id(3)).unwrap();
+        l.cluster.job_mut(ix).unwrap().mark_done(task);
         l.plan_flush(12).expect("progress is to be written")
     };
     let older = done(&mut w, 8_500);
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -24,13 +24,13 @@
 fn suspected(w: &mut World, id: &str) -> bool {
     let Some(i) = w.leader() else { return false };
     let l = w.nodes[i].leader.as_ref().unwrap();
-    let j = l.model.job_ix(id).and_then(|ix| l.model.job(ix));
-    j.is_some_and(|j| j.file.suspected)
+    let j = l.cluster.job_index(id).and_then(|ix| l.cluster.job(ix));
+    j.is_some_and(|j| j.failures.suspected)
 }
 
 fn set_aside(w: &mut World) -> Vec<String> {
     let Some(i) = w.leader() else { return vec![] };
-    let model = &w.nodes[i].leader.as_ref().unwrap().model;
+    let model = &w.nodes[i].leader.as_ref().unwrap().cluster;
     let aside = model.each_machine().filter(|m| m.file.set_aside);
     aside.map(|m| m.name.clone()).collect()
 }
--- a/tests/job_liveness.rs
+++ b/tests/job_liveness.rs
@@ -109,8 +109,9 @@
     let up = |w: &mut World| {
         let leader = w.leader().unwrap();
         let l = w.nodes[leader].leader.as_ref().unwrap();
-        let ix = l.model.machine_ix(&name);
-        ix.and_then(|ix| l.model.machine(ix)).is_some_and(|m| m.up)
+        let ix = l.cluster.machine_index(&name);
+        ix.and_then(|ix| l.cluster.machine(ix))
+            .is_some_and(|m| m.up)
     };
     w.run(6_000);
     // In between it renews nothing.
@@ -154,9 +155,9 @@
     let now = w.now;
     let l = w.nodes[i].leader.as_mut().unwrap();
     l.on_beat(&lost, now);
-    let ix = l.model.machine_ix(&lost.machine).unwrap();
+    let ix = l.cluster.machine_index(&lost.machine).unwrap();
     assert!(
-        l.model
+        l.cluster
             .machine(ix)
             .is_some_and(|m| !m.up && m.tasks.is_empty())
     );
@@ -202,8 +203,8 @@
     let l = w.nodes[i].leader.as_mut().unwrap();
     assert!(l.on_beat(&copy, now).is_none());
     let machine = |l: &pathwinch::control::leader::Leader| {
-        let ix = l.model.machine_ix(&copy.machine).unwrap();
-        l.model.machine(ix).map(|m| (m.up, m.session))
+        let ix = l.cluster.machine_index(&copy.machine).unwrap();
+        l.cluster.machine(ix).map(|m| (m.up, m.session))
     };
     assert_eq!(machine(l), Some((true, 1)));
     w.run(5_000);
