--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -8,7 +8,7 @@
         fragmentation, load,
     },
     options::LoadResource,
-    state::resources::Amounts,
+    state::resources::Resources,
 };
 
 const CAPACITIES: [(f64, f64, f64); 2] = [(64.0, 0.0, 256.0), (48.0, 4.0, 384.0)];
@@ -19,15 +19,15 @@
         threshold: 0.4,
         load: LoadResource::Scarcest,
         shapes: vec![
-            Amounts::need(2.0, 1.0, 4.0),
-            Amounts::need(4.0, 0.0, 8.0),
-            Amounts::need(16.0, 0.0, 100.0),
+            Resources::need(2.0, 1.0, 4.0),
+            Resources::need(4.0, 0.0, 8.0),
+            Resources::need(16.0, 0.0, 100.0),
         ],
     }
 }
 
-fn offer(of: (f64, f64, f64)) -> Amounts {
-    Amounts::offer(of.0, of.1, of.2)
+fn offer(of: (f64, f64, f64)) -> Resources {
+    Resources::offer(of.0, of.1, of.2)
 }
 
 /// A machine of one type that is in use.
@@ -43,7 +43,7 @@
     }
 }
 
-fn request(need: Amounts) -> Request {
+fn request(need: Resources) -> Request {
     Request {
         need,
         types: vec![true],
@@ -55,7 +55,7 @@
 }
 
 /// The machine chosen among these for one task.
-fn chosen(rooms: &[Room], need: Amounts) -> Option<u32> {
+fn chosen(rooms: &[Room], need: Resources) -> Option<u32> {
     let mut fleet = Fleet::new(policy());
     for (machine, room) in rooms.iter().enumerate() {
         fleet.set(machine as u32, Some(room.clone()), 0);
@@ -72,12 +72,15 @@
     let busy = room(SMALL, (4.0, 2.0, 8.0));
     let lazy = room(SMALL, SMALL);
     let rooms = [busy.clone(), lazy];
-    assert_eq!(chosen(&rooms, Amounts::need(4.0, 0.0, 8.0)), Some(1));
+    assert_eq!(chosen(&rooms, Resources::need(4.0, 0.0, 8.0)), Some(1));
     // Busy machines are still used when no Lazy one has room.
     let full = room(SMALL, (0.5, 0.0, 1.0));
-    assert_eq!(chosen(&[full, busy], Amounts::need(2.0, 1.0, 4.0)), Some(1));
+    assert_eq!(
+        chosen(&[full, busy], Resources::need(2.0, 1.0, 4.0)),
+        Some(1)
+    );
     let short = room(SMALL, (8.0, 4.0, 8.0));
-    assert_eq!(chosen(&[short], Amounts::need(1.0, 0.0, 20.0)), None);
+    assert_eq!(chosen(&[short], Resources::need(1.0, 0.0, 20.0)), None);
 }
 
 #[test]
@@ -85,7 +88,7 @@
     // Taking CPUs from machine 0 strands its GPUs, from machine 1 not.
     let a = room(SMALL, (5.5, 4.0, 32.0));
     let b = room(SMALL, (8.0, 3.0, 32.0));
-    let need = Amounts::need(4.0, 0.0, 4.0);
+    let need = Resources::need(4.0, 0.0, 4.0);
     assert_eq!(chosen(&[a, b], need), Some(1));
     let plain = room(SMALL, SMALL);
     let mut cached = plain.clone();
@@ -95,16 +98,19 @@
 
 #[test]
 fn shapes_that_could_not_fit_at_all_do_not_count() {
-    let c = Amounts::offer(8.0, 0.0, 32.0);
-    let shapes = [Amounts::need(1.0, 1.0, 1.0), Amounts::need(2.0, 0.0, 16.0)];
+    let c = Resources::offer(8.0, 0.0, 32.0);
+    let shapes = [
+        Resources::need(1.0, 1.0, 1.0),
+        Resources::need(2.0, 0.0, 16.0),
+    ];
     // By memory, its main resource, 1 of the second shape fits, and it is
     // valid; the GPU shape has ideal 0.
     assert_eq!(
-        fragmentation(&c, &Amounts::offer(8.0, 0.0, 20.0), &shapes),
+        fragmentation(&c, &Resources::offer(8.0, 0.0, 20.0), &shapes),
         0.0
     );
     assert_eq!(
-        fragmentation(&c, &Amounts::offer(1.0, 0.0, 32.0), &shapes),
+        fragmentation(&c, &Resources::offer(1.0, 0.0, 32.0), &shapes),
         1.0
     );
 }
@@ -205,8 +211,8 @@
         let type_ix = rng.usize(..2);
         let capacity = offer(CAPACITIES[type_ix]);
         let used = match rng.u32(..3) {
-            0 => Amounts::default(),
-            _ => Amounts::need(f64::from(rng.u32(..48)), 0.0, f64::from(rng.u32(..200))),
+            0 => Resources::default(),
+            _ => Resources::need(f64::from(rng.u32(..48)), 0.0, f64::from(rng.u32(..200))),
         };
         let free = capacity.minus(used);
         let room = Room {
@@ -228,7 +234,7 @@
         let rng = &mut self.rng;
         let gpus = f64::from(rng.u32(..2));
         Request {
-            need: Amounts::need(f64::from(rng.u32(1..12)), gpus, f64::from(rng.u32(1..40))),
+            need: Resources::need(f64::from(rng.u32(1..12)), gpus, f64::from(rng.u32(1..40))),
             types: vec![rng.u32(..4) > 0, rng.u32(..4) > 0],
             spot: rng.bool(),
             image: rng.u32(..6),
@@ -327,7 +333,7 @@
 #[test]
 fn a_ranking_that_was_left_behind_is_built_anew() {
     let mut fleet = Fleet::new(policy());
-    let wanted = request(Amounts::need(2.0, 0.0, 4.0));
+    let wanted = request(Resources::need(2.0, 0.0, 4.0));
     for machine in 0..100 {
         fleet.set(machine, Some(room(SMALL, SMALL)), 0);
     }
@@ -352,7 +358,7 @@
 #[test]
 fn what_is_withheld_for_a_gang_is_not_offered_until_it_is_released() {
     let mut fleet = Fleet::new(policy());
-    let need = Amounts::need(4.0, 0.0, 4.0);
+    let need = Resources::need(4.0, 0.0, 4.0);
     fleet.set(0, Some(room(SMALL, SMALL)), 0);
     fleet.withhold(0, need.scaled(2));
     // A look at the machine as it is gives nothing back.
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -256,7 +256,7 @@
         l.tick(now, now);
         assert!(!l.settled());
         if still_listed {
-            let silent = l.model.each_machine().find(|m| m.unknown).unwrap();
+            let silent = l.cluster.each_machine().find(|m| m.unknown).unwrap();
             let listed = serde_json::json!({
                 "ref": silent.name, "addr": "127.0.0.1:9", "rig": "m8", "hall": "a",
                 "lendback": false, "stage": "running", "age_s": 60.0});
@@ -356,7 +356,7 @@
         load_machines(&mut l, machines);
         l.load_job(record(job(1, Kind::Service, 2 * machines)), 4, 0);
         l.finish_loading(0);
-        let before = l.model.looked_at();
+        let before = l.cluster.inspections();
         for n in 0..machines {
             let report = serde_json::json!({
                 "post": format!("i-{n:06}"), "addr": "127.0.0.1:9", "rig": "m8", "hall": "a",
@@ -368,14 +368,14 @@
             let report = serde_json::from_value(report).unwrap();
             assert!(l.on_beat(&report, 1_000).is_some());
         }
-        let looked = l.model.looked_at() - before;
+        let looked = l.cluster.inspections() - before;
         l.tick(1_050, 1_050);
         assert!(l.settled());
         assert_eq!(
-            l.model
-                .job(l.model.job_ix("j-000001").unwrap())
+            l.cluster
+                .job(l.cluster.job_index("j-000001").unwrap())
                 .unwrap()
-                .running,
+                .running_count,
             2 * machines
         );
         looked / u64::from(machines)
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -329,7 +329,7 @@
     w.until(3_000, "the service runs", |w| w.running("j-000002") == 1);
     assert_eq!(w.running("j-000001"), 1, "one task made room, not both");
     let i = w.leader().unwrap();
-    let model = &w.nodes[i].leader.as_ref().unwrap().model;
+    let model = &w.nodes[i].leader.as_ref().unwrap().cluster;
     assert!(model.each_machine().all(|m| m.held_for.is_none()));
     w.sound();
 }
@@ -563,8 +563,8 @@
     // The last chunk is written too, and read back by the next leader.
     for t in 99_990..100_000 {
         let l = w.nodes[old].leader.as_mut().unwrap();
-        let ix = l.model.job_ix("j-000001").unwrap();
-        l.model.job_mut(ix).unwrap().mark_done(t);
+        let ix = l.cluster.job_index("j-000001").unwrap();
+        l.cluster.job_mut(ix).unwrap().mark_done(t);
     }
     w.run(2_000);
     let before = {
@@ -854,23 +854,23 @@
     let (i, now) = (w.leader().unwrap(), w.now);
     let report = w.report_of(0);
     let l = w.nodes[i].leader.as_mut().unwrap();
-    let before = l.model.looked_at();
+    let before = l.cluster.inspections();
     for n in 1..=50 {
         let mut again = report.clone();
         again.seq += n;
         assert!(l.on_beat(&again, now).is_some());
     }
-    let reports = l.model.looked_at() - before;
-    let job = l.model.job_ix("j-000002").unwrap();
-    let before = l.model.looked_at();
+    let reports = l.cluster.inspections() - before;
+    let job = l.cluster.job_index("j-000002").unwrap();
+    let before = l.cluster.inspections();
     // Something changed: the next tick is a whole pass.
     l.reread_done(&Plan {
         txn: Txn::default(),
         items: Vec::new(),
     });
     l.tick(now, now);
-    assert!(l.model.job(job).is_some_and(|j| j.waiting() == 3));
-    let pass = l.model.looked_at() - before;
+    assert!(l.cluster.job(job).is_some_and(|j| j.waiting_count() == 3));
+    let pass = l.cluster.inspections() - before;
     (reports, pass as f64 / machines as f64)
 }
 
--- a/tests/scheduling_cycles.rs
+++ b/tests/scheduling_cycles.rs
@@ -105,7 +105,7 @@
     let record = record(number, run_shape, urgency, tasks, cores);
     let id = record.spec.id.clone();
     l.accepted(record, 2, 200);
-    l.model.job_ix(&id).unwrap()
+    l.cluster.job_index(&id).unwrap()
 }
 
 fn record(number: u32, run_shape: &str, urgency: &str, tasks: u32, cores: f64) -> JobRecord {
@@ -122,11 +122,11 @@
 /// The machine of a job of one task, alone there, reports its end.
 fn end_task(l: &mut Leader, job: u32) {
     let has_it = |ix: &u32| {
-        let m = l.model.machine(*ix).unwrap();
+        let m = l.cluster.machine(*ix).unwrap();
         m.tasks.iter().any(|a| a.job == job)
     };
     let ix = (0..MACHINES as u32).find(has_it).unwrap();
-    let task = &l.model.machine(ix).unwrap().tasks[0];
+    let task = &l.cluster.machine(ix).unwrap().tasks[0];
     let mut ended = report(ix as usize, 2);
     ended.tasks.push(ReportedTask {
         task: task.name.clone(),
@@ -139,7 +139,7 @@
 }
 
 fn placed(l: &Leader, job: u32) -> u32 {
-    l.model.job(job).map_or(0, |j| j.live)
+    l.cluster.job(job).map_or(0, |j| j.live_count)
 }
 
 #[test]
@@ -176,10 +176,10 @@
     assert!(placed(&l, first) < 1_500);
     // The machine that would take the next task is to be taken away.
     let next = (0..MACHINES as u32)
-        .filter(|ix| l.model.machine(*ix).unwrap().live_tasks() < CORES)
-        .max_by_key(|ix| l.model.machine(*ix).unwrap().live_tasks())
+        .filter(|ix| l.cluster.machine(*ix).unwrap().live_tasks() < CORES)
+        .max_by_key(|ix| l.cluster.machine(*ix).unwrap().live_tasks())
         .unwrap();
-    let had = l.model.machine(next).unwrap().live_tasks();
+    let had = l.cluster.machine(next).unwrap().live_tasks();
     let mut leaving = report(next as usize, 2);
     leaving.notice_s = Some(60.0);
     assert!(l.on_beat(&leaving, 210).is_some());
@@ -189,7 +189,7 @@
     }
     assert_eq!(placed(&l, second), 0);
     assert_eq!((placed(&l, first), placed(&l, third)), (1_500, 900));
-    assert!(l.model.machine(next).unwrap().live_tasks() <= had);
+    assert!(l.cluster.machine(next).unwrap().live_tasks() <= had);
 }
 
 /// Guards against a place in the order that a later job inherits with the
@@ -202,7 +202,7 @@
     let third = accept(&mut l, 3, "array", 900);
     l.tick(200, 200);
     assert!(placed(&l, first) < 1_500);
-    l.model.remove_job(second);
+    l.cluster.remove_job(second);
     let late = accept(&mut l, 4, "array", 900);
     assert_eq!(late, second, "its index is used again");
     let mut now = 220;
@@ -293,7 +293,7 @@
     next.finish_loading(0);
     for n in 0..MACHINES {
         let mut report = report_in_term(2, n, 9);
-        let placed = &first.model.machine(n as u32).unwrap().tasks;
+        let placed = &first.cluster.machine(n as u32).unwrap().tasks;
         report.tasks.extend(placed.iter().map(|a| ReportedTask {
             task: a.name.clone(),
             attempt: a.attempt,
@@ -306,7 +306,7 @@
     for now in 300..304 {
         next.tick(now, now);
     }
-    let all = next.model.each_machine().flat_map(|m| &m.tasks);
+    let all = next.cluster.each_machine().flat_map(|m| &m.tasks);
     let all: Vec<&str> = all.map(|a| a.name.as_str()).collect();
     let each: BTreeSet<&str> = all.iter().copied().collect();
     assert_eq!((each.len(), all.len()), (1_500, 1_500));
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -532,24 +532,24 @@
         }
         if let Some(i) = self.leader() {
             let l = self.nodes[i].leader.as_ref().unwrap();
-            for j in l.model.jobs.iter().flatten() {
+            for j in l.cluster.jobs.iter().flatten() {
                 eprintln!(
                     "{} done {} live {} waiting {} writing {} dirty {} version {} cancelled {} wanted {} backoff {} (now {}) settled {}",
                     j.id,
-                    j.done_n,
-                    j.live,
-                    j.waiting(),
-                    j.writing,
+                    j.completed_count,
+                    j.live_count,
+                    j.waiting_count(),
+                    j.write_in_flight,
                     j.is_dirty(),
-                    j.version,
+                    j.record_version,
                     j.cancelled,
-                    j.cancel_wanted,
+                    j.cancel_requested,
                     j.backoff_until,
                     self.now,
                     l.settled()
                 );
             }
-            for m in l.model.each_machine() {
+            for m in l.cluster.each_machine() {
                 eprintln!(
                     "{} up {} unknown {} roster {:?} v {} writing {} releasing {} tasks {:?}",
                     m.name, m.up, m.unknown, m.roster, m.version, m.writing, m.releasing, m.tasks
--- a/tests/simulation/nodes.rs
+++ b/tests/simulation/nodes.rs
@@ -71,7 +71,7 @@
             node.notices = Some(Notices::new(l.term));
             l.finish_loading(now);
             if self.sabotage {
-                for m in l.model.each_machine_mut() {
+                for m in l.cluster.each_machine_mut() {
                     m.unknown = false;
                 }
             }
--- a/tests/simulation/standbys.rs
+++ b/tests/simulation/standbys.rs
@@ -208,9 +208,9 @@
             };
             for w in &self.workers {
                 let m = l
-                    .model
-                    .machine_ix(&w.name)
-                    .and_then(|ix| l.model.machine(ix));
+                    .cluster
+                    .machine_index(&w.name)
+                    .and_then(|ix| l.cluster.machine(ix));
                 for (name, attempt) in live(w) {
                     let known = m.is_some_and(|m| {
                         m.tasks
--- a/tests/simulation/workers.rs
+++ b/tests/simulation/workers.rs
@@ -15,8 +15,10 @@
     pub fn leader_token(&mut self, w: usize) -> u64 {
         let i = self.leader().expect("somebody leads");
         let l = self.nodes[i].leader.as_ref().unwrap();
-        let ix = l.model.machine_ix(&self.workers[w].name);
-        let fence = ix.and_then(|ix| l.model.machine(ix)).map_or(0, |m| m.fence);
+        let ix = l.cluster.machine_index(&self.workers[w].name);
+        let fence = ix
+            .and_then(|ix| l.cluster.machine(ix))
+            .map_or(0, |m| m.fence);
         (l.term << 20) | fence
     }
 
--- a/tests/standby.rs
+++ b/tests/standby.rs
@@ -549,8 +549,8 @@
 }
 
 fn tasks_on(l: &Leader, n: u32) -> Vec<(u32, u64)> {
-    let m = l.model.machine_ix(&machine(n));
-    let m = m.and_then(|ix| l.model.machine(ix)).unwrap();
+    let m = l.cluster.machine_index(&machine(n));
+    let m = m.and_then(|ix| l.cluster.machine(ix)).unwrap();
     m.tasks.iter().map(|a| (a.task, a.attempt)).collect()
 }
 
@@ -592,8 +592,8 @@
     l.tick(50, 50);
     l.tick(5_000, 5_000);
     assert!(tasks_on(&l, 1).is_empty());
-    let ix = l.model.machine_ix(&machine(0)).unwrap();
-    let m = l.model.machine(ix).unwrap();
+    let ix = l.cluster.machine_index(&machine(0)).unwrap();
+    let m = l.cluster.machine(ix).unwrap();
     assert!(m.tasks.len() == 2 && m.tasks.iter().all(|a| a.stop.is_none()));
 }
 
@@ -607,11 +607,11 @@
         let mut spec = job(1, Kind::Service, 8 * machines);
         spec.priority = Priority::Production;
         let mut l = taking_over(machines, told, spec);
-        let before = l.model.looked_at();
+        let before = l.cluster.inspections();
         l.tick(50, 50);
         assert!(l.is_warm() && !l.settled());
         assert_eq!(l.status("j-000001").map(|s| s.running), Some(8 * machines));
-        (l.model.looked_at() - before) / u64::from(machines)
+        (l.cluster.inspections() - before) / u64::from(machines)
     };
     let (few, many) = (looks(20), looks(1_252));
     assert!(many <= few + 1, "{few} looks a machine, then {many}");
