--- a/src/control/leader/expiry.rs
+++ b/src/control/leader/expiry.rs
@@ -24,7 +24,7 @@
         let mut heard = 0;
         let mut names = Vec::new();
         for m in self.cluster.each_machine().filter(|m| m.up) {
-            if now > m.heard.max(self.recovery.resumed) + report + report / 2 + 500 {
+            if now > m.last_heartbeat.max(self.recovery.resumed) + report + report / 2 + 500 {
                 names.push(m.name.clone());
             } else {
                 heard += 1;
@@ -44,15 +44,16 @@
             let Some(m) = self.cluster.machine(ix) else {
                 continue;
             };
-            let suspect = m.up && now > m.heard.max(resumed) + overdue;
-            if suspect || (!m.up && (m.session > 0 || m.roster == Roster::Present)) {
+            let suspect = m.up && now > m.last_heartbeat.max(resumed) + overdue;
+            if suspect || (!m.up && (m.incarnation > 0 || m.registration == Registration::Present))
+            {
                 silent[m.zone] += 1;
             }
             up += usize::from(m.up);
-            unheard += usize::from(m.unknown);
-            overdue_now += usize::from(suspect || m.up && m.is_deaf());
-            let changed = m.suspect != suspect;
-            let lapsed = (m.up || m.unknown) && now > m.leased_since() + after;
+            unheard += usize::from(m.contents_unknown);
+            overdue_now += usize::from(suspect || m.up && m.misses_responses());
+            let changed = m.overdue != suspect;
+            let lapsed = (m.up || m.contents_unknown) && now > m.lease_start() + after;
             if !changed && !lapsed {
                 continue;
             }
@@ -60,8 +61,8 @@
                 continue;
             };
             if changed {
-                m.suspect = suspect;
-                m.suspect_since = now;
+                m.overdue = suspect;
+                m.overdue_since = now;
                 self.changed = true;
                 log::debug!("machine {} overdue: {suspect}", m.name);
             }
@@ -74,10 +75,10 @@
                 m.live_tasks()
             );
             m.up = false;
-            m.unknown = false;
+            m.contents_unknown = false;
             // Also one of which only reports came that were no news.
-            m.min_session = m.session.max(m.latest.0) + 1;
-            m.since = now;
+            m.min_incarnation = m.incarnation.max(m.latest_heartbeat.0) + 1;
+            m.state_since = now;
             self.cluster.clear_machine(ix);
             self.changed = true;
         }
@@ -92,14 +93,14 @@
     /// notice may be half as long as it says. The others may yet complete.
     pub(super) fn save_before_notice(&mut self) {
         for ix in self.cluster.machine_range() {
-            let Some(m) = self.cluster.machine(ix).filter(|m| m.notice.is_some()) else {
+            let Some(m) = self.cluster.machine(ix).filter(|m| m.reclaim_at.is_some()) else {
                 continue;
             };
             let saving: Vec<usize> = m
                 .tasks
                 .iter()
                 .enumerate()
-                .filter(|(_, a)| a.phase == Phase::Running && a.stop.is_none())
+                .filter(|(_, a)| a.phase == Phase::Running && a.stop_grace_s.is_none())
                 .filter(|(_, a)| {
                     self.cluster
                         .job(a.job)
@@ -134,8 +135,9 @@
         }
         for m in self.cluster.each_machine_mut() {
             for a in m.tasks.iter_mut() {
-                if a.job != NONE && a.live() && a.stop.is_none() && stop.contains(&a.job) {
-                    a.stop = Some(0.0);
+                if a.job != NONE && a.is_live() && a.stop_grace_s.is_none() && stop.contains(&a.job)
+                {
+                    a.stop_grace_s = Some(0.0);
                 }
             }
         }
@@ -147,7 +149,7 @@
             for at in (0..m.tasks.len()).rev() {
                 let drop = self.cluster.machine(ix).is_some_and(|m| {
                     let a = &m.tasks[at];
-                    a.phase == Phase::New && a.stop.is_some() && a.doubt == 0
+                    a.phase == Phase::New && a.stop_grace_s.is_some() && a.indeterminate_token == 0
                 });
                 if drop {
                     self.cluster.unassign(ix, at);
--- a/src/control/leader/failover.rs
+++ b/src/control/leader/failover.rs
@@ -59,7 +59,11 @@
             return self.recovery.settled;
         }
         let mut on = self.cluster.live_tasks_of(job_ix);
-        on.all(|(ix, _)| self.cluster.machine(ix).is_some_and(|m| !m.unknown))
+        on.all(|(ix, _)| {
+            self.cluster
+                .machine(ix)
+                .is_some_and(|m| !m.contents_unknown)
+        })
     }
 
     /// The first thing done with authority once the records are read.
@@ -115,7 +119,7 @@
         for (machine, job, may_run) in all.into_iter().filter(|(.., t)| t.3 != Seen::Done) {
             held += usize::from(self.put_back(machine, job, may_run, now));
         }
-        let unheard = self.cluster.each_machine().filter(|m| m.unknown);
+        let unheard = self.cluster.each_machine().filter(|m| m.contents_unknown);
         (held, unheard.count())
     }
 
@@ -129,7 +133,7 @@
         ) else {
             return false;
         };
-        let unheard = self.cluster.machine(ix).is_some_and(|m| m.unknown);
+        let unheard = self.cluster.machine(ix).is_some_and(|m| m.contents_unknown);
         let Some(j) = self.cluster.job_mut(job_ix).filter(|_| unheard) else {
             return false;
         };
@@ -158,7 +162,7 @@
                 .machine_mut(ix)
                 .and_then(|m| m.tasks.last_mut())
         {
-            a.stop = Some(0.0);
+            a.stop_grace_s = Some(0.0);
         }
         true
     }
--- a/src/control/leader/faults.rs
+++ b/src/control/leader/faults.rs
@@ -16,7 +16,7 @@
                 let suspected = job.failures.suspected;
                 // The word of a suspected job is worth nothing.
                 if let Some(m) = self.cluster.machine_mut(machine).filter(|_| !suspected) {
-                    m.file.note(&id, proven, 1, now);
+                    m.failures.note(&id, proven, 1, now);
                 }
                 if !proven && !self.events.accused.contains(&job_ix) {
                     self.events.accused.push(job_ix);
@@ -48,7 +48,7 @@
     /// A task of the job, started then, runs there or has completed.
     pub(super) fn on_ran(&mut self, machine: u32, job_ix: u32, started: Ms, now: Ms) {
         if let Some(m) = self.cluster.machine_mut(machine) {
-            m.file.ran(started);
+            m.failures.ran(started);
         }
         if let Some(j) = self.cluster.job_mut(job_ix).filter(|j| !j.failures.proven) {
             let accused = j.failures.failures().to_vec();
@@ -63,10 +63,10 @@
             // started there later runs too.
             for f in accused {
                 if let Some(m) = self.cluster.machine_mut(f.machine)
-                    && m.file.good().is_none_or(|good| good <= f.last)
+                    && m.failures.good().is_none_or(|good| good <= f.last)
                 {
-                    m.file.pardon(&id);
-                    m.file.note(&id, true, f.count, f.last);
+                    m.failures.pardon(&id);
+                    m.failures.note(&id, true, f.count, f.last);
                 }
                 self.judge_machine(f.machine, now);
             }
@@ -98,7 +98,9 @@
         let mut file = j.failures.clone();
         let changed = file.judge(now, |m| {
             let m = self.cluster.machine(m);
-            m.map_or((false, None), |m| (m.file.surely_at_fault(), m.file.good()))
+            m.map_or((false, None), |m| {
+                (m.failures.surely_at_fault(), m.failures.good())
+            })
         });
         let (id, suspected) = (j.id.clone(), file.suspected);
         let accused = file.failures().to_vec();
@@ -111,7 +113,7 @@
         self.verdict(job_ix);
         for f in accused.iter().filter(|_| suspected) {
             if let Some(m) = self.cluster.machine_mut(f.machine) {
-                m.file.pardon(&id);
+                m.failures.pardon(&id);
             }
             self.judge_machine(f.machine, now);
         }
@@ -136,17 +138,17 @@
         let Some(m) = self.cluster.machine_mut(machine) else {
             return;
         };
-        if !m.file.judge(now) {
+        if !m.failures.judge(now) {
             return;
         }
-        m.verdict_new = true;
+        m.quarantine_unrecorded = true;
         self.changed = true;
-        match m.file.set_aside {
+        match m.failures.set_aside {
             true => log::info!("machine {} set aside: tasks fail on it", m.name),
             false => log::info!("machine {} is used again: a job was at fault", m.name),
         }
         // What failed there says nothing of the jobs, also once it is gone.
-        if m.file.surely_at_fault() {
+        if m.failures.surely_at_fault() {
             for j in self.events.accused.clone() {
                 if let Some(j) = self.cluster.job_mut(j) {
                     j.failures.forget(machine);
@@ -160,14 +162,14 @@
     /// Machines that are set aside, but can't be returned, are tried again.
     pub(super) fn try_again(&mut self, now: Ms) {
         let all = self.cluster.indexed_machines();
-        let aside = all.filter(|(_, m)| m.file.set_aside && m.live_tasks() > 0);
+        let aside = all.filter(|(_, m)| m.failures.set_aside && m.live_tasks() > 0);
         let aside: Vec<u32> = aside.map(|(ix, _)| ix).collect();
         for ix in aside {
             if let Some(m) = self.cluster.machine_mut(ix)
-                && m.file.tried_again(now)
+                && m.failures.tried_again(now)
             {
                 log::info!("machine {} is tried again", m.name);
-                m.verdict_new = true;
+                m.quarantine_unrecorded = true;
             }
         }
     }
--- a/src/control/leader/fleet_view.rs
+++ b/src/control/leader/fleet_view.rs
@@ -27,7 +27,7 @@
         let planning = &mut self.planning;
         planning.fleet.set_policy(&planning.policy);
         for ix in self.cluster.take_stale() {
-            let usable = self.cluster.machine(ix).filter(|m| m.usable());
+            let usable = self.cluster.machine(ix).filter(|m| m.schedulable());
             let room = usable.map(room_of);
             if !planning.in_pass {
                 planning.fleet.set(ix, room, now);
--- a/src/control/leader/gang_reservation.rs
+++ b/src/control/leader/gang_reservation.rs
@@ -94,7 +94,7 @@
         let fleet = &self.planning.fleet;
         let open = |machine: &u32| {
             let m = self.cluster.machine(*machine);
-            m.is_some_and(|m| j.allows(m) && m.open_to(job_ix, now))
+            m.is_some_and(|m| j.allows(m) && m.available_to(job_ix, now))
         };
         let machines = fleet.ranked(ranking, |z| zone.is_none_or(|only| only == z));
         let with_room = machines.into_iter().filter(open).filter_map(|machine| {
@@ -151,7 +151,7 @@
     /// aim for starting allows, rooms with the image for all of them may be
     /// the lesser loss. Returns whether the gang is to wait for such rooms.
     pub(super) fn gang_room_with_image(&mut self, job_ix: u32, chosen: &[u32], now: Ms) -> bool {
-        let held = |m: &Machine| m.is_held_for(job_ix, now);
+        let held = |m: &Machine| m.is_reserved_for(job_ix, now);
         let Some(j) = self.cluster.job(job_ix) else {
             return false;
         };
--- a/src/control/leader/headroom.rs
+++ b/src/control/leader/headroom.rs
@@ -105,13 +105,13 @@
             let mut most = 0;
             for m in self.cluster.each_machine() {
                 let of_class = |a: &&Assignment| {
-                    a.live()
+                    a.is_live()
                         && self.cluster.job(a.job).is_some_and(|j| {
                             j.spec.kind == Kind::Service && j.need == c.need && j.types == c.types
                         })
                 };
                 most = most.max(m.tasks.iter().filter(of_class).count() as i64);
-                if m.usable() && r.covers(m.type_ix, m.spot) {
+                if m.schedulable() && r.covers(m.type_ix, m.spot) {
                     let mut free = m.free();
                     free += self.held_by_batches(m);
                     r.fits += free.count(&r.need).min(1000);
@@ -128,7 +128,7 @@
 
     pub(super) fn held_by_batches(&self, m: &Machine) -> Resources {
         let mut held = Resources::default();
-        for a in m.tasks.iter().filter(|a| a.live()) {
+        for a in m.tasks.iter().filter(|a| a.is_live()) {
             if self
                 .cluster
                 .job(a.job)
--- a/src/control/leader/inventory.rs
+++ b/src/control/leader/inventory.rs
@@ -45,13 +45,13 @@
         }
         let machines = self.cluster.indexed_machines();
         let gone: Vec<u32> = machines
-            .filter(|(_, m)| m.unknown && m.listed < asked)
+            .filter(|(_, m)| m.contents_unknown && m.last_listed < asked)
             .map(|(ix, _)| ix)
             .collect();
         for ix in &gone {
             if let Some(m) = self.cluster.machine_mut(*ix) {
-                m.unknown = false;
-                m.since = now;
+                m.contents_unknown = false;
+                m.state_since = now;
             }
             // What an earlier leader had there.
             self.cluster.clear_machine(*ix);
@@ -75,8 +75,8 @@
                     self.release(ix, "failed", now);
                     if let Some(m) = self.cluster.machine_mut(ix) {
                         m.up = false;
-                        m.unknown = false;
-                        m.min_session = m.session + 1;
+                        m.contents_unknown = false;
+                        m.min_incarnation = m.incarnation + 1;
                     }
                     self.changed = true;
                 } else if let Some(ix) =
@@ -91,9 +91,9 @@
                 self.cluster
                     .insert_machine(&l.id, &l.addr, &l.type_name, &l.zone, l.spot, now);
             if let Some(m) = ix.and_then(|ix| self.cluster.machine_mut(ix)) {
-                m.listed = now;
-                if m.since == now && l.state == ListedState::Booting {
-                    m.since = now.saturating_sub(millis(l.age_s));
+                m.last_listed = now;
+                if m.state_since == now && l.state == ListedState::Booting {
+                    m.state_since = now.saturating_sub(millis(l.age_s));
                 }
             }
         }
@@ -105,7 +105,7 @@
         {
             log::info!("machine {} to be released: {why}", m.name);
             m.releasing = true;
-            m.since = now;
+            m.state_since = now;
         }
     }
 
@@ -138,9 +138,9 @@
     fn take_releases(&mut self) -> Vec<String> {
         let due = |m: &Machine| {
             m.releasing
-                && !m.release_sent
-                && (m.roster == Roster::Absent || m.release_marked)
-                && !m.writing
+                && !m.release_requested
+                && (m.registration == Registration::Absent || m.release_recorded)
+                && !m.write_in_flight
                 && m.live_tasks() == 0
         };
         let all = self.cluster.indexed_machines();
@@ -149,7 +149,7 @@
         let mut names = Vec::with_capacity(due.len());
         for ix in due {
             if let Some(m) = self.cluster.machine_mut(ix) {
-                m.release_sent = true;
+                m.release_requested = true;
                 names.push(m.name.clone());
             }
         }
@@ -195,22 +195,22 @@
             let Some(m) = self.cluster.machine(ix) else {
                 continue;
             };
-            if m.releasing || m.unknown {
+            if m.releasing || m.contents_unknown {
                 continue;
             }
             let boot = millis(self.cluster.types[m.type_ix].boot_s);
             let empty = m.tasks.is_empty();
-            let why = if m.up && m.file.set_aside && empty {
+            let why = if m.up && m.failures.set_aside && empty {
                 Some("tasks fail on it")
-            } else if m.up && m.draining && empty && !m.ordering {
+            } else if m.up && m.draining && empty && !m.command_in_flight {
                 Some("drained")
             } else if m.up
                 && empty
                 && self.recovery.settled
                 && now >= m.idle_since + self.idle_allowance(m, idle)
                 // Where most don't get answers, the fault is here.
-                && !(m.is_deaf() && now < self.renting.deaf_until)
-                && !m.ordering
+                && !(m.misses_responses() && now < self.renting.deaf_until)
+                && !m.command_in_flight
                 && held.iter().all(|r| {
                     !r.covers(m.type_ix, m.spot)
                         || r.fits - m.capacity.count(&r.need).min(1000) >= r.wanted
@@ -221,16 +221,16 @@
                 }
                 Some("idle")
             } else if !m.up
-                && m.session == 0
-                && m.roster == Roster::Absent
-                && now > m.since + 4 * boot + 60_000
+                && m.incarnation == 0
+                && m.registration == Registration::Absent
+                && now > m.state_since + 4 * boot + 60_000
             {
                 Some("never came up")
             } else if !m.up
                 // One of the roster that was never heard in this term is as
                 // silent: left there, each new leader would wait for it.
-                && (m.session > 0 || m.roster == Roster::Present)
-                && now > m.since + lapse
+                && (m.incarnation > 0 || m.registration == Registration::Present)
+                && now > m.state_since + lapse
             {
                 Some("silent")
             } else {
@@ -239,16 +239,20 @@
             if let Some(why) = why {
                 self.release(ix, why, now);
             } else if !m.up
-                && m.roster == Roster::Absent
-                && now > m.listed + 30_000 + 4 * lag
-                && now > m.since + 30_000 + 4 * lag
+                && m.registration == Registration::Absent
+                && now > m.last_listed + 30_000 + 4 * lag
+                && now > m.state_since + 30_000 + 4 * lag
             {
                 gone.push(ix);
             }
         }
         for ix in gone {
             // Names don't recur: what still comes of one that ran is late.
-            if let Some(m) = self.cluster.machine(ix).filter(|m| m.latest.0 > 0) {
+            if let Some(m) = self
+                .cluster
+                .machine(ix)
+                .filter(|m| m.latest_heartbeat.0 > 0)
+            {
                 self.renting.released.insert(m.name.clone(), now);
             }
             self.cluster.remove_machine(ix);
@@ -272,7 +276,11 @@
                 }
                 continue;
             }
-            if m.usable() && m.live_tasks() > 0 && now >= m.batch_until + idle && !m.ordering {
+            if m.schedulable()
+                && m.live_tasks() > 0
+                && now >= m.last_batch_activity + idle
+                && !m.command_in_flight
+            {
                 order.push(ix);
             }
         }
@@ -292,7 +300,7 @@
                 // while the services stopped, and those had to fetch.
                 for to in targets {
                     if let Some(m) = self.cluster.machine_mut(to) {
-                        m.no_batch_until = now + MOVE;
+                        m.closed_to_batches_until = now + MOVE;
                     }
                 }
                 if let Some(m) = self.cluster.machine_mut(ix) {
@@ -302,8 +310,12 @@
                         m.live_tasks()
                     );
                     m.draining = true;
-                    for a in m.tasks.iter_mut().filter(|a| a.live() && a.stop.is_none()) {
-                        a.stop = Some(0.0);
+                    for a in m
+                        .tasks
+                        .iter_mut()
+                        .filter(|a| a.is_live() && a.stop_grace_s.is_none())
+                    {
+                        a.stop_grace_s = Some(0.0);
                     }
                 }
                 return;
@@ -314,7 +326,8 @@
     /// Machines that services may move to.
     fn move_targets(&self) -> Vec<MoveTarget> {
         let all = self.cluster.indexed_machines();
-        let open = all.filter(|(_, m)| m.usable() && m.held_for.is_none() && m.live_tasks() > 0);
+        let open =
+            all.filter(|(_, m)| m.schedulable() && m.reserved_for.is_none() && m.live_tasks() > 0);
         let target = |(machine, m): (u32, &Machine)| MoveTarget {
             machine,
             free: m.free(),
@@ -330,9 +343,9 @@
         // One that has long been of no other use, and is dear, may cost its
         // services a short fetch. Between machines of one price that was
         // tried: 4 s of two replicas are 2% of what the worst 30 s counts.
-        let long = now >= from.batch_until + 3 * millis(self.options.idle_s);
+        let long = now >= from.last_batch_activity + 3 * millis(self.options.idle_s);
         let mut moved: Vec<(u32, Resources)> = Vec::new();
-        for a in from.tasks.iter().filter(|a| a.live()) {
+        for a in from.tasks.iter().filter(|a| a.is_live()) {
             let job = self.cluster.job(a.job)?;
             if a.phase != Phase::Running || job.cancelled || job.cancel_requested {
                 return None;
--- a/src/control/leader/mod.rs
+++ b/src/control/leader/mod.rs
@@ -1,4 +1,4 @@
-//! The leader of one term: binds the model, placement, dispatch and
+//! The leader of one term: binds the cluster state, placement, dispatch and
 //! provisioning. It is told of events and asked for what to do next.
 
 mod dependencies;
@@ -48,7 +48,10 @@
     },
     state::{
         Ms,
-        cluster::{Assignment, ClusterState, Job, Machine, NONE, ORDER, Phase, Placement, Roster},
+        cluster::{
+            Assignment, ClusterState, DIRECT_COMMAND_TIMEOUT_MS, Job, Machine, NONE, Phase,
+            Placement, Registration,
+        },
         dependencies::{Chains, Gate},
         fault_attribution::{JobFile, MachineFile},
         offload::Away,
@@ -104,7 +107,7 @@
     Lift(u32, String),
     Final(u32, String, JobState),
     Progress(u32, String, Vec<usize>),
-    Roster(u32, String),
+    Registration(u32, String),
     Lapsed(u32, String),
     Mark(u32, String),
     Drop(String),
@@ -211,7 +214,7 @@
     }
 
     fn token(&self, ix: u32) -> u64 {
-        self.floor() | self.cluster.machine(ix).map_or(0, |m| m.fence)
+        self.floor() | self.cluster.machine(ix).map_or(0, |m| m.token_epoch)
     }
 
     fn lapse_after(&self) -> Ms {
@@ -294,18 +297,18 @@
             now,
         );
         if let Some(m) = ix.and_then(|ix| self.cluster.machine_mut(ix)) {
-            m.roster = Roster::Present;
-            m.version = version;
+            m.registration = Registration::Present;
+            m.record_version = version;
             m.releasing = record.releasing && !record.lapsed;
-            m.release_marked = m.releasing;
-            m.noted_empty = record.releasing;
+            m.release_recorded = m.releasing;
+            m.recorded_empty = record.releasing;
             if record.quarantined {
-                m.file = MachineFile::set_aside_before(now);
+                m.failures = MachineFile::set_aside_before(now);
             }
             // Either mark is written only when nothing runs there, and stands
             // until something may be started: no lease need be waited for.
-            m.unknown = !record.releasing;
-            m.answered = self.recovery.acquired;
+            m.contents_unknown = !record.releasing;
+            m.last_answered = self.recovery.acquired;
         }
         if let Some(ix) = ix {
             let images: Vec<u32> = record
@@ -346,7 +349,7 @@
         }
         self.take_in(ix, report, true, now);
         let m = self.cluster.machine_mut(ix)?;
-        let fresh = m.up && (report.session, report.seq) == (m.session, m.seq);
+        let fresh = m.up && (report.session, report.seq) == (m.incarnation, m.heartbeat_seq);
         let commands = if fresh {
             let confirmed = self.standbys.confirmed();
             let commands =
@@ -368,7 +371,7 @@
         self.changed |= news.changed;
         self.judge_hearing(ix, &news);
         if let Some(m) = self.cluster.machine(ix)
-            && m.heard == now
+            && m.last_heartbeat == now
         {
             self.zone_heard(m.zone, now);
         }
@@ -407,7 +410,7 @@
             let ready = self
                 .cluster
                 .machine(ix)
-                .is_some_and(|m| m.up && !m.ordering && now >= m.order_retry);
+                .is_some_and(|m| m.up && !m.command_in_flight && now >= m.command_retry_at);
             if !ready || !reconciliation::wants_direct(&self.cluster, ix, confirmed) {
                 continue;
             }
@@ -418,17 +421,17 @@
             if let Some(m) = self.cluster.machine_mut(ix)
                 && let Some(addr) = m.addr
             {
-                m.ordering = true;
+                m.command_in_flight = true;
                 let starts = |c: &Command| matches!(c, Command::Start { .. });
                 if commands.iter().any(starts) {
-                    m.starting = Some(now);
+                    m.start_sent_at = Some(now);
                 }
                 out.push(Direct {
                     machine: m.name.clone(),
                     addr,
                     order: DirectOrder {
                         token,
-                        session: m.session,
+                        session: m.incarnation,
                         commands,
                     },
                 });
@@ -443,15 +446,17 @@
         };
         let retry = millis(self.settings.cluster.workers.report_s) * 2;
         if let Some(m) = self.cluster.machine_mut(ix) {
-            m.ordering = false;
-            if let Some(sent) = m.starting.take() {
+            m.command_in_flight = false;
+            if let Some(sent) = m.start_sent_at.take() {
                 match &outcome {
                     // Its count does not tell whether this process is the one
                     // that was answered last: one that began anew since may
                     // have counted further, and so may a new session that was
                     // never answered.
-                    DirectOutcome::Executed(_) => m.may_have_begun = now,
-                    DirectOutcome::NoAnswer => m.may_have_begun = sent + ORDER,
+                    DirectOutcome::Executed(_) => m.latest_possible_start = now,
+                    DirectOutcome::NoAnswer => {
+                        m.latest_possible_start = sent + DIRECT_COMMAND_TIMEOUT_MS
+                    }
                     DirectOutcome::Refused(_) | DirectOutcome::NotSent => {}
                 }
             }
@@ -464,7 +469,7 @@
             DirectOutcome::Refused(report) => {
                 reconciliation::settle_direct(&mut self.cluster, ix, token, false);
                 if let Some(m) = self.cluster.machine_mut(ix) {
-                    m.order_retry = now + retry;
+                    m.command_retry_at = now + retry;
                 }
                 if let Some(report) = report {
                     self.take_in(ix, &report, false, now);
@@ -473,15 +478,15 @@
             DirectOutcome::NotSent => {
                 reconciliation::settle_direct(&mut self.cluster, ix, token, false);
                 if let Some(m) = self.cluster.machine_mut(ix) {
-                    m.order_retry = now + retry;
+                    m.command_retry_at = now + retry;
                 }
             }
             DirectOutcome::NoAnswer => {
                 // It may be carried out minutes later: raise the fence, so
                 // that the machine refuses it once it has seen the new token.
                 if let Some(m) = self.cluster.machine_mut(ix) {
-                    m.fence += 1;
-                    m.order_retry = now + retry;
+                    m.token_epoch += 1;
+                    m.command_retry_at = now + retry;
                 }
                 self.ask_for_proof(ix);
             }
@@ -586,7 +591,7 @@
         self.take_over(now);
         self.lapse(now);
         if !self.recovery.settled {
-            self.recovery.settled = !self.cluster.each_machine().any(|m| m.unknown);
+            self.recovery.settled = !self.cluster.each_machine().any(|m| m.contents_unknown);
             if self.recovery.settled {
                 log::info!(
                     "term {} settled after {} ms: {} jobs, {} machines",
@@ -627,7 +632,7 @@
         self.recovery.loaded = true;
         self.planning.arrivals.make_contiguous().sort_unstable();
         for m in self.cluster.each_machine_mut() {
-            m.answered = now;
+            m.last_answered = now;
         }
     }
 }
--- a/src/control/leader/partitions.rs
+++ b/src/control/leader/partitions.rs
@@ -27,32 +27,34 @@
         let this = (report.session, report.seq);
         // Of one that was heard, what has not seen this term is of before it.
         let least = if m.up { floor } else { 0 };
-        if this <= m.latest || report.token < least.max(m.least_token) {
+        if this <= m.latest_heartbeat || report.token < least.max(m.min_token) {
             // A late copy changes nothing, and an answer to it would be counted
             // as a lease. Two in order may be of a machine that began anew and
             // counts from one again: that shows by a token raised for it.
-            let in_order = m.older.0 != (0, 0) && this > m.older.0 && now < m.older.1 + IN_ORDER;
-            m.older = (this, now);
+            let in_order = m.last_stale_heartbeat.0 != (0, 0)
+                && this > m.last_stale_heartbeat.0
+                && now < m.last_stale_heartbeat.1 + IN_ORDER;
+            m.last_stale_heartbeat = (this, now);
             if !in_order {
                 return false;
             }
-            if m.reborn_at == 0 {
-                m.fence += 1;
-                m.reborn_at = token + 1;
+            if m.restart_token == 0 {
+                m.token_epoch += 1;
+                m.restart_token = token + 1;
             }
-            m.answered = now;
+            m.last_answered = now;
             return true;
         }
-        m.latest = this;
-        m.unproven = match m.unknown && report.token < floor {
-            true => m.unproven + 1,
+        m.latest_heartbeat = this;
+        m.unacknowledged_heartbeats = match m.contents_unknown && report.token < floor {
+            true => m.unacknowledged_heartbeats + 1,
             false => 0,
         };
-        if m.unproven > UNPROVEN && now > over {
+        if m.unacknowledged_heartbeats > UNPROVEN && now > over {
             log::debug!("machine {} reports, but gets no answers", m.name);
             return false;
         }
-        m.answered = now;
+        m.last_answered = now;
         true
     }
 
@@ -61,7 +63,7 @@
     pub(super) fn ask_for_proof(&mut self, ix: u32) {
         let token = self.token(ix);
         if let Some(m) = self.cluster.machine_mut(ix) {
-            m.proof = token;
+            m.required_token = token;
         }
     }
 
@@ -72,11 +74,11 @@
         let Some(m) = self.cluster.machine_mut(ix) else {
             return;
         };
-        if !lost || m.is_deaf() {
+        if !lost || m.misses_responses() {
             return;
         }
         log::info!("machine {} may not get answers: nothing new there", m.name);
-        m.fence += 1;
+        m.token_epoch += 1;
         self.ask_for_proof(ix);
         self.changed = true;
         // What was ordered in an answer that it did not get never runs there.
@@ -89,7 +91,7 @@
     fn never_there(&self, ix: u32) -> Vec<usize> {
         let tasks = self.cluster.machine(ix).map_or(&[][..], |m| &m.tasks);
         let new = tasks.iter().enumerate();
-        let new = new.filter(|(_, a)| a.phase == Phase::New && a.doubt == 0);
+        let new = new.filter(|(_, a)| a.phase == Phase::New && a.indeterminate_token == 0);
         let mut at: Vec<usize> = new.map(|(at, _)| at).collect();
         at.reverse();
         at
--- a/src/control/leader/persistence.rs
+++ b/src/control/leader/persistence.rs
@@ -192,18 +192,20 @@
             if plan.txn.writes.len() + 1 > room {
                 return lapsed;
             }
-            let Some(m) = self.cluster.machine(ix).filter(|m| !m.writing) else {
+            let Some(m) = self.cluster.machine(ix).filter(|m| !m.write_in_flight) else {
                 continue;
             };
-            if m.lapsed() && !m.releasing && !m.noted_empty {
+            if m.lease_expired() && !m.releasing && !m.recorded_empty {
                 lapsed.push(ix);
                 continue;
             }
             let add = m.awaits_record();
-            let mark = m.releasing && !m.release_marked && m.roster == Roster::Present;
+            let mark =
+                m.releasing && !m.release_recorded && m.registration == Registration::Present;
             // Not urgent, so only while much of the budget is left.
-            let images = m.images_new && m.roster == Roster::Present && m.up && spare;
-            let quarantine = m.verdict_new && m.roster == Roster::Present;
+            let images =
+                m.images_unrecorded && m.registration == Registration::Present && m.up && spare;
+            let quarantine = m.quarantine_unrecorded && m.registration == Registration::Present;
             if add || mark || images || quarantine {
                 self.plan_machine(ix, plan);
             }
@@ -231,17 +233,17 @@
         };
         plan.txn.guards.push(Guard {
             key: machine_key(&m.name),
-            version: m.version,
+            version: m.record_version,
         });
-        let lapsed = m.lapsed() && !m.releasing;
+        let lapsed = m.lease_expired() && !m.releasing;
         let record = MachineRecord {
             addr: m.addr.map(|a| a.to_string()).unwrap_or_default(),
             type_name: self.cluster.types[m.type_ix].name.clone(),
             zone: self.cluster.zones.name(m.zone).to_owned(),
             spot: m.spot,
-            releasing: lapsed || m.releasing && m.roster == Roster::Present,
+            releasing: lapsed || m.releasing && m.registration == Registration::Present,
             lapsed,
-            quarantined: m.file.set_aside,
+            quarantined: m.failures.set_aside,
             images: Vec::new(),
         };
         let record = self.with_images(record, &m.images);
@@ -255,14 +257,14 @@
         plan.items.push(match (lapsed, m.releasing) {
             (true, _) => Item::Lapsed(ix, name),
             (false, true) => Item::Mark(ix, name),
-            (false, false) => Item::Roster(ix, name),
+            (false, false) => Item::Registration(ix, name),
         });
         if let Some(m) = self.cluster.machine_mut(ix) {
-            m.writing = true;
-            m.images_new = false;
-            m.verdict_new = false;
+            m.write_in_flight = true;
+            m.images_unrecorded = false;
+            m.quarantine_unrecorded = false;
             // From now on, as a write without an answer may be applied late.
-            m.noted_empty |= marked;
+            m.recorded_empty |= marked;
         }
     }
 
@@ -327,14 +329,14 @@
                         }
                     }
                 }
-                Item::Roster(ix, name) | Item::Mark(ix, name) | Item::Lapsed(ix, name) => {
+                Item::Registration(ix, name) | Item::Mark(ix, name) | Item::Lapsed(ix, name) => {
                     if let Some(m) = self.cluster.machine_mut(*ix).filter(|m| m.name == *name) {
-                        m.writing = false;
-                        m.roster = Roster::Present;
-                        m.version = revision;
-                        m.release_marked |= matches!(item, Item::Mark(..));
+                        m.write_in_flight = false;
+                        m.registration = Registration::Present;
+                        m.record_version = revision;
+                        m.release_recorded |= matches!(item, Item::Mark(..));
                         // Whatever was written before it can't be applied now.
-                        m.noted_empty &= !matches!(item, Item::Roster(..));
+                        m.recorded_empty &= !matches!(item, Item::Registration(..));
                     }
                 }
                 Item::Pieces(ix, id, upto) => self.cut(*ix, id, *upto),
@@ -438,16 +440,16 @@
             {
                 match found {
                     Some((value, version)) => {
-                        m.roster = Roster::Present;
-                        m.version = version;
+                        m.registration = Registration::Present;
+                        m.record_version = version;
                         if let Ok(r) = serde_json::from_value::<MachineRecord>(value) {
-                            m.release_marked = r.releasing && !r.lapsed;
-                            m.noted_empty |= r.releasing;
+                            m.release_recorded = r.releasing && !r.lapsed;
+                            m.recorded_empty |= r.releasing;
                         }
                     }
                     None => {
-                        m.roster = Roster::Absent;
-                        m.version = 0;
+                        m.registration = Registration::Absent;
+                        m.record_version = 0;
                     }
                 }
             } else if let Some((_, version)) = found {
@@ -494,10 +496,10 @@
                         }
                     }
                 }
-                Item::Roster(ix, name) | Item::Mark(ix, name) | Item::Lapsed(ix, name) => {
+                Item::Registration(ix, name) | Item::Mark(ix, name) | Item::Lapsed(ix, name) => {
                     if let Some(m) = self.cluster.machine_mut(*ix).filter(|m| m.name == *name) {
-                        m.writing = false;
-                        m.verdict_new |= m.file.set_aside;
+                        m.write_in_flight = false;
+                        m.quarantine_unrecorded |= m.failures.set_aside;
                     }
                 }
                 Item::Pieces(..) | Item::Drop(_) => {}
--- a/src/control/leader/preemption.rs
+++ b/src/control/leader/preemption.rs
@@ -149,7 +149,7 @@
 
     fn tasks_that_held_room_takes(&self, job_ix: u32, need: &Resources, now: Ms) -> i64 {
         let held = self.cluster.each_machine();
-        let held = held.filter(|m| m.is_held_for(job_ix, now));
+        let held = held.filter(|m| m.is_reserved_for(job_ix, now));
         held.map(|m| m.capacity.count(need)).sum()
     }
 
--- a/src/control/leader/quotas.rs
+++ b/src/control/leader/quotas.rs
@@ -29,7 +29,7 @@
         self.recovery.knows_all()
             || job.accepted_this_term
             || !self.cluster.each_machine().any(|m| {
-                m.unknown
+                m.contents_unknown
                     && job.types.get(m.type_ix).copied().unwrap_or(true)
                     && job.zone.is_none_or(|z| z == m.zone)
                     && (job.spec.spot || !m.spot)
--- a/src/control/leader/scale_out.rs
+++ b/src/control/leader/scale_out.rs
@@ -78,21 +78,21 @@
             let boot = millis(self.cluster.types[m.type_ix].boot_s);
             // One that is long overdue is not counted on any more.
             let coming = !m.up
-                && m.session == 0
-                && m.roster == Roster::Absent
+                && m.incarnation == 0
+                && m.registration == Registration::Absent
                 && !m.releasing
-                && !m.unknown
+                && !m.contents_unknown
                 && !self.is_dark(m.zone, now)
-                && now < m.since + boot + boot * 7 / 10;
-            let late = m.suspect && now < m.suspect_since + MISSED && m.lasting();
+                && now < m.state_since + boot + boot * 7 / 10;
+            let late = m.overdue && now < m.overdue_since + MISSED && m.schedulable_once_heard();
             // Nothing is known of an unknown one, so all of it counts as free:
             // what may run there still looks like waiting.
             // What runs there is known to a leader that took over warm: one
             // that stays silent counts for no more than it holds.
-            let unheard = m.unknown
+            let unheard = m.contents_unknown
                 && !m.releasing
                 && (!self.recovery.takeover.warm || self.may_find_it(now));
-            let there = m.usable() || late || m.awaits_record() || unheard;
+            let there = m.schedulable() || late || m.awaits_record() || unheard;
             if coming || there {
                 if coming {
                     coming_bins.push((bins.len(), ix));
@@ -217,7 +217,7 @@
         for (bin, ix) in coming_bins {
             if let Some(m) = self.cluster.machine(ix)
                 && untouched[bin]
-                && now > m.since + LEAST_CHARGE
+                && now > m.state_since + LEAST_CHARGE
             {
                 self.release(ix, "no longer needed", now);
             }
@@ -283,14 +283,14 @@
             };
             if !ok {
                 if let Some(m) = self.cluster.machine_mut(ix) {
-                    m.release_sent = false;
+                    m.release_requested = false;
                 }
                 continue;
             }
             if let Some(m) = self.cluster.machine(ix)
-                && m.roster == Roster::Present
+                && m.registration == Registration::Present
             {
-                self.desk.drops.push((machine_key(name), m.version));
+                self.desk.drops.push((machine_key(name), m.record_version));
             }
             self.events.tally.released += 1;
             self.cluster.remove_machine(ix);
--- a/src/control/leader/status.rs
+++ b/src/control/leader/status.rs
@@ -208,25 +208,25 @@
             } else if m.up {
                 fleet.up += 1;
                 *load += placement::load(&m.capacity, &m.free(), LoadResource::Scarcest);
-            } else if m.session == 0 && !m.unknown {
+            } else if m.incarnation == 0 && !m.contents_unknown {
                 fleet.booting += 1;
             }
             let boot = millis(self.cluster.types[m.type_ix].boot_s);
-            let why = if m.file.set_aside {
+            let why = if m.failures.set_aside {
                 "set aside: jobs that run elsewhere, or several, fail on it"
-            } else if m.unknown {
+            } else if m.contents_unknown {
                 "not heard in this term"
-            } else if m.up && m.is_deaf() {
+            } else if m.up && m.misses_responses() {
                 "reports, but does not get answers or orders"
-            } else if m.suspect {
+            } else if m.overdue {
                 "its reports are overdue"
-            } else if m.notice.is_some() {
+            } else if m.reclaim_at.is_some() {
                 "about to be taken away"
             } else if m.draining {
                 "its services are being moved off"
-            } else if !m.up && m.session > 0 {
+            } else if !m.up && m.incarnation > 0 {
                 "silent: its lease has lapsed"
-            } else if !m.up && !m.releasing && now > m.since + SLOW_BOOT * boot {
+            } else if !m.up && !m.releasing && now > m.state_since + SLOW_BOOT * boot {
                 "boots for long"
             } else {
                 continue;
@@ -306,7 +306,11 @@
         let places = self.cluster.each_machine().flat_map(|m| {
             let own = m.tasks.iter().filter(|a| a.job == ix);
             own.map(|a| {
-                let stop = if a.stop.is_some() { ", to stop" } else { "" };
+                let stop = if a.stop_grace_s.is_some() {
+                    ", to stop"
+                } else {
+                    ""
+                };
                 let phase = format!("{:?}{stop}", a.phase).to_lowercase();
                 (a.task, clipped(&m.name), phase)
             })
--- a/src/control/leader/task_placement.rs
+++ b/src/control/leader/task_placement.rs
@@ -41,8 +41,8 @@
                     loss => r.fits - loss >= r.wanted,
                 }
         };
-        (now >= m.no_batch_until || job.spec.kind != Kind::Array)
-            && m.open_to(job_ix, now)
+        (now >= m.closed_to_batches_until || job.spec.kind != Kind::Array)
+            && m.available_to(job_ix, now)
             && reserves.iter().all(leaves_reserve)
             && job.allows(m)
             // An old attempt still listed there would refuse it.
@@ -187,7 +187,7 @@
         for (ix, at) in self.cluster.live_tasks_of(job_ix) {
             if let Some(a) = self.cluster.machine(ix).and_then(|m| m.tasks.get(at)) {
                 let begun = matches!(a.phase, Phase::Running | Phase::Saving);
-                if begun || a.stop.is_some() || attempt.is_some_and(|n| n != a.attempt) {
+                if begun || a.stop_grace_s.is_some() || attempt.is_some_and(|n| n != a.attempt) {
                     return None;
                 }
                 attempt = Some(a.attempt);
@@ -300,9 +300,9 @@
             for o in with_image {
                 cached += 1;
                 let mut room = o.free();
-                fit += i32::from(o.usable() && j.need.fits(&room));
+                fit += i32::from(o.schedulable() && j.need.fits(&room));
                 room += self.held_by_batches(o);
-                batch += i32::from(o.usable() && j.need.fits(&room));
+                batch += i32::from(o.schedulable() && j.need.fits(&room));
             }
             log::debug!(
                 "place {}/{task} try {attempt} on {}: image there {}, of {cached} with it \
@@ -314,9 +314,9 @@
         }
         // The room made for it is used; the rest of the machine is open again.
         if let Some(m) = self.cluster.machine_mut(machine)
-            && m.held_for.is_some_and(|(of, _)| of == job_ix)
+            && m.reserved_for.is_some_and(|(of, _)| of == job_ix)
         {
-            m.held_for = None;
+            m.reserved_for = None;
         }
         self.cluster
             .assign(job_ix, task, machine, attempt, Phase::New, now);
--- a/src/control/leader/victims.rs
+++ b/src/control/leader/victims.rs
@@ -39,14 +39,14 @@
 impl Leader {
     /// Jobs for which room is held, or being made.
     pub(super) fn jobs_with_held_room(&self, now: Ms) -> HashSet<u32> {
-        let held = self.cluster.each_machine().filter_map(|m| m.held_for);
+        let held = self.cluster.each_machine().filter_map(|m| m.reserved_for);
         let held = held.filter(|(_, until)| now < *until);
         held.map(|(job, _)| job).collect()
     }
 
     /// Room is held for the job, or being made.
     pub(super) fn holds_room(&self, job_ix: u32, now: Ms) -> bool {
-        let held = |m: &Machine| m.is_held_for(job_ix, now);
+        let held = |m: &Machine| m.is_reserved_for(job_ix, now);
         self.cluster.each_machine().any(held)
     }
 
@@ -77,9 +77,9 @@
     ) -> Option<Preemption> {
         let job = self.cluster.job(job_ix)?;
         let m = self.cluster.machine(ix)?;
-        let allowed = m.usable()
+        let allowed = m.schedulable()
             && !self.planning.gained.contains(&ix)
-            && m.held_for.is_none_or(|(_, until)| now >= until)
+            && m.reserved_for.is_none_or(|(_, until)| now >= until)
             && job.allows(m)
             && job.need.fits(&m.capacity);
         if !allowed {
@@ -129,7 +129,7 @@
     /// job; `None`: it may not be stopped for it.
     fn loss_of(&self, a: &Assignment, search: &Search) -> Option<i64> {
         let v = self.cluster.job(a.job)?;
-        if !a.live() || a.stop.is_some() || v.spec.kind == Kind::Service {
+        if !a.is_live() || a.stop_grace_s.is_some() || v.spec.kind == Kind::Service {
             return None;
         }
         let lower = v.effective_priority < search.priority
@@ -175,7 +175,7 @@
         if priority < Priority::High || job.failures.suspected {
             return false;
         }
-        let held = |m: &Machine| m.is_held_for(job_ix, now);
+        let held = |m: &Machine| m.is_reserved_for(job_ix, now);
         // The room that was made for it is here. Guards against a service
         // that waited until the hold was over, as rooms without its image
         // looked like rooms still to come.
@@ -218,7 +218,7 @@
                 id.unwrap_or_default()
             );
         }
-        m.held_for = Some((job_ix, now + HELD));
+        m.reserved_for = Some((job_ix, now + HELD));
         for at in room.victims {
             self.stop_orderly(room.machine, at);
         }
@@ -245,8 +245,8 @@
                 .cluster
                 .machine_mut(ix)
                 .and_then(|m| m.tasks.get_mut(at));
-            if let Some(a) = a.filter(|a| a.stop.is_none() && a.live()) {
-                a.stop = Some(grace);
+            if let Some(a) = a.filter(|a| a.stop_grace_s.is_none() && a.is_live()) {
+                a.stop_grace_s = Some(grace);
             }
         }
     }
--- a/src/control/reconciliation.rs
+++ b/src/control/reconciliation.rs
@@ -1,5 +1,5 @@
 //! Wanted tasks against reported tasks, for one machine at a time: what a
-//! report changes in the model, and which commands follow.
+//! report changes in the cluster state, and which commands follow.
 
 use crate::{
     protocol::{
@@ -16,7 +16,7 @@
 /// Commands in one message; a response line must stay under 64 KiB.
 const MAX_COMMANDS: usize = 300;
 
-/// What the leader must know of a report beyond the model's changes.
+/// What the leader must know of a report beyond the changes of the cluster state.
 #[derive(Debug, Default, PartialEq)]
 pub struct News {
     /// Tasks, jobs or the machine's readiness changed.
@@ -62,31 +62,31 @@
     let Some(m) = cluster.machine_mut(ix) else {
         return news;
     };
-    let older = report.session < m.min_session
-        || (m.up && (report.session, report.seq) <= (m.session, m.seq));
+    let older = report.session < m.min_incarnation
+        || (m.up && (report.session, report.seq) <= (m.incarnation, m.heartbeat_seq));
     // It has seen a token that was raised after all that is known of it: what
     // it says is newer, so it counts from the start again, and holds nothing
     // but what it lists.
-    let reborn = older && m.reborn_at != 0 && report.token >= m.reborn_at;
-    if report.token < term_floor.max(m.least_token) || older && !reborn {
+    let reborn = older && m.restart_token != 0 && report.token >= m.restart_token;
+    if report.token < term_floor.max(m.min_token) || older && !reborn {
         return news;
     }
     if reborn {
         log::info!("machine {} has started anew", m.name);
-        m.least_token = m.reborn_at;
-        m.older = ((0, 0), 0);
-        m.latest = (report.session, report.seq);
-        m.answered = now;
+        m.min_token = m.restart_token;
+        m.last_stale_heartbeat = ((0, 0), 0);
+        m.latest_heartbeat = (report.session, report.seq);
+        m.last_answered = now;
         drop_what_was_before(cluster, ix, report.token);
         news.changed = true;
     }
     let Some(m) = cluster.machine_mut(ix) else {
         return news;
     };
-    if report.token >= m.reborn_at {
-        m.reborn_at = 0;
+    if report.token >= m.restart_token {
+        m.restart_token = 0;
     }
-    news.new_session = m.up && report.session > m.session;
+    news.new_session = m.up && report.session > m.incarnation;
     if news.new_session && !m.tasks.is_empty() {
         // A new session: everything of the old one is gone, including
         // commands still on their way, which name the old session.
@@ -101,24 +101,24 @@
     };
     if !m.up {
         m.up = true;
-        m.unknown = false;
+        m.contents_unknown = false;
         m.idle_since = now;
         news.changed = true;
     }
-    m.session = report.session;
-    m.seq = report.seq;
-    m.min_session = report.session;
-    m.seen_token = m.seen_token.max(report.token);
-    m.heard = now;
+    m.incarnation = report.session;
+    m.heartbeat_seq = report.seq;
+    m.min_incarnation = report.session;
+    m.acknowledged_token = m.acknowledged_token.max(report.token);
+    m.last_heartbeat = now;
     if let Ok(addr) = report.addr.parse() {
         m.addr = Some(addr);
     }
     let notice = report.notice_s.map(|s| now + (s.max(0.0) * 1000.0) as Ms);
-    if notice.is_some() && m.notice.is_none() {
+    if notice.is_some() && m.reclaim_at.is_none() {
         news.changed = true;
     }
-    m.notice = notice;
-    let seen_token = m.seen_token;
+    m.reclaim_at = notice;
+    let seen_token = m.acknowledged_token;
 
     let mut listed = vec![false; m.tasks.len()];
     for t in &report.tasks {
@@ -138,17 +138,18 @@
                 };
                 // Seen running once, it may be about to fail.
                 let again = phase == Phase::Running && a.phase == phase;
-                let ran = !a.ran && a.live() && (again || phase == Phase::Ended(Why::Done));
+                let ran =
+                    !a.seen_running && a.is_live() && (again || phase == Phase::Ended(Why::Done));
                 if ran {
                     news.ran.push((a.job, a.since));
                 }
                 if ran && let Some(m) = cluster.machine_mut(ix) {
-                    m.tasks[at].ran = true;
+                    m.tasks[at].seen_running = true;
                 }
                 let Some(a) = cluster.machine(ix).and_then(|m| m.tasks.get(at)) else {
                     continue;
                 };
-                if a.phase == phase || !a.live() {
+                if a.phase == phase || !a.is_live() {
                     continue;
                 }
                 let (job, task) = (a.job, a.task);
@@ -176,7 +177,7 @@
         let Some(a) = cluster.machine(ix).and_then(|m| m.tasks.get(at)) else {
             continue;
         };
-        let ordering = cluster.machine(ix).is_some_and(|m| m.ordering);
+        let ordering = cluster.machine(ix).is_some_and(|m| m.command_in_flight);
         match a.phase {
             // Ended and reaped.
             Phase::Ended(_) => cluster.unassign(ix, at),
@@ -184,22 +185,23 @@
                 // A direct launch without an answer may come yet, unless the
                 // machine has seen a higher token; one in a response can't
                 // that the report didn't get, once a later report is made.
-                let open = if a.doubt != 0 {
-                    ordering || seen_token <= a.doubt
+                let open = if a.indeterminate_token != 0 {
+                    ordering || seen_token <= a.indeterminate_token
                 } else {
-                    a.phase == Phase::Sent && (!beat || report.seq <= a.sent_seq)
+                    a.phase == Phase::Sent && (!beat || report.seq <= a.sent_with_heartbeat)
                 };
                 if open {
                     continue;
                 }
-                let withdrawn = a.stop.is_some();
+                let withdrawn = a.stop_grace_s.is_some();
                 if withdrawn {
                     cluster.unassign(ix, at);
                     news.changed = true;
                 } else if let Some(m) = cluster.machine_mut(ix) {
                     let a = &mut m.tasks[at];
-                    news.lost_orders += u32::from(a.phase == Phase::Sent && a.doubt == 0);
-                    a.doubt = 0;
+                    news.lost_orders +=
+                        u32::from(a.phase == Phase::Sent && a.indeterminate_token == 0);
+                    a.indeterminate_token = 0;
                     a.phase = Phase::New;
                 }
             }
@@ -227,7 +229,9 @@
     let Some(m) = cluster.machine(ix) else { return };
     let open = |at: &usize| {
         let a = &m.tasks[*at];
-        a.phase == Phase::Sent && a.doubt != 0 && (m.ordering || token <= a.doubt)
+        a.phase == Phase::Sent
+            && a.indeterminate_token != 0
+            && (m.command_in_flight || token <= a.indeterminate_token)
     };
     let gone: Vec<usize> = (0..m.tasks.len()).filter(|at| !open(at)).collect();
     for at in gone.into_iter().rev() {
@@ -273,7 +277,7 @@
         let cancelled = job.cancelled || job.cancel_requested;
         cluster.assign(job_ix, task, ix, attempt, phase, now);
         if cancelled && let Some(a) = cluster.machine_mut(ix).and_then(|m| m.tasks.last_mut()) {
-            a.stop = Some(0.0);
+            a.stop_grace_s = Some(0.0);
         }
         return;
     }
@@ -301,7 +305,7 @@
     let Some((m, jobs)) = cluster.machine_with_jobs(ix) else {
         return out;
     };
-    let seen = m.seen_token;
+    let seen = m.acknowledged_token;
     for a in &mut m.tasks {
         if out.len() >= MAX_COMMANDS {
             break;
@@ -312,7 +316,7 @@
                 // After a reap, a launch of that attempt which is still on
                 // its way would start it again; and a task's end must be
                 // recorded before the only witness is removed.
-                let in_doubt = a.doubt != 0 && seen <= a.doubt;
+                let in_doubt = a.indeterminate_token != 0 && seen <= a.indeterminate_token;
                 let recorded = why != Why::Done
                     || a.job == NONE
                     || jobs
@@ -324,25 +328,25 @@
                 }
             }
             Phase::New | Phase::Sent => {
-                if let Some(grace_s) = a.stop {
+                if let Some(grace_s) = a.stop_grace_s {
                     out.push(Command::Stop {
                         task,
                         attempt,
                         grace_s,
                     });
-                } else if a.phase == Phase::New && a.change <= confirmed {
-                    sent = sent.max(a.change);
+                } else if a.phase == Phase::New && a.change_number <= confirmed {
+                    sent = sent.max(a.change_number);
                     a.phase = Phase::Sent;
-                    a.sent_seq = seq;
-                    a.doubt = direct.unwrap_or(0);
+                    a.sent_with_heartbeat = seq;
+                    a.indeterminate_token = direct.unwrap_or(0);
                     out.push(Command::Start { task, attempt });
                 }
             }
             _ => {
-                if let Some(grace_s) = a.stop
+                if let Some(grace_s) = a.stop_grace_s
                     && !(a.phase == Phase::Saving && grace_s > 0.0)
                 {
-                    a.told = true;
+                    a.stop_sent = true;
                     out.push(Command::Stop {
                         task,
                         attempt,
@@ -360,8 +364,12 @@
 /// no longer in doubt.
 pub fn settle_direct(cluster: &mut ClusterState, ix: u32, token: u64, executed: bool) {
     if let Some(m) = cluster.machine_mut(ix) {
-        for a in m.tasks.iter_mut().filter(|a| a.doubt == token) {
-            a.doubt = 0;
+        for a in m
+            .tasks
+            .iter_mut()
+            .filter(|a| a.indeterminate_token == token)
+        {
+            a.indeterminate_token = 0;
             if a.phase == Phase::Sent {
                 a.phase = if executed { Phase::Sent } else { Phase::New };
             }
@@ -373,10 +381,10 @@
 pub fn wants_direct(cluster: &ClusterState, ix: u32, confirmed: u64) -> bool {
     cluster.machine(ix).is_some_and(|m| {
         m.up && m.addr.is_some()
-            && m.tasks.iter().any(|a| match (a.phase, a.stop) {
-                (Phase::New, None) => a.change <= confirmed,
+            && m.tasks.iter().any(|a| match (a.phase, a.stop_grace_s) {
+                (Phase::New, None) => a.change_number <= confirmed,
                 // A halt is told at once, and again with the reports.
-                (Phase::Fetching | Phase::Waiting | Phase::Running, Some(_)) => !a.told,
+                (Phase::Fetching | Phase::Waiting | Phase::Running, Some(_)) => !a.stop_sent,
                 _ => false,
             })
     })
--- a/src/server/control_loop.rs
+++ b/src/server/control_loop.rs
@@ -5,7 +5,7 @@
     control::leader::{Direct, DirectOutcome, Leader, Plan},
     control::requests::{Found, TxnResult, final_status},
     protocol::workers::Report,
-    state::{cluster::ORDER, rate_limit::share, records::LEADER},
+    state::{cluster::DIRECT_COMMAND_TIMEOUT_MS, rate_limit::share, records::LEADER},
     transport::{client::CallError, within},
 };
 use async_io::Timer;
@@ -101,7 +101,7 @@
 impl Node {
     async fn direct(self: Rc<Self>, term: u64, d: Direct) {
         let body = serde_json::to_vec(&d.order).unwrap_or_default();
-        let limit = Duration::from_millis(ORDER);
+        let limit = Duration::from_millis(DIRECT_COMMAND_TIMEOUT_MS);
         // Decided with authority, but that may have ended since. Past this
         // point the token's order makes a late order harmless.
         let still = || self.acting(|l, _| l.term) == Some(term);
--- a/src/state/cluster/mod.rs
+++ b/src/state/cluster/mod.rs
@@ -9,7 +9,7 @@
 
 pub use interner::Interner;
 pub use job::{Job, Placement};
-pub use machine::{Assignment, Machine, ORDER, Phase, Roster};
+pub use machine::{Assignment, DIRECT_COMMAND_TIMEOUT_MS, Machine, Phase, Registration};
 use stale::StaleMachines;
 
 use super::{
@@ -181,12 +181,12 @@
         let jobs = &self.jobs;
         let is_batch = |a: &Assignment| {
             let job = jobs.get(a.job as usize).and_then(Option::as_ref);
-            a.live() && job.is_none_or(|j| j.spec.kind != Kind::Service)
+            a.is_live() && job.is_none_or(|j| j.spec.kind != Kind::Service)
         };
         // What placement goes by does not change with this.
         for m in self.machines.iter_mut().flatten() {
             if m.tasks.iter().any(is_batch) {
-                m.batch_until = now;
+                m.last_batch_activity = now;
             }
         }
     }
@@ -301,8 +301,8 @@
         for m in self.machines.iter_mut().flatten() {
             for a in m.tasks.iter_mut().filter(|a| a.job == ix) {
                 a.job = NONE;
-                if a.live() && a.stop.is_none() {
-                    a.stop = Some(0.0);
+                if a.is_live() && a.stop_grace_s.is_none() {
+                    a.stop_grace_s = Some(0.0);
                 }
             }
         }
@@ -334,46 +334,46 @@
             capacity,
             used: Resources::default(),
             tasks: Vec::new(),
-            session: 0,
-            seq: 0,
-            min_session: 0,
-            seen_token: 0,
-            fence: 0,
-            proof: 0,
-            reborn_at: 0,
-            least_token: 0,
-            latest: (0, 0),
-            older: ((0, 0), 0),
-            unproven: 0,
+            incarnation: 0,
+            heartbeat_seq: 0,
+            min_incarnation: 0,
+            acknowledged_token: 0,
+            token_epoch: 0,
+            required_token: 0,
+            restart_token: 0,
+            min_token: 0,
+            latest_heartbeat: (0, 0),
+            last_stale_heartbeat: ((0, 0), 0),
+            unacknowledged_heartbeats: 0,
             up: false,
-            unknown: false,
-            answered: 0,
-            starting: None,
-            may_have_begun: 0,
-            heard: 0,
-            roster: Roster::Absent,
-            version: 0,
-            writing: false,
+            contents_unknown: false,
+            last_answered: 0,
+            start_sent_at: None,
+            latest_possible_start: 0,
+            last_heartbeat: 0,
+            registration: Registration::Absent,
+            record_version: 0,
+            write_in_flight: false,
             releasing: false,
-            release_marked: false,
-            noted_empty: false,
-            release_sent: false,
-            notice: None,
-            since: now,
+            release_recorded: false,
+            recorded_empty: false,
+            release_requested: false,
+            reclaim_at: None,
+            state_since: now,
             idle_since: now,
-            listed: now,
-            file: MachineFile::default(),
-            verdict_new: false,
-            ordering: false,
-            order_retry: 0,
+            last_listed: now,
+            failures: MachineFile::default(),
+            quarantine_unrecorded: false,
+            command_in_flight: false,
+            command_retry_at: 0,
             images: Vec::new(),
-            images_new: false,
-            batch_until: now,
-            no_batch_until: 0,
-            suspect: false,
-            suspect_since: 0,
+            images_unrecorded: false,
+            last_batch_activity: now,
+            closed_to_batches_until: 0,
+            overdue: false,
+            overdue_since: 0,
             draining: false,
-            held_for: None,
+            reserved_for: None,
         };
         let ix = match self.free_machines.pop() {
             Some(ix) => ix,
@@ -409,7 +409,7 @@
             self.record_change(ix);
         }
         for a in tasks {
-            if a.live() {
+            if a.is_live() {
                 self.release_resources(ix, &a);
             }
         }
@@ -476,13 +476,13 @@
                 team,
                 need,
                 phase,
-                stop: None,
-                told: false,
-                doubt: 0,
-                sent_seq: 0,
+                stop_grace_s: None,
+                stop_sent: false,
+                indeterminate_token: 0,
+                sent_with_heartbeat: 0,
                 since: now,
-                ran: false,
-                change,
+                seen_running: false,
+                change_number: change,
             });
         }
     }
@@ -509,7 +509,7 @@
             Some(at) => {
                 m.images.remove(at);
             }
-            None => m.images_new = true,
+            None => m.images_unrecorded = true,
         }
         m.images.push(image);
         let size = |i: &u32| self.image_gb.get(*i as usize).copied().unwrap_or(0.0);
@@ -536,13 +536,13 @@
                 team: usize::MAX,
                 need: Resources::default(),
                 phase,
-                stop: Some(0.0),
-                told: false,
-                doubt: 0,
-                sent_seq: 0,
+                stop_grace_s: Some(0.0),
+                stop_sent: false,
+                indeterminate_token: 0,
+                sent_with_heartbeat: 0,
                 since: now,
-                ran: false,
-                change: 0,
+                seen_running: false,
+                change_number: 0,
             });
         }
     }
@@ -572,7 +572,7 @@
         if let Some(m) = self.machine_mut(machine) {
             m.used += need;
             if let Some(a) = m.tasks.last_mut() {
-                (a.job, a.task, a.change) = (job_ix, task, change);
+                (a.job, a.task, a.change_number) = (job_ix, task, change);
                 (a.team, a.need) = (team, need);
             }
         }
@@ -620,7 +620,7 @@
             return;
         };
         let a = m.tasks.swap_remove(at);
-        if a.live() {
+        if a.is_live() {
             self.record_change(machine);
             self.release_resources(machine, &a);
         }
@@ -636,7 +636,7 @@
         on.into_iter().flat_map(move |ix| {
             let tasks = self.machine(ix).map_or(&[][..], |m| &m.tasks);
             let own = tasks.iter().enumerate();
-            own.filter_map(move |(at, a)| (a.job == job && a.live()).then_some((ix, at)))
+            own.filter_map(move |(at, a)| (a.job == job && a.is_live()).then_some((ix, at)))
         })
     }
 
--- a/src/state/cluster/replication.rs
+++ b/src/state/cluster/replication.rs
@@ -34,7 +34,9 @@
                 jobs.push((job.id.clone(), Vec::new()));
                 of.len() - 1
             });
-            jobs[at].1.push(MayRun(a.task, a.attempt, a.change, seen));
+            jobs[at]
+                .1
+                .push(MayRun(a.task, a.attempt, a.change_number, seen));
         }
         MachineHolds {
             machine: name.to_owned(),
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! What the service knows: the in-memory model, the records it keeps in the
+//! What the service knows: the in-memory cluster state, the records it keeps in the
 //! state service, and the rate budgets towards the outside.
 
 pub mod bounded_cache;
--- a/tests/job_liveness.rs
+++ b/tests/job_liveness.rs
@@ -204,7 +204,7 @@
     assert!(l.on_beat(&copy, now).is_none());
     let machine = |l: &pathwinch::control::leader::Leader| {
         let ix = l.cluster.machine_index(&copy.machine).unwrap();
-        l.cluster.machine(ix).map(|m| (m.up, m.session))
+        l.cluster.machine(ix).map(|m| (m.up, m.incarnation))
     };
     assert_eq!(machine(l), Some((true, 1)));
     w.run(5_000);
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -256,7 +256,11 @@
         l.tick(now, now);
         assert!(!l.settled());
         if still_listed {
-            let silent = l.cluster.each_machine().find(|m| m.unknown).unwrap();
+            let silent = l
+                .cluster
+                .each_machine()
+                .find(|m| m.contents_unknown)
+                .unwrap();
             let listed = serde_json::json!({
                 "ref": silent.name, "addr": "127.0.0.1:9", "rig": "m8", "hall": "a",
                 "lendback": false, "stage": "running", "age_s": 60.0});
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -330,7 +330,7 @@
     assert_eq!(w.running("j-000001"), 1, "one task made room, not both");
     let i = w.leader().unwrap();
     let model = &w.nodes[i].leader.as_ref().unwrap().cluster;
-    assert!(model.each_machine().all(|m| m.held_for.is_none()));
+    assert!(model.each_machine().all(|m| m.reserved_for.is_none()));
     w.sound();
 }
 
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -47,7 +47,7 @@
     },
     state::{
         Ms,
-        cluster::ORDER,
+        cluster::DIRECT_COMMAND_TIMEOUT_MS,
         rate_limit::Budget,
         records::{self, Bits, FinalRecord, LEADER, MachineRecord, StoredJob},
         spec_chunks::PIECES,
@@ -552,7 +552,14 @@
             for m in l.cluster.each_machine() {
                 eprintln!(
                     "{} up {} unknown {} roster {:?} v {} writing {} releasing {} tasks {:?}",
-                    m.name, m.up, m.unknown, m.roster, m.version, m.writing, m.releasing, m.tasks
+                    m.name,
+                    m.up,
+                    m.contents_unknown,
+                    m.registration,
+                    m.record_version,
+                    m.write_in_flight,
+                    m.releasing,
+                    m.tasks
                 );
             }
             eprintln!("unclear {}", self.nodes[i].unclear.is_some());
--- a/tests/simulation/net.rs
+++ b/tests/simulation/net.rs
@@ -288,7 +288,7 @@
         self.directs
             .insert((i, term, d.machine.clone(), d.order.token));
         let lost = Msg::Done(i, term, d.machine.clone(), d.order.token, None);
-        self.wire.push((self.now + ORDER, lost));
+        self.wire.push((self.now + DIRECT_COMMAND_TIMEOUT_MS, lost));
         let delay = self.slow_do.get(&w).copied().unwrap_or(5);
         self.send(i, w, delay, Msg::Do(i, w, term, d.order));
     }
--- a/tests/simulation/nodes.rs
+++ b/tests/simulation/nodes.rs
@@ -72,7 +72,7 @@
             l.finish_loading(now);
             if self.sabotage {
                 for m in l.cluster.each_machine_mut() {
-                    m.unknown = false;
+                    m.contents_unknown = false;
                 }
             }
         }
--- a/tests/simulation/workers.rs
+++ b/tests/simulation/workers.rs
@@ -18,7 +18,7 @@
         let ix = l.cluster.machine_index(&self.workers[w].name);
         let fence = ix
             .and_then(|ix| l.cluster.machine(ix))
-            .map_or(0, |m| m.fence);
+            .map_or(0, |m| m.token_epoch);
         (l.term << 20) | fence
     }
 
--- a/tests/standby.rs
+++ b/tests/standby.rs
@@ -594,7 +594,7 @@
     assert!(tasks_on(&l, 1).is_empty());
     let ix = l.cluster.machine_index(&machine(0)).unwrap();
     let m = l.cluster.machine(ix).unwrap();
-    assert!(m.tasks.len() == 2 && m.tasks.iter().all(|a| a.stop.is_none()));
+    assert!(m.tasks.len() == 2 && m.tasks.iter().all(|a| a.stop_grace_s.is_none()));
 }
 
 /// Guards against a takeover that looks at every machine for every task.
