--- a/crates/market/src/broker/mod.rs
+++ b/crates/market/src/broker/mod.rs
@@ -344,7 +344,7 @@
         self.jobs.values().filter(doubt).count()
     }
 
-    /// What a team may still spend today, what is set aside left out.
+    /// What a team may still spend today, what is quarantined left out.
     pub fn money(&self, team: &str, now: Ms) -> Money {
         let budget = self.o.budgets.get(team).copied().unwrap_or(0);
         let spent = self
--- a/crates/market/src/records.rs
+++ b/crates/market/src/records.rs
@@ -33,7 +33,7 @@
     pub market: String,
     pub team: String,
     pub tasks: u32,
-    /// At most this is paid, and set aside until the end.
+    /// At most this is paid, and quarantined until the end.
     pub cap: Money,
     pub start_by: Until,
     /// Absent: it may be at the market, or on its way there.
--- a/src/control/leader/inventory.rs
+++ b/src/control/leader/inventory.rs
@@ -200,7 +200,7 @@
             }
             let boot = millis(self.cluster.types[m.type_ix].boot_s);
             let empty = m.tasks.is_empty();
-            let why = if m.up && m.failures.set_aside && empty {
+            let why = if m.up && m.failures.quarantined && empty {
                 Some("tasks fail on it")
             } else if m.up && m.draining && empty && !m.command_in_flight {
                 Some("drained")
--- a/src/control/leader/mod.rs
+++ b/src/control/leader/mod.rs
@@ -53,7 +53,7 @@
             Placement, Registration,
         },
         dependencies::{Chains, Gate},
-        fault_attribution::{JobFile, MachineFile},
+        fault_attribution::{JobFailures, MachineFailures},
         offload::Away,
         records::{
             self as keys, Bits, FinalRecord, JobRecord, LEADER, MachineRecord, chunk_key,
@@ -250,8 +250,8 @@
                 j.offload = away;
                 j.reason = Reason::Lent;
             }
-            if suspected && !j.failures.proven && !j.failures.suspected {
-                j.failures = JobFile::suspected_before(now);
+            if suspected && !j.failures.has_succeeded && !j.failures.suspected {
+                j.failures = JobFailures::inherited_suspicion(now);
             }
         }
         self.link(ix);
@@ -303,7 +303,7 @@
             m.release_recorded = m.releasing;
             m.recorded_empty = record.releasing;
             if record.quarantined {
-                m.failures = MachineFile::set_aside_before(now);
+                m.failures = MachineFailures::inherited_quarantine(now);
             }
             // Either mark is written only when nothing runs there, and stands
             // until something may be started: no lease need be waited for.
@@ -383,10 +383,10 @@
             }
         }
         for (job_ix, started) in news.ran {
-            self.on_ran(ix, job_ix, started, now);
+            self.on_task_running(ix, job_ix, started, now);
         }
         for (job_ix, task, why) in news.ended {
-            self.on_ended(ix, job_ix, task, why, now);
+            self.on_task_ended(ix, job_ix, task, why, now);
         }
     }
 
@@ -612,7 +612,7 @@
             .iter()
             .flatten()
             .any(|j| j.backoff_until != 0 && j.backoff_until <= now);
-        self.try_again(now);
+        self.retry_quarantined(now);
         // Rates and holds change with time alone, so look now and then anyway.
         let due = now >= self.planning.place_at;
         let resumes = self.planning.pass.is_some();
--- a/src/control/leader/parts.rs
+++ b/src/control/leader/parts.rs
@@ -98,5 +98,5 @@
     pub(super) tally: Tally,
     pub(super) failed: VecDeque<status::Failed>,
     /// Jobs of which a task failed and none has run.
-    pub(super) accused: Vec<u32>,
+    pub(super) suspects: Vec<u32>,
 }
--- a/src/control/leader/persistence.rs
+++ b/src/control/leader/persistence.rs
@@ -243,7 +243,7 @@
             spot: m.spot,
             releasing: lapsed || m.releasing && m.registration == Registration::Present,
             lapsed,
-            quarantined: m.failures.set_aside,
+            quarantined: m.failures.quarantined,
             images: Vec::new(),
         };
         let record = self.with_images(record, &m.images);
@@ -499,7 +499,7 @@
                 Item::Registration(ix, name) | Item::Mark(ix, name) | Item::Lapsed(ix, name) => {
                     if let Some(m) = self.cluster.machine_mut(*ix).filter(|m| m.name == *name) {
                         m.write_in_flight = false;
-                        m.quarantine_unrecorded |= m.failures.set_aside;
+                        m.quarantine_unrecorded |= m.failures.quarantined;
                     }
                 }
                 Item::Pieces(..) | Item::Drop(_) => {}
--- a/src/control/leader/scheduling_cycle.rs
+++ b/src/control/leader/scheduling_cycle.rs
@@ -117,7 +117,7 @@
         };
         // One try at a time.
         let tried = job.failures.suspected && job.live_count > 0;
-        if job.backoff_until > now || job.failures.waits(now) || tried {
+        if job.backoff_until > now || job.failures.is_backing_off(now) || tried {
             self.set_reason(job_ix, Reason::FailsEverywhere);
             return true;
         }
--- a/src/control/leader/status.rs
+++ b/src/control/leader/status.rs
@@ -212,7 +212,7 @@
                 fleet.booting += 1;
             }
             let boot = millis(self.cluster.types[m.type_ix].boot_s);
-            let why = if m.failures.set_aside {
+            let why = if m.failures.quarantined {
                 "set aside: jobs that run elsewhere, or several, fail on it"
             } else if m.contents_unknown {
                 "not heard in this term"
@@ -282,7 +282,11 @@
                 0 => "as an earlier leader found".to_owned(),
                 n => format!("on {n} {} or more", times(n)),
             };
-            let next = job.failures.next_try().saturating_sub(now).div_ceil(1000);
+            let next = job
+                .failures
+                .next_retry_at()
+                .saturating_sub(now)
+                .div_ceil(1000);
             return Some(format!(
                 "suspected: its tasks failed {of} and none has run; the next try in {next} s"
             ));
--- a/src/state/cluster/job.rs
+++ b/src/state/cluster/job.rs
@@ -10,7 +10,7 @@
     state::{
         Ms,
         dependencies::Gate,
-        fault_attribution::JobFile,
+        fault_attribution::JobFailures,
         offload::Away,
         records::{Bits, CHUNK_TASKS, job_key},
         resources::Resources,
@@ -67,7 +67,7 @@
     /// Starts in a row that came to nothing for other reasons than errors.
     pub consecutive_refusals: u32,
     pub backoff_until: Ms,
-    pub failures: JobFile,
+    pub failures: JobFailures,
     /// A task of it has run since this leader knows of it.
     pub has_run: bool,
     /// No other job of this leader has had it: indices are used again.
--- a/src/state/cluster/machine.rs
+++ b/src/state/cluster/machine.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     protocol::workers::Why,
-    state::{Ms, fault_attribution::MachineFile, resources::Resources},
+    state::{Ms, fault_attribution::MachineFailures, resources::Resources},
 };
 use std::net::SocketAddr;
 
@@ -125,7 +125,7 @@
     pub state_since: Ms,
     pub idle_since: Ms,
     pub last_listed: Ms,
-    pub failures: MachineFile,
+    pub failures: MachineFailures,
     /// The record lacks the verdict on it.
     pub quarantine_unrecorded: bool,
     /// A direct order is on its way.
@@ -198,7 +198,7 @@
         self.up
             && !self.releasing
             && !self.recorded_empty
-            && !self.failures.set_aside
+            && !self.failures.quarantined
             && !self.draining
             && !self.misses_responses()
             && self.reclaim_at.is_none()
--- a/src/state/fault_attribution.rs
+++ b/src/state/fault_attribution.rs
@@ -7,225 +7,230 @@
 use super::Ms;
 
 /// Failures that are remembered of a job or a machine.
-const MOST: usize = 8;
+const MAX_REMEMBERED_FAILURES: usize = 8;
 /// So many machines accuse a job that has never run.
-const MACHINES: u32 = 2;
+const MACHINES_TO_SUSPECT_JOB: u32 = 2;
 /// So many jobs of which nothing is known accuse a machine.
-const JOBS: usize = 3;
+const JOBS_TO_SUSPECT_MACHINE: usize = 3;
 /// Pauses between tries of a suspected job.
-const FIRST_PAUSE: Ms = 8_000;
-const LAST_PAUSE: Ms = 64_000;
-/// A machine that is set aside, but kept for what runs there, is tried again.
-const PROBATION: Ms = 300_000;
+const FIRST_RETRY_DELAY_MS: Ms = 8_000;
+const MAX_RETRY_DELAY_MS: Ms = 64_000;
+/// A machine that is quarantined, but kept for what runs there, is retried.
+const QUARANTINE_RETRY_MS: Ms = 300_000;
 
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct FailedOn {
+pub struct FailuresOnMachine {
     pub machine: u32,
-    pub last: Ms,
+    pub last_failure: Ms,
     pub count: u32,
 }
 
 /// What is held against a job.
 #[derive(Debug, Clone, Default)]
-pub struct JobFile {
+pub struct JobFailures {
     /// Some task of it has run, so it can't fail everywhere.
-    pub proven: bool,
+    pub has_succeeded: bool,
     /// Machines on which it failed.
-    failed_on: Vec<FailedOn>,
+    by_machine: Vec<FailuresOnMachine>,
     pub suspected: bool,
     /// An earlier leader suspected it, on evidence that is not kept.
-    before: bool,
-    tries: u32,
-    next_try: Ms,
+    inherited: bool,
+    retries: u32,
+    next_retry_at: Ms,
 }
 
 /// A job's failures on one machine.
 #[derive(Debug, Clone)]
-struct Failures {
+struct FailuresOfJob {
     job: String,
     count: u32,
-    last: Ms,
+    last_failure: Ms,
     /// The job runs elsewhere.
-    proven: bool,
+    job_has_succeeded: bool,
 }
 
 /// What is held against a machine.
 #[derive(Debug, Clone, Default)]
-pub struct MachineFile {
-    failed: Vec<Failures>,
+pub struct MachineFailures {
+    by_job: Vec<FailuresOfJob>,
     /// When the latest of the tasks that ran there was started. One that was
     /// started before a failure says nothing of the time after it.
-    good: Option<Ms>,
-    pub set_aside: bool,
-    since: Ms,
+    last_success: Option<Ms>,
+    pub quarantined: bool,
+    quarantined_since: Ms,
     /// An earlier leader set it aside, on evidence that is not kept.
-    before: bool,
+    inherited: bool,
 }
 
-impl JobFile {
+impl JobFailures {
     /// As recorded by an earlier leader.
-    pub fn suspected_before(now: Ms) -> Self {
-        JobFile {
+    pub fn inherited_suspicion(now: Ms) -> Self {
+        JobFailures {
             suspected: true,
-            before: true,
-            next_try: now + FIRST_PAUSE,
-            ..JobFile::default()
+            inherited: true,
+            next_retry_at: now + FIRST_RETRY_DELAY_MS,
+            ..JobFailures::default()
         }
     }
 
     /// Whether it failed there: it is tried elsewhere first.
     pub fn failed_on(&self, machine: u32) -> bool {
-        self.failed_on.iter().any(|f| f.machine == machine)
+        self.by_machine.iter().any(|f| f.machine == machine)
     }
 
-    pub fn failures(&self) -> &[FailedOn] {
-        &self.failed_on
+    pub fn failures(&self) -> &[FailuresOnMachine] {
+        &self.by_machine
     }
 
-    pub fn note(&mut self, machine: u32, now: Ms) {
-        let at = self.failed_on.iter().position(|f| f.machine == machine);
-        let before = at.map_or(0, |at| self.failed_on.remove(at).count);
-        if self.failed_on.len() >= MOST {
-            self.failed_on.remove(0);
+    pub fn record_failure(&mut self, machine: u32, now: Ms) {
+        let at = self.by_machine.iter().position(|f| f.machine == machine);
+        let before = at.map_or(0, |at| self.by_machine.remove(at).count);
+        if self.by_machine.len() >= MAX_REMEMBERED_FAILURES {
+            self.by_machine.remove(0);
         }
-        self.failed_on.push(FailedOn {
+        self.by_machine.push(FailuresOnMachine {
             machine,
-            last: now,
+            last_failure: now,
             count: before + 1,
         });
     }
 
     /// The machine was at fault.
-    pub fn forget(&mut self, machine: u32) {
-        self.failed_on.retain(|f| f.machine != machine);
+    pub fn clear_machine(&mut self, machine: u32) {
+        self.by_machine.retain(|f| f.machine != machine);
     }
 
     /// A task of it ran: whatever failed, it was not the job.
-    pub fn ran(&mut self) {
-        *self = JobFile {
-            proven: true,
-            ..JobFile::default()
+    pub fn record_success(&mut self) {
+        *self = JobFailures {
+            has_succeeded: true,
+            ..JobFailures::default()
         };
     }
 
     /// Weighs the evidence again. `machine`: whether it is surely at fault,
     /// and when a task last ran there. Returns whether the verdict has changed.
-    pub fn judge(&mut self, now: Ms, machine: impl Fn(u32) -> (bool, Option<Ms>)) -> bool {
+    pub fn reevaluate(&mut self, now: Ms, machine: impl Fn(u32) -> (bool, Option<Ms>)) -> bool {
         let weight: u32 = self
-            .failed_on
+            .by_machine
             .iter()
             .map(|f| match machine(f.machine) {
                 (true, _) => 0,
                 // Others run where it failed: as good as a second machine.
-                (false, Some(good)) if good > f.last => MACHINES,
+                (false, Some(good)) if good > f.last_failure => MACHINES_TO_SUSPECT_JOB,
                 (false, _) => 1,
             })
             .sum();
-        let suspected = !self.proven && (self.before || weight >= MACHINES);
+        let suspected =
+            !self.has_succeeded && (self.inherited || weight >= MACHINES_TO_SUSPECT_JOB);
         if suspected == self.suspected {
             return false;
         }
         self.suspected = suspected;
-        self.tries = 0;
-        self.next_try = 0;
-        self.put_off(now);
+        self.retries = 0;
+        self.next_retry_at = 0;
+        self.delay_retry(now);
         true
     }
 
     /// A try of a job that has never run has failed: the next one later, and
     /// much later if it is suspected. The many tasks of one try count once.
-    pub fn put_off(&mut self, now: Ms) {
-        if self.proven || now < self.next_try {
+    pub fn delay_retry(&mut self, now: Ms) {
+        if self.has_succeeded || now < self.next_retry_at {
             return;
         }
         let (first, last) = match self.suspected {
-            true => (FIRST_PAUSE, LAST_PAUSE),
-            false => (FIRST_PAUSE / 16, FIRST_PAUSE),
+            true => (FIRST_RETRY_DELAY_MS, MAX_RETRY_DELAY_MS),
+            false => (FIRST_RETRY_DELAY_MS / 16, FIRST_RETRY_DELAY_MS),
         };
-        self.next_try = now + (first << self.tries.min(5)).min(last);
-        self.tries += 1;
+        self.next_retry_at = now + (first << self.retries.min(5)).min(last);
+        self.retries += 1;
     }
 
     /// Whether the job is put off for now. Guards, too, against a job that
     /// takes the only room there is again and again.
-    pub fn waits(&self, now: Ms) -> bool {
-        now < self.next_try
+    pub fn is_backing_off(&self, now: Ms) -> bool {
+        now < self.next_retry_at
     }
 
-    pub fn next_try(&self) -> Ms {
-        self.next_try
+    pub fn next_retry_at(&self) -> Ms {
+        self.next_retry_at
     }
 }
 
-impl MachineFile {
-    pub fn set_aside_before(now: Ms) -> Self {
-        MachineFile {
-            set_aside: true,
-            since: now,
-            before: true,
-            ..MachineFile::default()
+impl MachineFailures {
+    pub fn inherited_quarantine(now: Ms) -> Self {
+        MachineFailures {
+            quarantined: true,
+            quarantined_since: now,
+            inherited: true,
+            ..MachineFailures::default()
         }
     }
 
-    pub fn good(&self) -> Option<Ms> {
-        self.good
+    pub fn last_success(&self) -> Option<Ms> {
+        self.last_success
     }
 
     /// Jobs that run elsewhere fail there. A verdict on the word of others
     /// alone may turn round: they may all be broken.
-    pub fn surely_at_fault(&self) -> bool {
-        self.set_aside && (self.before || self.by_proven())
+    pub fn is_confirmed_faulty(&self) -> bool {
+        self.quarantined && (self.inherited || self.fails_proven_jobs())
     }
 
-    fn by_proven(&self) -> bool {
-        self.failed.iter().any(|f| f.proven && f.count >= 2)
+    fn fails_proven_jobs(&self) -> bool {
+        self.by_job
+            .iter()
+            .any(|f| f.job_has_succeeded && f.count >= 2)
     }
 
     /// A task that was started then ran there.
-    pub fn ran(&mut self, started: Ms) {
-        self.good = self.good.max(Some(started));
-        self.failed.retain(|f| f.last >= started);
+    pub fn record_success(&mut self, started: Ms) {
+        self.last_success = self.last_success.max(Some(started));
+        self.by_job.retain(|f| f.last_failure >= started);
     }
 
     /// So many tasks of the job failed there.
-    pub fn note(&mut self, job: &str, proven: bool, count: u32, now: Ms) {
-        if let Some(f) = self.failed.iter_mut().find(|f| f.job == job) {
+    pub fn record_failure(&mut self, job: &str, proven: bool, count: u32, now: Ms) {
+        if let Some(f) = self.by_job.iter_mut().find(|f| f.job == job) {
             f.count += count;
-            f.last = now;
-            f.proven |= proven;
-        } else if self.failed.len() < MOST {
-            self.failed.push(Failures {
+            f.last_failure = now;
+            f.job_has_succeeded |= proven;
+        } else if self.by_job.len() < MAX_REMEMBERED_FAILURES {
+            self.by_job.push(FailuresOfJob {
                 job: job.to_owned(),
                 count,
-                last: now,
-                proven,
+                last_failure: now,
+                job_has_succeeded: proven,
             });
         }
     }
 
     /// The job itself turned out to be at fault.
-    pub fn pardon(&mut self, job: &str) {
-        self.failed.retain(|f| f.job != job);
+    pub fn clear_job(&mut self, job: &str) {
+        self.by_job.retain(|f| f.job != job);
     }
 
-    /// Returns whether the verdict has changed. A machine set aside on the
+    /// Returns whether the verdict has changed. A machine quarantined on the
     /// word of jobs that turned out to be at fault comes back.
-    pub fn judge(&mut self, now: Ms) -> bool {
-        let guilty = self.before || self.by_proven() || self.failed.len() >= JOBS;
-        if guilty && !self.set_aside {
-            self.since = now;
+    pub fn reevaluate(&mut self, now: Ms) -> bool {
+        let guilty = self.inherited
+            || self.fails_proven_jobs()
+            || self.by_job.len() >= JOBS_TO_SUSPECT_MACHINE;
+        if guilty && !self.quarantined {
+            self.quarantined_since = now;
         }
-        std::mem::replace(&mut self.set_aside, guilty) != guilty
+        std::mem::replace(&mut self.quarantined, guilty) != guilty
     }
 
     /// A machine that can't be returned, as something still runs there, is
-    /// tried again after a while. Returns whether that is now.
-    pub fn tried_again(&mut self, now: Ms) -> bool {
-        let again = self.set_aside && now >= self.since + PROBATION;
+    /// retried after a while. Returns whether that is now.
+    pub fn end_quarantine_if_due(&mut self, now: Ms) -> bool {
+        let again = self.quarantined && now >= self.quarantined_since + QUARANTINE_RETRY_MS;
         if again {
-            *self = MachineFile {
-                good: self.good,
-                ..MachineFile::default()
+            *self = MachineFailures {
+                last_success: self.last_success,
+                ..MachineFailures::default()
             };
         }
         again
@@ -238,71 +243,77 @@
 
     #[test]
     fn a_job_that_fails_on_two_machines_is_suspected_unless_one_of_those_is_at_fault() {
-        let mut j = JobFile::default();
-        j.note(1, 100);
-        j.note(1, 200);
-        assert!(!j.judge(200, |_| (false, None)), "one machine is no proof");
-        j.note(2, 300);
+        let mut j = JobFailures::default();
+        j.record_failure(1, 100);
+        j.record_failure(1, 200);
+        assert!(
+            !j.reevaluate(200, |_| (false, None)),
+            "one machine is no proof"
+        );
+        j.record_failure(2, 300);
         let mut other = j.clone();
-        assert!(!other.judge(300, |m| (m == 1, None)));
-        assert!(j.judge(300, |_| (false, None)) && j.suspected);
-        // The machine is set aside later: the job is cleared.
-        assert!(j.judge(400, |m| (m == 1, None)) && !j.suspected);
+        assert!(!other.reevaluate(300, |m| (m == 1, None)));
+        assert!(j.reevaluate(300, |_| (false, None)) && j.suspected);
+        // The machine is quarantined later: the job is cleared.
+        assert!(j.reevaluate(400, |m| (m == 1, None)) && !j.suspected);
         // A new leader goes by the verdict, not by evidence it doesn't have.
-        let mut j = JobFile::suspected_before(0);
-        j.note(1, 9_000);
-        assert!(!j.judge(9_000, |_| (false, None)) && j.suspected);
-        j.ran();
+        let mut j = JobFailures::inherited_suspicion(0);
+        j.record_failure(1, 9_000);
+        assert!(!j.reevaluate(9_000, |_| (false, None)) && j.suspected);
+        j.record_success();
         assert!(!j.suspected);
     }
 
     #[test]
     fn a_job_that_fails_where_others_run_is_suspected_and_tried_at_a_slow_pace() {
-        let mut j = JobFile::default();
-        j.note(1, 1_000);
-        assert!(!j.judge(1_000, |_| (false, Some(900))));
-        assert!(j.judge(1_500, |_| (false, Some(1_400))) && j.suspected);
+        let mut j = JobFailures::default();
+        j.record_failure(1, 1_000);
+        assert!(!j.reevaluate(1_000, |_| (false, Some(900))));
+        assert!(j.reevaluate(1_500, |_| (false, Some(1_400))) && j.suspected);
         let mut at = 1_500;
         let mut tries = 0;
         while at < 600_000 {
-            assert!(j.waits(at) && !j.waits(j.next_try()));
-            at = j.next_try();
-            (0..100).for_each(|_| j.put_off(at));
+            assert!(j.is_backing_off(at) && !j.is_backing_off(j.next_retry_at()));
+            at = j.next_retry_at();
+            (0..100).for_each(|_| j.delay_retry(at));
             tries += 1;
         }
         assert!((8..16).contains(&tries), "{tries} in ten minutes");
-        j.ran();
-        assert!(!j.suspected && !j.waits(at));
+        j.record_success();
+        assert!(!j.suspected && !j.is_backing_off(at));
         // Proven, it is never suspected again.
-        j.note(1, at);
-        j.note(2, at);
-        assert!(!j.judge(at, |_| (false, None)));
+        j.record_failure(1, at);
+        j.record_failure(2, at);
+        assert!(!j.reevaluate(at, |_| (false, None)));
     }
 
     #[test]
     fn a_machine_is_set_aside_by_jobs_that_run_elsewhere_and_comes_back() {
-        let mut m = MachineFile::default();
-        m.note("a", true, 1, 100);
-        assert!(!m.judge(100));
+        let mut m = MachineFailures::default();
+        m.record_failure("a", true, 1, 100);
+        assert!(!m.reevaluate(100));
         // What was started before says nothing.
-        m.ran(50);
-        m.note("a", true, 1, 200);
-        assert!(m.judge(200) && m.set_aside);
-        assert!(!m.tried_again(200 + PROBATION - 1));
-        assert!(m.tried_again(200 + PROBATION) && !m.set_aside);
+        m.record_success(50);
+        m.record_failure("a", true, 1, 200);
+        assert!(m.reevaluate(200) && m.quarantined);
+        assert!(!m.end_quarantine_if_due(200 + QUARANTINE_RETRY_MS - 1));
+        assert!(m.end_quarantine_if_due(200 + QUARANTINE_RETRY_MS) && !m.quarantined);
         // Jobs of which nothing is known must be several.
-        let mut m = MachineFile::default();
+        let mut m = MachineFailures::default();
         for job in ["a", "a", "b"] {
-            m.note(job, false, 1, 100);
+            m.record_failure(job, false, 1, 100);
         }
-        assert!(!m.judge(100));
-        m.note("c", false, 1, 200);
-        assert!(m.judge(200) && m.set_aside);
-        m.pardon("b");
-        assert!(m.judge(300) && !m.set_aside, "one of them was broken");
+        assert!(!m.reevaluate(100));
+        m.record_failure("c", false, 1, 200);
+        assert!(m.reevaluate(200) && m.quarantined);
+        m.clear_job("b");
+        assert!(
+            m.reevaluate(300) && !m.quarantined,
+            "one of them was broken"
+        );
         // One that ran after the failures clears it.
-        m.ran(250);
-        m.note("d", false, 1, 300);
-        assert!(!m.judge(300));
+        m.record_success(250);
+        m.record_failure("d", false, 1, 300);
+        assert!(!m.reevaluate(300));
     }
 }
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -31,7 +31,7 @@
 fn set_aside(w: &mut World) -> Vec<String> {
     let Some(i) = w.leader() else { return vec![] };
     let model = &w.nodes[i].leader.as_ref().unwrap().cluster;
-    let aside = model.each_machine().filter(|m| m.failures.set_aside);
+    let aside = model.each_machine().filter(|m| m.failures.quarantined);
     aside.map(|m| m.name.clone()).collect()
 }
 
