--- a/crates/protocol/src/status.rs
+++ b/crates/protocol/src/status.rs
@@ -169,7 +169,7 @@
     /// All run this version, so that what only it can read may be written.
     #[serde(default)]
     pub upgraded: bool,
-    /// Why the answering node last gave up the lead, and how long ago.
+    /// Why the answering node last gave up leadership, and how long ago.
     #[serde(default)]
     pub stopped: Option<(String, f64)>,
 }
--- a/src/control/leader/failover.rs
+++ b/src/control/leader/failover.rs
@@ -12,7 +12,7 @@
     state::records::StandbyRecord,
 };
 
-/// What this node brought with it when it took the lead.
+/// What this node brought with it when it became leader.
 #[derive(Default)]
 pub(super) struct Takeover {
     /// Its process, and the copy it kept.
--- a/src/control/leader/mod.rs
+++ b/src/control/leader/mod.rs
@@ -33,7 +33,7 @@
     polls::Finals,
     provision::{self, Bin, Demand, Offer},
     reconciliation,
-    safety_bounds::Bounds,
+    safety_bounds::SafetyBounds,
     standby::Standbys,
 };
 use crate::{
@@ -218,7 +218,7 @@
     }
 
     fn lapse_after(&self) -> Ms {
-        Bounds::of(&self.settings.cluster.workers).lapse()
+        SafetyBounds::of(&self.settings.cluster.workers).lease_expiry()
     }
 
     /// Jobs and roster have been read.
@@ -327,7 +327,7 @@
         if !self.recovery.loaded {
             // The lease must not lapse while the records are being read; nor
             // may it be renewed for long, as they hold withdrawals.
-            let unread = Bounds::of(&self.settings.cluster.workers).unread();
+            let unread = SafetyBounds::of(&self.settings.cluster.workers).max_answering_unloaded();
             return (now < self.recovery.acquired + unread).then(|| ReportReply {
                 token: self.floor(),
                 commands: Vec::new(),
--- a/src/control/leader/recovery.rs
+++ b/src/control/leader/recovery.rs
@@ -38,7 +38,7 @@
     }
 }
 
-/// How far this leader has come since it took the lead, and what it may go by
+/// How far this leader has come since it became leader, and what it may go by
 /// until it has heard every machine.
 pub(super) struct Recovery {
     pub(super) acquired: Ms,
--- a/src/control/polls.rs
+++ b/src/control/polls.rs
@@ -1,7 +1,7 @@
 //! Polls at a node: those of one job share an answer, many travel together,
 //! and final states are remembered, as they never change.
 
-use super::safety_bounds::end_hold_ms;
+use super::safety_bounds::final_state_hold_ms;
 use crate::{
     protocol::users::{JobState, JobStatus},
     state::{Ms, bounded_cache::Recent},
@@ -151,7 +151,7 @@
     /// It is learned now, unless it is known already: it may be told once older
     /// answers are out.
     pub fn learned(&mut self, status: &JobStatus, now: Ms) {
-        self.remember(status, now + end_hold_ms());
+        self.remember(status, now + final_state_hold_ms());
     }
 
     /// For how long this state is held back yet. One that is not final is not.
--- a/src/control/safety_bounds.rs
+++ b/src/control/safety_bounds.rs
@@ -5,9 +5,9 @@
 use crate::{protocol::settings::Workers, state::Ms};
 
 /// Timers fire late.
-const MARGIN: Ms = 150;
+const TIMER_MARGIN_MS: Ms = 150;
 /// A worker takes an answer for so long after it sent its report.
-pub const ANSWER: Ms = 4_000;
+pub const RESPONSE_TIMEOUT_MS: Ms = 4_000;
 
 /// A state that is not final leaves a node no later than this after its reading
 /// was begun.
@@ -15,12 +15,12 @@
 
 /// After a node has learned of a job's end, every older answer of any node has
 /// left that node by then, and reached its user over an ordinary way.
-pub fn end_hold_ms() -> Ms {
+pub fn final_state_hold_ms() -> Ms {
     at_most(MAX_READING_AGE_MS)
 }
 
 fn slack(span: Ms) -> Ms {
-    span / 500 + MARGIN
+    span / 500 + TIMER_MARGIN_MS
 }
 
 /// By then, here, a span that another clock counts is over.
@@ -35,22 +35,22 @@
 
 /// Those that the platform's settings give.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Bounds {
+pub struct SafetyBounds {
     lease: Ms,
     cancel: Ms,
 }
 
-impl Bounds {
+impl SafetyBounds {
     pub fn of(workers: &Workers) -> Self {
         let millis = |s: f64| (s.max(0.0) * 1000.0) as Ms;
-        Bounds {
+        SafetyBounds {
             lease: millis(workers.lease_s),
             cancel: millis(workers.cancel_s),
         }
     }
 
     /// After a worker was last answered, its tasks are gone by then.
-    pub fn lapse(&self) -> Ms {
+    pub fn lease_expiry(&self) -> Ms {
         at_most(self.lease)
     }
 
@@ -60,15 +60,15 @@
     /// from then the leases of all machines have run out by themselves, as
     /// they run from when a report was sent, and an answer may be on its way
     /// to one for 4 s. 0: not at all.
-    pub fn blind(&self) -> Ms {
-        at_least(self.cancel).saturating_sub(self.lapse() + ANSWER)
+    pub fn max_staleness(&self) -> Ms {
+        at_least(self.cancel).saturating_sub(self.lease_expiry() + RESPONSE_TIMEOUT_MS)
     }
 
     /// How long a new leader may answer workers before it has read the records.
     /// What it does not know a user may have been told up to a lease ago: a
     /// machine that was answered later than that has been ordered to stop.
-    pub fn unread(&self) -> Ms {
-        self.blind().saturating_sub(self.lapse())
+    pub fn max_answering_unloaded(&self) -> Ms {
+        self.max_staleness().saturating_sub(self.lease_expiry())
     }
 }
 
@@ -76,8 +76,8 @@
 mod tests {
     use super::*;
 
-    fn of(lease_s: f64, cancel_s: f64) -> Bounds {
-        Bounds::of(&Workers {
+    fn of(lease_s: f64, cancel_s: f64) -> SafetyBounds {
+        SafetyBounds::of(&Workers {
             report_s: 1.0,
             lease_s,
             gang_wait_s: 1.0,
@@ -92,7 +92,7 @@
     fn whatever_a_blind_leader_kept_is_gone_in_time_by_any_clock() {
         for (lease, cancel) in [(10.0, 35.0), (10.0, 40.0), (15.25, 40.25), (26.5, 56.5)] {
             let b = of(lease, cancel);
-            let last = b.blind() as f64;
+            let last = b.max_staleness() as f64;
             assert!(last > 0.0);
             let gone = last + 4_000.0 + 1_000.0 * lease * 1.0005;
             let told_late = 1_000.0 * cancel * 0.9995;
@@ -100,9 +100,9 @@
             // Nor is it shorter by much more than that.
             assert!(gone + 700.0 > told_late, "{lease} {cancel}: {gone}");
         }
-        assert_eq!(of(10.0, 14.0).blind(), 0, "no time at all");
-        assert_eq!(of(26.5, 56.5).unread(), 0);
-        assert!(of(10.0, 35.0).unread() > 10_000);
+        assert_eq!(of(10.0, 14.0).max_staleness(), 0, "no time at all");
+        assert_eq!(of(26.5, 56.5).max_answering_unloaded(), 0);
+        assert!(of(10.0, 35.0).max_answering_unloaded() > 10_000);
     }
 
     #[test]
--- a/src/control/standby/replica.rs
+++ b/src/control/standby/replica.rs
@@ -74,7 +74,7 @@
         true
     }
 
-    /// The node has taken the lead in `term`: the copy is its to use, and no
+    /// The node has become leader in `term`: the copy is its to use, and no
     /// earlier leader's word is taken any more.
     pub fn take_over(&mut self, term: u64) -> Option<Copy> {
         let whole = self.whole.take();
--- a/src/server/audit_log.rs
+++ b/src/server/audit_log.rs
@@ -5,7 +5,7 @@
 use super::Node;
 use crate::{
     control::{
-        election::Lead,
+        election::Leadership,
         requests::{Answer, Basis},
     },
     protocol::users::JobState,
@@ -93,7 +93,7 @@
     }
 
     /// Starts and stops that were ordered, with what entitled this node to.
-    pub(super) fn note_orders(&self, lead: Option<Lead>, starts: u64, stops: u64) {
+    pub(super) fn note_orders(&self, lead: Option<Leadership>, starts: u64, stops: u64) {
         let mut orders = self.evidence.orders.get();
         orders.starts += starts;
         orders.stops += stops;
@@ -107,7 +107,7 @@
                     lead.term,
                     right.text(),
                     until.saturating_sub(now),
-                    now.saturating_sub(lead.knows())
+                    now.saturating_sub(lead.cancellations_known_until())
                 )
             });
             let right = right.unwrap_or_else(|| "the lead is given up since".to_owned());
--- a/src/server/control_loop.rs
+++ b/src/server/control_loop.rs
@@ -33,7 +33,7 @@
         last = node.now();
         if late > STOOD_STILL {
             log::info!("this process stood still for {late} ms");
-            let lead = node.election.borrow().lead();
+            let lead = node.election.borrow().leadership();
             if let Some(lead) = lead {
                 node.of_term(lead.term, |l, now| l.stood_still(now));
             }
@@ -58,7 +58,7 @@
         let Some((term, directs, ops, list, tally)) = begun else {
             continue;
         };
-        let lead = node.election.borrow().lead();
+        let lead = node.election.borrow().leadership();
         node.note_orders(lead, tally.starts, tally.stops);
         node.figures.borrow_mut().add(tally);
         let round = round_began.elapsed().as_secs_f64();
--- a/src/server/heartbeats.rs
+++ b/src/server/heartbeats.rs
@@ -3,7 +3,7 @@
 
 use super::Node;
 use crate::{
-    control::failure_detector::Foreman,
+    control::failure_detector::RedirectTarget,
     protocol::{
         peers::{Reply, Request},
         workers::Report,
@@ -27,18 +27,21 @@
             return answer;
         }
         let now = self.now();
-        let leads = self.election.borrow().lead().is_some();
-        let foreman = match leads {
+        let leads = self.election.borrow().leadership().is_some();
+        let target = match leads {
             // It may not act just now: they are back soonest by themselves.
-            true => Foreman::Next,
-            false => self.reach.borrow_mut().foreman(self.leader_peer(), now),
+            true => RedirectTarget::Any,
+            false => self
+                .failure_detector
+                .borrow_mut()
+                .redirect_target(self.leader_peer(), now),
         };
-        log::debug!("report of {}: {foreman:?}", report.machine);
-        let Foreman::Leads(leader) = foreman else {
-            return self.elsewhere(foreman);
+        log::debug!("report of {}: {target:?}", report.machine);
+        let RedirectTarget::Leader(leader) = target else {
+            return self.redirect(target);
         };
         if !self.relays.borrow_mut().relays(&report.machine, now) {
-            return self.elsewhere(foreman);
+            return self.redirect(target);
         }
         // The leader's network to the workers may be cut while ours is not.
         let request = Request::Forward {
@@ -57,20 +60,23 @@
             },
             // Not to whichever it tries next: that may be a silent node.
             _ => {
-                let other = self.reach.borrow_mut().foreman(None, self.now());
-                self.elsewhere(other)
+                let other = self
+                    .failure_detector
+                    .borrow_mut()
+                    .redirect_target(None, self.now());
+                self.redirect(other)
             }
         }
     }
 
     /// Sends a worker to another node.
-    fn elsewhere(&self, to: Foreman) -> HttpResponse {
+    fn redirect(&self, to: RedirectTarget) -> HttpResponse {
         match to {
-            Foreman::Leads(p) | Foreman::Answers(p) => {
+            RedirectTarget::Leader(p) | RedirectTarget::Healthy(p) => {
                 let name = &self.settings.peers[p].name;
                 HttpResponse::json(421, &serde_json::json!({ "foreman": name }))
             }
-            Foreman::Next => HttpResponse::json(421, &serde_json::json!({})),
+            RedirectTarget::Any => HttpResponse::json(421, &serde_json::json!({})),
         }
     }
 
--- a/src/server/leadership/campaign.rs
+++ b/src/server/leadership/campaign.rs
@@ -1,10 +1,10 @@
-//! A node that does not lead: watches the leader's key, and takes the lead where
+//! A node that does not lead: watches the leader's key, and becomes leader where
 //! nobody holds it.
 
 use super::{super::Node, PROBE_TIMEOUT, load_state::load};
 use crate::{
     control::{
-        election::{LEASE_LIFE_MS, SEEK_STEP_MS},
+        election::{CAMPAIGN_STEP_TIMEOUT_MS, LEASE_TTL_MS},
         leader::Leader,
         requests::TxnResult,
     },
@@ -14,10 +14,10 @@
 use http_types::Method;
 use std::{rc::Rc, time::Duration};
 
-/// How long a barred node waits before it tries again, in milliseconds.
-const BARRED_PAUSE_MS: u64 = 1_000;
-/// A step of seeking the lead.
-const STEP_TIMEOUT: Duration = Duration::from_millis(SEEK_STEP_MS);
+/// How long an excluded node waits before it tries again, in milliseconds.
+const EXCLUDED_PAUSE_MS: u64 = 1_000;
+/// A step of campaigning.
+const STEP_TIMEOUT: Duration = Duration::from_millis(CAMPAIGN_STEP_TIMEOUT_MS);
 
 impl Node {
     async fn read_leader(&self) -> Result<(), String> {
@@ -28,9 +28,9 @@
             let record: LeaderRecord = serde_json::from_value(i.value).ok()?;
             Some((record.node, i.version))
         });
-        let changed = seen != self.election.borrow().seen;
-        self.election.borrow_mut().saw(seen, self.now());
-        if self.election.borrow().seen.is_some() {
+        let changed = seen != self.election.borrow().observed_leader;
+        self.election.borrow_mut().observe_leader(seen, self.now());
+        if self.election.borrow().observed_leader.is_some() {
             self.last_record.take();
         }
         if changed {
@@ -43,11 +43,11 @@
     /// One step of a node that doesn't lead; returns when to do the next.
     pub(super) async fn seek(self: &Rc<Self>) -> Duration {
         let soon = Duration::from_millis(150);
-        let doubt = self.election.borrow().doubt;
+        let doubt = self.election.borrow().indeterminate_lease;
         if let Some(lease) = doubt {
             // End the lease of the attempt, so that it can't succeed late.
             if self.end_lease(lease, PROBE_TIMEOUT).await {
-                self.election.borrow_mut().doubt = None;
+                self.election.borrow_mut().indeterminate_lease = None;
             }
             return soon;
         }
@@ -55,8 +55,8 @@
             log::debug!("reading the leader's key: {e}");
             return Duration::from_millis(250 + fastrand::u64(0..100));
         }
-        let Some(version) = self.election.borrow().may_seek(self.now()) else {
-            let nobody = self.election.borrow().seen.is_none();
+        let Some(version) = self.election.borrow().may_campaign(self.now()) else {
+            let nobody = self.election.borrow().observed_leader.is_none();
             // A standby that counts looks more often.
             let counts = self.follower.borrow().counts(self.now());
             return match (nobody, counts) {
@@ -70,9 +70,16 @@
         }
         // Nodes that are better placed go first, and those that are warm.
         let now = self.now();
-        let poor = self.reach.borrow().poor_place(now);
+        let poor = self
+            .failure_detector
+            .borrow()
+            .unfavourable_failover_position(now);
         let others = !poor && self.others_are_named().await;
-        if self.election.borrow_mut().hesitates(now, || poor || others) {
+        if self
+            .election
+            .borrow_mut()
+            .delays_candidacy(now, || poor || others)
+        {
             return soon;
         }
         self.acquire(version).await;
@@ -82,7 +89,7 @@
     async fn acquire(self: &Rc<Self>, version: u64) {
         let asked = self.now();
         self.requests.borrow_mut().force(asked, 2.0);
-        let body = serde_json::json!({ "life_ms": LEASE_LIFE_MS })
+        let body = serde_json::json!({ "life_ms": LEASE_TTL_MS })
             .to_string()
             .into_bytes();
         let granted = match self
@@ -98,13 +105,13 @@
         let (node, incarnation) = {
             let e = self.election.borrow();
             // A promise may have been given meanwhile.
-            if e.may_seek(self.now()) != Some(version) {
+            if e.may_campaign(self.now()) != Some(version) {
                 return;
             }
             (e.me.clone(), e.incarnation)
         };
-        self.election.borrow_mut().doubt = Some(lease);
-        let bar = records::bar_key(&node);
+        self.election.borrow_mut().indeterminate_lease = Some(lease);
+        let exclusion = records::exclusion_key(&node);
         let record = LeaderRecord { node, incarnation };
         let txn = Txn {
             guards: vec![
@@ -113,7 +120,7 @@
                     version,
                 },
                 Guard {
-                    key: bar.clone(),
+                    key: exclusion.clone(),
                     version: 0,
                 },
             ],
@@ -136,16 +143,16 @@
             },
             other => {
                 let mut election = self.election.borrow_mut();
-                election.doubt = None;
-                if matches!(&other, TxnResult::Conflict(f) if f.contains(&bar)) {
-                    log::info!("barred from leading, as this node hung");
-                    election.abstain(self.now() + BARRED_PAUSE_MS);
+                election.indeterminate_lease = None;
+                if matches!(&other, TxnResult::Conflict(f) if f.contains(&exclusion)) {
+                    log::info!("excluded from elections, as this node hung");
+                    election.abstain(self.now() + EXCLUDED_PAUSE_MS);
                 }
                 return;
             }
         };
         if let Some(term) = term {
-            self.election.borrow_mut().won(term, lease, asked);
+            self.election.borrow_mut().elected(term, lease, asked);
             log::info!(
                 "leading, term {term}, under lease {lease}, in place of key version {version}, \
                  asked for {} ms ago",
@@ -163,7 +170,7 @@
             let copy = self.follower.borrow_mut().take_over(term);
             leader.inherit(incarnation, copy);
             leader.nobody_led_for(self.election.borrow().leaderless_for(self.now()));
-            self.bars.take();
+            self.exclusions.take();
             *self.leader.borrow_mut() = Some(leader);
             self.lanes.spawn(load(self.clone(), term)).detach();
         }
--- a/src/server/leadership/load_state.rs
+++ b/src/server/leadership/load_state.rs
@@ -28,7 +28,7 @@
 /// Reads the records of a new term.
 pub(super) async fn load(node: Rc<Node>, term: u64) {
     loop {
-        if node.election.borrow().lead().map(|l| l.term) != Some(term) {
+        if node.election.borrow().leadership().map(|l| l.term) != Some(term) {
             return;
         }
         match node.read_records(term).await {
@@ -103,7 +103,7 @@
         let pieces = self.list(spec_chunks::PIECES).await?;
         let notices = self.list(records::NOTICES).await?;
         let standbys = self.read_standbys().await?;
-        self.read_bars(term).await?;
+        self.read_exclusions(term).await?;
         self.of_term(term, |l, now| {
             l.load_standbys(standbys);
             load_machines(l, machines, now);
--- a/src/server/leadership/mod.rs
+++ b/src/server/leadership/mod.rs
@@ -19,7 +19,7 @@
     LeaseEnded,
     Replaced,
     RefusedAlone,
-    WithdrawalsUnknown,
+    CancellationsUnknown,
     HearsNobody,
     PoorPlace,
 }
@@ -30,7 +30,7 @@
             Stop::LeaseEnded => "its lease has ended",
             Stop::Replaced => "another node leads",
             Stop::RefusedAlone => "the state service fails this node alone",
-            Stop::WithdrawalsUnknown => {
+            Stop::CancellationsUnknown => {
                 "for too long nobody could show that it knows of all withdrawals"
             }
             Stop::HearsNobody => "neither workers nor controllers are heard",
@@ -42,14 +42,14 @@
     fn is_told(self) -> bool {
         matches!(
             self,
-            Stop::RefusedAlone | Stop::WithdrawalsUnknown | Stop::PoorPlace
+            Stop::RefusedAlone | Stop::CancellationsUnknown | Stop::PoorPlace
         )
     }
 }
 
 pub async fn run(node: Rc<Node>) {
     loop {
-        let lead = node.election.borrow().lead();
+        let lead = node.election.borrow().leadership();
         let pause = match lead {
             Some(_) => node.keep().await,
             None => node.seek().await,
--- a/src/server/leadership/renew.rs
+++ b/src/server/leadership/renew.rs
@@ -7,8 +7,8 @@
 };
 use crate::{
     control::election::{
-        Election, Extended, LEASE_LIFE_MS, Lead, PROMISE_CHECK_MS, PROMISE_MS, Promised,
-        RENEWAL_TIMEOUT_MS,
+        Election, LEASE_TTL_MS, Leadership, PROMISE_CHECK_TIMEOUT_MS, PROMISE_MS, PromiseOutcome,
+        PromiseResponse, RENEWAL_TIMEOUT_MS,
     },
     protocol::peers::{Reply, Request},
     state::records::LEADER,
@@ -35,7 +35,7 @@
 impl Node {
     /// One step of the leader; returns when to do the next.
     pub(super) async fn keep(self: &Rc<Self>) -> Duration {
-        let Some(lead) = self.election.borrow().lead() else {
+        let Some(lead) = self.election.borrow().leadership() else {
             return Duration::ZERO;
         };
         // While renewals fail the others are asked at once, and each renewal is
@@ -57,9 +57,9 @@
     /// Does what may prolong the authority, and notes by which right it stands.
     fn prolonged<T>(&self, f: impl FnOnce(&mut Election) -> T) -> T {
         let mut election = self.election.borrow_mut();
-        let before = election.lead();
+        let before = election.leadership();
         let result = f(&mut election);
-        if let (Some(before), Some(after)) = (before, election.lead()) {
+        if let (Some(before), Some(after)) = (before, election.leadership()) {
             let ((was, from), (is, until)) = (before.authority(), after.authority());
             if until > from {
                 self.figures.borrow().prolonged(is);
@@ -72,7 +72,7 @@
     }
 
     /// What is looked at after each renewal.
-    async fn settle_in(self: &Rc<Self>, lead: Lead) -> Duration {
+    async fn settle_in(self: &Rc<Self>, lead: Leadership) -> Duration {
         self.greet_other_zones(lead.term);
         if self.hears_nobody(lead.term).await {
             let now = self.now();
@@ -81,24 +81,31 @@
             return Duration::from_millis(500);
         }
         let now = self.now();
-        let poor = self.reach.borrow().poor_place(now);
+        let poor = self
+            .failure_detector
+            .borrow()
+            .unfavourable_failover_position(now);
         let warm = self.of_term(lead.term, |l, now| l.warm_standbys(now) > 0);
         let warm = warm.unwrap_or(false);
-        if self.election.borrow_mut().stands_back(poor, warm, now) {
+        if self
+            .election
+            .borrow_mut()
+            .yields_leadership(poor, warm, now)
+        {
             self.resign(lead.term, Stop::PoorPlace);
             return Duration::from_millis(500);
         }
-        Duration::from_millis(LEASE_LIFE_MS / 4)
+        Duration::from_millis(LEASE_TTL_MS / 4)
     }
 
     /// Begins a renewal. What comes of it holds whoever waits for it, also if
     /// it comes late.
-    fn renew(self: &Rc<Self>, lead: Lead) -> Task<Touch> {
+    fn renew(self: &Rc<Self>, lead: Leadership) -> Task<Touch> {
         let node = self.clone();
         self.lanes.spawn(async move {
             let sent = node.now();
             let touch = node.touch(lead.lease).await;
-            let still = node.election.borrow().lead().map(|l| l.lease);
+            let still = node.election.borrow().leadership().map(|l| l.lease);
             if still == Some(lead.lease) {
                 match touch {
                     Touch::Renewed => {
@@ -202,7 +209,7 @@
 
     /// The state service fails this node: does it fail the others too? It is
     /// asked again meanwhile, as one answer may just be late.
-    async fn ask_promises(self: &Rc<Self>, lead: Lead) -> Duration {
+    async fn ask_promises(self: &Rc<Self>, lead: Leadership) -> Duration {
         let sent = self.now();
         let again = self.renew(lead);
         let request = Request::Promise {
@@ -210,41 +217,41 @@
             leader: self.settings.name.clone(),
             for_ms: PROMISE_MS,
         };
-        // A barred node can't seek anything, and would take a time-out.
-        let (barred, until) = {
-            let bars = self.bars.borrow();
+        // An excluded node can't seek anything, and would take a time-out.
+        let (excluded, until) = {
+            let exclusions = self.exclusions.borrow();
             let peers = 0..self.settings.peers.len();
-            let barred: Vec<usize> = peers.filter(|p| bars.stands(*p, sent)).collect();
-            (barred, bars.until())
+            let excluded: Vec<usize> = peers.filter(|p| exclusions.is_excluded(*p, sent)).collect();
+            (excluded, exclusions.lease_until())
         };
-        let mut answers = vec![Promised::Barred { until }; barred.len()];
-        for ask in self.ask_all_but(&barred, &request) {
+        let mut answers = vec![PromiseResponse::Excluded { until }; excluded.len()];
+        for ask in self.ask_all_but(&excluded, &request) {
             answers.push(match ask.await {
                 Ok(Reply::Promise {
                     granted: true,
                     running_ms,
                     ..
-                }) => Promised::Yes {
-                    begun: running_ms.map(|ms| Election::begun(ms, self.now())),
+                }) => PromiseResponse::Granted {
+                    started_by: running_ms.map(|ms| Election::process_started_by(ms, self.now())),
                 },
-                Ok(Reply::Promise { state_ok: true, .. }) => Promised::StateAnswers,
-                _ => Promised::No,
+                Ok(Reply::Promise { state_ok: true, .. }) => PromiseResponse::StoreReachable,
+                _ => PromiseResponse::Refused,
             });
         }
         let now = self.now();
-        let extended = self.prolonged(|e| e.extend(sent, answers, now));
+        let extended = self.prolonged(|e| e.extend_by_promises(sent, answers, now));
         match extended {
-            Extended::Yes => again.detach(),
-            Extended::No => {
+            PromiseOutcome::Extended => again.detach(),
+            PromiseOutcome::NotExtended => {
                 log::debug!("promises are missing, or came too late");
                 again.detach();
             }
-            Extended::WithdrawalsUnknown => {
+            PromiseOutcome::CancellationsUnknown => {
                 again.detach();
-                self.resign(lead.term, Stop::WithdrawalsUnknown);
+                self.resign(lead.term, Stop::CancellationsUnknown);
                 return Duration::from_millis(500);
             }
-            Extended::Alone => {
+            PromiseOutcome::RefusedAlone => {
                 again.detach();
                 let begun = self.now();
                 let mut last = self.renew(lead);
@@ -270,7 +277,7 @@
         let state_ok = {
             let now = self.now();
             self.requests.borrow_mut().force(now, 1.0);
-            let limit = Duration::from_millis(PROMISE_CHECK_MS);
+            let limit = Duration::from_millis(PROMISE_CHECK_TIMEOUT_MS);
             match self.get(LEADER, limit).await {
                 Ok(_) => true,
                 Err(e) => {
@@ -284,11 +291,11 @@
         let granted = self
             .election
             .borrow_mut()
-            .grant(now, term, for_ms, !state_ok);
+            .grant_promise(now, term, for_ms, !state_ok);
         Reply::Promise {
             granted,
             state_ok,
-            running_ms: Some(self.election.borrow().running(now)),
+            running_ms: Some(self.election.borrow().process_uptime(now)),
         }
     }
 }
--- a/src/server/metrics.rs
+++ b/src/server/metrics.rs
@@ -2,7 +2,7 @@
 
 use super::Node;
 use crate::{
-    control::{election::Right, leader::Tally},
+    control::{election::AuthorityBasis, leader::Tally},
     protocol::users::JobState,
     state::Ms,
     transport::server::HttpResponse,
@@ -203,7 +203,7 @@
     }
 
     /// Its authority was prolonged.
-    pub(super) fn prolonged(&self, right: Right) {
+    pub(super) fn prolonged(&self, right: AuthorityBasis) {
         let right = right.text();
         self.authority.get_or_create(&By { right }).inc();
     }
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -20,8 +20,9 @@
 
 use crate::{
     control::{
-        election::Election, exclusions::Bars, failure_detector::Reach, heartbeat_relay::Relays,
-        leader::Leader, polls::Finals, safety_bounds::Bounds, standby::replica::Follower,
+        election::Election, exclusions::Exclusions, failure_detector::FailureDetector,
+        heartbeat_relay::Relays, leader::Leader, polls::Finals, safety_bounds::SafetyBounds,
+        standby::replica::Follower,
     },
     options::Options,
     protocol::{cloud::MachineType, settings::Settings},
@@ -59,9 +60,9 @@
     start: Instant,
     http: Client,
     peers: PeerClient,
-    reach: RefCell<Reach>,
+    failure_detector: RefCell<FailureDetector>,
     election: RefCell<Election>,
-    bars: RefCell<Bars>,
+    exclusions: RefCell<Exclusions>,
     leader: RefCell<Option<Leader>>,
     /// What this node keeps as a standby.
     follower: RefCell<Follower>,
@@ -75,7 +76,7 @@
     state_ok: Cell<Option<Ms>>,
     /// While it leads: the last renewal failed.
     renewals_fail: Cell<bool>,
-    /// When and why it last gave up the lead.
+    /// When and why it last gave up leadership.
     stopped: Cell<Option<(Ms, leadership::Stop)>>,
     flushing: Cell<bool>,
     seeking: Cell<bool>,
@@ -105,12 +106,12 @@
     let nodes = settings.peers.len() + 1;
     let users = sockets / 4;
     let names: Vec<&str> = settings.peers.iter().map(|p| p.name.as_str()).collect();
-    let reach = Reach::new(&settings.name, &names);
+    let failure_detector = FailureDetector::new(&settings.name, &names);
     let node = Rc::new(Node {
         election: RefCell::new(Election::new(
             &settings.name,
             fastrand::u64(1..(1 << 53)),
-            Bounds::of(&settings.cluster.workers),
+            SafetyBounds::of(&settings.cluster.workers),
             0,
         )),
         settings: Rc::new(settings),
@@ -121,8 +122,8 @@
         // controllers; what is left must also do for calls under way.
         http: Client::new(sockets / 5),
         peers: PeerClient::default(),
-        reach: RefCell::new(reach),
-        bars: RefCell::default(),
+        failure_detector: RefCell::new(failure_detector),
+        exclusions: RefCell::default(),
         leader: RefCell::new(None),
         follower: RefCell::default(),
         last_record: RefCell::default(),
@@ -218,7 +219,7 @@
     fn set_shares(&self) {
         let role = {
             let election = self.election.borrow();
-            match (election.lead(), &election.seen) {
+            match (election.leadership(), &election.observed_leader) {
                 (Some(_), _) => Role::Leads,
                 (None, Some(_)) => Role::Follows,
                 (None, None) => Role::Leaderless,
--- a/src/server/peers.rs
+++ b/src/server/peers.rs
@@ -3,7 +3,7 @@
 
 use super::{BEAT, Node};
 use crate::{
-    control::failure_detector::{Contact, PATIENCE},
+    control::failure_detector::{PeerHealth, RESPONSE_PATIENCE_MS},
     protocol::peers::{Reply, Request},
     state::Ms,
     state::offload::Lent,
@@ -25,20 +25,22 @@
         Timer::after(LOOK).await;
         let now = node.now();
         let due: Vec<usize> = {
-            let reach = node.reach.borrow();
-            let leads = node.election.borrow().lead().is_some();
+            let failure_detector = node.failure_detector.borrow();
+            let leads = node.election.borrow().leadership().is_some();
             // One that answers is enough for the others: the leader.
             let leader = node.leader_peer().filter(|_| !leads);
-            let enough = leader.filter(|p| reach.answers(*p, now));
+            let enough = leader.filter(|p| failure_detector.is_healthy(*p, now));
             let every = if leads { LEADER_EVERY } else { EVERY };
             (0..node.settings.peers.len())
-                .filter(|p| enough.is_none_or(|one| one == *p) && reach.due(*p, every, now))
+                .filter(|p| {
+                    enough.is_none_or(|one| one == *p) && failure_detector.probe_due(*p, every, now)
+                })
                 .collect()
         };
         for peer in due {
             let n = node.clone();
             let ask = async move {
-                let limit = Duration::from_millis(2 * PATIENCE);
+                let limit = Duration::from_millis(2 * RESPONSE_PATIENCE_MS);
                 let _ = n.ask(peer, &Request::greeting(), limit).await;
             };
             node.lanes.spawn(ask).detach();
@@ -54,14 +56,14 @@
         self.settings.peers.iter().position(|p| p.name == name)
     }
 
-    pub(super) fn contact(&self, peer: usize) -> Contact {
-        self.reach.borrow().contact(peer, self.now())
+    pub(super) fn peer_health(&self, peer: usize) -> PeerHealth {
+        self.failure_detector.borrow().health(peer, self.now())
     }
 
     /// The leader, if it is another node and answers.
     pub(super) fn answering_leader(&self) -> Option<usize> {
         self.leader_peer()
-            .filter(|p| self.contact(*p) == Contact::Answers)
+            .filter(|p| self.peer_health(*p) == PeerHealth::Healthy)
     }
 
     pub(super) async fn ask(
@@ -71,17 +73,23 @@
         limit: Duration,
     ) -> Result<Reply, CallError> {
         let addr = self.settings.peers[peer].addr;
-        self.reach.borrow_mut().asked(peer, self.now());
+        self.failure_detector
+            .borrow_mut()
+            .request_sent(peer, self.now());
         let answer = self.peers.call(addr, request, limit).await;
         let how = match &answer {
-            Ok(_) => Contact::Answers,
-            Err(CallError::TooLong) => Contact::Silent,
-            Err(_) => Contact::Refuses,
+            Ok(_) => PeerHealth::Healthy,
+            Err(CallError::TooLong) => PeerHealth::Unresponsive,
+            Err(_) => PeerHealth::Refusing,
         };
-        self.reach.borrow_mut().ended(peer, how, self.now());
+        self.failure_detector
+            .borrow_mut()
+            .request_ended(peer, how, self.now());
         if let Ok(Reply::Greeted { leader }) = &answer {
             let leader = leader.clone();
-            self.election.borrow_mut().heard(leader, self.now());
+            self.election
+                .borrow_mut()
+                .receive_leader_hint(leader, self.now());
         }
         answer
     }
@@ -135,7 +143,7 @@
             } => self.lend(&id, Lent { award, market }, version).await,
             Request::TakeBack { id, award, done } => self.take_back(&id, award, &done).await,
             Request::Resigned { term } => {
-                self.election.borrow_mut().resigned(term);
+                self.election.borrow_mut().peer_resigned(term);
                 Reply::Ok
             }
         }
--- a/src/server/standby.rs
+++ b/src/server/standby.rs
@@ -2,7 +2,7 @@
 
 use super::{Node, store::USUAL};
 use crate::{
-    control::{failure_detector::Contact, requests::TxnResult, standby::Written},
+    control::{failure_detector::PeerHealth, requests::TxnResult, standby::Written},
     protocol::{
         peers::{Follow, Reply, Request},
         state::Txn,
@@ -20,8 +20,8 @@
     pub(super) fn keep_standbys(self: &Rc<Self>, term: u64) {
         let now = self.now();
         let due = self.acting(|l, now| {
-            let reach = self.reach.borrow();
-            l.keep_warm(|p| reach.answers(p, now), now)
+            let failure_detector = self.failure_detector.borrow();
+            l.keep_warm(|p| failure_detector.is_healthy(p, now), now)
         });
         if let Some(txn) = due.flatten() {
             self.lanes
@@ -57,7 +57,7 @@
 
     /// What a leader tells this node, as its standby.
     pub(super) fn follow(&self, part: Follow) -> Reply {
-        if self.election.borrow().lead().is_some() {
+        if self.election.borrow().leadership().is_some() {
             return Reply::NotLeader;
         }
         let incarnation = self.election.borrow().incarnation;
@@ -119,7 +119,7 @@
         let there = |name: &String| {
             let peers = &self.settings.peers;
             let peer = peers.iter().position(|p| p.name == *name);
-            peer.is_some_and(|p| self.contact(p) == Contact::Answers)
+            peer.is_some_and(|p| self.peer_health(p) == PeerHealth::Healthy)
         };
         !own && record.named.iter().any(|(n, _)| there(n))
     }
--- a/src/server/status.rs
+++ b/src/server/status.rs
@@ -47,7 +47,12 @@
         let last = self.last_picture.borrow();
         Status {
             node: self.settings.name.clone(),
-            leader: self.election.borrow().seen.clone().map(|(name, _)| name),
+            leader: self
+                .election
+                .borrow()
+                .observed_leader
+                .clone()
+                .map(|(name, _)| name),
             age_s: last
                 .as_ref()
                 .map_or(0.0, |(at, _)| now.saturating_sub(*at) as f64 / 1000.0),
--- a/src/state/records.rs
+++ b/src/state/records.rs
@@ -16,8 +16,8 @@
 /// Notices to the leader of jobs that another node accepted.
 pub const NOTICES: &str = "n/";
 
-/// Nodes that may not seek the lead.
-pub const BARS: &str = "x/";
+/// Nodes that may not campaign.
+pub const EXCLUSIONS: &str = "x/";
 
 /// Who may take over without hearing every machine.
 pub const STANDBYS: &str = "standbys";
@@ -45,8 +45,8 @@
 pub fn machine_key(name: &str) -> String {
     format!("{ROSTER}{name}")
 }
-pub fn bar_key(node: &str) -> String {
-    format!("{BARS}{node}")
+pub fn exclusion_key(node: &str) -> String {
+    format!("{EXCLUSIONS}{node}")
 }
 pub fn award_key(id: &str) -> String {
     format!("{AWARDS}{id}")
--- a/tests/compatibility/operators.rs
+++ b/tests/compatibility/operators.rs
@@ -3,7 +3,7 @@
 
 use super::{fixture, is_pinned, reads_as};
 use pathwinch::{
-    control::{election::Right, requests::Source},
+    control::{election::AuthorityBasis, requests::Source},
     options::{LoadResource, Options, Shape},
     protocol::{
         settings::{
@@ -915,8 +915,8 @@
 
 #[test]
 fn labels_of_figures_have_the_values_that_they_had() {
-    assert_eq!(Right::Renewal.text(), "renewal");
-    assert_eq!(Right::Promises.text(), "promises");
+    assert_eq!(AuthorityBasis::LeaseRenewal.text(), "renewal");
+    assert_eq!(AuthorityBasis::PeerPromises.text(), "promises");
     for (source, name) in [
         (Source::Memory, "remembered end"),
         (Source::Picture, "leader's picture"),
--- a/tests/compatibility/stored.rs
+++ b/tests/compatibility/stored.rs
@@ -3,7 +3,7 @@
 use super::{fixture, reads_as};
 use pathwinch::{
     control::{
-        exclusions::{bar_txn, lift_txn},
+        exclusions::{exclusion_txn, readmission_txn},
         leader::acceptance_with_notice,
     },
     protocol::{
@@ -319,8 +319,8 @@
 
 #[test]
 fn bars_are_written_and_lifted_as_they_were() {
-    is_sent("txn/bar", &bar_txn(12, "winch-2", 34));
-    is_sent("txn/lift", &lift_txn(12, "winch-2", 56));
+    is_sent("txn/bar", &exclusion_txn(12, "winch-2", 34));
+    is_sent("txn/lift", &readmission_txn(12, "winch-2", 56));
 }
 
 #[test]
@@ -354,7 +354,7 @@
         (records::FINALS.to_owned(), "f/"),
         (records::ROSTER.to_owned(), "m/"),
         (records::NOTICES.to_owned(), "n/"),
-        (records::BARS.to_owned(), "x/"),
+        (records::EXCLUSIONS.to_owned(), "x/"),
         (records::VERSIONS.to_owned(), "v/"),
         (PIECES.to_owned(), "p/"),
         (market::PREFIX.to_owned(), "market/"),
@@ -364,7 +364,7 @@
         (records::chunk_key("j-000412", 11), "c/j-000412/11"),
         (records::machine_key("i-0002"), "m/i-0002"),
         (records::notice_key("j-000412"), "n/j-000412"),
-        (records::bar_key("winch-1"), "x/winch-1"),
+        (records::exclusion_key("winch-1"), "x/winch-1"),
         (records::version_key("winch-1"), "v/winch-1"),
         (records::award_key("j-000412"), "market/award/j-000412"),
     ];
--- a/tests/controllers.rs
+++ b/tests/controllers.rs
@@ -118,7 +118,7 @@
 }
 
 /// Guards against the loss of authority, and of all leases, in an outage in
-/// which one node hangs: it promises nothing, but the store bars it.
+/// which one node hangs: it promises nothing, but the store exclusions it.
 #[test]
 fn a_leader_outlasts_an_outage_in_which_one_node_hangs() {
     for (seed, nodes) in (0..6).flat_map(|s| [(s, 3), (s, 7)]) {
@@ -140,7 +140,7 @@
     }
 }
 
-/// The barred node comes back and reaches the state service while no other
+/// The excluded node comes back and reaches the state service while no other
 /// node does: it must not lead beside them.
 #[test]
 fn a_barred_node_that_alone_reaches_the_state_service_does_not_lead() {
--- a/tests/failover.rs
+++ b/tests/failover.rs
@@ -82,7 +82,7 @@
 }
 
 #[derive(Clone, PartialEq, Eq, Hash)]
-struct Lead {
+struct Leadership {
     term: u64,
     /// Brought along, until the record is read.
     copy: Option<Copy>,
@@ -102,7 +102,7 @@
 struct Node {
     incarnation: u64,
     follower: Follower,
-    lead: Option<Lead>,
+    lead: Option<Leadership>,
 }
 
 #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Debug)]
@@ -127,7 +127,7 @@
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
-struct Bounds {
+struct SafetyBounds {
     starts: u8,
     ends: u8,
     losses: u8,
@@ -147,11 +147,11 @@
     token: u64,
     on: BTreeSet<(u32, u64)>,
     next_task: u32,
-    left: Bounds,
+    left: SafetyBounds,
 }
 
 impl State {
-    fn begin(left: Bounds) -> State {
+    fn begin(left: SafetyBounds) -> State {
         let mut s = State {
             now: 1_000,
             revision: 0,
@@ -171,8 +171,8 @@
     }
 
     /// A leader that has heard the worker, with both others named.
-    fn warm(left: Bounds) -> State {
-        let mut s = State::begin(Bounds { rounds: 9, ..left });
+    fn warm(left: SafetyBounds) -> State {
+        let mut s = State::begin(SafetyBounds { rounds: 9, ..left });
         assert!(s.acquire(0) && s.load(0) && s.hear(0));
         for _ in 0..6 {
             s.act(0, None);
@@ -221,7 +221,7 @@
         all
     }
 
-    fn spend(&mut self, of: impl Fn(&mut Bounds) -> &mut u8) -> bool {
+    fn spend(&mut self, of: impl Fn(&mut SafetyBounds) -> &mut u8) -> bool {
         let left = of(&mut self.left);
         let some = *left > 0;
         *left = left.saturating_sub(1);
@@ -295,7 +295,7 @@
         let node = &mut self.nodes[i];
         let peers = (0..NODES).filter(|j| *j != i);
         let standbys = Standbys::new(term, 2, peers.map(|j| (name(j), false)));
-        node.lead = Some(Lead {
+        node.lead = Some(Leadership {
             term,
             copy: node.follower.take_over(term),
             loaded: false,
@@ -550,7 +550,7 @@
 }
 
 /// Explores all states within the bounds, at most so many.
-fn explore(bounds: Bounds, most: usize) -> (usize, bool) {
+fn explore(bounds: SafetyBounds, most: usize) -> (usize, bool) {
     let begin = State::warm(bounds);
     let mut seen: HashSet<u64> = HashSet::from([hash(&begin)]);
     let mut open = vec![begin];
@@ -575,7 +575,7 @@
 fn no_order_of_events_leaves_a_named_standby_unaware() {
     let given = std::env::var("BOUNDS").unwrap_or_else(|_| "1,1,0,0,4".into());
     let n: Vec<u8> = given.split(',').map(|n| n.parse().unwrap()).collect();
-    let bounds = Bounds {
+    let bounds = SafetyBounds {
         starts: n[0],
         ends: n[1],
         losses: n[2],
--- a/tests/fault_combinations.rs
+++ b/tests/fault_combinations.rs
@@ -55,7 +55,7 @@
     // not been told to stop.
     assert_eq!(w.told[&id(1)].0, JobState::Cancelled);
     assert_eq!(w.running(&id(1)), 4);
-    assert!(w.nodes[old].election.lead().is_some());
+    assert!(w.nodes[old].election.leadership().is_some());
 }
 
 /// Who acts, whether it has read the records or not.
@@ -125,7 +125,7 @@
     }
 }
 
-/// Whoever it was, and in spite of all promises: another took the lead, wrote
+/// Whoever it was, and in spite of all promises: another became leader, wrote
 /// that the job is withdrawn, and a user was told.
 fn withdrawn_by_another(w: &mut World) {
     let (value, _) = w.store.kv[&job_key(&id(1))].clone();
@@ -425,14 +425,14 @@
     w.sound();
 }
 
-/// A bar was lifted without an answer, and set anew; the first is carried out
-/// late. Guards against a leader that counts on a bar which is not there.
+/// An exclusion was lifted without an answer, and set anew; the first is carried out
+/// late. Guards against a leader that counts on an exclusion which is not there.
 #[test]
 fn a_bar_that_is_counted_on_stands_whatever_is_carried_out_late() {
     let (mut w, leader) = long_tasks(90, 3);
     // Not the one that workers try next: it would hand over.
     let other = (leader + 2) % 3;
-    let key = records::bar_key(&format!("n{other}"));
+    let key = records::exclusion_key(&format!("n{other}"));
     w.cut(other, Side::All, Cut::Hold);
     w.until(20_000, "barred", |w| w.store.kv.contains_key(&key));
     // It answers for a moment: lifting has no answer, and comes after the next.
@@ -444,7 +444,7 @@
     let mut counted = 0;
     for _ in 0..400 {
         w.step();
-        if w.nodes[leader].bars.stands(peer, w.now) {
+        if w.nodes[leader].exclusions.is_excluded(peer, w.now) {
             counted += 1;
             assert!(w.store.kv.contains_key(&key), "counted on, and not there");
         }
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -12,7 +12,7 @@
 mod users;
 mod workers;
 
-pub use net::{Cut, End, Link, Net, Side};
+pub use net::{Cut, EndLease, Link, Net, Side};
 pub use store::Store;
 // Not by every file of stories.
 #[allow(unused_imports)]
@@ -24,16 +24,16 @@
     control::{
         acceptance_feed::{self, Notices},
         election::{
-            Election, Extended, LEASE_LIFE_MS, PROMISE_CHECK_MS, PROMISE_MS, Promised,
-            RENEWAL_TIMEOUT_MS, SEEK_STEP_MS,
+            CAMPAIGN_STEP_TIMEOUT_MS, Election, LEASE_TTL_MS, PROMISE_CHECK_TIMEOUT_MS, PROMISE_MS,
+            PromiseOutcome, PromiseResponse, RENEWAL_TIMEOUT_MS,
         },
-        exclusions::{self, Bars, Step, bar_txn, lift_txn},
-        failure_detector::{Contact, Foreman, Reach},
+        exclusions::{self, Exclusions, Step, exclusion_txn, readmission_txn},
+        failure_detector::{FailureDetector, PeerHealth, RedirectTarget},
         heartbeat_relay::Relays,
         leader::{CloudOp, Direct, DirectOutcome, Leader, Plan},
         polls::Finals,
         requests::{Answer, TxnResult, final_status},
-        safety_bounds::Bounds,
+        safety_bounds::SafetyBounds,
         standby::{Written, replica::Follower},
     },
     options::Options,
@@ -161,8 +161,8 @@
     notices: Option<Notices>,
     /// Its records are read by then.
     loads_at: Ms,
-    pub reach: Reach,
-    pub bars: Bars,
+    pub failure_detector: FailureDetector,
+    pub exclusions: Exclusions,
     bar_at: Ms,
     relays: Relays,
     finals: Finals,
@@ -411,7 +411,7 @@
             election: Election::new(
                 &names[i],
                 self.rng.u64(1..1 << 50),
-                Bounds::of(&self.settings.cluster.workers),
+                SafetyBounds::of(&self.settings.cluster.workers),
                 self.now,
             ),
             leader: None,
@@ -420,8 +420,8 @@
             record_open: None,
             notices: None,
             loads_at: 0,
-            reach: Reach::new(&names[i], &peers),
-            bars: Bars::default(),
+            failure_detector: FailureDetector::new(&names[i], &peers),
+            exclusions: Exclusions::default(),
             bar_at: 0,
             relays: Relays::default(),
             finals: Finals::default(),
--- a/tests/simulation/net.rs
+++ b/tests/simulation/net.rs
@@ -36,7 +36,7 @@
 }
 
 #[derive(Clone, Copy, PartialEq, Debug)]
-pub enum End {
+pub enum EndLease {
     State,
     Worker(usize),
     Node(usize),
@@ -217,17 +217,20 @@
 
     // ---- who reaches whom ----
 
-    pub fn link(&self, i: usize, other: End) -> Link {
-        let hits = |n: usize, side: Side, other: End| match (side, other) {
-            (Side::All, _) | (Side::State, End::State) | (Side::Workers, End::Worker(_)) => n == i,
-            (Side::Node(a), End::Node(b)) => n == i && a == b,
-            (Side::Worker(a), End::Worker(b)) => n == i && a == b,
+    pub fn link(&self, i: usize, other: EndLease) -> Link {
+        let hits = |n: usize, side: Side, other: EndLease| match (side, other) {
+            (Side::All, _)
+            | (Side::State, EndLease::State)
+            | (Side::Workers, EndLease::Worker(_)) => n == i,
+            (Side::Node(a), EndLease::Node(b)) => n == i && a == b,
+            (Side::Worker(a), EndLease::Worker(b)) => n == i && a == b,
             _ => false,
         };
         let mut link = Link::Up;
         for (n, side, how) in &self.cuts {
             let own = hits(*n, *side, other);
-            let theirs = other == End::Node(*n) && (*side == Side::All || *side == Side::Node(i));
+            let theirs =
+                other == EndLease::Node(*n) && (*side == Side::All || *side == Side::Node(i));
             if own || theirs {
                 match how {
                     Cut::Hold => return Link::Hold,
@@ -250,17 +253,17 @@
     }
 
     pub fn reaches_state(&self, i: usize) -> bool {
-        !self.store.refuses(i) && self.link(i, End::State) == Link::Up
+        !self.store.refuses(i) && self.link(i, EndLease::State) == Link::Up
     }
 
     /// How a question of one node to another ends at once, if it does.
-    pub(super) fn contact(&self, i: usize, j: usize) -> Option<Contact> {
-        match self.link(i, End::Node(j)) {
+    pub(super) fn contact(&self, i: usize, j: usize) -> Option<PeerHealth> {
+        match self.link(i, EndLease::Node(j)) {
             Link::Hold => None,
-            Link::Reset => Some(Contact::Refuses),
-            Link::Up if !self.nodes[j].alive => Some(Contact::Refuses),
+            Link::Reset => Some(PeerHealth::Refusing),
+            Link::Up if !self.nodes[j].alive => Some(PeerHealth::Refusing),
             Link::Up if self.nodes[j].still_until > self.now => None,
-            Link::Up => Some(Contact::Answers),
+            Link::Up => Some(PeerHealth::Healthy),
         }
     }
 
@@ -271,7 +274,7 @@
         let stalled = self.stalls.filter(|(n, _)| *n == i && from_node);
         let slow = self.slow_links.get(&w).copied().unwrap_or(0);
         let at = stalled.map_or(self.now, |(_, until)| until) + delay + slow;
-        match (self.workers[w].net, self.link(i, End::Worker(w))) {
+        match (self.workers[w].net, self.link(i, EndLease::Worker(w))) {
             (Net::Up, Link::Up) => self.wire.push((at, msg)),
             (Net::Deaf, Link::Up) if !from_node => self.wire.push((at, msg)),
             (Net::Mute, Link::Up) if matches!(msg, Msg::Do(..)) => self.wire.push((at, msg)),
@@ -326,7 +329,7 @@
             }
             Msg::Relay(via, i, w, report, sent) => {
                 let reply = self.answer(i, &report);
-                if reply.is_some() && self.link(via, End::Node(i)) == Link::Up {
+                if reply.is_some() && self.link(via, EndLease::Node(i)) == Link::Up {
                     let (session, seq) = (report.session, report.seq);
                     self.send(via, w, 5, Msg::Reply(w, via, reply, session, seq, sent));
                 }
@@ -340,17 +343,17 @@
                 let Some(reply) = reply else {
                     let leader = self.known_leader(i);
                     let peers: Vec<usize> = peers_of(i, nodes).collect();
-                    let leads = self.nodes[i].election.lead().is_some();
+                    let leads = self.nodes[i].election.leadership().is_some();
                     let relayed = self.relaying.remove(&(w, seq));
-                    let reach = &mut self.nodes[i].reach;
+                    let failure_detector = &mut self.nodes[i].failure_detector;
                     let foreman = match (leads, relayed) {
-                        (true, _) => Foreman::Next,
-                        (_, true) => reach.foreman(None, now),
-                        _ => reach.foreman(leader, now),
+                        (true, _) => RedirectTarget::Any,
+                        (_, true) => failure_detector.redirect_target(None, now),
+                        _ => failure_detector.redirect_target(leader, now),
                     };
                     let (target, pause) = match foreman {
-                        Foreman::Leads(p) | Foreman::Answers(p) => (peers[p], 250),
-                        Foreman::Next => ((i + 1) % nodes, 1000),
+                        RedirectTarget::Leader(p) | RedirectTarget::Healthy(p) => (peers[p], 250),
+                        RedirectTarget::Any => ((i + 1) % nodes, 1000),
                     };
                     let worker = &mut self.workers[w];
                     worker.flight = None;
@@ -384,7 +387,7 @@
                 let report = self.report(w);
                 let name = report.machine.clone();
                 let answers = matches!(self.workers[w].net, Net::Up | Net::Mute);
-                if answers && self.link(i, End::Worker(w)) == Link::Up {
+                if answers && self.link(i, EndLease::Worker(w)) == Link::Up {
                     let done = Msg::Done(i, term, name, order.token, Some((ok, report)));
                     self.wire.push((now + 5, done));
                 }
@@ -437,12 +440,14 @@
         if reply.is_none()
             && let Some(leader) = self.known_leader(i)
             && matches!(
-                self.nodes[i].reach.foreman(Some(leader), now),
-                Foreman::Leads(_)
+                self.nodes[i]
+                    .failure_detector
+                    .redirect_target(Some(leader), now),
+                RedirectTarget::Leader(_)
             )
             && self.nodes[i].relays.relays(&report.machine, now)
             && let Some(l) = peers_of(i, self.nodes.len()).nth(leader)
-            && self.contact(i, l) != Some(Contact::Refuses)
+            && self.contact(i, l) != Some(PeerHealth::Refusing)
         {
             self.wire.push((now + 5, Msg::Relay(i, l, w, report, sent)));
             let late = Msg::Reply(w, i, None, session, seq, sent);
--- a/tests/simulation/nodes.rs
+++ b/tests/simulation/nodes.rs
@@ -36,7 +36,7 @@
             return;
         }
         self.greet(i);
-        self.bar(i);
+        self.step_exclusions(i);
         let reaches_state = self.reaches_state(i);
         let stalled = self.stalls.is_some_and(|(n, _)| n == i);
         let node = &mut self.nodes[i];
@@ -242,7 +242,7 @@
 
     pub(super) fn resign(&mut self, i: usize, tell: bool) {
         let node = &mut self.nodes[i];
-        let lead = node.election.lead();
+        let lead = node.election.leadership();
         let Some(lead) = lead.and_then(|l| node.election.resign(l.term)) else {
             return;
         };
@@ -258,15 +258,15 @@
             self.store.end_lease(lead.lease);
         }
         for j in peers_of(i, self.nodes.len()) {
-            if tell && self.contact(i, j) == Some(Contact::Answers) {
-                self.nodes[j].election.resigned(lead.term);
+            if tell && self.contact(i, j) == Some(PeerHealth::Healthy) {
+                self.nodes[j].election.peer_resigned(lead.term);
             }
         }
     }
 
     /// Gives up the lead on purpose.
     pub fn hand_over(&mut self, i: usize) {
-        if self.nodes[i].election.lead().is_some() {
+        if self.nodes[i].election.leadership().is_some() {
             self.nodes[i].election.abstain(self.now + 1_500);
             self.resign(i, true);
         }
@@ -278,7 +278,7 @@
         let reaches = self.reaches_state(i);
         let stalled = self.stalls.filter(|(n, _)| *n == i);
         self.nodes[i].next = now + 200;
-        if let Some(lead) = self.nodes[i].election.lead() {
+        if let Some(lead) = self.nodes[i].election.leadership() {
             if stalled.is_some() {
                 return;
             }
@@ -290,45 +290,45 @@
             if reaches && slow <= RENEWAL_TIMEOUT_MS {
                 self.renewals.push((now + slow, i, lead.lease, now));
             }
-            if reaches && slow <= PROMISE_CHECK_MS {
+            if reaches && slow <= PROMISE_CHECK_TIMEOUT_MS {
                 if slow == 0 {
                     self.nodes[i].election.renewed(lead.lease, now);
                 }
                 let node = &mut self.nodes[i];
-                let poor = node.reach.poor_place(now);
+                let poor = node.failure_detector.unfavourable_failover_position(now);
                 let led = node.leader.as_ref();
                 let warm = led.is_some_and(|l| l.warm_standbys(now) > 0);
-                if node.election.stands_back(poor, warm, now) {
+                if node.election.yields_leadership(poor, warm, now) {
                     self.resign(i, true);
                 }
                 return;
             }
             // Ask the others.
-            let answers: Vec<Promised> = peers_of(i, nodes)
+            let answers: Vec<PromiseResponse> = peers_of(i, nodes)
                 .enumerate()
                 .map(|(p, j)| self.ask_promise(i, p, j, lead.term))
                 .collect();
-            match self.nodes[i].election.extend(now, answers, now) {
-                Extended::Alone => {
+            match self.nodes[i].election.extend_by_promises(now, answers, now) {
+                PromiseOutcome::RefusedAlone => {
                     if self.nodes[i].election.is_refused_alone(now) {
                         self.resign(i, true);
                     }
                 }
-                Extended::WithdrawalsUnknown => {
+                PromiseOutcome::CancellationsUnknown => {
                     self.blind += 1;
                     self.resign(i, true);
                 }
-                Extended::Yes | Extended::No => {}
+                PromiseOutcome::Extended | PromiseOutcome::NotExtended => {}
             }
             return;
         }
-        if !reaches || self.store.slow > SEEK_STEP_MS {
+        if !reaches || self.store.slow > CAMPAIGN_STEP_TIMEOUT_MS {
             return;
         }
-        if let Some(lease) = self.nodes[i].election.doubt {
+        if let Some(lease) = self.nodes[i].election.indeterminate_lease {
             if stalled.is_none() {
                 self.store.end_lease(lease);
-                self.nodes[i].election.doubt = None;
+                self.nodes[i].election.indeterminate_lease = None;
             }
             return;
         }
@@ -338,21 +338,20 @@
         });
         let named = self.others_are_named(i);
         let node = &mut self.nodes[i];
-        if node.election.seen != seen {
+        if node.election.observed_leader != seen {
             node.relays.clear();
         }
-        node.election.saw(seen, now);
-        let Some(version) = node.election.may_seek(now) else {
+        node.election.observe_leader(seen, now);
+        let Some(version) = node.election.may_campaign(now) else {
             return;
         };
-        let reach = &node.reach;
-        if node
-            .election
-            .hesitates(now, || named || reach.poor_place(now))
-        {
+        let failure_detector = &node.failure_detector;
+        if node.election.delays_candidacy(now, || {
+            named || failure_detector.unfavourable_failover_position(now)
+        }) {
             return;
         }
-        let lease = self.store.grant(now, LEASE_LIFE_MS);
+        let lease = self.store.grant(now, LEASE_TTL_MS);
         let incarnation = self.nodes[i].election.incarnation;
         let value = serde_json::json!({"n": format!("n{i}"), "i": incarnation});
         let txn = Txn {
@@ -362,7 +361,7 @@
                     version,
                 },
                 Guard {
-                    key: records::bar_key(&format!("n{i}")),
+                    key: records::exclusion_key(&format!("n{i}")),
                     version: 0,
                 },
             ],
@@ -372,7 +371,7 @@
                 lease: Some(lease),
             }],
         };
-        self.nodes[i].election.doubt = Some(lease);
+        self.nodes[i].election.indeterminate_lease = Some(lease);
         let term = match self.transact(i, &txn) {
             TxnResult::Done(term) => term,
             // Read back at once.
@@ -383,11 +382,11 @@
                 }
             }
             TxnResult::Unknown => return,
-            _ => return self.nodes[i].election.doubt = None,
+            _ => return self.nodes[i].election.indeterminate_lease = None,
         };
         self.terms += 1;
         self.deliver_kept();
-        self.nodes[i].election.won(term, lease, now);
+        self.nodes[i].election.elected(term, lease, now);
         let mut settings = (*self.settings).clone();
         settings.name = format!("n{i}");
         settings.zone = self.zone_of(i).into();
@@ -419,7 +418,7 @@
         leader.inherit(node.election.incarnation, copy);
         node.leader = Some(leader);
         node.loads_at = now + self.load_ms;
-        let found = self.store.under(records::BARS);
+        let found = self.store.under(records::EXCLUSIONS);
         let found = found
             .iter()
             .map(|(k, _, r)| (k[3..].parse::<usize>().unwrap(), *r));
@@ -427,79 +426,86 @@
             let p = peers_of(i, nodes).position(|p| p == j);
             p.map(|p| (p, r))
         };
-        self.nodes[i].bars = Bars::new(term, found.filter_map(peer));
+        self.nodes[i].exclusions = Exclusions::new(term, found.filter_map(peer));
     }
 
     /// What node `j`, peer `p` of `i`, answers.
-    fn ask_promise(&mut self, i: usize, p: usize, j: usize, term: u64) -> Promised {
+    fn ask_promise(&mut self, i: usize, p: usize, j: usize, term: u64) -> PromiseResponse {
         let now = self.now;
-        let bars = &self.nodes[i].bars;
-        if bars.stands(p, now) {
-            let until = bars.until();
-            return Promised::Barred { until };
+        let exclusions = &self.nodes[i].exclusions;
+        if exclusions.is_excluded(p, now) {
+            let until = exclusions.lease_until();
+            return PromiseResponse::Excluded { until };
         }
-        let fails = !self.reaches_state(j) || self.store.slow > PROMISE_CHECK_MS;
-        if self.contact(i, j) != Some(Contact::Answers) {
-            return Promised::No;
+        let fails = !self.reaches_state(j) || self.store.slow > PROMISE_CHECK_TIMEOUT_MS;
+        if self.contact(i, j) != Some(PeerHealth::Healthy) {
+            return PromiseResponse::Refused;
         }
         let old = self.old.contains(&j);
         let election = &mut self.nodes[j].election;
-        match election.grant(now, term, PROMISE_MS, fails) {
-            true => Promised::Yes {
-                begun: (!old).then(|| Election::begun(election.running(now), now)),
+        match election.grant_promise(now, term, PROMISE_MS, fails) {
+            true => PromiseResponse::Granted {
+                started_by: (!old)
+                    .then(|| Election::process_started_by(election.process_uptime(now), now)),
             },
-            false if fails => Promised::No,
-            false => Promised::StateAnswers,
+            false if fails => PromiseResponse::Refused,
+            false => PromiseResponse::StoreReachable,
         }
     }
 
-    /// Bars nodes that hang, and lifts the bars of those that answer.
-    fn bar(&mut self, i: usize) {
+    /// Bars nodes that hang, and lifts the exclusions of those that answer.
+    fn step_exclusions(&mut self, i: usize) {
         let now = self.now;
         if now < self.nodes[i].bar_at || self.stalls.is_some() {
             return;
         }
         self.nodes[i].bar_at = now + 500;
         let node = &self.nodes[i];
-        let (Some(lead), Some(step)) = (node.election.lead(), node.bars.next(&node.reach, now))
-        else {
+        let (Some(lead), Some(step)) = (
+            node.election.leadership(),
+            node.exclusions.next_step(&node.failure_detector, now),
+        ) else {
             return;
         };
-        let link = self.link(i, End::State);
+        let link = self.link(i, EndLease::State);
         let reaches = self.reaches_state(i);
         let name = |p: usize| format!("n{}", peers_of(i, self.nodes.len()).nth(p).unwrap());
-        let (peer, bar, txn) = match step {
-            Step::Lease(lease) => {
+        let (peer, exclusion, txn) = match step {
+            Step::RenewLease(lease) => {
                 if reaches {
                     let renewed = lease.filter(|l| self.store.touch(*l, now));
                     match (lease, renewed) {
-                        (Some(_), None) => self.nodes[i].bars.lost(),
-                        (_, Some(lease)) => self.nodes[i].bars.leased(lease, now),
+                        (Some(_), None) => self.nodes[i].exclusions.lease_lost(),
+                        (_, Some(lease)) => self.nodes[i].exclusions.lease_granted(lease, now),
                         (None, None) => {
-                            let lease = self.store.grant(now, exclusions::LEASE_LIFE_MS);
-                            self.nodes[i].bars.leased(lease, now);
+                            let lease = self.store.grant(now, exclusions::LEASE_TTL_MS);
+                            self.nodes[i].exclusions.lease_granted(lease, now);
                         }
                     }
                 }
                 return;
             }
-            Step::End(lease) => {
-                self.nodes[i].bars.ending();
+            Step::EndLease(lease) => {
+                self.nodes[i].exclusions.begin_lease_end();
                 if reaches {
                     self.store.end_lease(lease);
-                    self.nodes[i].bars.lost();
+                    self.nodes[i].exclusions.lease_lost();
                 }
                 return;
             }
-            Step::Bar { peer, lease } => (peer, true, bar_txn(lead.term, &name(peer), lease)),
-            Step::Lift { peer, version } => {
-                (peer, false, lift_txn(lead.term, &name(peer), version))
+            Step::Exclude { peer, lease } => {
+                (peer, true, exclusion_txn(lead.term, &name(peer), lease))
             }
+            Step::Readmit { peer, version } => (
+                peer,
+                false,
+                readmission_txn(lead.term, &name(peer), version),
+            ),
         };
-        let bars = &mut self.nodes[i].bars;
-        let again = bar && bars.begun(peer);
-        if !bar {
-            bars.lifting(peer);
+        let exclusions = &mut self.nodes[i].exclusions;
+        let again = exclusion && exclusions.begin_exclusion(peer);
+        if !exclusion {
+            exclusions.begin_readmission(peer);
         }
         // No answer, and it is carried out late.
         let late = match link {
@@ -510,12 +516,12 @@
             self.store.held.push((at, i, txn));
         } else if reaches {
             let done = self.store.apply(&txn);
-            let bars = &mut self.nodes[i].bars;
-            match (bar, done) {
-                (true, Ok(version)) => bars.barred(peer, version, again),
-                (true, Err(_)) => bars.not_barred(peer, again),
+            let exclusions = &mut self.nodes[i].exclusions;
+            match (exclusion, done) {
+                (true, Ok(version)) => exclusions.excluded(peer, version, again),
+                (true, Err(_)) => exclusions.exclusion_failed(peer, again),
                 (false, Err(failed)) if failed.iter().any(|k| k == LEADER) => {}
-                (false, _) => bars.lifted(peer),
+                (false, _) => exclusions.readmitted(peer),
             }
         }
     }
@@ -526,19 +532,19 @@
         for (p, j) in peers_of(i, self.nodes.len()).enumerate() {
             let contact = self.contact(i, j);
             let node = &mut self.nodes[i];
-            if node.asked[j].is_none() && node.reach.due(p, 300, now) {
-                node.reach.asked(p, now);
+            if node.asked[j].is_none() && node.failure_detector.probe_due(p, 300, now) {
+                node.failure_detector.request_sent(p, now);
                 node.asked[j] = Some(now);
             }
             let Some(since) = node.asked[j] else { continue };
             let timed_out = now >= since + 600;
-            if let Some(how) = contact.or(timed_out.then_some(Contact::Silent)) {
-                node.reach.ended(p, how, now);
+            if let Some(how) = contact.or(timed_out.then_some(PeerHealth::Unresponsive)) {
+                node.failure_detector.request_ended(p, how, now);
                 node.asked[j] = None;
-                if how == Contact::Answers {
+                if how == PeerHealth::Healthy {
                     let view = self.nodes[j].election.leader(now);
                     let view = view.map(|(name, term)| (name.to_owned(), term));
-                    self.nodes[i].election.heard(view, now);
+                    self.nodes[i].election.receive_leader_hint(view, now);
                 }
             }
         }
@@ -554,7 +560,7 @@
         self.nodes[i].greet_at = now + 1000;
         for j in peers_of(i, self.nodes.len()) {
             let zone = self.zone_of(j);
-            if zone != self.zone_of(i) && self.contact(i, j) == Some(Contact::Answers) {
+            if zone != self.zone_of(i) && self.contact(i, j) == Some(PeerHealth::Healthy) {
                 let l = self.nodes[i].leader.as_mut();
                 l.into_iter().for_each(|l| l.controller_heard(zone, now));
             }
@@ -569,7 +575,7 @@
         }
         let mut anybody = heard > 0;
         for j in peers_of(i, self.nodes.len()) {
-            if self.contact(i, j) == Some(Contact::Answers) {
+            if self.contact(i, j) == Some(PeerHealth::Healthy) {
                 anybody = true;
                 self.nodes[j].relays.unheard(&machines, 15_000, now);
             }
--- a/tests/simulation/standbys.rs
+++ b/tests/simulation/standbys.rs
@@ -32,18 +32,18 @@
 
     pub(super) fn others_are_named(&self, i: usize) -> bool {
         let named = self.named();
-        let there = |j: &usize| self.contact(i, *j) == Some(Contact::Answers);
+        let there = |j: &usize| self.contact(i, *j) == Some(PeerHealth::Healthy);
         !named.contains(&i) && named.iter().any(there)
     }
 
     pub(super) fn keep_standbys(&mut self, i: usize) {
         let now = self.now;
         let answers: Vec<bool> = peers_of(i, self.nodes.len())
-            .map(|j| self.contact(i, j) == Some(Contact::Answers))
+            .map(|j| self.contact(i, j) == Some(PeerHealth::Healthy))
             .collect();
         let reaches = self.reaches_state(i);
         let found = self.record_of_standbys();
-        let held = match (self.stalls, self.link(i, End::State)) {
+        let held = match (self.stalls, self.link(i, EndLease::State)) {
             (Some((n, until)), _) if n == i => Some(until),
             (_, Link::Hold) => Some(Ms::MAX),
             _ => None,
@@ -109,12 +109,12 @@
         let lost = Msg::Told(i, j, term, id, None);
         match self.contact(i, j) {
             _ if self.old.contains(&j) => self.wire.push((at, lost)),
-            Some(Contact::Refuses) => self.wire.push((at, lost)),
+            Some(PeerHealth::Refusing) => self.wire.push((at, lost)),
             how => {
                 self.wire.push((now + 900, lost));
                 let tell = Msg::Tell(i, j, part);
                 let luck = self.rng.u32(0..100);
-                if self.link(i, End::Node(j)) == Link::Hold {
+                if self.link(i, EndLease::Node(j)) == Link::Hold {
                     self.held.push(tell);
                 } else if how.is_none() || luck >= self.lossy {
                     if luck >= 100 - self.lossy {
@@ -128,7 +128,7 @@
 
     pub(super) fn told(&mut self, i: usize, j: usize, mut part: Follow) {
         let now = self.now;
-        if !self.nodes[j].alive || self.nodes[j].election.lead().is_some() {
+        if !self.nodes[j].alive || self.nodes[j].election.leadership().is_some() {
             return;
         }
         if self.forgetful {
@@ -138,7 +138,7 @@
         let node = &mut self.nodes[j];
         let taken = node.follower.take_in(part, now);
         let answer = Some((node.election.incarnation, taken));
-        if self.link(i, End::Node(j)) == Link::Up {
+        if self.link(i, EndLease::Node(j)) == Link::Up {
             self.wire.push((now + 5, Msg::Told(i, j, term, id, answer)));
         }
     }
@@ -183,7 +183,7 @@
         };
         let term = self.record_of_standbys().map_or(0, |(r, _)| r.term);
         for j in self.named() {
-            if self.nodes[j].election.lead().is_some() {
+            if self.nodes[j].election.leadership().is_some() {
                 continue;
             }
             // Without one of that term, or of a later one, it would go the cold
--- a/tests/simulation/store.rs
+++ b/tests/simulation/store.rs
@@ -41,7 +41,7 @@
     pub changes: u32,
     /// The same for writes of the record of standbys.
     pub late_record: Vec<Ms>,
-    /// The same for bars, and for lifting them.
+    /// The same for exclusions, and for lifting them.
     pub late_bars: Vec<Ms>,
     /// To be applied then, each by a node; `Ms::MAX`: when it is healed.
     pub held: Vec<(Ms, usize, Txn)>,
--- a/tests/simulation/users.rs
+++ b/tests/simulation/users.rs
@@ -198,7 +198,7 @@
     /// the troubles have it. What the node learns in the end.
     pub(super) fn transact(&mut self, i: usize, txn: &Txn) -> TxnResult {
         let stalled = self.stalls.filter(|(n, _)| *n == i);
-        let late = match (stalled, self.link(i, End::State)) {
+        let late = match (stalled, self.link(i, EndLease::State)) {
             (Some((_, until)), _) => Some(until),
             (None, Link::Hold) => Some(Ms::MAX),
             _ => None,
@@ -252,7 +252,7 @@
     fn leader_for(&self, i: usize, now: Ms) -> Option<usize> {
         let (name, _) = self.nodes[i].election.leader(now)?;
         let l: usize = name[1..].parse().ok()?;
-        (l != i && self.reaches(l) && self.link(i, End::Node(l)) == Link::Up).then_some(l)
+        (l != i && self.reaches(l) && self.link(i, EndLease::Node(l)) == Link::Up).then_some(l)
     }
 
     // ---- at once ----
@@ -403,7 +403,7 @@
                 self.asks_for(&mut f, next)
             }
             Comes::AtLeader(l, began) => {
-                let answers = self.reaches(l) && self.link(i, End::Node(l)) == Link::Up;
+                let answers = self.reaches(l) && self.link(i, EndLease::Node(l)) == Link::Up;
                 let ids = [f.ask.id().to_owned()];
                 let known = match answers {
                     true => self.view(l, now, |view| polled(view, &ids)),
@@ -432,7 +432,7 @@
                 (after, Comes::Event(Event::Wrote(wrote)))
             }
             Comes::Passed(l) => {
-                let there = self.reaches(l) && self.link(i, End::Node(l)) == Link::Up;
+                let there = self.reaches(l) && self.link(i, EndLease::Node(l)) == Link::Up;
                 if there {
                     let begin = Comes::Event(Event::Begin);
                     self.fly(l, f.ask.clone(), true, For::Flight(f.serial), now, begin);
--- a/tests/simulation/workers.rs
+++ b/tests/simulation/workers.rs
@@ -215,7 +215,7 @@
             worker.sent = now;
             worker.dirty = false;
             let target = worker.target;
-            let refused = self.link(target, End::Worker(w)) == Link::Reset
+            let refused = self.link(target, EndLease::Worker(w)) == Link::Reset
                 || self.workers[w].net == Net::Mute;
             if self.nodes[target].alive && !refused {
                 let report = self.report(w);
