--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -6,7 +6,7 @@
 
 use async_io::Timer;
 use http_types::Method;
-use pathwinch_protocol::users::{JobSpec, JobState, JobStatus, valid_ref};
+use pathwinch_protocol::users::{JobSpec, JobState, JobStatus, is_valid_job_id};
 use pathwinch_transport::client::{Answer, CallError, Client as Http};
 use retry::{Attempt, Ladder, Next, Rules, Turns};
 use std::{
@@ -176,7 +176,7 @@
     /// Withdraws a job. The state returned is final: withdrawn, or done if it
     /// was done before.
     pub async fn withdraw(&self, id: &str) -> Result<JobStatus, Failure> {
-        if !valid_ref(id) {
+        if !is_valid_job_id(id) {
             return Err(Failure::NoSuchJob);
         }
         let path = format!("/v1/jobs/{id}/abort");
@@ -185,7 +185,7 @@
 
     /// Asks once. `GivenUp`: to be asked again later.
     pub async fn poll(&self, id: &str) -> Result<JobStatus, Failure> {
-        if !valid_ref(id) {
+        if !is_valid_job_id(id) {
             return Err(Failure::NoSuchJob);
         }
         let path = format!("/v1/jobs/{id}");
--- a/crates/lab/src/cloud.rs
+++ b/crates/lab/src/cloud.rs
@@ -3,7 +3,8 @@
 use crate::{Ms, millis, site::Site};
 use fastrand::Rng;
 use pathwinch_protocol::cloud::{
-    ListedMachine, ListedState, MAX_RENT, MachineList, MachineNames, MachineType, Rent,
+    ListedMachine, ListedState, MAX_MACHINES_PER_REQUEST, MachineList, MachineNames,
+    MachineRequest, MachineType,
 };
 use pathwinch_transport::rate_limit::Budget;
 use std::collections::{BTreeMap, HashMap};
@@ -101,8 +102,8 @@
         self.machines.values().filter(|m| m.gone.is_none()).count()
     }
 
-    pub fn rent(&mut self, rent: &Rent, now: Ms) -> Result<Vec<String>, Refused> {
-        if let Some(names) = self.answered.get(&rent.request) {
+    pub fn rent(&mut self, rent: &MachineRequest, now: Ms) -> Result<Vec<String>, Refused> {
+        if let Some(names) = self.answered.get(&rent.request_id) {
             return Ok(names.clone());
         }
         let Some(type_index) = self.types.iter().position(|t| t.name == rent.type_name) else {
@@ -112,7 +113,7 @@
         if !t.zones.contains(&rent.zone) || !self.zones.contains(&rent.zone) {
             return Err(Refused::Malformed("hall: not one of this rig's"));
         }
-        if rent.count == 0 || rent.count > MAX_RENT {
+        if rent.count == 0 || rent.count > MAX_MACHINES_PER_REQUEST {
             return Err(Refused::Malformed("count: must be 1 to 50"));
         }
         let taken = self.machines.values().filter(|m| {
@@ -146,7 +147,7 @@
             );
             names.push(id);
         }
-        self.answered.insert(rent.request.clone(), names.clone());
+        self.answered.insert(rent.request_id.clone(), names.clone());
         Ok(names)
     }
 
@@ -223,8 +224,8 @@
     use super::*;
 
     fn rent(cloud: &mut Cloud, name: &str, count: u32, now: Ms) -> Result<usize, Refused> {
-        let rent = Rent {
-            request: name.into(),
+        let rent = MachineRequest {
+            request_id: name.into(),
             type_name: "m8".into(),
             zone: "a".into(),
             spot: false,
--- a/crates/lab/src/hosts.rs
+++ b/crates/lab/src/hosts.rs
@@ -10,7 +10,7 @@
 use async_executor::Task;
 use async_io::Timer;
 use http_types::Method;
-use pathwinch_protocol::workers::{DirectOrder, ReportReply};
+use pathwinch_protocol::workers::{DirectCommands, HeartbeatResponse};
 use pathwinch_transport::{
     client::{Answer, CallError, Client},
     server::{self, HttpRequest, HttpResponse, Limits},
@@ -132,7 +132,7 @@
             let body = request.body.unwrap_or_default();
             lab.traffic.borrow_mut().direct_orders += 1;
             lab.traffic.borrow_mut().received(body.len());
-            let Ok(order) = serde_json::from_slice::<DirectOrder>(&body) else {
+            let Ok(order) = serde_json::from_slice::<DirectCommands>(&body) else {
                 return HttpResponse::error(400, "malformed");
             };
             let mut depot = lab.depot.borrow_mut();
@@ -170,7 +170,7 @@
 async fn report(lab: &Lab, hosted: &Hosted) -> Ms {
     let sent = lab.now();
     let report = hosted.worker.borrow_mut().report();
-    let session = report.session;
+    let session = report.incarnation;
     let body = serde_json::to_vec(&report).unwrap_or_default();
     {
         let mut traffic = lab.traffic.borrow_mut();
@@ -201,13 +201,20 @@
 }
 
 fn accept(lab: &Lab, hosted: &Hosted, sent: Ms, session: u64, answer: &Answer) {
-    let Ok(reply) = serde_json::from_slice::<ReportReply>(&answer.body) else {
+    let Ok(reply) = serde_json::from_slice::<HeartbeatResponse>(&answer.body) else {
         return;
     };
     let now = lab.now();
     let mut worker = hosted.worker.borrow_mut();
     let mut depot = lab.depot.borrow_mut();
-    let counts = worker.answered(sent, session, reply.token, reply.commands, &mut depot, now);
+    let counts = worker.answered(
+        sent,
+        session,
+        reply.fencing_token,
+        reply.commands,
+        &mut depot,
+        now,
+    );
     let mut traffic = lab.traffic.borrow_mut();
     match counts {
         true => {
--- a/crates/lab/src/object_store.rs
+++ b/crates/lab/src/object_store.rs
@@ -259,7 +259,7 @@
     /// kept if it was saved, else as of the last checkpoint.
     pub fn ran(&mut self, task: &str, ran: Ms, saved: bool) {
         let Some(spec) = self.spec(task) else { return };
-        let every = millis(spec.checkpoint_s);
+        let every = millis(spec.checkpoint_interval_s);
         if every == 0 {
             return;
         }
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -13,7 +13,7 @@
 use futures_lite::future;
 use measure::{Counters, Usage};
 use plan::Plan;
-use report::{ClassRow, Report, RoleRow, Times, WorkerRow};
+use report::{ClassRow, Heartbeat, RoleRow, Times, WorkerRow};
 use std::{
     cell::Cell,
     path::Path,
@@ -31,7 +31,7 @@
 const MEGABYTE: f64 = 1_000_000.0;
 
 /// Runs the plan. The controllers' settings and logs go to `dir`.
-pub fn run(plan: Plan, program: &Path, dir: &Path) -> Result<Report> {
+pub fn run(plan: Plan, program: &Path, dir: &Path) -> Result<Heartbeat> {
     let base = Base::new(plan.site(), dir)?;
     let lab = base.lab.clone();
     let children = Children::new(dir.to_owned(), base.programs(program));
@@ -114,7 +114,7 @@
 }
 
 impl Run<'_> {
-    async fn measure(&self) -> Result<Report> {
+    async fn measure(&self) -> Result<Heartbeat> {
         up::until_ready(&self.lab).await;
         self.lab.depot.borrow_mut().take_starts();
         self.users.begin();
@@ -283,7 +283,7 @@
         }
     }
 
-    fn report(&self, seconds: f64) -> Report {
+    fn report(&self, seconds: f64) -> Heartbeat {
         let figures = self.users.take_figures();
         let classes: Vec<ClassRow> = self
             .plan
@@ -292,7 +292,7 @@
             .zip(&figures.classes)
             .map(|(class, seen)| class_row(class, seen, seconds))
             .collect();
-        Report {
+        Heartbeat {
             machines: self.plan.site_machines(),
             controllers: self.plan.controllers,
             teams: self.plan.teams,
@@ -308,7 +308,7 @@
             answers_checked: self.users.answers_checked(),
             controllers_ended: self.ended.get(),
             rules_broken: self.rules_broken(),
-            ..Report::default()
+            ..Heartbeat::default()
         }
     }
 
--- a/crates/lab/src/scale/plan.rs
+++ b/crates/lab/src/scale/plan.rs
@@ -311,14 +311,14 @@
             image_gb: self.image_gb,
             types: None,
             zone: None,
-            one_zone: false,
+            single_zone: false,
             spread: false,
             spot: false,
             estimate_s: self.expected_s,
-            checkpoint_s: 0.0,
-            save_s: 0.0,
+            checkpoint_interval_s: 0.0,
+            checkpoint_cost_s: 0.0,
             deadline_s: None,
-            needs: Vec::new(),
+            dependencies: Vec::new(),
         }
     }
 }
--- a/crates/lab/src/scale/report.rs
+++ b/crates/lab/src/scale/report.rs
@@ -82,7 +82,7 @@
 }
 
 #[derive(Debug, Clone, Default, Serialize)]
-pub struct Report {
+pub struct Heartbeat {
     pub machines: u32,
     pub controllers: usize,
     pub teams: usize,
@@ -107,7 +107,7 @@
     pub rules_broken: Vec<String>,
 }
 
-impl Report {
+impl Heartbeat {
     /// The table that the terminal shows.
     pub fn text(&self) -> String {
         let mut out = String::new();
--- a/crates/lab/src/services.rs
+++ b/crates/lab/src/services.rs
@@ -3,7 +3,7 @@
 use crate::{Ms, cloud::Refused, installation::Lab, state::Answer};
 use async_io::Timer;
 use http_types::Method;
-use pathwinch_protocol::cloud::{MachineNames, MachineTypes, Rent};
+use pathwinch_protocol::cloud::{MachineNames, MachineRequest, MachineTypes};
 use pathwinch_transport::server::{HttpRequest, HttpResponse};
 use serde_json::json;
 use std::{collections::HashMap, rc::Rc, time::Duration};
@@ -108,7 +108,7 @@
             let most = asked.get("most").and_then(|m| m.parse().ok());
             HttpResponse::json(200, &cloud.list(from, most.unwrap_or(500), now))
         }
-        (Method::Post, "/hosts") => match serde_json::from_slice::<Rent>(body) {
+        (Method::Post, "/hosts") => match serde_json::from_slice::<MachineRequest>(body) {
             Ok(rent) => match cloud.rent(&rent, now) {
                 Ok(machines) => HttpResponse::json(200, &MachineNames { machines }),
                 Err(r) => refused(r),
--- a/crates/lab/src/state.rs
+++ b/crates/lab/src/state.rs
@@ -202,7 +202,7 @@
         if txn.writes.len() > self.limits.txn_ops {
             return Some("writes: too many");
         }
-        if txn.guards.len() > 4 * self.limits.txn_ops {
+        if txn.conditions.len() > 4 * self.limits.txn_ops {
             return Some("guards: too many");
         }
         if size > MOST_TXN {
@@ -242,7 +242,7 @@
             return error(400, "no such lease");
         }
         let failed: Vec<&str> = txn
-            .guards
+            .conditions
             .iter()
             .filter(|g| self.keys.get(&g.key).map_or(0, |s| s.version) != g.version)
             .map(|g| g.key.as_str())
--- a/crates/lab/src/worker.rs
+++ b/crates/lab/src/worker.rs
@@ -8,7 +8,7 @@
     cloud::MachineType,
     settings::Workers,
     users::Kind,
-    workers::{Command, DirectOrder, Report, ReportedTask, TaskState, Why},
+    workers::{Command, DirectCommands, ExitReason, Heartbeat, TaskState, TaskStatus},
 };
 use std::collections::VecDeque;
 
@@ -17,7 +17,7 @@
     name: String,
     attempt: u64,
     state: TaskState,
-    why: Option<Why>,
+    why: Option<ExitReason>,
     saved: bool,
     /// When it came into this state.
     since: Ms,
@@ -39,7 +39,7 @@
     fn may_change(&self, now: Ms) -> bool {
         match self.state {
             TaskState::Exited => false,
-            TaskState::Waiting => true,
+            TaskState::WaitingForGang => true,
             TaskState::Fetching | TaskState::Running | TaskState::Saving => now >= self.until,
         }
     }
@@ -99,27 +99,27 @@
         }
     }
 
-    pub fn report(&mut self) -> Report {
+    pub fn report(&mut self) -> Heartbeat {
         self.seq += 1;
-        Report {
+        Heartbeat {
             machine: self.id.clone(),
             addr: self.addr.clone(),
             type_name: self.rig.name.clone(),
             zone: self.zone.clone(),
             spot: self.spot,
-            session: self.session,
+            incarnation: self.session,
             seq: self.seq,
-            token: self.token,
-            notice_s: None,
+            acknowledged_token: self.token,
+            reclaim_in_s: None,
             tasks: self
                 .tasks
                 .iter()
-                .map(|t| ReportedTask {
+                .map(|t| TaskStatus {
                     task: t.name.clone(),
                     attempt: t.attempt,
                     state: t.state,
-                    why: t.why,
-                    saved: t.saved,
+                    exit_reason: t.why,
+                    checkpointed: t.saved,
                 })
                 .collect(),
         }
@@ -169,8 +169,13 @@
     }
 
     /// A direct order. Returns the status; the body is the report.
-    pub fn ordered(&mut self, order: DirectOrder, depot: &mut Depot, now: Ms) -> (u16, Report) {
-        let fits = order.session == self.session && self.saw(order.token);
+    pub fn ordered(
+        &mut self,
+        order: DirectCommands,
+        depot: &mut Depot,
+        now: Ms,
+    ) -> (u16, Heartbeat) {
+        let fits = order.incarnation == self.session && self.saw(order.fencing_token);
         if fits {
             self.execute(order.commands, depot, now);
         }
@@ -187,7 +192,7 @@
                     attempt,
                     grace_s,
                 } => self.halt(&task, attempt, millis(grace_s), depot, now),
-                Command::Forget { task, attempt } => {
+                Command::Reap { task, attempt } => {
                     self.tasks.retain(|t| t.live() || !t.is(&task, attempt));
                 }
             }
@@ -210,14 +215,16 @@
         let (cpus, gpus, memory) = self.free(depot);
         const SLACK: f64 = 1e-6;
         let refused = match depot.spec(&name) {
-            _ if self.tasks.iter().any(|t| t.live() && t.name == name) => Some(Why::Busy),
-            None => Some(Why::Unknown),
+            _ if self.tasks.iter().any(|t| t.live() && t.name == name) => {
+                Some(ExitReason::DuplicateTask)
+            }
+            None => Some(ExitReason::UnknownTask),
             Some(s)
                 if s.cpus > cpus + SLACK
                     || s.gpus > gpus + SLACK
                     || s.memory_gb > memory + SLACK =>
             {
-                Some(Why::NoRoom)
+                Some(ExitReason::InsufficientResources)
             }
             Some(_) => None,
         };
@@ -260,9 +267,9 @@
         let Some(spec) = depot.spec(name).cloned() else {
             return;
         };
-        let save = millis(spec.save_s);
+        let save = millis(spec.checkpoint_cost_s);
         let saves = self.tasks[i].state == TaskState::Running
-            && spec.checkpoint_s > 0.0
+            && spec.checkpoint_interval_s > 0.0
             && spec.kind != Kind::Service
             && grace >= save;
         match self.tasks[i].state {
@@ -277,12 +284,12 @@
                 task.until = now + save;
                 task.since = now.saturating_sub(task.since);
             }
-            _ => self.exit(i, Why::Stopped, depot, now),
+            _ => self.exit(i, ExitReason::Stopped, depot, now),
         }
     }
 
     /// A task ends on this machine, however it came to it.
-    fn exit(&mut self, i: usize, why: Why, depot: &mut Depot, now: Ms) {
+    fn exit(&mut self, i: usize, why: ExitReason, depot: &mut Depot, now: Ms) {
         let task = &mut self.tasks[i];
         let kind = depot.spec(&task.name).map(|s| s.kind);
         let was = task.state;
@@ -290,7 +297,7 @@
         task.why = Some(why);
         self.changed = true;
         let name = task.name.clone();
-        if why == Why::Done {
+        if why == ExitReason::Done {
             depot.finish(&name);
         } else if kind == Some(Kind::Gang) {
             if !matches!(was, TaskState::Fetching) && !task.saved {
@@ -326,7 +333,7 @@
     pub fn lose_all(&mut self, depot: &mut Depot, now: Ms) {
         for i in 0..self.tasks.len() {
             if self.tasks[i].live() {
-                self.exit(i, Why::Stopped, depot, now);
+                self.exit(i, ExitReason::Stopped, depot, now);
             }
         }
     }
@@ -340,26 +347,26 @@
             TaskState::Fetching if now >= self.tasks[i].until => {
                 self.has_image(i, kind, depot, now);
             }
-            TaskState::Waiting => match depot.gang_state(&name, attempt, now) {
+            TaskState::WaitingForGang => match depot.gang_state(&name, attempt, now) {
                 GangState::Waiting => {
                     let wait = millis(self.limits.gang_wait_s);
                     if now > self.tasks[i].since + wait {
-                        self.exit(i, Why::Alone, depot, now);
+                        self.exit(i, ExitReason::GangIncomplete, depot, now);
                     }
                 }
                 GangState::Running => self.becomes(i, TaskState::Running, now),
-                GangState::Done => self.exit(i, Why::Done, depot, now),
-                GangState::PeersGone => self.exit(i, Why::Peers, depot, now),
+                GangState::Done => self.exit(i, ExitReason::Done, depot, now),
+                GangState::PeersGone => self.exit(i, ExitReason::GangMemberLost, depot, now),
             },
             TaskState::Running if kind == Kind::Gang => {
                 match depot.gang_state(&name, attempt, now) {
-                    GangState::Done => self.exit(i, Why::Done, depot, now),
-                    GangState::PeersGone => self.exit(i, Why::Peers, depot, now),
+                    GangState::Done => self.exit(i, ExitReason::Done, depot, now),
+                    GangState::PeersGone => self.exit(i, ExitReason::GangMemberLost, depot, now),
                     GangState::Running | GangState::Waiting => {}
                 }
             }
             TaskState::Running if now >= self.tasks[i].until => {
-                self.exit(i, Why::Done, depot, now);
+                self.exit(i, ExitReason::Done, depot, now);
             }
             TaskState::Saving if now >= self.tasks[i].until => self.saved(i, kind, depot, now),
             _ => {}
@@ -382,14 +389,14 @@
             }
         }
         if depot.is_finished(&name) {
-            return self.exit(i, Why::Done, depot, now);
+            return self.exit(i, ExitReason::Done, depot, now);
         }
         depot.arrives(&name, &self.id, now);
         if depot.fails(&name) {
-            return self.exit(i, Why::Error, depot, now);
+            return self.exit(i, ExitReason::Error, depot, now);
         }
         if kind == Kind::Gang {
-            self.becomes(i, TaskState::Waiting, now);
+            self.becomes(i, TaskState::WaitingForGang, now);
             depot.gathers(&name, attempt, now);
         } else {
             self.becomes(i, TaskState::Running, now);
@@ -402,7 +409,7 @@
         if kind == Kind::Gang {
             match depot.gang_saved(&name, attempt, now) {
                 Some(true) => self.tasks[i].saved = true,
-                Some(false) => return self.exit(i, Why::Peers, depot, now),
+                Some(false) => return self.exit(i, ExitReason::GangMemberLost, depot, now),
                 None => return,
             }
         } else {
@@ -410,7 +417,7 @@
             depot.ran(&name, ran, true);
             self.tasks[i].saved = true;
         }
-        self.exit(i, Why::Stopped, depot, now);
+        self.exit(i, ExitReason::Stopped, depot, now);
     }
 }
 
@@ -435,14 +442,14 @@
             image_gb: 2.0,
             types: None,
             zone: None,
-            one_zone: false,
+            single_zone: false,
             spread: false,
             spot: false,
             estimate_s: 10.0,
-            checkpoint_s: 2.0,
-            save_s: 1.0,
+            checkpoint_interval_s: 2.0,
+            checkpoint_cost_s: 1.0,
             deadline_s: None,
-            needs: Vec::new(),
+            dependencies: Vec::new(),
         }
     }
 
@@ -481,9 +488,13 @@
         depot
     }
 
-    fn states(w: &mut Worker) -> Vec<(TaskState, Option<Why>)> {
+    fn states(w: &mut Worker) -> Vec<(TaskState, Option<ExitReason>)> {
         let report = w.report();
-        report.tasks.iter().map(|t| (t.state, t.why)).collect()
+        report
+            .tasks
+            .iter()
+            .map(|t| (t.state, t.exit_reason))
+            .collect()
     }
 
     #[test]
@@ -498,15 +509,18 @@
         w.step(&mut d, 1000);
         let seen = states(&mut w);
         assert_eq!(seen[0].0, TaskState::Running);
-        assert_eq!(seen[2], (TaskState::Exited, Some(Why::NoRoom)));
-        assert_eq!(seen[3], (TaskState::Exited, Some(Why::Unknown)));
+        assert_eq!(
+            seen[2],
+            (TaskState::Exited, Some(ExitReason::InsufficientResources))
+        );
+        assert_eq!(seen[3], (TaskState::Exited, Some(ExitReason::UnknownTask)));
         let all = d.left_ms("j-000001/0").unwrap();
         w.answered(1000, 1, 7, halt("j-000001/0", 5.0), &mut d, 4000);
         w.answered(1000, 1, 7, halt("j-000001/1", 0.0), &mut d, 4000);
         w.step(&mut d, 5000);
         assert_eq!(d.left_ms("j-000001/0"), Some(all - 3000), "saved as it was");
         let seen = w.report();
-        assert!(seen.tasks[0].saved && !seen.tasks[1].saved);
+        assert!(seen.tasks[0].checkpointed && !seen.tasks[1].checkpointed);
         assert!(
             !w.answered(4000, 1, 6, start("j-000001/3"), &mut d, 5000),
             "old token"
@@ -519,7 +533,7 @@
         let (mut one, mut two) = (worker("i-1", 0), worker("i-2", 0));
         one.answered(0, 1, 1, start("j-000001/0"), &mut d, 0);
         one.step(&mut d, 1000);
-        assert_eq!(states(&mut one)[0].0, TaskState::Waiting);
+        assert_eq!(states(&mut one)[0].0, TaskState::WaitingForGang);
         two.answered(0, 1, 1, start("j-000001/1"), &mut d, 2000);
         two.step(&mut d, 3000);
         one.step(&mut d, 3000);
@@ -531,7 +545,7 @@
         one.step(&mut d, 8000);
         assert_eq!(states(&mut one)[0].0, TaskState::Running, "not noticed yet");
         one.step(&mut d, 8500);
-        assert_eq!(states(&mut one)[0].1, Some(Why::Peers));
+        assert_eq!(states(&mut one)[0].1, Some(ExitReason::GangMemberLost));
         assert_eq!(d.left_ms("j-000001/0"), Some(all - 2000));
         assert!(d.broken().is_empty());
     }
--- a/crates/market/src/serve/state.rs
+++ b/crates/market/src/serve/state.rs
@@ -10,7 +10,7 @@
 use pathwinch_protocol::{
     market::PREFIX,
     settings::Settings,
-    state::{Guard, LeaseGranted, Page, Revision, Txn, Write},
+    state::{Condition, LeaseGranted, Page, Revision, Txn, Write},
 };
 use pathwinch_transport::{
     client::{Answer, CallError, Client},
@@ -141,7 +141,7 @@
     /// Writes what the books want, guarded by the leadership.
     pub async fn write(&self, term: u64, change: &Change) -> Result<Wrote, Lost> {
         let mut txn = Txn {
-            guards: vec![Guard {
+            conditions: vec![Condition {
                 key: key(BROKER),
                 version: term,
             }],
@@ -149,7 +149,7 @@
         };
         for (relative, version, value) in &change.writes {
             let key = key(relative);
-            txn.guards.push(Guard {
+            txn.conditions.push(Condition {
                 key: key.clone(),
                 version: *version,
             });
@@ -197,7 +197,7 @@
             .lease;
         let record = json!({ "name": name, "incarnation": incarnation });
         let txn = Txn {
-            guards: vec![Guard {
+            conditions: vec![Condition {
                 key: key(BROKER),
                 version: 0,
             }],
--- a/crates/protocol/src/cloud.rs
+++ b/crates/protocol/src/cloud.rs
@@ -37,12 +37,12 @@
 }
 
 /// Machines that one rental may ask for.
-pub const MAX_RENT: u32 = 50;
+pub const MAX_MACHINES_PER_REQUEST: u32 = 50;
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Rent {
+pub struct MachineRequest {
     #[serde(rename = "hire_ask")]
-    pub request: String,
+    pub request_id: String,
     #[serde(rename = "rig")]
     pub type_name: String,
     #[serde(rename = "hall")]
--- a/crates/protocol/src/state.rs
+++ b/crates/protocol/src/state.rs
@@ -38,7 +38,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Guard {
+pub struct Condition {
     pub key: String,
     #[serde(rename = "key_rev")]
     pub version: u64,
@@ -64,7 +64,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Default, Deserialize)]
 pub struct Txn {
     #[serde(rename = "guards", default)]
-    pub guards: Vec<Guard>,
+    pub conditions: Vec<Condition>,
     #[serde(rename = "writes", default)]
     pub writes: Vec<Write>,
 }
--- a/crates/protocol/src/users.rs
+++ b/crates/protocol/src/users.rs
@@ -1,6 +1,7 @@
 //! Submissions, polls and cancellations.
 
 use serde::{Deserialize, Serialize};
+use std::fmt;
 
 pub const MAX_TASKS: u32 = 100_000;
 
@@ -55,7 +56,7 @@
     #[serde(rename = "hall", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
     #[serde(rename = "same_place")]
-    pub one_zone: bool,
+    pub single_zone: bool,
     #[serde(rename = "apart")]
     pub spread: bool,
     #[serde(rename = "lendback")]
@@ -63,9 +64,9 @@
     #[serde(rename = "expected_s")]
     pub estimate_s: f64,
     #[serde(rename = "snapshot_every_s")]
-    pub checkpoint_s: f64,
+    pub checkpoint_interval_s: f64,
     #[serde(rename = "snapshot_cost_s")]
-    pub save_s: f64,
+    pub checkpoint_cost_s: f64,
     #[serde(rename = "due_s", default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
     /// Jobs that have to be done before any task of this one starts, each
@@ -76,7 +77,7 @@
         skip_serializing_if = "Vec::is_empty",
         deserialize_with = "ids"
     )]
-    pub needs: Vec<String>,
+    pub dependencies: Vec<String>,
 }
 
 /// Null, or a list of ids; of doubled ones the first counts.
@@ -91,7 +92,7 @@
     let mut ids = Vec::with_capacity(list.len());
     for id in list {
         match id {
-            serde_json::Value::String(id) if valid_ref(&id) => {
+            serde_json::Value::String(id) if is_valid_job_id(&id) => {
                 if seen.insert(id.clone()) {
                     ids.push(id);
                 }
@@ -103,7 +104,7 @@
 }
 
 /// `j-` and 6 to 18 digits.
-pub fn valid_ref(id: &str) -> bool {
+pub fn is_valid_job_id(id: &str) -> bool {
     id.strip_prefix("j-")
         .is_some_and(|d| (6..=18).contains(&d.len()) && d.bytes().all(|b| b.is_ascii_digit()))
 }
@@ -130,7 +131,7 @@
     }
 
     fn check(&self) -> Result<(), String> {
-        if !valid_ref(&self.id) {
+        if !is_valid_job_id(&self.id) {
             return Err("ref: not of the form j-000412".into());
         }
         if self.tasks == 0 || self.tasks > MAX_TASKS {
@@ -142,8 +143,8 @@
             ("memory_gb", self.memory_gb),
             ("image_gb", self.image_gb),
             ("expected_s", self.estimate_s),
-            ("snapshot_every_s", self.checkpoint_s),
-            ("snapshot_cost_s", self.save_s),
+            ("snapshot_every_s", self.checkpoint_interval_s),
+            ("snapshot_cost_s", self.checkpoint_cost_s),
             ("due_s", self.deadline_s.unwrap_or(0.0)),
         ] {
             if !v.is_finite() || !(0.0..=1e9).contains(&v) {
@@ -188,6 +189,22 @@
     pub fn is_final(self) -> bool {
         matches!(self, JobState::Done | JobState::Cancelled)
     }
+
+    /// The name in log lines, in metric labels and in what operators are shown.
+    pub fn name(self) -> &'static str {
+        match self {
+            JobState::Queued => "queued",
+            JobState::Running => "running",
+            JobState::Done => "done",
+            JobState::Cancelled => "cancelled",
+        }
+    }
+}
+
+impl fmt::Display for JobState {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(self.name())
+    }
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
--- a/crates/protocol/src/workers.rs
+++ b/crates/protocol/src/workers.rs
@@ -1,9 +1,10 @@
 //! Reports of workers and commands to them.
 
 use serde::{Deserialize, Serialize};
+use std::fmt;
 
 #[derive(Debug, Clone, Deserialize, Serialize)]
-pub struct Report {
+pub struct Heartbeat {
     #[serde(rename = "post")]
     pub machine: String,
     pub addr: String,
@@ -14,19 +15,19 @@
     #[serde(rename = "lendback")]
     pub spot: bool,
     #[serde(rename = "tenure")]
-    pub session: u64,
+    pub incarnation: u64,
     #[serde(rename = "tick")]
     pub seq: u64,
     #[serde(rename = "baton")]
-    pub token: u64,
+    pub acknowledged_token: u64,
     #[serde(rename = "reclaim_in_s", default)]
-    pub notice_s: Option<f64>,
+    pub reclaim_in_s: Option<f64>,
     #[serde(rename = "pieces", default)]
-    pub tasks: Vec<ReportedTask>,
+    pub tasks: Vec<TaskStatus>,
 }
 
 #[derive(Debug, Clone, Deserialize, Serialize)]
-pub struct ReportedTask {
+pub struct TaskStatus {
     #[serde(rename = "piece")]
     pub task: String,
     #[serde(rename = "try")]
@@ -38,9 +39,9 @@
         default,
         skip_serializing_if = "Option::is_none"
     )]
-    pub why: Option<Why>,
+    pub exit_reason: Option<ExitReason>,
     #[serde(rename = "stored", default)]
-    pub saved: bool,
+    pub checkpointed: bool,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize, Serialize)]
@@ -48,7 +49,7 @@
     #[serde(rename = "pulling")]
     Fetching,
     #[serde(rename = "gathering")]
-    Waiting,
+    WaitingForGang,
     #[serde(rename = "running")]
     Running,
     #[serde(rename = "saving")]
@@ -58,28 +59,46 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize, Serialize)]
-pub enum Why {
+pub enum ExitReason {
     #[serde(rename = "done")]
     Done,
     #[serde(rename = "stopped")]
     Stopped,
     #[serde(rename = "peers")]
-    Peers,
+    GangMemberLost,
     #[serde(rename = "incomplete")]
-    Alone,
+    GangIncomplete,
     #[serde(rename = "error")]
     Error,
     #[serde(rename = "no_room")]
-    NoRoom,
+    InsufficientResources,
     #[serde(rename = "in_use")]
-    Busy,
+    DuplicateTask,
     #[serde(rename = "no_such")]
-    Unknown,
+    UnknownTask,
     /// Anything a later protocol may add: treated like a failure.
     #[serde(other)]
     Other,
 }
 
+impl fmt::Display for ExitReason {
+    /// The name in `status` and `explain`, which operators' tools read: it is
+    /// older than the variants' names and stays.
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            ExitReason::Done => "done",
+            ExitReason::Stopped => "stopped",
+            ExitReason::GangMemberLost => "peers",
+            ExitReason::GangIncomplete => "alone",
+            ExitReason::Error => "error",
+            ExitReason::InsufficientResources => "noroom",
+            ExitReason::DuplicateTask => "busy",
+            ExitReason::UnknownTask => "unknown",
+            ExitReason::Other => "other",
+        })
+    }
+}
+
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "verb")]
 pub enum Command {
@@ -100,7 +119,7 @@
         grace_s: f64,
     },
     #[serde(rename = "reap")]
-    Forget {
+    Reap {
         #[serde(rename = "piece")]
         task: String,
         #[serde(rename = "try")]
@@ -109,25 +128,25 @@
 }
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct ReportReply {
+pub struct HeartbeatResponse {
     #[serde(rename = "baton")]
-    pub token: u64,
+    pub fencing_token: u64,
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct DirectOrder {
+pub struct DirectCommands {
     #[serde(rename = "baton")]
-    pub token: u64,
+    pub fencing_token: u64,
     #[serde(rename = "tenure")]
-    pub session: u64,
+    pub incarnation: u64,
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
 
 /// "j-000412/4" -> ("j-000412", 4)
-pub fn split_task(name: &str) -> Option<(&str, u32)> {
+pub fn parse_task_name(name: &str) -> Option<(&str, u32)> {
     let (job, n) = name.rsplit_once('/')?;
     Some((job, n.parse().ok()?))
 }
--- a/examples/limits/main.rs
+++ b/examples/limits/main.rs
@@ -25,7 +25,7 @@
         peers::{Follow, Request},
         settings::Settings,
         users::{JobSpec, JobState, JobStatus},
-        workers::Report,
+        workers::Heartbeat,
     },
     state::records::{JobRecord, MachineRecord, StandbyRecord},
     transport::frames,
@@ -121,8 +121,8 @@
         ));
     }
     for body in &bodies {
-        let report: Report = serde_json::from_str(&body.replace("TICK", "1"))?;
-        l.on_beat(&report, 1000);
+        let report: Heartbeat = serde_json::from_str(&body.replace("TICK", "1"))?;
+        l.on_heartbeat(&report, 1000);
     }
     l.tick(1000, 1000);
     Ok((l, bodies))
@@ -140,8 +140,8 @@
             let (mut l, bodies) = leader(size, size / 5 + 1)?;
             for n in 0..count {
                 let body = bodies[n % size].replace("TICK", &(n / size + 2).to_string());
-                let report: Report = serde_json::from_str(&body)?;
-                let reply = l.on_beat(&report, 1001).context("not answered")?;
+                let report: Heartbeat = serde_json::from_str(&body)?;
+                let reply = l.on_heartbeat(&report, 1001).context("not answered")?;
                 std::hint::black_box(serde_json::to_vec(&reply)?);
             }
         }
--- a/examples/limits/passes.rs
+++ b/examples/limits/passes.rs
@@ -5,7 +5,7 @@
 use pathwinch::{
     control::leader::Leader,
     options::Options,
-    protocol::{cloud::MachineType, settings::Settings, users::JobSpec, workers::Report},
+    protocol::{cloud::MachineType, settings::Settings, users::JobSpec, workers::Heartbeat},
     state::records::{JobRecord, MachineRecord},
 };
 use std::rc::Rc;
@@ -111,7 +111,7 @@
         leader.finish_loading(0);
         let mut next_task = vec![0; jobs];
         for n in 0..machines {
-            leader.on_beat(&report(n, jobs, &mut next_task, &mut rng)?, NOW);
+            leader.on_heartbeat(&report(n, jobs, &mut next_task, &mut rng)?, NOW);
         }
         // What waits of these jobs is taken off again.
         for n in 0..jobs {
@@ -178,7 +178,7 @@
     jobs: usize,
     next_task: &mut [u32],
     rng: &mut fastrand::Rng,
-) -> Result<Report> {
+) -> Result<Heartbeat> {
     let accelerators = type_name(machine) == "g4";
     let mut pieces = Vec::new();
     let mut gpus = 0;
--- a/src/control/admission.rs
+++ b/src/control/admission.rs
@@ -15,7 +15,7 @@
     let Some(team) = cluster.teams.iter().find(|t| t.name == spec.team) else {
         return Some(format!("owner_crew: unknown team {:?}", spec.team));
     };
-    if spec.needs.contains(&spec.id) {
+    if spec.dependencies.contains(&spec.id) {
         return Some("waits_on: the job itself".into());
     }
     let need = Resources::need(spec.cpus, spec.gpus, spec.memory_gb);
--- a/src/control/exclusions.rs
+++ b/src/control/exclusions.rs
@@ -14,7 +14,7 @@
 
 use super::{failure_detector::FailureDetector, safety_bounds::at_least};
 use crate::{
-    protocol::state::{Guard, Txn, Write},
+    protocol::state::{Condition, Txn, Write},
     state::{
         Ms,
         records::{LEADER, exclusion_key},
@@ -48,7 +48,7 @@
 /// Of that term, and under the lease of its exclusions.
 pub fn exclusion_txn(term: u64, node: &str, lease: u64) -> Txn {
     Txn {
-        guards: vec![Guard {
+        conditions: vec![Condition {
             key: LEADER.into(),
             version: term,
         }],
@@ -62,12 +62,12 @@
 
 pub fn readmission_txn(term: u64, node: &str, version: u64) -> Txn {
     let key = exclusion_key(node);
-    let guard = |key: &str, version| Guard {
+    let guard = |key: &str, version| Condition {
         key: key.to_owned(),
         version,
     };
     Txn {
-        guards: vec![guard(LEADER, term), guard(&key, version)],
+        conditions: vec![guard(LEADER, term), guard(&key, version)],
         writes: vec![Write::Delete { key }],
     }
 }
--- a/src/control/leader/dependencies.rs
+++ b/src/control/leader/dependencies.rs
@@ -32,7 +32,7 @@
             return;
         };
         let (id, own) = (j.id.clone(), j.spec.priority);
-        let needs = j.spec.needs.iter();
+        let needs = j.spec.dependencies.iter();
         let needs: Vec<(&str, Need)> = needs.map(|n| (n.as_str(), self.standing(n))).collect();
         if !needs.is_empty() {
             self.chains.add(ix, own, needs);
@@ -112,7 +112,7 @@
     /// can tell whether they were accepted. `Err`: one is a service.
     pub fn needs_unknown(&self, spec: &JobSpec) -> Result<Vec<String>, String> {
         let mut unknown = Vec::new();
-        for id in &spec.needs {
+        for id in &spec.dependencies {
             match self
                 .cluster
                 .job_index(id)
--- a/src/control/leader/expiry.rs
+++ b/src/control/leader/expiry.rs
@@ -35,7 +35,7 @@
     }
 
     pub(super) fn lapse(&mut self, now: Ms) {
-        let after = self.lapse_after();
+        let after = self.lease_expiry();
         let overdue = millis(self.settings.cluster.workers.report_s * 2.5) + 500;
         let resumed = self.recovery.resumed;
         let mut silent = vec![0; self.cluster.zones.len()];
@@ -104,7 +104,7 @@
                 .filter(|(_, a)| {
                     self.cluster
                         .job(a.job)
-                        .is_some_and(|j| j.spec.checkpoint_s > 0.0)
+                        .is_some_and(|j| j.spec.checkpoint_interval_s > 0.0)
                 })
                 .map(|(at, _)| at)
                 .collect();
--- a/src/control/leader/faults.rs
+++ b/src/control/leader/faults.rs
@@ -8,15 +8,15 @@
         machine: u32,
         job_ix: u32,
         task: u32,
-        why: Why,
+        why: ExitReason,
         now: Ms,
     ) {
         let Some(job) = self.cluster.job_mut(job_ix) else {
             return;
         };
         match why {
-            Why::Done => job.consecutive_refusals = 0,
-            Why::Error => {
+            ExitReason::Done => job.consecutive_refusals = 0,
+            ExitReason::Error => {
                 job.failures.record_failure(machine, now);
                 job.failures.delay_retry(now);
                 let (id, proven) = (job.id.clone(), job.failures.has_succeeded);
@@ -31,20 +31,24 @@
                 self.reevaluate_machine(machine, now);
                 self.reevaluate_job(job_ix, now);
             }
-            Why::Unknown | Why::Other | Why::NoRoom | Why::Busy => {}
-            Why::Stopped | Why::Peers | Why::Alone => return,
+            ExitReason::UnknownTask
+            | ExitReason::Other
+            | ExitReason::InsufficientResources
+            | ExitReason::DuplicateTask => {}
+            ExitReason::Stopped | ExitReason::GangMemberLost | ExitReason::GangIncomplete => return,
         }
         // Guards against starting again in a tight loop what comes to nothing
         // each time, if only one task of a job that runs otherwise.
-        let counts =
-            |j: &&mut Job| why != Why::Done && (why != Why::Error || j.failures.has_succeeded);
+        let counts = |j: &&mut Job| {
+            why != ExitReason::Done && (why != ExitReason::Error || j.failures.has_succeeded)
+        };
         if let Some(j) = self.cluster.job_mut(job_ix).filter(counts) {
             j.consecutive_refusals += 1;
             if j.consecutive_refusals > 2 {
                 j.backoff_until = now + (500 << j.consecutive_refusals.min(7));
             }
         }
-        if why != Why::Done
+        if why != ExitReason::Done
             && let (Some(j), Some(m)) = (self.cluster.job(job_ix), self.cluster.machine(machine))
         {
             let (task, machine) = (format!("{}/{task}", j.id), m.name.clone());
--- a/src/control/leader/gang_reservation.rs
+++ b/src/control/leader/gang_reservation.rs
@@ -14,7 +14,7 @@
         let Some(j) = self.cluster.job(job_ix) else {
             return Vec::new();
         };
-        if !j.spec.one_zone {
+        if !j.spec.single_zone {
             return vec![None];
         }
         let there = self.cluster.live_tasks_by_zone(job_ix);
--- a/src/control/leader/inventory.rs
+++ b/src/control/leader/inventory.rs
@@ -128,7 +128,7 @@
         {
             for rent in self.purchases(now, wall_ms) {
                 self.renting.open += 1;
-                ops.push(CloudOp::Rent(rent));
+                ops.push(CloudOp::MachineRequest(rent));
             }
         }
         ops
@@ -184,7 +184,7 @@
 
     pub(super) fn return_machines(&mut self, now: Ms) {
         let idle = millis(self.options.idle_s);
-        let lapse = self.lapse_after();
+        let lapse = self.lease_expiry();
         let lag = millis(self.settings.cluster.cloud.list_lag_s);
         // What arrives often and must start soon finds an idle machine.
         self.refresh_fleet(now);
@@ -353,7 +353,7 @@
             let may_move = |to: &MoveTarget| {
                 self.cluster.machine(to.machine).is_some_and(|m| {
                     job.allows(m)
-                        && (m.zone == from.zone || !(job.spec.one_zone || job.spec.spread))
+                        && (m.zone == from.zone || !(job.spec.single_zone || job.spec.spread))
                         && (m.images.contains(&job.image)
                             || long
                                 && price >= 2.0 * to.price
--- a/src/control/leader/mod.rs
+++ b/src/control/leader/mod.rs
@@ -39,12 +39,14 @@
 use crate::{
     options::{LoadResource, Options},
     protocol::{
-        cloud::{ListedMachine, ListedState, MAX_RENT, MachineType, Rent},
+        cloud::{
+            ListedMachine, ListedState, MAX_MACHINES_PER_REQUEST, MachineRequest, MachineType,
+        },
         settings::{Objective, Settings},
-        state::{Guard, Txn, Write},
+        state::{Condition, Txn, Write},
         status::Reason,
         users::{JobSpec, JobState, JobStatus, Kind, Priority},
-        workers::{Command, DirectOrder, Report, ReportReply, Why},
+        workers::{Command, DirectCommands, ExitReason, Heartbeat, HeartbeatResponse},
     },
     state::{
         Ms,
@@ -69,7 +71,7 @@
 };
 
 /// Bits of a token below the term: fences raised for one machine.
-const FENCE_BITS: u32 = 20;
+const MACHINE_TOKEN_BITS: u32 = 20;
 /// Taken on top of twice the lag of the machine list.
 const LIST_MARGIN: Ms = 1_000;
 /// How long a kind of machine that was refused is not asked for again.
@@ -124,21 +126,21 @@
 
 #[derive(Debug, Clone)]
 pub enum CloudOp {
-    Rent(Rent),
+    MachineRequest(MachineRequest),
     Release(Vec<String>),
 }
 
 #[derive(Debug, Clone)]
-pub struct Direct {
+pub struct DirectDelivery {
     pub machine: String,
     pub addr: SocketAddr,
-    pub order: DirectOrder,
+    pub commands: DirectCommands,
 }
 
 /// How a direct order came out.
-pub enum DirectOutcome {
-    Executed(Report),
-    Refused(Option<Report>),
+pub enum DirectDeliveryOutcome {
+    Executed(Heartbeat),
+    Refused(Option<Heartbeat>),
     NotSent,
     NoAnswer,
 }
@@ -209,15 +211,15 @@
         }
     }
 
-    fn floor(&self) -> u64 {
-        self.term << FENCE_BITS
+    fn term_token(&self) -> u64 {
+        self.term << MACHINE_TOKEN_BITS
     }
 
-    fn token(&self, ix: u32) -> u64 {
-        self.floor() | self.cluster.machine(ix).map_or(0, |m| m.token_epoch)
+    fn fencing_token(&self, ix: u32) -> u64 {
+        self.term_token() | self.cluster.machine(ix).map_or(0, |m| m.token_epoch)
     }
 
-    fn lapse_after(&self) -> Ms {
+    fn lease_expiry(&self) -> Ms {
         SafetyBounds::of(&self.settings.cluster.workers).lease_expiry()
     }
 
@@ -323,13 +325,13 @@
     }
 
     /// `None`: not a machine to answer.
-    pub fn on_beat(&mut self, report: &Report, now: Ms) -> Option<ReportReply> {
+    pub fn on_heartbeat(&mut self, report: &Heartbeat, now: Ms) -> Option<HeartbeatResponse> {
         if !self.recovery.loaded {
             // The lease must not lapse while the records are being read; nor
             // may it be renewed for long, as they hold withdrawals.
             let unread = SafetyBounds::of(&self.settings.cluster.workers).max_answering_unloaded();
-            return (now < self.recovery.acquired + unread).then(|| ReportReply {
-                token: self.floor(),
+            return (now < self.recovery.acquired + unread).then(|| HeartbeatResponse {
+                fencing_token: self.term_token(),
                 commands: Vec::new(),
             });
         }
@@ -347,60 +349,61 @@
         if !self.may_be_answered(ix, report, now) {
             return None;
         }
-        self.take_in(ix, report, true, now);
+        self.apply_heartbeat(ix, report, true, now);
         let m = self.cluster.machine_mut(ix)?;
-        let fresh = m.up && (report.session, report.seq) == (m.incarnation, m.heartbeat_seq);
+        let fresh = m.up && (report.incarnation, report.seq) == (m.incarnation, m.heartbeat_seq);
         let commands = if fresh {
             let confirmed = self.standbys.confirmed();
             let commands =
                 reconciliation::commands(&mut self.cluster, ix, None, report.seq, confirmed);
-            self.count_orders(&commands);
+            self.count_commands(&commands);
             commands
         } else {
             Vec::new()
         };
-        Some(ReportReply {
-            token: self.token(ix),
+        Some(HeartbeatResponse {
+            fencing_token: self.fencing_token(ix),
             commands,
         })
     }
 
-    fn take_in(&mut self, ix: u32, report: &Report, beat: bool, now: Ms) {
-        let floor = self.floor();
-        let news = reconciliation::take_in(&mut self.cluster, ix, report, floor, beat, now);
-        self.changed |= news.changed;
-        self.judge_hearing(ix, &news);
+    fn apply_heartbeat(&mut self, ix: u32, report: &Heartbeat, beat: bool, now: Ms) {
+        let floor = self.term_token();
+        let effects =
+            reconciliation::apply_heartbeat(&mut self.cluster, ix, report, floor, beat, now);
+        self.changed |= effects.cluster_changed;
+        self.judge_hearing(ix, &effects);
         if let Some(m) = self.cluster.machine(ix)
             && m.last_heartbeat == now
         {
             self.zone_heard(m.zone, now);
         }
-        for job_ix in news.started {
+        for job_ix in effects.started_jobs {
             if let Some(j) = self.cluster.job_mut(job_ix).filter(|j| !j.has_run) {
                 j.has_run = true;
                 let waited = (now - j.known_since) as f64 / 1000.0;
                 self.events.tally.waits.push((j.spec.class.clone(), waited));
             }
         }
-        for (job_ix, started) in news.ran {
+        for (job_ix, started) in effects.confirmed_running {
             self.on_task_running(ix, job_ix, started, now);
         }
-        for (job_ix, task, why) in news.ended {
+        for (job_ix, task, why) in effects.ended_tasks {
             self.on_task_ended(ix, job_ix, task, why, now);
         }
     }
 
-    fn count_orders(&mut self, commands: &[Command]) {
+    fn count_commands(&mut self, commands: &[Command]) {
         for command in commands {
             match command {
                 Command::Start { .. } => self.events.tally.starts += 1,
                 Command::Stop { .. } => self.events.tally.stops += 1,
-                Command::Forget { .. } => {}
+                Command::Reap { .. } => {}
             }
         }
     }
 
-    pub fn directs(&mut self, now: Ms) -> Vec<Direct> {
+    pub fn direct_deliveries(&mut self, now: Ms) -> Vec<DirectDelivery> {
         let mut out = Vec::new();
         if !self.recovery.loaded {
             return out;
@@ -411,13 +414,13 @@
                 .cluster
                 .machine(ix)
                 .is_some_and(|m| m.up && !m.command_in_flight && now >= m.command_retry_at);
-            if !ready || !reconciliation::wants_direct(&self.cluster, ix, confirmed) {
+            if !ready || !reconciliation::needs_direct_commands(&self.cluster, ix, confirmed) {
                 continue;
             }
-            let token = self.token(ix);
+            let token = self.fencing_token(ix);
             let commands =
                 reconciliation::commands(&mut self.cluster, ix, Some(token), 0, confirmed);
-            self.count_orders(&commands);
+            self.count_commands(&commands);
             if let Some(m) = self.cluster.machine_mut(ix)
                 && let Some(addr) = m.addr
             {
@@ -426,12 +429,12 @@
                 if commands.iter().any(starts) {
                     m.start_sent_at = Some(now);
                 }
-                out.push(Direct {
+                out.push(DirectDelivery {
                     machine: m.name.clone(),
                     addr,
-                    order: DirectOrder {
-                        token,
-                        session: m.incarnation,
+                    commands: DirectCommands {
+                        fencing_token: token,
+                        incarnation: m.incarnation,
                         commands,
                     },
                 });
@@ -440,7 +443,13 @@
         out
     }
 
-    pub fn direct_done(&mut self, machine: &str, token: u64, outcome: DirectOutcome, now: Ms) {
+    pub fn direct_delivery_finished(
+        &mut self,
+        machine: &str,
+        token: u64,
+        outcome: DirectDeliveryOutcome,
+        now: Ms,
+    ) {
         let Some(ix) = self.cluster.machine_index(machine) else {
             return;
         };
@@ -453,35 +462,35 @@
                     // that was answered last: one that began anew since may
                     // have counted further, and so may a new session that was
                     // never answered.
-                    DirectOutcome::Executed(_) => m.latest_possible_start = now,
-                    DirectOutcome::NoAnswer => {
+                    DirectDeliveryOutcome::Executed(_) => m.latest_possible_start = now,
+                    DirectDeliveryOutcome::NoAnswer => {
                         m.latest_possible_start = sent + DIRECT_COMMAND_TIMEOUT_MS
                     }
-                    DirectOutcome::Refused(_) | DirectOutcome::NotSent => {}
+                    DirectDeliveryOutcome::Refused(_) | DirectDeliveryOutcome::NotSent => {}
                 }
             }
         }
         match outcome {
-            DirectOutcome::Executed(report) => {
-                reconciliation::settle_direct(&mut self.cluster, ix, token, true);
-                self.take_in(ix, &report, false, now);
+            DirectDeliveryOutcome::Executed(report) => {
+                reconciliation::resolve_direct_commands(&mut self.cluster, ix, token, true);
+                self.apply_heartbeat(ix, &report, false, now);
             }
-            DirectOutcome::Refused(report) => {
-                reconciliation::settle_direct(&mut self.cluster, ix, token, false);
+            DirectDeliveryOutcome::Refused(report) => {
+                reconciliation::resolve_direct_commands(&mut self.cluster, ix, token, false);
                 if let Some(m) = self.cluster.machine_mut(ix) {
                     m.command_retry_at = now + retry;
                 }
                 if let Some(report) = report {
-                    self.take_in(ix, &report, false, now);
+                    self.apply_heartbeat(ix, &report, false, now);
                 }
             }
-            DirectOutcome::NotSent => {
-                reconciliation::settle_direct(&mut self.cluster, ix, token, false);
+            DirectDeliveryOutcome::NotSent => {
+                reconciliation::resolve_direct_commands(&mut self.cluster, ix, token, false);
                 if let Some(m) = self.cluster.machine_mut(ix) {
                     m.command_retry_at = now + retry;
                 }
             }
-            DirectOutcome::NoAnswer => {
+            DirectDeliveryOutcome::NoAnswer => {
                 // It may be carried out minutes later: raise the fence, so
                 // that the machine refuses it once it has seen the new token.
                 if let Some(m) = self.cluster.machine_mut(ix) {
--- a/src/control/leader/offload.rs
+++ b/src/control/leader/offload.rs
@@ -63,7 +63,7 @@
             done: ranges(j),
             // All that it needs is done.
             spec: JobSpec {
-                needs: Vec::new(),
+                dependencies: Vec::new(),
                 ..j.spec.clone()
             },
         }
@@ -223,12 +223,12 @@
             if j.cancel_requested || self.cuts.is_due(j, value_kb) {
                 continue;
             }
-            let award = Guard {
+            let award = Condition {
                 key: award_key(&j.id),
                 version: *version,
             };
-            plan.txn.guards.push(j.record_condition());
-            plan.txn.guards.push(award);
+            plan.txn.conditions.push(j.record_condition());
+            plan.txn.conditions.push(award);
             let value = persistence::job_record(j, j.cancelled, Some(lent.clone()));
             bytes += value.to_string().len();
             plan.txn.writes.push(Write::Put {
@@ -261,7 +261,7 @@
                 && !j.cancelled
                 && !self.cuts.is_due(j, value_kb);
             if due && plan.txn.writes.len() < room {
-                plan.txn.guards.push(j.record_condition());
+                plan.txn.conditions.push(j.record_condition());
                 plan.txn.writes.push(Write::Put {
                     key: job_key(&j.id),
                     value: persistence::job_record(j, false, None),
--- a/src/control/leader/partitions.rs
+++ b/src/control/leader/partitions.rs
@@ -15,19 +15,19 @@
     /// Looks at a report before anything is made of it. `false`: it gets no
     /// answer, so that the machine's lease surely ends and a new leader need
     /// not wait for ever to hear of it.
-    pub(super) fn may_be_answered(&mut self, ix: u32, report: &Report, now: Ms) -> bool {
-        let (floor, token) = (self.floor(), self.token(ix));
+    pub(super) fn may_be_answered(&mut self, ix: u32, report: &Heartbeat, now: Ms) -> bool {
+        let (floor, token) = (self.term_token(), self.fencing_token(ix));
         // By then the lease of one that got no answer in this term is over, so
         // nothing is lost. Guards against a leader that is too slow for a
         // while, and would give up machines that hear it well.
-        let over = self.recovery.acquired + self.lapse_after();
+        let over = self.recovery.acquired + self.lease_expiry();
         let Some(m) = self.cluster.machine_mut(ix) else {
             return false;
         };
-        let this = (report.session, report.seq);
+        let this = (report.incarnation, report.seq);
         // Of one that was heard, what has not seen this term is of before it.
         let least = if m.up { floor } else { 0 };
-        if this <= m.latest_heartbeat || report.token < least.max(m.min_token) {
+        if this <= m.latest_heartbeat || report.acknowledged_token < least.max(m.min_token) {
             // A late copy changes nothing, and an answer to it would be counted
             // as a lease. Two in order may be of a machine that began anew and
             // counts from one again: that shows by a token raised for it.
@@ -46,7 +46,8 @@
             return true;
         }
         m.latest_heartbeat = this;
-        m.unacknowledged_heartbeats = match m.contents_unknown && report.token < floor {
+        m.unacknowledged_heartbeats = match m.contents_unknown && report.acknowledged_token < floor
+        {
             true => m.unacknowledged_heartbeats + 1,
             false => 0,
         };
@@ -61,16 +62,16 @@
     /// Nothing new is placed there before it shows a token that is newer than
     /// all it can have seen.
     pub(super) fn ask_for_proof(&mut self, ix: u32) {
-        let token = self.token(ix);
+        let token = self.fencing_token(ix);
         if let Some(m) = self.cluster.machine_mut(ix) {
             m.required_token = token;
         }
     }
 
     /// After a report was taken in.
-    pub(super) fn judge_hearing(&mut self, ix: u32, news: &reconciliation::News) {
+    pub(super) fn judge_hearing(&mut self, ix: u32, effects: &reconciliation::HeartbeatEffects) {
         // Had its lease ended for lack of reports, it would not count as up.
-        let lost = news.lost_orders > 0 || news.new_session;
+        let lost = effects.lost_commands > 0 || effects.new_incarnation;
         let Some(m) = self.cluster.machine_mut(ix) else {
             return;
         };
--- a/src/control/leader/persistence.rs
+++ b/src/control/leader/persistence.rs
@@ -8,8 +8,8 @@
 };
 
 impl Leader {
-    pub(super) fn leader_guard(&self) -> Guard {
-        Guard {
+    pub(super) fn leader_condition(&self) -> Condition {
+        Condition {
             key: LEADER.into(),
             version: self.term,
         }
@@ -25,14 +25,14 @@
         let mut record = JobRecord::new(spec.clone(), wall_ms);
         record.pieces = pieces;
         let mut txn = acceptance(&record);
-        txn.guards.push(self.leader_guard());
+        txn.conditions.push(self.leader_condition());
         (txn, record)
     }
 
     pub(super) fn empty_plan(&self) -> Plan {
         Plan {
             txn: Txn {
-                guards: vec![self.leader_guard()],
+                conditions: vec![self.leader_condition()],
                 writes: Vec::new(),
             },
             items: Vec::new(),
@@ -108,7 +108,7 @@
                 match (pass, over) {
                     _ if pass != due => {}
                     (0, None) => {
-                        plan.txn.guards.push(guard);
+                        plan.txn.conditions.push(guard);
                         let record = job_record(j, true, j.offload.mark());
                         put(&mut plan, &mut bytes, job_key(&j.id), record);
                         plan.items.push(Item::Cancel(ix as u32, j.id.clone()));
@@ -116,8 +116,8 @@
                         j.ending_in_flight = true;
                     }
                     (_, Some(state)) => {
-                        plan.txn.guards.push(guard);
-                        plan.txn.guards.push(Guard {
+                        plan.txn.conditions.push(guard);
+                        plan.txn.conditions.push(Condition {
                             key: final_key(&j.id),
                             version: 0,
                         });
@@ -136,7 +136,7 @@
                     }
                     (2, None) if j.is_dirty() && !j.cancelled => {
                         let mut chunks = Vec::new();
-                        plan.txn.guards.push(guard);
+                        plan.txn.conditions.push(guard);
                         // With each chunk goes the record, so that its version
                         // moves on. Guards against an older state of a chunk
                         // that is carried out late, over a newer one.
@@ -216,7 +216,7 @@
             if self.piece_in_use(&key) {
                 continue;
             }
-            plan.txn.guards.push(Guard {
+            plan.txn.conditions.push(Condition {
                 key: key.clone(),
                 version,
             });
@@ -231,7 +231,7 @@
         let Some(m) = self.cluster.machine(ix) else {
             return;
         };
-        plan.txn.guards.push(Guard {
+        plan.txn.conditions.push(Condition {
             key: machine_key(&m.name),
             version: m.record_version,
         });
@@ -357,9 +357,7 @@
             running: 0,
         };
         log::info!(
-            "job {id} is over, {}, by its record at revision {revision} in term {}",
-            format!("{state:?}").to_lowercase(),
-            term
+            "job {id} is over, {state}, by its record at revision {revision} in term {term}"
         );
         let chunks = j.dirty_segments.len();
         let pieces = j.spec_chunks.clone();
@@ -401,7 +399,7 @@
 
     /// Keys to read again after a transaction that had no answer or failed.
     pub fn keys_of(plan: &Plan) -> Vec<String> {
-        let mut keys: Vec<String> = plan.txn.guards.iter().map(|g| g.key.clone()).collect();
+        let mut keys: Vec<String> = plan.txn.conditions.iter().map(|g| g.key.clone()).collect();
         keys.retain(|k| k != LEADER);
         keys
     }
@@ -513,7 +511,7 @@
     const NAMED: usize = 5;
     let ends = plan.items.iter().filter_map(|item| match item {
         Item::Cancel(_, id) => Some(format!("withdrawal of {id}")),
-        Item::Final(_, id, state) => Some(format!("{id} {state:?}").to_lowercase()),
+        Item::Final(_, id, state) => Some(format!("{id} {state}")),
         _ => None,
     });
     let ends: Vec<String> = ends.collect();
@@ -542,12 +540,12 @@
 fn acceptance(record: &JobRecord) -> Txn {
     let id = &record.spec.id;
     Txn {
-        guards: vec![
-            Guard {
+        conditions: vec![
+            Condition {
                 key: job_key(id),
                 version: 0,
             },
-            Guard {
+            Condition {
                 key: final_key(id),
                 version: 0,
             },
--- a/src/control/leader/preemption.rs
+++ b/src/control/leader/preemption.rs
@@ -75,7 +75,7 @@
                 }
                 continue;
             }
-            if j.spec.one_zone && j.spec.tasks > 1 {
+            if j.spec.single_zone && j.spec.tasks > 1 {
                 // Not planned for here: such a job waits for room.
                 continue;
             }
@@ -93,7 +93,7 @@
             types: job.types.clone(),
             zone: job.zone,
             spot: job.spec.spot,
-            one_zone: job.spec.one_zone,
+            one_zone: job.spec.single_zone,
             priority: job.effective_priority,
             guaranteed: guaranteed.then(|| Guaranteed {
                 team: job.team,
--- a/src/control/leader/queue.rs
+++ b/src/control/leader/queue.rs
@@ -1,6 +1,6 @@
 //! The order of service of what waits.
 
-use super::{scheduling_cycle::is_queued, *};
+use super::{scheduling_cycle::is_schedulable_job, *};
 
 impl Leader {
     /// Waiting jobs in the order in which they are served.
@@ -9,7 +9,7 @@
         let mut order = std::mem::take(&mut self.planning.order);
         order.clear();
         for (ix, job) in self.cluster.jobs.iter().enumerate() {
-            if job.as_ref().is_some_and(is_queued) {
+            if job.as_ref().is_some_and(is_schedulable_job) {
                 order.push(ix as u32);
             }
         }
--- a/src/control/leader/scale_out.rs
+++ b/src/control/leader/scale_out.rs
@@ -70,7 +70,7 @@
             .unwrap_or(0.0)
     }
 
-    pub(super) fn purchases(&mut self, now: Ms, wall_ms: u64) -> Vec<Rent> {
+    pub(super) fn purchases(&mut self, now: Ms, wall_ms: u64) -> Vec<MachineRequest> {
         let mut bins = Vec::new();
         let mut coming_bins = Vec::new();
         let mut batch_held = Vec::new();
@@ -226,11 +226,11 @@
         for p in bought {
             let mut left = p.count;
             while left > 0 {
-                let count = left.min(MAX_RENT);
+                let count = left.min(MAX_MACHINES_PER_REQUEST);
                 left -= count;
                 self.renting.requests += 1;
-                rents.push(Rent {
-                    request: format!("r-{}-{}", self.term, self.renting.requests),
+                rents.push(MachineRequest {
+                    request_id: format!("r-{}-{}", self.term, self.renting.requests),
                     type_name: self.cluster.types[p.type_ix].name.clone(),
                     zone: self.cluster.zones.name(p.zone).to_owned(),
                     spot: p.spot,
@@ -247,7 +247,7 @@
     }
 
     /// `None`: no answer; the machines, if any, show in the list.
-    pub fn rented(&mut self, rent: &Rent, names: Option<&[String]>, now: Ms) {
+    pub fn rented(&mut self, rent: &MachineRequest, names: Option<&[String]>, now: Ms) {
         self.renting.open = self.renting.open.saturating_sub(1);
         let names = names.unwrap_or(&[]);
         log::info!(
--- a/src/control/leader/scheduling_cycle.rs
+++ b/src/control/leader/scheduling_cycle.rs
@@ -55,7 +55,8 @@
         let Some(mut pass) = pass else { return };
         while let Some(waiting) = pass.order.get(pass.next).copied() {
             let there = self.cluster.job(waiting.job);
-            let still = there.is_some_and(|j| j.generation == waiting.serial && is_queued(j));
+            let still =
+                there.is_some_and(|j| j.generation == waiting.serial && is_schedulable_job(j));
             if still && (!self.take_step() || !self.place_job(waiting.job, &mut pass, now)) {
                 self.planning.pass = Some(pass);
                 return;
@@ -216,7 +217,7 @@
             return;
         };
         let (team, priority) = (job.team, job.effective_priority);
-        let bound = job.spec.one_zone || job.spec.spread || job.spec.kind == Kind::Gang;
+        let bound = job.spec.single_zone || job.spec.spread || job.spec.kind == Kind::Gang;
         if job.spec.kind == Kind::Gang {
             if self.begins_late(job) || self.out_of_patience(job_ix, now) {
                 self.gather(job_ix, now);
@@ -253,6 +254,6 @@
 }
 
 /// The job waits for its turn.
-pub(super) fn is_queued(j: &Job) -> bool {
+pub(super) fn is_schedulable_job(j: &Job) -> bool {
     j.waiting_count() > 0 && !j.cancelled && !j.cancel_requested
 }
--- a/src/control/leader/spec_chunks.rs
+++ b/src/control/leader/spec_chunks.rs
@@ -120,7 +120,7 @@
             .collect();
         // Well under the 64 KiB of a transaction.
         let txns = puts.chunks(limits.txn_ops.min(24)).map(|writes| Txn {
-            guards: vec![self.leader_guard()],
+            conditions: vec![self.leader_condition()],
             writes: writes.to_vec(),
         });
         Ok(Some((pieces, txns.collect())))
--- a/src/control/leader/status.rs
+++ b/src/control/leader/status.rs
@@ -32,7 +32,7 @@
 }
 
 /// A task that failed: when, which, where, why.
-pub(super) type Failed = (Ms, String, String, Why);
+pub(super) type Failed = (Ms, String, String, ExitReason);
 
 /// Names come from the users: answers must stay within a frame.
 fn clipped(name: &str) -> String {
@@ -50,7 +50,7 @@
         }
     }
 
-    pub(super) fn note_failure(&mut self, task: String, machine: String, why: Why, now: Ms) {
+    pub(super) fn note_failure(&mut self, task: String, machine: String, why: ExitReason, now: Ms) {
         self.events.tally.failed += 1;
         if self.events.failed.len() >= FAILURES {
             self.events.failed.pop_front();
@@ -115,7 +115,7 @@
                 .map(|(at, task, machine, why)| Failure {
                     task: task.clone(),
                     machine: machine.clone(),
-                    why: format!("{why:?}").to_lowercase(),
+                    why: why.to_string(),
                     ago_s: (now - at) as f64 / 1000.0,
                 })
                 .collect(),
@@ -315,7 +315,7 @@
                 } else {
                     ""
                 };
-                let phase = format!("{:?}{stop}", a.phase).to_lowercase();
+                let phase = format!("{}{stop}", a.phase);
                 (a.task, clipped(&m.name), phase)
             })
         });
@@ -323,7 +323,7 @@
             id: id.to_owned(),
             class: clipped(&j.spec.class),
             team: clipped(&j.spec.team),
-            state: format!("{:?}", j.status().state).to_lowercase(),
+            state: j.status().state.to_string(),
             tasks: j.spec.tasks,
             done: j.completed_count,
             running: j.running_count,
--- a/src/control/leader/task_placement.rs
+++ b/src/control/leader/task_placement.rs
@@ -17,7 +17,7 @@
 impl Leader {
     pub(super) fn attempt(&mut self) -> u64 {
         self.planning.attempts += 1;
-        (self.term << FENCE_BITS) | self.planning.attempts
+        (self.term << MACHINE_TOKEN_BITS) | self.planning.attempts
     }
 
     /// Whether the machine takes this task now.
@@ -134,7 +134,7 @@
             return Outcome::Placed;
         };
         let (need, team, one_zone, spread) =
-            (job.need, job.team, job.spec.one_zone, job.spec.spread);
+            (job.need, job.team, job.spec.single_zone, job.spec.spread);
         let half = job.spec.tasks.div_ceil(2);
         let mut zones = if one_zone || spread {
             self.cluster.live_tasks_by_zone(job_ix)
--- a/src/control/leader/victims.rs
+++ b/src/control/leader/victims.rs
@@ -144,8 +144,8 @@
         }
         // A task that saves loses little.
         let mut ms = search.now - a.since;
-        if v.spec.checkpoint_s > 0.0 {
-            ms = ms.min(millis(v.spec.save_s + 1.0));
+        if v.spec.checkpoint_interval_s > 0.0 {
+            ms = ms.min(millis(v.spec.checkpoint_cost_s + 1.0));
         }
         let tasks = match v.spec.kind {
             Kind::Gang => i64::from(v.spec.tasks),
@@ -232,7 +232,9 @@
         };
         let job_ix = a.job;
         let (whole, grace) = match self.cluster.job(job_ix) {
-            Some(j) if j.spec.checkpoint_s > 0.0 => (j.spec.kind == Kind::Gang, j.spec.save_s),
+            Some(j) if j.spec.checkpoint_interval_s > 0.0 => {
+                (j.spec.kind == Kind::Gang, j.spec.checkpoint_cost_s)
+            }
             Some(j) => (j.spec.kind == Kind::Gang, 0.0),
             None => (false, 0.0),
         };
--- a/src/control/provision.rs
+++ b/src/control/provision.rs
@@ -52,7 +52,7 @@
 pub const BATCH_NEW: usize = 12;
 /// A round is at most so many calls' worth of machines, as bounds are needed;
 /// the next follows within a second or two.
-pub const MAX_NEW: usize = 4 * crate::protocol::cloud::MAX_RENT as usize;
+pub const MAX_NEW: usize = 4 * crate::protocol::cloud::MAX_MACHINES_PER_REQUEST as usize;
 
 pub fn plan(
     demands: &mut [Demand],
--- a/src/control/reconciliation.rs
+++ b/src/control/reconciliation.rs
@@ -4,7 +4,7 @@
 use crate::{
     protocol::{
         users::Kind,
-        workers::{Command, Report, TaskState, Why, split_task},
+        workers::{Command, ExitReason, Heartbeat, TaskState, parse_task_name},
     },
     state::{
         Ms,
@@ -18,29 +18,29 @@
 
 /// What the leader must know of a report beyond the changes of the cluster state.
 #[derive(Debug, Default, PartialEq)]
-pub struct News {
+pub struct HeartbeatEffects {
     /// Tasks, jobs or the machine's readiness changed.
-    pub changed: bool,
+    pub cluster_changed: bool,
     /// (job, task, cause) of tasks that ended.
-    pub ended: Vec<(u32, u32, Why)>,
+    pub ended_tasks: Vec<(u32, u32, ExitReason)>,
     /// Jobs of tasks that began to run.
-    pub started: Vec<u32>,
+    pub started_jobs: Vec<u32>,
     /// Jobs of tasks that are seen to run or have completed, and when those
     /// were started.
-    pub ran: Vec<(u32, Ms)>,
+    pub confirmed_running: Vec<(u32, Ms)>,
     /// Starts given in an answer that the machine did not get.
-    pub lost_orders: u32,
+    pub lost_commands: u32,
     /// The machine's lease has ended since it was last heard.
-    pub new_session: bool,
+    pub new_incarnation: bool,
 }
 
-fn phase_of(state: TaskState, why: Option<Why>) -> Phase {
+fn phase_of(state: TaskState, why: Option<ExitReason>) -> Phase {
     match state {
         TaskState::Fetching => Phase::Fetching,
-        TaskState::Waiting => Phase::Waiting,
+        TaskState::WaitingForGang => Phase::Waiting,
         TaskState::Running => Phase::Running,
         TaskState::Saving => Phase::Saving,
-        TaskState::Exited => Phase::Ended(why.unwrap_or(Why::Other)),
+        TaskState::Exited => Phase::Ended(why.unwrap_or(ExitReason::Other)),
     }
 }
 
@@ -50,79 +50,81 @@
 ///
 /// `beat`: it is a report, not the answer to a direct order. Only a report is
 /// sure to be later than the response to the report before it.
-pub fn take_in(
+pub fn apply_heartbeat(
     cluster: &mut ClusterState,
     ix: u32,
-    report: &Report,
+    report: &Heartbeat,
     term_floor: u64,
     beat: bool,
     now: Ms,
-) -> News {
-    let mut news = News::default();
+) -> HeartbeatEffects {
+    let mut effects = HeartbeatEffects::default();
     let Some(m) = cluster.machine_mut(ix) else {
-        return news;
+        return effects;
     };
-    let older = report.session < m.min_incarnation
-        || (m.up && (report.session, report.seq) <= (m.incarnation, m.heartbeat_seq));
+    let older = report.incarnation < m.min_incarnation
+        || (m.up && (report.incarnation, report.seq) <= (m.incarnation, m.heartbeat_seq));
     // It has seen a token that was raised after all that is known of it: what
     // it says is newer, so it counts from the start again, and holds nothing
     // but what it lists.
-    let reborn = older && m.restart_token != 0 && report.token >= m.restart_token;
-    if report.token < term_floor.max(m.min_token) || older && !reborn {
-        return news;
+    let reborn = older && m.restart_token != 0 && report.acknowledged_token >= m.restart_token;
+    if report.acknowledged_token < term_floor.max(m.min_token) || older && !reborn {
+        return effects;
     }
     if reborn {
         log::info!("machine {} has started anew", m.name);
         m.min_token = m.restart_token;
         m.last_stale_heartbeat = ((0, 0), 0);
-        m.latest_heartbeat = (report.session, report.seq);
+        m.latest_heartbeat = (report.incarnation, report.seq);
         m.last_answered = now;
-        drop_what_was_before(cluster, ix, report.token);
-        news.changed = true;
+        forget_previous_process(cluster, ix, report.acknowledged_token);
+        effects.cluster_changed = true;
     }
     let Some(m) = cluster.machine_mut(ix) else {
-        return news;
+        return effects;
     };
-    if report.token >= m.restart_token {
+    if report.acknowledged_token >= m.restart_token {
         m.restart_token = 0;
     }
-    news.new_session = m.up && report.session > m.incarnation;
-    if news.new_session && !m.tasks.is_empty() {
+    effects.new_incarnation = m.up && report.incarnation > m.incarnation;
+    if effects.new_incarnation && !m.tasks.is_empty() {
         // A new session: everything of the old one is gone, including
         // commands still on their way, which name the old session.
         cluster.clear_machine(ix);
-        news.changed = true;
+        effects.cluster_changed = true;
     }
     if cluster.machine(ix).is_some_and(|m| !m.up) {
-        drop_what_was_taken_over(cluster, ix, report);
+        drop_unlisted_tasks(cluster, ix, report);
     }
     let Some(m) = cluster.machine_mut(ix) else {
-        return news;
+        return effects;
     };
     if !m.up {
         m.up = true;
         m.contents_unknown = false;
         m.idle_since = now;
-        news.changed = true;
+        effects.cluster_changed = true;
     }
-    m.incarnation = report.session;
+    m.incarnation = report.incarnation;
     m.heartbeat_seq = report.seq;
-    m.min_incarnation = report.session;
-    m.acknowledged_token = m.acknowledged_token.max(report.token);
+    m.min_incarnation = report.incarnation;
+    m.acknowledged_token = m.acknowledged_token.max(report.acknowledged_token);
     m.last_heartbeat = now;
     if let Ok(addr) = report.addr.parse() {
         m.addr = Some(addr);
     }
-    let notice = report.notice_s.map(|s| now + (s.max(0.0) * 1000.0) as Ms);
+    let notice = report
+        .reclaim_in_s
+        .map(|s| now + (s.max(0.0) * 1000.0) as Ms);
     if notice.is_some() && m.reclaim_at.is_none() {
-        news.changed = true;
+        effects.cluster_changed = true;
     }
     m.reclaim_at = notice;
     let seen_token = m.acknowledged_token;
 
     let mut listed = vec![false; m.tasks.len()];
     for t in &report.tasks {
-        let phase = phase_of(t.state, t.why);
+        let phase = phase_of(t.state, t.exit_reason);
         let found = cluster.machine(ix).and_then(|m| {
             m.tasks
                 .iter()
@@ -138,10 +140,11 @@
                 };
                 // Seen running once, it may be about to fail.
                 let again = phase == Phase::Running && a.phase == phase;
-                let ran =
-                    !a.seen_running && a.is_live() && (again || phase == Phase::Ended(Why::Done));
+                let ran = !a.seen_running
+                    && a.is_live()
+                    && (again || phase == Phase::Ended(ExitReason::Done));
                 if ran {
-                    news.ran.push((a.job, a.since));
+                    effects.confirmed_running.push((a.job, a.since));
                 }
                 if ran && let Some(m) = cluster.machine_mut(ix) {
                     m.tasks[at].seen_running = true;
@@ -154,17 +157,17 @@
                 }
                 let (job, task) = (a.job, a.task);
                 if phase == Phase::Running {
-                    news.started.push(job);
+                    effects.started_jobs.push(job);
                 }
                 if let Phase::Ended(why) = phase {
-                    news.ended.push((job, task, why));
+                    effects.ended_tasks.push((job, task, why));
                 }
-                news.changed = true;
+                effects.cluster_changed = true;
                 log::debug!("task {}: {phase:?}", t.task);
                 cluster.set_phase(ix, at, phase);
             }
             None => {
-                news.changed = true;
+                effects.cluster_changed = true;
                 adopt(cluster, ix, &t.task, t.attempt, phase, now);
             }
         }
@@ -196,10 +199,10 @@
                 let withdrawn = a.stop_grace_s.is_some();
                 if withdrawn {
                     cluster.unassign(ix, at);
-                    news.changed = true;
+                    effects.cluster_changed = true;
                 } else if let Some(m) = cluster.machine_mut(ix) {
                     let a = &mut m.tasks[at];
-                    news.lost_orders +=
+                    effects.lost_commands +=
                         u32::from(a.phase == Phase::Sent && a.indeterminate_token == 0);
                     a.indeterminate_token = 0;
                     a.phase = Phase::New;
@@ -210,7 +213,7 @@
             _ => {
                 log::error!("task {} vanished from a live session", a.name);
                 cluster.unassign(ix, at);
-                news.changed = true;
+                effects.cluster_changed = true;
             }
         }
     }
@@ -219,13 +222,13 @@
     {
         m.idle_since = now;
     }
-    news
+    effects
 }
 
 /// The machine has started anew, and has seen this token: all that is known of
 /// it is gone, but for starts sent directly that it may still carry out, as
 /// sessions count from one again as well.
-fn drop_what_was_before(cluster: &mut ClusterState, ix: u32, token: u64) {
+fn forget_previous_process(cluster: &mut ClusterState, ix: u32, token: u64) {
     let Some(m) = cluster.machine(ix) else { return };
     let open = |at: &usize| {
         let a = &m.tasks[*at];
@@ -242,7 +245,7 @@
 /// The machine is heard for the first time in this term, so it has seen this
 /// term's token: of what an earlier leader had there, or had sent there, only
 /// what it lists is there or will ever be.
-fn drop_what_was_taken_over(cluster: &mut ClusterState, ix: u32, report: &Report) {
+fn drop_unlisted_tasks(cluster: &mut ClusterState, ix: u32, report: &Heartbeat) {
     let Some(m) = cluster.machine(ix).filter(|m| !m.tasks.is_empty()) else {
         return;
     };
@@ -261,7 +264,7 @@
 
 /// A task that an earlier leader started.
 fn adopt(cluster: &mut ClusterState, ix: u32, name: &str, attempt: u64, phase: Phase, now: Ms) {
-    let known = split_task(name).and_then(|(id, task)| Some((cluster.job_index(id)?, task)));
+    let known = parse_task_name(name).and_then(|(id, task)| Some((cluster.job_index(id)?, task)));
     let Some((job_ix, task)) = known else {
         cluster.assign_orphan(ix, name, attempt, phase, now);
         return;
@@ -270,7 +273,10 @@
         return;
     };
     let ended = matches!(phase, Phase::Ended(_));
-    if phase == Phase::Ended(Why::Done) && job.spec.kind != Kind::Service && task < job.spec.tasks {
+    if phase == Phase::Ended(ExitReason::Done)
+        && job.spec.kind != Kind::Service
+        && task < job.spec.tasks
+    {
         job.mark_done(task);
     }
     if !ended && task < job.spec.tasks && job.placement(task) == Placement::Unplaced {
@@ -317,14 +323,14 @@
                 // its way would start it again; and a task's end must be
                 // recorded before the only witness is removed.
                 let in_doubt = a.indeterminate_token != 0 && seen <= a.indeterminate_token;
-                let recorded = why != Why::Done
+                let recorded = why != ExitReason::Done
                     || a.job == NONE
                     || jobs
                         .get(a.job as usize)
                         .and_then(Option::as_ref)
                         .is_none_or(|j| !j.is_dirty() && !j.write_in_flight);
                 if !in_doubt && recorded {
-                    out.push(Command::Forget { task, attempt });
+                    out.push(Command::Reap { task, attempt });
                 }
             }
             Phase::New | Phase::Sent => {
@@ -362,7 +368,7 @@
 
 /// A direct order was not carried out, or was answered: what it launched is
 /// no longer in doubt.
-pub fn settle_direct(cluster: &mut ClusterState, ix: u32, token: u64, executed: bool) {
+pub fn resolve_direct_commands(cluster: &mut ClusterState, ix: u32, token: u64, executed: bool) {
     if let Some(m) = cluster.machine_mut(ix) {
         for a in m
             .tasks
@@ -378,7 +384,7 @@
 }
 
 /// Is there anything to tell the machine that shouldn't wait for its report?
-pub fn wants_direct(cluster: &ClusterState, ix: u32, confirmed: u64) -> bool {
+pub fn needs_direct_commands(cluster: &ClusterState, ix: u32, confirmed: u64) -> bool {
     cluster.machine(ix).is_some_and(|m| {
         m.up && m.addr.is_some()
             && m.tasks.iter().any(|a| match (a.phase, a.stop_grace_s) {
--- a/src/control/requests/mod.rs
+++ b/src/control/requests/mod.rs
@@ -30,7 +30,7 @@
         cloud::MachineType,
         settings::Settings,
         state::Txn,
-        users::{JobSpec, JobState, JobStatus, valid_ref},
+        users::{JobSpec, JobState, JobStatus, is_valid_job_id},
     },
     state::{
         Ms,
--- a/src/control/requests/request.rs
+++ b/src/control/requests/request.rs
@@ -50,7 +50,7 @@
 
 impl Request {
     fn of(id: &str, forwarded: bool, work: Work) -> Request {
-        let id = Some(id.to_owned()).filter(|id| valid_ref(id));
+        let id = Some(id.to_owned()).filter(|id| is_valid_job_id(id));
         Request {
             id,
             forwarded,
--- a/src/control/requests/submit.rs
+++ b/src/control/requests/submit.rs
@@ -19,7 +19,7 @@
 pub(super) fn named(body: &[u8]) -> Option<String> {
     let v = serde_json::from_slice::<serde_json::Value>(body).ok()?;
     let id = v.get("ref")?.as_str()?;
-    valid_ref(id).then(|| id.to_owned())
+    is_valid_job_id(id).then(|| id.to_owned())
 }
 
 /// What is waited for.
@@ -111,7 +111,10 @@
             None if forwarded => return Next::NotLeading,
             _ => {}
         }
-        let needs = self.parsed.as_ref().is_ok_and(|s| !s.needs.is_empty());
+        let needs = self
+            .parsed
+            .as_ref()
+            .is_ok_and(|s| !s.dependencies.is_empty());
         match (led, needs && !upgraded) {
             (true, _) => self.led_by(id, view),
             // An older leader would take the job and start it at once.
@@ -165,7 +168,10 @@
         if let Some(refusal) = self.refusal(view) {
             return self.unless_known(id, refusal, view);
         }
-        let needs = self.parsed.as_ref().is_ok_and(|s| !s.needs.is_empty());
+        let needs = self
+            .parsed
+            .as_ref()
+            .is_ok_and(|s| !s.dependencies.is_empty());
         match needs && !view.upgraded {
             true => Next::Versions,
             false => self.needs(id, view),
@@ -177,7 +183,7 @@
         let (Ok(spec), Some(l)) = (&self.parsed, view.acting()) else {
             return Next::Answer(Answer::later(LOST));
         };
-        if spec.needs.is_empty() {
+        if spec.dependencies.is_empty() {
             return self.accept(view);
         }
         match l.needs_unknown(spec) {
@@ -196,7 +202,7 @@
         };
         let asked: Vec<String> = match (self.led, view.acting()) {
             (true, Some(l)) => l.needs_unknown(spec).unwrap_or_default(),
-            _ => spec.needs.clone(),
+            _ => spec.dependencies.clone(),
         };
         for need in asked {
             let refusal = match found.remove(&need) {
@@ -290,9 +296,9 @@
             return self.unless_known(id, refusal, view);
         }
         match &self.parsed {
-            Ok(spec) if !spec.needs.is_empty() => {
+            Ok(spec) if !spec.dependencies.is_empty() => {
                 self.at = At::Needs;
-                Next::Look(spec.needs.clone())
+                Next::Look(spec.dependencies.clone())
             }
             _ => self.accept_alone(view),
         }
--- a/src/control/standby/registry.rs
+++ b/src/control/standby/registry.rs
@@ -2,7 +2,7 @@
 
 use super::Written;
 use crate::{
-    protocol::state::{Guard, Txn, Write},
+    protocol::state::{Condition, Txn, Write},
     state::{
         Ms,
         records::{LEADER, STANDBYS, StandbyRecord},
@@ -77,12 +77,12 @@
         self.writing = true;
         self.open.push(wanted);
         Some(Txn {
-            guards: vec![
-                Guard {
+            conditions: vec![
+                Condition {
                     key: LEADER.into(),
                     version: term,
                 },
-                Guard {
+                Condition {
                     key: STANDBYS.into(),
                     version: self.version,
                 },
--- a/src/declare_upgraded.rs
+++ b/src/declare_upgraded.rs
@@ -4,7 +4,7 @@
 use crate::{
     protocol::{
         settings::Settings,
-        state::{Guard, Txn, Write},
+        state::{Condition, Txn, Write},
     },
     state::records::{FORMAT, VersionRecord, version_key},
     transport::client::Client,
@@ -38,7 +38,7 @@
         program: "declared by an operator".into(),
     };
     let txn = Txn {
-        guards: vec![Guard {
+        conditions: vec![Condition {
             key: key.clone(),
             version: 0,
         }],
--- a/src/server/audit_log.rs
+++ b/src/server/audit_log.rs
@@ -81,7 +81,7 @@
             return;
         }
         self.note(|| {
-            let state = format!("{:?}", status.state).to_lowercase();
+            let state = status.state;
             let revision = basis.revision.map(|r| format!(" at revision {r}"));
             let revision = revision.unwrap_or_default();
             let term = match self.election.borrow().leader(self.now()) {
--- a/src/server/cloud.rs
+++ b/src/server/cloud.rs
@@ -123,7 +123,7 @@
 
     pub(super) async fn cloud_op(self: Rc<Self>, term: u64, op: CloudOp) {
         match op {
-            CloudOp::Rent(rent) => {
+            CloudOp::MachineRequest(rent) => {
                 let body = serde_json::to_vec(&rent).unwrap_or_default();
                 let names = match self
                     .cloud(Some(term), Method::Post, "/hosts", Some(body))
@@ -133,11 +133,11 @@
                         .ok()
                         .map(|n| n.machines),
                     Ok((s, _)) => {
-                        log::debug!("rental {}: status {s}", rent.request);
+                        log::debug!("rental {}: status {s}", rent.request_id);
                         None
                     }
                     Err(e) => {
-                        log::info!("rental {}: {e}", rent.request);
+                        log::info!("rental {}: {e}", rent.request_id);
                         if e == NOT_SENT {
                             self.of_term(term, |l, _| l.not_rented());
                             return;
--- a/src/server/control_loop.rs
+++ b/src/server/control_loop.rs
@@ -2,9 +2,9 @@
 
 use super::{Node, leadership::Stop, store::USUAL};
 use crate::{
-    control::leader::{Direct, DirectOutcome, Leader, Plan},
+    control::leader::{DirectDelivery, DirectDeliveryOutcome, Leader, Plan},
     control::requests::{Found, TxnResult, final_status},
-    protocol::workers::Report,
+    protocol::workers::Heartbeat,
     state::{cluster::DIRECT_COMMAND_TIMEOUT_MS, rate_limit::share, records::LEADER},
     transport::{client::CallError, within},
 };
@@ -49,7 +49,7 @@
             l.tick(now, wall);
             (
                 l.term,
-                l.directs(now),
+                l.direct_deliveries(now),
                 l.cloud_ops(now, wall),
                 l.list_due(now),
                 l.take_tally(),
@@ -99,8 +99,8 @@
 }
 
 impl Node {
-    async fn direct(self: Rc<Self>, term: u64, d: Direct) {
-        let body = serde_json::to_vec(&d.order).unwrap_or_default();
+    async fn direct(self: Rc<Self>, term: u64, d: DirectDelivery) {
+        let body = serde_json::to_vec(&d.commands).unwrap_or_default();
         let limit = Duration::from_millis(DIRECT_COMMAND_TIMEOUT_MS);
         // Decided with authority, but that may have ended since. Past this
         // point the token's order makes a late order harmless.
@@ -114,23 +114,23 @@
             false => Err(CallError::NotSent("authority has ended".into())),
         };
         let outcome = match result {
-            Ok(a) => match (a.status, serde_json::from_slice::<Report>(&a.body).ok()) {
-                (200, Some(report)) => DirectOutcome::Executed(report),
-                (409, report) => DirectOutcome::Refused(report),
-                (400, _) => DirectOutcome::Refused(None),
-                _ => DirectOutcome::NoAnswer,
+            Ok(a) => match (a.status, serde_json::from_slice::<Heartbeat>(&a.body).ok()) {
+                (200, Some(report)) => DirectDeliveryOutcome::Executed(report),
+                (409, report) => DirectDeliveryOutcome::Refused(report),
+                (400, _) => DirectDeliveryOutcome::Refused(None),
+                _ => DirectDeliveryOutcome::NoAnswer,
             },
             Err(CallError::NotSent(e)) => {
                 log::debug!("order to {}: {e}", d.machine);
-                DirectOutcome::NotSent
+                DirectDeliveryOutcome::NotSent
             }
             Err(e @ (CallError::NoAnswer(_) | CallError::TooLong)) => {
                 log::debug!("order to {}: {e}", d.machine);
-                DirectOutcome::NoAnswer
+                DirectDeliveryOutcome::NoAnswer
             }
         };
         self.of_term(term, |l, now| {
-            l.direct_done(&d.machine, d.order.token, outcome, now);
+            l.direct_delivery_finished(&d.machine, d.commands.fencing_token, outcome, now);
         });
     }
 
--- a/src/server/heartbeats.rs
+++ b/src/server/heartbeats.rs
@@ -6,7 +6,7 @@
     control::failure_detector::RedirectTarget,
     protocol::{
         peers::{Reply, Request},
-        workers::Report,
+        workers::Heartbeat,
     },
     transport::server::{HttpResponse, JSON},
 };
@@ -19,7 +19,7 @@
         let Some(body) = body else {
             return HttpResponse::error(400, "body is incomplete or over 64 KiB");
         };
-        let report: Report = match serde_json::from_slice(&body) {
+        let report: Heartbeat = match serde_json::from_slice(&body) {
             Ok(r) => r,
             Err(e) => return HttpResponse::error(400, &e.to_string()),
         };
@@ -81,8 +81,8 @@
     }
 
     /// `None`: this node doesn't lead.
-    pub(super) fn beat_here(&self, report: &Report) -> Option<HttpResponse> {
-        let reply = self.acting(|l, now| l.on_beat(report, now))??;
+    pub(super) fn beat_here(&self, report: &Heartbeat) -> Option<HttpResponse> {
+        let reply = self.acting(|l, now| l.on_heartbeat(report, now))??;
         self.last_beat.set(self.now());
         Some(HttpResponse::json(200, &reply))
     }
--- a/src/server/leadership/campaign.rs
+++ b/src/server/leadership/campaign.rs
@@ -8,7 +8,7 @@
         leader::Leader,
         requests::TxnResult,
     },
-    protocol::state::{Guard, LeaseGranted, Txn, Write},
+    protocol::state::{Condition, LeaseGranted, Txn, Write},
     state::records::{self, LEADER, LeaderRecord},
 };
 use http_types::Method;
@@ -114,12 +114,12 @@
         let exclusion = records::exclusion_key(&node);
         let record = LeaderRecord { node, incarnation };
         let txn = Txn {
-            guards: vec![
-                Guard {
+            conditions: vec![
+                Condition {
                     key: LEADER.into(),
                     version,
                 },
-                Guard {
+                Condition {
                     key: exclusion.clone(),
                     version: 0,
                 },
--- a/src/server/metrics.rs
+++ b/src/server/metrics.rs
@@ -193,12 +193,7 @@
         if !state.is_final() {
             self.ages.observe(age as f64 / 1000.0);
         }
-        let state = match state {
-            JobState::Queued => "queued",
-            JobState::Running => "running",
-            JobState::Done => "done",
-            JobState::Cancelled => "cancelled",
-        };
+        let state = state.name();
         self.told.get_or_create(&Told { state, source }).inc();
     }
 
--- a/src/server/status.rs
+++ b/src/server/status.rs
@@ -94,12 +94,12 @@
         {
             return answer;
         }
-        if !crate::protocol::users::valid_ref(id) {
+        if !crate::protocol::users::is_valid_job_id(id) {
             return Explanation::NoSuchJob;
         }
         match self.lookup(id).await {
             Ok(Found::Final(f, _)) => Explanation::Over {
-                state: format!("{:?}", f.state).to_lowercase(),
+                state: f.state.to_string(),
                 done: f.done,
             },
             Ok(Found::Nothing) => Explanation::NoSuchJob,
--- a/src/server/upgrade.rs
+++ b/src/server/upgrade.rs
@@ -4,7 +4,7 @@
 use super::{Node, store::USUAL};
 use crate::{
     control::requests::TxnResult,
-    protocol::state::{Guard, Txn, Write},
+    protocol::state::{Condition, Txn, Write},
     state::records::{FORMAT, VERSIONS, VersionRecord, version_key},
 };
 use async_io::Timer;
@@ -104,7 +104,7 @@
             return Err("over the change budget".into());
         }
         let txn = Txn {
-            guards: vec![Guard {
+            conditions: vec![Condition {
                 key: key.clone(),
                 version,
             }],
--- a/src/state/cluster/job.rs
+++ b/src/state/cluster/job.rs
@@ -3,7 +3,7 @@
 use super::{DONE, Machine, NONE};
 use crate::{
     protocol::{
-        state::Guard,
+        state::Condition,
         status::Reason,
         users::{JobSpec, JobState, JobStatus, Kind, Priority},
     },
@@ -99,8 +99,8 @@
     }
 
     /// On the record as it was last known.
-    pub fn record_condition(&self) -> Guard {
-        Guard {
+    pub fn record_condition(&self) -> Condition {
+        Condition {
             key: job_key(&self.id),
             version: self.record_version,
         }
--- a/src/state/cluster/machine.rs
+++ b/src/state/cluster/machine.rs
@@ -1,10 +1,10 @@
 //! A machine, and what is or may be on it.
 
 use crate::{
-    protocol::workers::Why,
+    protocol::workers::ExitReason,
     state::{Ms, fault_attribution::MachineFailures, resources::Resources},
 };
-use std::net::SocketAddr;
+use std::{fmt, net::SocketAddr};
 
 /// For so long the answer to a direct order is waited for. It is not sent later
 /// than that: the connection is made or given up within it.
@@ -21,7 +21,22 @@
     Waiting,
     Running,
     Saving,
-    Ended(Why),
+    Ended(ExitReason),
+}
+
+impl fmt::Display for Phase {
+    /// The name in `explain`, which operators' tools read.
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Phase::New => f.write_str("new"),
+            Phase::Sent => f.write_str("sent"),
+            Phase::Fetching => f.write_str("fetching"),
+            Phase::Waiting => f.write_str("waiting"),
+            Phase::Running => f.write_str("running"),
+            Phase::Saving => f.write_str("saving"),
+            Phase::Ended(reason) => write!(f, "ended({reason})"),
+        }
+    }
 }
 
 /// A task that is, or may be, on a machine, or that ended there and has not
--- a/src/state/cluster/mod.rs
+++ b/src/state/cluster/mod.rs
@@ -25,7 +25,7 @@
     settings::{Settings, Team},
     status::Reason,
     users::{JobSpec, Kind},
-    workers::Why,
+    workers::ExitReason,
 };
 use std::{
     cell::Cell,
@@ -271,7 +271,7 @@
             spec_chunks: None,
             inline_size: whole_size(&spec),
             // Until somebody has looked how the others stand.
-            readiness: match spec.needs.is_empty() {
+            readiness: match spec.dependencies.is_empty() {
                 true => Gate::Open,
                 false => Gate::Unsure,
             },
@@ -605,7 +605,7 @@
                 job.running_count += 1;
             }
             if was_live && !is_live {
-                if phase == Phase::Ended(Why::Done) && job.spec.kind != Kind::Service {
+                if phase == Phase::Ended(ExitReason::Done) && job.spec.kind != Kind::Service {
                     job.mark_done(task);
                 } else {
                     job.vacate(task, machine);
--- a/src/state/cluster/replication.rs
+++ b/src/state/cluster/replication.rs
@@ -3,7 +3,7 @@
 use super::{ClusterState, Phase};
 use crate::protocol::{
     peers::{MachineHolds, MayRun, Seen},
-    workers::Why,
+    workers::ExitReason,
 };
 use std::collections::BTreeSet;
 
@@ -22,7 +22,7 @@
         for a in tasks.map_or(&[][..], |m| &m.tasks) {
             let seen = match a.phase {
                 Phase::Running => Seen::Running,
-                Phase::Ended(Why::Done) => Seen::Done,
+                Phase::Ended(ExitReason::Done) => Seen::Done,
                 Phase::Ended(_) => continue,
                 _ => Seen::Sent,
             };
--- a/tests/compatibility/operators.rs
+++ b/tests/compatibility/operators.rs
@@ -15,7 +15,9 @@
             StandbyStatus, Status, TeamUse, Trouble,
         },
         users::{JobState, JobStatus},
+        workers::ExitReason,
     },
+    state::cluster::Phase,
 };
 use serde_json::{Value, json};
 use std::{
@@ -961,3 +963,43 @@
     ];
     assert_eq!(lines.collect::<Vec<_>>(), expected);
 }
+
+/// Phases and exit reasons are texts in the JSON of `status` and `explain`.
+#[test]
+fn phases_and_exit_reasons_are_shown_by_the_names_that_they_had() {
+    let reasons = [
+        (ExitReason::Done, "done"),
+        (ExitReason::Stopped, "stopped"),
+        (ExitReason::GangMemberLost, "peers"),
+        (ExitReason::GangIncomplete, "alone"),
+        (ExitReason::Error, "error"),
+        (ExitReason::InsufficientResources, "noroom"),
+        (ExitReason::DuplicateTask, "busy"),
+        (ExitReason::UnknownTask, "unknown"),
+        (ExitReason::Other, "other"),
+    ];
+    for (reason, name) in reasons {
+        assert_eq!(reason.to_string(), name);
+        assert_eq!(Phase::Ended(reason).to_string(), format!("ended({name})"));
+    }
+    let phases = [
+        (Phase::New, "new"),
+        (Phase::Sent, "sent"),
+        (Phase::Fetching, "fetching"),
+        (Phase::Waiting, "waiting"),
+        (Phase::Running, "running"),
+        (Phase::Saving, "saving"),
+    ];
+    for (phase, name) in phases {
+        assert_eq!(phase.to_string(), name);
+    }
+    let states = [
+        (JobState::Queued, "queued"),
+        (JobState::Running, "running"),
+        (JobState::Done, "done"),
+        (JobState::Cancelled, "cancelled"),
+    ];
+    for (state, name) in states {
+        assert_eq!(state.to_string(), name);
+    }
+}
--- a/tests/compatibility/stored.rs
+++ b/tests/compatibility/stored.rs
@@ -54,14 +54,14 @@
         image_gb: 6.25,
         types: Some(vec!["g8".into(), "g4".into()]),
         zone: Some("north".into()),
-        one_zone: true,
+        single_zone: true,
         spread: false,
         spot: true,
         estimate_s: 240.0,
-        checkpoint_s: 30.0,
-        save_s: 2.5,
+        checkpoint_interval_s: 30.0,
+        checkpoint_cost_s: 2.5,
         deadline_s: Some(900.0),
-        needs: vec!["j-000007".into(), "j-000009".into()],
+        dependencies: vec!["j-000007".into(), "j-000009".into()],
     }
 }
 
@@ -80,14 +80,14 @@
         image_gb: 3.0,
         types: None,
         zone: None,
-        one_zone: false,
+        single_zone: false,
         spread: true,
         spot: false,
         estimate_s: 4.0,
-        checkpoint_s: 5.0,
-        save_s: 6.0,
+        checkpoint_interval_s: 5.0,
+        checkpoint_cost_s: 6.0,
         deadline_s: None,
-        needs: Vec::new(),
+        dependencies: Vec::new(),
     }
 }
 
@@ -337,7 +337,7 @@
         lease: None,
     };
     let txn = Txn {
-        guards: Vec::new(),
+        conditions: Vec::new(),
         writes: vec![put, Write::Delete { key: "l".into() }],
     };
     is_sent("txn/plain", &txn);
--- a/tests/compatibility/wire.rs
+++ b/tests/compatibility/wire.rs
@@ -4,19 +4,20 @@
 
 use pathwinch::protocol::{
     cloud::{
-        ListedMachine, ListedState, MAX_RENT, MachineList, MachineNames, MachineType, MachineTypes,
-        Rent,
+        ListedMachine, ListedState, MAX_MACHINES_PER_REQUEST, MachineList, MachineNames,
+        MachineRequest, MachineType, MachineTypes,
     },
     market::{AWARDS, Lendable, MOST_LENDABLE, Marked, PREFIX},
     peers::{Follow, Frame, MAX_FRAME, MachineHolds, MayRun, Reply, Request, Seen, VERSION},
-    state::{Event, Guard, Item, LeaseGranted, Page, Revision, Txn, Watched, Write},
+    state::{Condition, Event, Item, LeaseGranted, Page, Revision, Txn, Watched, Write},
     status::{
         Due, Explained, Explanation, Failure, Fleet, Group, MOST_ROWS, Picture, Reason,
         StandbyStatus, Status, TeamUse, Trouble,
     },
     users::{JobSpec, JobState, JobStatus, Kind, MAX_TASKS, Priority},
     workers::{
-        Command, DirectOrder, Report, ReportReply, ReportedTask, TaskState, Why, split_task,
+        Command, DirectCommands, ExitReason, Heartbeat, HeartbeatResponse, TaskState, TaskStatus,
+        parse_task_name,
     },
 };
 use serde::{Serialize, de::DeserializeOwned};
@@ -211,44 +212,44 @@
     assert_eq!(AWARDS, "market/award/");
     assert_eq!(MOST_LENDABLE, 100);
     assert_eq!(MAX_TASKS, 100_000);
-    assert_eq!(MAX_RENT, 50);
+    assert_eq!(MAX_MACHINES_PER_REQUEST, 50);
     assert_eq!(MOST_ROWS, 100);
-    assert_eq!(split_task("j-000412/4"), Some(("j-000412", 4)));
-    assert_eq!(split_task("j-000412"), None);
-    assert_eq!(split_task("j-000412/x"), None);
+    assert_eq!(parse_task_name("j-000412/4"), Some(("j-000412", 4)));
+    assert_eq!(parse_task_name("j-000412"), None);
+    assert_eq!(parse_task_name("j-000412/x"), None);
 }
 
-fn task(name: &str, attempt: u64, state: TaskState) -> ReportedTask {
-    ReportedTask {
+fn task(name: &str, attempt: u64, state: TaskState) -> TaskStatus {
+    TaskStatus {
         task: name.into(),
         attempt,
         state,
-        why: None,
-        saved: false,
+        exit_reason: None,
+        checkpointed: false,
     }
 }
 
-fn ended(n: u64, why: Why, saved: bool) -> ReportedTask {
-    ReportedTask {
+fn ended(n: u64, why: ExitReason, saved: bool) -> TaskStatus {
+    TaskStatus {
         task: format!("j-000398/{n}"),
         attempt: 100 + n,
         state: TaskState::Exited,
-        why: Some(why),
-        saved,
+        exit_reason: Some(why),
+        checkpointed: saved,
     }
 }
 
-fn report(tasks: Vec<ReportedTask>) -> Report {
-    Report {
+fn report(tasks: Vec<TaskStatus>) -> Heartbeat {
+    Heartbeat {
         machine: "i-000231".into(),
         addr: "10.1.0.232:9000".into(),
         type_name: "g8".into(),
         zone: "a".into(),
         spot: true,
-        session: 3,
+        incarnation: 3,
         seq: 88,
-        token: 41,
-        notice_s: Some(17.5),
+        acknowledged_token: 41,
+        reclaim_in_s: Some(17.5),
         tasks,
     }
 }
@@ -260,34 +261,34 @@
         "report.full",
         &report(vec![
             task("j-000412/3", 2, TaskState::Fetching),
-            task("j-000412/4", 5, TaskState::Waiting),
+            task("j-000412/4", 5, TaskState::WaitingForGang),
             task("j-000413/0", u64::MAX, TaskState::Running),
             task("j-000414/99999", 7, TaskState::Saving),
-            ended(0, Why::Done, false),
-            ended(1, Why::Stopped, true),
-            ended(2, Why::Peers, false),
-            ended(3, Why::Alone, false),
-            ended(4, Why::Error, false),
-            ended(5, Why::NoRoom, false),
-            ended(6, Why::Busy, false),
-            ended(7, Why::Unknown, false),
+            ended(0, ExitReason::Done, false),
+            ended(1, ExitReason::Stopped, true),
+            ended(2, ExitReason::GangMemberLost, false),
+            ended(3, ExitReason::GangIncomplete, false),
+            ended(4, ExitReason::Error, false),
+            ended(5, ExitReason::InsufficientResources, false),
+            ended(6, ExitReason::DuplicateTask, false),
+            ended(7, ExitReason::UnknownTask, false),
         ]),
     );
-    let minimal = Report {
+    let minimal = Heartbeat {
         machine: "i-9".into(),
         addr: "[::1]:1".into(),
         type_name: "s".into(),
         zone: "b".into(),
         spot: false,
-        session: 1,
+        incarnation: 1,
         seq: 2,
-        token: 0,
-        notice_s: None,
+        acknowledged_token: 0,
+        reclaim_in_s: None,
         tasks: Vec::new(),
     };
     pins.json("report.minimal", &minimal);
     pins.json_read("report.omitted", &minimal);
-    let later = report(vec![ended(8, Why::Other, false)]);
+    let later = report(vec![ended(8, ExitReason::Other, false)]);
     pins.json_read("report.later_exit", &later);
     pins.end();
 }
@@ -303,7 +304,7 @@
             attempt: 3,
             grace_s: 10.0,
         },
-        Command::Forget {
+        Command::Reap {
             task: "j-000398/0".into(),
             attempt: 4,
         },
@@ -315,31 +316,31 @@
     let mut pins = Pins::of(JSON, "orders.");
     pins.json(
         "orders.reply",
-        &ReportReply {
-            token: 41,
+        &HeartbeatResponse {
+            fencing_token: 41,
             commands: commands(),
         },
     );
     pins.json(
         "orders.reply_empty",
-        &ReportReply {
-            token: 0,
+        &HeartbeatResponse {
+            fencing_token: 0,
             commands: Vec::new(),
         },
     );
     pins.json(
         "orders.direct",
-        &DirectOrder {
-            token: u64::MAX,
-            session: 6,
+        &DirectCommands {
+            fencing_token: u64::MAX,
+            incarnation: 6,
             commands: commands(),
         },
     );
     pins.json(
         "orders.direct_empty",
-        &DirectOrder {
-            token: 1,
-            session: 2,
+        &DirectCommands {
+            fencing_token: 1,
+            incarnation: 2,
             commands: Vec::new(),
         },
     );
@@ -361,14 +362,14 @@
         image_gb: 6.2,
         types: Some(strings(&["g8", "g4"])),
         zone: Some("a".into()),
-        one_zone: true,
+        single_zone: true,
         spread: false,
         spot: true,
         estimate_s: 240.0,
-        checkpoint_s: 30.0,
-        save_s: 4.0,
+        checkpoint_interval_s: 30.0,
+        checkpoint_cost_s: 4.0,
         deadline_s: Some(900.0),
-        needs: strings(&["j-000409", "j-000408"]),
+        dependencies: strings(&["j-000409", "j-000408"]),
     }
 }
 
@@ -387,14 +388,14 @@
         image_gb: 0.125,
         types: None,
         zone: None,
-        one_zone: false,
+        single_zone: false,
         spread: true,
         spot: false,
         estimate_s: 1.5,
-        checkpoint_s: 2.5,
-        save_s: 3.5,
+        checkpoint_interval_s: 2.5,
+        checkpoint_cost_s: 3.5,
         deadline_s: None,
-        needs: Vec::new(),
+        dependencies: Vec::new(),
     }
 }
 
@@ -601,8 +602,8 @@
     pins.json_read("cloud.types_omitted", &MachineTypes { types });
     pins.json(
         "cloud.rent",
-        &Rent {
-            request: "r-17".into(),
+        &MachineRequest {
+            request_id: "r-17".into(),
             type_name: "g8".into(),
             zone: "a".into(),
             spot: true,
@@ -674,7 +675,7 @@
             revision: 0,
         },
     );
-    let guard = |key: &str, version| Guard {
+    let guard = |key: &str, version| Condition {
         key: key.into(),
         version,
     };
@@ -686,7 +687,7 @@
     pins.json(
         "state.txn",
         &Txn {
-            guards: vec![guard("a/b", 0), guard("a/c", 17)],
+            conditions: vec![guard("a/b", 0), guard("a/c", 17)],
             writes: vec![
                 put("a/b", Some(7)),
                 put("a/c", None),
--- a/tests/dependencies.rs
+++ b/tests/dependencies.rs
@@ -11,7 +11,7 @@
 /// One that needs these.
 fn after(n: u32, tasks: u32, needs: &[u32]) -> JobSpec {
     let mut spec = job(n, Kind::Array, tasks);
-    spec.needs = needs.iter().map(|n| format!("j-{n:06}")).collect();
+    spec.dependencies = needs.iter().map(|n| format!("j-{n:06}")).collect();
     spec
 }
 
@@ -273,7 +273,7 @@
                     .collect();
                 needs.sort();
                 needs.dedup();
-                j.needs = needs;
+                j.dependencies = needs;
             }
             if w.rng.u8(..5) == 0 {
                 j.types = Some(simulation::many_types());
--- a/tests/failover.rs
+++ b/tests/failover.rs
@@ -536,7 +536,7 @@
 
 /// The version that a write is guarded by, and whom it names.
 fn written(txn: &Txn) -> (u64, Vec<(String, u64)>) {
-    let guard = txn.guards.iter().find(|g| g.key == STANDBYS).unwrap();
+    let guard = txn.conditions.iter().find(|g| g.key == STANDBYS).unwrap();
     let Write::Put { value, .. } = &txn.writes[0] else {
         panic!("not a put");
     };
--- a/tests/fault_combinations.rs
+++ b/tests/fault_combinations.rs
@@ -137,7 +137,7 @@
         lease: None,
     };
     let txn = Txn {
-        guards: Vec::new(),
+        conditions: Vec::new(),
         writes: vec![
             put(LEADER.into(), serde_json::json!({"n": "n9", "i": 9})),
             put(job_key(&id(1)), serde_json::to_value(record).unwrap()),
@@ -293,7 +293,7 @@
 fn in_an_outage_nobody_is_told_that_a_job_waits_for_one_that_is_withdrawn() {
     let (mut w, leader) = long_tasks(70, 3);
     let mut after = job(3, Kind::Array, 2);
-    after.needs = vec![id(1)];
+    after.dependencies = vec![id(1)];
     w.submit(after);
     w.run(500);
     w.poll(leader, &id(3));
@@ -716,7 +716,7 @@
         if n > 4 && kind != Kind::Service && w.rng.u8(..3) == 0 {
             let need = id(n - 1 - w.rng.u32(..3));
             if w.specs[&need].kind != Kind::Service {
-                j.needs.push(need);
+                j.dependencies.push(need);
             }
         }
         w.submit(j);
--- a/tests/input.rs
+++ b/tests/input.rs
@@ -10,7 +10,7 @@
         peers::{Frame, Reply, Request},
         settings::Settings,
         status,
-        users::{JobSpec, Kind, valid_ref},
+        users::{JobSpec, Kind, is_valid_job_id},
     },
     transport::frames,
 };
@@ -55,8 +55,8 @@
         assert!(with(field, serde_json::Value::Null).is_ok(), "{field}");
     }
     assert!(with("due_s", serde_json::json!(30.5)).is_ok());
-    assert!(valid_ref("j-000412") && valid_ref("j-1234567"));
-    assert!(!valid_ref("j-") && !valid_ref("j-12") && !valid_ref("j-0004/2"));
+    assert!(is_valid_job_id("j-000412") && is_valid_job_id("j-1234567"));
+    assert!(!is_valid_job_id("j-") && !is_valid_job_id("j-12") && !is_valid_job_id("j-0004/2"));
 }
 
 #[test]
@@ -96,7 +96,7 @@
     );
     assert_eq!(never(&spec), None);
     let mut spec = job(1, Kind::Array, 1);
-    spec.needs = vec![spec.id.clone()];
+    spec.dependencies = vec![spec.id.clone()];
     assert!(never(&spec).is_some_and(|why| why.contains("waits_on")));
 }
 
@@ -105,7 +105,7 @@
     let with = |value: serde_json::Value| {
         let mut body = serde_json::to_value(job(1, Kind::Array, 1)).unwrap();
         body["waits_on"] = value;
-        JobSpec::parse(body.to_string().as_bytes()).map(|s| s.needs)
+        JobSpec::parse(body.to_string().as_bytes()).map(|s| s.dependencies)
     };
     for none in [serde_json::json!(null), serde_json::json!([])] {
         assert_eq!(with(none), Ok(Vec::new()));
--- a/tests/invariant_checker.rs
+++ b/tests/invariant_checker.rs
@@ -81,7 +81,7 @@
 
     let mut w = led();
     known(&mut w, 1, Kind::Gang);
-    w.specs.get_mut(&id(1)).unwrap().one_zone = true;
+    w.specs.get_mut(&id(1)).unwrap().single_zone = true;
     plant(&mut w, 0, "j-000001/0");
     plant(&mut w, 1, "j-000001/1");
     w.run(50);
@@ -90,7 +90,7 @@
     let mut w = led();
     known(&mut w, 1, Kind::Array);
     known(&mut w, 2, Kind::Array);
-    w.specs.get_mut(&id(2)).unwrap().needs = vec![id(1)];
+    w.specs.get_mut(&id(2)).unwrap().dependencies = vec![id(1)];
     plant(&mut w, 0, "j-000002/0");
     w.run(50);
     caught(&w, "too_early");
@@ -114,7 +114,7 @@
     let mut w = led();
     w.submit(job(1, Kind::Array, 1));
     let mut after = job(2, Kind::Array, 1);
-    after.needs = vec![id(1)];
+    after.dependencies = vec![id(1)];
     w.submit(after);
     let (live, _) = w.store.kv[&records::job_key(&id(2))].clone();
     w.cancel(&id(1));
--- a/tests/job_liveness.rs
+++ b/tests/job_liveness.rs
@@ -119,7 +119,7 @@
         let leader = w.leader().unwrap();
         let now = w.now;
         let l = w.nodes[leader].leader.as_mut().unwrap();
-        l.on_beat(&copy, now);
+        l.on_heartbeat(&copy, now);
     };
     late(&mut w);
     w.until(LEASE - 4_000, "lapsed", |w| !up(w));
@@ -143,9 +143,9 @@
     let i = w.leader().unwrap();
     let now = w.now;
     let l = w.nodes[i].leader.as_mut().unwrap();
-    let answer = l.on_beat(&first, now).expect("the first is answered");
+    let answer = l.on_heartbeat(&first, now).expect("the first is answered");
     // The worker got that answer and said so, but this report comes late.
-    w.workers[m].token = answer.token;
+    w.workers[m].token = answer.fencing_token;
     let lost = w.report_of(m);
     w.until(LEASE + 4_000, "settled", |w| {
         w.leader()
@@ -154,7 +154,7 @@
     let i = w.leader().unwrap();
     let now = w.now;
     let l = w.nodes[i].leader.as_mut().unwrap();
-    l.on_beat(&lost, now);
+    l.on_heartbeat(&lost, now);
     let ix = l.cluster.machine_index(&lost.machine).unwrap();
     assert!(
         l.cluster
@@ -201,7 +201,7 @@
     let i = w.leader().unwrap();
     let now = w.now;
     let l = w.nodes[i].leader.as_mut().unwrap();
-    assert!(l.on_beat(&copy, now).is_none());
+    assert!(l.on_heartbeat(&copy, now).is_none());
     let machine = |l: &pathwinch::control::leader::Leader| {
         let ix = l.cluster.machine_index(&copy.machine).unwrap();
         l.cluster.machine(ix).map(|m| (m.up, m.incarnation))
@@ -333,7 +333,7 @@
             let mut j = job(n, kind, 1 + n % 5);
             if n > 4 && w.rng.u8(..3) == 0 && kind != Kind::Service {
                 let need = w.specs[&id(n - 3)].kind;
-                j.needs = (need != Kind::Service)
+                j.dependencies = (need != Kind::Service)
                     .then(|| id(n - 3))
                     .into_iter()
                     .collect();
--- a/tests/leader_changes.rs
+++ b/tests/leader_changes.rs
@@ -452,7 +452,7 @@
         spread.spread = true;
         w.submit(spread);
         let mut gang = job(3, Kind::Gang, 3);
-        gang.one_zone = true;
+        gang.single_zone = true;
         w.submit(gang);
         w.run(8_000);
         led_inside += u32::from(w.leader() == Some(inside));
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -64,7 +64,7 @@
     l.tick(now, now);
     let mut n = 0;
     for op in l.cloud_ops(now, now) {
-        if let CloudOp::Rent(r) = op {
+        if let CloudOp::MachineRequest(r) = op {
             n += if r.type_name == kind { r.count } else { 0 };
             l.not_rented();
         }
@@ -370,7 +370,7 @@
                     {"piece": format!("j-000001/{}", 2 * n + 1), "try": 1, "stage": "running"}]
             });
             let report = serde_json::from_value(report).unwrap();
-            assert!(l.on_beat(&report, 1_000).is_some());
+            assert!(l.on_heartbeat(&report, 1_000).is_some());
         }
         let looked = l.cluster.inspections() - before;
         l.tick(1_050, 1_050);
--- a/tests/request_consistency.rs
+++ b/tests/request_consistency.rs
@@ -240,7 +240,7 @@
         let first = job(1, kind, 1 + seed as u32 % 3);
         w.submit(first.clone());
         let mut after = job(2, Kind::Array, 1);
-        after.needs = vec![id(1)];
+        after.dependencies = vec![id(1)];
         w.submit(after);
         w.until(20_000, "near its end", |w| {
             w.running(&id(1)) > 0 && w.last_end(&id(1)).is_some_and(|at| at < w.now + 150)
--- a/tests/scale_run.rs
+++ b/tests/scale_run.rs
@@ -4,7 +4,7 @@
 use pathwinch_lab::scale::{
     self,
     plan::{Faults, Plan},
-    report::Report,
+    report::Heartbeat,
 };
 use std::path::Path;
 
@@ -28,7 +28,7 @@
 }
 
 /// A run of that plan, its logs in a directory of its own.
-fn run(plan: Plan, name: &str) -> Report {
+fn run(plan: Plan, name: &str) -> Heartbeat {
     let dir = std::env::temp_dir().join(format!("pathwinch-{name}-{}", std::process::id()));
     let program = Path::new(env!("CARGO_BIN_EXE_pathwinch"));
     let report = scale::run(plan, program, &dir).unwrap();
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -365,7 +365,7 @@
     let mut spread = job(1, Kind::Service, 4);
     spread.spread = true;
     let mut together = job(2, Kind::Service, 3);
-    together.one_zone = true;
+    together.single_zone = true;
     w.submit(spread);
     w.submit(together);
     w.until(30_000, "running", |w| {
@@ -496,7 +496,7 @@
     let mut gang = job(n, Kind::Gang, tasks);
     gang.priority = Priority::High;
     gang.cpus = 8.0;
-    gang.one_zone = true;
+    gang.single_zone = true;
     gang
 }
 
@@ -594,7 +594,7 @@
             let tasks = w.rng.u32(1..6);
             let mut j = job(n, kind, tasks);
             j.spread = w.rng.u8(..4) == 0;
-            j.one_zone = !j.spread && w.rng.u8(..4) == 0;
+            j.single_zone = !j.spread && w.rng.u8(..4) == 0;
             j.spot = w.rng.bool();
             w.submit(j);
             match w.rng.u8(..10) {
@@ -660,7 +660,7 @@
         let tasks = w.rng.u32(1..6);
         let mut j = job(n, kind, tasks);
         j.spread = w.rng.u8(..4) == 0;
-        j.one_zone = !j.spread && w.rng.u8(..4) == 0;
+        j.single_zone = !j.spread && w.rng.u8(..4) == 0;
         j.spot = w.rng.bool();
         w.submit(j);
         // The leader more often than others.
@@ -858,7 +858,7 @@
     for n in 1..=50 {
         let mut again = report.clone();
         again.seq += n;
-        assert!(l.on_beat(&again, now).is_some());
+        assert!(l.on_heartbeat(&again, now).is_some());
     }
     let reports = l.cluster.inspections() - before;
     let job = l.cluster.job_index("j-000002").unwrap();
--- a/tests/scheduling_cycles.rs
+++ b/tests/scheduling_cycles.rs
@@ -7,7 +7,7 @@
     protocol::{
         settings::Settings,
         users::JobSpec,
-        workers::{Report, ReportedTask, TaskState, Why},
+        workers::{ExitReason, Heartbeat, TaskState, TaskStatus},
     },
     state::records::{JobRecord, MachineRecord},
 };
@@ -36,11 +36,11 @@
     format!("i-{number:06}")
 }
 
-fn report(number: usize, tick: u64) -> Report {
+fn report(number: usize, tick: u64) -> Heartbeat {
     report_in_term(1, number, tick)
 }
 
-fn report_in_term(term: u64, number: usize, tick: u64) -> Report {
+fn report_in_term(term: u64, number: usize, tick: u64) -> Heartbeat {
     let text = format!(
         r#"{{"post":"{}","addr":"127.0.0.1:9","rig":"m","hall":"a","lendback":false,
             "tenure":1,"tick":{tick},"baton":{},"reclaim_in_s":null,"pieces":[]}}"#,
@@ -55,7 +55,7 @@
     let mut l = unheard(1);
     l.finish_loading(0);
     for n in 0..MACHINES {
-        assert!(l.on_beat(&report(n, 1), 100).is_some());
+        assert!(l.on_heartbeat(&report(n, 1), 100).is_some());
     }
     l.tick(100, 100);
     l
@@ -128,14 +128,14 @@
     let ix = (0..MACHINES as u32).find(has_it).unwrap();
     let task = &l.cluster.machine(ix).unwrap().tasks[0];
     let mut ended = report(ix as usize, 2);
-    ended.tasks.push(ReportedTask {
+    ended.tasks.push(TaskStatus {
         task: task.name.clone(),
         attempt: task.attempt,
         state: TaskState::Exited,
-        why: Some(Why::Done),
-        saved: false,
+        exit_reason: Some(ExitReason::Done),
+        checkpointed: false,
     });
-    assert!(l.on_beat(&ended, 215).is_some());
+    assert!(l.on_heartbeat(&ended, 215).is_some());
 }
 
 fn placed(l: &Leader, job: u32) -> u32 {
@@ -151,7 +151,7 @@
     assert!(placed(&l, first) < STEPS && placed(&l, first) > STEPS / 2);
     assert_eq!(placed(&l, second), 0, "the earlier job has its turn");
     assert!(l.has_work(), "the loop comes back at once");
-    let answer = l.on_beat(&report(3, 2), 210).unwrap();
+    let answer = l.on_heartbeat(&report(3, 2), 210).unwrap();
     assert!(!answer.commands.is_empty(), "what was placed is started");
     // A job that comes meanwhile is served by the pass after this one.
     let third = accept(&mut l, 3, "array", 10);
@@ -181,8 +181,8 @@
         .unwrap();
     let had = l.cluster.machine(next).unwrap().live_tasks();
     let mut leaving = report(next as usize, 2);
-    leaving.notice_s = Some(60.0);
-    assert!(l.on_beat(&leaving, 210).is_some());
+    leaving.reclaim_in_s = Some(60.0);
+    assert!(l.on_heartbeat(&leaving, 210).is_some());
     l.cancel("j-000002");
     for n in 0..5 {
         l.tick(220 + n, 220 + n);
@@ -223,8 +223,8 @@
     assert_eq!(placed(&l, gang), 0);
     // One machine less, and 3,900 cores are not enough for both.
     let mut leaving = report(MACHINES - 1, 2);
-    leaving.notice_s = Some(60.0);
-    assert!(l.on_beat(&leaving, 210).is_some());
+    leaving.reclaim_in_s = Some(60.0);
+    assert!(l.on_heartbeat(&leaving, 210).is_some());
     for n in 0..6 {
         l.tick(220 + n, 220 + n);
         assert_eq!(placed(&l, gang), 0, "round {n}");
@@ -294,14 +294,14 @@
     for n in 0..MACHINES {
         let mut report = report_in_term(2, n, 9);
         let placed = &first.cluster.machine(n as u32).unwrap().tasks;
-        report.tasks.extend(placed.iter().map(|a| ReportedTask {
+        report.tasks.extend(placed.iter().map(|a| TaskStatus {
             task: a.name.clone(),
             attempt: a.attempt,
             state: TaskState::Running,
-            why: None,
-            saved: false,
+            exit_reason: None,
+            checkpointed: false,
         }));
-        assert!(next.on_beat(&report, 300).is_some());
+        assert!(next.on_heartbeat(&report, 300).is_some());
     }
     for now in 300..304 {
         next.tick(now, now);
--- a/tests/simulation/check.rs
+++ b/tests/simulation/check.rs
@@ -27,7 +27,7 @@
                 *zones.entry(&self.workers[i].zone).or_default() += 1;
             }
         }
-        if spec.one_zone && zones.len() > 1 {
+        if spec.single_zone && zones.len() > 1 {
             found.push(format!("wrong_place: {name}, {zones:?}"));
         }
         if spec.spread && zones.values().any(|n| *n > spec.tasks.div_ceil(2)) {
@@ -36,7 +36,7 @@
         if self.workers[w].spot && !spec.spot {
             found.push(format!("wrong_place: {name} on a spot machine"));
         }
-        for need in &spec.needs {
+        for need in &spec.dependencies {
             // A report is not enough: whoever leads next must know of it.
             let done = self.store.kv.get(&records::final_key(need));
             if done.is_none_or(|(v, _)| v["s"] != "done") {
@@ -54,7 +54,7 @@
         let mut first = self.told.get(&format!("{id}!")).map(|t| t.1);
         let (mut all, mut seen) = (vec![id.to_owned()], BTreeSet::new());
         while let Some(id) = all.pop() {
-            for need in self.specs.get(&id).map_or(&[][..], |s| &s.needs) {
+            for need in self.specs.get(&id).map_or(&[][..], |s| &s.dependencies) {
                 if seen.insert(need.clone()) {
                     let at = self.told.get(&format!("{need}!")).map(|t| t.1);
                     first = first.into_iter().chain(at).min();
@@ -92,7 +92,7 @@
             if seen.insert(id.clone())
                 && let Some(s) = self.specs.get(&id)
             {
-                all.extend(s.needs.iter().cloned());
+                all.extend(s.dependencies.iter().cloned());
             }
         }
         false
@@ -155,7 +155,7 @@
         let mut waiting = BTreeSet::new();
         for (id, spec) in &self.specs {
             let known = self.submitted.contains_key(id) && !self.done(id);
-            let free = spec.needs.iter().all(|n| self.done(n));
+            let free = spec.dependencies.iter().all(|n| self.done(n));
             if !known || !free || self.faulty.contains(id) || self.cancelling.contains(id) {
                 continue;
             }
@@ -174,7 +174,7 @@
             let fits = fits.map(|w| 2 - used(w)).sum::<usize>();
             let wants = if spec.kind == Kind::Gang { tasks } else { 1 };
             // Rules for zones are looked at by the other checks.
-            let apart = spec.spread || spec.one_zone;
+            let apart = spec.spread || spec.single_zone;
             if tasks > 0 && under && fits >= wants && !apart {
                 waiting.insert(id.clone());
             }
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -30,7 +30,7 @@
         exclusions::{self, Exclusions, Step, exclusion_txn, readmission_txn},
         failure_detector::{FailureDetector, PeerHealth, RedirectTarget},
         heartbeat_relay::Relays,
-        leader::{CloudOp, Direct, DirectOutcome, Leader, Plan},
+        leader::{CloudOp, DirectDelivery, DirectDeliveryOutcome, Leader, Plan},
         polls::Finals,
         requests::{Answer, TxnResult, final_status},
         safety_bounds::SafetyBounds,
@@ -41,9 +41,12 @@
         cloud::MachineType,
         peers::Follow,
         settings::{NextLimits, Peer, Settings},
-        state::{Guard, Txn, Write},
+        state::{Condition, Txn, Write},
         users::{JobSpec, JobState, JobStatus, Kind, Priority},
-        workers::{Command, DirectOrder, Report, ReportReply, ReportedTask, TaskState, Why},
+        workers::{
+            Command, DirectCommands, ExitReason, Heartbeat, HeartbeatResponse, TaskState,
+            TaskStatus,
+        },
     },
     state::{
         Ms,
@@ -134,14 +137,14 @@
         image_gb: 1.0,
         types: None,
         zone: None,
-        one_zone: false,
+        single_zone: false,
         spread: false,
         spot: true,
         estimate_s: 10.0,
-        checkpoint_s: 0.0,
-        save_s: 0.0,
+        checkpoint_interval_s: 0.0,
+        checkpoint_cost_s: 0.0,
         deadline_s: None,
-        needs: Vec::new(),
+        dependencies: Vec::new(),
     }
 }
 
@@ -183,7 +186,7 @@
     pub name: String,
     pub attempt: u64,
     pub state: TaskState,
-    pub why: Option<Why>,
+    pub why: Option<ExitReason>,
     pub until: Ms,
 }
 
@@ -239,7 +242,7 @@
     pub copies: u32,
     /// Some reports are kept for the next leader, and those that are.
     pub keep_copies: bool,
-    kept: Vec<(usize, Report)>,
+    kept: Vec<(usize, Heartbeat)>,
     /// Kept reports that came to a new leader.
     pub copied: u32,
     /// Extra delay of all between a worker and the controllers.
--- a/tests/simulation/net.rs
+++ b/tests/simulation/net.rs
@@ -51,14 +51,14 @@
 
 #[derive(Clone)]
 pub(super) enum Msg {
-    Beat(usize, usize, Report, Ms),
+    Beat(usize, usize, Heartbeat, Ms),
     /// A report that comes once more: nobody waits for the answer.
-    Copy(usize, usize, Report),
+    Copy(usize, usize, Heartbeat),
     /// Passed on by the first node to the second.
-    Relay(usize, usize, usize, Report, Ms),
-    Reply(usize, usize, Option<ReportReply>, u64, u64, Ms),
-    Do(usize, usize, u64, DirectOrder),
-    Done(usize, u64, String, u64, Option<(bool, Report)>),
+    Relay(usize, usize, usize, Heartbeat, Ms),
+    Reply(usize, usize, Option<HeartbeatResponse>, u64, u64, Ms),
+    Do(usize, usize, u64, DirectCommands),
+    Done(usize, u64, String, u64, Option<(bool, Heartbeat)>),
     /// The first node tells the second, its standby.
     Tell(usize, usize, Follow),
     /// The second node's answer to the first, which led that term, about that
@@ -151,10 +151,10 @@
 
     /// So late that it says nothing any more, a copy of a report comes to some
     /// node.
-    pub(super) fn copy(&mut self, w: usize, report: &Report) {
+    pub(super) fn copy(&mut self, w: usize, report: &Heartbeat) {
         if self.keep_copies {
             // Of each machine two, none of them soon after the other.
-            let of = |r: &&(usize, Report)| r.0 == w;
+            let of = |r: &&(usize, Heartbeat)| r.0 == w;
             if self.kept.iter().filter(of).count() < 2 && self.rng.u8(..3) == 0 {
                 self.kept.push((w, report.clone()));
             }
@@ -283,17 +283,17 @@
         }
     }
 
-    pub(super) fn send_direct(&mut self, i: usize, term: u64, d: Direct) {
+    pub(super) fn send_direct(&mut self, i: usize, term: u64, d: DirectDelivery) {
         let Some(w) = self.workers.iter().position(|w| w.name == d.machine) else {
             return;
         };
         // No answer within two seconds, unless one comes.
         self.directs
-            .insert((i, term, d.machine.clone(), d.order.token));
-        let lost = Msg::Done(i, term, d.machine.clone(), d.order.token, None);
+            .insert((i, term, d.machine.clone(), d.commands.fencing_token));
+        let lost = Msg::Done(i, term, d.machine.clone(), d.commands.fencing_token, None);
         self.wire.push((self.now + DIRECT_COMMAND_TIMEOUT_MS, lost));
         let delay = self.slow_do.get(&w).copied().unwrap_or(5);
-        self.send(i, w, delay, Msg::Do(i, w, term, d.order));
+        self.send(i, w, delay, Msg::Do(i, w, term, d.commands));
     }
 
     pub(super) fn deliver(&mut self, msg: Msg) {
@@ -330,7 +330,7 @@
             Msg::Relay(via, i, w, report, sent) => {
                 let reply = self.answer(i, &report);
                 if reply.is_some() && self.link(via, EndLease::Node(i)) == Link::Up {
-                    let (session, seq) = (report.session, report.seq);
+                    let (session, seq) = (report.incarnation, report.seq);
                     self.send(via, w, 5, Msg::Reply(w, via, reply, session, seq, sent));
                 }
             }
@@ -364,11 +364,11 @@
                 };
                 let worker = &mut self.workers[w];
                 worker.flight = None;
-                if session != worker.session || reply.token < worker.token {
+                if session != worker.session || reply.fencing_token < worker.token {
                     return;
                 }
-                if reply.token > worker.token {
-                    worker.token = reply.token;
+                if reply.fencing_token > worker.token {
+                    worker.token = reply.fencing_token;
                     worker.dirty = true;
                 }
                 worker.last_ok = sent;
@@ -379,16 +379,16 @@
                 if !worker.alive {
                     return;
                 }
-                let ok = order.token >= worker.token && order.session == worker.session;
+                let ok = order.fencing_token >= worker.token && order.incarnation == worker.session;
                 if ok {
-                    worker.token = order.token;
+                    worker.token = order.fencing_token;
                     self.execute(w, order.commands);
                 }
                 let report = self.report(w);
                 let name = report.machine.clone();
                 let answers = matches!(self.workers[w].net, Net::Up | Net::Mute);
                 if answers && self.link(i, EndLease::Worker(w)) == Link::Up {
-                    let done = Msg::Done(i, term, name, order.token, Some((ok, report)));
+                    let done = Msg::Done(i, term, name, order.fencing_token, Some((ok, report)));
                     self.wire.push((now + 5, done));
                 }
             }
@@ -401,12 +401,12 @@
                     return;
                 };
                 let outcome = match answer {
-                    Some((true, r)) => DirectOutcome::Executed(r),
-                    Some((false, r)) => DirectOutcome::Refused(Some(r)),
+                    Some((true, r)) => DirectDeliveryOutcome::Executed(r),
+                    Some((false, r)) => DirectDeliveryOutcome::Refused(Some(r)),
                     // The time limit, unless it was answered.
-                    None => DirectOutcome::NoAnswer,
+                    None => DirectDeliveryOutcome::NoAnswer,
                 };
-                l.direct_done(&name, token, outcome, now);
+                l.direct_delivery_finished(&name, token, outcome, now);
             }
         }
     }
@@ -418,25 +418,25 @@
         peers_of(i, self.nodes.len()).position(|j| j == leader)
     }
 
-    fn answer(&mut self, i: usize, report: &Report) -> Option<ReportReply> {
+    fn answer(&mut self, i: usize, report: &Heartbeat) -> Option<HeartbeatResponse> {
         let now = self.now;
         let node = &mut self.nodes[i];
         if !node.alive {
             return None;
         }
         node.election.authority(now)?;
-        let reply = node.leader.as_mut()?.on_beat(report, now)?;
+        let reply = node.leader.as_mut()?.on_heartbeat(report, now)?;
         node.last_beat = now;
         Some(reply)
     }
 
-    fn beat(&mut self, i: usize, w: usize, report: Report, sent: Ms) {
+    fn beat(&mut self, i: usize, w: usize, report: Heartbeat, sent: Ms) {
         if !self.nodes[i].alive {
             return;
         }
         let now = self.now;
         let reply = self.answer(i, &report);
-        let (session, seq) = (report.session, report.seq);
+        let (session, seq) = (report.incarnation, report.seq);
         if reply.is_none()
             && let Some(leader) = self.known_leader(i)
             && matches!(
--- a/tests/simulation/nodes.rs
+++ b/tests/simulation/nodes.rs
@@ -110,7 +110,7 @@
         }
         let term = l.term;
         self.warm += u32::from(loads && l.is_warm());
-        let directs = l.directs(now);
+        let directs = l.direct_deliveries(now);
         let ops = l.cloud_ops(now, now);
         for d in directs {
             self.send_direct(i, term, d);
@@ -146,7 +146,7 @@
     fn cloud(&mut self, i: usize, term: u64, op: CloudOp) {
         let now = self.now;
         match op {
-            CloudOp::Rent(r) => {
+            CloudOp::MachineRequest(r) => {
                 self.asked_for += r.count;
                 let names: Vec<String> = if self.rents {
                     (0..r.count.min(4))
@@ -355,12 +355,12 @@
         let incarnation = self.nodes[i].election.incarnation;
         let value = serde_json::json!({"n": format!("n{i}"), "i": incarnation});
         let txn = Txn {
-            guards: vec![
-                Guard {
+            conditions: vec![
+                Condition {
                     key: LEADER.into(),
                     version,
                 },
-                Guard {
+                Condition {
                     key: records::exclusion_key(&format!("n{i}")),
                     version: 0,
                 },
--- a/tests/simulation/standbys.rs
+++ b/tests/simulation/standbys.rs
@@ -2,7 +2,7 @@
 //! the record names knows at least all that is on machines.
 
 use super::*;
-use pathwinch::{protocol::workers::split_task, state::records::StandbyRecord};
+use pathwinch::{protocol::workers::parse_task_name, state::records::StandbyRecord};
 
 impl World {
     fn record_of_standbys(&self) -> Option<(StandbyRecord, u64)> {
@@ -194,7 +194,7 @@
             };
             for w in &self.workers {
                 for (name, attempt) in live(w) {
-                    let (id, task) = split_task(&name).unwrap();
+                    let (id, task) = parse_task_name(&name).unwrap();
                     if !copy.holds(&w.name, id, task, attempt) {
                         found.push(format!("n{j} does not know of {name} on {}", w.name));
                     }
--- a/tests/simulation/store.rs
+++ b/tests/simulation/store.rs
@@ -76,7 +76,7 @@
     pub fn apply(&mut self, txn: &Txn) -> Result<u64, Vec<String>> {
         let ops = self.txn_ops;
         assert!(
-            txn.writes.len() <= ops && txn.guards.len() <= 4 * ops,
+            txn.writes.len() <= ops && txn.conditions.len() <= 4 * ops,
             "txn_ops"
         );
         assert!(serde_json::to_vec(txn).unwrap().len() <= 65536, "64 KiB");
@@ -89,7 +89,7 @@
             return Err(Vec::new());
         }
         let failed: Vec<String> = txn
-            .guards
+            .conditions
             .iter()
             .filter(|g| self.kv.get(&g.key).map_or(0, |v| v.1) != g.version)
             .map(|g| g.key.clone())
--- a/tests/simulation/workers.rs
+++ b/tests/simulation/workers.rs
@@ -23,32 +23,32 @@
     }
 
     /// A report as the worker would send it now.
-    pub fn report_of(&mut self, w: usize) -> Report {
+    pub fn report_of(&mut self, w: usize) -> Heartbeat {
         self.report(w)
     }
 
-    pub(super) fn report(&mut self, w: usize) -> Report {
+    pub(super) fn report(&mut self, w: usize) -> Heartbeat {
         let worker = &mut self.workers[w];
         worker.seq += 1;
-        Report {
+        Heartbeat {
             machine: worker.name.clone(),
             addr: "127.0.0.1:9".into(),
             type_name: "m8".into(),
             zone: worker.zone.clone(),
             spot: worker.spot,
-            session: worker.session,
+            incarnation: worker.session,
             seq: worker.seq,
-            token: worker.token,
-            notice_s: None,
+            acknowledged_token: worker.token,
+            reclaim_in_s: None,
             tasks: worker
                 .tasks
                 .iter()
-                .map(|t| ReportedTask {
+                .map(|t| TaskStatus {
                     task: t.name.clone(),
                     attempt: t.attempt,
                     state: t.state,
-                    why: t.why,
-                    saved: false,
+                    exit_reason: t.why,
+                    checkpointed: false,
                 })
                 .collect(),
         }
@@ -80,11 +80,11 @@
                         .filter(|t| t.state != TaskState::Exited)
                         .count();
                     let why = if other {
-                        Some(Why::Busy)
+                        Some(ExitReason::DuplicateTask)
                     } else if live >= 2 {
-                        Some(Why::NoRoom)
+                        Some(ExitReason::InsufficientResources)
                     } else if !self.specs.contains_key(&id) {
-                        Some(Why::Unknown)
+                        Some(ExitReason::UnknownTask)
                     } else {
                         None
                     };
@@ -108,13 +108,13 @@
                     {
                         if t.state != TaskState::Exited {
                             t.state = TaskState::Exited;
-                            t.why = Some(Why::Stopped);
+                            t.why = Some(ExitReason::Stopped);
                         }
                     }
                 }
-                Command::Forget { task, attempt } => {
+                Command::Reap { task, attempt } => {
                     let done = worker.tasks.iter().any(|t| {
-                        t.name == task && t.attempt == attempt && t.why == Some(Why::Done)
+                        t.name == task && t.attempt == attempt && t.why == Some(ExitReason::Done)
                     });
                     if done && !self.recorded(&task) {
                         self.broken.push(format!("reaped before recorded: {task}"));
@@ -178,7 +178,7 @@
             match t.state {
                 TaskState::Fetching if worker.sick || self.faulty.contains(&spec.id) => {
                     t.state = TaskState::Exited;
-                    t.why = Some(Why::Error);
+                    t.why = Some(ExitReason::Error);
                     self.failed += 1;
                     worker.dirty = true;
                 }
@@ -194,7 +194,7 @@
                 }
                 TaskState::Running => {
                     t.state = TaskState::Exited;
-                    t.why = Some(Why::Done);
+                    t.why = Some(ExitReason::Done);
                     self.finished.insert(t.name.clone());
                     worker.dirty = true;
                 }
--- a/tests/standby.rs
+++ b/tests/standby.rs
@@ -438,7 +438,7 @@
         spread.spread = true;
         w.submit(spread);
         let mut gang = job(2, Kind::Gang, 3);
-        gang.one_zone = true;
+        gang.single_zone = true;
         w.submit(gang);
         w.submit(job(3, Kind::Array, 40));
         // The team's limit is reached: 48 CPUs at 4 a task.
@@ -545,7 +545,7 @@
         "lendback": false, "tenure": 1, "tick": 5, "baton": 9u64 << 20,
         "reclaim_in_s": null, "pieces": []});
     let report = serde_json::from_value(report).unwrap();
-    assert!(l.on_beat(&report, now).is_some());
+    assert!(l.on_heartbeat(&report, now).is_some());
 }
 
 fn tasks_on(l: &Leader, n: u32) -> Vec<(u32, u64)> {
@@ -645,7 +645,7 @@
         let tasks = w.rng.u32(1..6);
         let mut j = job(n, kind, tasks);
         j.spread = w.rng.u8(..4) == 0;
-        j.one_zone = !j.spread && w.rng.u8(..4) == 0;
+        j.single_zone = !j.spread && w.rng.u8(..4) == 0;
         w.submit(j);
         let pause = w.rng.u64(0..20) * STEP;
         w.run(pause);
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -110,7 +110,7 @@
             .insert(records::final_key(&id(n)), (value, revision));
     }
     let mut spec = job(9_001, Kind::Array, 2);
-    spec.needs = (1..5_000).chain([9_000]).map(id).collect();
+    spec.dependencies = (1..5_000).chain([9_000]).map(id).collect();
     assert!(serde_json::to_vec(&spec).unwrap().len() < 65_536);
     w.submit(spec);
     crash_leader(&mut w, 500);
