--- a/src/control/leader/dependencies.rs
+++ b/src/control/leader/dependencies.rs
@@ -10,7 +10,7 @@
     /// How a job stands that another names.
     fn standing(&self, id: &str) -> Need {
         let Some(ix) = self.cluster.job_index(id) else {
-            return match self.finals.get(id).map(|s| s.state) {
+            return match self.final_states.get(id).map(|s| s.state) {
                 Some(JobState::Done) => Need::Done,
                 Some(_) => Need::Withdrawn,
                 None => Need::Unknown,
@@ -35,13 +35,13 @@
         let needs = j.spec.dependencies.iter();
         let needs: Vec<(&str, Need)> = needs.map(|n| (n.as_str(), self.standing(n))).collect();
         if !needs.is_empty() {
-            self.chains.add(ix, own, needs);
+            self.dependencies.add(ix, own, needs);
         }
-        if self.chains.seeks(&id) {
+        if self.dependencies.seeks(&id) {
             let need = self.standing_of(ix);
-            self.chains.found(&id, need);
+            self.dependencies.found(&id, need);
         }
-        let gate = self.chains.gate(ix);
+        let gate = self.dependencies.gate(ix);
         if let Some(j) = self.cluster.job_mut(ix) {
             j.readiness = gate;
         }
@@ -49,10 +49,10 @@
 
     /// Lets go what became ready and withdraws what can't become so any more.
     pub(super) fn follow_chains(&mut self, now: Ms) {
-        let (changed, lost) = self.chains.take();
+        let (changed, lost) = self.dependencies.take();
         for ix in changed {
-            let gate = self.chains.gate(ix);
-            let rank = self.chains.priority(ix);
+            let gate = self.dependencies.gate(ix);
+            let rank = self.dependencies.priority(ix);
             let wall = self.wall_ms;
             let Some(j) = self.cluster.job_mut(ix) else {
                 continue;
@@ -76,7 +76,7 @@
             log::debug!("job {} has all that it needs", j.id);
             self.note_arrival(ix, now);
         }
-        for ix in lost.into_iter().filter(|ix| self.chains.is_lost(*ix)) {
+        for ix in lost.into_iter().filter(|ix| self.dependencies.is_lost(*ix)) {
             if let Some(j) = self.cluster.job_mut(ix).filter(|j| !j.cancelled) {
                 log::info!("job {} goes with a job that it needs", j.id);
                 j.cancel_requested = true;
@@ -87,14 +87,14 @@
     /// Jobs named by others of which the records are to be asked.
     pub fn sought(&mut self) -> Vec<String> {
         match self.recovery.loaded {
-            true => self.chains.seek(SOUGHT),
+            true => self.dependencies.seek(SOUGHT),
             false => Vec::new(),
         }
     }
 
     /// They could not be read.
     pub fn not_found(&mut self, ids: Vec<String>) {
-        self.chains.seek_again(ids);
+        self.dependencies.seek_again(ids);
     }
 
     /// A job that was sought has this final state.
@@ -104,7 +104,7 @@
             JobState::Done => Need::Done,
             _ => Need::Withdrawn,
         };
-        self.chains.found(&status.id, need);
+        self.dependencies.found(&status.id, need);
         self.changed = true;
     }
 
@@ -120,7 +120,7 @@
             {
                 Some(j) if j.spec.kind == Kind::Service => return Err(id.clone()),
                 Some(_) => {}
-                None if self.finals.get(id).is_some() => {}
+                None if self.final_states.get(id).is_some() => {}
                 None => unknown.push(id.clone()),
             }
         }
@@ -129,7 +129,7 @@
 
     /// Until when jobs of chains have to be done, by the time of day.
     pub(super) fn due_in_chains(&self) -> HashMap<u32, u64> {
-        self.chains.due_by(|ix| {
+        self.dependencies.due_by(|ix| {
             self.cluster.job(ix).map_or((None, 0), |j| {
                 let due = j.spec.deadline_s.map(|d| j.accepted_at_ms + millis(d));
                 (due, millis(j.spec.estimate_s))
@@ -139,7 +139,7 @@
 
     /// Jobs that it waits for, with how each stands.
     pub(super) fn open_needs(&self, ix: u32, most: usize) -> (Vec<(String, String)>, usize) {
-        let (live, sought) = self.chains.open(ix);
+        let (live, sought) = self.dependencies.open(ix);
         let mut live: Vec<&Job> = live.filter_map(|b| self.cluster.job(b)).collect();
         live.sort_by(|a, b| a.id.cmp(&b.id));
         let all = live.len() + sought;
--- a/src/control/leader/expiry.rs
+++ b/src/control/leader/expiry.rs
@@ -4,9 +4,9 @@
 
 /// So many machines that are overdue at once, if they are most of all, show
 /// that this node does not hear, not that they are gone.
-const DEAF: usize = 3;
+const MIN_OVERDUE_MACHINES: usize = 3;
 /// Until others have found their way to it.
-const DEAF_FOR: Ms = 5_000;
+const NO_SCALE_OUT_MS: Ms = 5_000;
 
 impl Leader {
     /// This process stood still, or could not keep up, until now. What came
@@ -14,17 +14,17 @@
     ///
     /// That a lease has lapsed is another matter: nothing was answered while
     /// the process stood still, so it has.
-    pub fn stood_still(&mut self, now: Ms) {
-        self.recovery.resumed = now;
+    pub fn process_resumed(&mut self, now: Ms) {
+        self.recovery.resumed_at = now;
     }
 
     /// Machines whose reports are overdue, and how many others there are.
-    pub fn unheard(&self, now: Ms) -> (Vec<String>, usize) {
+    pub fn overdue_machines(&self, now: Ms) -> (Vec<String>, usize) {
         let report = millis(self.settings.cluster.workers.report_s);
         let mut heard = 0;
         let mut names = Vec::new();
         for m in self.cluster.each_machine().filter(|m| m.up) {
-            if now > m.last_heartbeat.max(self.recovery.resumed) + report + report / 2 + 500 {
+            if now > m.last_heartbeat.max(self.recovery.resumed_at) + report + report / 2 + 500 {
                 names.push(m.name.clone());
             } else {
                 heard += 1;
@@ -34,10 +34,10 @@
         (names, heard)
     }
 
-    pub(super) fn lapse(&mut self, now: Ms) {
+    pub(super) fn expire_leases(&mut self, now: Ms) {
         let after = self.lease_expiry();
         let overdue = millis(self.settings.cluster.workers.report_s * 2.5) + 500;
-        let resumed = self.recovery.resumed;
+        let resumed = self.recovery.resumed_at;
         let mut silent = vec![0; self.cluster.zones.len()];
         let (mut up, mut overdue_now, mut unheard) = (0, 0, 0);
         for ix in self.cluster.machine_range() {
@@ -82,16 +82,19 @@
             self.cluster.clear_machine(ix);
             self.changed = true;
         }
-        (self.recovery.heard, self.recovery.unheard) = (up, unheard);
-        if overdue_now >= DEAF && 2 * overdue_now > up {
-            self.renting.deaf_until = now + DEAF_FOR;
+        (
+            self.recovery.responsive_machines,
+            self.recovery.unconfirmed_machines,
+        ) = (up, unheard);
+        if overdue_now >= MIN_OVERDUE_MACHINES && 2 * overdue_now > up {
+            self.scaling.no_scale_out_until = now + NO_SCALE_OUT_MS;
         }
-        self.judge_zones(&silent, overdue, now);
+        self.update_zone_health(&silent, overdue, now);
     }
 
     /// A machine is to be taken away: tasks that can save do so now, as the
     /// notice may be half as long as it says. The others may yet complete.
-    pub(super) fn save_before_notice(&mut self) {
+    pub(super) fn checkpoint_before_reclaim(&mut self) {
         for ix in self.cluster.machine_range() {
             let Some(m) = self.cluster.machine(ix).filter(|m| m.reclaim_at.is_some()) else {
                 continue;
@@ -115,7 +118,7 @@
     }
 
     /// Tasks of withdrawn jobs, and what is left of gangs that lost a task.
-    pub(super) fn stop_what_must(&mut self) {
+    pub(super) fn stop_cancelled_and_broken_gangs(&mut self) {
         let mut stop = Vec::new();
         for (ix, job) in self.cluster.jobs.iter().enumerate() {
             if let Some(j) = job
@@ -124,7 +127,7 @@
                     || j.cancel_indeterminate
                     || j.spec.kind == Kind::Gang
                         && j.waiting_count() > 0
-                        && self.hears_all_of(ix as u32)
+                        && self.hears_all_tasks_of(ix as u32)
                         && self.gang_to_complete(ix as u32).is_none())
             {
                 stop.push(ix as u32);
--- a/src/control/leader/failover.rs
+++ b/src/control/leader/failover.rs
@@ -14,21 +14,21 @@
 
 /// What this node brought with it when it became leader.
 #[derive(Default)]
-pub(super) struct Takeover {
+pub(super) struct Failover {
     /// Its process, and the copy it kept.
-    brought: Option<(u64, Option<Copy>)>,
+    inherited: Option<(u64, Option<Copy>)>,
     record: Option<StandbyRecord>,
     /// It knows at least all that may run, heard or not.
     pub(super) warm: bool,
     /// Why it is not.
-    cold: Option<&'static str>,
+    cold_reason: Option<&'static str>,
     /// Starts may go that had to wait for a confirmation.
-    pub(super) released: bool,
+    pub(super) starts_released: bool,
 }
 
-impl Takeover {
+impl Failover {
     pub(super) fn text(&self) -> String {
-        match (self.warm, self.cold) {
+        match (self.warm, self.cold_reason) {
             (true, _) => "warm".into(),
             (false, Some(why)) => format!("cold: {why}"),
             (false, None) => String::new(),
@@ -39,23 +39,23 @@
 impl Leader {
     /// This node's process, and the copy that it kept as a standby.
     pub fn inherit(&mut self, incarnation: u64, copy: Option<Copy>) {
-        self.recovery.takeover.brought = Some((incarnation, copy));
+        self.recovery.failover.inherited = Some((incarnation, copy));
     }
 
     /// Who was named, as read in this term.
     pub fn load_standbys(&mut self, found: Option<(StandbyRecord, u64)>) {
-        self.recovery.takeover.record = found.as_ref().map(|(r, _)| r.clone());
+        self.recovery.failover.record = found.as_ref().map(|(r, _)| r.clone());
         self.standbys.loaded(found);
     }
 
     pub fn is_warm(&self) -> bool {
-        self.recovery.takeover.warm
+        self.recovery.failover.warm
     }
 
     /// No task of the job is on a machine that has not been heard yet: what
     /// state it is in there is not known.
-    pub(super) fn hears_all_of(&self, job_ix: u32) -> bool {
-        if self.recovery.settled || !self.recovery.takeover.warm {
+    pub(super) fn hears_all_tasks_of(&self, job_ix: u32) -> bool {
+        if self.recovery.settled || !self.recovery.failover.warm {
             return self.recovery.settled;
         }
         let mut on = self.cluster.live_tasks_of(job_ix);
@@ -67,21 +67,21 @@
     }
 
     /// The first thing done with authority once the records are read.
-    pub(super) fn take_over(&mut self, now: Ms) {
-        self.recovery.takeover.released = false;
-        let Some((incarnation, copy)) = self.recovery.takeover.brought.take() else {
+    pub(super) fn fail_over(&mut self, now: Ms) {
+        self.recovery.failover.starts_released = false;
+        let Some((incarnation, copy)) = self.recovery.failover.inherited.take() else {
             return;
         };
         let claim = Claim {
             me: &self.settings.name,
             incarnation,
-            record: self.recovery.takeover.record.as_ref(),
+            record: self.recovery.failover.record.as_ref(),
             copy: copy.as_ref(),
         };
         match (failover_checks::judge(&claim), copy) {
             (Ok(()), Some(copy)) => {
-                let (held, machines) = self.go_by(&copy, now);
-                self.recovery.takeover.warm = true;
+                let (held, machines) = self.restore_from_replica(&copy, now);
+                self.recovery.failover.warm = true;
                 self.changed = true;
                 self.events.tally.took_over = Some("warm");
                 log::info!(
@@ -92,7 +92,7 @@
             }
             (Ok(()), None) => {}
             (Err(why), _) => {
-                self.recovery.takeover.cold = Some(why.text());
+                self.recovery.failover.cold_reason = Some(why.text());
                 self.events.tally.took_over = Some(why.text());
                 log::info!("term {} takes over cold: {}", self.term, why.text());
             }
@@ -102,7 +102,7 @@
     /// Puts into the picture what may be on machines that were not heard yet,
     /// and what has completed. Those heard have said themselves what they hold.
     /// Returns how many tasks on how many machines.
-    fn go_by(&mut self, copy: &Copy, now: Ms) -> (usize, usize) {
+    fn restore_from_replica(&mut self, copy: &Copy, now: Ms) -> (usize, usize) {
         let all = copy.latest_first();
         // Guards against doing once more what ended before the old leader
         // could record it.
@@ -117,7 +117,7 @@
         }
         let mut held = 0;
         for (machine, job, may_run) in all.into_iter().filter(|(.., t)| t.3 != Seen::Done) {
-            held += usize::from(self.put_back(machine, job, may_run, now));
+            held += usize::from(self.restore_task(machine, job, may_run, now));
         }
         let unheard = self.cluster.each_machine().filter(|m| m.contents_unknown);
         (held, unheard.count())
@@ -125,7 +125,7 @@
 
     /// What is not in the roster any more, or is noted to be empty, is surely
     /// gone, and so is all of a job that has no record.
-    fn put_back(&mut self, machine: &str, job: &str, may_run: MayRun, now: Ms) -> bool {
+    fn restore_task(&mut self, machine: &str, job: &str, may_run: MayRun, now: Ms) -> bool {
         let MayRun(task, attempt, _, seen) = may_run;
         let (Some(ix), Some(job_ix)) = (
             self.cluster.machine_index(machine),
@@ -172,14 +172,14 @@
         if !self.recovery.loaded {
             return None;
         }
-        let complete = self.recovery.knows_all();
+        let complete = self.recovery.knows_all_tasks();
         self.standbys
             .step(&mut self.cluster, complete, answers, now)
     }
 
     /// How the write of the record of standbys came out.
     pub fn standbys_written(&mut self, how: Written, now: Ms) {
-        self.recovery.takeover.released |= self.standbys.written(how, now);
+        self.recovery.failover.starts_released |= self.standbys.written(how, now);
     }
 
     pub fn warm_standbys(&self, now: Ms) -> usize {
@@ -192,12 +192,13 @@
     }
 
     /// What a peer is to be told next.
-    pub fn next_told(&mut self, peer: usize, now: Ms) -> Option<Follow> {
+    pub fn next_replication_part(&mut self, peer: usize, now: Ms) -> Option<Follow> {
         self.standbys.next(peer, &mut self.cluster, now)
     }
 
     /// Who answered, and whether it was taken in; `None`: no answer.
-    pub fn told_standby(&mut self, peer: usize, answer: Option<(u64, bool)>, now: Ms) {
-        self.recovery.takeover.released |= self.standbys.answered(peer, answer, &self.cluster, now);
+    pub fn replication_answered(&mut self, peer: usize, answer: Option<(u64, bool)>, now: Ms) {
+        self.recovery.failover.starts_released |=
+            self.standbys.answered(peer, answer, &self.cluster, now);
     }
 }
--- a/src/control/leader/fleet_view.rs
+++ b/src/control/leader/fleet_view.rs
@@ -24,15 +24,15 @@
     /// against room that goes to whoever is next in a pass that was
     /// interrupted, past earlier jobs that had found none.
     pub(super) fn refresh_fleet(&mut self, now: Ms) {
-        let planning = &mut self.planning;
+        let planning = &mut self.scheduling;
         planning.fleet.set_policy(&planning.policy);
         for ix in self.cluster.take_stale() {
             let usable = self.cluster.machine(ix).filter(|m| m.schedulable());
             let room = usable.map(room_of);
-            if !planning.in_pass {
+            if !planning.in_cycle {
                 planning.fleet.set(ix, room, now);
             } else if planning.fleet.set_without_gain(ix, room, now) {
-                planning.gained.insert(ix);
+                planning.machines_with_gain.insert(ix);
             }
         }
         planning.fleet.advance(now);
@@ -40,9 +40,9 @@
 
     /// The pass is over: what machines have gained meanwhile counts.
     pub(super) fn end_pass(&mut self) {
-        self.planning.in_pass = false;
-        self.planning.fleet.release_withheld();
-        for ix in std::mem::take(&mut self.planning.gained) {
+        self.scheduling.in_cycle = false;
+        self.scheduling.fleet.release_withheld();
+        for ix in std::mem::take(&mut self.scheduling.machines_with_gain) {
             self.cluster.mark_stale(ix);
         }
     }
@@ -51,7 +51,7 @@
     pub(super) fn ranking_for(&mut self, job_ix: u32, now: Ms) -> Option<RankingId> {
         self.refresh_fleet(now);
         let request = self.request_of(self.cluster.job(job_ix)?, now);
-        Some(self.planning.fleet.ranking(&request, now))
+        Some(self.scheduling.fleet.ranking(&request, now))
     }
 
     fn request_of(&self, job: &Job, now: Ms) -> Request {
--- a/src/control/leader/gang_reservation.rs
+++ b/src/control/leader/gang_reservation.rs
@@ -73,7 +73,7 @@
         for (machine, tasks) in self.rooms_for_gang(job_ix, zone, ranking, now) {
             let tasks = tasks.min(left);
             if tasks > 0 {
-                self.planning.fleet.withhold(machine, need.scaled(tasks));
+                self.scheduling.fleet.withhold(machine, need.scaled(tasks));
             }
             left -= tasks;
         }
@@ -91,7 +91,7 @@
         let Some(j) = self.cluster.job(job_ix) else {
             return Vec::new();
         };
-        let fleet = &self.planning.fleet;
+        let fleet = &self.scheduling.fleet;
         let open = |machine: &u32| {
             let m = self.cluster.machine(*machine);
             m.is_some_and(|m| j.allows(m) && m.available_to(job_ix, now))
--- a/src/control/leader/headroom.rs
+++ b/src/control/leader/headroom.rs
@@ -62,17 +62,17 @@
             spot: j.spec.spot,
         };
         let tasks = j.spec.tasks;
-        let at = match self.planning.classes.iter().position(|c| *c == class) {
+        let at = match self.scheduling.classes.iter().position(|c| *c == class) {
             Some(at) => at,
-            None if self.planning.classes.len() < 256 => {
-                self.planning.classes.push(class);
-                self.planning.classes.len() - 1
+            None if self.scheduling.classes.len() < 256 => {
+                self.scheduling.classes.push(class);
+                self.scheduling.classes.len() - 1
             }
             None => return,
         };
-        self.planning.arrivals.push_back((now, at, tasks));
-        if self.planning.arrivals.len() > 1000 {
-            self.planning.arrivals.pop_front();
+        self.scheduling.arrivals.push_back((now, at, tasks));
+        if self.scheduling.arrivals.len() > 1000 {
+            self.scheduling.arrivals.pop_front();
         }
     }
 
@@ -81,7 +81,7 @@
     pub(super) fn spares(&self) -> Vec<Reserve> {
         let mut out = Vec::new();
         for c in self
-            .planning
+            .scheduling
             .classes
             .iter()
             .filter(|c| c.kind == Kind::Service)
@@ -144,21 +144,21 @@
     /// going by what arrived lately, `over` how long.
     pub(super) fn reserves(&mut self, over: Ms, ahead: Ms, now: Ms) -> Vec<Reserve> {
         while self
-            .planning
+            .scheduling
             .arrivals
             .front()
             .is_some_and(|(at, _, _)| at + RATE_WINDOW < now)
         {
-            self.planning.arrivals.pop_front();
+            self.scheduling.arrivals.pop_front();
         }
-        let window = over.min(now - self.recovery.acquired).max(30_000);
+        let window = over.min(now - self.recovery.elected_at).max(30_000);
         let mut out = Vec::new();
-        for (ix, c) in self.planning.classes.iter().enumerate() {
+        for (ix, c) in self.scheduling.classes.iter().enumerate() {
             if c.priority < Priority::High {
                 continue;
             }
             let recent: u64 = self
-                .planning
+                .scheduling
                 .arrivals
                 .iter()
                 .filter(|(t, at, _)| *at == ix && *t + over >= now)
@@ -169,7 +169,7 @@
                 continue;
             }
             let mut r = c.reserve(wanted);
-            for (_, room) in self.planning.fleet.rooms() {
+            for (_, room) in self.scheduling.fleet.rooms() {
                 if r.covers(room.type_ix, room.spot) {
                     r.fits += room.free.count(&r.need).min(1000);
                 }
@@ -184,17 +184,24 @@
             return;
         }
         let need = Resources::need(spec.cpus, spec.gpus, spec.memory_gb);
-        match self.planning.shapes.iter().position(|(s, _)| *s == need) {
-            Some(at) => self.planning.shapes[at].1 += 1,
-            None if self.planning.shapes.len() < 64 => self.planning.shapes.push((need, 1)),
+        match self
+            .scheduling
+            .seen_shapes
+            .iter()
+            .position(|(s, _)| *s == need)
+        {
+            Some(at) => self.scheduling.seen_shapes[at].1 += 1,
+            None if self.scheduling.seen_shapes.len() < 64 => {
+                self.scheduling.seen_shapes.push((need, 1))
+            }
             None => {}
         }
-        self.planning
-            .shapes
+        self.scheduling
+            .seen_shapes
             .sort_by_key(|(_, n)| std::cmp::Reverse(*n));
-        self.planning.policy.shapes = self
-            .planning
-            .shapes
+        self.scheduling.policy.shapes = self
+            .scheduling
+            .seen_shapes
             .iter()
             .take(6)
             .map(|(s, _)| *s)
--- a/src/control/leader/inventory.rs
+++ b/src/control/leader/inventory.rs
@@ -17,12 +17,12 @@
 impl Leader {
     /// When the machine list is due, it is taken as asked for.
     pub fn list_due(&mut self, now: Ms) -> bool {
-        let due = self.recovery.loaded && now >= self.renting.list_at;
+        let due = self.recovery.loaded && now >= self.scaling.next_list_at;
         if due {
-            let telling = self.list_tells_from();
-            self.renting.list_at = now + 4000;
+            let telling = self.list_reliable_from();
+            self.scaling.next_list_at = now + 4000;
             if !self.recovery.settled && now < telling {
-                self.renting.list_at = self.renting.list_at.min(telling);
+                self.scaling.next_list_at = self.scaling.next_list_at.min(telling);
             }
         }
         due
@@ -30,17 +30,17 @@
 
     /// A list asked for from then on shows the machines as they were after this
     /// term began.
-    fn list_tells_from(&self) -> Ms {
+    fn list_reliable_from(&self) -> Ms {
         let lag = millis(self.settings.cluster.cloud.list_lag_s);
-        self.recovery.acquired + 2 * lag + LIST_MARGIN
+        self.recovery.elected_at + 2 * lag + LIST_MARGIN
     }
 
     /// The whole list was read, from `asked` on. What stood in the roster when
     /// this term began was up, so it had been or would be listed until it is
     /// gone: a list that describes a later time and lacks it shows that it is.
     /// Guards against a lease of waiting for machines that were taken away.
-    pub fn listed_whole(&mut self, asked: Ms, now: Ms) {
-        if self.recovery.settled || asked < self.list_tells_from() {
+    pub fn full_list_received(&mut self, asked: Ms, now: Ms) {
+        if self.recovery.settled || asked < self.list_reliable_from() {
             return;
         }
         let machines = self.cluster.indexed_machines();
@@ -63,9 +63,9 @@
         }
     }
 
-    pub fn listed(&mut self, list: &[ListedMachine], now: Ms) {
+    pub fn machines_listed(&mut self, list: &[ListedMachine], now: Ms) {
         for l in list {
-            if self.renting.released.contains_key(&l.id) {
+            if self.scaling.released.contains_key(&l.id) {
                 continue;
             }
             if l.state == ListedState::Failed {
@@ -111,23 +111,23 @@
 
     pub fn cloud_ops(&mut self, now: Ms, wall_ms: u64) -> Vec<CloudOp> {
         let mut ops = Vec::new();
-        if !self.recovery.loaded || now < self.renting.at {
+        if !self.recovery.loaded || now < self.scaling.next_look_at {
             return ops;
         }
-        self.renting.at = now + 1000;
+        self.scaling.next_look_at = now + 1000;
         self.cluster.record_batch_activity(now);
-        self.return_machines(now);
+        self.scale_in(now);
         self.drain(now);
-        let names = self.take_releases();
+        let names = self.take_due_releases();
         if !names.is_empty() {
             ops.push(CloudOp::Release(names));
         }
-        if self.knows_enough_to_rent(now)
-            && now >= self.renting.deaf_until
-            && self.renting.open == 0
+        if self.knows_enough_to_scale(now)
+            && now >= self.scaling.no_scale_out_until
+            && self.scaling.requests_in_flight == 0
         {
-            for rent in self.purchases(now, wall_ms) {
-                self.renting.open += 1;
+            for rent in self.plan_scale_out(now, wall_ms) {
+                self.scaling.requests_in_flight += 1;
                 ops.push(CloudOp::MachineRequest(rent));
             }
         }
@@ -135,7 +135,7 @@
     }
 
     /// Machines to be deleted now, marked as asked for.
-    fn take_releases(&mut self) -> Vec<String> {
+    fn take_due_releases(&mut self) -> Vec<String> {
         let due = |m: &Machine| {
             m.releasing
                 && !m.release_requested
@@ -159,14 +159,14 @@
     /// Every machine is known, or those that can report have had the time to.
     /// Guards against a lease during which nothing is rented, as a few
     /// machines are silent when a new leader begins.
-    fn knows_enough_to_rent(&self, now: Ms) -> bool {
-        self.recovery.settled || !self.may_find_it(now)
+    fn knows_enough_to_scale(&self, now: Ms) -> bool {
+        self.recovery.settled || !self.workers_may_be_redirecting(now)
     }
 
     /// Workers may still be on their way to this leader.
-    pub(super) fn may_find_it(&self, now: Ms) -> bool {
+    pub(super) fn workers_may_be_redirecting(&self, now: Ms) -> bool {
         let report = millis(self.settings.cluster.workers.report_s * 1.25);
-        now < self.recovery.acquired + FOUND + report
+        now < self.recovery.elected_at + FOUND + report
     }
 
     fn price(&self, m: &Machine) -> f64 {
@@ -182,7 +182,7 @@
         (idle as f64 * t.spot_price / t.price) as Ms
     }
 
-    pub(super) fn return_machines(&mut self, now: Ms) {
+    pub(super) fn scale_in(&mut self, now: Ms) {
         let idle = millis(self.options.idle_s);
         let lapse = self.lease_expiry();
         let lag = millis(self.settings.cluster.cloud.list_lag_s);
@@ -209,7 +209,7 @@
                 && self.recovery.settled
                 && now >= m.idle_since + self.idle_allowance(m, idle)
                 // Where most don't get answers, the fault is here.
-                && !(m.misses_responses() && now < self.renting.deaf_until)
+                && !(m.misses_responses() && now < self.scaling.no_scale_out_until)
                 && !m.command_in_flight
                 && held.iter().all(|r| {
                     !r.covers(m.type_ix, m.spot)
@@ -253,7 +253,7 @@
                 .machine(ix)
                 .filter(|m| m.latest_heartbeat.0 > 0)
             {
-                self.renting.released.insert(m.name.clone(), now);
+                self.scaling.released.insert(m.name.clone(), now);
             }
             self.cluster.remove_machine(ix);
         }
@@ -262,10 +262,10 @@
     /// A machine that holds nothing but a few services, which find room on
     /// machines that are kept anyway, is emptied and returned.
     pub(super) fn drain(&mut self, now: Ms) {
-        if !self.recovery.settled || now < self.planning.drain_at {
+        if !self.recovery.settled || now < self.scheduling.next_drain_at {
             return;
         }
-        self.planning.drain_at = now + 2000;
+        self.scheduling.next_drain_at = now + 2000;
         let idle = millis(self.options.idle_s);
         let mut order: Vec<u32> = Vec::new();
         for (ix, m) in self.cluster.indexed_machines() {
--- a/src/control/leader/mod.rs
+++ b/src/control/leader/mod.rs
@@ -30,7 +30,7 @@
         self, Policy,
         fleet::{Choice, Fleet, RankingId, Request, Room},
     },
-    polls::Finals,
+    polls::FinalStates,
     provision::{self, Bin, Demand, Offer},
     reconciliation,
     safety_bounds::SafetyBounds,
@@ -156,18 +156,18 @@
     pub cluster: ClusterState,
     pub term: u64,
     /// Final states told or learned; they outlast the term.
-    pub finals: Finals,
+    pub final_states: FinalStates,
     /// Which jobs wait for which.
-    chains: Chains,
+    dependencies: Chains,
     /// Descriptions that are being cut.
-    cuts: spec_chunks::Cuts,
+    spec_uploads: spec_chunks::SpecUploads,
     /// Something changed since placement was last tried.
     changed: bool,
     wall_ms: u64,
     recovery: recovery::Recovery,
-    planning: parts::Planning,
-    renting: parts::Renting,
-    desk: parts::Desk,
+    scheduling: parts::Scheduling,
+    scaling: parts::Scaling,
+    write_queue: parts::WriteQueue,
     events: parts::Events,
     standbys: Standbys,
 }
@@ -196,16 +196,16 @@
             options,
             cluster: model,
             term,
-            finals: Finals::default(),
-            chains: Chains::default(),
-            cuts: spec_chunks::Cuts::default(),
+            final_states: FinalStates::default(),
+            dependencies: Chains::default(),
+            spec_uploads: spec_chunks::SpecUploads::default(),
             changed: true,
             wall_ms: 0,
-            recovery: recovery::Recovery::begun(now, report),
-            planning: parts::Planning::new(policy),
+            recovery: recovery::Recovery::started(now, report),
+            scheduling: parts::Scheduling::new(policy),
             // Workers need some time to find a new leader.
-            renting: parts::Renting::new(vec![zone_health::ZoneLife::since(now + FOUND); zones]),
-            desk: parts::Desk::default(),
+            scaling: parts::Scaling::new(vec![zone_health::ZoneHealth::since(now + FOUND); zones]),
+            write_queue: parts::WriteQueue::default(),
             events: parts::Events::default(),
             standbys,
         }
@@ -274,7 +274,9 @@
             .job_index(id)
             .and_then(|ix| self.cluster.job_mut(ix))
         else {
-            self.desk.orphans.push(chunk_key(id, chunk));
+            self.write_queue
+                .unconditional_deletes
+                .push(chunk_key(id, chunk));
             return;
         };
         let mut bits = Bits::with_len(job.spec.tasks);
@@ -310,7 +312,7 @@
             // Either mark is written only when nothing runs there, and stands
             // until something may be started: no lease need be waited for.
             m.contents_unknown = !record.releasing;
-            m.last_answered = self.recovery.acquired;
+            m.last_answered = self.recovery.elected_at;
         }
         if let Some(ix) = ix {
             let images: Vec<u32> = record
@@ -330,12 +332,12 @@
             // The lease must not lapse while the records are being read; nor
             // may it be renewed for long, as they hold withdrawals.
             let unread = SafetyBounds::of(&self.settings.cluster.workers).max_answering_unloaded();
-            return (now < self.recovery.acquired + unread).then(|| HeartbeatResponse {
+            return (now < self.recovery.elected_at + unread).then(|| HeartbeatResponse {
                 fencing_token: self.term_token(),
                 commands: Vec::new(),
             });
         }
-        if self.renting.released.contains_key(&report.machine) {
+        if self.scaling.released.contains_key(&report.machine) {
             return None;
         }
         let ix = self.cluster.insert_machine(
@@ -346,7 +348,7 @@
             report.spot,
             now,
         )?;
-        if !self.may_be_answered(ix, report, now) {
+        if !self.accepts_heartbeat(ix, report, now) {
             return None;
         }
         self.apply_heartbeat(ix, report, true, now);
@@ -372,11 +374,11 @@
         let effects =
             reconciliation::apply_heartbeat(&mut self.cluster, ix, report, floor, beat, now);
         self.changed |= effects.cluster_changed;
-        self.judge_hearing(ix, &effects);
+        self.detect_one_way_partition(ix, &effects);
         if let Some(m) = self.cluster.machine(ix)
             && m.last_heartbeat == now
         {
-            self.zone_heard(m.zone, now);
+            self.zone_responded(m.zone, now);
         }
         for job_ix in effects.started_jobs {
             if let Some(j) = self.cluster.job_mut(job_ix).filter(|j| !j.has_run) {
@@ -497,7 +499,7 @@
                     m.token_epoch += 1;
                     m.command_retry_at = now + retry;
                 }
-                self.ask_for_proof(ix);
+                self.require_new_token(ix);
             }
         }
         self.changed = true;
@@ -505,7 +507,7 @@
 
     /// An end that is remembered goes before the picture: it never changes.
     pub fn status(&self, id: &str) -> Option<JobStatus> {
-        self.finals.get(id).or_else(|| self.in_picture(id))
+        self.final_states.get(id).or_else(|| self.in_picture(id))
     }
 
     fn in_picture(&self, id: &str) -> Option<JobStatus> {
@@ -518,7 +520,7 @@
     /// learns that it stands.
     pub fn told(&self, id: &str) -> Option<JobStatus> {
         let open = self.is_closing(id) || self.is_withheld(id);
-        match self.finals.get(id) {
+        match self.final_states.get(id) {
             None if open => None,
             None => self.in_picture(id),
             end => end,
@@ -530,7 +532,7 @@
     pub fn is_withheld(&self, id: &str) -> bool {
         let ix = self.cluster.job_index(id);
         ix.is_some_and(|ix| {
-            self.chains.is_lost(ix) && self.cluster.job(ix).is_some_and(|j| !j.cancelled)
+            self.dependencies.is_lost(ix) && self.cluster.job(ix).is_some_and(|j| !j.cancelled)
         })
     }
 
@@ -545,18 +547,18 @@
 
     /// It was learned now.
     pub fn remember_final(&mut self, status: &JobStatus, now: Ms) {
-        self.finals.learned(status, now);
+        self.final_states.learned(status, now);
     }
 
     /// The job's state as another node may tell it at once. An end is held back
     /// for the time that older answers may take.
     pub fn tellable_by_peers(&mut self, id: &str, now: Ms) -> Option<JobStatus> {
         let status = self.told(id)?;
-        (self.finals.held_for(&status, now) == 0).then_some(status)
+        (self.final_states.held_for(&status, now) == 0).then_some(status)
     }
 
     pub fn accepted(&mut self, record: JobRecord, version: u64, now: Ms) {
-        if self.finals.get(&record.spec.id).is_none() {
+        if self.final_states.get(&record.spec.id).is_none() {
             log::debug!(
                 "job {} of {} accepted: {}, {} tasks, image {} of {} GB",
                 record.spec.id,
@@ -572,7 +574,7 @@
 
     /// A notice has been dealt with.
     pub fn drop_notice(&mut self, key: String) {
-        self.desk.orphans.push(key);
+        self.write_queue.unconditional_deletes.push(key);
     }
 
     /// Marks a known job for withdrawal. Its tasks stop only once that is
@@ -589,7 +591,9 @@
 
     /// Something happened that shouldn't wait for the next look.
     pub fn has_work(&self) -> bool {
-        self.changed || self.recovery.takeover.released || self.planning.pass.is_some()
+        self.changed
+            || self.recovery.failover.starts_released
+            || self.scheduling.interrupted_cycle.is_some()
     }
 
     pub fn tick(&mut self, now: Ms, wall_ms: u64) {
@@ -597,15 +601,15 @@
         if !self.recovery.loaded {
             return;
         }
-        self.take_over(now);
-        self.lapse(now);
+        self.fail_over(now);
+        self.expire_leases(now);
         if !self.recovery.settled {
             self.recovery.settled = !self.cluster.each_machine().any(|m| m.contents_unknown);
             if self.recovery.settled {
                 log::info!(
                     "term {} settled after {} ms: {} jobs, {} machines",
                     self.term,
-                    now - self.recovery.acquired,
+                    now - self.recovery.elected_at,
                     self.cluster.live_jobs(),
                     self.cluster.machine_count()
                 );
@@ -613,8 +617,8 @@
             }
         }
         self.follow_chains(now);
-        self.stop_what_must();
-        self.save_before_notice();
+        self.stop_cancelled_and_broken_gangs();
+        self.checkpoint_before_reclaim();
         let backoff = self
             .cluster
             .jobs
@@ -623,23 +627,23 @@
             .any(|j| j.backoff_until != 0 && j.backoff_until <= now);
         self.retry_quarantined(now);
         // Rates and holds change with time alone, so look now and then anyway.
-        let due = now >= self.planning.place_at;
-        let resumes = self.planning.pass.is_some();
+        let due = now >= self.scheduling.next_cycle_at;
+        let resumes = self.scheduling.interrupted_cycle.is_some();
         if !resumes && (self.changed || backoff || due) {
             self.changed = false;
-            self.planning.place_at = now + 2000;
+            self.scheduling.next_cycle_at = now + 2000;
             self.place(now);
         } else if resumes {
             self.place(now);
         }
-        self.recover(now);
+        self.advance_recovery(now);
     }
 
     /// All records have been read. Workers were answered meanwhile, so their
     /// leases count from now.
     pub fn finish_loading(&mut self, now: Ms) {
         self.recovery.loaded = true;
-        self.planning.arrivals.make_contiguous().sort_unstable();
+        self.scheduling.arrivals.make_contiguous().sort_unstable();
         for m in self.cluster.each_machine_mut() {
             m.last_answered = now;
         }
--- a/src/control/leader/offload.rs
+++ b/src/control/leader/offload.rs
@@ -155,7 +155,7 @@
         if let Some(j) = self.cluster.job_mut(ix) {
             j.offload = Away::Leaving { lent, version };
             j.reason = Reason::Lent;
-            self.desk.moving.push(ix);
+            self.write_queue.offload_changes.push(ix);
             self.changed = true;
         }
         Marked::NotYet
@@ -187,7 +187,7 @@
                 }
                 j.offload = Away::Back(lent);
                 j.reason = Reason::New;
-                self.desk.moving.push(ix);
+                self.write_queue.offload_changes.push(ix);
                 self.changed = true;
                 false
             }
@@ -202,15 +202,15 @@
     /// has ended must not hold up anything else. Of those in one transaction,
     /// the ones that made it fail are known once its keys have been read.
     pub(super) fn plan_marks(&mut self, room: usize) -> Option<Plan> {
-        if std::mem::replace(&mut self.desk.marked_last, false) {
+        if std::mem::replace(&mut self.write_queue.offloads_went_last, false) {
             return None;
         }
         let mut plan = self.empty_plan();
         let room = room.min(self.settings.cluster.state.always().txn_ops);
         let value_kb = self.settings.cluster.state.always().value_kb;
         let mut bytes = 0;
-        for n in 0..self.desk.moving.len() {
-            let ix = self.desk.moving[n];
+        for n in 0..self.write_queue.offload_changes.len() {
+            let ix = self.write_queue.offload_changes[n];
             let Some(j) = self.cluster.job_mut(ix).filter(|j| !j.write_in_flight) else {
                 continue;
             };
@@ -220,7 +220,7 @@
             if plan.txn.writes.len() >= room || bytes > MARK_BYTES {
                 break;
             }
-            if j.cancel_requested || self.cuts.is_due(j, value_kb) {
+            if j.cancel_requested || self.spec_uploads.is_due(j, value_kb) {
                 continue;
             }
             let award = Condition {
@@ -239,18 +239,18 @@
             plan.items.push(Item::Lend(ix, j.id.clone()));
             j.write_in_flight = true;
         }
-        self.desk
-            .moving
+        self.write_queue
+            .offload_changes
             .retain(|ix| self.cluster.job(*ix).is_some_and(|j| j.offload.moves()));
-        self.desk.marked_last = !plan.items.is_empty();
+        self.write_queue.offloads_went_last = !plan.items.is_empty();
         (!plan.txn.writes.is_empty()).then_some(plan)
     }
 
     /// Marks to be lifted, once all that came back is recorded.
     pub(super) fn plan_lifts(&mut self, plan: &mut Plan, room: usize) {
         let value_kb = self.settings.cluster.state.always().value_kb;
-        for n in 0..self.desk.moving.len() {
-            let ix = self.desk.moving[n];
+        for n in 0..self.write_queue.offload_changes.len() {
+            let ix = self.write_queue.offload_changes[n];
             let Some(j) = self.cluster.job_mut(ix) else {
                 continue;
             };
@@ -259,7 +259,7 @@
                 && !j.is_dirty()
                 && !j.is_complete()
                 && !j.cancelled
-                && !self.cuts.is_due(j, value_kb);
+                && !self.spec_uploads.is_due(j, value_kb);
             if due && plan.txn.writes.len() < room {
                 plan.txn.conditions.push(j.record_condition());
                 plan.txn.writes.push(Write::Put {
--- a/src/control/leader/partitions.rs
+++ b/src/control/leader/partitions.rs
@@ -6,21 +6,21 @@
 
 /// So many reports in a row without a token of this term, each sent after the
 /// one before it was answered, show that it does not get the answers.
-const UNPROVEN: u32 = 2;
+const MAX_UNACKNOWLEDGED_HEARTBEATS: u32 = 2;
 
 /// Reports of one that began anew come at least as often, sent back once.
-const IN_ORDER: Ms = 8_000;
+const RESTART_HEARTBEAT_WINDOW_MS: Ms = 8_000;
 
 impl Leader {
     /// Looks at a report before anything is made of it. `false`: it gets no
     /// answer, so that the machine's lease surely ends and a new leader need
     /// not wait for ever to hear of it.
-    pub(super) fn may_be_answered(&mut self, ix: u32, report: &Heartbeat, now: Ms) -> bool {
+    pub(super) fn accepts_heartbeat(&mut self, ix: u32, report: &Heartbeat, now: Ms) -> bool {
         let (floor, token) = (self.term_token(), self.fencing_token(ix));
         // By then the lease of one that got no answer in this term is over, so
         // nothing is lost. Guards against a leader that is too slow for a
         // while, and would give up machines that hear it well.
-        let over = self.recovery.acquired + self.lease_expiry();
+        let over = self.recovery.elected_at + self.lease_expiry();
         let Some(m) = self.cluster.machine_mut(ix) else {
             return false;
         };
@@ -33,7 +33,7 @@
             // counts from one again: that shows by a token raised for it.
             let in_order = m.last_stale_heartbeat.0 != (0, 0)
                 && this > m.last_stale_heartbeat.0
-                && now < m.last_stale_heartbeat.1 + IN_ORDER;
+                && now < m.last_stale_heartbeat.1 + RESTART_HEARTBEAT_WINDOW_MS;
             m.last_stale_heartbeat = (this, now);
             if !in_order {
                 return false;
@@ -51,7 +51,7 @@
             true => m.unacknowledged_heartbeats + 1,
             false => 0,
         };
-        if m.unacknowledged_heartbeats > UNPROVEN && now > over {
+        if m.unacknowledged_heartbeats > MAX_UNACKNOWLEDGED_HEARTBEATS && now > over {
             log::debug!("machine {} reports, but gets no answers", m.name);
             return false;
         }
@@ -61,7 +61,7 @@
 
     /// Nothing new is placed there before it shows a token that is newer than
     /// all it can have seen.
-    pub(super) fn ask_for_proof(&mut self, ix: u32) {
+    pub(super) fn require_new_token(&mut self, ix: u32) {
         let token = self.fencing_token(ix);
         if let Some(m) = self.cluster.machine_mut(ix) {
             m.required_token = token;
@@ -69,7 +69,11 @@
     }
 
     /// After a report was taken in.
-    pub(super) fn judge_hearing(&mut self, ix: u32, effects: &reconciliation::HeartbeatEffects) {
+    pub(super) fn detect_one_way_partition(
+        &mut self,
+        ix: u32,
+        effects: &reconciliation::HeartbeatEffects,
+    ) {
         // Had its lease ended for lack of reports, it would not count as up.
         let lost = effects.lost_commands > 0 || effects.new_incarnation;
         let Some(m) = self.cluster.machine_mut(ix) else {
@@ -80,16 +84,16 @@
         }
         log::info!("machine {} may not get answers: nothing new there", m.name);
         m.token_epoch += 1;
-        self.ask_for_proof(ix);
+        self.require_new_token(ix);
         self.changed = true;
         // What was ordered in an answer that it did not get never runs there.
-        for at in self.never_there(ix) {
+        for at in self.never_delivered(ix) {
             self.cluster.unassign(ix, at);
         }
     }
 
     /// Orders that were given and are surely not carried out, last first.
-    fn never_there(&self, ix: u32) -> Vec<usize> {
+    fn never_delivered(&self, ix: u32) -> Vec<usize> {
         let tasks = self.cluster.machine(ix).map_or(&[][..], |m| &m.tasks);
         let new = tasks.iter().enumerate();
         let new = new.filter(|(_, a)| a.phase == Phase::New && a.indeterminate_token == 0);
--- a/src/control/leader/parts.rs
+++ b/src/control/leader/parts.rs
@@ -1,102 +1,102 @@
 //! What the leader keeps beside its picture, by what each part is for.
 
-use super::{headroom::Class, scheduling_cycle::Pass, status, zone_health::ZoneLife, *};
+use super::{headroom::Class, scheduling_cycle::Pass, status, zone_health::ZoneHealth, *};
 
 /// Placement: the order of service, and when it is looked at again.
-pub(super) struct Planning {
+pub(super) struct Scheduling {
     pub(super) policy: Policy,
-    pub(super) shapes: Vec<(Resources, u64)>,
-    pub(super) order: Vec<u32>,
+    pub(super) seen_shapes: Vec<(Resources, u64)>,
+    pub(super) queue_buffer: Vec<u32>,
     /// Recent arrivals: time, index into `classes`, tasks.
     pub(super) arrivals: VecDeque<(Ms, usize, u32)>,
     pub(super) classes: Vec<Class>,
-    pub(super) drain_at: Ms,
-    pub(super) place_at: Ms,
+    pub(super) next_drain_at: Ms,
+    pub(super) next_cycle_at: Ms,
     /// Attempts given out in this term.
-    pub(super) attempts: u64,
+    pub(super) attempt_count: u64,
     /// By team, see `count_unseen`; empty once all that may run is known.
-    pub(super) unseen: Vec<Resources>,
+    pub(super) unconfirmed_usage: Vec<Resources>,
     /// Machines that tasks may be placed on.
     pub(super) fleet: Fleet,
     /// A pass that stopped for its bound, and goes on where it stopped.
-    pub(super) pass: Option<Pass>,
+    pub(super) interrupted_cycle: Option<Pass>,
     /// A pass is under way, or was interrupted.
-    pub(super) in_pass: bool,
+    pub(super) in_cycle: bool,
     /// Machines that have gained room since it began.
-    pub(super) gained: BTreeSet<u32>,
+    pub(super) machines_with_gain: BTreeSet<u32>,
     /// Steps that the pass may make before it stops.
     pub(super) steps_left: u32,
 }
 
-impl Planning {
+impl Scheduling {
     pub(super) fn new(policy: Policy) -> Self {
-        Planning {
+        Scheduling {
             fleet: Fleet::new(policy.clone()),
-            pass: None,
-            in_pass: false,
-            gained: BTreeSet::new(),
+            interrupted_cycle: None,
+            in_cycle: false,
+            machines_with_gain: BTreeSet::new(),
             steps_left: 0,
             policy,
-            shapes: Vec::new(),
-            order: Vec::new(),
+            seen_shapes: Vec::new(),
+            queue_buffer: Vec::new(),
             arrivals: VecDeque::new(),
             classes: Vec::new(),
-            drain_at: 0,
-            place_at: 0,
-            attempts: 0,
-            unseen: Vec::new(),
+            next_drain_at: 0,
+            next_cycle_at: 0,
+            attempt_count: 0,
+            unconfirmed_usage: Vec::new(),
         }
     }
 }
 
 /// Machines as the cloud gives and lists them.
-pub(super) struct Renting {
-    pub(super) at: Ms,
-    pub(super) list_at: Ms,
-    pub(super) refused: HashMap<(usize, usize, bool), Ms>,
+pub(super) struct Scaling {
+    pub(super) next_look_at: Ms,
+    pub(super) next_list_at: Ms,
+    pub(super) refused_until: HashMap<(usize, usize, bool), Ms>,
     /// Requests without an answer.
-    pub(super) open: u32,
+    pub(super) requests_in_flight: u32,
     /// Names given out in this term.
-    pub(super) requests: u64,
+    pub(super) request_count: u64,
     /// Machines released or dropped; late reports of them mean nothing.
     pub(super) released: HashMap<String, Ms>,
-    pub(super) zone_life: Vec<ZoneLife>,
+    pub(super) zone_health: Vec<ZoneHealth>,
     /// Most machines were overdue at once: nothing is rented in their place.
-    pub(super) deaf_until: Ms,
+    pub(super) no_scale_out_until: Ms,
 }
 
-impl Renting {
-    pub(super) fn new(zone_life: Vec<ZoneLife>) -> Self {
-        Renting {
-            at: 0,
-            list_at: 0,
-            refused: HashMap::new(),
-            open: 0,
-            requests: 0,
+impl Scaling {
+    pub(super) fn new(zone_life: Vec<ZoneHealth>) -> Self {
+        Scaling {
+            next_look_at: 0,
+            next_list_at: 0,
+            refused_until: HashMap::new(),
+            requests_in_flight: 0,
+            request_count: 0,
             released: HashMap::new(),
-            zone_life,
-            deaf_until: 0,
+            zone_health: zone_life,
+            no_scale_out_until: 0,
         }
     }
 }
 
 /// What is to be written that the picture does not show by itself.
 #[derive(Default)]
-pub(super) struct Desk {
-    pub(super) orphans: Vec<String>,
+pub(super) struct WriteQueue {
+    pub(super) unconditional_deletes: Vec<String>,
     /// Keys to be deleted if they still have this version.
-    pub(super) drops: Vec<(String, u64)>,
+    pub(super) conditional_deletes: Vec<(String, u64)>,
     /// Jobs whose mark as lent is to be set or lifted.
-    pub(super) moving: Vec<u32>,
+    pub(super) offload_changes: Vec<u32>,
     /// The last transaction set marks: other changes go first now.
-    pub(super) marked_last: bool,
+    pub(super) offloads_went_last: bool,
 }
 
 /// What happened, for operators and for verdicts.
 #[derive(Default)]
 pub(super) struct Events {
     pub(super) tally: Tally,
-    pub(super) failed: VecDeque<status::Failed>,
+    pub(super) recent_failures: VecDeque<status::Failed>,
     /// Jobs of which a task failed and none has run.
     pub(super) suspects: Vec<u32>,
 }
--- a/src/control/leader/persistence.rs
+++ b/src/control/leader/persistence.rs
@@ -44,7 +44,7 @@
         if !self.recovery.loaded {
             return None;
         }
-        if !self.desk.moving.is_empty()
+        if !self.write_queue.offload_changes.is_empty()
             && let Some(marks) = self.plan_marks(room)
         {
             return Some(marks);
@@ -66,7 +66,7 @@
         };
         let mut lapsed = Vec::new();
         // Withdrawals, then endings, then progress.
-        let knows_all = self.recovery.knows_all();
+        let knows_all = self.recovery.knows_all_tasks();
         for pass in 0..3 {
             for ix in 0..self.cluster.jobs.len() {
                 if plan.txn.writes.len() + 2 > room || bytes > byte_limit {
@@ -97,10 +97,11 @@
                 };
                 // Its record can't be written as it is: first the pieces.
                 let rewrites = over.is_none() && (awaited || j.is_dirty() || j.offload.moves());
-                if rewrites && self.cuts.is_due(j, value_limits) {
+                if rewrites && self.spec_uploads.is_due(j, value_limits) {
                     if pass == 0 {
                         let most = room.saturating_sub(plan.txn.writes.len());
-                        self.cuts.plan(ix as u32, j, &mut plan, most, &mut bytes);
+                        self.spec_uploads
+                            .plan(ix as u32, j, &mut plan, most, &mut bytes);
                     }
                     continue;
                 }
@@ -177,7 +178,7 @@
             }
         }
         while plan.txn.writes.len() < room
-            && let Some(key) = self.desk.orphans.pop()
+            && let Some(key) = self.write_queue.unconditional_deletes.pop()
         {
             plan.txn.writes.push(Write::Delete { key });
         }
@@ -211,7 +212,7 @@
             }
         }
         while plan.txn.writes.len() < room
-            && let Some((key, version)) = self.desk.drops.pop()
+            && let Some((key, version)) = self.write_queue.conditional_deletes.pop()
         {
             if self.piece_in_use(&key) {
                 continue;
@@ -306,8 +307,8 @@
                             "job {id} withdrawn, by its mark at revision {revision} in term {}",
                             self.term
                         );
-                        self.finals.learned(&status, now);
-                        self.chains.withdrawn(*ix);
+                        self.final_states.learned(&status, now);
+                        self.dependencies.withdrawn(*ix);
                     }
                 }
                 Item::Lend(ix, id) | Item::Lift(ix, id) => {
@@ -362,15 +363,19 @@
         let chunks = j.dirty_segments.len();
         let pieces = j.spec_chunks.clone();
         for c in 1..chunks {
-            self.desk.orphans.push(chunk_key(id, c));
+            self.write_queue
+                .unconditional_deletes
+                .push(chunk_key(id, c));
         }
         if let Some(pieces) = pieces {
-            self.desk.orphans.extend(pieces.keys(id));
+            self.write_queue
+                .unconditional_deletes
+                .extend(pieces.keys(id));
         }
         self.drop_cut(ix);
         self.cluster.remove_job(ix);
         self.remember_final(&status, now);
-        self.chains.over(ix, state == JobState::Done);
+        self.dependencies.over(ix, state == JobState::Done);
         self.changed = true;
     }
 
@@ -427,7 +432,7 @@
                 j.cancelled |= record.cancelled;
                 j.offload.reread(record.lent.as_ref());
                 if j.cancelled {
-                    self.chains.withdrawn(ix);
+                    self.dependencies.withdrawn(ix);
                 }
             }
         } else if let Some(name) = key.strip_prefix(keys::ROSTER) {
@@ -451,7 +456,9 @@
                     }
                 }
             } else if let Some((_, version)) = found {
-                self.desk.drops.push((key.to_owned(), version));
+                self.write_queue
+                    .conditional_deletes
+                    .push((key.to_owned(), version));
             }
         }
     }
--- a/src/control/leader/queue.rs
+++ b/src/control/leader/queue.rs
@@ -6,7 +6,7 @@
     /// Waiting jobs in the order in which they are served.
     pub(super) fn queue(&mut self, now: Ms) -> Vec<u32> {
         self.refresh_fleet(now);
-        let mut order = std::mem::take(&mut self.planning.order);
+        let mut order = std::mem::take(&mut self.scheduling.queue_buffer);
         order.clear();
         for (ix, job) in self.cluster.jobs.iter().enumerate() {
             if job.as_ref().is_some_and(is_schedulable_job) {
@@ -15,7 +15,7 @@
         }
         let jobs = &self.cluster.jobs;
         let (objectives, wall) = (&self.settings.cluster.objectives, self.wall_ms);
-        let fleet = self.planning.fleet.capacity();
+        let fleet = self.scheduling.fleet.capacity();
         order.sort_by_cached_key(|ix| {
             jobs[*ix as usize].as_ref().map(|j| {
                 let begun = !self.begins_late(j);
--- a/src/control/leader/quotas.rs
+++ b/src/control/leader/quotas.rs
@@ -6,16 +6,16 @@
     /// What may run unseen counts against the team's limit until every machine
     /// has been heard: all that waits of jobs older than this term.
     pub(super) fn count_unseen(&mut self) {
-        self.planning.unseen.clear();
-        if self.recovery.knows_all() {
+        self.scheduling.unconfirmed_usage.clear();
+        if self.recovery.knows_all_tasks() {
             return;
         }
-        self.planning
-            .unseen
+        self.scheduling
+            .unconfirmed_usage
             .resize(self.cluster.teams.len(), Resources::default());
         for j in self.cluster.jobs.iter().flatten() {
             if !self.job_settled(j)
-                && let Some(u) = self.planning.unseen.get_mut(j.team)
+                && let Some(u) = self.scheduling.unconfirmed_usage.get_mut(j.team)
             {
                 *u += j.need.scaled(i64::from(j.possibly_running()));
             }
@@ -26,7 +26,7 @@
     /// known: it is younger than the term, or no machine that has neither been
     /// heard nor lapsed is of a kind that the job allows.
     pub(super) fn job_settled(&self, job: &Job) -> bool {
-        self.recovery.knows_all()
+        self.recovery.knows_all_tasks()
             || job.accepted_this_term
             || !self.cluster.each_machine().any(|m| {
                 m.contents_unknown
@@ -37,7 +37,12 @@
     }
 
     pub(super) fn within_limit(&self, team: usize, need: &Resources, n: i64) -> bool {
-        let unseen = self.planning.unseen.get(team).copied().unwrap_or_default();
+        let unseen = self
+            .scheduling
+            .unconfirmed_usage
+            .get(team)
+            .copied()
+            .unwrap_or_default();
         self.cluster.within_quota(team, need, n, unseen)
     }
 
@@ -49,7 +54,12 @@
         n: u32,
         mut planned: Resources,
     ) -> i64 {
-        planned += self.planning.unseen.get(team).copied().unwrap_or_default();
+        planned += self
+            .scheduling
+            .unconfirmed_usage
+            .get(team)
+            .copied()
+            .unwrap_or_default();
         self.cluster.max_within_quota(team, need, n, planned)
     }
 }
--- a/src/control/leader/recovery.rs
+++ b/src/control/leader/recovery.rs
@@ -41,34 +41,34 @@
 /// How far this leader has come since it became leader, and what it may go by
 /// until it has heard every machine.
 pub(super) struct Recovery {
-    pub(super) acquired: Ms,
+    pub(super) elected_at: Ms,
     /// Jobs and roster have been read.
     pub(super) loaded: bool,
     /// Every machine was heard, or its lease must have lapsed.
     pub(super) settled: bool,
     /// When this process last went on after it had stood still.
-    pub(super) resumed: Ms,
-    pub(super) takeover: super::failover::Takeover,
+    pub(super) resumed_at: Ms,
+    pub(super) failover: super::failover::Failover,
     /// Machines that were heard, and those that were not yet.
-    pub(super) heard: usize,
-    pub(super) unheard: usize,
+    pub(super) responsive_machines: usize,
+    pub(super) unconfirmed_machines: usize,
     /// By when a worker that can report has reported.
-    pub(super) reported_by: Ms,
+    pub(super) heartbeats_due_by: Ms,
     phase: Phase,
     since: Ms,
 }
 
 impl Recovery {
-    pub(super) fn begun(now: Ms, report: Ms) -> Self {
+    pub(super) fn started(now: Ms, report: Ms) -> Self {
         Recovery {
-            heard: 0,
-            unheard: 0,
-            reported_by: now + report + report / 4 + FIRST,
-            acquired: now,
+            responsive_machines: 0,
+            unconfirmed_machines: 0,
+            heartbeats_due_by: now + report + report / 4 + FIRST,
+            elected_at: now,
             loaded: false,
             settled: false,
-            resumed: now,
-            takeover: Default::default(),
+            resumed_at: now,
+            failover: Default::default(),
             phase: Phase::Loading,
             since: now,
         }
@@ -77,44 +77,46 @@
     /// Enough machines were heard to judge that there is no room. Guards
     /// against stopping tasks for work that has room on a machine which is
     /// heard a second later.
-    pub(super) fn heard_most(&self, now: Ms) -> bool {
-        self.settled || 10 * self.unheard <= self.heard || now >= self.reported_by
+    pub(super) fn heard_from_most(&self, now: Ms) -> bool {
+        self.settled
+            || 10 * self.unconfirmed_machines <= self.responsive_machines
+            || now >= self.heartbeats_due_by
     }
 
     /// All that may run is in the picture, heard or not.
-    pub(super) fn knows_all(&self) -> bool {
-        self.settled || self.takeover.warm
+    pub(super) fn knows_all_tasks(&self) -> bool {
+        self.settled || self.failover.warm
     }
 }
 
 impl Leader {
     /// For how long nobody was seen to lead before this term.
-    pub fn nobody_led_for(&mut self, ms: Ms) {
-        self.phase_took("leaderless", ms);
+    pub fn set_leaderless_time(&mut self, ms: Ms) {
+        self.record_phase_duration("leaderless", ms);
     }
 
-    fn phase_took(&mut self, phase: &'static str, ms: Ms) {
+    fn record_phase_duration(&mut self, phase: &'static str, ms: Ms) {
         log::info!("term {}: {phase} took {ms} ms", self.term);
         self.events.tally.phases.push((phase, ms as f64 / 1000.0));
     }
 
     /// Notes which phases are over.
-    pub(super) fn recover(&mut self, now: Ms) {
+    pub(super) fn advance_recovery(&mut self, now: Ms) {
         loop {
             let phase = self.recovery.phase;
             let over = match phase {
                 Phase::Loading => self.recovery.loaded,
-                Phase::Settling => self.recovery.knows_all(),
-                Phase::Starting => !self.owes_starts(),
+                Phase::Settling => self.recovery.knows_all_tasks(),
+                Phase::Starting => !self.has_urgent_starts(),
                 Phase::Whole => return,
             };
             if !over {
                 return;
             }
-            self.phase_took(phase.name(), now - self.recovery.since);
+            self.record_phase_duration(phase.name(), now - self.recovery.since);
             (self.recovery.phase, self.recovery.since) = (phase.next(), now);
             if self.recovery.phase == Phase::Whole {
-                let all = now - self.recovery.acquired;
+                let all = now - self.recovery.elected_at;
                 log::info!("term {}: whole after {all} ms", self.term);
             }
         }
@@ -122,7 +124,7 @@
 
     /// Services or gangs from before it settled wait for room that they may
     /// have. Batches do not count: they may wait for minutes on any day.
-    fn owes_starts(&self) -> bool {
+    fn has_urgent_starts(&self) -> bool {
         let since = self.recovery.since;
         self.cluster.jobs.iter().flatten().any(|j| {
             j.spec.kind != Kind::Array
--- a/src/control/leader/scale_out.rs
+++ b/src/control/leader/scale_out.rs
@@ -70,7 +70,7 @@
             .unwrap_or(0.0)
     }
 
-    pub(super) fn purchases(&mut self, now: Ms, wall_ms: u64) -> Vec<MachineRequest> {
+    pub(super) fn plan_scale_out(&mut self, now: Ms, wall_ms: u64) -> Vec<MachineRequest> {
         let mut bins = Vec::new();
         let mut coming_bins = Vec::new();
         let mut batch_held = Vec::new();
@@ -82,7 +82,7 @@
                 && m.registration == Registration::Absent
                 && !m.releasing
                 && !m.contents_unknown
-                && !self.is_dark(m.zone, now)
+                && !self.is_zone_unreachable(m.zone, now)
                 && now < m.state_since + boot + boot * 7 / 10;
             let late = m.overdue && now < m.overdue_since + MISSED && m.schedulable_once_heard();
             // Nothing is known of an unknown one, so all of it counts as free:
@@ -91,7 +91,7 @@
             // that stays silent counts for no more than it holds.
             let unheard = m.contents_unknown
                 && !m.releasing
-                && (!self.recovery.takeover.warm || self.may_find_it(now));
+                && (!self.recovery.failover.warm || self.workers_may_be_redirecting(now));
             let there = m.schedulable() || late || m.awaits_record() || unheard;
             if coming || there {
                 if coming {
@@ -120,10 +120,10 @@
                         spot,
                         capacity: Resources::offer(t.cpus, t.gpus, t.memory_gb),
                         price: t.price_of(spot),
-                        refused: self.is_dark(zone, now)
+                        refused: self.is_zone_unreachable(zone, now)
                             || self
-                                .renting
-                                .refused
+                                .scaling
+                                .refused_until
                                 .get(&(type_ix, zone, spot))
                                 .is_some_and(|until| now < *until),
                     });
@@ -162,7 +162,7 @@
                 wanted.add(ix, j, count);
             }
         }
-        self.planning.order = order;
+        self.scheduling.queue_buffer = order;
         let demands = &mut wanted.demands;
         let mut bought = provision::plan(demands, &mut bins, &offers, provision::MAX_NEW);
         // Batches may use what high priority leaves.
@@ -228,9 +228,9 @@
             while left > 0 {
                 let count = left.min(MAX_MACHINES_PER_REQUEST);
                 left -= count;
-                self.renting.requests += 1;
+                self.scaling.request_count += 1;
                 rents.push(MachineRequest {
-                    request_id: format!("r-{}-{}", self.term, self.renting.requests),
+                    request_id: format!("r-{}-{}", self.term, self.scaling.request_count),
                     type_name: self.cluster.types[p.type_ix].name.clone(),
                     zone: self.cluster.zones.name(p.zone).to_owned(),
                     spot: p.spot,
@@ -242,13 +242,13 @@
     }
 
     /// The request was not made after all.
-    pub fn not_rented(&mut self) {
-        self.renting.open = self.renting.open.saturating_sub(1);
+    pub fn scale_out_not_sent(&mut self) {
+        self.scaling.requests_in_flight = self.scaling.requests_in_flight.saturating_sub(1);
     }
 
     /// `None`: no answer; the machines, if any, show in the list.
-    pub fn rented(&mut self, rent: &MachineRequest, names: Option<&[String]>, now: Ms) {
-        self.renting.open = self.renting.open.saturating_sub(1);
+    pub fn scale_out_answered(&mut self, rent: &MachineRequest, names: Option<&[String]>, now: Ms) {
+        self.scaling.requests_in_flight = self.scaling.requests_in_flight.saturating_sub(1);
         let names = names.unwrap_or(&[]);
         log::info!(
             "rented {} of {} {} in {}{}",
@@ -269,8 +269,8 @@
                 self.cluster.zones.find(&rent.zone),
             )
         {
-            self.renting
-                .refused
+            self.scaling
+                .refused_until
                 .insert((t, z, rent.spot), now + REFUSED);
         }
     }
@@ -290,15 +290,17 @@
             if let Some(m) = self.cluster.machine(ix)
                 && m.registration == Registration::Present
             {
-                self.desk.drops.push((machine_key(name), m.record_version));
+                self.write_queue
+                    .conditional_deletes
+                    .push((machine_key(name), m.record_version));
             }
             self.events.tally.released += 1;
             self.cluster.remove_machine(ix);
-            self.renting.released.insert(name.clone(), now);
+            self.scaling.released.insert(name.clone(), now);
             self.changed = true;
         }
-        if self.renting.released.len() > 5000 {
-            self.renting.released.retain(|_, at| now < *at + 600_000);
+        if self.scaling.released.len() > 5000 {
+            self.scaling.released.retain(|_, at| now < *at + 600_000);
         }
     }
 }
--- a/src/control/leader/scheduling_cycle.rs
+++ b/src/control/leader/scheduling_cycle.rs
@@ -47,8 +47,8 @@
     /// Begins a pass, or goes on with the one that was interrupted.
     pub(super) fn place(&mut self, now: Ms) {
         self.count_unseen();
-        self.planning.steps_left = MOST_STEPS;
-        let pass = match self.planning.pass.take() {
+        self.scheduling.steps_left = MOST_STEPS;
+        let pass = match self.scheduling.interrupted_cycle.take() {
             Some(pass) => Some(pass),
             None => self.begin_pass(now),
         };
@@ -58,14 +58,14 @@
             let still =
                 there.is_some_and(|j| j.generation == waiting.serial && is_schedulable_job(j));
             if still && (!self.take_step() || !self.place_job(waiting.job, &mut pass, now)) {
-                self.planning.pass = Some(pass);
+                self.scheduling.interrupted_cycle = Some(pass);
                 return;
             }
             pass.next += 1;
         }
         // What machines have gained is offered to nobody yet.
         self.refresh_fleet(now);
-        if self.recovery.heard_most(now) {
+        if self.recovery.heard_from_most(now) {
             self.make_room(&pass.wanting, now);
         }
         self.end_pass();
@@ -73,19 +73,19 @@
 
     /// Counts a step; `false` once the pass has made as many as it may.
     pub(super) fn take_step(&mut self) -> bool {
-        let left = self.planning.steps_left.checked_sub(1);
-        self.planning.steps_left = left.unwrap_or(0);
+        let left = self.scheduling.steps_left.checked_sub(1);
+        self.scheduling.steps_left = left.unwrap_or(0);
         left.is_some()
     }
 
     /// `None`: there is no machine to place anything on.
     fn begin_pass(&mut self, now: Ms) -> Option<Pass> {
         let order = self.queue(now);
-        if self.planning.fleet.is_empty() {
+        if self.scheduling.fleet.is_empty() {
             for ix in &order {
                 self.set_reason(*ix, Reason::NoRoom);
             }
-            self.planning.order = order;
+            self.scheduling.queue_buffer = order;
             return None;
         }
         let keep = millis(self.options.keep_s);
@@ -96,8 +96,8 @@
             Some(Waiting { job: *ix, serial })
         };
         let jobs = order.iter().filter_map(waiting).collect();
-        self.planning.in_pass = true;
-        self.planning.order = order;
+        self.scheduling.in_cycle = true;
+        self.scheduling.queue_buffer = order;
         Some(Pass {
             order: jobs,
             next: 0,
@@ -175,7 +175,7 @@
     fn may_fit(&self, job_ix: u32) -> bool {
         self.cluster.job(job_ix).is_some_and(|job| {
             let allows = |type_ix, zone, spot| job.allows_kind(type_ix, zone, spot);
-            self.planning.fleet.may_fit(&job.need, allows)
+            self.scheduling.fleet.may_fit(&job.need, allows)
         })
     }
 
--- a/src/control/leader/spec_chunks.rs
+++ b/src/control/leader/spec_chunks.rs
@@ -15,14 +15,14 @@
 }
 
 #[derive(Default)]
-pub(super) struct Cuts {
+pub(super) struct SpecUploads {
     /// Every controller can read pieces.
     pub(super) allowed: bool,
     /// By job.
     open: HashMap<u32, Cut>,
 }
 
-impl Cuts {
+impl SpecUploads {
     /// The job's record can't be written before its description is cut.
     pub(super) fn is_due(&self, j: &Job, value_kb: f64) -> bool {
         self.allowed && j.spec_chunks.is_none() && !keys::fits(j.inline_size, value_kb)
@@ -73,19 +73,19 @@
 impl Leader {
     /// Every controller runs this version.
     pub fn upgraded(&mut self, complete: bool) {
-        self.cuts.allowed |= complete;
+        self.spec_uploads.allowed |= complete;
     }
 
     /// Pieces up to this one are written.
     pub(super) fn cut(&mut self, ix: u32, id: &str, upto: usize) {
-        let Some(cut) = self.cuts.open.get_mut(&ix).filter(|c| c.id == id) else {
+        let Some(cut) = self.spec_uploads.open.get_mut(&ix).filter(|c| c.id == id) else {
             return;
         };
         cut.written = cut.written.max(upto);
         if cut.written < cut.values.len() {
             return;
         }
-        let Some(cut) = self.cuts.open.remove(&ix) else {
+        let Some(cut) = self.spec_uploads.open.remove(&ix) else {
             return;
         };
         if let Some(j) = self.job_of(ix, id).filter(|j| j.spec_chunks.is_none()) {
@@ -95,9 +95,11 @@
 
     /// The job is over: what was written of a cut that is not complete goes.
     pub(super) fn drop_cut(&mut self, ix: u32) {
-        if let Some(cut) = self.cuts.open.remove(&ix) {
+        if let Some(cut) = self.spec_uploads.open.remove(&ix) {
             let keys = cut.values.into_iter().map(|(key, _)| key);
-            self.desk.orphans.extend(keys.take(cut.written));
+            self.write_queue
+                .unconditional_deletes
+                .extend(keys.take(cut.written));
         }
     }
 
@@ -106,7 +108,7 @@
     /// clears away.
     pub fn pieces_first(&self, spec: &JobSpec) -> anyhow::Result<Option<(Pieces, Vec<Txn>)>> {
         let limits = self.settings.cluster.state.always();
-        if !self.cuts.allowed || keys::fits(keys::whole_size(spec), limits.value_kb) {
+        if !self.spec_uploads.allowed || keys::fits(keys::whole_size(spec), limits.value_kb) {
             return Ok(None);
         }
         let (pieces, values) = spec_chunks::cut(spec)?;
@@ -132,7 +134,7 @@
         let Some(ix) = Pieces::job_of(key).and_then(|id| self.cluster.job_index(id)) else {
             return false;
         };
-        let cut = self.cuts.open.get(&ix);
+        let cut = self.spec_uploads.open.get(&ix);
         let cut = cut.is_some_and(|c| c.values.iter().any(|(k, _)| k == key));
         let job = self.cluster.job(ix);
         cut || job.is_some_and(|j| j.spec_chunks.as_ref().is_some_and(|p| p.names(&j.id, key)))
@@ -149,7 +151,7 @@
                 .and_then(|ix| self.cluster.job(ix));
             let named = job.and_then(|j| j.spec_chunks.as_ref());
             if !named.is_some_and(|p| p.names(id, &key)) {
-                self.desk.drops.push((key, version));
+                self.write_queue.conditional_deletes.push((key, version));
             }
         }
     }
--- a/src/control/leader/status.rs
+++ b/src/control/leader/status.rs
@@ -52,10 +52,12 @@
 
     pub(super) fn note_failure(&mut self, task: String, machine: String, why: ExitReason, now: Ms) {
         self.events.tally.failed += 1;
-        if self.events.failed.len() >= FAILURES {
-            self.events.failed.pop_front();
+        if self.events.recent_failures.len() >= FAILURES {
+            self.events.recent_failures.pop_front();
         }
-        self.events.failed.push_back((now, task, machine, why));
+        self.events
+            .recent_failures
+            .push_back((now, task, machine, why));
     }
 
     pub fn take_tally(&mut self) -> Tally {
@@ -100,16 +102,16 @@
     pub fn picture(&self, now: Ms) -> Picture {
         let mut picture = Picture {
             term: self.term,
-            since_s: (now - self.recovery.acquired) as f64 / 1000.0,
+            since_s: (now - self.recovery.elected_at) as f64 / 1000.0,
             settled: self.recovery.settled,
             jobs: self.cluster.live_jobs() as u32,
             groups: self.groups(),
             lent: self.at_markets(),
             standbys: self.standbys.status(now),
-            took_over: self.recovery.takeover.text(),
+            took_over: self.recovery.failover.text(),
             failures: self
                 .events
-                .failed
+                .recent_failures
                 .iter()
                 .rev()
                 .map(|(at, task, machine, why)| Failure {
--- a/src/control/leader/task_placement.rs
+++ b/src/control/leader/task_placement.rs
@@ -16,8 +16,8 @@
 
 impl Leader {
     pub(super) fn attempt(&mut self) -> u64 {
-        self.planning.attempts += 1;
-        (self.term << MACHINE_TOKEN_BITS) | self.planning.attempts
+        self.scheduling.attempt_count += 1;
+        (self.term << MACHINE_TOKEN_BITS) | self.scheduling.attempt_count
     }
 
     /// Whether the machine takes this task now.
@@ -64,7 +64,10 @@
         // Where the job has failed, the fault may be there.
         let failed = |machine| job.failures.failed_on(machine);
         let admits = |machine, room: &Room| self.admits(job_ix, task, machine, room, reserves, now);
-        let chosen = self.planning.fleet.choose(ranking, zone_ok, failed, admits);
+        let chosen = self
+            .scheduling
+            .fleet
+            .choose(ranking, zone_ok, failed, admits);
         if log::log_enabled!(log::Level::Debug)
             && let Some(c) = chosen
         {
@@ -74,10 +77,10 @@
     }
 
     fn log_choice(&self, job: &Job, task: u32, choice: Choice) {
-        let Some(room) = self.planning.fleet.room(choice.machine) else {
+        let Some(room) = self.scheduling.fleet.room(choice.machine) else {
             return;
         };
-        let policy = &self.planning.policy;
+        let policy = &self.scheduling.policy;
         let after = room.free.minus(job.need);
         log::debug!(
             "choice for {}/{task}: {}, load {:.2}, cost {:.3}{}",
@@ -92,7 +95,7 @@
     }
 
     fn take_reserve(&self, reserves: &mut [Reserve], machine: u32, need: &Resources) {
-        if let Some(room) = self.planning.fleet.room(machine) {
+        if let Some(room) = self.scheduling.fleet.room(machine) {
             for r in reserves.iter_mut() {
                 if r.covers(room.type_ix, room.spot) {
                     r.fits -= r.loss(&room.free, need);
@@ -171,7 +174,7 @@
                 return Outcome::Left;
             }
             self.take_reserve(reserves, choice.machine, &need);
-            self.planning.fleet.take(ranking, choice.machine);
+            self.scheduling.fleet.take(ranking, choice.machine);
             if let Some(n) = zones.get_mut(choice.zone) {
                 *n += 1;
             }
@@ -215,7 +218,7 @@
             0 => None,
             // Tasks of an attempt that had started must be gone first.
             _ => match self.gang_to_complete(job_ix) {
-                Some(attempt) if self.hears_all_of(job_ix) => Some(attempt),
+                Some(attempt) if self.hears_all_tasks_of(job_ix) => Some(attempt),
                 _ => return false,
             },
         };
@@ -231,7 +234,7 @@
             }
             let attempt = again.unwrap_or_else(|| self.attempt());
             for (task, choice) in missing.iter().zip(chosen) {
-                self.planning.fleet.take(ranking, choice.machine);
+                self.scheduling.fleet.take(ranking, choice.machine);
                 self.start(job_ix, *task, choice.machine, attempt, now);
             }
             return true;
@@ -263,11 +266,11 @@
             });
             let Some(choice) = pick else { break };
             self.take_reserve(reserves, choice.machine, &need);
-            trial.push(self.planning.fleet.take(ranking, choice.machine));
+            trial.push(self.scheduling.fleet.take(ranking, choice.machine));
             per_zone[choice.zone] += 1;
             chosen.push(choice);
         }
-        self.planning.fleet.give_back(ranking, trial);
+        self.scheduling.fleet.give_back(ranking, trial);
         (chosen.len() == missing.len()).then_some(chosen)
     }
 
--- a/src/control/leader/victims.rs
+++ b/src/control/leader/victims.rs
@@ -78,7 +78,7 @@
         let job = self.cluster.job(job_ix)?;
         let m = self.cluster.machine(ix)?;
         let allowed = m.schedulable()
-            && !self.planning.gained.contains(&ix)
+            && !self.scheduling.machines_with_gain.contains(&ix)
             && m.reserved_for.is_none_or(|(_, until)| now >= until)
             && job.allows(m)
             && job.need.fits(&m.capacity);
--- a/src/control/polls.rs
+++ b/src/control/polls.rs
@@ -94,52 +94,52 @@
 
 /// Final states, the most recently learned ones.
 #[derive(Debug)]
-pub struct Finals {
-    ends: Recent<Box<str>, End>,
+pub struct FinalStates {
+    by_job: Recent<Box<str>, FinalState>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct End {
+struct FinalState {
     state: JobState,
     done: u32,
     /// It may be told from then on.
-    tell_at: Ms,
+    visible_from: Ms,
 }
 
-const MAX_FINALS: usize = 20_000;
+const MAX_FINAL_STATES: usize = 20_000;
 
-impl Default for Finals {
+impl Default for FinalStates {
     fn default() -> Self {
-        Finals {
-            ends: Recent::new(MAX_FINALS),
+        FinalStates {
+            by_job: Recent::new(MAX_FINAL_STATES),
         }
     }
 }
 
-impl Finals {
+impl FinalStates {
     /// Anything but a final state is not kept. Of two times from which it may
     /// be told the earlier counts.
-    pub fn remember(&mut self, status: &JobStatus, tell_at: Ms) {
+    pub fn remember(&mut self, status: &JobStatus, visible_from: Ms) {
         let id = status.id.as_str();
-        let known = self.ends.get(id).copied();
-        let sooner = known.is_none_or(|end| tell_at < end.tell_at);
-        if !status.state.is_final() || self.ends.is_young(id) && !sooner {
+        let known = self.by_job.get(id).copied();
+        let sooner = known.is_none_or(|end| visible_from < end.visible_from);
+        if !status.state.is_final() || self.by_job.is_young(id) && !sooner {
             return;
         }
-        let new = End {
+        let new = FinalState {
             state: status.state,
             done: status.done,
-            tell_at,
+            visible_from,
         };
-        let end = known.map_or(new, |end| End {
-            tell_at: end.tell_at.min(tell_at),
+        let end = known.map_or(new, |end| FinalState {
+            visible_from: end.visible_from.min(visible_from),
             ..end
         });
-        self.ends.insert(id.into(), end);
+        self.by_job.insert(id.into(), end);
     }
 
     pub fn get(&self, id: &str) -> Option<JobStatus> {
-        let end = self.ends.get(id)?;
+        let end = self.by_job.get(id)?;
         Some(JobStatus {
             id: id.to_owned(),
             state: end.state,
@@ -157,8 +157,8 @@
     /// For how long this state is held back yet. One that is not final is not.
     pub fn held_for(&mut self, status: &JobStatus, now: Ms) -> Ms {
         self.learned(status, now);
-        let end = self.ends.get(status.id.as_str());
-        end.map_or(0, |end| end.tell_at.saturating_sub(now))
+        let end = self.by_job.get(status.id.as_str());
+        end.map_or(0, |end| end.visible_from.saturating_sub(now))
     }
 }
 
@@ -212,7 +212,7 @@
 
     #[test]
     fn only_final_states_are_remembered_and_not_without_bound() {
-        let mut f = Finals::default();
+        let mut f = FinalStates::default();
         let status = |n: usize, state| JobStatus {
             id: format!("j-{n:06}"),
             state,
@@ -221,11 +221,11 @@
         };
         f.remember(&status(0, JobState::Running), 0);
         assert_eq!(f.get("j-000000"), None);
-        for n in 0..MAX_FINALS * 2 {
+        for n in 0..MAX_FINAL_STATES * 2 {
             f.remember(&status(n, JobState::Done), 0);
         }
-        assert!(f.ends.len() <= MAX_FINALS);
-        let last = format!("j-{:06}", MAX_FINALS * 2 - 1);
+        assert!(f.by_job.len() <= MAX_FINAL_STATES);
+        let last = format!("j-{:06}", MAX_FINAL_STATES * 2 - 1);
         assert_eq!(f.get(&last).map(|s| s.state), Some(JobState::Done));
         assert_eq!(f.get("j-000000"), None);
     }
--- a/src/control/provision.rs
+++ b/src/control/provision.rs
@@ -40,7 +40,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub struct Purchase {
+pub struct PlannedMachines {
     pub type_ix: usize,
     pub zone: usize,
     pub spot: bool,
@@ -59,8 +59,8 @@
     bins: &mut Vec<Bin>,
     offers: &[Offer],
     most: usize,
-) -> Vec<Purchase> {
-    let mut bought: Vec<Purchase> = Vec::new();
+) -> Vec<PlannedMachines> {
+    let mut bought: Vec<PlannedMachines> = Vec::new();
     let mut new = 0;
     for d in demands.iter_mut() {
         let allowed = |type_ix: usize, zone: usize, spot: bool| {
@@ -110,7 +110,7 @@
                 p.type_ix == offer.type_ix && p.zone == offer.zone && p.spot == offer.spot
             }) {
                 Some(p) => p.count += 1,
-                None => bought.push(Purchase {
+                None => bought.push(PlannedMachines {
                     type_ix: offer.type_ix,
                     zone: offer.zone,
                     spot: offer.spot,
--- a/src/control/requests/mod.rs
+++ b/src/control/requests/mod.rs
@@ -24,7 +24,7 @@
 pub use request::Request;
 pub use view::NodeView;
 
-use super::{leader::Leader, polls::Finals, safety_bounds::MAX_READING_AGE_MS};
+use super::{leader::Leader, polls::FinalStates, safety_bounds::MAX_READING_AGE_MS};
 use crate::{
     protocol::{
         cloud::MachineType,
--- a/src/control/requests/tests.rs
+++ b/src/control/requests/tests.rs
@@ -43,18 +43,18 @@
 }
 
 /// At a node that does not lead.
-fn step(request: &mut Request, event: Event, finals: &mut Finals) -> Next {
-    step_at(0, request, event, finals)
+fn step(request: &mut Request, event: Event, final_states: &mut FinalStates) -> Next {
+    step_at(0, request, event, final_states)
 }
 
 /// The same at a time.
-fn step_at(now: Ms, request: &mut Request, event: Event, finals: &mut Finals) -> Next {
+fn step_at(now: Ms, request: &mut Request, event: Event, final_states: &mut FinalStates) -> Next {
     request.step(
         event,
         &mut NodeView {
             leader: None,
             acts: false,
-            finals,
+            final_states,
             settings: &settings(),
             types: &[],
             upgraded: true,
@@ -76,47 +76,52 @@
 /// when it was said and is given after this node has told the job's end.
 #[test]
 fn an_answer_that_was_overtaken_on_its_way_is_not_given() {
-    let ended = |finals: &mut Finals| finals.remember(&status(JobState::Cancelled), 0);
+    let ended =
+        |final_states: &mut FinalStates| final_states.remember(&status(JobState::Cancelled), 0);
     for relayed in [true, false] {
-        let mut finals = Finals::default();
+        let mut final_states = FinalStates::default();
         let mut poll = Request::poll(ID);
         assert!(matches!(
-            step(&mut poll, Event::Begin, &mut finals),
+            step(&mut poll, Event::Begin, &mut final_states),
             Next::AskLeader
         ));
         let event = match relayed {
             true => told(Some(JobState::Running)),
             false => {
-                let next = step(&mut poll, told(None), &mut finals);
+                let next = step(&mut poll, told(None), &mut final_states);
                 assert!(matches!(next, Next::ReadState));
                 Event::Read(Ok(reading(Some(JobState::Queued))))
             }
         };
-        ended(&mut finals);
-        let next = step(&mut poll, event, &mut finals);
+        ended(&mut final_states);
+        let next = step(&mut poll, event, &mut final_states);
         assert_eq!(state_of(next), JobState::Cancelled);
     }
     // So it is with a submission's answer that another node gave.
-    let mut finals = Finals::default();
+    let mut final_states = FinalStates::default();
     let body = format!(r#"{{"ref":"{ID}"}}"#);
     let mut submit = Request::submit(body.as_bytes(), false);
     assert!(matches!(
-        step(&mut submit, Event::Begin, &mut finals),
+        step(&mut submit, Event::Begin, &mut final_states),
         Next::Forward
     ));
-    ended(&mut finals);
+    ended(&mut final_states);
     let answer = Answer::State(200, status(JobState::Queued));
-    let next = step(&mut submit, Event::Forwarded(Some(answer)), &mut finals);
+    let next = step(
+        &mut submit,
+        Event::Forwarded(Some(answer)),
+        &mut final_states,
+    );
     assert_eq!(state_of(next), JobState::Cancelled);
 }
 
 /// Guards against asking the leader, or the records, for what never changes.
 #[test]
 fn an_end_that_is_known_is_told_from_memory_whatever_is_asked() {
-    let mut finals = Finals::default();
+    let mut final_states = FinalStates::default();
     let mut poll = Request::poll(ID);
-    step(&mut poll, Event::Begin, &mut finals);
-    let next = step(&mut poll, told(Some(JobState::Done)), &mut finals);
+    step(&mut poll, Event::Begin, &mut final_states);
+    let next = step(&mut poll, told(Some(JobState::Done)), &mut final_states);
     assert_eq!(state_of(next), JobState::Done);
     let body = format!(r#"{{"ref":"{ID}","pieces":"many"}}"#);
     for mut request in [
@@ -124,16 +129,16 @@
         Request::submit(body.as_bytes(), false),
         Request::withdraw(ID, false),
     ] {
-        let next = step(&mut request, Event::Begin, &mut finals);
+        let next = step(&mut request, Event::Begin, &mut final_states);
         assert_eq!(state_of(next), JobState::Done);
     }
 }
 
 #[test]
 fn what_is_no_ref_is_no_job_and_nobody_is_asked() {
-    let mut finals = Finals::default();
+    let mut final_states = FinalStates::default();
     for mut request in [Request::poll("j-1"), Request::withdraw("j-1", false)] {
-        let next = step(&mut request, Event::Begin, &mut finals);
+        let next = step(&mut request, Event::Begin, &mut final_states);
         assert!(matches!(next, Next::Answer(Answer::Refused(404, _))));
     }
 }
@@ -167,31 +172,41 @@
 #[test]
 fn a_reading_that_is_too_old_is_read_again_and_not_for_ever() {
     for late in [MAX_READING_AGE_MS, MAX_READING_AGE_MS + 1] {
-        let mut finals = Finals::default();
+        let mut final_states = FinalStates::default();
         let mut poll = Request::poll(ID);
-        step_at(0, &mut poll, Event::Begin, &mut finals);
+        step_at(0, &mut poll, Event::Begin, &mut final_states);
         let told = told(Some(JobState::Running));
-        let next = step_at(late, &mut poll, told, &mut finals);
+        let next = step_at(late, &mut poll, told, &mut final_states);
         if late == MAX_READING_AGE_MS {
             assert_eq!(state_of(next), JobState::Running);
             continue;
         }
         assert!(matches!(next, Next::ReadState), "{next:?}");
         let again = read_at(late, JobState::Queued);
-        let next = step_at(late + MAX_READING_AGE_MS, &mut poll, again, &mut finals);
+        let next = step_at(
+            late + MAX_READING_AGE_MS,
+            &mut poll,
+            again,
+            &mut final_states,
+        );
         assert_eq!(state_of(next), JobState::Queued);
     }
-    let mut finals = Finals::default();
+    let mut final_states = FinalStates::default();
     let mut poll = Request::poll(ID);
-    step_at(0, &mut poll, Event::Begin, &mut finals);
+    step_at(0, &mut poll, Event::Begin, &mut final_states);
     let (mut now, mut event) = (0, told(Some(JobState::Running)));
     for _ in 0..request::MOST_STALE {
         now += 2 * MAX_READING_AGE_MS;
-        let next = step_at(now, &mut poll, event, &mut finals);
+        let next = step_at(now, &mut poll, event, &mut final_states);
         assert!(matches!(next, Next::ReadState), "{next:?}");
         event = read_at(now, JobState::Running);
     }
-    let next = step_at(now + 2 * MAX_READING_AGE_MS, &mut poll, event, &mut finals);
+    let next = step_at(
+        now + 2 * MAX_READING_AGE_MS,
+        &mut poll,
+        event,
+        &mut final_states,
+    );
     assert!(matches!(next, Next::Answer(Answer::Later(_))), "{next:?}");
 }
 
@@ -199,16 +214,26 @@
 /// long: it is looked up again.
 #[test]
 fn a_refusal_that_is_too_old_is_read_again() {
-    let mut finals = Finals::default();
+    let mut final_states = FinalStates::default();
     let body = format!(r#"{{"ref":"{ID}"}}"#);
     let mut submit = Request::submit(body.as_bytes(), false);
-    step_at(0, &mut submit, Event::Begin, &mut finals);
+    step_at(0, &mut submit, Event::Begin, &mut final_states);
     let refused = Answer::Refused(400, "pieces is missing".into());
     let event = Event::Forwarded(Some(refused));
-    let next = step_at(MAX_READING_AGE_MS + 1, &mut submit, event, &mut finals);
+    let next = step_at(
+        MAX_READING_AGE_MS + 1,
+        &mut submit,
+        event,
+        &mut final_states,
+    );
     assert!(matches!(next, Next::ReadState), "{next:?}");
     let known = read_at(MAX_READING_AGE_MS + 1, JobState::Queued);
-    let next = step_at(MAX_READING_AGE_MS + 10, &mut submit, known, &mut finals);
+    let next = step_at(
+        MAX_READING_AGE_MS + 10,
+        &mut submit,
+        known,
+        &mut final_states,
+    );
     assert_eq!(state_of(next), JobState::Queued);
 }
 
@@ -216,23 +241,23 @@
 /// answer that it read before. What the leader says has been held back there.
 #[test]
 fn an_end_that_a_node_reads_is_held_back_and_then_told_at_once() {
-    let mut finals = Finals::default();
+    let mut final_states = FinalStates::default();
     let mut poll = Request::poll(ID);
-    step_at(0, &mut poll, Event::Begin, &mut finals);
+    step_at(0, &mut poll, Event::Begin, &mut final_states);
     let read = read_at(0, JobState::Done);
-    let Next::Wait(held) = step_at(10, &mut poll, read, &mut finals) else {
+    let Next::Wait(held) = step_at(10, &mut poll, read, &mut final_states) else {
         panic!("told at once");
     };
     assert!(held > MAX_READING_AGE_MS && poll.is_held());
-    let next = step_at(10 + held, &mut poll, Event::Waited, &mut finals);
+    let next = step_at(10 + held, &mut poll, Event::Waited, &mut final_states);
     assert_eq!(state_of(next), JobState::Done);
     let mut again = Request::poll(ID);
-    let next = step_at(11 + held, &mut again, Event::Begin, &mut finals);
+    let next = step_at(11 + held, &mut again, Event::Begin, &mut final_states);
     assert_eq!(state_of(next), JobState::Done);
 
-    let mut finals = Finals::default();
+    let mut final_states = FinalStates::default();
     let mut poll = Request::poll(ID);
-    step_at(0, &mut poll, Event::Begin, &mut finals);
-    let next = step_at(10, &mut poll, told(Some(JobState::Done)), &mut finals);
+    step_at(0, &mut poll, Event::Begin, &mut final_states);
+    let next = step_at(10, &mut poll, told(Some(JobState::Done)), &mut final_states);
     assert_eq!(state_of(next), JobState::Done);
 }
--- a/src/control/requests/view.rs
+++ b/src/control/requests/view.rs
@@ -9,7 +9,7 @@
     /// This node leads, and may act right now.
     pub acts: bool,
     /// Final states that it has learned while it did not lead.
-    pub finals: &'a mut Finals,
+    pub final_states: &'a mut FinalStates,
     pub settings: &'a Settings,
     pub types: &'a [MachineType],
     /// Every controller is known to run this version.
@@ -41,14 +41,14 @@
     pub(super) fn end_of(&self, id: &str) -> Option<JobStatus> {
         let led = self.leader.as_deref().and_then(|l| l.told(id));
         led.filter(|s| s.state.is_final())
-            .or_else(|| self.finals.get(id))
+            .or_else(|| self.final_states.get(id))
     }
 
     /// All ends that this node remembers.
-    fn ends(&mut self) -> &mut Finals {
+    fn ends(&mut self) -> &mut FinalStates {
         match self.leader.as_deref_mut() {
-            Some(l) => &mut l.finals,
-            None => self.finals,
+            Some(l) => &mut l.final_states,
+            None => self.final_states,
         }
     }
 
--- a/src/server/client_api.rs
+++ b/src/server/client_api.rs
@@ -148,7 +148,7 @@
         let result = f(&mut NodeView {
             acts: term.is_some() && leader.as_ref().map(|l| l.term) == term,
             leader: leader.as_mut(),
-            finals: &mut self.finals.borrow_mut(),
+            final_states: &mut self.final_states.borrow_mut(),
             settings: &self.settings,
             types: &self.types.borrow(),
             upgraded: self.upgrade.is_complete(),
--- a/src/server/cloud.rs
+++ b/src/server/cloud.rs
@@ -109,11 +109,11 @@
                     break;
                 }
             };
-            self.of_term(term, |l, now| l.listed(&page.machines, now));
+            self.of_term(term, |l, now| l.machines_listed(&page.machines, now));
             match page.machines.last() {
                 Some(last) if page.more => from = last.id.clone(),
                 _ => {
-                    self.of_term(term, |l, now| l.listed_whole(asked, now));
+                    self.of_term(term, |l, now| l.full_list_received(asked, now));
                     break;
                 }
             }
@@ -139,13 +139,15 @@
                     Err(e) => {
                         log::info!("rental {}: {e}", rent.request_id);
                         if e == NOT_SENT {
-                            self.of_term(term, |l, _| l.not_rented());
+                            self.of_term(term, |l, _| l.scale_out_not_sent());
                             return;
                         }
                         None
                     }
                 };
-                self.of_term(term, |l, now| l.rented(&rent, names.as_deref(), now));
+                self.of_term(term, |l, now| {
+                    l.scale_out_answered(&rent, names.as_deref(), now)
+                });
             }
             CloudOp::Release(names) => {
                 let request = MachineNames {
--- a/src/server/control_loop.rs
+++ b/src/server/control_loop.rs
@@ -35,7 +35,7 @@
             log::info!("this process stood still for {late} ms");
             let lead = node.election.borrow().leadership();
             if let Some(lead) = lead {
-                node.of_term(lead.term, |l, now| l.stood_still(now));
+                node.of_term(lead.term, |l, now| l.process_resumed(now));
             }
             // What has arrived is taken in first.
             Timer::after(STEP).await;
--- a/src/server/leadership/campaign.rs
+++ b/src/server/leadership/campaign.rs
@@ -166,10 +166,10 @@
                 term,
                 self.now(),
             );
-            leader.finals = self.finals.take();
+            leader.final_states = self.final_states.take();
             let copy = self.follower.borrow_mut().take_over(term);
             leader.inherit(incarnation, copy);
-            leader.nobody_led_for(self.election.borrow().leaderless_for(self.now()));
+            leader.set_leaderless_time(self.election.borrow().leaderless_for(self.now()));
             self.exclusions.take();
             *self.leader.borrow_mut() = Some(leader);
             self.lanes.spawn(load(self.clone(), term)).detach();
--- a/src/server/leadership/mod.rs
+++ b/src/server/leadership/mod.rs
@@ -65,7 +65,7 @@
             return;
         };
         if let Some(leader) = self.leader.borrow_mut().take() {
-            self.finals.replace(leader.finals);
+            self.final_states.replace(leader.final_states);
         }
         self.renewals_fail.set(false);
         self.set_shares();
--- a/src/server/leadership/renew.rs
+++ b/src/server/leadership/renew.rs
@@ -155,7 +155,7 @@
                         .await
                         .is_ok()
                     {
-                        node.of_term(term, |l, now| l.controller_heard(&zone, now));
+                        node.of_term(term, |l, now| l.controller_responded(&zone, now));
                     }
                 })
                 .detach();
@@ -167,7 +167,7 @@
     /// after 5 s of its lease, so there is no time to find out first. Returns
     /// whether neither workers nor controllers are heard.
     async fn hears_nobody(self: &Rc<Self>, term: u64) -> bool {
-        let Some((machines, heard)) = self.of_term(term, |l, now| l.unheard(now)) else {
+        let Some((machines, heard)) = self.of_term(term, |l, now| l.overdue_machines(now)) else {
             return false;
         };
         if machines.is_empty() {
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -21,7 +21,7 @@
 use crate::{
     control::{
         election::Election, exclusions::Exclusions, failure_detector::FailureDetector,
-        heartbeat_relay::Relays, leader::Leader, polls::Finals, safety_bounds::SafetyBounds,
+        heartbeat_relay::Relays, leader::Leader, polls::FinalStates, safety_bounds::SafetyBounds,
         standby::replica::Follower,
     },
     options::Options,
@@ -88,7 +88,7 @@
     polls: polls::Waiting,
     reads: polls::Waiting,
     /// Final states that this node has learned while it did not lead.
-    finals: RefCell<Finals>,
+    final_states: RefCell<FinalStates>,
     /// When a report was last answered.
     last_beat: Cell<Ms>,
     relays: RefCell<Relays>,
@@ -147,7 +147,7 @@
         listing: Cell::new(false),
         polls: polls::Waiting::new(users),
         reads: polls::Waiting::new(2 * users),
-        finals: RefCell::default(),
+        final_states: RefCell::default(),
         last_beat: Cell::new(0),
         relays: RefCell::new(Relays::default()),
         last_picture: RefCell::new(None),
--- a/src/server/polls.rs
+++ b/src/server/polls.rs
@@ -144,19 +144,19 @@
                 }
             }
         }
-        let mut finals = HashMap::new();
+        let mut final_states = HashMap::new();
         if list {
             let over = round.iter().map(|(id, _)| id.as_str());
             let over = over.filter(|id| !live.contains_key(&job_key(id)));
             let (items, unread) = node.read_some(FINALS, over.collect()).await;
             for i in items {
                 let id = i.key[FINALS.len()..].to_owned();
-                finals.insert(id, Ok((i.value, i.version)));
+                final_states.insert(id, Ok((i.value, i.version)));
             }
-            finals.extend(unread.into_iter().map(|(id, e)| (id, Err(e))));
+            final_states.extend(unread.into_iter().map(|(id, e)| (id, Err(e))));
         }
         for (id, who) in round {
-            let found = match (live.remove(&job_key(&id)), finals.remove(&id)) {
+            let found = match (live.remove(&job_key(&id)), final_states.remove(&id)) {
                 (Some((value, version)), _) => serde_json::from_value::<StoredJob>(value)
                     .map(|r| reading(began, r.status(&id), version))
                     .map_err(|e| e.to_string()),
--- a/src/server/standby.rs
+++ b/src/server/standby.rs
@@ -30,7 +30,7 @@
         }
         let peers = self.of_term(term, |l, _| l.standby_peers());
         for peer in peers.unwrap_or_default() {
-            let part = self.of_term(term, |l, _| l.next_told(peer, now));
+            let part = self.of_term(term, |l, _| l.next_replication_part(peer, now));
             if let Some(part) = part.flatten() {
                 let told = self.clone().tell_standby(term, peer, part);
                 self.lanes.spawn(told).detach();
@@ -48,8 +48,8 @@
                 _ => None,
             };
             let went_on = self.of_term(term, |l, now| {
-                l.told_standby(peer, answer, now);
-                l.next_told(peer, now)
+                l.replication_answered(peer, answer, now);
+                l.next_replication_part(peer, now)
             });
             next = went_on.flatten();
         }
--- a/tests/controllers.rs
+++ b/tests/controllers.rs
@@ -69,7 +69,11 @@
             let now = w.now;
             if w.leader() == Some(leader) && w.reaches(leader) {
                 let l = w.nodes[leader].leader.as_ref().unwrap();
-                assert_eq!(l.unheard(now).0, Vec::<String>::new(), "seed {seed}");
+                assert_eq!(
+                    l.overdue_machines(now).0,
+                    Vec::<String>::new(),
+                    "seed {seed}"
+                );
                 assert!(!l.cluster.each_machine().any(|m| m.overdue), "seed {seed}");
             }
         }
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -60,13 +60,13 @@
 }
 
 /// Machines of a kind that are asked for at a time.
-fn rented(l: &mut Leader, now: Ms, kind: &str) -> u32 {
+fn scale_out_answered(l: &mut Leader, now: Ms, kind: &str) -> u32 {
     l.tick(now, now);
     let mut n = 0;
     for op in l.cloud_ops(now, now) {
         if let CloudOp::MachineRequest(r) = op {
             n += if r.type_name == kind { r.count } else { 0 };
-            l.not_rented();
+            l.scale_out_not_sent();
         }
     }
     n
@@ -90,7 +90,7 @@
     gang.cpus = 8.0;
     l.load_job(record(gang), 2, 0);
     l.finish_loading(0);
-    assert_eq!(rented(&mut l, 1_000, "g4"), 3);
+    assert_eq!(scale_out_answered(&mut l, 1_000, "g4"), 3);
 }
 
 /// Guards against a lease without any rental after each change of leadership
@@ -103,9 +103,13 @@
     // Two tasks to a machine: six may be running.
     l.load_job(record(job(1, Kind::Service, 10)), 4, 0);
     l.finish_loading(0);
-    assert_eq!(rented(&mut l, 1_000, "m8"), 0, "nobody can have reported");
+    assert_eq!(
+        scale_out_answered(&mut l, 1_000, "m8"),
+        0,
+        "nobody can have reported"
+    );
     assert!(!l.settled());
-    assert_eq!(rented(&mut l, 8_000, "m8"), 2);
+    assert_eq!(scale_out_answered(&mut l, 8_000, "m8"), 2);
     assert!(!l.settled());
 }
 
@@ -252,7 +256,7 @@
         let now = w.now;
         let l = w.nodes[i].leader.as_mut().unwrap();
         // The lag is 3 s: such a list may be older than the term.
-        l.listed_whole(began + 4_000, now);
+        l.full_list_received(began + 4_000, now);
         l.tick(now, now);
         assert!(!l.settled());
         if still_listed {
@@ -264,9 +268,9 @@
             let listed = serde_json::json!({
                 "ref": silent.name, "addr": "127.0.0.1:9", "rig": "m8", "hall": "a",
                 "lendback": false, "stage": "running", "age_s": 60.0});
-            l.listed(&[serde_json::from_value(listed).unwrap()], now);
+            l.machines_listed(&[serde_json::from_value(listed).unwrap()], now);
         }
-        l.listed_whole(began + 7_000, now);
+        l.full_list_received(began + 7_000, now);
         l.tick(now, now);
         assert_eq!(l.settled(), !still_listed);
         w.run(30_000);
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -456,7 +456,7 @@
     // A controller there answers again.
     let (i, now) = (w.leader().unwrap(), w.now);
     let leader = w.nodes[i].leader.as_mut().unwrap();
-    leader.controller_heard("b", now);
+    leader.controller_responded("b", now);
     w.until(10_000, "rented again", |w| w.workers.len() > 8);
     w.sound();
 }
--- a/tests/simulation/nodes.rs
+++ b/tests/simulation/nodes.rs
@@ -18,7 +18,7 @@
         if self.nodes[i].still_until > 0 {
             self.nodes[i].still_until = 0;
             if let Some(l) = self.nodes[i].leader.as_mut() {
-                l.stood_still(now);
+                l.process_resumed(now);
             }
         }
         let (due, later) = std::mem::take(&mut self.renewals)
@@ -157,7 +157,7 @@
                 };
                 let leader = self.nodes[i].leader.as_mut();
                 if let Some(l) = leader.filter(|l| l.term == term) {
-                    l.rented(&r, Some(&names), now);
+                    l.scale_out_answered(&r, Some(&names), now);
                 }
             }
             CloudOp::Release(names) => {
@@ -247,7 +247,7 @@
             return;
         };
         if let Some(l) = node.leader.take() {
-            node.finals = l.finals;
+            node.finals = l.final_states;
         }
         // What it began is of no concern to a later term of the same node.
         node.unclear = None;
@@ -413,7 +413,7 @@
             now,
         );
         let node = &mut self.nodes[i];
-        leader.finals = std::mem::take(&mut node.finals);
+        leader.final_states = std::mem::take(&mut node.finals);
         let copy = node.follower.take_over(term);
         leader.inherit(node.election.incarnation, copy);
         node.leader = Some(leader);
@@ -562,14 +562,15 @@
             let zone = self.zone_of(j);
             if zone != self.zone_of(i) && self.contact(i, j) == Some(PeerHealth::Healthy) {
                 let l = self.nodes[i].leader.as_mut();
-                l.into_iter().for_each(|l| l.controller_heard(zone, now));
+                l.into_iter()
+                    .for_each(|l| l.controller_responded(zone, now));
             }
         }
         let node = &mut self.nodes[i];
         let Some(l) = node.leader.as_ref() else {
             return;
         };
-        let (machines, heard) = l.unheard(now);
+        let (machines, heard) = l.overdue_machines(now);
         if machines.is_empty() {
             return;
         }
--- a/tests/simulation/standbys.rs
+++ b/tests/simulation/standbys.rs
@@ -99,7 +99,7 @@
             return;
         };
         let term = l.term;
-        let Some(part) = l.next_told(p, now) else {
+        let Some(part) = l.next_replication_part(p, now) else {
             return;
         };
         let id = (part.stream, part.part);
@@ -162,7 +162,7 @@
             return;
         }
         node.telling[j] = None;
-        l.told_standby(p, answer, now);
+        l.replication_answered(p, answer, now);
         self.tell_standby(i, p);
     }
 
--- a/tests/simulation/users.rs
+++ b/tests/simulation/users.rs
@@ -149,7 +149,7 @@
         f(&mut NodeView {
             acts: term.is_some() && node.leader.as_ref().map(|l| l.term) == term,
             leader: node.leader.as_mut(),
-            finals: &mut node.finals,
+            final_states: &mut node.finals,
             settings: &self.settings,
             types: &types,
             upgraded: !self.mixed,
