--- a/examples/limits/main.rs
+++ b/examples/limits/main.rs
@@ -17,7 +17,7 @@
 use pathwinch::{
     control::{
         leader::Leader,
-        standby::replica::{Copy, Follower},
+        standby::replica::{Replica, ReplicaReceiver},
     },
     options::Options,
     protocol::{
@@ -65,7 +65,7 @@
 
 /// What a standby is told of these machines, as part `part` of its stream.
 fn tell(l: &Leader, part: u64, machines: impl Iterator<Item = usize>) -> Follow {
-    let held = machines.map(|n| l.cluster.held_on(&format!("i-{n:06}")));
+    let held = machines.map(|n| l.cluster.tasks_on(&format!("i-{n:06}")));
     Follow {
         term: 1,
         stream: 1,
@@ -174,7 +174,7 @@
         }
         "told" => {
             let (l, _) = leader(size, size / 5 + 1)?;
-            let (mut follower, mut bytes) = (Follower::default(), 0);
+            let (mut follower, mut bytes) = (ReplicaReceiver::default(), 0);
             for n in 0..count {
                 let part = tell(&l, n as u64, std::iter::once(n % size));
                 let frame = frames::encode(Request::Follow(part))?;
@@ -182,24 +182,24 @@
                 let Request::Follow(part) = frames::decode(&frame[4..])? else {
                     bail!("not what was sent");
                 };
-                anyhow::ensure!(follower.take_in(part, 0), "not taken in");
+                anyhow::ensure!(follower.apply_part(part, 0), "not taken in");
             }
             println!("{} bytes a change of one machine", bytes / count);
         }
         "takeover" => {
             let (told, _) = leader(size, size / 5 + 1)?;
-            let mut follower = Follower::default();
+            let mut follower = ReplicaReceiver::default();
             let all = tell(&told, 0, 0..size);
             println!(
                 "{} bytes",
                 frames::encode(Request::Follow(all.clone())).map_or(0, |f| f.len())
             );
-            anyhow::ensure!(follower.take_in(all, 0), "not taken in");
-            let copy: Copy = follower.take_over(2).context("no copy")?;
+            anyhow::ensure!(follower.apply_part(all, 0), "not taken in");
+            let replica: Replica = follower.take_replica(2).context("no replica")?;
             for _ in 0..count {
-                std::hint::black_box(copy.latest_first());
+                std::hint::black_box(replica.latest_first());
                 let mut l = unheard(size, size / 5 + 1)?;
-                l.inherit(7, Some(copy.clone()));
+                l.inherit(7, Some(replica.clone()));
                 l.load_standbys(Some((
                     StandbyRecord {
                         term: 1,
--- a/src/control/leader/failover.rs
+++ b/src/control/leader/failover.rs
@@ -4,9 +4,9 @@
 use super::*;
 use crate::{
     control::standby::{
-        Written,
-        failover_checks::{self, Claim},
-        replica::Copy,
+        RegistryWriteOutcome,
+        failover_checks::{self, FailoverClaim},
+        replica::Replica,
     },
     protocol::peers::{Follow, MayRun, Seen},
     state::records::StandbyRecord,
@@ -16,7 +16,7 @@
 #[derive(Default)]
 pub(super) struct Failover {
     /// Its process, and the copy it kept.
-    inherited: Option<(u64, Option<Copy>)>,
+    inherited: Option<(u64, Option<Replica>)>,
     record: Option<StandbyRecord>,
     /// It knows at least all that may run, heard or not.
     pub(super) warm: bool,
@@ -38,8 +38,8 @@
 
 impl Leader {
     /// This node's process, and the copy that it kept as a standby.
-    pub fn inherit(&mut self, incarnation: u64, copy: Option<Copy>) {
-        self.recovery.failover.inherited = Some((incarnation, copy));
+    pub fn inherit(&mut self, incarnation: u64, replica: Option<Replica>) {
+        self.recovery.failover.inherited = Some((incarnation, replica));
     }
 
     /// Who was named, as read in this term.
@@ -69,25 +69,25 @@
     /// The first thing done with authority once the records are read.
     pub(super) fn fail_over(&mut self, now: Ms) {
         self.recovery.failover.starts_released = false;
-        let Some((incarnation, copy)) = self.recovery.failover.inherited.take() else {
+        let Some((incarnation, replica)) = self.recovery.failover.inherited.take() else {
             return;
         };
-        let claim = Claim {
+        let claim = FailoverClaim {
             me: &self.settings.name,
             incarnation,
             record: self.recovery.failover.record.as_ref(),
-            copy: copy.as_ref(),
+            replica: replica.as_ref(),
         };
-        match (failover_checks::judge(&claim), copy) {
-            (Ok(()), Some(copy)) => {
-                let (held, machines) = self.restore_from_replica(&copy, now);
+        match (failover_checks::check_failover(&claim), replica) {
+            (Ok(()), Some(replica)) => {
+                let (held, machines) = self.restore_from_replica(&replica, now);
                 self.recovery.failover.warm = true;
                 self.changed = true;
                 self.events.tally.took_over = Some("warm");
                 log::info!(
                     "term {} takes over warm from {}: {held} tasks on {machines} machines not heard",
                     self.term,
-                    copy.term,
+                    replica.term,
                 );
             }
             (Ok(()), None) => {}
@@ -102,8 +102,8 @@
     /// Puts into the picture what may be on machines that were not heard yet,
     /// and what has completed. Those heard have said themselves what they hold.
     /// Returns how many tasks on how many machines.
-    fn restore_from_replica(&mut self, copy: &Copy, now: Ms) -> (usize, usize) {
-        let all = copy.latest_first();
+    fn restore_from_replica(&mut self, replica: &Replica, now: Ms) -> (usize, usize) {
+        let all = replica.latest_first();
         // Guards against doing once more what ended before the old leader
         // could record it.
         for (_, job, MayRun(task, ..)) in all.iter().filter(|(.., t)| t.3 == Seen::Done) {
@@ -168,7 +168,7 @@
     }
 
     /// Looks who is to be kept warm; returns the write that is due for that.
-    pub fn keep_warm(&mut self, answers: impl Fn(usize) -> bool, now: Ms) -> Option<Txn> {
+    pub fn update_standbys(&mut self, answers: impl Fn(usize) -> bool, now: Ms) -> Option<Txn> {
         if !self.recovery.loaded {
             return None;
         }
@@ -178,7 +178,7 @@
     }
 
     /// How the write of the record of standbys came out.
-    pub fn standbys_written(&mut self, how: Written, now: Ms) {
+    pub fn standbys_written(&mut self, how: RegistryWriteOutcome, now: Ms) {
         self.recovery.failover.starts_released |= self.standbys.written(how, now);
     }
 
--- a/src/control/leader/mod.rs
+++ b/src/control/leader/mod.rs
@@ -54,7 +54,7 @@
             Assignment, ClusterState, DIRECT_COMMAND_TIMEOUT_MS, Job, Machine, NONE, Phase,
             Placement, Registration,
         },
-        dependencies::{Chains, Gate},
+        dependencies::{DependencyGraph, Readiness},
         fault_attribution::{JobFailures, MachineFailures},
         offload::Away,
         records::{
@@ -105,16 +105,16 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Item {
     Cancel(u32, String),
-    Lend(u32, String),
-    Lift(u32, String),
-    Final(u32, String, JobState),
-    Progress(u32, String, Vec<usize>),
+    Offload(u32, String),
+    EndOffload(u32, String),
+    Finish(u32, String, JobState),
+    RecordProgress(u32, String, Vec<usize>),
     Registration(u32, String),
-    Lapsed(u32, String),
-    Mark(u32, String),
-    Drop(String),
+    ExpireMachine(u32, String),
+    MarkReleasing(u32, String),
+    Delete(String),
     /// Pieces of the job's description, up to this one.
-    Pieces(u32, String, usize),
+    UploadSpec(u32, String, usize),
 }
 
 /// One transaction and what it says.
@@ -158,7 +158,7 @@
     /// Final states told or learned; they outlast the term.
     pub final_states: FinalStates,
     /// Which jobs wait for which.
-    dependencies: Chains,
+    dependencies: DependencyGraph,
     /// Descriptions that are being cut.
     spec_uploads: spec_chunks::SpecUploads,
     /// Something changed since placement was last tried.
@@ -197,7 +197,7 @@
             cluster: model,
             term,
             final_states: FinalStates::default(),
-            dependencies: Chains::default(),
+            dependencies: DependencyGraph::default(),
             spec_uploads: spec_chunks::SpecUploads::default(),
             changed: true,
             wall_ms: 0,
@@ -261,7 +261,7 @@
         if self
             .cluster
             .job(ix)
-            .is_some_and(|j| j.readiness == Gate::Open)
+            .is_some_and(|j| j.readiness == Readiness::Ready)
         {
             self.note_arrival(ix, now.saturating_sub(age));
         }
@@ -355,7 +355,7 @@
         let m = self.cluster.machine_mut(ix)?;
         let fresh = m.up && (report.incarnation, report.seq) == (m.incarnation, m.heartbeat_seq);
         let commands = if fresh {
-            let confirmed = self.standbys.confirmed();
+            let confirmed = self.standbys.confirmed_change();
             let commands =
                 reconciliation::commands(&mut self.cluster, ix, None, report.seq, confirmed);
             self.count_commands(&commands);
@@ -410,7 +410,7 @@
         if !self.recovery.loaded {
             return out;
         }
-        let confirmed = self.standbys.confirmed();
+        let confirmed = self.standbys.confirmed_change();
         for ix in self.cluster.machine_range() {
             let ready = self
                 .cluster
@@ -532,7 +532,7 @@
     pub fn is_withheld(&self, id: &str) -> bool {
         let ix = self.cluster.job_index(id);
         ix.is_some_and(|ix| {
-            self.dependencies.is_lost(ix) && self.cluster.job(ix).is_some_and(|j| !j.cancelled)
+            self.dependencies.must_cancel(ix) && self.cluster.job(ix).is_some_and(|j| !j.cancelled)
         })
     }
 
@@ -616,7 +616,7 @@
                 self.changed = true;
             }
         }
-        self.follow_chains(now);
+        self.apply_dependency_changes(now);
         self.stop_cancelled_and_broken_gangs();
         self.checkpoint_before_reclaim();
         let backoff = self
--- a/src/control/leader/offload.rs
+++ b/src/control/leader/offload.rs
@@ -136,9 +136,9 @@
             return Marked::No;
         };
         match &j.offload {
-            Away::Lent(l) if *l == lent => return Marked::Yes,
-            Away::Leaving { lent: l, .. } if *l == lent => return Marked::NotYet,
-            Away::Here => {}
+            Away::Offloaded(l) if *l == lent => return Marked::Yes,
+            Away::Offloading { target: l, .. } if *l == lent => return Marked::NotYet,
+            Away::Local => {}
             Away::Refused(award) if *award != lent.award => {}
             _ => return Marked::No,
         }
@@ -153,7 +153,10 @@
             return Marked::No;
         }
         if let Some(j) = self.cluster.job_mut(ix) {
-            j.offload = Away::Leaving { lent, version };
+            j.offload = Away::Offloading {
+                target: lent,
+                version,
+            };
             j.reason = Reason::Lent;
             self.write_queue.offload_changes.push(ix);
             self.changed = true;
@@ -174,7 +177,7 @@
             return true;
         };
         match &j.offload {
-            Away::Lent(l) if l.award == award => {
+            Away::Offloaded(l) if l.award == award => {
                 let lent = l.clone();
                 // Of a gang all is done or nothing.
                 let count: u64 = done.iter().map(|(a, b)| u64::from(b - a) + 1).sum();
@@ -185,7 +188,7 @@
                         j.mark_done(task);
                     }
                 }
-                j.offload = Away::Back(lent);
+                j.offload = Away::Returning(lent);
                 j.reason = Reason::New;
                 self.write_queue.offload_changes.push(ix);
                 self.changed = true;
@@ -193,7 +196,7 @@
             }
             // The award's end is recorded: the mark's write fails, unless it
             // was applied before.
-            Away::Leaving { lent, .. } | Away::Back(lent) => lent.award != award,
+            Away::Offloading { target: lent, .. } | Away::Returning(lent) => lent.award != award,
             _ => true,
         }
     }
@@ -214,7 +217,11 @@
             let Some(j) = self.cluster.job_mut(ix).filter(|j| !j.write_in_flight) else {
                 continue;
             };
-            let Away::Leaving { lent, version } = &j.offload else {
+            let Away::Offloading {
+                target: lent,
+                version,
+            } = &j.offload
+            else {
                 continue;
             };
             if plan.txn.writes.len() >= room || bytes > MARK_BYTES {
@@ -236,7 +243,7 @@
                 value,
                 lease: None,
             });
-            plan.items.push(Item::Lend(ix, j.id.clone()));
+            plan.items.push(Item::Offload(ix, j.id.clone()));
             j.write_in_flight = true;
         }
         self.write_queue
@@ -254,7 +261,7 @@
             let Some(j) = self.cluster.job_mut(ix) else {
                 continue;
             };
-            let due = matches!(j.offload, Away::Back(_))
+            let due = matches!(j.offload, Away::Returning(_))
                 && !j.write_in_flight
                 && !j.is_dirty()
                 && !j.is_complete()
@@ -267,7 +274,7 @@
                     value: persistence::job_record(j, false, None),
                     lease: None,
                 });
-                plan.items.push(Item::Lift(ix, j.id.clone()));
+                plan.items.push(Item::EndOffload(ix, j.id.clone()));
                 j.write_in_flight = true;
             }
         }
@@ -280,7 +287,7 @@
             .cluster
             .job_index(id)
             .and_then(|ix| self.cluster.job_mut(ix))
-            && let Away::Leaving { version, .. } = j.offload
+            && let Away::Offloading { version, .. } = j.offload
             && version != found
         {
             j.offload.stays();
--- a/src/control/leader/persistence.rs
+++ b/src/control/leader/persistence.rs
@@ -131,7 +131,8 @@
                         plan.txn.writes.push(Write::Delete {
                             key: job_key(&j.id),
                         });
-                        plan.items.push(Item::Final(ix as u32, j.id.clone(), state));
+                        plan.items
+                            .push(Item::Finish(ix as u32, j.id.clone(), state));
                         j.write_in_flight = true;
                         j.ending_in_flight = true;
                     }
@@ -159,7 +160,7 @@
                             j.dirty_segments[*c] = false;
                         }
                         plan.items
-                            .push(Item::Progress(ix as u32, j.id.clone(), chunks));
+                            .push(Item::RecordProgress(ix as u32, j.id.clone(), chunks));
                         j.write_in_flight = true;
                     }
                     _ => {}
@@ -222,7 +223,7 @@
                 version,
             });
             plan.txn.writes.push(Write::Delete { key: key.clone() });
-            plan.items.push(Item::Drop(key));
+            plan.items.push(Item::Delete(key));
         }
         lapsed
     }
@@ -256,8 +257,8 @@
         });
         let name = m.name.clone();
         plan.items.push(match (lapsed, m.releasing) {
-            (true, _) => Item::Lapsed(ix, name),
-            (false, true) => Item::Mark(ix, name),
+            (true, _) => Item::ExpireMachine(ix, name),
+            (false, true) => Item::MarkReleasing(ix, name),
             (false, false) => Item::Registration(ix, name),
         });
         if let Some(m) = self.cluster.machine_mut(ix) {
@@ -308,21 +309,21 @@
                             self.term
                         );
                         self.final_states.learned(&status, now);
-                        self.dependencies.withdrawn(*ix);
+                        self.dependencies.job_cancelled(*ix);
                     }
                 }
-                Item::Lend(ix, id) | Item::Lift(ix, id) => {
+                Item::Offload(ix, id) | Item::EndOffload(ix, id) => {
                     if let Some(j) = self.job_of(*ix, id) {
                         j.record_version = revision;
                         j.write_in_flight = false;
                         match item {
-                            Item::Lend(..) => j.offload.marked(),
+                            Item::Offload(..) => j.offload.marked(),
                             _ => j.offload.lifted(),
                         }
                     }
                 }
-                Item::Final(ix, id, state) => self.ended(*ix, id, *state, revision, now),
-                Item::Progress(ix, id, chunks) => {
+                Item::Finish(ix, id, state) => self.ended(*ix, id, *state, revision, now),
+                Item::RecordProgress(ix, id, chunks) => {
                     if let Some(j) = self.job_of(*ix, id) {
                         j.write_in_flight = false;
                         if chunks.contains(&0) {
@@ -330,18 +331,20 @@
                         }
                     }
                 }
-                Item::Registration(ix, name) | Item::Mark(ix, name) | Item::Lapsed(ix, name) => {
+                Item::Registration(ix, name)
+                | Item::MarkReleasing(ix, name)
+                | Item::ExpireMachine(ix, name) => {
                     if let Some(m) = self.cluster.machine_mut(*ix).filter(|m| m.name == *name) {
                         m.write_in_flight = false;
                         m.registration = Registration::Present;
                         m.record_version = revision;
-                        m.release_recorded |= matches!(item, Item::Mark(..));
+                        m.release_recorded |= matches!(item, Item::MarkReleasing(..));
                         // Whatever was written before it can't be applied now.
                         m.recorded_empty &= !matches!(item, Item::Registration(..));
                     }
                 }
-                Item::Pieces(ix, id, upto) => self.cut(*ix, id, *upto),
-                Item::Drop(_) => {}
+                Item::UploadSpec(ix, id, upto) => self.cut(*ix, id, *upto),
+                Item::Delete(_) => {}
             }
         }
         self.changed = true;
@@ -375,7 +378,7 @@
         self.drop_cut(ix);
         self.cluster.remove_job(ix);
         self.remember_final(&status, now);
-        self.dependencies.over(ix, state == JobState::Done);
+        self.dependencies.job_ended(ix, state == JobState::Done);
         self.changed = true;
     }
 
@@ -391,11 +394,11 @@
             ends_of(plan).unwrap_or_else(|| "it ends no job".to_owned())
         );
         for item in &plan.items {
-            if let Item::Cancel(ix, id) | Item::Final(ix, id, _) = item
+            if let Item::Cancel(ix, id) | Item::Finish(ix, id, _) = item
                 && let Some(j) = self.job_of(*ix, id)
             {
                 j.end_indeterminate = true;
-                let withdrawn = matches!(item, Item::Final(_, _, JobState::Cancelled));
+                let withdrawn = matches!(item, Item::Finish(_, _, JobState::Cancelled));
                 j.cancel_indeterminate |= withdrawn || matches!(item, Item::Cancel(..));
             }
         }
@@ -432,7 +435,7 @@
                 j.cancelled |= record.cancelled;
                 j.offload.reread(record.lent.as_ref());
                 if j.cancelled {
-                    self.dependencies.withdrawn(ix);
+                    self.dependencies.job_cancelled(ix);
                 }
             }
         } else if let Some(name) = key.strip_prefix(keys::ROSTER) {
@@ -467,7 +470,7 @@
     pub fn note_reread(&self, plan: &Plan) {
         let Some(ends) = ends_of(plan) else { return };
         let stands = |item: &&Item| match item {
-            Item::Cancel(_, id) | Item::Final(_, id, _) => {
+            Item::Cancel(_, id) | Item::Finish(_, id, _) => {
                 self.status(id).is_some_and(|s| s.state.is_final())
             }
             _ => false,
@@ -481,18 +484,18 @@
         self.changed = true;
         for item in &plan.items {
             match item {
-                Item::Cancel(ix, id) | Item::Final(ix, id, _) => {
+                Item::Cancel(ix, id) | Item::Finish(ix, id, _) => {
                     if let Some(j) = self.job_of(*ix, id) {
                         j.write_in_flight = false;
                         j.ending_in_flight = false;
                     }
                 }
-                Item::Lend(ix, id) | Item::Lift(ix, id) => {
+                Item::Offload(ix, id) | Item::EndOffload(ix, id) => {
                     if let Some(j) = self.job_of(*ix, id) {
                         j.write_in_flight = false;
                     }
                 }
-                Item::Progress(ix, id, chunks) => {
+                Item::RecordProgress(ix, id, chunks) => {
                     let chunks = chunks.clone();
                     if let Some(j) = self.job_of(*ix, id) {
                         j.write_in_flight = false;
@@ -501,13 +504,15 @@
                         }
                     }
                 }
-                Item::Registration(ix, name) | Item::Mark(ix, name) | Item::Lapsed(ix, name) => {
+                Item::Registration(ix, name)
+                | Item::MarkReleasing(ix, name)
+                | Item::ExpireMachine(ix, name) => {
                     if let Some(m) = self.cluster.machine_mut(*ix).filter(|m| m.name == *name) {
                         m.write_in_flight = false;
                         m.quarantine_unrecorded |= m.failures.quarantined;
                     }
                 }
-                Item::Pieces(..) | Item::Drop(_) => {}
+                Item::UploadSpec(..) | Item::Delete(_) => {}
             }
         }
     }
@@ -518,7 +523,7 @@
     const NAMED: usize = 5;
     let ends = plan.items.iter().filter_map(|item| match item {
         Item::Cancel(_, id) => Some(format!("withdrawal of {id}")),
-        Item::Final(_, id, state) => Some(format!("{id} {state}")),
+        Item::Finish(_, id, state) => Some(format!("{id} {state}")),
         _ => None,
     });
     let ends: Vec<String> = ends.collect();
--- a/src/control/leader/spec_chunks.rs
+++ b/src/control/leader/spec_chunks.rs
@@ -65,7 +65,7 @@
             });
         }
         if upto > cut.written {
-            plan.items.push(Item::Pieces(ix, j.id.clone(), upto));
+            plan.items.push(Item::UploadSpec(ix, j.id.clone(), upto));
         }
     }
 }
--- a/src/control/leader/status.rs
+++ b/src/control/leader/status.rs
@@ -65,7 +65,7 @@
     }
 
     fn reason_of(&self, job: &Job) -> Reason {
-        if job.readiness != Gate::Open {
+        if job.readiness != Readiness::Ready {
             return Reason::NeedsOthers;
         }
         match (job.reason, job.supply_reason) {
@@ -85,7 +85,7 @@
 
     fn due_of(&self, job: &Job, left_s: Option<f64>) -> Option<Due> {
         let left = left_s?;
-        let starts = job.waiting_count() > 0 || job.readiness != Gate::Open;
+        let starts = job.waiting_count() > 0 || job.readiness != Readiness::Ready;
         Some(if left < 0.0 {
             Due::Late
         } else if starts && left < job.spec.estimate_s {
@@ -146,7 +146,7 @@
 
     fn groups(&self) -> Vec<Group> {
         let mut groups: HashMap<(&str, &str), Group> = HashMap::new();
-        let in_chains = self.due_in_chains();
+        let in_chains = self.inherited_deadlines();
         let jobs = self.cluster.jobs.iter().enumerate();
         for (ix, j) in jobs.filter_map(|(ix, j)| Some((ix as u32, j.as_ref()?))) {
             let key = (j.spec.class.as_str(), j.spec.team.as_str());
@@ -163,7 +163,7 @@
             }
             // What is lent waits as well, for its market, and what needs
             // others for those.
-            let waiting = match j.offload.is_here() && j.readiness == Gate::Open {
+            let waiting = match j.offload.is_here() && j.readiness == Readiness::Ready {
                 true => j.waiting_count(),
                 false => j.spec.tasks - j.completed_count,
             };
@@ -268,8 +268,8 @@
     fn lent_to(&self, job: &Job) -> Option<String> {
         let lent = job.offload.lent()?;
         let how = match job.offload {
-            Away::Leaving { .. } => "about to be lent to",
-            Away::Back(_) => "coming back from",
+            Away::Offloading { .. } => "about to be lent to",
+            Away::Returning(_) => "coming back from",
             _ => "lent to",
         };
         let market = clipped(&lent.market);
@@ -306,9 +306,9 @@
         let ix = self.cluster.job_index(id)?;
         let j = self.cluster.job(ix)?;
         let waiting = j.waiting_count();
-        let (needs, needs_all) = self.open_needs(ix, NEEDS);
-        let left_s = self.left_s(ix, j, &self.due_in_chains());
-        let held = !j.offload.is_here() || j.readiness != Gate::Open;
+        let (needs, needs_all) = self.unfinished_dependencies(ix, NEEDS);
+        let left_s = self.left_s(ix, j, &self.inherited_deadlines());
+        let held = !j.offload.is_here() || j.readiness != Readiness::Ready;
         let places = self.cluster.each_machine().flat_map(|m| {
             let own = m.tasks.iter().filter(|a| a.job == ix);
             own.map(|a| {
--- a/src/control/requests/submit.rs
+++ b/src/control/requests/submit.rs
@@ -186,7 +186,7 @@
         if spec.dependencies.is_empty() {
             return self.accept(view);
         }
-        match l.needs_unknown(spec) {
+        match l.unknown_dependencies(spec) {
             Err(service) => self.unless_known(id, is_service(&service), view),
             Ok(unknown) if unknown.is_empty() => self.accept(view),
             Ok(unknown) => {
@@ -201,7 +201,7 @@
             return Next::Answer(Answer::later(LOST));
         };
         let asked: Vec<String> = match (self.led, view.acting()) {
-            (true, Some(l)) => l.needs_unknown(spec).unwrap_or_default(),
+            (true, Some(l)) => l.unknown_dependencies(spec).unwrap_or_default(),
             _ => spec.dependencies.clone(),
         };
         for need in asked {
@@ -220,7 +220,7 @@
         }
         match self.led {
             // Among what it has learned meanwhile there may be services.
-            true => match view.acting().map(|l| l.needs_unknown(spec)) {
+            true => match view.acting().map(|l| l.unknown_dependencies(spec)) {
                 Some(Err(service)) => self.unless_known(id, is_service(&service), view),
                 Some(Ok(_)) => self.accept(view),
                 None => Next::Answer(Answer::later(LOST)),
--- a/src/control/standby/failover_checks.rs
+++ b/src/control/standby/failover_checks.rs
@@ -2,7 +2,7 @@
 //! must be yes; any no takes the cold way, on which nothing older than the
 //! term is placed before every machine was heard or its lease has lapsed.
 
-use super::replica::Copy;
+use super::replica::Replica;
 use crate::state::records::StandbyRecord;
 
 /// The checks, in order. The one for authority, and the one that the process
@@ -24,7 +24,7 @@
 
 /// Why a new leader takes the cold way.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Refusal {
+pub enum ColdReason {
     NobodyNamed,
     NotNamed,
     BeganAnew,
@@ -32,43 +32,43 @@
     OldCopy,
 }
 
-impl Refusal {
+impl ColdReason {
     pub fn text(self) -> &'static str {
         match self {
-            Refusal::NobodyNamed => "no standby was named",
-            Refusal::NotNamed => "other nodes were named",
-            Refusal::BeganAnew => "this process began after it was named",
-            Refusal::NoCopy => "it has no whole copy",
-            Refusal::OldCopy => "its copy is of an earlier term than the record",
+            ColdReason::NobodyNamed => "no standby was named",
+            ColdReason::NotNamed => "other nodes were named",
+            ColdReason::BeganAnew => "this process began after it was named",
+            ColdReason::NoCopy => "it has no whole copy",
+            ColdReason::OldCopy => "its copy is of an earlier term than the record",
         }
     }
 }
 
 /// What the checks go by.
-pub struct Claim<'a> {
+pub struct FailoverClaim<'a> {
     pub me: &'a str,
     pub incarnation: u64,
     /// As read in this term: since then nobody else can have changed it.
     pub record: Option<&'a StandbyRecord>,
-    pub copy: Option<&'a Copy>,
+    pub replica: Option<&'a Replica>,
 }
 
 impl Check {
-    fn step(self, claim: &Claim) -> Result<Check, Refusal> {
+    fn step(self, claim: &FailoverClaim) -> Result<Check, ColdReason> {
         let names = claim.record.map_or(&[][..], |r| &r.named);
         let me = names.iter().find(|(name, _)| name == claim.me);
         match (self, me) {
-            (Check::Named, _) if names.is_empty() => Err(Refusal::NobodyNamed),
+            (Check::Named, _) if names.is_empty() => Err(ColdReason::NobodyNamed),
             (Check::Named, _) => Ok(Check::Me),
-            (Check::Me, None) => Err(Refusal::NotNamed),
-            (Check::Me, Some((_, i))) if *i != claim.incarnation => Err(Refusal::BeganAnew),
+            (Check::Me, None) => Err(ColdReason::NotNamed),
+            (Check::Me, Some((_, i))) if *i != claim.incarnation => Err(ColdReason::BeganAnew),
             (Check::Me, Some(_)) => Ok(Check::Whole),
-            (Check::Whole, _) => claim.copy.map(|_| Check::Term).ok_or(Refusal::NoCopy),
+            (Check::Whole, _) => claim.replica.map(|_| Check::Term).ok_or(ColdReason::NoCopy),
             (Check::Term, _) => {
                 let record = claim.record.map_or(u64::MAX, |r| r.term);
-                match claim.copy.is_some_and(|c| c.term >= record) {
+                match claim.replica.is_some_and(|c| c.term >= record) {
                     true => Ok(Check::Passed),
-                    false => Err(Refusal::OldCopy),
+                    false => Err(ColdReason::OldCopy),
                 }
             }
             (Check::Passed, _) => Ok(Check::Passed),
@@ -77,7 +77,7 @@
 }
 
 /// Whether the node may go by its copy.
-pub fn judge(claim: &Claim) -> Result<(), Refusal> {
+pub fn check_failover(claim: &FailoverClaim) -> Result<(), ColdReason> {
     let mut check = Check::Named;
     while check != Check::Passed {
         check = check.step(claim)?;
@@ -96,36 +96,51 @@
             named: vec![(name.into(), i)],
             known_to_all: true,
         };
-        let copy = |term| Copy {
+        let replica = |term| Replica {
             term,
-            ..Copy::default()
+            ..Replica::default()
         };
-        let judge = |record: Option<StandbyRecord>, copy: Option<Copy>| {
-            judge(&Claim {
+        let check_failover = |record: Option<StandbyRecord>, replica: Option<Replica>| {
+            check_failover(&FailoverClaim {
                 me: "n1",
                 incarnation: 7,
                 record: record.as_ref(),
-                copy: copy.as_ref(),
+                replica: replica.as_ref(),
             })
         };
-        assert_eq!(judge(None, Some(copy(5))), Err(Refusal::NobodyNamed));
+        assert_eq!(
+            check_failover(None, Some(replica(5))),
+            Err(ColdReason::NobodyNamed)
+        );
         let nobody = StandbyRecord::default();
         assert_eq!(
-            judge(Some(nobody), Some(copy(5))),
-            Err(Refusal::NobodyNamed)
+            check_failover(Some(nobody), Some(replica(5))),
+            Err(ColdReason::NobodyNamed)
         );
         let named = record(5, "n1", 7);
         let other = record(5, "n2", 7);
-        assert_eq!(judge(Some(other), Some(copy(5))), Err(Refusal::NotNamed));
+        assert_eq!(
+            check_failover(Some(other), Some(replica(5))),
+            Err(ColdReason::NotNamed)
+        );
         let before = record(5, "n1", 6);
-        assert_eq!(judge(Some(before), Some(copy(5))), Err(Refusal::BeganAnew));
-        assert_eq!(judge(Some(named.clone()), None), Err(Refusal::NoCopy));
+        assert_eq!(
+            check_failover(Some(before), Some(replica(5))),
+            Err(ColdReason::BeganAnew)
+        );
+        assert_eq!(
+            check_failover(Some(named.clone()), None),
+            Err(ColdReason::NoCopy)
+        );
         // A leader in between has started something and wrote a record.
         assert_eq!(
-            judge(Some(named.clone()), Some(copy(4))),
-            Err(Refusal::OldCopy)
+            check_failover(Some(named.clone()), Some(replica(4))),
+            Err(ColdReason::OldCopy)
+        );
+        assert_eq!(
+            check_failover(Some(named.clone()), Some(replica(5))),
+            Ok(())
         );
-        assert_eq!(judge(Some(named.clone()), Some(copy(5))), Ok(()));
-        assert_eq!(judge(Some(named), Some(copy(6))), Ok(()));
+        assert_eq!(check_failover(Some(named), Some(replica(6))), Ok(()));
     }
 }
--- a/src/control/standby/replication_stream.rs
+++ b/src/control/standby/replication_stream.rs
@@ -1,6 +1,6 @@
 //! What one peer is told, and how far it has confirmed that.
 
-use super::{CONFIRM, LONGEST_REST, Picture, REST};
+use super::{CONFIRM_TIMEOUT_MS, DEMOTION_PAUSE_MS, MAX_DEMOTION_PAUSE_MS, ReplicatedState};
 use crate::{
     protocol::{
         peers::{Follow, MAX_FRAME, MachineHolds},
@@ -14,26 +14,26 @@
 /// left for what one machine may exceed that by.
 const PART_BYTES: usize = MAX_FRAME / 2;
 /// Told that nothing has changed, a standby that began anew shows itself.
-const KEEP_ALIVE: Ms = 1_000;
+const KEEP_ALIVE_MS: Ms = 1_000;
 /// Between two questions whether a peer knows of standbys at all.
-const PROBE: Ms = 2_000;
+const PROBE_INTERVAL_MS: Ms = 2_000;
 /// After a part that had no answer.
-const RETRY: Ms = 200;
+const RETRY_DELAY_MS: Ms = 200;
 
 /// Why a standby is struck.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub(super) enum Strike {
+pub(super) enum Demotion {
     Silent,
     BeganAnew,
     Late,
 }
 
-impl Strike {
+impl Demotion {
     fn text(self) -> &'static str {
         match self {
-            Strike::Silent => "does not answer",
-            Strike::BeganAnew => "began anew",
-            Strike::Late => "confirms too late",
+            Demotion::Silent => "does not answer",
+            Demotion::BeganAnew => "began anew",
+            Demotion::Late => "confirms too late",
         }
     }
 }
@@ -41,84 +41,84 @@
 /// All that changed up to some moment, told in one or more parts.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Round {
-    upto: u64,
-    left: BTreeSet<String>,
+    up_to_change: u64,
+    remaining: BTreeSet<String>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub(super) struct Feed {
+pub(super) struct ReplicationStream {
     pub(super) name: String,
     /// In another zone than the leader.
-    pub(super) far: bool,
+    pub(super) in_other_zone: bool,
     /// It was seen to know of the record.
-    pub(super) knows: bool,
+    pub(super) supports_standbys: bool,
     incarnation: Option<u64>,
-    fed: bool,
+    active: bool,
     stream: u64,
     part: u64,
     round: Option<Round>,
     /// Changed since the round began.
-    dirty: BTreeSet<String>,
+    changed_machines: BTreeSet<String>,
     /// Its copy holds all changes up to this one.
-    acked: Option<u64>,
+    acknowledged: Option<u64>,
     /// The part that is on its way, by stream and number.
     in_flight: Option<(u64, u64)>,
     sent_at: Ms,
     retry_at: Ms,
-    owes_since: Option<Ms>,
+    unacknowledged_since: Option<Ms>,
     warm_since: Option<Ms>,
-    rest_until: Ms,
-    strikes: u32,
+    demoted_until: Ms,
+    demotions: u32,
     /// Why it was last struck.
-    why: Option<Strike>,
+    last_demotion: Option<Demotion>,
 }
 
-impl Feed {
+impl ReplicationStream {
     pub(super) fn new(name: String, far: bool) -> Self {
-        Feed {
+        ReplicationStream {
             name,
-            far,
-            knows: false,
+            in_other_zone: far,
+            supports_standbys: false,
             incarnation: None,
-            fed: false,
+            active: false,
             stream: 0,
             part: 0,
             round: None,
-            dirty: BTreeSet::new(),
-            acked: None,
+            changed_machines: BTreeSet::new(),
+            acknowledged: None,
             in_flight: None,
             sent_at: 0,
             retry_at: 0,
-            owes_since: None,
+            unacknowledged_since: None,
             warm_since: None,
-            rest_until: 0,
-            strikes: 0,
-            why: None,
+            demoted_until: 0,
+            demotions: 0,
+            last_demotion: None,
         }
     }
 
-    pub(super) fn is_fed(&self) -> bool {
-        self.fed
+    pub(super) fn is_active(&self) -> bool {
+        self.active
     }
 
-    pub(super) fn rests(&self, now: Ms) -> bool {
-        now < self.rest_until
+    pub(super) fn is_demoted(&self, now: Ms) -> bool {
+        now < self.demoted_until
     }
 
-    pub(super) fn confirmed_by(&self, incarnation: u64) -> u64 {
+    pub(super) fn acknowledged_by(&self, incarnation: u64) -> u64 {
         match self.incarnation == Some(incarnation) {
-            true => self.acked.unwrap_or(0),
+            true => self.acknowledged.unwrap_or(0),
             false => 0,
         }
     }
 
     /// It knows all that was started so far.
     pub(super) fn is_warm(&self, sent: u64) -> bool {
-        self.fed && self.acked.is_some_and(|acked| acked >= sent)
+        self.active && self.acknowledged.is_some_and(|acked| acked >= sent)
     }
 
     /// If it is named, then in this incarnation.
-    pub(super) fn lasts(&self, named: Option<u64>) -> bool {
+    pub(super) fn is_same_incarnation(&self, named: Option<u64>) -> bool {
         named.is_none() || named == self.incarnation
     }
 
@@ -127,59 +127,63 @@
     }
 
     /// Why the peer, named in that incarnation, is to be struck, if it is.
-    pub(super) fn fails(&self, named: u64, answers: bool, now: Ms) -> Option<Strike> {
+    pub(super) fn demotion_due(&self, named: u64, answers: bool, now: Ms) -> Option<Demotion> {
         if !answers {
-            return Some(Strike::Silent);
+            return Some(Demotion::Silent);
         }
         if self.incarnation.is_some_and(|i| i != named) {
-            return Some(Strike::BeganAnew);
+            return Some(Demotion::BeganAnew);
         }
-        let late = self.owes_since.is_some_and(|at| now >= at + CONFIRM);
-        late.then_some(Strike::Late)
+        let late = self
+            .unacknowledged_since
+            .is_some_and(|at| now >= at + CONFIRM_TIMEOUT_MS);
+        late.then_some(Demotion::Late)
     }
 
     /// It is to be struck, and left alone for a while.
-    pub(super) fn rest(&mut self, why: Strike, now: Ms) {
-        if self.rests(now) {
+    pub(super) fn demote(&mut self, why: Demotion, now: Ms) {
+        if self.is_demoted(now) {
             return;
         }
         log::info!("standby {} is struck: it {}", self.name, why.text());
         // One that began anew is as good as any other.
         let pause = match why {
-            Strike::BeganAnew => 0,
-            Strike::Silent | Strike::Late => (REST << self.strikes.min(4)).min(LONGEST_REST),
+            Demotion::BeganAnew => 0,
+            Demotion::Silent | Demotion::Late => {
+                (DEMOTION_PAUSE_MS << self.demotions.min(4)).min(MAX_DEMOTION_PAUSE_MS)
+            }
         };
-        self.strikes += 1;
-        self.rest_until = now + pause;
-        self.why = Some(why);
-        self.owes_since = None;
+        self.demotions += 1;
+        self.demoted_until = now + pause;
+        self.last_demotion = Some(why);
+        self.unacknowledged_since = None;
         self.warm_since = None;
     }
 
     /// A stream from the beginning. What its copy holds it goes on to hold
     /// until the new one is whole.
-    pub(super) fn begin(&mut self, picture: &impl Picture) {
-        self.fed = true;
+    pub(super) fn restart(&mut self, state: &impl ReplicatedState) {
+        self.active = true;
         self.stream += 1;
         self.part = 0;
-        self.dirty.clear();
+        self.changed_machines.clear();
         self.round = Some(Round {
-            upto: picture.changes(),
-            left: picture.held_machines(),
+            up_to_change: state.changes(),
+            remaining: state.occupied_machines(),
         });
     }
 
     pub(super) fn stop(&mut self) {
-        self.fed = false;
+        self.active = false;
         self.round = None;
-        self.dirty.clear();
-        self.acked = None;
-        self.owes_since = None;
+        self.changed_machines.clear();
+        self.acknowledged = None;
+        self.unacknowledged_since = None;
         self.warm_since = None;
     }
 
-    pub(super) fn changed(&mut self, touched: &BTreeSet<String>) {
-        self.dirty.extend(touched.iter().cloned());
+    pub(super) fn machines_changed(&mut self, touched: &BTreeSet<String>) {
+        self.changed_machines.extend(touched.iter().cloned());
     }
 
     pub(super) fn next(
@@ -187,40 +191,40 @@
         term: u64,
         named: bool,
         probes: bool,
-        picture: &impl Picture,
+        state: &impl ReplicatedState,
         now: Ms,
     ) -> Option<Follow> {
         if self.in_flight.is_some() || now < self.retry_at {
             return None;
         }
-        if !self.fed {
-            let due = probes && !self.knows && now >= self.sent_at + PROBE;
+        if !self.active {
+            let due = probes && !self.supports_standbys && now >= self.sent_at + PROBE_INTERVAL_MS;
             return due.then(|| self.probe(term, now));
         }
         if self.round.is_none() {
-            let silent = now >= self.sent_at + KEEP_ALIVE;
-            if self.dirty.is_empty() && !silent {
+            let silent = now >= self.sent_at + KEEP_ALIVE_MS;
+            if self.changed_machines.is_empty() && !silent {
                 return None;
             }
             self.round = Some(Round {
-                upto: picture.changes(),
-                left: std::mem::take(&mut self.dirty),
+                up_to_change: state.changes(),
+                remaining: std::mem::take(&mut self.changed_machines),
             });
         }
         let round = self.round.as_mut()?;
         let mut machines = Vec::new();
         let mut bytes = 0;
         while bytes < PART_BYTES
-            && let Some(name) = round.left.pop_first()
+            && let Some(name) = round.remaining.pop_first()
         {
-            let held = picture.held_on(&name);
+            let held = state.tasks_on(&name);
             bytes += size(&held);
             machines.push(held);
         }
-        let whole = round.left.is_empty();
+        let whole = round.remaining.is_empty();
         self.in_flight = Some((self.stream, self.part));
         self.sent_at = now;
-        self.owes_since.get_or_insert(now);
+        self.unacknowledged_since.get_or_insert(now);
         Some(Follow {
             term,
             stream: self.stream,
@@ -249,12 +253,12 @@
     pub(super) fn answered(
         &mut self,
         answer: Option<(u64, bool)>,
-        picture: &impl Picture,
+        state: &impl ReplicatedState,
         now: Ms,
     ) {
-        self.knows |= answer.is_some();
+        self.supports_standbys |= answer.is_some();
         // One of a stream that was given up says nothing of the present one.
-        if self.in_flight.take() != Some((self.stream, self.part)) || !self.fed {
+        if self.in_flight.take() != Some((self.stream, self.part)) || !self.active {
             return;
         }
         let first = self.part == 0;
@@ -264,7 +268,7 @@
                 let same = self.incarnation == Some(incarnation);
                 if !same {
                     // What it confirmed is gone with the process before.
-                    self.acked = None;
+                    self.acknowledged = None;
                     self.warm_since = None;
                     self.incarnation = Some(incarnation);
                 }
@@ -273,18 +277,22 @@
         };
         if !same || !taken {
             if answer.is_none() {
-                self.retry_at = now + RETRY;
+                self.retry_at = now + RETRY_DELAY_MS;
             }
-            self.begin(picture);
+            self.restart(state);
             return;
         }
         self.part += 1;
-        if let Some(round) = self.round.take_if(|r| r.left.is_empty()) {
-            self.acked = Some(round.upto);
+        if let Some(round) = self.round.take_if(|r| r.remaining.is_empty()) {
+            self.acknowledged = Some(round.up_to_change);
             self.warm_since.get_or_insert(now);
-            self.owes_since = (!self.dirty.is_empty()).then_some(now);
-            if self.strikes > 0 && self.warm_since.is_some_and(|at| now > at + LONGEST_REST) {
-                self.strikes = 0;
+            self.unacknowledged_since = (!self.changed_machines.is_empty()).then_some(now);
+            if self.demotions > 0
+                && self
+                    .warm_since
+                    .is_some_and(|at| now > at + MAX_DEMOTION_PAUSE_MS)
+            {
+                self.demotions = 0;
             }
         }
     }
@@ -293,12 +301,12 @@
         let s = |at: Ms| now.saturating_sub(at) as f64 / 1000.0;
         StandbyStatus {
             node: self.name.clone(),
-            warm: named && self.acked.is_some(),
+            warm: named && self.acknowledged.is_some(),
             since_s: self.warm_since.map(s),
-            owes_s: self.owes_since.map_or(0.0, s),
-            why_not: match (named, self.acked) {
+            owes_s: self.unacknowledged_since.map_or(0.0, s),
+            why_not: match (named, self.acknowledged) {
                 (true, Some(_)) => None,
-                _ if self.rests(now) => self.why.map(|why| why.text().to_owned()),
+                _ if self.is_demoted(now) => self.last_demotion.map(|why| why.text().to_owned()),
                 (_, None) => Some("is being told what runs".into()),
                 (false, Some(_)) => Some("is not recorded yet".into()),
             },
--- a/src/server/control_loop.rs
+++ b/src/server/control_loop.rs
@@ -63,7 +63,7 @@
         node.figures.borrow_mut().add(tally);
         let round = round_began.elapsed().as_secs_f64();
         node.figures.borrow().round(round);
-        node.keep_standbys(term);
+        node.update_standbys(term);
         for d in directs {
             node.lanes.spawn(node.clone().direct(term, d)).detach();
         }
@@ -74,11 +74,13 @@
             node.lanes.spawn(node.clone().list_machines(term)).detach();
         }
         if !node.seeking.get() {
-            let ids = node.acting(|l, _| l.sought()).unwrap_or_default();
+            let ids = node
+                .acting(|l, _| l.dependencies_to_look_up())
+                .unwrap_or_default();
             if !ids.is_empty() {
                 node.seeking.set(true);
                 node.lanes
-                    .spawn(node.clone().seek_needs(term, ids))
+                    .spawn(node.clone().look_up_dependencies(term, ids))
                     .detach();
             }
         }
@@ -135,7 +137,7 @@
     }
 
     /// Looks up jobs that others wait for.
-    async fn seek_needs(self: Rc<Self>, term: u64, ids: Vec<String>) {
+    async fn look_up_dependencies(self: Rc<Self>, term: u64, ids: Vec<String>) {
         let mut found = self.lookup_all(&ids).await;
         let again = self.of_term(term, |l, now| {
             let mut again = Vec::new();
@@ -143,7 +145,7 @@
                 match found.remove(&id) {
                     Some(Ok(Found::Live(record, version))) => l.accepted(*record, version, now),
                     Some(Ok(Found::Final(record, _))) => {
-                        l.need_ended(&final_status(&id, &record), now);
+                        l.dependency_ended(&final_status(&id, &record), now);
                     }
                     Some(Ok(Found::Nothing) | Err(_)) | None => again.push(id),
                 }
@@ -157,7 +159,7 @@
             let node = self.clone();
             let later = async move {
                 Timer::after(Duration::from_millis(500)).await;
-                node.of_term(term, |l, _| l.not_found(again));
+                node.of_term(term, |l, _| l.requeue_dependency_lookups(again));
             };
             self.lanes.spawn(later).detach();
         }
--- a/src/server/leadership/campaign.rs
+++ b/src/server/leadership/campaign.rs
@@ -58,7 +58,7 @@
         let Some(version) = self.election.borrow().may_campaign(self.now()) else {
             let nobody = self.election.borrow().observed_leader.is_none();
             // A standby that counts looks more often.
-            let counts = self.follower.borrow().counts(self.now());
+            let counts = self.replica_receiver.borrow().is_counted(self.now());
             return match (nobody, counts) {
                 (true, _) => soon,
                 (false, true) => Duration::from_millis(250),
@@ -74,7 +74,7 @@
             .failure_detector
             .borrow()
             .unfavourable_failover_position(now);
-        let others = !poor && self.others_are_named().await;
+        let others = !poor && self.other_standbys_are_counted().await;
         if self
             .election
             .borrow_mut()
@@ -167,8 +167,8 @@
                 self.now(),
             );
             leader.final_states = self.final_states.take();
-            let copy = self.follower.borrow_mut().take_over(term);
-            leader.inherit(incarnation, copy);
+            let replica = self.replica_receiver.borrow_mut().take_replica(term);
+            leader.inherit(incarnation, replica);
             leader.set_leaderless_time(self.election.borrow().leaderless_for(self.now()));
             self.exclusions.take();
             *self.leader.borrow_mut() = Some(leader);
--- a/src/server/leadership/load_state.rs
+++ b/src/server/leadership/load_state.rs
@@ -102,7 +102,7 @@
         let chunks = self.list(records::CHUNKS).await?;
         let pieces = self.list(spec_chunks::PIECES).await?;
         let notices = self.list(records::NOTICES).await?;
-        let standbys = self.read_standbys().await?;
+        let standbys = self.read_standby_record().await?;
         self.read_exclusions(term).await?;
         self.of_term(term, |l, now| {
             l.load_standbys(standbys);
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -22,7 +22,7 @@
     control::{
         election::Election, exclusions::Exclusions, failure_detector::FailureDetector,
         heartbeat_relay::Relays, leader::Leader, polls::FinalStates, safety_bounds::SafetyBounds,
-        standby::replica::Follower,
+        standby::replica::ReplicaReceiver,
     },
     options::Options,
     protocol::{cloud::MachineType, settings::Settings},
@@ -65,7 +65,7 @@
     exclusions: RefCell<Exclusions>,
     leader: RefCell<Option<Leader>>,
     /// What this node keeps as a standby.
-    follower: RefCell<Follower>,
+    replica_receiver: RefCell<ReplicaReceiver>,
     /// The record of standbys, as read since nobody leads.
     last_record: RefCell<Option<StandbyRecord>>,
     requests: RefCell<Budget>,
@@ -125,7 +125,7 @@
         failure_detector: RefCell::new(failure_detector),
         exclusions: RefCell::default(),
         leader: RefCell::new(None),
-        follower: RefCell::default(),
+        replica_receiver: RefCell::default(),
         last_record: RefCell::default(),
         requests: RefCell::new(Budget::new(
             limits.state.rps * share::of_requests(Role::Leaderless, nodes),
--- a/src/server/peers.rs
+++ b/src/server/peers.rs
@@ -126,7 +126,7 @@
                     None => Reply::NotLeader,
                 }
             }
-            Request::Follow(part) => self.follow(part),
+            Request::Follow(part) => self.receive_replication_part(part),
             Request::Polls { ids } => self.polled_here(&ids),
             Request::Promise { term, for_ms, .. } => self.promise(term, for_ms).await,
             Request::Status => Reply::Status(Box::new(self.status().await)),
--- a/src/server/standby.rs
+++ b/src/server/standby.rs
@@ -2,7 +2,7 @@
 
 use super::{Node, store::USUAL};
 use crate::{
-    control::{failure_detector::PeerHealth, requests::TxnResult, standby::Written},
+    control::{failure_detector::PeerHealth, requests::TxnResult, standby::RegistryWriteOutcome},
     protocol::{
         peers::{Follow, Reply, Request},
         state::Txn,
@@ -13,15 +13,15 @@
 use std::{rc::Rc, time::Duration};
 
 /// A part that is not answered by then is taken for lost.
-const TELL: Duration = Duration::from_millis(900);
+const REPLICATE_TIMEOUT: Duration = Duration::from_millis(900);
 
 impl Node {
     /// One look of the leader at its standbys.
-    pub(super) fn keep_standbys(self: &Rc<Self>, term: u64) {
+    pub(super) fn update_standbys(self: &Rc<Self>, term: u64) {
         let now = self.now();
         let due = self.acting(|l, now| {
             let failure_detector = self.failure_detector.borrow();
-            l.keep_warm(|p| failure_detector.is_healthy(p, now), now)
+            l.update_standbys(|p| failure_detector.is_healthy(p, now), now)
         });
         if let Some(txn) = due.flatten() {
             self.lanes
@@ -32,17 +32,19 @@
         for peer in peers.unwrap_or_default() {
             let part = self.of_term(term, |l, _| l.next_replication_part(peer, now));
             if let Some(part) = part.flatten() {
-                let told = self.clone().tell_standby(term, peer, part);
+                let told = self.clone().send_replication_part(term, peer, part);
                 self.lanes.spawn(told).detach();
             }
         }
     }
 
     /// Sends a part, and what is to follow it.
-    async fn tell_standby(self: Rc<Self>, term: u64, peer: usize, part: Follow) {
+    async fn send_replication_part(self: Rc<Self>, term: u64, peer: usize, part: Follow) {
         let mut next = Some(part);
         while let Some(part) = next.take() {
-            let reply = self.ask(peer, &Request::Follow(part), TELL).await;
+            let reply = self
+                .ask(peer, &Request::Follow(part), REPLICATE_TIMEOUT)
+                .await;
             let answer = match reply {
                 Ok(Reply::Followed { incarnation, taken }) => Some((incarnation, taken)),
                 _ => None,
@@ -56,16 +58,19 @@
     }
 
     /// What a leader tells this node, as its standby.
-    pub(super) fn follow(&self, part: Follow) -> Reply {
+    pub(super) fn receive_replication_part(&self, part: Follow) -> Reply {
         if self.election.borrow().leadership().is_some() {
             return Reply::NotLeader;
         }
         let incarnation = self.election.borrow().incarnation;
-        let taken = self.follower.borrow_mut().take_in(part, self.now());
+        let taken = self
+            .replica_receiver
+            .borrow_mut()
+            .apply_part(part, self.now());
         Reply::Followed { incarnation, taken }
     }
 
-    pub(super) async fn read_standbys(&self) -> Result<Option<(StandbyRecord, u64)>, String> {
+    pub(super) async fn read_standby_record(&self) -> Result<Option<(StandbyRecord, u64)>, String> {
         let now = self.now();
         self.requests.borrow_mut().force(now, 1.0);
         let item = self.get(STANDBYS, USUAL).await?;
@@ -77,8 +82,8 @@
         self.requests.borrow_mut().force(now, 1.0);
         self.writes.borrow_mut().force(now, 1.0);
         let how = match self.txn(&txn, USUAL).await {
-            TxnResult::Done(version) => Written::Done(version),
-            TxnResult::Refused | TxnResult::Rejected => Written::Refused,
+            TxnResult::Done(version) => RegistryWriteOutcome::Done(version),
+            TxnResult::Refused | TxnResult::Rejected => RegistryWriteOutcome::Refused,
             TxnResult::Conflict(failed) if failed.iter().any(|k| k == LEADER) => {
                 self.resign(term, super::leadership::Stop::Replaced);
                 return;
@@ -87,8 +92,8 @@
                 if self.of_term(term, |_, _| ()).is_none() {
                     return;
                 }
-                match self.read_standbys().await {
-                    Ok(found) => break Written::Reread(found),
+                match self.read_standby_record().await {
+                    Ok(found) => break RegistryWriteOutcome::Reread(found),
                     Err(_) => Timer::after(Duration::from_millis(200)).await,
                 };
             },
@@ -98,10 +103,10 @@
 
     /// Somebody else is named to take over, and may be there to do it: this
     /// node leaves them a moment. Only a courtesy, so what was read may be old.
-    pub(super) async fn others_are_named(&self) -> bool {
+    pub(super) async fn other_standbys_are_counted(&self) -> bool {
         // Read once while nobody leads: the budget is scarce just then.
         if self.last_record.borrow().is_none() {
-            let Ok(found) = self.read_standbys().await else {
+            let Ok(found) = self.read_standby_record().await else {
                 return false;
             };
             let record = found.map(|(record, _)| record).unwrap_or_default();
--- a/src/state/cluster/job.rs
+++ b/src/state/cluster/job.rs
@@ -9,7 +9,7 @@
     },
     state::{
         Ms,
-        dependencies::Gate,
+        dependencies::Readiness,
         fault_attribution::JobFailures,
         offload::Away,
         records::{Bits, CHUNK_TASKS, job_key},
@@ -82,7 +82,7 @@
     /// What its record may come to take otherwise.
     pub inline_size: usize,
     /// Whether it waits for other jobs.
-    pub readiness: Gate,
+    pub readiness: Readiness,
     /// Its priority, or that of a job that needs it.
     pub effective_priority: Priority,
     /// Since when it is in line, by the time of day.
@@ -109,7 +109,7 @@
     /// Tasks to be started here.
     pub fn waiting_count(&self) -> u32 {
         match self.readiness {
-            Gate::Open => self.possibly_running(),
+            Readiness::Ready => self.possibly_running(),
             _ => 0,
         }
     }
@@ -117,7 +117,7 @@
     /// Tasks that may be on machines which have not been heard yet: what waits
     /// to be started, and what an earlier leader may have started.
     pub fn possibly_running(&self) -> u32 {
-        match self.offload.is_here() && self.readiness != Gate::Shut {
+        match self.offload.is_here() && self.readiness != Readiness::Blocked {
             true => self.spec.tasks - self.completed_count - self.live_count,
             false => 0,
         }
--- a/src/state/cluster/mod.rs
+++ b/src/state/cluster/mod.rs
@@ -14,7 +14,7 @@
 
 use super::{
     Ms,
-    dependencies::Gate,
+    dependencies::Readiness,
     fault_attribution::{JobFailures, MachineFailures},
     offload::Away,
     records::{Bits, whole_size},
@@ -267,13 +267,13 @@
             generation: self.last_generation,
             reason: Reason::New,
             supply_reason: None,
-            offload: Away::Here,
+            offload: Away::Local,
             spec_chunks: None,
             inline_size: whole_size(&spec),
             // Until somebody has looked how the others stand.
             readiness: match spec.dependencies.is_empty() {
-                true => Gate::Open,
-                false => Gate::Unsure,
+                true => Readiness::Ready,
+                false => Readiness::Unresolved,
             },
             effective_priority: spec.priority,
             queued_since_ms: at_ms,
--- a/src/state/cluster/replication.rs
+++ b/src/state/cluster/replication.rs
@@ -10,12 +10,12 @@
 impl ClusterState {
     /// Machines that changed since this was last called. They are noted from
     /// the first call on.
-    pub fn take_touched(&mut self) -> BTreeSet<String> {
+    pub fn take_changed_machines(&mut self) -> BTreeSet<String> {
         std::mem::take(self.changed_machines.get_or_insert_default())
     }
 
     /// What a standby is told of a machine.
-    pub fn held_on(&self, name: &str) -> MachineHolds {
+    pub fn tasks_on(&self, name: &str) -> MachineHolds {
         let mut jobs: Vec<(String, Vec<MayRun>)> = Vec::new();
         let tasks = self.machine_index(name).and_then(|ix| self.machine(ix));
         let mut of: Vec<u32> = Vec::new();
@@ -45,7 +45,7 @@
     }
 
     /// Machines on which something is, or may be.
-    pub fn held_machines(&self) -> BTreeSet<String> {
+    pub fn occupied_machines(&self) -> BTreeSet<String> {
         let held = self.each_machine().filter(|m| !m.tasks.is_empty());
         held.map(|m| m.name.clone()).collect()
     }
--- a/src/state/dependencies.rs
+++ b/src/state/dependencies.rs
@@ -8,46 +8,46 @@
 
 /// How a job stands that another needs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Need {
+pub enum DependencyState {
     /// Live: its index, and the priority that it has by itself.
     Live(u32, Priority),
     /// Its final record says so.
     Done,
     /// It is recorded as withdrawn, or surely will be.
-    Withdrawn,
+    Cancelled,
     /// Not live as far as known: its final record is to be read.
     Unknown,
 }
 
 /// Whether a job's tasks may start, as far as the jobs that it needs go.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Gate {
+pub enum Readiness {
     #[default]
-    Open,
+    Ready,
     /// Of some needs it is not known yet whether they are done; of an earlier
     /// leader it may run.
-    Unsure,
+    Unresolved,
     /// One is surely not done: nothing of the job can run anywhere.
-    Shut,
+    Blocked,
 }
 
 #[derive(Debug, Default)]
-struct Links {
+struct DependencyNode {
     /// Live jobs that it needs.
-    before: HashSet<u32>,
+    dependencies: HashSet<u32>,
     /// Needs of which nothing is known yet.
-    sought: usize,
+    unresolved: usize,
     /// One of its needs was withdrawn.
-    lost: bool,
+    must_cancel: bool,
     /// Live jobs that need it.
-    after: HashSet<u32>,
+    dependents: HashSet<u32>,
     /// How many of those have which priority, by inheritance as well.
-    ranks: [u32; 4],
-    own: Option<Priority>,
-    rank: Option<Priority>,
+    dependent_priorities: [u32; 4],
+    own_priority: Option<Priority>,
+    effective_priority: Option<Priority>,
 }
 
-const RANKS: [Priority; 4] = [
+const PRIORITIES: [Priority; 4] = [
     Priority::Low,
     Priority::Normal,
     Priority::High,
@@ -55,36 +55,36 @@
 ];
 
 #[derive(Debug, Default)]
-pub struct Chains {
+pub struct DependencyGraph {
     /// Of live jobs that need others or are needed.
-    links: HashMap<u32, Links>,
+    nodes: HashMap<u32, DependencyNode>,
     /// Who waits to hear of a job that is not known.
-    sought: HashMap<String, Vec<u32>>,
-    to_seek: VecDeque<String>,
+    waiting_for_unknown: HashMap<String, Vec<u32>>,
+    lookups: VecDeque<String>,
     /// Whose gate or priority is to be looked at again.
     changed: Vec<u32>,
-    lost: Vec<u32>,
+    newly_cancelled: Vec<u32>,
 }
 
-impl Chains {
+impl DependencyGraph {
     /// A live job, with those that it needs and how they stand.
     pub fn add<'a>(
         &mut self,
         job: u32,
         own: Priority,
-        needs: impl IntoIterator<Item = (&'a str, Need)>,
+        needs: impl IntoIterator<Item = (&'a str, DependencyState)>,
     ) {
-        self.own(job, own);
+        self.set_own_priority(job, own);
         for (id, need) in needs {
             match need {
-                Need::Done => {}
-                Need::Live(before, own) => self.tie(before, own, job),
-                Need::Withdrawn => self.lose(job),
-                Need::Unknown => {
-                    self.links.entry(job).or_default().sought += 1;
-                    let waiting = self.sought.entry(id.to_owned()).or_default();
+                DependencyState::Done => {}
+                DependencyState::Live(before, own) => self.add_edge(before, own, job),
+                DependencyState::Cancelled => self.cancel_with_dependents(job),
+                DependencyState::Unknown => {
+                    self.nodes.entry(job).or_default().unresolved += 1;
+                    let waiting = self.waiting_for_unknown.entry(id.to_owned()).or_default();
                     if waiting.is_empty() {
-                        self.to_seek.push_back(id.to_owned());
+                        self.lookups.push_back(id.to_owned());
                     }
                     waiting.push(job);
                 }
@@ -93,32 +93,32 @@
         self.changed.push(job);
     }
 
-    fn own(&mut self, job: u32, own: Priority) {
-        let links = self.links.entry(job).or_default();
-        links.own = Some(own);
-        self.rank(job);
+    fn set_own_priority(&mut self, job: u32, own: Priority) {
+        let links = self.nodes.entry(job).or_default();
+        links.own_priority = Some(own);
+        self.update_priority(job);
     }
 
     /// Whether a job of this name has to be told of with `found`.
-    pub fn seeks(&self, id: &str) -> bool {
-        self.sought.contains_key(id)
+    pub fn is_awaited(&self, id: &str) -> bool {
+        self.waiting_for_unknown.contains_key(id)
     }
 
     /// How a job that was sought stands.
-    pub fn found(&mut self, id: &str, need: Need) {
-        let Some(waiting) = self.sought.remove(id) else {
+    pub fn resolve(&mut self, id: &str, need: DependencyState) {
+        let Some(waiting) = self.waiting_for_unknown.remove(id) else {
             return;
         };
         for job in waiting {
             // It may be over by now.
-            let Some(links) = self.links.get_mut(&job) else {
+            let Some(links) = self.nodes.get_mut(&job) else {
                 continue;
             };
-            links.sought = links.sought.saturating_sub(1);
+            links.unresolved = links.unresolved.saturating_sub(1);
             match need {
-                Need::Live(before, own) => self.tie(before, own, job),
-                Need::Withdrawn => self.lose(job),
-                Need::Done | Need::Unknown => {}
+                DependencyState::Live(before, own) => self.add_edge(before, own, job),
+                DependencyState::Cancelled => self.cancel_with_dependents(job),
+                DependencyState::Done | DependencyState::Unknown => {}
             }
             self.changed.push(job);
         }
@@ -126,12 +126,12 @@
 
     /// Names to be looked up, at most so many; they come again only if put
     /// back.
-    pub fn seek(&mut self, most: usize) -> Vec<String> {
+    pub fn take_lookups(&mut self, most: usize) -> Vec<String> {
         let mut ids = Vec::new();
         while ids.len() < most
-            && let Some(id) = self.to_seek.pop_front()
+            && let Some(id) = self.lookups.pop_front()
         {
-            if self.sought.contains_key(&id) {
+            if self.waiting_for_unknown.contains_key(&id) {
                 ids.push(id);
             }
         }
@@ -139,99 +139,107 @@
     }
 
     /// Nothing could be learned of them.
-    pub fn seek_again(&mut self, ids: Vec<String>) {
-        self.to_seek.extend(ids);
+    pub fn requeue_lookups(&mut self, ids: Vec<String>) {
+        self.lookups.extend(ids);
     }
 
     /// A live job's withdrawal is durable, or follows from what is: so does
     /// that of all that need it, directly or not.
-    pub fn withdrawn(&mut self, job: u32) {
-        let Some(links) = self.links.get(&job) else {
+    pub fn job_cancelled(&mut self, job: u32) {
+        let Some(links) = self.nodes.get(&job) else {
             return;
         };
-        let after: Vec<u32> = links.after.iter().copied().collect();
-        after.into_iter().for_each(|a| self.lose(a));
+        let after: Vec<u32> = links.dependents.iter().copied().collect();
+        after
+            .into_iter()
+            .for_each(|a| self.cancel_with_dependents(a));
     }
 
-    fn lose(&mut self, job: u32) {
+    fn cancel_with_dependents(&mut self, job: u32) {
         let mut all = vec![job];
         while let Some(job) = all.pop() {
-            if let Some(links) = self.links.get_mut(&job)
-                && !std::mem::replace(&mut links.lost, true)
+            if let Some(links) = self.nodes.get_mut(&job)
+                && !std::mem::replace(&mut links.must_cancel, true)
             {
-                self.lost.push(job);
-                all.extend(links.after.iter().copied());
+                self.newly_cancelled.push(job);
+                all.extend(links.dependents.iter().copied());
             }
         }
     }
 
     /// The job's final state is durable: it is not live any more.
-    pub fn over(&mut self, job: u32, done: bool) {
+    pub fn job_ended(&mut self, job: u32, done: bool) {
         if !done {
-            self.withdrawn(job);
+            self.job_cancelled(job);
         }
-        let Some(links) = self.links.remove(&job) else {
+        let Some(links) = self.nodes.remove(&job) else {
             return;
         };
-        self.changed.extend(&links.after);
-        for a in &links.after {
-            if let Some(after) = self.links.get_mut(a) {
-                after.before.remove(&job);
+        self.changed.extend(&links.dependents);
+        for a in &links.dependents {
+            if let Some(after) = self.nodes.get_mut(a) {
+                after.dependencies.remove(&job);
             }
         }
-        let rank = links.rank;
-        for b in links.before {
-            if let Some(before) = self.links.get_mut(&b) {
-                before.after.remove(&job);
+        let rank = links.effective_priority;
+        for b in links.dependencies {
+            if let Some(before) = self.nodes.get_mut(&b) {
+                before.dependents.remove(&job);
                 if let Some(rank) = rank {
-                    before.ranks[rank as usize] -= 1;
+                    before.dependent_priorities[rank as usize] -= 1;
                 }
-                self.rank(b);
+                self.update_priority(b);
             }
         }
     }
 
-    fn tie(&mut self, before: u32, own: Priority, job: u32) {
-        self.own(before, own);
-        let rank = self.links.get(&job).and_then(|l| l.rank);
-        let links = self.links.entry(before).or_default();
-        if !links.after.insert(job) {
+    fn add_edge(&mut self, before: u32, own: Priority, job: u32) {
+        self.set_own_priority(before, own);
+        let rank = self.nodes.get(&job).and_then(|l| l.effective_priority);
+        let links = self.nodes.entry(before).or_default();
+        if !links.dependents.insert(job) {
             return;
         }
         if let Some(rank) = rank {
-            links.ranks[rank as usize] += 1;
+            links.dependent_priorities[rank as usize] += 1;
         }
-        let lost = links.lost;
-        self.links.entry(job).or_default().before.insert(before);
-        self.rank(before);
+        let lost = links.must_cancel;
+        self.nodes
+            .entry(job)
+            .or_default()
+            .dependencies
+            .insert(before);
+        self.update_priority(before);
         if lost {
-            self.lose(job);
+            self.cancel_with_dependents(job);
         }
     }
 
     /// Works out a job's priority again, and that of those that it needs as
     /// far as it changes.
-    fn rank(&mut self, job: u32) {
+    fn update_priority(&mut self, job: u32) {
         let mut all = vec![job];
         while let Some(job) = all.pop() {
-            let Some(links) = self.links.get_mut(&job) else {
+            let Some(links) = self.nodes.get_mut(&job) else {
                 continue;
             };
-            let inherited = (0..RANKS.len()).rev().find(|r| links.ranks[*r] > 0);
-            let rank = links.own.max(inherited.map(|r| RANKS[r]));
-            let was = std::mem::replace(&mut links.rank, rank);
+            let inherited = (0..PRIORITIES.len())
+                .rev()
+                .find(|r| links.dependent_priorities[*r] > 0);
+            let rank = links.own_priority.max(inherited.map(|r| PRIORITIES[r]));
+            let was = std::mem::replace(&mut links.effective_priority, rank);
             if was == rank {
                 continue;
             }
             self.changed.push(job);
-            let before: Vec<u32> = links.before.iter().copied().collect();
+            let before: Vec<u32> = links.dependencies.iter().copied().collect();
             for b in before {
-                if let Some(l) = self.links.get_mut(&b) {
+                if let Some(l) = self.nodes.get_mut(&b) {
                     if let Some(was) = was {
-                        l.ranks[was as usize] -= 1;
+                        l.dependent_priorities[was as usize] -= 1;
                     }
                     if let Some(rank) = rank {
-                        l.ranks[rank as usize] += 1;
+                        l.dependent_priorities[rank as usize] += 1;
                     }
                     all.push(b);
                 }
@@ -239,17 +247,17 @@
         }
     }
 
-    pub fn gate(&self, job: u32) -> Gate {
-        match self.links.get(&job) {
-            Some(l) if l.lost || !l.before.is_empty() => Gate::Shut,
-            Some(l) if l.sought > 0 => Gate::Unsure,
-            _ => Gate::Open,
+    pub fn readiness(&self, job: u32) -> Readiness {
+        match self.nodes.get(&job) {
+            Some(l) if l.must_cancel || !l.dependencies.is_empty() => Readiness::Blocked,
+            Some(l) if l.unresolved > 0 => Readiness::Unresolved,
+            _ => Readiness::Ready,
         }
     }
 
     /// Its own, or that of a job that needs it, whichever is more.
-    pub fn priority(&self, job: u32) -> Option<Priority> {
-        self.links.get(&job)?.rank
+    pub fn effective_priority(&self, job: u32) -> Option<Priority> {
+        self.nodes.get(&job)?.effective_priority
     }
 
     /// Until when each job that others need has to be done, as far as any of
@@ -257,12 +265,12 @@
     /// due time, if any, and how long it takes.
     pub fn due_by(&self, own: impl Fn(u32) -> (Option<u64>, u64)) -> HashMap<u32, u64> {
         let mut due: HashMap<u32, Option<u64>> = HashMap::new();
-        let mut all: Vec<(u32, bool)> = self.links.keys().map(|j| (*j, false)).collect();
+        let mut all: Vec<(u32, bool)> = self.nodes.keys().map(|j| (*j, false)).collect();
         while let Some((job, after_known)) = all.pop() {
             if due.contains_key(&job) {
                 continue;
             }
-            let after = self.links.get(&job).map(|l| &l.after);
+            let after = self.nodes.get(&job).map(|l| &l.dependents);
             if !after_known {
                 all.push((job, true));
                 all.extend(after.into_iter().flatten().map(|a| (*a, false)));
@@ -279,23 +287,25 @@
     }
 
     /// It is to be withdrawn, as a job that it needs was.
-    pub fn is_lost(&self, job: u32) -> bool {
-        self.links.get(&job).is_some_and(|l| l.lost)
+    pub fn must_cancel(&self, job: u32) -> bool {
+        self.nodes.get(&job).is_some_and(|l| l.must_cancel)
     }
 
     /// Live jobs that it needs, and how many are not known.
-    pub fn open(&self, job: u32) -> (impl Iterator<Item = u32>, usize) {
-        let links = self.links.get(&job);
-        let before = links.into_iter().flat_map(|l| l.before.iter().copied());
-        (before, links.map_or(0, |l| l.sought))
+    pub fn unfinished_dependencies(&self, job: u32) -> (impl Iterator<Item = u32>, usize) {
+        let links = self.nodes.get(&job);
+        let before = links
+            .into_iter()
+            .flat_map(|l| l.dependencies.iter().copied());
+        (before, links.map_or(0, |l| l.unresolved))
     }
 
     /// Jobs to look at again, and jobs that are to be withdrawn if they are
     /// still the same (`is_lost`): indices are used again.
-    pub fn take(&mut self) -> (Vec<u32>, Vec<u32>) {
+    pub fn take_changes(&mut self) -> (Vec<u32>, Vec<u32>) {
         (
             std::mem::take(&mut self.changed),
-            std::mem::take(&mut self.lost),
+            std::mem::take(&mut self.newly_cancelled),
         )
     }
 }
@@ -305,62 +315,72 @@
     use super::*;
     use Priority::*;
 
-    fn gates(c: &Chains, jobs: &[u32]) -> Vec<Gate> {
-        jobs.iter().map(|j| c.gate(*j)).collect()
+    fn gates(c: &DependencyGraph, jobs: &[u32]) -> Vec<Readiness> {
+        jobs.iter().map(|j| c.readiness(*j)).collect()
     }
 
     #[test]
     fn a_job_is_ready_once_the_last_of_a_diamond_is_over() {
-        let mut c = Chains::default();
+        let mut c = DependencyGraph::default();
         c.add(0, Low, []);
-        c.add(1, Low, [("j-000000", Need::Live(0, Low))]);
-        c.add(2, Low, [("j-000000", Need::Live(0, Low))]);
+        c.add(1, Low, [("j-000000", DependencyState::Live(0, Low))]);
+        c.add(2, Low, [("j-000000", DependencyState::Live(0, Low))]);
         c.add(
             3,
             High,
             [
-                ("j-000001", Need::Live(1, Low)),
-                ("j-000002", Need::Live(2, Low)),
+                ("j-000001", DependencyState::Live(1, Low)),
+                ("j-000002", DependencyState::Live(2, Low)),
             ],
         );
-        assert_eq!(gates(&c, &[0, 1, 2, 3])[1..], [Gate::Shut; 3]);
+        assert_eq!(gates(&c, &[0, 1, 2, 3])[1..], [Readiness::Blocked; 3]);
         // All of it is as urgent as its end, until that has gone.
-        assert_eq!(c.priority(0), Some(High));
-        c.over(0, true);
-        assert_eq!(gates(&c, &[1, 2, 3]), [Gate::Open, Gate::Open, Gate::Shut]);
-        c.over(1, true);
-        assert_eq!(c.gate(3), Gate::Shut);
-        c.over(2, true);
-        assert_eq!(c.gate(3), Gate::Open);
-        assert_eq!(c.take().1, Vec::<u32>::new());
+        assert_eq!(c.effective_priority(0), Some(High));
+        c.job_ended(0, true);
+        assert_eq!(
+            gates(&c, &[1, 2, 3]),
+            [Readiness::Ready, Readiness::Ready, Readiness::Blocked]
+        );
+        c.job_ended(1, true);
+        assert_eq!(c.readiness(3), Readiness::Blocked);
+        c.job_ended(2, true);
+        assert_eq!(c.readiness(3), Readiness::Ready);
+        assert_eq!(c.take_changes().1, Vec::<u32>::new());
     }
 
     #[test]
     fn priority_falls_again_when_the_job_that_lent_it_goes() {
-        let mut c = Chains::default();
+        let mut c = DependencyGraph::default();
         c.add(0, Low, []);
-        c.add(1, Normal, [("j-000000", Need::Live(0, Low))]);
-        c.add(2, Production, [("j-000001", Need::Live(1, Normal))]);
-        assert_eq!(c.priority(0), Some(Production));
-        c.over(2, false);
-        assert_eq!((c.priority(1), c.priority(0)), (Some(Normal), Some(Normal)));
+        c.add(1, Normal, [("j-000000", DependencyState::Live(0, Low))]);
+        c.add(
+            2,
+            Production,
+            [("j-000001", DependencyState::Live(1, Normal))],
+        );
+        assert_eq!(c.effective_priority(0), Some(Production));
+        c.job_ended(2, false);
+        assert_eq!(
+            (c.effective_priority(1), c.effective_priority(0)),
+            (Some(Normal), Some(Normal))
+        );
     }
 
     #[test]
     fn a_job_keeps_its_own_priority_where_those_that_need_it_have_less() {
-        let mut c = Chains::default();
-        c.add(1, Low, [("j-000000", Need::Live(0, High))]);
-        assert_eq!(c.priority(0), Some(High));
+        let mut c = DependencyGraph::default();
+        c.add(1, Low, [("j-000000", DependencyState::Live(0, High))]);
+        assert_eq!(c.effective_priority(0), Some(High));
     }
 
     #[test]
     fn a_need_is_due_before_the_longest_way_to_whatever_is_due_after_it() {
-        let mut c = Chains::default();
-        c.add(1, Low, [("j-000000", Need::Live(0, Low))]);
-        c.add(2, Low, [("j-000000", Need::Live(0, Low))]);
+        let mut c = DependencyGraph::default();
+        c.add(1, Low, [("j-000000", DependencyState::Live(0, Low))]);
+        c.add(2, Low, [("j-000000", DependencyState::Live(0, Low))]);
         let last = [
-            ("j-000001", Need::Live(1, Low)),
-            ("j-000002", Need::Live(2, Low)),
+            ("j-000001", DependencyState::Live(1, Low)),
+            ("j-000002", DependencyState::Live(2, Low)),
         ];
         c.add(3, High, last);
         let own = |job| match job {
@@ -373,49 +393,55 @@
         assert_eq!((due[&3], due[&1], due[&2]), (100, 80, 70));
         assert_eq!(due[&0], 40);
         // With the last one gone nothing but the other's own time counts.
-        c.over(3, false);
+        c.job_ended(3, false);
         let due = c.due_by(own);
         assert_eq!((due.get(&1), due[&2], due[&0]), (None, 70, 60));
     }
 
     #[test]
     fn a_withdrawal_reaches_all_that_follow_in_whatever_order_they_are_learned() {
-        let mut c = Chains::default();
+        let mut c = DependencyGraph::default();
         // Deep enough to end a stack.
         for n in (1..20_000u32).rev() {
             let id = format!("j-{:06}", n - 1);
-            c.add(n, Low, [(id.as_str(), Need::Unknown)]);
-            c.found(&format!("j-{n:06}"), Need::Live(n, Low));
+            c.add(n, Low, [(id.as_str(), DependencyState::Unknown)]);
+            c.resolve(&format!("j-{n:06}"), DependencyState::Live(n, Low));
         }
-        assert_eq!((c.gate(1), c.gate(2)), (Gate::Unsure, Gate::Shut));
-        assert!(c.seeks("j-000000"));
-        c.found("j-000000", Need::Withdrawn);
-        assert_eq!(c.take().1.len(), 19_999);
+        assert_eq!(
+            (c.readiness(1), c.readiness(2)),
+            (Readiness::Unresolved, Readiness::Blocked)
+        );
+        assert!(c.is_awaited("j-000000"));
+        c.resolve("j-000000", DependencyState::Cancelled);
+        assert_eq!(c.take_changes().1.len(), 19_999);
         // Whoever names one of them later goes with it, and stays shut.
-        c.add(20_000, Low, [("j-000005", Need::Live(5, Low))]);
-        assert_eq!(c.take().1, [20_000]);
-        c.over(5, false);
-        assert_eq!(c.gate(20_000), Gate::Shut);
+        c.add(20_000, Low, [("j-000005", DependencyState::Live(5, Low))]);
+        assert_eq!(c.take_changes().1, [20_000]);
+        c.job_ended(5, false);
+        assert_eq!(c.readiness(20_000), Readiness::Blocked);
     }
 
     #[test]
     fn what_is_not_known_is_sought_once_and_until_it_is_found() {
-        let mut c = Chains::default();
-        c.add(1, Low, [("j-000007", Need::Unknown)]);
+        let mut c = DependencyGraph::default();
+        c.add(1, Low, [("j-000007", DependencyState::Unknown)]);
         c.add(
             2,
             Low,
             [
-                ("j-000007", Need::Unknown),
-                ("j-000001", Need::Live(1, Low)),
+                ("j-000007", DependencyState::Unknown),
+                ("j-000001", DependencyState::Live(1, Low)),
             ],
         );
-        let ids = c.seek(9);
+        let ids = c.take_lookups(9);
         assert_eq!(ids, ["j-000007"]);
-        assert!(c.seek(9).is_empty());
-        c.seek_again(ids);
-        assert_eq!(c.seek(9).len(), 1);
-        c.found("j-000007", Need::Done);
-        assert_eq!((c.gate(1), c.gate(2)), (Gate::Open, Gate::Shut));
+        assert!(c.take_lookups(9).is_empty());
+        c.requeue_lookups(ids);
+        assert_eq!(c.take_lookups(9).len(), 1);
+        c.resolve("j-000007", DependencyState::Done);
+        assert_eq!(
+            (c.readiness(1), c.readiness(2)),
+            (Readiness::Ready, Readiness::Blocked)
+        );
     }
 }
--- a/src/state/offload.rs
+++ b/src/state/offload.rs
@@ -15,73 +15,75 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub enum Away {
     #[default]
-    Here,
+    Local,
     /// The same, and the mark for this award can't be set any more.
     Refused(u64),
     /// The mark is wanted. It may be in the record, or get there late, as long
     /// as the award's record has this version.
-    Leaving { lent: Lent, version: u64 },
+    Offloading { target: Lent, version: u64 },
     /// The record says so.
-    Lent(Lent),
+    Offloaded(Lent),
     /// What came back is known; the mark is to be lifted.
-    Back(Lent),
+    Returning(Lent),
 }
 
 impl Away {
     pub fn loaded(lent: Option<Lent>) -> Self {
-        lent.map_or(Away::Here, Away::Lent)
+        lent.map_or(Away::Local, Away::Offloaded)
     }
 
     pub fn is_here(&self) -> bool {
-        matches!(self, Away::Here | Away::Refused(_))
+        matches!(self, Away::Local | Away::Refused(_))
     }
 
     /// The mark is to be set or lifted.
     pub fn moves(&self) -> bool {
-        matches!(self, Away::Leaving { .. } | Away::Back(_))
+        matches!(self, Away::Offloading { .. } | Away::Returning(_))
     }
 
     pub fn lent(&self) -> Option<&Lent> {
         match self {
-            Away::Here | Away::Refused(_) => None,
-            Away::Leaving { lent, .. } | Away::Lent(lent) | Away::Back(lent) => Some(lent),
+            Away::Local | Away::Refused(_) => None,
+            Away::Offloading { target: lent, .. }
+            | Away::Offloaded(lent)
+            | Away::Returning(lent) => Some(lent),
         }
     }
 
     /// What any other write of the job's record must keep.
     pub fn mark(&self) -> Option<Lent> {
         match self {
-            Away::Here | Away::Refused(_) | Away::Leaving { .. } => None,
-            Away::Lent(lent) | Away::Back(lent) => Some(lent.clone()),
+            Away::Local | Away::Refused(_) | Away::Offloading { .. } => None,
+            Away::Offloaded(lent) | Away::Returning(lent) => Some(lent.clone()),
         }
     }
 
     /// The mark is in the record.
     pub fn marked(&mut self) {
-        if let Away::Leaving { lent, .. } = self {
-            *self = Away::Lent(lent.clone());
+        if let Away::Offloading { target: lent, .. } = self {
+            *self = Away::Offloaded(lent.clone());
         }
     }
 
     /// The mark is surely not in the record, and can't get there.
     pub fn stays(&mut self) {
-        if let Away::Leaving { lent, .. } = self {
+        if let Away::Offloading { target: lent, .. } = self {
             *self = Away::Refused(lent.award);
         }
     }
 
     /// The mark is out of the record.
     pub fn lifted(&mut self) {
-        if let Away::Back(_) = self {
-            *self = Away::Here;
+        if let Away::Returning(_) = self {
+            *self = Away::Local;
         }
     }
 
     /// The record was read again after a write that had no answer.
     pub fn reread(&mut self, mark: Option<&Lent>) {
         match (&*self, mark) {
-            (Away::Leaving { lent, .. }, Some(found)) if lent == found => self.marked(),
-            (Away::Back(_), None) => self.lifted(),
+            (Away::Offloading { target: lent, .. }, Some(found)) if lent == found => self.marked(),
+            (Away::Returning(_), None) => self.lifted(),
             _ => {}
         }
     }
--- a/tests/failover.rs
+++ b/tests/failover.rs
@@ -11,9 +11,9 @@
 
 use pathwinch::{
     control::standby::{
-        Picture, Standbys, Written,
-        failover_checks::{self, Claim},
-        replica::{Copy, Follower},
+        RegistryWriteOutcome, ReplicatedState, Standbys,
+        failover_checks::{self, FailoverClaim},
+        replica::{Replica, ReplicaReceiver},
     },
     protocol::{
         peers::{Follow, MachineHolds, MayRun, Seen},
@@ -53,14 +53,14 @@
     }
 }
 
-impl Picture for OneMachine {
+impl ReplicatedState for OneMachine {
     fn changes(&self) -> u64 {
         self.changes
     }
     fn sent(&self) -> u64 {
         self.sent
     }
-    fn held_on(&self, machine: &str) -> MachineHolds {
+    fn tasks_on(&self, machine: &str) -> MachineHolds {
         let held = |(task, (attempt, change, _)): (&u32, &(u64, u64, bool))| {
             MayRun(*task, *attempt, *change, Seen::Sent)
         };
@@ -71,11 +71,11 @@
             jobs: jobs.into_iter().collect(),
         }
     }
-    fn held_machines(&self) -> BTreeSet<String> {
+    fn occupied_machines(&self) -> BTreeSet<String> {
         let any = !self.tasks.is_empty();
         any.then(|| MACHINE.to_owned()).into_iter().collect()
     }
-    fn take_touched(&mut self) -> BTreeSet<String> {
+    fn take_changed_machines(&mut self) -> BTreeSet<String> {
         let touched = std::mem::take(&mut self.touched);
         touched.then(|| MACHINE.to_owned()).into_iter().collect()
     }
@@ -85,7 +85,7 @@
 struct Leadership {
     term: u64,
     /// Brought along, until the record is read.
-    copy: Option<Copy>,
+    copy: Option<Replica>,
     loaded: bool,
     /// It knows all that may run.
     complete: bool,
@@ -101,7 +101,7 @@
 #[derive(Clone, Default, PartialEq, Eq, Hash)]
 struct Node {
     incarnation: u64,
-    follower: Follower,
+    follower: ReplicaReceiver,
     lead: Option<Leadership>,
 }
 
@@ -237,7 +237,7 @@
                 }
                 let (term, id) = (told.term, told.id);
                 let node = &mut self.nodes[j];
-                let taken = node.follower.take_in(told.part(), now);
+                let taken = node.follower.apply_part(told.part(), now);
                 let by = node.incarnation;
                 self.wire.push(Msg::Answer(i, j, term, id, by, taken));
             }
@@ -277,7 +277,10 @@
                 let lead = self.nodes[i].lead.as_mut();
                 if let Some(l) = lead.filter(|l| l.term == term && l.writing) {
                     l.writing = false;
-                    let how = done.map_or(Written::Reread(found), Written::Done);
+                    let how = done.map_or(
+                        RegistryWriteOutcome::Reread(found),
+                        RegistryWriteOutcome::Done,
+                    );
                     l.standbys.written(how, now);
                 }
             }
@@ -297,7 +300,7 @@
         let standbys = Standbys::new(term, 2, peers.map(|j| (name(j), false)));
         node.lead = Some(Leadership {
             term,
-            copy: node.follower.take_over(term),
+            copy: node.follower.take_replica(term),
             loaded: false,
             complete: false,
             heard: false,
@@ -322,13 +325,13 @@
             return false;
         }
         l.loaded = true;
-        let claim = Claim {
+        let claim = FailoverClaim {
             me: &name(i),
             incarnation,
             record: record.as_ref().map(|(r, _)| r),
-            copy: l.copy.as_ref(),
+            replica: l.copy.as_ref(),
         };
-        if failover_checks::judge(&claim).is_ok() {
+        if failover_checks::check_failover(&claim).is_ok() {
             let copy = l.copy.take().unwrap_or_default();
             for (_, _, MayRun(task, attempt, ..)) in copy.latest_first() {
                 l.picture.put(task, attempt, true);
@@ -383,7 +386,7 @@
         let Some(l) = self.nodes[i].lead.as_mut().filter(|l| l.loaded) else {
             return false;
         };
-        let confirmed = l.standbys.confirmed();
+        let confirmed = l.standbys.confirmed_change();
         for (task, (attempt, change, sent)) in l.picture.tasks.iter_mut() {
             if !*sent && *change <= confirmed {
                 *sent = true;
@@ -433,7 +436,7 @@
             return false;
         };
         l.writing = false;
-        l.standbys.written(Written::Reread(found), now);
+        l.standbys.written(RegistryWriteOutcome::Reread(found), now);
         self.now += 250;
         true
     }
@@ -463,7 +466,7 @@
                 if node.incarnation != *incarnation || node.lead.is_some() {
                     continue;
                 }
-                let Some(copy) = node.follower.copy().filter(|c| c.term >= record.term) else {
+                let Some(copy) = node.follower.replica().filter(|c| c.term >= record.term) else {
                     continue;
                 };
                 let all = self.on.iter().copied();
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -34,7 +34,7 @@
         polls::FinalStates,
         requests::{Answer, TxnResult, final_status},
         safety_bounds::SafetyBounds,
-        standby::{Written, replica::Follower},
+        standby::{RegistryWriteOutcome, replica::ReplicaReceiver},
     },
     options::Options,
     protocol::{
@@ -155,7 +155,7 @@
     pub still_until: Ms,
     pub election: Election,
     pub leader: Option<Leader>,
-    pub follower: Follower,
+    pub follower: ReplicaReceiver,
     /// Parts that are on their way to each node, by stream and number.
     telling: Vec<Option<(u64, u64)>>,
     /// A write of the record of standbys without an answer, to be read back.
@@ -418,7 +418,7 @@
                 self.now,
             ),
             leader: None,
-            follower: Follower::default(),
+            follower: ReplicaReceiver::default(),
             telling: vec![None; nodes],
             record_open: None,
             notices: None,
--- a/tests/simulation/net.rs
+++ b/tests/simulation/net.rs
@@ -53,7 +53,7 @@
 pub(super) enum Msg {
     Beat(usize, usize, Heartbeat, Ms),
     /// A report that comes once more: nobody waits for the answer.
-    Copy(usize, usize, Heartbeat),
+    Replica(usize, usize, Heartbeat),
     /// Passed on by the first node to the second.
     Relay(usize, usize, usize, Heartbeat, Ms),
     Reply(usize, usize, Option<HeartbeatResponse>, u64, u64, Ms),
@@ -70,7 +70,7 @@
     fn ends(&self) -> Option<(usize, usize)> {
         match self {
             Msg::Beat(i, w, ..)
-            | Msg::Copy(i, w, ..)
+            | Msg::Replica(i, w, ..)
             | Msg::Reply(w, i, ..)
             | Msg::Do(i, w, ..) => Some((*i, *w)),
             Msg::Relay(..) | Msg::Done(..) | Msg::Tell(..) | Msg::Told(..) => None,
@@ -166,7 +166,7 @@
             self.rng.usize(..self.nodes.len()),
             self.rng.u64(500..30_000),
         );
-        let copy = Msg::Copy(i, w, report.clone());
+        let copy = Msg::Replica(i, w, report.clone());
         self.wire.push((self.now + late, copy));
     }
 
@@ -177,7 +177,7 @@
             self.copied += 1;
             for i in 0..self.nodes.len() {
                 for late in [self.rng.u64(0..400), self.rng.u64(2_000..12_000)] {
-                    let copy = Msg::Copy(i, w, report.clone());
+                    let copy = Msg::Replica(i, w, report.clone());
                     self.wire.push((self.now + late, copy));
                 }
             }
@@ -300,7 +300,7 @@
         let now = self.now;
         // What comes to a node that stands still waits at its door.
         let to = match &msg {
-            Msg::Beat(i, ..) | Msg::Copy(i, ..) | Msg::Relay(_, i, ..) | Msg::Done(i, ..) => {
+            Msg::Beat(i, ..) | Msg::Replica(i, ..) | Msg::Relay(_, i, ..) | Msg::Done(i, ..) => {
                 Some(*i)
             }
             Msg::Tell(_, j, _) => Some(*j),
@@ -324,7 +324,7 @@
             Msg::Tell(i, j, part) => self.told(i, j, part),
             Msg::Told(i, j, term, part, answer) => self.confirmed(i, j, term, part, answer),
             Msg::Beat(i, w, report, sent) => self.beat(i, w, report, sent),
-            Msg::Copy(i, _, report) => {
+            Msg::Replica(i, _, report) => {
                 self.answer(i, &report);
             }
             Msg::Relay(via, i, w, report, sent) => {
--- a/tests/simulation/nodes.rs
+++ b/tests/simulation/nodes.rs
@@ -79,7 +79,7 @@
         l.upgraded(!self.mixed);
         l.tick(now, now);
         if reaches_state && !stalled {
-            for id in l.sought() {
+            for id in l.dependencies_to_look_up() {
                 let live = self.store.kv.get(&records::job_key(&id));
                 let over = self.store.kv.get(&records::final_key(&id));
                 match (live, over) {
@@ -88,9 +88,9 @@
                     }
                     (None, Some((v, _))) => {
                         let record: FinalRecord = serde_json::from_value(v.clone()).unwrap();
-                        l.need_ended(&final_status(&id, &record), now);
+                        l.dependency_ended(&final_status(&id, &record), now);
                     }
-                    (None, None) => l.not_found(vec![id]),
+                    (None, None) => l.requeue_dependency_lookups(vec![id]),
                 }
             }
         }
@@ -414,7 +414,7 @@
         );
         let node = &mut self.nodes[i];
         leader.final_states = std::mem::take(&mut node.finals);
-        let copy = node.follower.take_over(term);
+        let copy = node.follower.take_replica(term);
         leader.inherit(node.election.incarnation, copy);
         node.leader = Some(leader);
         node.loads_at = now + self.load_ms;
--- a/tests/simulation/standbys.rs
+++ b/tests/simulation/standbys.rs
@@ -54,9 +54,9 @@
         };
         if node.record_open.is_some_and(|at| now >= at) && reaches && held.is_none() {
             node.record_open = None;
-            l.standbys_written(Written::Reread(found), now);
+            l.standbys_written(RegistryWriteOutcome::Reread(found), now);
         }
-        if let Some(txn) = l.keep_warm(|p| answers[p], now) {
+        if let Some(txn) = l.update_standbys(|p| answers[p], now) {
             let late = match held {
                 Some(_) => None,
                 None => self.store.late_record.pop(),
@@ -74,14 +74,18 @@
             match result {
                 TxnResult::Unknown => node.record_open = Some(now + 1500),
                 TxnResult::Refused | TxnResult::Rejected => {
-                    l.standbys_written(Written::Refused, now);
+                    l.standbys_written(RegistryWriteOutcome::Refused, now);
+                }
+                TxnResult::Done(version) => {
+                    l.standbys_written(RegistryWriteOutcome::Done(version), now)
                 }
-                TxnResult::Done(version) => l.standbys_written(Written::Done(version), now),
                 TxnResult::Conflict(failed) if failed.iter().any(|k| k == LEADER) => {
                     self.resign(i, false);
                     return;
                 }
-                TxnResult::Conflict(_) => l.standbys_written(Written::Reread(found), now),
+                TxnResult::Conflict(_) => {
+                    l.standbys_written(RegistryWriteOutcome::Reread(found), now)
+                }
             }
         }
         for p in 0..answers.len() {
@@ -136,7 +140,7 @@
         }
         let (term, id) = (part.term, (part.stream, part.part));
         let node = &mut self.nodes[j];
-        let taken = node.follower.take_in(part, now);
+        let taken = node.follower.apply_part(part, now);
         let answer = Some((node.election.incarnation, taken));
         if self.link(i, EndLease::Node(j)) == Link::Up {
             self.wire.push((now + 5, Msg::Told(i, j, term, id, answer)));
@@ -188,7 +192,7 @@
             }
             // Without one of that term, or of a later one, it would go the cold
             // way: it led in between, and the record was left as it was.
-            let copy = self.nodes[j].follower.copy();
+            let copy = self.nodes[j].follower.replica();
             let Some(copy) = copy.filter(|c| c.term >= term) else {
                 continue;
             };
--- a/tests/standby.rs
+++ b/tests/standby.rs
@@ -5,7 +5,7 @@
 mod simulation;
 
 use pathwinch::{
-    control::{leader::Leader, standby::replica::Follower},
+    control::{leader::Leader, standby::replica::ReplicaReceiver},
     options::Options,
     protocol::{
         peers::{Follow, MachineHolds, MayRun, Seen},
@@ -499,7 +499,7 @@
 /// A new leader that goes by what it was told of those machines, and has read
 /// the records.
 fn taking_over(machines: u32, holds: Vec<MachineHolds>, spec: JobSpec) -> Leader {
-    let mut follower = Follower::default();
+    let mut follower = ReplicaReceiver::default();
     let part = Follow {
         term: 5,
         stream: 1,
@@ -508,10 +508,10 @@
         named: true,
         machines: holds,
     };
-    assert!(follower.take_in(part, 0));
+    assert!(follower.apply_part(part, 0));
     let settings = Rc::new(simulation::settings(0.0));
     let mut l = Leader::new(settings, Options::default(), simulation::types(), 9, 0);
-    l.inherit(7, follower.take_over(9));
+    l.inherit(7, follower.take_replica(9));
     let record = StandbyRecord {
         term: 5,
         named: vec![("n0".into(), 7)],
