--- a/examples/limits/main.rs
+++ b/examples/limits/main.rs
@@ -87,7 +87,7 @@
             zone: "a".into(),
             spot: false,
             releasing: false,
-            lapsed: false,
+            lease_expired: false,
             quarantined: false,
             images: Vec::new(),
         };
--- a/examples/limits/passes.rs
+++ b/examples/limits/passes.rs
@@ -97,7 +97,7 @@
                 zone: zone(n % ZONES),
                 spot: false,
                 releasing: false,
-                lapsed: false,
+                lease_expired: false,
                 quarantined: false,
                 images: vec![format!("image-{}", rng.usize(..IMAGES))],
             };
--- a/src/control/acceptance_feed.rs
+++ b/src/control/acceptance_feed.rs
@@ -14,15 +14,15 @@
 }
 
 #[derive(Debug)]
-pub struct Notices {
+pub struct AcceptanceFeed {
     from: u64,
 }
 
-impl Notices {
+impl AcceptanceFeed {
     /// All since the term began are told of, and those before it were read
     /// with the other records.
     pub fn new(term: u64) -> Self {
-        Notices { from: term }
+        AcceptanceFeed { from: term }
     }
 
     /// The revision from which on they are not known.
@@ -31,7 +31,7 @@
     }
 
     pub fn path(&self, wait_ms: u64) -> String {
-        let (under, from) = (records::NOTICES, self.from());
+        let (under, from) = (records::ACCEPTANCES, self.from());
         format!("/watch?under={under}&from={from}&wait_ms={wait_ms}")
     }
 
--- a/src/control/acceptance_feed/tests.rs
+++ b/src/control/acceptance_feed/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn a_place_that_is_too_old_moves_to_the_revision_of_an_empty_list() {
-    let mut n = Notices::new(7);
+    let mut n = AcceptanceFeed::new(7);
     let told = br#"{"ledger_rev":9,"log":[{"set":"n/j-000001","key_rev":8},{"drop":"n/x"}]}"#;
     assert_eq!(
         n.answered(200, told),
--- a/src/control/leader/mod.rs
+++ b/src/control/leader/mod.rs
@@ -56,10 +56,10 @@
         },
         dependencies::{DependencyGraph, Readiness},
         fault_attribution::{JobFailures, MachineFailures},
-        offload::Away,
+        offload::OffloadState,
         records::{
-            self as keys, Bits, FinalRecord, JobRecord, LEADER, MachineRecord, chunk_key,
-            final_key, job_key, machine_key,
+            self as keys, FinalRecord, JobRecord, LEADER, MachineRecord, TaskBitmap, final_key,
+            job_key, machine_key, segment_key,
         },
         resources::Resources,
     },
@@ -103,7 +103,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub enum Item {
+pub enum WriteIntent {
     Cancel(u32, String),
     Offload(u32, String),
     EndOffload(u32, String),
@@ -119,9 +119,9 @@
 
 /// One transaction and what it says.
 #[derive(Debug, Clone)]
-pub struct Plan {
+pub struct WritePlan {
     pub txn: Txn,
-    pub items: Vec<Item>,
+    pub intents: Vec<WriteIntent>,
 }
 
 #[derive(Debug, Clone)]
@@ -146,7 +146,7 @@
 }
 
 use headroom::Reserve;
-pub use persistence::acceptance_with_notice;
+pub use persistence::acceptance_with_feed_entry;
 pub use status::Tally;
 
 pub struct Leader {
@@ -233,13 +233,13 @@
     }
 
     pub fn load_job(&mut self, record: JobRecord, version: u64, now: Ms) -> u32 {
-        let mut done = Bits::with_len(record.spec.tasks);
-        done.load(0, &record.done);
+        let mut done = TaskBitmap::with_len(record.spec.tasks);
+        done.load(0, &record.completed);
         self.learn_shape(&record.spec);
         self.changed = true;
-        let (at_ms, suspected) = (record.at_ms, record.suspected);
-        let pieces = record.pieces;
-        let away = Away::loaded(record.lent);
+        let (at_ms, suspected) = (record.accepted_at_ms, record.suspected);
+        let pieces = record.spec_chunks;
+        let away = OffloadState::recorded(record.offloaded_to);
         let ix = self
             .cluster
             .insert_job(record.spec, at_ms, version, done, record.cancelled, now);
@@ -248,7 +248,7 @@
             if j.record_version == version {
                 j.spec_chunks = pieces;
             }
-            if !away.is_here() && j.record_version == version {
+            if !away.is_local() && j.record_version == version {
                 j.offload = away;
                 j.reason = Reason::Lent;
             }
@@ -268,7 +268,7 @@
         ix
     }
 
-    pub fn load_chunk(&mut self, id: &str, chunk: usize, text: &str) {
+    pub fn load_segment(&mut self, id: &str, chunk: usize, text: &str) {
         let Some(job) = self
             .cluster
             .job_index(id)
@@ -276,10 +276,10 @@
         else {
             self.write_queue
                 .unconditional_deletes
-                .push(chunk_key(id, chunk));
+                .push(segment_key(id, chunk));
             return;
         };
-        let mut bits = Bits::with_len(job.spec.tasks);
+        let mut bits = TaskBitmap::with_len(job.spec.tasks);
         bits.load(chunk, text);
         for t in 0..job.spec.tasks {
             if bits.get(t) {
@@ -303,7 +303,7 @@
         if let Some(m) = ix.and_then(|ix| self.cluster.machine_mut(ix)) {
             m.registration = Registration::Present;
             m.record_version = version;
-            m.releasing = record.releasing && !record.lapsed;
+            m.releasing = record.releasing && !record.lease_expired;
             m.release_recorded = m.releasing;
             m.recorded_empty = record.releasing;
             if record.quarantined {
@@ -573,7 +573,7 @@
     }
 
     /// A notice has been dealt with.
-    pub fn drop_notice(&mut self, key: String) {
+    pub fn acceptance_handled(&mut self, key: String) {
         self.write_queue.unconditional_deletes.push(key);
     }
 
--- a/src/control/leader/offload.rs
+++ b/src/control/leader/offload.rs
@@ -5,7 +5,7 @@
 use crate::{
     protocol::market::{Lendable, Marked},
     state::{
-        offload::{Away, Lent},
+        offload::{OffloadState, OffloadTarget},
         records::award_key,
     },
 };
@@ -119,7 +119,7 @@
             job.is_some_and(|j| {
                 !j.cancelled
                     && !j.cancel_requested
-                    && j.offload.lent().is_none_or(|l| l.award == award)
+                    && j.offload.target().is_none_or(|l| l.award == award)
             })
         };
         let idle = lent.iter().filter(|(id, award)| !needed(id, *award));
@@ -128,7 +128,7 @@
 
     /// Asks for the mark, or how it stands with it. `version`: of the award's
     /// record, which the mark's write is guarded on.
-    pub fn lend(&mut self, id: &str, lent: Lent, version: u64) -> Marked {
+    pub fn lend(&mut self, id: &str, lent: OffloadTarget, version: u64) -> Marked {
         let Some(ix) = self.cluster.job_index(id) else {
             return Marked::No;
         };
@@ -136,10 +136,10 @@
             return Marked::No;
         };
         match &j.offload {
-            Away::Offloaded(l) if *l == lent => return Marked::Yes,
-            Away::Offloading { target: l, .. } if *l == lent => return Marked::NotYet,
-            Away::Local => {}
-            Away::Refused(award) if *award != lent.award => {}
+            OffloadState::Offloaded(l) if *l == lent => return Marked::Yes,
+            OffloadState::Offloading { target: l, .. } if *l == lent => return Marked::NotYet,
+            OffloadState::Local => {}
+            OffloadState::Refused(award) if *award != lent.award => {}
             _ => return Marked::No,
         }
         let free = j.live_count == 0
@@ -153,7 +153,7 @@
             return Marked::No;
         }
         if let Some(j) = self.cluster.job_mut(ix) {
-            j.offload = Away::Offloading {
+            j.offload = OffloadState::Offloading {
                 target: lent,
                 version,
             };
@@ -177,7 +177,7 @@
             return true;
         };
         match &j.offload {
-            Away::Offloaded(l) if l.award == award => {
+            OffloadState::Offloaded(l) if l.award == award => {
                 let lent = l.clone();
                 // Of a gang all is done or nothing.
                 let count: u64 = done.iter().map(|(a, b)| u64::from(b - a) + 1).sum();
@@ -188,7 +188,7 @@
                         j.mark_done(task);
                     }
                 }
-                j.offload = Away::Returning(lent);
+                j.offload = OffloadState::Returning(lent);
                 j.reason = Reason::New;
                 self.write_queue.offload_changes.push(ix);
                 self.changed = true;
@@ -196,7 +196,9 @@
             }
             // The award's end is recorded: the mark's write fails, unless it
             // was applied before.
-            Away::Offloading { target: lent, .. } | Away::Returning(lent) => lent.award != award,
+            OffloadState::Offloading { target: lent, .. } | OffloadState::Returning(lent) => {
+                lent.award != award
+            }
             _ => true,
         }
     }
@@ -204,7 +206,7 @@
     /// Marks to be set, in transactions of their own: a guard on an award that
     /// has ended must not hold up anything else. Of those in one transaction,
     /// the ones that made it fail are known once its keys have been read.
-    pub(super) fn plan_marks(&mut self, room: usize) -> Option<Plan> {
+    pub(super) fn plan_offloads(&mut self, room: usize) -> Option<WritePlan> {
         if std::mem::replace(&mut self.write_queue.offloads_went_last, false) {
             return None;
         }
@@ -217,7 +219,7 @@
             let Some(j) = self.cluster.job_mut(ix).filter(|j| !j.write_in_flight) else {
                 continue;
             };
-            let Away::Offloading {
+            let OffloadState::Offloading {
                 target: lent,
                 version,
             } = &j.offload
@@ -243,25 +245,27 @@
                 value,
                 lease: None,
             });
-            plan.items.push(Item::Offload(ix, j.id.clone()));
+            plan.intents.push(WriteIntent::Offload(ix, j.id.clone()));
             j.write_in_flight = true;
         }
-        self.write_queue
-            .offload_changes
-            .retain(|ix| self.cluster.job(*ix).is_some_and(|j| j.offload.moves()));
-        self.write_queue.offloads_went_last = !plan.items.is_empty();
+        self.write_queue.offload_changes.retain(|ix| {
+            self.cluster
+                .job(*ix)
+                .is_some_and(|j| j.offload.has_pending_change())
+        });
+        self.write_queue.offloads_went_last = !plan.intents.is_empty();
         (!plan.txn.writes.is_empty()).then_some(plan)
     }
 
     /// Marks to be lifted, once all that came back is recorded.
-    pub(super) fn plan_lifts(&mut self, plan: &mut Plan, room: usize) {
+    pub(super) fn plan_offload_removals(&mut self, plan: &mut WritePlan, room: usize) {
         let value_kb = self.settings.cluster.state.always().value_kb;
         for n in 0..self.write_queue.offload_changes.len() {
             let ix = self.write_queue.offload_changes[n];
             let Some(j) = self.cluster.job_mut(ix) else {
                 continue;
             };
-            let due = matches!(j.offload, Away::Returning(_))
+            let due = matches!(j.offload, OffloadState::Returning(_))
                 && !j.write_in_flight
                 && !j.is_dirty()
                 && !j.is_complete()
@@ -274,7 +278,7 @@
                     value: persistence::job_record(j, false, None),
                     lease: None,
                 });
-                plan.items.push(Item::EndOffload(ix, j.id.clone()));
+                plan.intents.push(WriteIntent::EndOffload(ix, j.id.clone()));
                 j.write_in_flight = true;
             }
         }
@@ -287,10 +291,10 @@
             .cluster
             .job_index(id)
             .and_then(|ix| self.cluster.job_mut(ix))
-            && let Away::Offloading { version, .. } = j.offload
+            && let OffloadState::Offloading { version, .. } = j.offload
             && version != found
         {
-            j.offload.stays();
+            j.offload.mark_refused();
             j.reason = Reason::New;
         }
     }
--- a/src/control/leader/persistence.rs
+++ b/src/control/leader/persistence.rs
@@ -4,7 +4,7 @@
 use super::*;
 use crate::{
     protocol::market::AWARDS,
-    state::{offload::Lent, records::StoredJob, spec_chunks::Pieces},
+    state::{offload::OffloadTarget, records::StoredJob, spec_chunks::SpecChunks},
 };
 
 impl Leader {
@@ -19,33 +19,33 @@
     pub fn acceptance(
         &self,
         spec: &JobSpec,
-        pieces: Option<Pieces>,
+        pieces: Option<SpecChunks>,
         wall_ms: u64,
     ) -> (Txn, JobRecord) {
         let mut record = JobRecord::new(spec.clone(), wall_ms);
-        record.pieces = pieces;
+        record.spec_chunks = pieces;
         let mut txn = acceptance(&record);
         txn.conditions.push(self.leader_condition());
         (txn, record)
     }
 
-    pub(super) fn empty_plan(&self) -> Plan {
-        Plan {
+    pub(super) fn empty_plan(&self) -> WritePlan {
+        WritePlan {
             txn: Txn {
                 conditions: vec![self.leader_condition()],
                 writes: Vec::new(),
             },
-            items: Vec::new(),
+            intents: Vec::new(),
         }
     }
 
     /// What is to be written next, at most `room` changes.
-    pub fn plan_flush(&mut self, room: usize) -> Option<Plan> {
+    pub fn plan_writes(&mut self, room: usize) -> Option<WritePlan> {
         if !self.recovery.loaded {
             return None;
         }
         if !self.write_queue.offload_changes.is_empty()
-            && let Some(marks) = self.plan_marks(room)
+            && let Some(marks) = self.plan_offloads(room)
         {
             return Some(marks);
         }
@@ -56,14 +56,15 @@
         let mut bytes = 0usize;
         let byte_limit = 48 * 1024;
         let mut plan = self.empty_plan();
-        let put = |plan: &mut Plan, bytes: &mut usize, key: String, value: serde_json::Value| {
-            *bytes += key.len() + value.to_string().len() + 40;
-            plan.txn.writes.push(Write::Put {
-                key,
-                value,
-                lease: None,
-            });
-        };
+        let put =
+            |plan: &mut WritePlan, bytes: &mut usize, key: String, value: serde_json::Value| {
+                *bytes += key.len() + value.to_string().len() + 40;
+                plan.txn.writes.push(Write::Put {
+                    key,
+                    value,
+                    lease: None,
+                });
+            };
         let mut lapsed = Vec::new();
         // Withdrawals, then endings, then progress.
         let knows_all = self.recovery.knows_all_tasks();
@@ -81,7 +82,7 @@
                 let gone = j.live_count == 0 && knows_all;
                 // Of one that is to be withdrawn and has nothing anywhere the
                 // end is recorded at once, without a mark before it.
-                let marked = j.cancelled || j.cancel_requested && j.offload.is_here();
+                let marked = j.cancelled || j.cancel_requested && j.offload.is_local();
                 let over = if j.is_complete() && !j.cancelled {
                     Some(JobState::Done)
                 } else if marked && gone {
@@ -96,7 +97,8 @@
                     (false, None) => 2,
                 };
                 // Its record can't be written as it is: first the pieces.
-                let rewrites = over.is_none() && (awaited || j.is_dirty() || j.offload.moves());
+                let rewrites =
+                    over.is_none() && (awaited || j.is_dirty() || j.offload.has_pending_change());
                 if rewrites && self.spec_uploads.is_due(j, value_limits) {
                     if pass == 0 {
                         let most = room.saturating_sub(plan.txn.writes.len());
@@ -110,9 +112,10 @@
                     _ if pass != due => {}
                     (0, None) => {
                         plan.txn.conditions.push(guard);
-                        let record = job_record(j, true, j.offload.mark());
+                        let record = job_record(j, true, j.offload.recorded_target());
                         put(&mut plan, &mut bytes, job_key(&j.id), record);
-                        plan.items.push(Item::Cancel(ix as u32, j.id.clone()));
+                        plan.intents
+                            .push(WriteIntent::Cancel(ix as u32, j.id.clone()));
                         j.write_in_flight = true;
                         j.ending_in_flight = true;
                     }
@@ -131,8 +134,8 @@
                         plan.txn.writes.push(Write::Delete {
                             key: job_key(&j.id),
                         });
-                        plan.items
-                            .push(Item::Finish(ix as u32, j.id.clone(), state));
+                        plan.intents
+                            .push(WriteIntent::Finish(ix as u32, j.id.clone(), state));
                         j.write_in_flight = true;
                         j.ending_in_flight = true;
                     }
@@ -148,10 +151,10 @@
                             }
                             if c > 0 {
                                 let value = serde_json::Value::String(j.completed.chunk(c));
-                                put(&mut plan, &mut bytes, chunk_key(&j.id, c), value);
+                                put(&mut plan, &mut bytes, segment_key(&j.id, c), value);
                                 chunks.push(c);
                             } else {
-                                let record = job_record(j, false, j.offload.mark());
+                                let record = job_record(j, false, j.offload.recorded_target());
                                 put(&mut plan, &mut bytes, job_key(&j.id), record);
                                 chunks.push(c);
                             }
@@ -159,18 +162,21 @@
                         for c in &chunks {
                             j.dirty_segments[*c] = false;
                         }
-                        plan.items
-                            .push(Item::RecordProgress(ix as u32, j.id.clone(), chunks));
+                        plan.intents.push(WriteIntent::RecordProgress(
+                            ix as u32,
+                            j.id.clone(),
+                            chunks,
+                        ));
                         j.write_in_flight = true;
                     }
                     _ => {}
                 }
             }
             if pass == 2 {
-                self.plan_lifts(&mut plan, room);
+                self.plan_offload_removals(&mut plan, room);
             }
             if pass == 0 {
-                lapsed = self.plan_roster(&mut plan, room, spare);
+                lapsed = self.plan_machine_records(&mut plan, room, spare);
             }
         }
         for ix in lapsed {
@@ -188,7 +194,7 @@
 
     /// Returns the machines whose lapsed leases remain to be noted, which
     /// nothing waits for.
-    fn plan_roster(&mut self, plan: &mut Plan, room: usize, spare: bool) -> Vec<u32> {
+    fn plan_machine_records(&mut self, plan: &mut WritePlan, room: usize, spare: bool) -> Vec<u32> {
         let mut lapsed = Vec::new();
         for ix in self.cluster.machine_range() {
             if plan.txn.writes.len() + 1 > room {
@@ -215,7 +221,7 @@
         while plan.txn.writes.len() < room
             && let Some((key, version)) = self.write_queue.conditional_deletes.pop()
         {
-            if self.piece_in_use(&key) {
+            if self.spec_chunk_in_use(&key) {
                 continue;
             }
             plan.txn.conditions.push(Condition {
@@ -223,13 +229,13 @@
                 version,
             });
             plan.txn.writes.push(Write::Delete { key: key.clone() });
-            plan.items.push(Item::Delete(key));
+            plan.intents.push(WriteIntent::Delete(key));
         }
         lapsed
     }
 
     /// Adds a machine's record to what is to be written.
-    fn plan_machine(&mut self, ix: u32, plan: &mut Plan) {
+    fn plan_machine(&mut self, ix: u32, plan: &mut WritePlan) {
         let Some(m) = self.cluster.machine(ix) else {
             return;
         };
@@ -244,7 +250,7 @@
             zone: self.cluster.zones.name(m.zone).to_owned(),
             spot: m.spot,
             releasing: lapsed || m.releasing && m.registration == Registration::Present,
-            lapsed,
+            lease_expired: lapsed,
             quarantined: m.failures.quarantined,
             images: Vec::new(),
         };
@@ -256,10 +262,10 @@
             lease: None,
         });
         let name = m.name.clone();
-        plan.items.push(match (lapsed, m.releasing) {
-            (true, _) => Item::ExpireMachine(ix, name),
-            (false, true) => Item::MarkReleasing(ix, name),
-            (false, false) => Item::Registration(ix, name),
+        plan.intents.push(match (lapsed, m.releasing) {
+            (true, _) => WriteIntent::ExpireMachine(ix, name),
+            (false, true) => WriteIntent::MarkReleasing(ix, name),
+            (false, false) => WriteIntent::Registration(ix, name),
         });
         if let Some(m) = self.cluster.machine_mut(ix) {
             m.write_in_flight = true;
@@ -292,10 +298,10 @@
         self.cluster.job_mut(ix).filter(|j| j.id == id)
     }
 
-    pub fn flushed(&mut self, plan: &Plan, revision: u64, now: Ms) {
-        for item in &plan.items {
+    pub fn writes_applied(&mut self, plan: &WritePlan, revision: u64, now: Ms) {
+        for item in &plan.intents {
             match item {
-                Item::Cancel(ix, id) => {
+                WriteIntent::Cancel(ix, id) => {
                     if let Some(j) = self.job_of(*ix, id) {
                         j.record_version = revision;
                         j.write_in_flight = false;
@@ -303,7 +309,7 @@
                         j.cancelled = true;
                         let status = j.status();
                         // A mark that was on its way can't be set any more.
-                        j.offload.stays();
+                        j.offload.mark_refused();
                         log::info!(
                             "job {id} withdrawn, by its mark at revision {revision} in term {}",
                             self.term
@@ -312,18 +318,20 @@
                         self.dependencies.job_cancelled(*ix);
                     }
                 }
-                Item::Offload(ix, id) | Item::EndOffload(ix, id) => {
+                WriteIntent::Offload(ix, id) | WriteIntent::EndOffload(ix, id) => {
                     if let Some(j) = self.job_of(*ix, id) {
                         j.record_version = revision;
                         j.write_in_flight = false;
                         match item {
-                            Item::Offload(..) => j.offload.marked(),
-                            _ => j.offload.lifted(),
+                            WriteIntent::Offload(..) => j.offload.mark_recorded(),
+                            _ => j.offload.mark_removed(),
                         }
                     }
                 }
-                Item::Finish(ix, id, state) => self.ended(*ix, id, *state, revision, now),
-                Item::RecordProgress(ix, id, chunks) => {
+                WriteIntent::Finish(ix, id, state) => {
+                    self.job_ended(*ix, id, *state, revision, now)
+                }
+                WriteIntent::RecordProgress(ix, id, chunks) => {
                     if let Some(j) = self.job_of(*ix, id) {
                         j.write_in_flight = false;
                         if chunks.contains(&0) {
@@ -331,27 +339,27 @@
                         }
                     }
                 }
-                Item::Registration(ix, name)
-                | Item::MarkReleasing(ix, name)
-                | Item::ExpireMachine(ix, name) => {
+                WriteIntent::Registration(ix, name)
+                | WriteIntent::MarkReleasing(ix, name)
+                | WriteIntent::ExpireMachine(ix, name) => {
                     if let Some(m) = self.cluster.machine_mut(*ix).filter(|m| m.name == *name) {
                         m.write_in_flight = false;
                         m.registration = Registration::Present;
                         m.record_version = revision;
-                        m.release_recorded |= matches!(item, Item::MarkReleasing(..));
+                        m.release_recorded |= matches!(item, WriteIntent::MarkReleasing(..));
                         // Whatever was written before it can't be applied now.
-                        m.recorded_empty &= !matches!(item, Item::Registration(..));
+                        m.recorded_empty &= !matches!(item, WriteIntent::Registration(..));
                     }
                 }
-                Item::UploadSpec(ix, id, upto) => self.cut(*ix, id, *upto),
-                Item::Delete(_) => {}
+                WriteIntent::UploadSpec(ix, id, upto) => self.cut(*ix, id, *upto),
+                WriteIntent::Delete(_) => {}
             }
         }
         self.changed = true;
     }
 
     /// The record of its end stands, at this revision.
-    pub(super) fn ended(&mut self, ix: u32, id: &str, state: JobState, revision: u64, now: Ms) {
+    pub(super) fn job_ended(&mut self, ix: u32, id: &str, state: JobState, revision: u64, now: Ms) {
         let term = self.term;
         let Some(j) = self.job_of(ix, id) else { return };
         let status = JobStatus {
@@ -368,7 +376,7 @@
         for c in 1..chunks {
             self.write_queue
                 .unconditional_deletes
-                .push(chunk_key(id, c));
+                .push(segment_key(id, c));
         }
         if let Some(pieces) = pieces {
             self.write_queue
@@ -387,26 +395,26 @@
     /// against tasks that run on through an outage after a user read that their
     /// job is withdrawn, and against calling a job unfinished from memory after
     /// a user read its end.
-    pub fn in_doubt(&mut self, plan: &Plan) {
+    pub fn outcome_unknown(&mut self, plan: &WritePlan) {
         log::info!(
             "a transaction had no answer, or failed, in term {}: {}",
             self.term,
-            ends_of(plan).unwrap_or_else(|| "it ends no job".to_owned())
+            describe_endings(plan).unwrap_or_else(|| "it ends no job".to_owned())
         );
-        for item in &plan.items {
-            if let Item::Cancel(ix, id) | Item::Finish(ix, id, _) = item
+        for item in &plan.intents {
+            if let WriteIntent::Cancel(ix, id) | WriteIntent::Finish(ix, id, _) = item
                 && let Some(j) = self.job_of(*ix, id)
             {
                 j.end_indeterminate = true;
-                let withdrawn = matches!(item, Item::Finish(_, _, JobState::Cancelled));
-                j.cancel_indeterminate |= withdrawn || matches!(item, Item::Cancel(..));
+                let withdrawn = matches!(item, WriteIntent::Finish(_, _, JobState::Cancelled));
+                j.cancel_indeterminate |= withdrawn || matches!(item, WriteIntent::Cancel(..));
             }
         }
         self.changed = true;
     }
 
     /// Keys to read again after a transaction that had no answer or failed.
-    pub fn keys_of(plan: &Plan) -> Vec<String> {
+    pub fn keys_to_reread(plan: &WritePlan) -> Vec<String> {
         let mut keys: Vec<String> = plan.txn.conditions.iter().map(|g| g.key.clone()).collect();
         keys.retain(|k| k != LEADER);
         keys
@@ -414,7 +422,7 @@
 
     /// A key of such a transaction as it stands now. All keys must have been
     /// read before `reread_done`.
-    pub fn reread(&mut self, key: &str, found: Option<(serde_json::Value, u64)>, now: Ms) {
+    pub fn reconcile_key(&mut self, key: &str, found: Option<(serde_json::Value, u64)>, now: Ms) {
         if let Some(id) = key.strip_prefix(AWARDS) {
             self.award_seen(id, found.map_or(0, |f| f.1));
         } else if let Some(id) = key.strip_prefix(keys::FINALS) {
@@ -422,7 +430,7 @@
                 && let Ok(record) = serde_json::from_value::<FinalRecord>(value)
                 && let Some(ix) = self.cluster.job_index(id)
             {
-                self.ended(ix, id, record.state, version, now);
+                self.job_ended(ix, id, record.state, version, now);
             }
         } else if let Some(id) = key.strip_prefix(keys::JOBS) {
             if let Some((value, version)) = found
@@ -431,14 +439,14 @@
                 && let Some(j) = self.cluster.job_mut(ix)
             {
                 j.record_version = version;
-                j.spec_chunks = record.pieces;
+                j.spec_chunks = record.spec_chunks;
                 j.cancelled |= record.cancelled;
-                j.offload.reread(record.lent.as_ref());
+                j.offload.reread(record.offloaded_to.as_ref());
                 if j.cancelled {
                     self.dependencies.job_cancelled(ix);
                 }
             }
-        } else if let Some(name) = key.strip_prefix(keys::ROSTER) {
+        } else if let Some(name) = key.strip_prefix(keys::MACHINES) {
             if let Some(m) = self
                 .cluster
                 .machine_index(name)
@@ -449,7 +457,7 @@
                         m.registration = Registration::Present;
                         m.record_version = version;
                         if let Ok(r) = serde_json::from_value::<MachineRecord>(value) {
-                            m.release_recorded = r.releasing && !r.lapsed;
+                            m.release_recorded = r.releasing && !r.lease_expired;
                             m.recorded_empty |= r.releasing;
                         }
                     }
@@ -467,35 +475,37 @@
     }
 
     /// What was found of a transaction that was in doubt, for the log.
-    pub fn note_reread(&self, plan: &Plan) {
-        let Some(ends) = ends_of(plan) else { return };
-        let stands = |item: &&Item| match item {
-            Item::Cancel(_, id) | Item::Finish(_, id, _) => {
+    pub fn log_reconciliation(&self, plan: &WritePlan) {
+        let Some(ends) = describe_endings(plan) else {
+            return;
+        };
+        let stands = |item: &&WriteIntent| match item {
+            WriteIntent::Cancel(_, id) | WriteIntent::Finish(_, id, _) => {
                 self.status(id).is_some_and(|s| s.state.is_final())
             }
             _ => false,
         };
-        let stand = plan.items.iter().filter(stands).count();
+        let stand = plan.intents.iter().filter(stands).count();
         log::info!("read again in term {}: {ends}: {stand} stand", self.term);
     }
 
-    pub fn reread_done(&mut self, plan: &Plan) {
+    pub fn reconciled(&mut self, plan: &WritePlan) {
         // What was found may have made machines or jobs ready.
         self.changed = true;
-        for item in &plan.items {
+        for item in &plan.intents {
             match item {
-                Item::Cancel(ix, id) | Item::Finish(ix, id, _) => {
+                WriteIntent::Cancel(ix, id) | WriteIntent::Finish(ix, id, _) => {
                     if let Some(j) = self.job_of(*ix, id) {
                         j.write_in_flight = false;
                         j.ending_in_flight = false;
                     }
                 }
-                Item::Offload(ix, id) | Item::EndOffload(ix, id) => {
+                WriteIntent::Offload(ix, id) | WriteIntent::EndOffload(ix, id) => {
                     if let Some(j) = self.job_of(*ix, id) {
                         j.write_in_flight = false;
                     }
                 }
-                Item::RecordProgress(ix, id, chunks) => {
+                WriteIntent::RecordProgress(ix, id, chunks) => {
                     let chunks = chunks.clone();
                     if let Some(j) = self.job_of(*ix, id) {
                         j.write_in_flight = false;
@@ -504,26 +514,26 @@
                         }
                     }
                 }
-                Item::Registration(ix, name)
-                | Item::MarkReleasing(ix, name)
-                | Item::ExpireMachine(ix, name) => {
+                WriteIntent::Registration(ix, name)
+                | WriteIntent::MarkReleasing(ix, name)
+                | WriteIntent::ExpireMachine(ix, name) => {
                     if let Some(m) = self.cluster.machine_mut(*ix).filter(|m| m.name == *name) {
                         m.write_in_flight = false;
                         m.quarantine_unrecorded |= m.failures.quarantined;
                     }
                 }
-                Item::UploadSpec(..) | Item::Delete(_) => {}
+                WriteIntent::UploadSpec(..) | WriteIntent::Delete(_) => {}
             }
         }
     }
 }
 
 /// Jobs that a transaction withdraws or ends, the first few by name.
-fn ends_of(plan: &Plan) -> Option<String> {
+fn describe_endings(plan: &WritePlan) -> Option<String> {
     const NAMED: usize = 5;
-    let ends = plan.items.iter().filter_map(|item| match item {
-        Item::Cancel(_, id) => Some(format!("withdrawal of {id}")),
-        Item::Finish(_, id, state) => Some(format!("{id} {state}")),
+    let ends = plan.intents.iter().filter_map(|item| match item {
+        WriteIntent::Cancel(_, id) => Some(format!("withdrawal of {id}")),
+        WriteIntent::Finish(_, id, state) => Some(format!("{id} {state}")),
         _ => None,
     });
     let ends: Vec<String> = ends.collect();
@@ -538,10 +548,10 @@
 
 /// The transaction that accepts a job on a node that can't reach a leader,
 /// with a notice for the leader to come.
-pub fn acceptance_with_notice(record: &JobRecord) -> Txn {
+pub fn acceptance_with_feed_entry(record: &JobRecord) -> Txn {
     let mut txn = acceptance(record);
     txn.writes.push(Write::Put {
-        key: keys::notice_key(&record.spec.id),
+        key: keys::acceptance_key(&record.spec.id),
         value: serde_json::Value::Bool(true),
         lease: None,
     });
@@ -570,15 +580,19 @@
     }
 }
 
-pub(super) fn job_record(j: &Job, cancelled: bool, lent: Option<Lent>) -> serde_json::Value {
+pub(super) fn job_record(
+    j: &Job,
+    cancelled: bool,
+    lent: Option<OffloadTarget>,
+) -> serde_json::Value {
     let record = JobRecord {
         spec: j.spec.clone(),
-        pieces: j.spec_chunks.clone(),
-        at_ms: j.accepted_at_ms,
+        spec_chunks: j.spec_chunks.clone(),
+        accepted_at_ms: j.accepted_at_ms,
         cancelled: cancelled || j.cancelled,
         suspected: j.failures.suspected,
-        done: j.completed.chunk(0),
-        lent,
+        completed: j.completed.chunk(0),
+        offloaded_to: lent,
     };
     record.stored()
 }
--- a/src/control/leader/spec_chunks.rs
+++ b/src/control/leader/spec_chunks.rs
@@ -3,12 +3,12 @@
 //! read as it is, and its job be ended; only what marks it needs the cut first.
 
 use super::*;
-use crate::state::spec_chunks::{self, Pieces};
+use crate::state::spec_chunks::{self, SpecChunks};
 
 /// A description on its way into pieces.
 struct Cut {
     id: String,
-    pieces: Pieces,
+    pieces: SpecChunks,
     values: Vec<(String, String)>,
     /// So many are written.
     written: usize,
@@ -33,7 +33,7 @@
         &mut self,
         ix: u32,
         j: &mut Job,
-        plan: &mut Plan,
+        plan: &mut WritePlan,
         most: usize,
         bytes: &mut usize,
     ) {
@@ -65,7 +65,8 @@
             });
         }
         if upto > cut.written {
-            plan.items.push(Item::UploadSpec(ix, j.id.clone(), upto));
+            plan.intents
+                .push(WriteIntent::UploadSpec(ix, j.id.clone(), upto));
         }
     }
 }
@@ -106,9 +107,10 @@
     /// What is written before a long description is accepted. Each transaction
     /// is guarded by this term, so that none can undo what a later leader
     /// clears away.
-    pub fn pieces_first(&self, spec: &JobSpec) -> anyhow::Result<Option<(Pieces, Vec<Txn>)>> {
+    pub fn pieces_first(&self, spec: &JobSpec) -> anyhow::Result<Option<(SpecChunks, Vec<Txn>)>> {
         let limits = self.settings.cluster.state.always();
-        if !self.spec_uploads.allowed || keys::fits(keys::whole_size(spec), limits.value_kb) {
+        if !self.spec_uploads.allowed || keys::fits(keys::inline_record_size(spec), limits.value_kb)
+        {
             return Ok(None);
         }
         let (pieces, values) = spec_chunks::cut(spec)?;
@@ -130,8 +132,8 @@
 
     /// Guards against clearing away, as left over, what is being written again
     /// under the same key, or was since.
-    pub(super) fn piece_in_use(&self, key: &str) -> bool {
-        let Some(ix) = Pieces::job_of(key).and_then(|id| self.cluster.job_index(id)) else {
+    pub(super) fn spec_chunk_in_use(&self, key: &str) -> bool {
+        let Some(ix) = SpecChunks::job_of(key).and_then(|id| self.cluster.job_index(id)) else {
             return false;
         };
         let cut = self.spec_uploads.open.get(&ix);
@@ -142,9 +144,9 @@
 
     /// Pieces as they were found in this term: those that no record names are
     /// left from a submission that was given up, or from a job that is over.
-    pub fn load_pieces(&mut self, found: Vec<(String, u64)>) {
+    pub fn load_spec_chunks(&mut self, found: Vec<(String, u64)>) {
         for (key, version) in found {
-            let id = Pieces::job_of(&key).unwrap_or_default();
+            let id = SpecChunks::job_of(&key).unwrap_or_default();
             let job = self
                 .cluster
                 .job_index(id)
--- a/src/control/leader/status.rs
+++ b/src/control/leader/status.rs
@@ -163,7 +163,7 @@
             }
             // What is lent waits as well, for its market, and what needs
             // others for those.
-            let waiting = match j.offload.is_here() && j.readiness == Readiness::Ready {
+            let waiting = match j.offload.is_local() && j.readiness == Readiness::Ready {
                 true => j.waiting_count(),
                 false => j.spec.tasks - j.completed_count,
             };
@@ -257,7 +257,7 @@
             .jobs
             .iter()
             .flatten()
-            .filter_map(|j| j.offload.lent())
+            .filter_map(|j| j.offload.target())
         {
             *list.entry(&lent.market).or_default() += 1;
         }
@@ -266,10 +266,10 @@
     }
 
     fn lent_to(&self, job: &Job) -> Option<String> {
-        let lent = job.offload.lent()?;
+        let lent = job.offload.target()?;
         let how = match job.offload {
-            Away::Offloading { .. } => "about to be lent to",
-            Away::Returning(_) => "coming back from",
+            OffloadState::Offloading { .. } => "about to be lent to",
+            OffloadState::Returning(_) => "coming back from",
             _ => "lent to",
         };
         let market = clipped(&lent.market);
@@ -308,7 +308,7 @@
         let waiting = j.waiting_count();
         let (needs, needs_all) = self.unfinished_dependencies(ix, NEEDS);
         let left_s = self.left_s(ix, j, &self.inherited_deadlines());
-        let held = !j.offload.is_here() || j.readiness != Readiness::Ready;
+        let held = !j.offload.is_local() || j.readiness != Readiness::Ready;
         let places = self.cluster.each_machine().flat_map(|m| {
             let own = m.tasks.iter().filter(|a| a.job == ix);
             own.map(|a| {
--- a/src/control/requests/submit.rs
+++ b/src/control/requests/submit.rs
@@ -3,11 +3,11 @@
 
 use super::*;
 use crate::{
-    control::{admission, leader::acceptance_with_notice},
+    control::{admission, leader::acceptance_with_feed_entry},
     protocol::users::Kind,
     state::{
         records::{self, LEADER},
-        spec_chunks::Pieces,
+        spec_chunks::SpecChunks,
     },
 };
 
@@ -33,7 +33,7 @@
     /// How the jobs stand that it names.
     Needs,
     /// Pieces of a long description are being written in this term.
-    Pieces(u64, Pieces, std::vec::IntoIter<Txn>),
+    SpecChunks(u64, SpecChunks, std::vec::IntoIter<Txn>),
     /// The record is being written, by the leader of this term or alone.
     Record(Option<u64>, Box<JobRecord>),
     /// The write had no answer.
@@ -89,7 +89,7 @@
                 })
             }
             (At::Needs, Event::Looked(found)) => self.needs_found(id, found, view),
-            (At::Pieces(term, pieces, left), Event::Wrote(TxnResult::Done(_))) => {
+            (At::SpecChunks(term, pieces, left), Event::Wrote(TxnResult::Done(_))) => {
                 self.piece(term, pieces, left, true, view)
             }
             (At::Record(term, record), Event::Wrote(result)) => {
@@ -234,7 +234,7 @@
             return Next::Answer(Answer::later(LOST));
         };
         let most = view.settings.cluster.state.value_kb;
-        if !view.upgraded && !records::fits(records::whole_size(spec), most) {
+        if !view.upgraded && !records::fits(records::inline_record_size(spec), most) {
             let why = "so long a description waits until all controllers are upgraded";
             return Next::Answer(Answer::later(why));
         }
@@ -256,14 +256,14 @@
     fn piece(
         &mut self,
         term: u64,
-        pieces: Pieces,
+        pieces: SpecChunks,
         mut left: std::vec::IntoIter<Txn>,
         waits: bool,
         view: &mut NodeView,
     ) -> Next {
         match left.next() {
             Some(txn) => {
-                self.at = At::Pieces(term, pieces, left);
+                self.at = At::SpecChunks(term, pieces, left);
                 Next::Write(txn, waits)
             }
             None => self.record(term, Some(pieces), true, view),
@@ -273,7 +273,7 @@
     fn record(
         &mut self,
         term: u64,
-        pieces: Option<Pieces>,
+        pieces: Option<SpecChunks>,
         waits: bool,
         view: &mut NodeView,
     ) -> Next {
@@ -313,12 +313,12 @@
             true => state.always().value_kb,
             false => state.value_kb,
         };
-        if !records::fits(records::whole_size(spec), most) {
+        if !records::fits(records::inline_record_size(spec), most) {
             let why = "so long a description needs a leader";
             return Next::Answer(Answer::later(why));
         }
         let record = JobRecord::new(spec.clone(), view.wall_ms);
-        let txn = acceptance_with_notice(&record);
+        let txn = acceptance_with_feed_entry(&record);
         self.at = At::Record(None, Box::new(record));
         Next::Write(txn, false)
     }
--- a/src/server/control_loop.rs
+++ b/src/server/control_loop.rs
@@ -2,7 +2,7 @@
 
 use super::{Node, leadership::Stop, store::USUAL};
 use crate::{
-    control::leader::{DirectDelivery, DirectDeliveryOutcome, Leader, Plan},
+    control::leader::{DirectDelivery, DirectDeliveryOutcome, Leader, WritePlan},
     control::requests::{Found, TxnResult, final_status},
     protocol::workers::Heartbeat,
     state::{cluster::DIRECT_COMMAND_TIMEOUT_MS, rate_limit::share, records::LEADER},
@@ -90,7 +90,7 @@
             let level = node.writes.borrow_mut().level(now) - kept;
             let room = (level.max(0.0) as usize).min(node.narrow.get());
             if room >= 2 && node.requests.borrow_mut().level(now) >= 2.0 {
-                let plan = node.acting(|l, _| l.plan_flush(room)).flatten();
+                let plan = node.acting(|l, _| l.plan_writes(room)).flatten();
                 if let Some(plan) = plan {
                     node.flushing.set(true);
                     node.lanes.spawn(node.clone().flush(term, plan)).detach();
@@ -166,7 +166,7 @@
         self.seeking.set(false);
     }
 
-    async fn flush(self: Rc<Self>, term: u64, plan: Plan) {
+    async fn flush(self: Rc<Self>, term: u64, plan: WritePlan) {
         let now = self.now();
         self.requests.borrow_mut().force(now, 1.0);
         self.writes
@@ -175,7 +175,7 @@
         match self.txn(&plan.txn, USUAL).await {
             TxnResult::Done(revision) => {
                 self.narrow.set(self.narrow.get().saturating_mul(2));
-                self.of_term(term, |l, now| l.flushed(&plan, revision, now));
+                self.of_term(term, |l, now| l.writes_applied(&plan, revision, now));
             }
             TxnResult::Conflict(failed) if failed.iter().any(|k| k == LEADER) => {
                 self.resign(term, Stop::Replaced);
@@ -185,12 +185,12 @@
                 if matches!(refused, TxnResult::Rejected) {
                     self.narrow.set((plan.txn.writes.len() / 2).max(2));
                 }
-                self.of_term(term, |l, _| l.reread_done(&plan));
+                self.of_term(term, |l, _| l.reconciled(&plan));
                 Timer::after(Duration::from_millis(300)).await;
             }
             TxnResult::Conflict(_) | TxnResult::Unknown => {
                 self.figures.borrow().writes_in_doubt.inc();
-                self.of_term(term, |l, _| l.in_doubt(&plan));
+                self.of_term(term, |l, _| l.outcome_unknown(&plan));
                 self.reread(term, &plan).await;
             }
         }
@@ -198,8 +198,8 @@
     }
 
     /// What had no answer may have been applied: look before trying again.
-    async fn reread(&self, term: u64, plan: &Plan) {
-        let keys = Leader::keys_of(plan);
+    async fn reread(&self, term: u64, plan: &WritePlan) {
+        let keys = Leader::keys_to_reread(plan);
         let mut found = Vec::new();
         for key in keys {
             loop {
@@ -217,10 +217,10 @@
         }
         self.of_term(term, |l, now| {
             for (key, item) in found {
-                l.reread(&key, item, now);
+                l.reconcile_key(&key, item, now);
             }
-            l.reread_done(plan);
-            l.note_reread(plan);
+            l.reconciled(plan);
+            l.log_reconciliation(plan);
         });
     }
 }
--- a/src/server/leadership/load_state.rs
+++ b/src/server/leadership/load_state.rs
@@ -3,7 +3,7 @@
 use super::super::Node;
 use crate::{
     control::{
-        acceptance_feed::{Next, Notices},
+        acceptance_feed::{AcceptanceFeed, Next},
         leader::Leader,
         requests::Found,
     },
@@ -43,7 +43,7 @@
 impl Node {
     /// Learns of jobs that other nodes accepted.
     async fn watch_notices(&self, term: u64) {
-        let mut notices = Notices::new(term);
+        let mut notices = AcceptanceFeed::new(term);
         let pause = || Timer::after(Duration::from_millis(300));
         while self.of_term(term, |_, _| ()).is_some() {
             let now = self.now();
@@ -61,7 +61,7 @@
                     pause().await;
                     continue;
                 }
-                Next::List => match self.list_as_of(records::NOTICES).await {
+                Next::List => match self.list_as_of(records::ACCEPTANCES).await {
                     Ok((items, revision)) => {
                         notices.listed(revision);
                         items.into_iter().map(|i| i.key).collect()
@@ -73,7 +73,7 @@
                 },
             };
             for key in keys {
-                let id = key.trim_start_matches(records::NOTICES).to_owned();
+                let id = key.trim_start_matches(records::ACCEPTANCES).to_owned();
                 loop {
                     match self.lookup(&id).await {
                         Ok(Found::Live(record, version)) => {
@@ -87,33 +87,33 @@
                         return;
                     }
                 }
-                self.of_term(term, |l, _| l.drop_notice(key));
+                self.of_term(term, |l, _| l.acceptance_handled(key));
             }
         }
     }
 
     async fn read_records(&self, term: u64) -> Result<(), String> {
         // The roster first: it is what the leases of workers hang on.
-        let (machines, as_of) = self.list_as_of(records::ROSTER).await?;
+        let (machines, as_of) = self.list_as_of(records::MACHINES).await?;
         if as_of < term {
             return Err(format!("they are of revision {as_of}, before the term"));
         }
         let jobs = self.list(records::JOBS).await?;
-        let chunks = self.list(records::CHUNKS).await?;
-        let pieces = self.list(spec_chunks::PIECES).await?;
-        let notices = self.list(records::NOTICES).await?;
+        let chunks = self.list(records::SEGMENTS).await?;
+        let pieces = self.list(spec_chunks::SPEC_CHUNKS).await?;
+        let notices = self.list(records::ACCEPTANCES).await?;
         let standbys = self.read_standby_record().await?;
         self.read_exclusions(term).await?;
         self.of_term(term, |l, now| {
             l.load_standbys(standbys);
             load_machines(l, machines, now);
             let unreadable = load_jobs(l, jobs, &pieces, now);
-            load_pieces(l, &pieces, &unreadable);
-            load_chunks(l, chunks, &unreadable);
+            load_spec_chunks(l, &pieces, &unreadable);
+            load_segments(l, chunks, &unreadable);
             // What they tell of is among the jobs, unless it came after those
             // were read; then the watch tells of it again.
             for notice in notices.into_iter().filter(|n| n.version <= term) {
-                l.drop_notice(notice.key);
+                l.acceptance_handled(notice.key);
             }
             l.finish_loading(now);
         });
@@ -123,7 +123,7 @@
 
 fn load_machines(l: &mut Leader, machines: Vec<Item>, now: Ms) {
     for item in machines {
-        let name = item.key.trim_start_matches(records::ROSTER).to_owned();
+        let name = item.key.trim_start_matches(records::MACHINES).to_owned();
         match serde_json::from_value::<MachineRecord>(item.value) {
             Ok(record) => l.load_machine(&name, record, item.version, now),
             Err(e) => log::error!("record {}: {e}", item.key),
@@ -143,7 +143,7 @@
         let id = item.key.trim_start_matches(records::JOBS);
         let stored = serde_json::from_value::<StoredJob>(item.value);
         let whole = stored.map_err(anyhow::Error::from).and_then(|s| {
-            s.whole(|p| {
+            s.with_spec(|p| {
                 let values = p.keys(id).filter_map(|k| text.get(k.as_str()).copied());
                 spec_chunks::join(p, values)
             })
@@ -161,17 +161,17 @@
     unreadable
 }
 
-fn load_pieces(l: &mut Leader, pieces: &[Item], unreadable: &HashSet<String>) {
+fn load_spec_chunks(l: &mut Leader, pieces: &[Item], unreadable: &HashSet<String>) {
     let cleared = pieces.iter().filter(|i| {
-        let id = spec_chunks::Pieces::job_of(&i.key);
+        let id = spec_chunks::SpecChunks::job_of(&i.key);
         id.is_none_or(|id| !unreadable.contains(id))
     });
-    l.load_pieces(cleared.map(|i| (i.key.clone(), i.version)).collect());
+    l.load_spec_chunks(cleared.map(|i| (i.key.clone(), i.version)).collect());
 }
 
-fn load_chunks(l: &mut Leader, chunks: Vec<Item>, unreadable: &HashSet<String>) {
+fn load_segments(l: &mut Leader, chunks: Vec<Item>, unreadable: &HashSet<String>) {
     for item in chunks {
-        let name = item.key.strip_prefix(records::CHUNKS);
+        let name = item.key.strip_prefix(records::SEGMENTS);
         let Some((id, chunk)) = name.and_then(|k| k.rsplit_once('/')) else {
             continue;
         };
@@ -179,7 +179,7 @@
             continue;
         }
         if let (Ok(chunk), Some(text)) = (chunk.parse(), item.value.as_str()) {
-            l.load_chunk(id, chunk, text);
+            l.load_segment(id, chunk, text);
         }
     }
 }
--- a/src/server/market.rs
+++ b/src/server/market.rs
@@ -6,7 +6,7 @@
         market::{MOST_LENDABLE, Marked},
         peers::Reply,
     },
-    state::offload::Lent,
+    state::offload::OffloadTarget,
 };
 use async_io::Timer;
 use std::time::Duration;
@@ -39,7 +39,7 @@
         }
     }
 
-    pub(super) async fn lend(&self, id: &str, lent: Lent, version: u64) -> Reply {
+    pub(super) async fn lend(&self, id: &str, lent: OffloadTarget, version: u64) -> Reply {
         let ask = || {
             self.acting(|l, _| {
                 if !l.loaded() {
--- a/src/server/peers.rs
+++ b/src/server/peers.rs
@@ -6,7 +6,7 @@
     control::failure_detector::{PeerHealth, RESPONSE_PATIENCE_MS},
     protocol::peers::{Reply, Request},
     state::Ms,
-    state::offload::Lent,
+    state::offload::OffloadTarget,
     transport::client::CallError,
 };
 use async_io::Timer;
@@ -140,7 +140,10 @@
                 award,
                 market,
                 version,
-            } => self.lend(&id, Lent { award, market }, version).await,
+            } => {
+                self.lend(&id, OffloadTarget { award, market }, version)
+                    .await
+            }
             Request::TakeBack { id, award, done } => self.take_back(&id, award, &done).await,
             Request::Resigned { term } => {
                 self.election.borrow_mut().peer_resigned(term);
--- a/src/server/store.rs
+++ b/src/server/store.rs
@@ -226,12 +226,12 @@
     /// A job's record with its description, wherever that is kept.
     async fn whole(&self, id: &str, value: serde_json::Value) -> Result<JobRecord, String> {
         let stored: StoredJob = serde_json::from_value(value).map_err(|e| e.to_string())?;
-        let items = match &stored.pieces {
+        let items = match &stored.spec_chunks {
             Some(pieces) => self.list(&pieces.prefix(id)).await?,
             None => Vec::new(),
         };
         let texts = items.iter().filter_map(|i| i.value.as_str());
-        let whole = stored.whole(|p| spec_chunks::join(p, texts));
+        let whole = stored.with_spec(|p| spec_chunks::join(p, texts));
         whole.map_err(|e| format!("record of {id}: {e:#}"))
     }
 
--- a/src/state/cluster/job.rs
+++ b/src/state/cluster/job.rs
@@ -11,10 +11,10 @@
         Ms,
         dependencies::Readiness,
         fault_attribution::JobFailures,
-        offload::Away,
-        records::{Bits, CHUNK_TASKS, job_key},
+        offload::OffloadState,
+        records::{SEGMENT_TASKS, TaskBitmap, job_key},
         resources::Resources,
-        spec_chunks::Pieces,
+        spec_chunks::SpecChunks,
     },
 };
 
@@ -41,7 +41,7 @@
     pub accepted_this_term: bool,
     /// Steady-clock time at which this leader first knew of it.
     pub known_since: Ms,
-    pub completed: Bits,
+    pub completed: TaskBitmap,
     pub completed_count: u32,
     pub(super) task_slots: Vec<u32>,
     /// Tasks before this index are not waiting.
@@ -76,9 +76,9 @@
     pub reason: Reason,
     /// What renting makes of it: room on its way, or none to be had.
     pub supply_reason: Option<Reason>,
-    pub offload: Away,
+    pub offload: OffloadState,
     /// Its description is kept in these.
-    pub spec_chunks: Option<Pieces>,
+    pub spec_chunks: Option<SpecChunks>,
     /// What its record may come to take otherwise.
     pub inline_size: usize,
     /// Whether it waits for other jobs.
@@ -117,7 +117,7 @@
     /// Tasks that may be on machines which have not been heard yet: what waits
     /// to be started, and what an earlier leader may have started.
     pub fn possibly_running(&self) -> u32 {
-        match self.offload.is_here() && self.readiness != Readiness::Blocked {
+        match self.offload.is_local() && self.readiness != Readiness::Blocked {
             true => self.spec.tasks - self.completed_count - self.live_count,
             false => 0,
         }
@@ -164,7 +164,7 @@
     fn mark_task_done(&mut self, task: u32) {
         if self.completed.set(task) {
             self.completed_count += 1;
-            self.dirty_segments[(task / CHUNK_TASKS) as usize] = true;
+            self.dirty_segments[(task / SEGMENT_TASKS) as usize] = true;
             if self.task_slots[task as usize] != NONE {
                 self.live_count -= 1;
             }
--- a/src/state/cluster/mod.rs
+++ b/src/state/cluster/mod.rs
@@ -16,8 +16,8 @@
     Ms,
     dependencies::Readiness,
     fault_attribution::{JobFailures, MachineFailures},
-    offload::Away,
-    records::{Bits, whole_size},
+    offload::OffloadState,
+    records::{TaskBitmap, inline_record_size},
     resources::Resources,
 };
 use crate::protocol::{
@@ -212,7 +212,7 @@
         spec: JobSpec,
         at_ms: u64,
         version: u64,
-        done: Bits,
+        done: TaskBitmap,
         cancelled: bool,
         now: Ms,
     ) -> u32 {
@@ -267,9 +267,9 @@
             generation: self.last_generation,
             reason: Reason::New,
             supply_reason: None,
-            offload: Away::Local,
+            offload: OffloadState::Local,
             spec_chunks: None,
-            inline_size: whole_size(&spec),
+            inline_size: inline_record_size(&spec),
             // Until somebody has looked how the others stand.
             readiness: match spec.dependencies.is_empty() {
                 true => Readiness::Ready,
--- a/src/state/offload.rs
+++ b/src/state/offload.rs
@@ -5,7 +5,7 @@
 
 /// To whom, as the job's record says.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Lent {
+pub struct OffloadTarget {
     #[serde(rename = "a")]
     pub award: u64,
     #[serde(rename = "m")]
@@ -13,77 +13,84 @@
 }
 
 #[derive(Debug, Clone, Default, PartialEq)]
-pub enum Away {
+pub enum OffloadState {
     #[default]
     Local,
     /// The same, and the mark for this award can't be set any more.
     Refused(u64),
     /// The mark is wanted. It may be in the record, or get there late, as long
     /// as the award's record has this version.
-    Offloading { target: Lent, version: u64 },
+    Offloading { target: OffloadTarget, version: u64 },
     /// The record says so.
-    Offloaded(Lent),
+    Offloaded(OffloadTarget),
     /// What came back is known; the mark is to be lifted.
-    Returning(Lent),
+    Returning(OffloadTarget),
 }
 
-impl Away {
-    pub fn loaded(lent: Option<Lent>) -> Self {
-        lent.map_or(Away::Local, Away::Offloaded)
+impl OffloadState {
+    pub fn recorded(lent: Option<OffloadTarget>) -> Self {
+        lent.map_or(OffloadState::Local, OffloadState::Offloaded)
     }
 
-    pub fn is_here(&self) -> bool {
-        matches!(self, Away::Local | Away::Refused(_))
+    pub fn is_local(&self) -> bool {
+        matches!(self, OffloadState::Local | OffloadState::Refused(_))
     }
 
     /// The mark is to be set or lifted.
-    pub fn moves(&self) -> bool {
-        matches!(self, Away::Offloading { .. } | Away::Returning(_))
+    pub fn has_pending_change(&self) -> bool {
+        matches!(
+            self,
+            OffloadState::Offloading { .. } | OffloadState::Returning(_)
+        )
     }
 
-    pub fn lent(&self) -> Option<&Lent> {
+    pub fn target(&self) -> Option<&OffloadTarget> {
         match self {
-            Away::Local | Away::Refused(_) => None,
-            Away::Offloading { target: lent, .. }
-            | Away::Offloaded(lent)
-            | Away::Returning(lent) => Some(lent),
+            OffloadState::Local | OffloadState::Refused(_) => None,
+            OffloadState::Offloading { target: lent, .. }
+            | OffloadState::Offloaded(lent)
+            | OffloadState::Returning(lent) => Some(lent),
         }
     }
 
     /// What any other write of the job's record must keep.
-    pub fn mark(&self) -> Option<Lent> {
+    pub fn recorded_target(&self) -> Option<OffloadTarget> {
         match self {
-            Away::Local | Away::Refused(_) | Away::Offloading { .. } => None,
-            Away::Offloaded(lent) | Away::Returning(lent) => Some(lent.clone()),
+            OffloadState::Local | OffloadState::Refused(_) | OffloadState::Offloading { .. } => {
+                None
+            }
+            OffloadState::Offloaded(lent) | OffloadState::Returning(lent) => Some(lent.clone()),
         }
     }
 
     /// The mark is in the record.
-    pub fn marked(&mut self) {
-        if let Away::Offloading { target: lent, .. } = self {
-            *self = Away::Offloaded(lent.clone());
+    pub fn mark_recorded(&mut self) {
+        if let OffloadState::Offloading { target: lent, .. } = self {
+            *self = OffloadState::Offloaded(lent.clone());
         }
     }
 
     /// The mark is surely not in the record, and can't get there.
-    pub fn stays(&mut self) {
-        if let Away::Offloading { target: lent, .. } = self {
-            *self = Away::Refused(lent.award);
+    pub fn mark_refused(&mut self) {
+        if let OffloadState::Offloading { target: lent, .. } = self {
+            *self = OffloadState::Refused(lent.award);
         }
     }
 
     /// The mark is out of the record.
-    pub fn lifted(&mut self) {
-        if let Away::Returning(_) = self {
-            *self = Away::Local;
+    pub fn mark_removed(&mut self) {
+        if let OffloadState::Returning(_) = self {
+            *self = OffloadState::Local;
         }
     }
 
     /// The record was read again after a write that had no answer.
-    pub fn reread(&mut self, mark: Option<&Lent>) {
+    pub fn reread(&mut self, mark: Option<&OffloadTarget>) {
         match (&*self, mark) {
-            (Away::Offloading { target: lent, .. }, Some(found)) if lent == found => self.marked(),
-            (Away::Returning(_), None) => self.lifted(),
+            (OffloadState::Offloading { target: lent, .. }, Some(found)) if lent == found => {
+                self.mark_recorded()
+            }
+            (OffloadState::Returning(_), None) => self.mark_removed(),
             _ => {}
         }
     }
--- a/src/state/records.rs
+++ b/src/state/records.rs
@@ -1,6 +1,6 @@
 //! What is kept in the state service, and under which keys.
 
-use super::{offload::Lent, spec_chunks::Pieces};
+use super::{offload::OffloadTarget, spec_chunks::SpecChunks};
 use crate::protocol::{
     market::AWARDS,
     users::{JobSpec, JobState, JobStatus},
@@ -10,11 +10,11 @@
 
 pub const LEADER: &str = "leader";
 pub const JOBS: &str = "j/";
-pub const CHUNKS: &str = "c/";
+pub const SEGMENTS: &str = "c/";
 pub const FINALS: &str = "f/";
-pub const ROSTER: &str = "m/";
+pub const MACHINES: &str = "m/";
 /// Notices to the leader of jobs that another node accepted.
-pub const NOTICES: &str = "n/";
+pub const ACCEPTANCES: &str = "n/";
 
 /// Nodes that may not campaign.
 pub const EXCLUSIONS: &str = "x/";
@@ -25,7 +25,7 @@
 /// Finished tasks a chunk holds: 1 KiB of bits. The first chunk is part of
 /// the job's record, the others have keys of their own, so that a job of
 /// 100,000 tasks fits any sensible value limit.
-pub const CHUNK_TASKS: u32 = 8192;
+pub const SEGMENT_TASKS: u32 = 8192;
 
 /// Controllers that have run this version, or a later one.
 pub const VERSIONS: &str = "v/";
@@ -39,11 +39,11 @@
 pub fn final_key(id: &str) -> String {
     format!("{FINALS}{id}")
 }
-pub fn chunk_key(id: &str, chunk: usize) -> String {
-    format!("{CHUNKS}{id}/{chunk}")
+pub fn segment_key(id: &str, chunk: usize) -> String {
+    format!("{SEGMENTS}{id}/{chunk}")
 }
 pub fn machine_key(name: &str) -> String {
-    format!("{ROSTER}{name}")
+    format!("{MACHINES}{name}")
 }
 pub fn exclusion_key(node: &str) -> String {
     format!("{EXCLUSIONS}{node}")
@@ -51,8 +51,8 @@
 pub fn award_key(id: &str) -> String {
     format!("{AWARDS}{id}")
 }
-pub fn notice_key(id: &str) -> String {
-    format!("{NOTICES}{id}")
+pub fn acceptance_key(id: &str) -> String {
+    format!("{ACCEPTANCES}{id}")
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -113,37 +113,37 @@
 pub struct JobRecord {
     pub spec: JobSpec,
     /// Its description is kept in these.
-    pub pieces: Option<Pieces>,
-    pub at_ms: u64,
+    pub spec_chunks: Option<SpecChunks>,
+    pub accepted_at_ms: u64,
     pub cancelled: bool,
     pub suspected: bool,
-    pub done: String,
-    pub lent: Option<Lent>,
+    pub completed: String,
+    pub offloaded_to: Option<OffloadTarget>,
 }
 
 impl JobRecord {
     pub fn new(spec: JobSpec, at_ms: u64) -> Self {
         JobRecord {
             spec,
-            pieces: None,
-            at_ms,
+            spec_chunks: None,
+            accepted_at_ms: at_ms,
             cancelled: false,
             suspected: false,
-            done: String::new(),
-            lent: None,
+            completed: String::new(),
+            offloaded_to: None,
         }
     }
 
     /// As it is to be written.
     pub fn stored(&self) -> serde_json::Value {
         let stored = StoredJob {
-            spec: self.pieces.is_none().then(|| self.spec.clone()),
-            pieces: self.pieces.clone(),
-            at_ms: self.at_ms,
+            spec: self.spec_chunks.is_none().then(|| self.spec.clone()),
+            spec_chunks: self.spec_chunks.clone(),
+            accepted_at_ms: self.accepted_at_ms,
             cancelled: self.cancelled,
             suspected: self.suspected,
-            done: self.done.clone(),
-            lent: self.lent.clone(),
+            completed: self.completed.clone(),
+            offloaded_to: self.offloaded_to.clone(),
         };
         serde_json::to_value(stored).unwrap_or_default()
     }
@@ -157,10 +157,10 @@
     /// In place of the description, where that is long. Written only once
     /// every controller knows of it.
     #[serde(rename = "p", default, skip_serializing_if = "Option::is_none")]
-    pub pieces: Option<Pieces>,
+    pub spec_chunks: Option<SpecChunks>,
     /// Time of day of the acceptance, in milliseconds.
     #[serde(rename = "a")]
-    pub at_ms: u64,
+    pub accepted_at_ms: u64,
     #[serde(rename = "w", default, skip_serializing_if = "std::ops::Not::not")]
     pub cancelled: bool,
     /// It fails wherever it starts: a new leader need not find that out again.
@@ -168,56 +168,56 @@
     pub suspected: bool,
     /// Finished tasks of the first chunk.
     #[serde(rename = "b", default, skip_serializing_if = "String::is_empty")]
-    pub done: String,
+    pub completed: String,
     /// Nothing of it starts here while it is with a market. A program that
     /// does not know this mark must not lead beside one that sets it.
     #[serde(rename = "l", default, skip_serializing_if = "Option::is_none")]
-    pub lent: Option<Lent>,
+    pub offloaded_to: Option<OffloadTarget>,
 }
 
 impl StoredJob {
     /// With its description, from the record or from what `join` makes of its
     /// pieces.
-    pub fn whole(
+    pub fn with_spec(
         self,
-        join: impl FnOnce(&Pieces) -> anyhow::Result<JobSpec>,
+        join: impl FnOnce(&SpecChunks) -> anyhow::Result<JobSpec>,
     ) -> anyhow::Result<JobRecord> {
-        let spec = match (self.spec, &self.pieces) {
+        let spec = match (self.spec, &self.spec_chunks) {
             (_, Some(pieces)) => join(pieces)?,
             (Some(spec), None) => spec,
             (None, None) => anyhow::bail!("no description"),
         };
         Ok(JobRecord {
             spec,
-            pieces: self.pieces,
-            at_ms: self.at_ms,
+            spec_chunks: self.spec_chunks,
+            accepted_at_ms: self.accepted_at_ms,
             cancelled: self.cancelled,
             suspected: self.suspected,
-            done: self.done,
-            lent: self.lent,
+            completed: self.completed,
+            offloaded_to: self.offloaded_to,
         })
     }
 
     /// One that is whole by itself.
     pub fn read(value: serde_json::Value) -> anyhow::Result<JobRecord> {
         let stored: StoredJob = serde_json::from_value(value)?;
-        stored.whole(|_| anyhow::bail!("its description is in pieces"))
+        stored.with_spec(|_| anyhow::bail!("its description is in pieces"))
     }
 
     /// How the job stands by its record alone.
     pub fn status(&self, id: &str) -> JobStatus {
-        status_of(id, self.cancelled, &self.done)
+        status_of(id, self.cancelled, &self.completed)
     }
 }
 
 impl JobRecord {
     pub fn status(&self) -> JobStatus {
-        status_of(&self.spec.id, self.cancelled, &self.done)
+        status_of(&self.spec.id, self.cancelled, &self.completed)
     }
 }
 
 fn status_of(id: &str, cancelled: bool, done: &str) -> JobStatus {
-    let mut bits = Bits::with_len(CHUNK_TASKS);
+    let mut bits = TaskBitmap::with_len(SEGMENT_TASKS);
     bits.load(0, done);
     let done = bits.count();
     JobStatus {
@@ -259,7 +259,7 @@
     /// be used, once this is written without either mark. A program that does
     /// not know this one returns the machine.
     #[serde(rename = "l", default, skip_serializing_if = "std::ops::Not::not")]
-    pub lapsed: bool,
+    pub lease_expired: bool,
     /// Tasks fail on it: a new leader need not find that out again.
     #[serde(rename = "q", default, skip_serializing_if = "std::ops::Not::not")]
     pub quarantined: bool,
@@ -271,11 +271,11 @@
 
 /// A set of task numbers.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct Bits(Vec<u8>);
+pub struct TaskBitmap(Vec<u8>);
 
-impl Bits {
+impl TaskBitmap {
     pub fn with_len(n: u32) -> Self {
-        Bits(vec![0; (n as usize).div_ceil(8)])
+        TaskBitmap(vec![0; (n as usize).div_ceil(8)])
     }
     pub fn get(&self, i: u32) -> bool {
         self.0
@@ -294,12 +294,12 @@
     }
 
     pub fn chunks(&self) -> usize {
-        self.0.len().div_ceil(CHUNK_TASKS as usize / 8)
+        self.0.len().div_ceil(SEGMENT_TASKS as usize / 8)
     }
 
     /// One chunk as text, without trailing zeros.
     pub fn chunk(&self, chunk: usize) -> String {
-        let size = CHUNK_TASKS as usize / 8;
+        let size = SEGMENT_TASKS as usize / 8;
         let end = self.0.len().min((chunk + 1) * size);
         let bytes = self.0.get(chunk * size..end).unwrap_or(&[]);
         let used = bytes.iter().rposition(|b| *b != 0).map_or(0, |p| p + 1);
@@ -308,7 +308,7 @@
 
     /// Adds a chunk read from the store.
     pub fn load(&mut self, chunk: usize, text: &str) {
-        let start = chunk * CHUNK_TASKS as usize / 8;
+        let start = chunk * SEGMENT_TASKS as usize / 8;
         if let Ok(bytes) = STANDARD_NO_PAD.decode(text) {
             for (i, b) in bytes.iter().enumerate() {
                 if let Some(slot) = self.0.get_mut(start + i) {
@@ -327,8 +327,8 @@
 const MARKS: usize = 320;
 
 /// Bytes that a record with the description in it may come to take.
-pub fn whole_size(spec: &JobSpec) -> usize {
-    let chunk = (spec.tasks.min(CHUNK_TASKS) as usize).div_ceil(8) * 4 / 3 + 4;
+pub fn inline_record_size(spec: &JobSpec) -> usize {
+    let chunk = (spec.tasks.min(SEGMENT_TASKS) as usize).div_ceil(8) * 4 / 3 + 4;
     let len = serde_json::to_vec(spec).map_or(usize::MAX / 2, |v| v.len());
     len + chunk + MARKS
 }
--- a/src/state/spec_chunks.rs
+++ b/src/state/spec_chunks.rs
@@ -9,13 +9,13 @@
 use serde::{Deserialize, Serialize};
 use std::hash::{DefaultHasher, Hasher};
 
-pub const PIECES: &str = "p/";
+pub const SPEC_CHUNKS: &str = "p/";
 /// Bytes of a description in a piece: fits any allowed limit in base 64.
 const BYTES: usize = 1200;
 
 /// What a job's record says of its description.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Pieces {
+pub struct SpecChunks {
     /// From the description itself.
     #[serde(rename = "h")]
     hash: String,
@@ -23,9 +23,9 @@
     count: usize,
 }
 
-impl Pieces {
+impl SpecChunks {
     pub fn prefix(&self, id: &str) -> String {
-        format!("{PIECES}{id}/{}/", self.hash)
+        format!("{SPEC_CHUNKS}{id}/{}/", self.hash)
     }
 
     pub fn keys(&self, id: &str) -> impl Iterator<Item = String> + use<> {
@@ -41,16 +41,16 @@
 
     /// The job that a piece's key belongs to.
     pub fn job_of(key: &str) -> Option<&str> {
-        Some(key.strip_prefix(PIECES)?.split_once('/')?.0)
+        Some(key.strip_prefix(SPEC_CHUNKS)?.split_once('/')?.0)
     }
 }
 
 /// What is to be written before a record may name the pieces.
-pub fn cut(spec: &JobSpec) -> Result<(Pieces, Vec<(String, String)>)> {
+pub fn cut(spec: &JobSpec) -> Result<(SpecChunks, Vec<(String, String)>)> {
     let bytes = serde_json::to_vec(spec)?;
     let mut hasher = DefaultHasher::new();
     hasher.write(&bytes);
-    let pieces = Pieces {
+    let pieces = SpecChunks {
         hash: format!("{:016x}{:x}", hasher.finish(), bytes.len()),
         count: bytes.len().div_ceil(BYTES),
     };
@@ -60,7 +60,7 @@
 }
 
 /// The description, from its pieces in order.
-pub fn join<'a>(pieces: &Pieces, values: impl Iterator<Item = &'a str>) -> Result<JobSpec> {
+pub fn join<'a>(pieces: &SpecChunks, values: impl Iterator<Item = &'a str>) -> Result<JobSpec> {
     let mut bytes = Vec::new();
     let mut count = 0;
     for value in values {
--- a/tests/compatibility/stored.rs
+++ b/tests/compatibility/stored.rs
@@ -4,7 +4,7 @@
 use pathwinch::{
     control::{
         exclusions::{exclusion_txn, readmission_txn},
-        leader::acceptance_with_notice,
+        leader::acceptance_with_feed_entry,
     },
     protocol::{
         market,
@@ -13,12 +13,12 @@
         users::{JobSpec, JobState, Kind, Priority},
     },
     state::{
-        offload::Lent,
+        offload::OffloadTarget,
         records::{
-            self, Bits, FinalRecord, JobRecord, LeaderRecord, MachineRecord, StandbyRecord,
-            StoredJob, VersionRecord,
+            self, FinalRecord, JobRecord, LeaderRecord, MachineRecord, StandbyRecord, StoredJob,
+            TaskBitmap, VersionRecord,
         },
-        spec_chunks::{self, PIECES, Pieces},
+        spec_chunks::{self, SPEC_CHUNKS, SpecChunks},
     },
 };
 use serde::{Serialize, de::DeserializeOwned};
@@ -103,31 +103,31 @@
 fn full_job() -> JobRecord {
     JobRecord {
         spec: full_spec(),
-        pieces: None,
-        at_ms: 1_700_000_000_123,
+        spec_chunks: None,
+        accepted_at_ms: 1_700_000_000_123,
         cancelled: true,
         suspected: true,
-        done: "BQ".into(),
-        lent: Some(lent()),
+        completed: "BQ".into(),
+        offloaded_to: Some(lent()),
     }
 }
 
-fn lent() -> Lent {
-    Lent {
+fn lent() -> OffloadTarget {
+    OffloadTarget {
         award: 77,
         market: "north".into(),
     }
 }
 
 /// Its record as written, and read again.
-fn job_is_stored(name: &str, record: &JobRecord, join: impl FnOnce(&Pieces) -> JobSpec) {
+fn job_is_stored(name: &str, record: &JobRecord, join: impl FnOnce(&SpecChunks) -> JobSpec) {
     assert_eq!(record.stored().to_string(), fixture(STORED, name), "{name}");
     let read: StoredJob = serde_json::from_str(fixture(STORED, name)).unwrap();
-    let read = read.whole(|pieces| Ok(join(pieces))).unwrap();
+    let read = read.with_spec(|pieces| Ok(join(pieces))).unwrap();
     assert_eq!(&read, record, "{name}");
 }
 
-fn no_pieces(_: &Pieces) -> JobSpec {
+fn no_pieces(_: &SpecChunks) -> JobSpec {
     panic!("its description is in the record")
 }
 
@@ -148,10 +148,10 @@
     suspected.suspected = true;
     job_is_stored("job/suspected", &suspected, no_pieces);
     let mut begun = plain();
-    begun.done = "AQ".into();
+    begun.completed = "AQ".into();
     job_is_stored("job/begun", &begun, no_pieces);
     let mut away = plain();
-    away.lent = Some(lent());
+    away.offloaded_to = Some(lent());
     job_is_stored("job/lent", &away, no_pieces);
 }
 
@@ -170,12 +170,12 @@
     let (pieces, values) = spec_chunks::cut(&long_spec()).unwrap();
     let record = JobRecord {
         spec: long_spec(),
-        pieces: Some(pieces.clone()),
-        at_ms: 8,
+        spec_chunks: Some(pieces.clone()),
+        accepted_at_ms: 8,
         cancelled: false,
         suspected: false,
-        done: String::new(),
-        lent: None,
+        completed: String::new(),
+        offloaded_to: None,
     };
     job_is_stored("job/pieces", &record, |read| {
         assert_eq!(read, &pieces);
@@ -195,7 +195,7 @@
     assert_eq!(spec_chunks::join(&pieces, texts).unwrap(), long_spec());
     for (key, _) in &kept {
         assert!(pieces.names("j-000412", key), "{key}");
-        assert_eq!(Pieces::job_of(key), Some("j-000412"));
+        assert_eq!(SpecChunks::job_of(key), Some("j-000412"));
     }
     assert!(!pieces.names("j-000412", "p/j-000412/00/0000"));
 }
@@ -279,7 +279,7 @@
         zone: "north".into(),
         spot: true,
         releasing: true,
-        lapsed: true,
+        lease_expired: true,
         quarantined: true,
         images: vec!["img-07".into(), "img-08".into()],
     };
@@ -287,7 +287,7 @@
     let minimal = MachineRecord {
         spot: false,
         releasing: false,
-        lapsed: false,
+        lease_expired: false,
         quarantined: false,
         images: Vec::new(),
         ..full
@@ -299,7 +299,7 @@
     };
     is_stored("machine/releasing", &releasing);
     let lapsed = MachineRecord {
-        lapsed: true,
+        lease_expired: true,
         ..minimal.clone()
     };
     is_stored("machine/lapsed", &lapsed);
@@ -326,7 +326,7 @@
 #[test]
 fn an_acceptance_leaves_the_notice_that_it_did() {
     let record = JobRecord::new(minimal_spec(), 5);
-    is_sent("txn/notice", &acceptance_with_notice(&record));
+    is_sent("txn/notice", &acceptance_with_feed_entry(&record));
 }
 
 #[test]
@@ -350,20 +350,20 @@
         (records::LEADER.to_owned(), "leader"),
         (records::STANDBYS.to_owned(), "standbys"),
         (records::JOBS.to_owned(), "j/"),
-        (records::CHUNKS.to_owned(), "c/"),
+        (records::SEGMENTS.to_owned(), "c/"),
         (records::FINALS.to_owned(), "f/"),
-        (records::ROSTER.to_owned(), "m/"),
-        (records::NOTICES.to_owned(), "n/"),
+        (records::MACHINES.to_owned(), "m/"),
+        (records::ACCEPTANCES.to_owned(), "n/"),
         (records::EXCLUSIONS.to_owned(), "x/"),
         (records::VERSIONS.to_owned(), "v/"),
-        (PIECES.to_owned(), "p/"),
+        (SPEC_CHUNKS.to_owned(), "p/"),
         (market::PREFIX.to_owned(), "market/"),
         (market::AWARDS.to_owned(), "market/award/"),
         (records::job_key("j-000412"), "j/j-000412"),
         (records::final_key("j-000412"), "f/j-000412"),
-        (records::chunk_key("j-000412", 11), "c/j-000412/11"),
+        (records::segment_key("j-000412", 11), "c/j-000412/11"),
         (records::machine_key("i-0002"), "m/i-0002"),
-        (records::notice_key("j-000412"), "n/j-000412"),
+        (records::acceptance_key("j-000412"), "n/j-000412"),
         (records::exclusion_key("winch-1"), "x/winch-1"),
         (records::version_key("winch-1"), "v/winch-1"),
         (records::award_key("j-000412"), "market/award/j-000412"),
@@ -375,15 +375,15 @@
 
 #[test]
 fn records_hold_as_much_as_they_did() {
-    assert_eq!(records::CHUNK_TASKS, 8192);
+    assert_eq!(records::SEGMENT_TASKS, 8192);
     assert_eq!(records::FORMAT, 1);
-    assert_eq!(records::whole_size(&minimal_spec()), 611);
+    assert_eq!(records::inline_record_size(&minimal_spec()), 611);
     assert!(records::fits(2048, 2.0) && !records::fits(2049, 2.0));
 }
 
 #[test]
 fn finished_tasks_are_written_in_the_chunks_that_they_were() {
-    let mut bits = Bits::with_len(20_000);
+    let mut bits = TaskBitmap::with_len(20_000);
     for task in [0, 9, 8_191, 8_192, 8_203, 16_389, 19_999] {
         assert!(bits.set(task) && !bits.set(task), "{task}");
     }
@@ -392,7 +392,7 @@
     let chunks: Vec<String> = (0..4).map(|n| bits.chunk(n)).collect();
     is_stored("chunks", &chunks);
     let kept: Vec<String> = serde_json::from_str(fixture(STORED, "chunks")).unwrap();
-    let mut read = Bits::with_len(20_000);
+    let mut read = TaskBitmap::with_len(20_000);
     for (n, text) in kept.iter().enumerate() {
         read.load(n, text);
     }
@@ -402,7 +402,7 @@
 
 #[test]
 fn a_chunk_of_which_nothing_is_finished_is_empty() {
-    let bits = Bits::with_len(8_193);
+    let bits = TaskBitmap::with_len(8_193);
     assert_eq!([bits.chunk(0), bits.chunk(1)], ["", ""]);
 }
 
--- a/tests/fault_combinations.rs
+++ b/tests/fault_combinations.rs
@@ -345,12 +345,12 @@
             w.finished.extend((0..4).map(|t| format!("{}/{t}", id(1))));
         }
         let l = w.nodes[leader].leader.as_mut().unwrap();
-        let plan = l.plan_flush(12).expect("its end is to be written");
-        l.in_doubt(&plan);
-        for key in pathwinch::control::leader::Leader::keys_of(&plan) {
-            l.reread(&key, w.store.kv.get(&key).cloned(), w.now);
+        let plan = l.plan_writes(12).expect("its end is to be written");
+        l.outcome_unknown(&plan);
+        for key in pathwinch::control::leader::Leader::keys_to_reread(&plan) {
+            l.reconcile_key(&key, w.store.kv.get(&key).cloned(), w.now);
         }
-        l.reread_done(&plan);
+        l.reconciled(&plan);
         w.store.apply(&plan.txn).expect("carried out late");
         let told = w.poll(other, &id(1)).expect("read in the record");
         assert!(matches!(told, JobState::Cancelled | JobState::Done));
@@ -373,19 +373,19 @@
         let l = w.nodes[leader].leader.as_mut().unwrap();
         let ix = l.cluster.job_index(&id(3)).unwrap();
         l.cluster.job_mut(ix).unwrap().mark_done(task);
-        l.plan_flush(12).expect("progress is to be written")
+        l.plan_writes(12).expect("progress is to be written")
     };
     let older = done(&mut w, 8_500);
     let l = w.nodes[leader].leader.as_mut().unwrap();
-    l.in_doubt(&older);
-    for key in pathwinch::control::leader::Leader::keys_of(&older) {
-        l.reread(&key, w.store.kv.get(&key).cloned(), w.now);
+    l.outcome_unknown(&older);
+    for key in pathwinch::control::leader::Leader::keys_to_reread(&older) {
+        l.reconcile_key(&key, w.store.kv.get(&key).cloned(), w.now);
     }
-    l.reread_done(&older);
+    l.reconciled(&older);
     let newer = done(&mut w, 8_501);
     let revision = w.store.apply(&newer.txn).expect("the newer one");
     let l = w.nodes[leader].leader.as_mut().unwrap();
-    l.flushed(&newer, revision, w.now);
+    l.writes_applied(&newer, revision, w.now);
     assert!(w.store.apply(&older.txn).is_err(), "carried out late");
 }
 
--- a/tests/offload.rs
+++ b/tests/offload.rs
@@ -10,7 +10,7 @@
         status::Reason,
         users::{JobState, Kind},
     },
-    state::{offload::Lent, records::award_key},
+    state::{offload::OffloadTarget, records::award_key},
 };
 use serde_json::json;
 use simulation::{World, job};
@@ -46,8 +46,8 @@
     version
 }
 
-fn lent(award: u64) -> Lent {
-    Lent {
+fn lent(award: u64) -> OffloadTarget {
+    OffloadTarget {
         award,
         market: "north".into(),
     }
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -2,7 +2,7 @@
 
 mod simulation;
 
-use pathwinch::control::leader::Plan;
+use pathwinch::control::leader::WritePlan;
 use pathwinch::protocol::{
     state::Txn,
     status::Reason,
@@ -864,9 +864,9 @@
     let job = l.cluster.job_index("j-000002").unwrap();
     let before = l.cluster.inspections();
     // Something changed: the next tick is a whole pass.
-    l.reread_done(&Plan {
+    l.reconciled(&WritePlan {
         txn: Txn::default(),
-        items: Vec::new(),
+        intents: Vec::new(),
     });
     l.tick(now, now);
     assert!(l.cluster.job(job).is_some_and(|j| j.waiting_count() == 3));
--- a/tests/scheduling_cycles.rs
+++ b/tests/scheduling_cycles.rs
@@ -76,7 +76,7 @@
             zone: "a".into(),
             spot: false,
             releasing: false,
-            lapsed: false,
+            lease_expired: false,
             quarantined: false,
             images: Vec::new(),
         };
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -22,7 +22,7 @@
 use net::Msg;
 use pathwinch::{
     control::{
-        acceptance_feed::{self, Notices},
+        acceptance_feed::{self, AcceptanceFeed},
         election::{
             CAMPAIGN_STEP_TIMEOUT_MS, Election, LEASE_TTL_MS, PROMISE_CHECK_TIMEOUT_MS, PROMISE_MS,
             PromiseOutcome, PromiseResponse, RENEWAL_TIMEOUT_MS,
@@ -30,7 +30,7 @@
         exclusions::{self, Exclusions, Step, exclusion_txn, readmission_txn},
         failure_detector::{FailureDetector, PeerHealth, RedirectTarget},
         heartbeat_relay::Relays,
-        leader::{CloudOp, DirectDelivery, DirectDeliveryOutcome, Leader, Plan},
+        leader::{CloudOp, DirectDelivery, DirectDeliveryOutcome, Leader, WritePlan},
         polls::FinalStates,
         requests::{Answer, TxnResult, final_status},
         safety_bounds::SafetyBounds,
@@ -52,8 +52,8 @@
         Ms,
         cluster::DIRECT_COMMAND_TIMEOUT_MS,
         rate_limit::Budget,
-        records::{self, Bits, FinalRecord, LEADER, MachineRecord, StoredJob},
-        spec_chunks::PIECES,
+        records::{self, FinalRecord, LEADER, MachineRecord, StoredJob, TaskBitmap},
+        spec_chunks::SPEC_CHUNKS,
     },
 };
 use std::{
@@ -116,7 +116,7 @@
         zone: "a".into(),
         spot: false,
         releasing: false,
-        lapsed: false,
+        lease_expired: false,
         quarantined: false,
         images: Vec::new(),
     }
@@ -161,7 +161,7 @@
     /// A write of the record of standbys without an answer, to be read back.
     record_open: Option<Ms>,
     /// Where it stands in the notices, while it leads.
-    notices: Option<Notices>,
+    notices: Option<AcceptanceFeed>,
     /// Its records are read by then.
     loads_at: Ms,
     pub failure_detector: FailureDetector,
@@ -174,9 +174,9 @@
     last_beat: Ms,
     flush_at: Ms,
     /// A plan whose transaction is carried out, and its answer comes then.
-    flushing: Option<(Ms, Plan, TxnResult)>,
+    flushing: Option<(Ms, WritePlan, TxnResult)>,
     /// A plan whose transaction had no answer, to be read back then.
-    unclear: Option<(Ms, Plan)>,
+    unclear: Option<(Ms, WritePlan)>,
     /// Since when questions to peers are open.
     asked: Vec<Option<Ms>>,
 }
--- a/tests/simulation/nodes.rs
+++ b/tests/simulation/nodes.rs
@@ -49,26 +49,26 @@
             l.load_standbys(
                 standbys.map(|(v, r)| (serde_json::from_value(v.clone()).unwrap(), *r)),
             );
-            for (k, v, r) in self.store.under(records::ROSTER) {
+            for (k, v, r) in self.store.under(records::MACHINES) {
                 let record: MachineRecord = serde_json::from_value(v).unwrap();
-                l.load_machine(k.trim_start_matches(records::ROSTER), record, r, now);
+                l.load_machine(k.trim_start_matches(records::MACHINES), record, r, now);
             }
             for (k, v, r) in self.store.under(records::JOBS) {
                 l.load_job(self.store.whole(&k[2..], v), r, now);
             }
-            let found = self.store.under(PIECES);
-            l.load_pieces(found.into_iter().map(|(k, _, r)| (k, r)).collect());
-            for (k, v, _) in self.store.under(records::CHUNKS) {
+            let found = self.store.under(SPEC_CHUNKS);
+            l.load_spec_chunks(found.into_iter().map(|(k, _, r)| (k, r)).collect());
+            for (k, v, _) in self.store.under(records::SEGMENTS) {
                 let (id, c) = k[2..].rsplit_once('/').unwrap();
-                l.load_chunk(id, c.parse().unwrap(), v.as_str().unwrap());
+                l.load_segment(id, c.parse().unwrap(), v.as_str().unwrap());
             }
             // Those from before the term are told of by the jobs.
-            for (key, _, version) in self.store.under(records::NOTICES) {
+            for (key, _, version) in self.store.under(records::ACCEPTANCES) {
                 if version <= l.term {
-                    l.drop_notice(key);
+                    l.acceptance_handled(key);
                 }
             }
-            node.notices = Some(Notices::new(l.term));
+            node.notices = Some(AcceptanceFeed::new(l.term));
             l.finish_loading(now);
             if self.sabotage {
                 for m in l.cluster.each_machine_mut() {
@@ -101,11 +101,11 @@
             && let acceptance_feed::Next::Look(keys) = notices.answered(200, &body)
         {
             for key in keys {
-                let id = key.trim_start_matches(records::NOTICES).to_owned();
+                let id = key.trim_start_matches(records::ACCEPTANCES).to_owned();
                 if let Some((v, r)) = self.store.kv.get(&records::job_key(&id)) {
                     l.accepted(self.store.whole(&id, v.clone()), *r, now);
                 }
-                l.drop_notice(key);
+                l.acceptance_handled(key);
             }
         }
         let term = l.term;
@@ -182,16 +182,16 @@
         let l = node.leader.as_mut().unwrap();
         if let Some((at, plan)) = node.unclear.take() {
             if now >= at {
-                l.in_doubt(&plan);
+                l.outcome_unknown(&plan);
             }
             if now < at || !reaches || stalled.is_some() {
                 node.unclear = Some((at, plan));
                 return;
             }
-            for key in Leader::keys_of(&plan) {
-                l.reread(&key, self.store.kv.get(&key).cloned(), now);
+            for key in Leader::keys_to_reread(&plan) {
+                l.reconcile_key(&key, self.store.kv.get(&key).cloned(), now);
             }
-            l.reread_done(&plan);
+            l.reconciled(&plan);
         }
         if let Some((at, plan, result)) = node.flushing.take() {
             match now >= at {
@@ -206,7 +206,7 @@
         node.flush_at = now + 100;
         let room = self.room(i);
         let l = self.nodes[i].leader.as_mut().unwrap();
-        let Some(plan) = (room >= 2).then(|| l.plan_flush(room)).flatten() else {
+        let Some(plan) = (room >= 2).then(|| l.plan_writes(room)).flatten() else {
             return;
         };
         if let Some(budget) = self.budgets.get_mut(i) {
@@ -220,21 +220,21 @@
     }
 
     /// What came of a leader's transaction.
-    fn flushed(&mut self, i: usize, plan: Plan, result: TxnResult) {
+    fn flushed(&mut self, i: usize, plan: WritePlan, result: TxnResult) {
         let now = self.now;
         let node = &mut self.nodes[i];
         let l = node.leader.as_mut().unwrap();
         match result {
-            TxnResult::Done(revision) => l.flushed(&plan, revision, now),
+            TxnResult::Done(revision) => l.writes_applied(&plan, revision, now),
             TxnResult::Conflict(failed) if failed.iter().any(|k| k == LEADER) => {
                 self.resign(i, false);
             }
             TxnResult::Conflict(_) => {
-                l.in_doubt(&plan);
+                l.outcome_unknown(&plan);
                 node.unclear = Some((now, plan));
             }
             TxnResult::Unknown => node.unclear = Some((now + 1500, plan)),
-            TxnResult::Refused | TxnResult::Rejected => l.reread_done(&plan),
+            TxnResult::Refused | TxnResult::Rejected => l.reconciled(&plan),
         }
     }
 
--- a/tests/simulation/store.rs
+++ b/tests/simulation/store.rs
@@ -4,7 +4,7 @@
     protocol::state::{Txn, Write},
     state::{
         Ms,
-        records::{JobRecord, NOTICES, StoredJob},
+        records::{ACCEPTANCES, JobRecord, StoredJob},
         spec_chunks,
     },
 };
@@ -108,7 +108,7 @@
                     };
                     assert!(value.to_string().len() <= self.value, "value_kb: {key}");
                     self.kv.insert(key.clone(), (value.clone(), self.revision));
-                    if key.starts_with(NOTICES) {
+                    if key.starts_with(ACCEPTANCES) {
                         self.notices.push((self.revision, key.clone()));
                     }
                 }
@@ -134,7 +134,7 @@
     /// A job's record with its description.
     pub fn whole(&self, id: &str, value: Value) -> JobRecord {
         let stored: StoredJob = serde_json::from_value(value).unwrap();
-        let whole = stored.whole(|p| {
+        let whole = stored.with_spec(|p| {
             let texts = p.keys(id).filter_map(|k| self.kv.get(&k)?.0.as_str());
             spec_chunks::join(p, texts)
         });
--- a/tests/simulation/workers.rs
+++ b/tests/simulation/workers.rs
@@ -137,8 +137,8 @@
             return false;
         };
         let record: StoredJob = serde_json::from_value(v.clone()).unwrap();
-        let mut bits = Bits::with_len(self.specs[id].tasks);
-        bits.load(0, &record.done);
+        let mut bits = TaskBitmap::with_len(self.specs[id].tasks);
+        bits.load(0, &record.completed);
         for (k, v, _) in self.store.under(&format!("c/{id}/")) {
             let c = k.rsplit_once('/').unwrap().1.parse().unwrap();
             bits.load(c, v.as_str().unwrap());
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -8,7 +8,7 @@
     protocol::users::{JobSpec, JobState, Kind},
     state::{
         records::{self, FinalRecord},
-        spec_chunks::PIECES,
+        spec_chunks::SPEC_CHUNKS,
     },
 };
 use simulation::{World, job};
@@ -56,7 +56,7 @@
         let kept = &w.store.kv[&records::job_key(&id(1))].0;
         assert!(kept.to_string().len() > 2048 && kept.get("d").is_some());
         assert!(
-            w.store.under(PIECES).is_empty(),
+            w.store.under(SPEC_CHUNKS).is_empty(),
             "not before all can read them"
         );
         w.mixed = false;
@@ -74,7 +74,7 @@
         assert_eq!(w.poll(leader, &id(1)), Some(JobState::Done));
         assert_eq!(w.poll(leader, &id(2)), Some(JobState::Cancelled));
         // Nothing is left behind.
-        assert!(w.store.under(PIECES).is_empty(), "seed {seed}");
+        assert!(w.store.under(SPEC_CHUNKS).is_empty(), "seed {seed}");
         assert!(w.store.under(records::JOBS).is_empty());
         w.sound();
     }
@@ -84,7 +84,7 @@
 fn a_long_description_is_accepted_under_either_limit_and_survives_its_leader() {
     let mut w = warned(30, 3);
     w.submit(long(1, 12));
-    assert!(w.store.under(PIECES).len() > 2);
+    assert!(w.store.under(SPEC_CHUNKS).len() > 2);
     w.lower();
     w.submit(long(2, 12));
     crash_leader(&mut w, 500);
@@ -129,7 +129,7 @@
     let (_, first) = l.pieces_first(&spec).unwrap().unwrap();
     let half = first[0].clone();
     w.store.apply(&half).unwrap();
-    let left = w.store.under(PIECES).len();
+    let left = w.store.under(SPEC_CHUNKS).len();
     assert!(left > 0);
     crash_leader(&mut w, 500);
     w.until(20_000, "a leader", |w| w.leader().is_some());
@@ -139,7 +139,7 @@
     // What the old leader sent late fails at its guard.
     assert!(w.store.apply(&half).is_err());
     w.run(5_000);
-    assert!(w.store.under(PIECES).is_empty());
+    assert!(w.store.under(SPEC_CHUNKS).is_empty());
     w.sound();
 }
 
@@ -175,7 +175,7 @@
     }
     w.until(300_000, "all over", |w| (1..=30).all(|n| w.done(&id(n))));
     w.run(20_000);
-    let kept = w.store.under(records::ROSTER);
+    let kept = w.store.under(records::MACHINES);
     let images = kept[0].1["i"].as_array().map_or(0, Vec::len);
     assert!((5..30).contains(&images), "{images}");
     w.sound();
