--- a/examples/limits/main.rs
+++ b/examples/limits/main.rs
@@ -162,7 +162,7 @@
                     done: 80,
                     running: 0,
                 };
-                l.remember_final(&status, 0);
+                l.remember_final_state(&status, 0);
             }
             let status = std::fs::read_to_string("/proc/self/status")?;
             let line = status.lines().find(|l| l.starts_with("VmRSS"));
--- a/src/control/admission.rs
+++ b/src/control/admission.rs
@@ -10,7 +10,7 @@
 };
 
 /// `Some`: why the job can never run.
-pub fn never_runs(settings: &Settings, types: &[MachineType], spec: &JobSpec) -> Option<String> {
+pub fn reject_reason(settings: &Settings, types: &[MachineType], spec: &JobSpec) -> Option<String> {
     let cluster = &settings.cluster;
     let Some(team) = cluster.teams.iter().find(|t| t.name == spec.team) else {
         return Some(format!("owner_crew: unknown team {:?}", spec.team));
--- a/src/control/election.rs
+++ b/src/control/election.rs
@@ -4,29 +4,29 @@
 //! leader can know of every withdrawal that a user was told of.
 
 use super::safety_bounds::{SafetyBounds, at_least, at_most};
-use crate::state::Ms;
+use crate::state::Millis;
 
 /// Life of the lease behind the leader's key.
-pub const LEASE_TTL_MS: Ms = 4000;
+pub const LEASE_TTL_MS: Millis = 4000;
 /// How long it holds what was last read or told of who leads.
-const LEADER_HINT_TTL_MS: Ms = 2_000;
+const LEADER_HINT_TTL_MS: Millis = 2_000;
 /// How long a node that is placed poorly leaves leadership to others.
-const CANDIDACY_DELAY_MS: Ms = 500;
+const CANDIDACY_DELAY_MS: Millis = 500;
 /// The same for one that gives up leadership for its place.
-const YIELD_PAUSE_MS: Ms = 1500;
-const YIELD_INTERVAL_MS: Ms = 120_000;
+const YIELD_PAUSE_MS: Millis = 1500;
+const YIELD_INTERVAL_MS: Millis = 120_000;
 /// How long it waits for a standby to be warm first.
-const WARM_STANDBY_WAIT_MS: Ms = 5_000;
+const WARM_STANDBY_WAIT_MS: Millis = 5_000;
 /// How long a promise not to seek leadership holds.
-pub const PROMISE_MS: Ms = 1300;
+pub const PROMISE_MS: Millis = 1300;
 
 /// How long the answer to a renewal is waited for: where the state service is
 /// slow, others are asked meanwhile, and it counts from when it was sent.
-pub const RENEWAL_TIMEOUT_MS: Ms = 2_500;
+pub const RENEWAL_TIMEOUT_MS: Millis = 2_500;
 /// How long a step of campaigning may take.
-pub const CAMPAIGN_STEP_TIMEOUT_MS: Ms = 1_200;
+pub const CAMPAIGN_STEP_TIMEOUT_MS: Millis = 1_200;
 /// How long a node that is asked for a promise waits for the state service.
-pub const PROMISE_CHECK_TIMEOUT_MS: Ms = 400;
+pub const PROMISE_CHECK_TIMEOUT_MS: Millis = 400;
 
 /// How another node answered, asked by a leader that can't reach the state
 /// service.
@@ -34,9 +34,9 @@
 pub enum PromiseResponse {
     /// It seeks nothing for a while. `begun`: its process, which has led no
     /// later term, had begun by then, as it says itself.
-    Granted { started_by: Option<Ms> },
+    Granted { started_by: Option<Millis> },
     /// It can't seek anything before `until`, as the state service holds.
-    Excluded { until: Ms },
+    Excluded { until: Millis },
     /// Its own requests succeed.
     StoreReachable,
     /// No promise, or no answer.
@@ -61,44 +61,44 @@
     pub me: String,
     pub incarnation: u64,
     bounds: SafetyBounds,
-    process_started: Ms,
+    process_started: Millis,
     /// The term this process leads, with the state service's lease.
     leadership: Option<Leadership>,
     /// Leader and term as last read, and when that was.
     pub observed_leader: Option<(String, u64)>,
-    observed_at: Ms,
+    observed_at: Millis,
     /// When a leader was last read there.
-    last_led_at: Ms,
+    last_led_at: Millis,
     /// The same as another node last said.
     leader_hint: Option<(String, u64)>,
-    leader_hint_at: Ms,
-    promised_until: Ms,
+    leader_hint_at: Millis,
+    promised_until: Millis,
     /// An attempt to become leader had no answer: the lease under which it
     /// was made. Until that is surely over, it may still succeed.
     pub indeterminate_lease: Option<u64>,
     /// A term whose leader said that it has stopped.
     resigned_term: Option<u64>,
     highest_term: u64,
-    abstain_until: Ms,
+    abstain_until: Millis,
     /// Since when the lead could be sought; a node that is placed poorly
     /// gives the others some time.
-    vacant_since: Option<Ms>,
+    vacant_since: Option<Millis>,
     /// When it last gave up leadership for its place alone.
-    last_yield: Option<Ms>,
+    last_yield: Option<Millis>,
     /// Since when it leads in a poor place.
-    unfavourable_since: Option<Ms>,
+    unfavourable_since: Option<Millis>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Leadership {
     pub term: u64,
     pub lease: u64,
-    valid_until: Ms,
+    valid_until: Millis,
     /// Up to then no later term had begun, so that this leader knows of every
     /// withdrawal: only leaders write any, under the guard of their key.
-    cancellations_known_until: Ms,
+    cancellations_known_until: Millis,
     /// When another node said, since the last renewal, that it is served.
-    peer_served_at: Option<Ms>,
+    peer_served_at: Option<Millis>,
     basis: AuthorityBasis,
 }
 
@@ -122,18 +122,18 @@
 
 impl Leadership {
     /// By what this leader may act, and until when.
-    pub fn authority(&self) -> (AuthorityBasis, Ms) {
+    pub fn authority(&self) -> (AuthorityBasis, Millis) {
         (self.basis, self.valid_until)
     }
 
     /// Up to when it surely knows of every withdrawal.
-    pub fn cancellations_known_until(&self) -> Ms {
+    pub fn cancellations_known_until(&self) -> Millis {
         self.cancellations_known_until
     }
 }
 
 impl Election {
-    pub fn new(me: &str, incarnation: u64, bounds: SafetyBounds, now: Ms) -> Self {
+    pub fn new(me: &str, incarnation: u64, bounds: SafetyBounds, now: Millis) -> Self {
         Election {
             me: me.to_owned(),
             incarnation,
@@ -161,14 +161,14 @@
     }
 
     /// The term in which this process may act right now.
-    pub fn authority(&self, now: Ms) -> Option<u64> {
+    pub fn authority(&self, now: Millis) -> Option<u64> {
         self.leadership
             .filter(|l| now < l.valid_until)
             .map(|l| l.term)
     }
 
     /// The key was read from the state service.
-    pub fn observe_leader(&mut self, leader: Option<(String, u64)>, now: Ms) {
+    pub fn observe_leader(&mut self, leader: Option<(String, u64)>, now: Millis) {
         self.observed_at = now;
         if let Some((_, term)) = &leader {
             self.last_led_at = now;
@@ -181,12 +181,12 @@
     }
 
     /// Since when nobody was seen to lead; at most since this process began.
-    pub fn leaderless_for(&self, now: Ms) -> Ms {
+    pub fn leaderless_for(&self, now: Millis) -> Millis {
         now.saturating_sub(self.last_led_at)
     }
 
     /// Another node says who leads.
-    pub fn receive_leader_hint(&mut self, leader: Option<(String, u64)>, now: Ms) {
+    pub fn receive_leader_hint(&mut self, leader: Option<(String, u64)>, now: Millis) {
         let newer = |a: &(String, u64), b: &Option<(String, u64)>| {
             b.as_ref().is_none_or(|(_, term)| a.1 >= *term)
         };
@@ -201,7 +201,7 @@
     /// that can't be asked, as the other nodes do. Guards against a node that
     /// is cut off from the state service and sends workers to any other,
     /// though that may be a leader which can't hear them.
-    pub fn leader(&self, now: Ms) -> Option<(&str, u64)> {
+    pub fn leader(&self, now: Millis) -> Option<(&str, u64)> {
         let read = now <= self.observed_at + LEADER_HINT_TTL_MS;
         let told = self.leader_hint.as_ref();
         let told = told.filter(|_| !read && now <= self.leader_hint_at + LEADER_HINT_TTL_MS);
@@ -215,7 +215,7 @@
 
     /// With which version of the leader's key may this node try to replace
     /// it? 0: it must not exist.
-    pub fn may_campaign(&self, now: Ms) -> Option<u64> {
+    pub fn may_campaign(&self, now: Millis) -> Option<u64> {
         // A process that has just started may have forgotten a promise.
         if self.leadership.is_some()
             || self.indeterminate_lease.is_some()
@@ -233,7 +233,7 @@
     }
 
     /// Whether a node that may campaign leaves it to others first.
-    pub fn delays_candidacy(&mut self, now: Ms, poor_place: impl Fn() -> bool) -> bool {
+    pub fn delays_candidacy(&mut self, now: Millis, poor_place: impl Fn() -> bool) -> bool {
         let since = *self.vacant_since.get_or_insert(now);
         now < since + CANDIDACY_DELAY_MS && poor_place()
     }
@@ -241,7 +241,7 @@
     /// A leader that is placed poorly lets another try, once in a while: if
     /// none does, leadership must not go to and fro for it. It waits a little
     /// for one that is `warm`, as any other would have to hear all machines.
-    pub fn yields_leadership(&mut self, poor: bool, warm: bool, now: Ms) -> bool {
+    pub fn yields_leadership(&mut self, poor: bool, warm: bool, now: Millis) -> bool {
         if !poor {
             self.unfavourable_since = None;
             return false;
@@ -261,7 +261,7 @@
         true
     }
 
-    pub fn elected(&mut self, term: u64, lease: u64, lease_asked: Ms) {
+    pub fn elected(&mut self, term: u64, lease: u64, lease_asked: Millis) {
         self.highest_term = self.highest_term.max(term);
         self.observed_leader = Some((self.me.clone(), term));
         self.indeterminate_lease = None;
@@ -278,7 +278,7 @@
     /// A renewal of this lease, sent at `sent`, succeeded. The key stands under
     /// it until the lease ends: it is replaced only once this process has said
     /// that it stopped. So a renewal shows as much as a read of the key.
-    pub fn renewed(&mut self, lease: u64, sent: Ms) {
+    pub fn renewed(&mut self, lease: u64, sent: Millis) {
         if let Some(l) = self.leadership.as_mut().filter(|l| l.lease == lease) {
             self.last_led_at = self.last_led_at.max(sent);
             l.valid_until = l.valid_until.max(sent + at_least(LEASE_TTL_MS));
@@ -291,7 +291,7 @@
     /// Whether a failed renewal, begun then, shows that this node is refused
     /// alone. Guards against taking the end of an outage for that, which came
     /// after the renewal and before the others looked.
-    pub fn is_refused_alone(&self, begun: Ms) -> bool {
+    pub fn is_refused_alone(&self, begun: Millis) -> bool {
         let served = self.leadership.and_then(|l| l.peer_served_at);
         served.is_some_and(|at| begun >= at)
     }
@@ -304,15 +304,15 @@
     /// node's process that it has run since then, and has led no later term.
     pub fn extend_by_promises(
         &mut self,
-        sent: Ms,
+        sent: Millis,
         answers: impl IntoIterator<Item = PromiseResponse>,
-        now: Ms,
+        now: Millis,
     ) -> PromiseOutcome {
         let blind = self.bounds.max_staleness();
         let Some(l) = &mut self.leadership else {
             return PromiseOutcome::NotExtended;
         };
-        let (mut all, mut evident, mut most) = (true, true, Ms::MAX);
+        let (mut all, mut evident, mut most) = (true, true, Millis::MAX);
         for answer in answers {
             match answer {
                 PromiseResponse::Granted { started_by } => {
@@ -352,17 +352,17 @@
 
     /// When a process began that has run for so long by its own clock, as it
     /// said at `heard` or before: not later than this.
-    pub fn process_started_by(running: Ms, heard: Ms) -> Ms {
+    pub fn process_started_by(running: Millis, heard: Millis) -> Millis {
         heard.saturating_sub(at_least(running))
     }
 
     /// How long this process has run.
-    pub fn process_uptime(&self, now: Ms) -> Ms {
+    pub fn process_uptime(&self, now: Millis) -> Millis {
         now.saturating_sub(self.process_started)
     }
 
     /// Seeks nothing until then, so that others may.
-    pub fn abstain(&mut self, until: Ms) {
+    pub fn abstain(&mut self, until: Millis) {
         self.abstain_until = until;
     }
 
@@ -376,7 +376,13 @@
 
     /// A leader asks for a promise. `state_fails`: this node's own fresh
     /// request to the state service just failed.
-    pub fn grant_promise(&mut self, now: Ms, term: u64, for_ms: Ms, state_fails: bool) -> bool {
+    pub fn grant_promise(
+        &mut self,
+        now: Millis,
+        term: u64,
+        for_ms: Millis,
+        state_fails: bool,
+    ) -> bool {
         if !state_fails
             || term < self.highest_term
             || self.leadership.is_some()
@@ -425,7 +431,11 @@
     const YOUNG: PromiseResponse = PromiseResponse::Granted { started_by: None };
 
     /// Asks each 200 ms from the last renewal on; until when it acts.
-    fn acts_until(e: &mut Election, from: Ms, answers: impl Fn(Ms) -> [PromiseResponse; 2]) -> Ms {
+    fn acts_until(
+        e: &mut Election,
+        from: Millis,
+        answers: impl Fn(Millis) -> [PromiseResponse; 2],
+    ) -> Millis {
         let mut now = from;
         while now < from + 120_000 {
             if e.authority(now).is_none() {
@@ -457,7 +467,7 @@
             PromiseResponse::Granted {
                 started_by: Some(10_000),
             },
-            PromiseResponse::Excluded { until: Ms::MAX },
+            PromiseResponse::Excluded { until: Millis::MAX },
         ] {
             let end = until(short);
             assert!((10_000 + blind..10_200 + blind).contains(&end), "{end}");
--- a/src/control/exclusions.rs
+++ b/src/control/exclusions.rs
@@ -16,7 +16,7 @@
 use crate::{
     protocol::state::{Condition, Txn, Write},
     state::{
-        Ms,
+        Millis,
         records::{LEADER, exclusion_key},
     },
 };
@@ -24,9 +24,9 @@
 
 /// Life of the lease behind the exclusions: as long as outages are to be outlasted,
 /// and how long a node may have to wait if it comes back alone.
-pub const LEASE_TTL_MS: Ms = 25_000;
+pub const LEASE_TTL_MS: Millis = 25_000;
 /// Between two renewals of it.
-const RENEW_EVERY_MS: Ms = 4_000;
+const RENEW_EVERY_MS: Millis = 4_000;
 
 /// What to do next about exclusions. Done one at a time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -77,8 +77,8 @@
 pub struct Exclusions {
     term: u64,
     lease: Option<u64>,
-    lease_until: Ms,
-    renew_at: Ms,
+    lease_until: Millis,
+    renew_at: Millis,
     /// Written in this term, under its lease.
     in_force: BTreeSet<usize>,
     /// In the store with this version, from whatever term.
@@ -105,15 +105,15 @@
     }
 
     /// The peer can't take the lead before `until`.
-    pub fn is_excluded(&self, peer: usize, now: Ms) -> bool {
+    pub fn is_excluded(&self, peer: usize, now: Millis) -> bool {
         now < self.lease_until && self.in_force.contains(&peer)
     }
 
-    pub fn lease_until(&self) -> Ms {
+    pub fn lease_until(&self) -> Millis {
         self.lease_until
     }
 
-    pub fn next_step(&self, failure_detector: &FailureDetector, now: Ms) -> Option<Step> {
+    pub fn next_step(&self, failure_detector: &FailureDetector, now: Millis) -> Option<Step> {
         if let Some(lease) = self.lease
             && self
                 .indeterminate
@@ -147,7 +147,7 @@
     }
 
     /// The lease was granted or renewed, asked for at `sent`.
-    pub fn lease_granted(&mut self, lease: u64, sent: Ms) {
+    pub fn lease_granted(&mut self, lease: u64, sent: Millis) {
         if self.lease != Some(lease) {
             self.in_force.clear();
             self.indeterminate.clear();
--- a/src/control/failure_detector.rs
+++ b/src/control/failure_detector.rs
@@ -3,12 +3,12 @@
 //! A node that hangs gives no error: without this, each request to it and
 //! each worker that is sent there takes a time-out of its own.
 
-use crate::state::Ms;
+use crate::state::Millis;
 
 /// A question that has been open for so long makes a node silent.
-pub const RESPONSE_PATIENCE_MS: Ms = 350;
+pub const RESPONSE_PATIENCE_MS: Millis = 350;
 /// A node silent for so long is not just slow.
-const UNRESPONSIVE_AFTER_MS: Ms = 2000;
+const UNRESPONSIVE_AFTER_MS: Millis = 2000;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PeerHealth {
@@ -34,10 +34,10 @@
 struct Peer {
     last_health: PeerHealth,
     /// Since when the oldest open question waits, and how many are open.
-    open_requests: Option<(Ms, u32)>,
-    last_ended: Ms,
+    open_requests: Option<(Millis, u32)>,
+    last_ended: Millis,
     /// Since when it has given no answer, nor refused one.
-    unresponsive_since: Option<Ms>,
+    unresponsive_since: Option<Millis>,
 }
 
 #[derive(Debug)]
@@ -90,7 +90,7 @@
     /// try after it hangs, and there is a node of which that is not so. Were
     /// this one to hang as well, all workers would wait for two nodes in a
     /// row, which takes as long as their lease.
-    pub fn unfavourable_failover_position(&self, now: Ms) -> bool {
+    pub fn unfavourable_failover_position(&self, now: Millis) -> bool {
         let answers = |node: Option<usize>| node.is_none_or(|p| self.is_healthy(p, now));
         self.successor()
             .is_some_and(|p| self.is_unresponsive(p, now))
@@ -100,7 +100,7 @@
                 .any(|n| n.is_some() && answers(*n) && answers(self.after(*n)))
     }
 
-    pub fn request_sent(&mut self, peer: usize, now: Ms) {
+    pub fn request_sent(&mut self, peer: usize, now: Millis) {
         if let Some(p) = self.peers.get_mut(peer) {
             let (since, open) = p.open_requests.unwrap_or((now, 0));
             p.open_requests = Some((since, open + 1));
@@ -109,7 +109,7 @@
 
     /// How a question ended. An answer also tells that what is still open is
     /// not lost, only slow.
-    pub fn request_ended(&mut self, peer: usize, how: PeerHealth, now: Ms) {
+    pub fn request_ended(&mut self, peer: usize, how: PeerHealth, now: Millis) {
         if let Some(p) = self.peers.get_mut(peer) {
             p.last_health = how;
             p.unresponsive_since = match how {
@@ -131,7 +131,7 @@
         }
     }
 
-    pub fn health(&self, peer: usize, now: Ms) -> PeerHealth {
+    pub fn health(&self, peer: usize, now: Millis) -> PeerHealth {
         match self.peers.get(peer) {
             Some(p) => match p.open_requests {
                 Some((since, _)) if now > since + RESPONSE_PATIENCE_MS => PeerHealth::Unresponsive,
@@ -141,17 +141,17 @@
         }
     }
 
-    pub fn is_healthy(&self, peer: usize, now: Ms) -> bool {
+    pub fn is_healthy(&self, peer: usize, now: Millis) -> bool {
         self.health(peer, now) == PeerHealth::Healthy
     }
 
     /// It has been silent for longer than one that is slow.
-    fn is_unresponsive(&self, peer: usize, now: Ms) -> bool {
+    fn is_unresponsive(&self, peer: usize, now: Millis) -> bool {
         let since = self.peers.get(peer).and_then(|p| p.unresponsive_since);
         since.is_some_and(|at| now >= at + UNRESPONSIVE_AFTER_MS)
     }
 
-    pub fn unresponsive_peers(&self, now: Ms) -> Vec<usize> {
+    pub fn unresponsive_peers(&self, now: Millis) -> Vec<usize> {
         (0..self.peers.len())
             .filter(|p| self.is_unresponsive(*p, now))
             .collect()
@@ -168,7 +168,7 @@
 
     /// Whether to ask it just to learn that: nothing else was asked for so
     /// long.
-    pub fn probe_due(&self, peer: usize, every: Ms, now: Ms) -> bool {
+    pub fn probe_due(&self, peer: usize, every: Millis, now: Millis) -> bool {
         self.peers
             .get(peer)
             .is_some_and(|p| p.open_requests.is_none() && now >= p.last_ended + every)
@@ -176,7 +176,7 @@
 
     /// Not to a leader that is only remembered: each worker would wait for it
     /// until its report times out, which takes half of its lease.
-    pub fn redirect_target(&mut self, leader: Option<usize>, now: Ms) -> RedirectTarget {
+    pub fn redirect_target(&mut self, leader: Option<usize>, now: Millis) -> RedirectTarget {
         if let Some(leader) = leader.filter(|p| self.health(*p, now) != PeerHealth::Unresponsive) {
             return RedirectTarget::Leader(leader);
         }
--- a/src/control/heartbeat_relay.rs
+++ b/src/control/heartbeat_relay.rs
@@ -3,37 +3,37 @@
 //! Guards against a cut between the leader and the workers alone: a worker
 //! needs 5 s of its lease to try another node, and would be sent straight back.
 
-use crate::state::Ms;
+use crate::state::Millis;
 use std::collections::HashMap;
 
 /// A worker that was sent to the leader and is back within this time could
-/// not reach it; one back sooner than `SOONEST` has not tried for long.
-const BOUNCED: Ms = 12_000;
-const SOONEST: Ms = 1_500;
+/// not reach it; one back sooner than `RETURNED_AFTER_MS` has not tried for long.
+const RETURNED_WITHIN_MS: Millis = 12_000;
+const RETURNED_AFTER_MS: Millis = 1_500;
 /// For how long its reports are then relayed before it is sent there again.
-const RELAY: Ms = 30_000;
+const RELAY_FOR_MS: Millis = 30_000;
 const MAX_WORKERS: usize = 2000;
 
 #[derive(Debug, Clone, Copy, Default)]
 struct Bounce {
-    sent_away: Option<Ms>,
-    relay_until: Ms,
+    sent_away: Option<Millis>,
+    relay_until: Millis,
 }
 
 #[derive(Debug, Default)]
-pub struct Relays {
+pub struct HeartbeatRelays {
     workers: HashMap<String, Bounce>,
 }
 
-impl Relays {
+impl HeartbeatRelays {
     /// Another leader: what was noted of the old one means nothing.
     pub fn clear(&mut self) {
         self.workers.clear();
     }
 
     /// The leader has not heard these machines for a while.
-    pub fn unheard(&mut self, machines: &[String], for_ms: Ms, now: Ms) {
-        let until = now + for_ms.min(RELAY);
+    pub fn relay_requested(&mut self, machines: &[String], for_ms: Millis, now: Millis) {
+        let until = now + for_ms.min(RELAY_FOR_MS);
         for m in machines.iter().take(MAX_WORKERS / 2) {
             let b = self.workers.entry(m.clone()).or_default();
             b.relay_until = b.relay_until.max(until);
@@ -42,7 +42,7 @@
 
     /// Whether this worker's report is to be relayed; notes that the worker
     /// is sent to the leader if not.
-    pub fn relays(&mut self, machine: &str, now: Ms) -> bool {
+    pub fn should_relay(&mut self, machine: &str, now: Millis) -> bool {
         if self.workers.len() >= MAX_WORKERS {
             self.workers.clear();
         }
@@ -51,10 +51,10 @@
             return true;
         }
         if let Some(at) = b.sent_away
-            && (at + SOONEST..at + BOUNCED).contains(&now)
+            && (at + RETURNED_AFTER_MS..at + RETURNED_WITHIN_MS).contains(&now)
             && b.relay_until <= at
         {
-            b.relay_until = now + RELAY;
+            b.relay_until = now + RELAY_FOR_MS;
             return true;
         }
         b.sent_away = Some(now);
@@ -68,24 +68,24 @@
 
     #[test]
     fn a_worker_is_sent_to_the_leader_unless_that_does_not_hear_it() {
-        let mut r = Relays::default();
-        assert!(!r.relays("i-1", 100));
+        let mut r = HeartbeatRelays::default();
+        assert!(!r.should_relay("i-1", 100));
         // The leader asks for it: no time is lost on a second try.
-        r.unheard(&["i-1".into()], 15_000, 2_000);
-        assert!(r.relays("i-1", 5_000));
-        assert!(r.relays("i-1", 16_000));
-        assert!(!r.relays("i-2", 16_000));
+        r.relay_requested(&["i-1".into()], 15_000, 2_000);
+        assert!(r.should_relay("i-1", 5_000));
+        assert!(r.should_relay("i-1", 16_000));
+        assert!(!r.should_relay("i-2", 16_000));
     }
 
     #[test]
     fn a_worker_that_comes_back_is_relayed_for_a_while_then_sent_there_again() {
-        let mut r = Relays::default();
-        assert!(!r.relays("i-1", 0));
-        assert!(!r.relays("i-1", 500), "that was no try");
-        assert!(r.relays("i-1", 6_000));
-        assert!(r.relays("i-1", 35_000));
-        assert!(!r.relays("i-1", 36_500));
+        let mut r = HeartbeatRelays::default();
+        assert!(!r.should_relay("i-1", 0));
+        assert!(!r.should_relay("i-1", 500), "that was no try");
+        assert!(r.should_relay("i-1", 6_000));
+        assert!(r.should_relay("i-1", 35_000));
+        assert!(!r.should_relay("i-1", 36_500));
         r.clear();
-        assert!(!r.relays("i-1", 40_000));
+        assert!(!r.should_relay("i-1", 40_000));
     }
 }
--- a/src/control/leader/dependencies.rs
+++ b/src/control/leader/dependencies.rs
@@ -50,7 +50,7 @@
     }
 
     /// Lets go what became ready and withdraws what can't become so any more.
-    pub(super) fn apply_dependency_changes(&mut self, now: Ms) {
+    pub(super) fn apply_dependency_changes(&mut self, now: Millis) {
         let (changed, lost) = self.dependencies.take_changes();
         for ix in changed {
             let gate = self.dependencies.readiness(ix);
@@ -76,7 +76,7 @@
             j.known_since = now;
             j.reason = Reason::New;
             log::debug!("job {} has all that it needs", j.id);
-            self.note_arrival(ix, now);
+            self.record_arrival(ix, now);
         }
         for ix in lost
             .into_iter()
@@ -103,8 +103,8 @@
     }
 
     /// A job that was sought has this final state.
-    pub fn dependency_ended(&mut self, status: &JobStatus, now: Ms) {
-        self.remember_final(status, now);
+    pub fn dependency_ended(&mut self, status: &JobStatus, now: Millis) {
+        self.remember_final_state(status, now);
         let need = match status.state {
             JobState::Done => DependencyState::Done,
             _ => DependencyState::Cancelled,
--- a/src/control/leader/expiry.rs
+++ b/src/control/leader/expiry.rs
@@ -6,7 +6,7 @@
 /// that this node does not hear, not that they are gone.
 const MIN_OVERDUE_MACHINES: usize = 3;
 /// Until others have found their way to it.
-const NO_SCALE_OUT_MS: Ms = 5_000;
+const NO_SCALE_OUT_MS: Millis = 5_000;
 
 impl Leader {
     /// This process stood still, or could not keep up, until now. What came
@@ -14,12 +14,12 @@
     ///
     /// That a lease has lapsed is another matter: nothing was answered while
     /// the process stood still, so it has.
-    pub fn process_resumed(&mut self, now: Ms) {
+    pub fn process_resumed(&mut self, now: Millis) {
         self.recovery.resumed_at = now;
     }
 
     /// Machines whose reports are overdue, and how many others there are.
-    pub fn overdue_machines(&self, now: Ms) -> (Vec<String>, usize) {
+    pub fn overdue_machines(&self, now: Millis) -> (Vec<String>, usize) {
         let report = millis(self.settings.cluster.workers.report_s);
         let mut heard = 0;
         let mut names = Vec::new();
@@ -34,7 +34,7 @@
         (names, heard)
     }
 
-    pub(super) fn expire_leases(&mut self, now: Ms) {
+    pub(super) fn expire_leases(&mut self, now: Millis) {
         let after = self.lease_expiry();
         let overdue = millis(self.settings.cluster.workers.report_s * 2.5) + 500;
         let resumed = self.recovery.resumed_at;
@@ -112,7 +112,7 @@
                 .map(|(at, _)| at)
                 .collect();
             for at in saving {
-                self.stop_orderly(ix, at);
+                self.stop_gracefully(ix, at);
             }
         }
     }
--- a/src/control/leader/failover.rs
+++ b/src/control/leader/failover.rs
@@ -67,7 +67,7 @@
     }
 
     /// The first thing done with authority once the records are read.
-    pub(super) fn fail_over(&mut self, now: Ms) {
+    pub(super) fn fail_over(&mut self, now: Millis) {
         self.recovery.failover.starts_released = false;
         let Some((incarnation, replica)) = self.recovery.failover.inherited.take() else {
             return;
@@ -102,7 +102,7 @@
     /// Puts into the picture what may be on machines that were not heard yet,
     /// and what has completed. Those heard have said themselves what they hold.
     /// Returns how many tasks on how many machines.
-    fn restore_from_replica(&mut self, replica: &Replica, now: Ms) -> (usize, usize) {
+    fn restore_from_replica(&mut self, replica: &Replica, now: Millis) -> (usize, usize) {
         let all = replica.latest_first();
         // Guards against doing once more what ended before the old leader
         // could record it.
@@ -125,7 +125,7 @@
 
     /// What is not in the roster any more, or is noted to be empty, is surely
     /// gone, and so is all of a job that has no record.
-    fn restore_task(&mut self, machine: &str, job: &str, may_run: MayRun, now: Ms) -> bool {
+    fn restore_task(&mut self, machine: &str, job: &str, may_run: MayRun, now: Millis) -> bool {
         let MayRun(task, attempt, _, seen) = may_run;
         let (Some(ix), Some(job_ix)) = (
             self.cluster.machine_index(machine),
@@ -168,7 +168,7 @@
     }
 
     /// Looks who is to be kept warm; returns the write that is due for that.
-    pub fn update_standbys(&mut self, answers: impl Fn(usize) -> bool, now: Ms) -> Option<Txn> {
+    pub fn update_standbys(&mut self, answers: impl Fn(usize) -> bool, now: Millis) -> Option<Txn> {
         if !self.recovery.loaded {
             return None;
         }
@@ -178,11 +178,11 @@
     }
 
     /// How the write of the record of standbys came out.
-    pub fn standbys_written(&mut self, how: RegistryWriteOutcome, now: Ms) {
+    pub fn standbys_written(&mut self, how: RegistryWriteOutcome, now: Millis) {
         self.recovery.failover.starts_released |= self.standbys.written(how, now);
     }
 
-    pub fn warm_standbys(&self, now: Ms) -> usize {
+    pub fn warm_standbys(&self, now: Millis) -> usize {
         let all = self.standbys.status(now);
         all.iter().filter(|s| s.warm).count()
     }
@@ -192,12 +192,12 @@
     }
 
     /// What a peer is to be told next.
-    pub fn next_replication_part(&mut self, peer: usize, now: Ms) -> Option<Follow> {
+    pub fn next_replication_part(&mut self, peer: usize, now: Millis) -> Option<Follow> {
         self.standbys.next(peer, &mut self.cluster, now)
     }
 
     /// Who answered, and whether it was taken in; `None`: no answer.
-    pub fn replication_answered(&mut self, peer: usize, answer: Option<(u64, bool)>, now: Ms) {
+    pub fn replication_answered(&mut self, peer: usize, answer: Option<(u64, bool)>, now: Millis) {
         self.recovery.failover.starts_released |=
             self.standbys.answered(peer, answer, &self.cluster, now);
     }
--- a/src/control/leader/faults.rs
+++ b/src/control/leader/faults.rs
@@ -9,7 +9,7 @@
         job_ix: u32,
         task: u32,
         why: ExitReason,
-        now: Ms,
+        now: Millis,
     ) {
         let Some(job) = self.cluster.job_mut(job_ix) else {
             return;
@@ -58,7 +58,13 @@
     }
 
     /// A task of the job, started then, runs there or has completed.
-    pub(super) fn on_task_running(&mut self, machine: u32, job_ix: u32, started: Ms, now: Ms) {
+    pub(super) fn on_task_running(
+        &mut self,
+        machine: u32,
+        job_ix: u32,
+        started: Millis,
+        now: Millis,
+    ) {
         if let Some(m) = self.cluster.machine_mut(machine) {
             m.failures.record_success(started);
         }
@@ -95,7 +101,7 @@
     }
 
     /// Judges again all jobs that failed on the machine.
-    fn reevaluate_suspects(&mut self, machine: u32, now: Ms) {
+    fn reevaluate_suspects(&mut self, machine: u32, now: Millis) {
         let mut suspects = std::mem::take(&mut self.events.suspects);
         suspects.retain(|j| {
             let job = self.cluster.job(*j);
@@ -110,7 +116,7 @@
         self.events.suspects = suspects;
     }
 
-    fn reevaluate_job(&mut self, job_ix: u32, now: Ms) {
+    fn reevaluate_job(&mut self, job_ix: u32, now: Millis) {
         let Some(j) = self.cluster.job(job_ix) else {
             return;
         };
@@ -153,7 +159,7 @@
         }
     }
 
-    fn reevaluate_machine(&mut self, machine: u32, now: Ms) {
+    fn reevaluate_machine(&mut self, machine: u32, now: Millis) {
         let Some(m) = self.cluster.machine_mut(machine) else {
             return;
         };
@@ -179,7 +185,7 @@
     }
 
     /// Machines that are quarantined, but can't be returned, are retried.
-    pub(super) fn retry_quarantined(&mut self, now: Ms) {
+    pub(super) fn retry_quarantined(&mut self, now: Millis) {
         let all = self.cluster.indexed_machines();
         let aside = all.filter(|(_, m)| m.failures.quarantined && m.live_tasks() > 0);
         let aside: Vec<u32> = aside.map(|(ix, _)| ix).collect();
--- a/src/control/leader/fleet_view.rs
+++ b/src/control/leader/fleet_view.rs
@@ -5,9 +5,9 @@
 /// Ranks of machine types a doubling of the price is apart.
 const RANKS_PER_DOUBLING: f64 = 2.0;
 
-fn room_of(m: &Machine) -> Room {
+fn machine_view(m: &Machine) -> MachineView {
     let free = m.free();
-    Room {
+    MachineView {
         type_ix: m.type_ix,
         zone: m.zone,
         spot: m.spot,
@@ -23,12 +23,12 @@
     /// gain while a pass is under way is offered from the next one on. Guards
     /// against room that goes to whoever is next in a pass that was
     /// interrupted, past earlier jobs that had found none.
-    pub(super) fn refresh_fleet(&mut self, now: Ms) {
+    pub(super) fn refresh_fleet(&mut self, now: Millis) {
         let planning = &mut self.scheduling;
         planning.fleet.set_policy(&planning.policy);
         for ix in self.cluster.take_stale() {
             let usable = self.cluster.machine(ix).filter(|m| m.schedulable());
-            let room = usable.map(room_of);
+            let room = usable.map(machine_view);
             if !planning.in_cycle {
                 planning.fleet.set(ix, room, now);
             } else if planning.fleet.set_without_gain(ix, room, now) {
@@ -39,7 +39,7 @@
     }
 
     /// The pass is over: what machines have gained meanwhile counts.
-    pub(super) fn end_pass(&mut self) {
+    pub(super) fn end_cycle(&mut self) {
         self.scheduling.in_cycle = false;
         self.scheduling.fleet.release_withheld();
         for ix in std::mem::take(&mut self.scheduling.machines_with_gain) {
@@ -48,13 +48,13 @@
     }
 
     /// Machines with room for a task of the job, ranked as things stand.
-    pub(super) fn ranking_for(&mut self, job_ix: u32, now: Ms) -> Option<RankingId> {
+    pub(super) fn ranking_for(&mut self, job_ix: u32, now: Millis) -> Option<RankingId> {
         self.refresh_fleet(now);
         let request = self.request_of(self.cluster.job(job_ix)?, now);
         Some(self.scheduling.fleet.ranking(&request, now))
     }
 
-    fn request_of(&self, job: &Job, now: Ms) -> Request {
+    fn request_of(&self, job: &Job, now: Millis) -> Request {
         let time_left = self.time_to_aim(job, now);
         let late = self.cluster.types.iter().map(|t| {
             let fetch_s = job.spec.image_gb / t.fetch_gb_per_s.max(0.001);
@@ -73,7 +73,7 @@
     }
 
     /// Seconds left to the nearest aim for starting that can still be met.
-    pub(super) fn time_to_aim(&self, job: &Job, now: Ms) -> Option<f64> {
+    pub(super) fn time_to_aim(&self, job: &Job, now: Millis) -> Option<f64> {
         let age = (now - job.known_since) as f64 / 1000.0;
         let team = self.cluster.teams.get(job.team);
         let guaranteed = team.is_some_and(|t| {
--- a/src/control/leader/gang_reservation.rs
+++ b/src/control/leader/gang_reservation.rs
@@ -5,7 +5,7 @@
 
 /// After this long, where no aim for starting says otherwise, other work of
 /// the same priority no longer passes a gang by taking the rooms it gathers.
-const PATIENCE: Ms = 60_000;
+const PATIENCE: Millis = 60_000;
 
 impl Leader {
     /// Zones that could take the missing tasks of a gang: the one its tasks
@@ -34,7 +34,7 @@
     }
 
     /// A gang that has missed its aims for starting is not passed any more.
-    pub(super) fn out_of_patience(&self, job_ix: u32, now: Ms) -> bool {
+    pub(super) fn has_waited_too_long(&self, job_ix: u32, now: Millis) -> bool {
         self.cluster.job(job_ix).is_some_and(|j| {
             let aims =
                 self.settings.cluster.objectives.iter().filter(|o| {
@@ -50,7 +50,7 @@
     /// that what comes after it can't break them up. Guards against gangs
     /// that never start, because each machine that comes up or falls free is
     /// filled with small tasks before there are enough of them.
-    pub(super) fn gather(&mut self, job_ix: u32, now: Ms) {
+    pub(super) fn reserve_for_gang(&mut self, job_ix: u32, now: Millis) {
         if !self.wants_room(job_ix) {
             return;
         }
@@ -63,14 +63,14 @@
         let (need, missing) = (j.need, i64::from(j.waiting_count()));
         let zones = self.gang_zones(job_ix);
         let found = |zone: &Option<usize>| -> i64 {
-            let rooms = self.rooms_for_gang(job_ix, *zone, ranking, now);
+            let rooms = self.candidates_for_gang(job_ix, *zone, ranking, now);
             rooms.iter().map(|(_, n)| n).sum::<i64>().min(missing)
         };
         let Some(zone) = zones.into_iter().max_by_key(found) else {
             return;
         };
         let mut left = missing;
-        for (machine, tasks) in self.rooms_for_gang(job_ix, zone, ranking, now) {
+        for (machine, tasks) in self.candidates_for_gang(job_ix, zone, ranking, now) {
             let tasks = tasks.min(left);
             if tasks > 0 {
                 self.scheduling.fleet.withhold(machine, need.scaled(tasks));
@@ -81,12 +81,12 @@
 
     /// Machines of a zone, or of any, with room for tasks of the gang, and for
     /// how many.
-    fn rooms_for_gang(
+    fn candidates_for_gang(
         &self,
         job_ix: u32,
         zone: Option<usize>,
         ranking: RankingId,
-        now: Ms,
+        now: Millis,
     ) -> Vec<(u32, i64)> {
         let Some(j) = self.cluster.job(job_ix) else {
             return Vec::new();
@@ -98,7 +98,7 @@
         };
         let machines = fleet.ranked(ranking, |z| zone.is_none_or(|only| only == z));
         let with_room = machines.into_iter().filter(open).filter_map(|machine| {
-            let tasks = fleet.room(machine)?.free.count(&j.need);
+            let tasks = fleet.machine_view(machine)?.free.count(&j.need);
             Some((machine, tasks.min(i64::from(j.waiting_count()))))
         });
         with_room.collect()
@@ -106,10 +106,10 @@
 
     /// Rooms for all missing tasks of a gang in one zone, on machines that
     /// `there` admits, where the least work is lost.
-    pub(super) fn gang_rooms(
+    pub(super) fn gang_candidates(
         &self,
         job_ix: u32,
-        now: Ms,
+        now: Millis,
         there: impl Fn(&Machine) -> bool,
     ) -> Option<(i64, Vec<Preemption>)> {
         let j = self.cluster.job(job_ix).filter(|j| !j.spec.spread)?;
@@ -123,7 +123,7 @@
                     let m = self.cluster.machine(*ix);
                     m.is_some_and(|m| zone.is_none_or(|z| z == m.zone) && there(m))
                 })
-                .filter_map(|ix| self.room_on(ix, job_ix, priority, guaranteed, now))
+                .filter_map(|ix| self.preemption_on(ix, job_ix, priority, guaranteed, now))
                 .collect();
             rooms.sort_by_key(|r| (r.lost, r.fetch));
             let (mut left, mut lost, mut n) = (missing, 0, 0);
@@ -150,7 +150,12 @@
     /// Where some of a gang's tasks would have to fetch for longer than the
     /// aim for starting allows, rooms with the image for all of them may be
     /// the lesser loss. Returns whether the gang is to wait for such rooms.
-    pub(super) fn gang_room_with_image(&mut self, job_ix: u32, chosen: &[u32], now: Ms) -> bool {
+    pub(super) fn reserve_gang_where_image_is(
+        &mut self,
+        job_ix: u32,
+        chosen: &[u32],
+        now: Millis,
+    ) -> bool {
         let held = |m: &Machine| m.is_reserved_for(job_ix, now);
         let Some(j) = self.cluster.job(job_ix) else {
             return false;
@@ -165,7 +170,7 @@
         {
             return false;
         }
-        if self.holds_room(job_ix, now) {
+        if self.has_reservation(job_ix, now) {
             return true;
         }
         let rate = chosen
@@ -175,7 +180,7 @@
             .fold(f64::INFINITY, f64::min)
             .max(0.001);
         let worth = (victims::fetch_worth(j, rate) + victims::WORTH) * chosen.len() as f64;
-        match self.gang_rooms(job_ix, now, |m| m.images.contains(&image)) {
+        match self.gang_candidates(job_ix, now, |m| m.images.contains(&image)) {
             Some((lost, rooms)) if lost as f64 <= worth => {
                 self.preempt_all(job_ix, rooms, now);
                 true
@@ -184,7 +189,12 @@
         }
     }
 
-    pub(super) fn preempt_all(&mut self, job_ix: u32, rooms: Vec<Preemption>, now: Ms) -> usize {
+    pub(super) fn preempt_all(
+        &mut self,
+        job_ix: u32,
+        rooms: Vec<Preemption>,
+        now: Millis,
+    ) -> usize {
         let mut stopped = 0;
         for room in rooms {
             stopped += usize::from(!room.victims.is_empty());
--- a/src/control/leader/headroom.rs
+++ b/src/control/leader/headroom.rs
@@ -14,7 +14,7 @@
 }
 
 /// Room kept free of work of lower priority.
-pub(super) struct Reserve {
+pub(super) struct Headroom {
     pub(super) priority: Priority,
     pub(super) need: Resources,
     pub(super) types: Vec<bool>,
@@ -26,8 +26,8 @@
 
 impl Class {
     /// Room for so many of its tasks, none of it found yet.
-    fn reserve(&self, wanted: i64) -> Reserve {
-        Reserve {
+    fn headroom_for(&self, wanted: i64) -> Headroom {
+        Headroom {
             priority: self.priority,
             need: self.need,
             types: self.types.clone(),
@@ -38,7 +38,7 @@
     }
 }
 
-impl Reserve {
+impl Headroom {
     pub(super) fn covers(&self, type_ix: usize, spot: bool) -> bool {
         self.types.get(type_ix).copied().unwrap_or(false) && (self.spot || !spot)
     }
@@ -50,7 +50,7 @@
 }
 
 impl Leader {
-    pub(super) fn note_arrival(&mut self, ix: u32, now: Ms) {
+    pub(super) fn record_arrival(&mut self, ix: u32, now: Millis) {
         let Some(j) = self.cluster.job(ix) else {
             return;
         };
@@ -78,7 +78,7 @@
 
     /// Room that services need in reserve: what the machine with most of them
     /// holds, so that it may be lost. Batches may use that room meanwhile.
-    pub(super) fn spares(&self) -> Vec<Reserve> {
+    pub(super) fn spare_capacity(&self) -> Vec<Headroom> {
         let mut out = Vec::new();
         for c in self
             .scheduling
@@ -86,7 +86,7 @@
             .iter()
             .filter(|c| c.kind == Kind::Service)
         {
-            let mut r = c.reserve(0);
+            let mut r = c.headroom_for(0);
             // Not at any price: on kinds that cost up to twice the cheapest.
             let price = |ix: usize| {
                 let t = &self.cluster.types[ix];
@@ -142,12 +142,12 @@
 
     /// Room to keep for work of high priority that is expected within `ahead`,
     /// going by what arrived lately, `over` how long.
-    pub(super) fn reserves(&mut self, over: Ms, ahead: Ms, now: Ms) -> Vec<Reserve> {
+    pub(super) fn headroom(&mut self, over: Millis, ahead: Millis, now: Millis) -> Vec<Headroom> {
         while self
             .scheduling
             .arrivals
             .front()
-            .is_some_and(|(at, _, _)| at + RATE_WINDOW < now)
+            .is_some_and(|(at, _, _)| at + ARRIVAL_WINDOW_MS < now)
         {
             self.scheduling.arrivals.pop_front();
         }
@@ -168,8 +168,8 @@
             if wanted == 0 {
                 continue;
             }
-            let mut r = c.reserve(wanted);
-            for (_, room) in self.scheduling.fleet.rooms() {
+            let mut r = c.headroom_for(wanted);
+            for (_, room) in self.scheduling.fleet.machine_views() {
                 if r.covers(room.type_ix, room.spot) {
                     r.fits += room.free.count(&r.need).min(1000);
                 }
--- a/src/control/leader/inventory.rs
+++ b/src/control/leader/inventory.rs
@@ -3,9 +3,9 @@
 use super::*;
 
 /// Names that one request to delete machines may hold.
-const MOST_RELEASED: usize = 100;
+const MAX_RELEASED_MACHINES: usize = 100;
 /// Machines whose prices are no further apart than this cost the same.
-const SAME_PRICE: f64 = 1.01;
+const SAME_PRICE_RATIO: f64 = 1.01;
 
 /// A machine that services may move to.
 struct MoveTarget {
@@ -16,7 +16,7 @@
 
 impl Leader {
     /// When the machine list is due, it is taken as asked for.
-    pub fn list_due(&mut self, now: Ms) -> bool {
+    pub fn list_due(&mut self, now: Millis) -> bool {
         let due = self.recovery.loaded && now >= self.scaling.next_list_at;
         if due {
             let telling = self.list_reliable_from();
@@ -30,16 +30,16 @@
 
     /// A list asked for from then on shows the machines as they were after this
     /// term began.
-    fn list_reliable_from(&self) -> Ms {
+    fn list_reliable_from(&self) -> Millis {
         let lag = millis(self.settings.cluster.cloud.list_lag_s);
-        self.recovery.elected_at + 2 * lag + LIST_MARGIN
+        self.recovery.elected_at + 2 * lag + LIST_MARGIN_MS
     }
 
     /// The whole list was read, from `asked` on. What stood in the roster when
     /// this term began was up, so it had been or would be listed until it is
     /// gone: a list that describes a later time and lacks it shows that it is.
     /// Guards against a lease of waiting for machines that were taken away.
-    pub fn full_list_received(&mut self, asked: Ms, now: Ms) {
+    pub fn full_list_received(&mut self, asked: Millis, now: Millis) {
         if self.recovery.settled || asked < self.list_reliable_from() {
             return;
         }
@@ -63,7 +63,7 @@
         }
     }
 
-    pub fn machines_listed(&mut self, list: &[ListedMachine], now: Ms) {
+    pub fn machines_listed(&mut self, list: &[ListedMachine], now: Millis) {
         for l in list {
             if self.scaling.released.contains_key(&l.id) {
                 continue;
@@ -99,7 +99,7 @@
         }
     }
 
-    pub(super) fn release(&mut self, ix: u32, why: &str, now: Ms) {
+    pub(super) fn release(&mut self, ix: u32, why: &str, now: Millis) {
         if let Some(m) = self.cluster.machine_mut(ix)
             && !m.releasing
         {
@@ -109,7 +109,7 @@
         }
     }
 
-    pub fn cloud_ops(&mut self, now: Ms, wall_ms: u64) -> Vec<CloudOp> {
+    pub fn cloud_ops(&mut self, now: Millis, wall_ms: u64) -> Vec<CloudOp> {
         let mut ops = Vec::new();
         if !self.recovery.loaded || now < self.scaling.next_look_at {
             return ops;
@@ -145,7 +145,7 @@
         };
         let all = self.cluster.indexed_machines();
         let all = all.filter(|(_, m)| due(m)).map(|(ix, _)| ix);
-        let due: Vec<u32> = all.take(MOST_RELEASED).collect();
+        let due: Vec<u32> = all.take(MAX_RELEASED_MACHINES).collect();
         let mut names = Vec::with_capacity(due.len());
         for ix in due {
             if let Some(m) = self.cluster.machine_mut(ix) {
@@ -159,14 +159,14 @@
     /// Every machine is known, or those that can report have had the time to.
     /// Guards against a lease during which nothing is rented, as a few
     /// machines are silent when a new leader begins.
-    fn knows_enough_to_scale(&self, now: Ms) -> bool {
+    fn knows_enough_to_scale(&self, now: Millis) -> bool {
         self.recovery.settled || !self.workers_may_be_redirecting(now)
     }
 
     /// Workers may still be on their way to this leader.
-    pub(super) fn workers_may_be_redirecting(&self, now: Ms) -> bool {
+    pub(super) fn workers_may_be_redirecting(&self, now: Millis) -> bool {
         let report = millis(self.settings.cluster.workers.report_s * 1.25);
-        now < self.recovery.elected_at + FOUND + report
+        now < self.recovery.elected_at + WORKER_REDIRECT_MS + report
     }
 
     fn price(&self, m: &Machine) -> f64 {
@@ -174,22 +174,22 @@
     }
 
     /// A dear machine is kept idle for less long than a cheap one of its type.
-    pub(super) fn idle_allowance(&self, m: &Machine, idle: Ms) -> Ms {
+    pub(super) fn idle_allowance(&self, m: &Machine, idle: Millis) -> Millis {
         let t = &self.cluster.types[m.type_ix];
         if m.spot || t.price <= t.spot_price {
             return idle;
         }
-        (idle as f64 * t.spot_price / t.price) as Ms
+        (idle as f64 * t.spot_price / t.price) as Millis
     }
 
-    pub(super) fn scale_in(&mut self, now: Ms) {
+    pub(super) fn scale_in(&mut self, now: Millis) {
         let idle = millis(self.options.idle_s);
         let lapse = self.lease_expiry();
         let lag = millis(self.settings.cluster.cloud.list_lag_s);
         // What arrives often and must start soon finds an idle machine.
         self.refresh_fleet(now);
-        let mut held = self.reserves(60_000, KEEP_IDLE, now);
-        held.extend(self.spares());
+        let mut held = self.headroom(60_000, KEEP_IDLE_MS, now);
+        held.extend(self.spare_capacity());
         let mut gone = Vec::new();
         for ix in self.cluster.machine_range() {
             let Some(m) = self.cluster.machine(ix) else {
@@ -261,7 +261,7 @@
 
     /// A machine that holds nothing but a few services, which find room on
     /// machines that are kept anyway, is emptied and returned.
-    pub(super) fn drain(&mut self, now: Ms) {
+    pub(super) fn drain(&mut self, now: Millis) {
         if !self.recovery.settled || now < self.scheduling.next_drain_at {
             return;
         }
@@ -300,7 +300,7 @@
                 // while the services stopped, and those had to fetch.
                 for to in targets {
                     if let Some(m) = self.cluster.machine_mut(to) {
-                        m.closed_to_batches_until = now + MOVE;
+                        m.closed_to_batches_until = now + SERVICE_MOVE_MS;
                     }
                 }
                 if let Some(m) = self.cluster.machine_mut(ix) {
@@ -337,7 +337,7 @@
     }
 
     /// Where the services of a machine would go, if all of them can.
-    fn can_empty(&self, ix: u32, targets: &[MoveTarget], now: Ms) -> Option<Vec<u32>> {
+    fn can_empty(&self, ix: u32, targets: &[MoveTarget], now: Millis) -> Option<Vec<u32>> {
         let from = self.cluster.machine(ix)?;
         let price = self.price(from);
         // One that has long been of no other use, and is dear, may cost its
@@ -368,7 +368,7 @@
             };
             let found = targets.iter().find(|to| {
                 to.machine != ix
-                    && to.price <= price * SAME_PRICE
+                    && to.price <= price * SAME_PRICE_RATIO
                     && a.need.fits(&to.free)
                     && has_room(to)
                     && may_move(to)
--- a/src/control/leader/mod.rs
+++ b/src/control/leader/mod.rs
@@ -28,7 +28,7 @@
 use super::{
     placement::{
         self, Policy,
-        fleet::{Choice, Fleet, RankingId, Request, Room},
+        fleet::{Choice, Fleet, MachineView, RankingId, Request},
     },
     polls::FinalStates,
     provision::{self, Bin, Demand, Offer},
@@ -49,7 +49,7 @@
         workers::{Command, DirectCommands, ExitReason, Heartbeat, HeartbeatResponse},
     },
     state::{
-        Ms,
+        Millis,
         cluster::{
             Assignment, ClusterState, DIRECT_COMMAND_TIMEOUT_MS, Job, Machine, NONE, Phase,
             Placement, Registration,
@@ -73,33 +73,33 @@
 /// Bits of a token below the term: fences raised for one machine.
 const MACHINE_TOKEN_BITS: u32 = 20;
 /// Taken on top of twice the lag of the machine list.
-const LIST_MARGIN: Ms = 1_000;
+const LIST_MARGIN_MS: Millis = 1_000;
 /// How long a kind of machine that was refused is not asked for again.
-const REFUSED: Ms = 10_000;
+const CLOUD_REFUSAL_MS: Millis = 10_000;
 /// Over how long arrivals are counted, and for how long ahead an idle machine
 /// is kept for them.
-const RATE_WINDOW: Ms = 180_000;
-const KEEP_IDLE: Ms = 25_000;
+const ARRIVAL_WINDOW_MS: Millis = 180_000;
+const KEEP_IDLE_MS: Millis = 25_000;
 /// How long room made for a job is kept for it.
-const HELD: Ms = 8_000;
+const RESERVATION_MS: Millis = 8_000;
 /// How long a worker may take to find a new leader: a report that times out
 /// and a pause.
-const FOUND: Ms = 5_000;
+const WORKER_REDIRECT_MS: Millis = 5_000;
 /// A machine that has been overdue for no longer than this may just be late:
 /// nothing is rented in its place.
-const MISSED: Ms = 2_000;
+const LATE_HEARTBEAT_MS: Millis = 2_000;
 /// How long places are kept for services that move.
-const MOVE: Ms = 5_000;
+const SERVICE_MOVE_MS: Millis = 5_000;
 /// A machine costs at least a minute.
-const LEAST_CHARGE: Ms = 57_000;
+const MIN_CHARGE_MS: Millis = 57_000;
 /// A start stopped sooner than this would not have been worth making.
-const SETTLED_IN: Ms = 30_000;
+const MIN_USEFUL_RUN_MS: Millis = 30_000;
 /// A fetch that a service may be moved for. Longer ones cost more of its
 /// replica time than the machine is worth (tried without this bound).
 const SHORT_FETCH_S: f64 = 4.0;
 
-fn millis(s: f64) -> Ms {
-    (s.max(0.0) * 1000.0) as Ms
+fn millis(s: f64) -> Millis {
+    (s.max(0.0) * 1000.0) as Millis
 }
 
 #[derive(Debug, Clone, PartialEq)]
@@ -145,7 +145,7 @@
     NoAnswer,
 }
 
-use headroom::Reserve;
+use headroom::Headroom;
 pub use persistence::acceptance_with_feed_entry;
 pub use status::Tally;
 
@@ -178,7 +178,7 @@
         options: Options,
         types: Vec<MachineType>,
         term: u64,
-        now: Ms,
+        now: Millis,
     ) -> Self {
         let model = ClusterState::new(&settings, types);
         let zones = model.zones.len();
@@ -204,7 +204,12 @@
             recovery: recovery::Recovery::started(now, report),
             scheduling: parts::Scheduling::new(policy),
             // Workers need some time to find a new leader.
-            scaling: parts::Scaling::new(vec![zone_health::ZoneHealth::since(now + FOUND); zones]),
+            scaling: parts::Scaling::new(vec![
+                zone_health::ZoneHealth::since(
+                    now + WORKER_REDIRECT_MS
+                );
+                zones
+            ]),
             write_queue: parts::WriteQueue::default(),
             events: parts::Events::default(),
             standbys,
@@ -219,7 +224,7 @@
         self.term_token() | self.cluster.machine(ix).map_or(0, |m| m.token_epoch)
     }
 
-    fn lease_expiry(&self) -> Ms {
+    fn lease_expiry(&self) -> Millis {
         SafetyBounds::of(&self.settings.cluster.workers).lease_expiry()
     }
 
@@ -232,7 +237,7 @@
         self.recovery.settled
     }
 
-    pub fn load_job(&mut self, record: JobRecord, version: u64, now: Ms) -> u32 {
+    pub fn load_job(&mut self, record: JobRecord, version: u64, now: Millis) -> u32 {
         let mut done = TaskBitmap::with_len(record.spec.tasks);
         done.load(0, &record.completed);
         self.learn_shape(&record.spec);
@@ -263,7 +268,7 @@
             .job(ix)
             .is_some_and(|j| j.readiness == Readiness::Ready)
         {
-            self.note_arrival(ix, now.saturating_sub(age));
+            self.record_arrival(ix, now.saturating_sub(age));
         }
         ix
     }
@@ -291,7 +296,7 @@
         }
     }
 
-    pub fn load_machine(&mut self, name: &str, record: MachineRecord, version: u64, now: Ms) {
+    pub fn load_machine(&mut self, name: &str, record: MachineRecord, version: u64, now: Millis) {
         let ix = self.cluster.insert_machine(
             name,
             &record.addr,
@@ -327,7 +332,7 @@
     }
 
     /// `None`: not a machine to answer.
-    pub fn on_heartbeat(&mut self, report: &Heartbeat, now: Ms) -> Option<HeartbeatResponse> {
+    pub fn on_heartbeat(&mut self, report: &Heartbeat, now: Millis) -> Option<HeartbeatResponse> {
         if !self.recovery.loaded {
             // The lease must not lapse while the records are being read; nor
             // may it be renewed for long, as they hold withdrawals.
@@ -369,7 +374,7 @@
         })
     }
 
-    fn apply_heartbeat(&mut self, ix: u32, report: &Heartbeat, beat: bool, now: Ms) {
+    fn apply_heartbeat(&mut self, ix: u32, report: &Heartbeat, beat: bool, now: Millis) {
         let floor = self.term_token();
         let effects =
             reconciliation::apply_heartbeat(&mut self.cluster, ix, report, floor, beat, now);
@@ -405,7 +410,7 @@
         }
     }
 
-    pub fn direct_deliveries(&mut self, now: Ms) -> Vec<DirectDelivery> {
+    pub fn direct_deliveries(&mut self, now: Millis) -> Vec<DirectDelivery> {
         let mut out = Vec::new();
         if !self.recovery.loaded {
             return out;
@@ -450,7 +455,7 @@
         machine: &str,
         token: u64,
         outcome: DirectDeliveryOutcome,
-        now: Ms,
+        now: Millis,
     ) {
         let Some(ix) = self.cluster.machine_index(machine) else {
             return;
@@ -507,10 +512,10 @@
 
     /// An end that is remembered goes before the picture: it never changes.
     pub fn status(&self, id: &str) -> Option<JobStatus> {
-        self.final_states.get(id).or_else(|| self.in_picture(id))
+        self.final_states.get(id).or_else(|| self.live_status(id))
     }
 
-    fn in_picture(&self, id: &str) -> Option<JobStatus> {
+    fn live_status(&self, id: &str) -> Option<JobStatus> {
         let ix = self.cluster.job_index(id)?;
         self.cluster.job(ix).map(Job::status)
     }
@@ -518,18 +523,18 @@
     /// The job's state as a user may be told it. Not while its end is being
     /// recorded: another node may read that, and tell it, before the leader
     /// learns that it stands.
-    pub fn told(&self, id: &str) -> Option<JobStatus> {
-        let open = self.is_closing(id) || self.is_withheld(id);
+    pub fn answerable_status(&self, id: &str) -> Option<JobStatus> {
+        let open = self.is_ending(id) || self.is_cancelled_with_dependency(id);
         match self.final_states.get(id) {
             None if open => None,
-            None => self.in_picture(id),
+            None => self.live_status(id),
             end => end,
         }
     }
 
     /// A job that it needs is withdrawn, and so will it be. What stands of it
     /// until that is recorded may be told no more by then.
-    pub fn is_withheld(&self, id: &str) -> bool {
+    pub fn is_cancelled_with_dependency(&self, id: &str) -> bool {
         let ix = self.cluster.job_index(id);
         ix.is_some_and(|ix| {
             self.dependencies.must_cancel(ix) && self.cluster.job(ix).is_some_and(|j| !j.cancelled)
@@ -537,7 +542,7 @@
     }
 
     /// Its end is being recorded.
-    pub fn is_closing(&self, id: &str) -> bool {
+    pub fn is_ending(&self, id: &str) -> bool {
         let job = self
             .cluster
             .job_index(id)
@@ -546,18 +551,18 @@
     }
 
     /// It was learned now.
-    pub fn remember_final(&mut self, status: &JobStatus, now: Ms) {
-        self.final_states.learned(status, now);
+    pub fn remember_final_state(&mut self, status: &JobStatus, now: Millis) {
+        self.final_states.learn(status, now);
     }
 
     /// The job's state as another node may tell it at once. An end is held back
     /// for the time that older answers may take.
-    pub fn tellable_by_peers(&mut self, id: &str, now: Ms) -> Option<JobStatus> {
-        let status = self.told(id)?;
-        (self.final_states.held_for(&status, now) == 0).then_some(status)
+    pub fn answerable_by_peers(&mut self, id: &str, now: Millis) -> Option<JobStatus> {
+        let status = self.answerable_status(id)?;
+        (self.final_states.hold_time(&status, now) == 0).then_some(status)
     }
 
-    pub fn accepted(&mut self, record: JobRecord, version: u64, now: Ms) {
+    pub fn accepted(&mut self, record: JobRecord, version: u64, now: Millis) {
         if self.final_states.get(&record.spec.id).is_none() {
             log::debug!(
                 "job {} of {} accepted: {}, {} tasks, image {} of {} GB",
@@ -596,7 +601,7 @@
             || self.scheduling.interrupted_cycle.is_some()
     }
 
-    pub fn tick(&mut self, now: Ms, wall_ms: u64) {
+    pub fn tick(&mut self, now: Millis, wall_ms: u64) {
         self.wall_ms = wall_ms;
         if !self.recovery.loaded {
             return;
@@ -632,16 +637,16 @@
         if !resumes && (self.changed || backoff || due) {
             self.changed = false;
             self.scheduling.next_cycle_at = now + 2000;
-            self.place(now);
+            self.schedule(now);
         } else if resumes {
-            self.place(now);
+            self.schedule(now);
         }
         self.advance_recovery(now);
     }
 
     /// All records have been read. Workers were answered meanwhile, so their
     /// leases count from now.
-    pub fn finish_loading(&mut self, now: Ms) {
+    pub fn finish_loading(&mut self, now: Millis) {
         self.recovery.loaded = true;
         self.scheduling.arrivals.make_contiguous().sort_unstable();
         for m in self.cluster.each_machine_mut() {
--- a/src/control/leader/partitions.rs
+++ b/src/control/leader/partitions.rs
@@ -9,13 +9,13 @@
 const MAX_UNACKNOWLEDGED_HEARTBEATS: u32 = 2;
 
 /// Reports of one that began anew come at least as often, sent back once.
-const RESTART_HEARTBEAT_WINDOW_MS: Ms = 8_000;
+const RESTART_HEARTBEAT_WINDOW_MS: Millis = 8_000;
 
 impl Leader {
     /// Looks at a report before anything is made of it. `false`: it gets no
     /// answer, so that the machine's lease surely ends and a new leader need
     /// not wait for ever to hear of it.
-    pub(super) fn accepts_heartbeat(&mut self, ix: u32, report: &Heartbeat, now: Ms) -> bool {
+    pub(super) fn accepts_heartbeat(&mut self, ix: u32, report: &Heartbeat, now: Millis) -> bool {
         let (floor, token) = (self.term_token(), self.fencing_token(ix));
         // By then the lease of one that got no answer in this term is over, so
         // nothing is lost. Guards against a leader that is too slow for a
--- a/src/control/leader/parts.rs
+++ b/src/control/leader/parts.rs
@@ -1,6 +1,8 @@
 //! What the leader keeps beside its picture, by what each part is for.
 
-use super::{headroom::Class, scheduling_cycle::Pass, status, zone_health::ZoneHealth, *};
+use super::{
+    headroom::Class, scheduling_cycle::SchedulingCycle, status, zone_health::ZoneHealth, *,
+};
 
 /// Placement: the order of service, and when it is looked at again.
 pub(super) struct Scheduling {
@@ -8,18 +10,18 @@
     pub(super) seen_shapes: Vec<(Resources, u64)>,
     pub(super) queue_buffer: Vec<u32>,
     /// Recent arrivals: time, index into `classes`, tasks.
-    pub(super) arrivals: VecDeque<(Ms, usize, u32)>,
+    pub(super) arrivals: VecDeque<(Millis, usize, u32)>,
     pub(super) classes: Vec<Class>,
-    pub(super) next_drain_at: Ms,
-    pub(super) next_cycle_at: Ms,
+    pub(super) next_drain_at: Millis,
+    pub(super) next_cycle_at: Millis,
     /// Attempts given out in this term.
     pub(super) attempt_count: u64,
-    /// By team, see `count_unseen`; empty once all that may run is known.
+    /// By team, see `count_unconfirmed_usage`; empty once all that may run is known.
     pub(super) unconfirmed_usage: Vec<Resources>,
     /// Machines that tasks may be placed on.
     pub(super) fleet: Fleet,
     /// A pass that stopped for its bound, and goes on where it stopped.
-    pub(super) interrupted_cycle: Option<Pass>,
+    pub(super) interrupted_cycle: Option<SchedulingCycle>,
     /// A pass is under way, or was interrupted.
     pub(super) in_cycle: bool,
     /// Machines that have gained room since it began.
@@ -51,18 +53,18 @@
 
 /// Machines as the cloud gives and lists them.
 pub(super) struct Scaling {
-    pub(super) next_look_at: Ms,
-    pub(super) next_list_at: Ms,
-    pub(super) refused_until: HashMap<(usize, usize, bool), Ms>,
+    pub(super) next_look_at: Millis,
+    pub(super) next_list_at: Millis,
+    pub(super) refused_until: HashMap<(usize, usize, bool), Millis>,
     /// Requests without an answer.
     pub(super) requests_in_flight: u32,
     /// Names given out in this term.
     pub(super) request_count: u64,
     /// Machines released or dropped; late reports of them mean nothing.
-    pub(super) released: HashMap<String, Ms>,
+    pub(super) released: HashMap<String, Millis>,
     pub(super) zone_health: Vec<ZoneHealth>,
     /// Most machines were overdue at once: nothing is rented in their place.
-    pub(super) no_scale_out_until: Ms,
+    pub(super) no_scale_out_until: Millis,
 }
 
 impl Scaling {
--- a/src/control/leader/persistence.rs
+++ b/src/control/leader/persistence.rs
@@ -298,7 +298,7 @@
         self.cluster.job_mut(ix).filter(|j| j.id == id)
     }
 
-    pub fn writes_applied(&mut self, plan: &WritePlan, revision: u64, now: Ms) {
+    pub fn writes_applied(&mut self, plan: &WritePlan, revision: u64, now: Millis) {
         for item in &plan.intents {
             match item {
                 WriteIntent::Cancel(ix, id) => {
@@ -314,7 +314,7 @@
                             "job {id} withdrawn, by its mark at revision {revision} in term {}",
                             self.term
                         );
-                        self.final_states.learned(&status, now);
+                        self.final_states.learn(&status, now);
                         self.dependencies.job_cancelled(*ix);
                     }
                 }
@@ -359,7 +359,14 @@
     }
 
     /// The record of its end stands, at this revision.
-    pub(super) fn job_ended(&mut self, ix: u32, id: &str, state: JobState, revision: u64, now: Ms) {
+    pub(super) fn job_ended(
+        &mut self,
+        ix: u32,
+        id: &str,
+        state: JobState,
+        revision: u64,
+        now: Millis,
+    ) {
         let term = self.term;
         let Some(j) = self.job_of(ix, id) else { return };
         let status = JobStatus {
@@ -385,7 +392,7 @@
         }
         self.drop_cut(ix);
         self.cluster.remove_job(ix);
-        self.remember_final(&status, now);
+        self.remember_final_state(&status, now);
         self.dependencies.job_ended(ix, state == JobState::Done);
         self.changed = true;
     }
@@ -422,7 +429,12 @@
 
     /// A key of such a transaction as it stands now. All keys must have been
     /// read before `reread_done`.
-    pub fn reconcile_key(&mut self, key: &str, found: Option<(serde_json::Value, u64)>, now: Ms) {
+    pub fn reconcile_key(
+        &mut self,
+        key: &str,
+        found: Option<(serde_json::Value, u64)>,
+        now: Millis,
+    ) {
         if let Some(id) = key.strip_prefix(AWARDS) {
             self.award_seen(id, found.map_or(0, |f| f.1));
         } else if let Some(id) = key.strip_prefix(keys::FINALS) {
--- a/src/control/leader/preemption.rs
+++ b/src/control/leader/preemption.rs
@@ -5,7 +5,7 @@
 
 /// Machines on which tasks are stopped in one pass; a gang that has begun with
 /// fewer is not cut short.
-const MOST_BEGUN: usize = 3;
+const MAX_PREEMPTED_MACHINES: usize = 3;
 
 /// All that the outcome of a search hangs on, as far as it may find nothing.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -31,16 +31,16 @@
 
 /// Searches of one pass that found nothing, and for how few tasks.
 #[derive(Debug, Default)]
-struct Fruitless(HashMap<SearchKey, i64>);
+struct FailedSearches(HashMap<SearchKey, i64>);
 
-impl Fruitless {
+impl FailedSearches {
     /// A search for as many tasks or more finds nothing either: meanwhile rooms
     /// can only have become fewer.
     fn covers(&self, key: &SearchKey, tasks: i64) -> bool {
         self.0.get(key).is_some_and(|least| tasks >= *least)
     }
 
-    fn note(&mut self, key: SearchKey, tasks: i64) {
+    fn record(&mut self, key: SearchKey, tasks: i64) {
         let least = self.0.entry(key).or_insert(tasks);
         *least = tasks.min(*least);
     }
@@ -49,15 +49,15 @@
 impl Leader {
     /// Stops tasks of lower priority where a job of high priority finds no
     /// room, and keeps the room for it.
-    pub(super) fn make_room(&mut self, wanting: &[u32], now: Ms) {
-        let holding = self.jobs_with_held_room(now);
-        let mut fruitless = Fruitless::default();
+    pub(super) fn preempt_for_waiting(&mut self, wanting: &[u32], now: Millis) {
+        let holding = self.jobs_with_reservations(now);
+        let mut failed_searches = FailedSearches::default();
         let mut begun = 0;
         for &job_ix in wanting {
             let Some(j) = self.cluster.job(job_ix) else {
                 continue;
             };
-            if begun >= MOST_BEGUN {
+            if begun >= MAX_PREEMPTED_MACHINES {
                 return;
             }
             let several = j.spec.kind == Kind::Gang && j.spec.tasks > 1;
@@ -71,7 +71,7 @@
             }
             if several {
                 if !holding.contains(&job_ix) {
-                    begun += self.make_room_for_gang(job_ix, &mut fruitless, now);
+                    begun += self.preempt_for_gang(job_ix, &mut failed_searches, now);
                 }
                 continue;
             }
@@ -80,11 +80,11 @@
                 continue;
             }
             let holds = holding.contains(&job_ix);
-            begun += self.make_room_for_tasks(job_ix, holds, begun, &mut fruitless, now);
+            begun += self.preempt_for_tasks(job_ix, holds, begun, &mut failed_searches, now);
         }
     }
 
-    fn search_key(&self, job: &Job, now: Ms) -> SearchKey {
+    fn search_key(&self, job: &Job, now: Millis) -> SearchKey {
         let guaranteed = self.within_guarantee(job, now);
         let any_image = now >= job.known_since + millis(GUARANTEE_S);
         SearchKey {
@@ -103,13 +103,13 @@
     }
 
     /// Room for tasks one by one. Returns on how many machines it is begun.
-    fn make_room_for_tasks(
+    fn preempt_for_tasks(
         &mut self,
         job_ix: u32,
         holds: bool,
         begun: usize,
-        fruitless: &mut Fruitless,
-        now: Ms,
+        failed_searches: &mut FailedSearches,
+        now: Millis,
     ) -> usize {
         let Some(j) = self.cluster.job(job_ix) else {
             return 0;
@@ -122,18 +122,19 @@
             tasks -= self.tasks_that_held_room_takes(job_ix, &need, now);
         }
         // Where zones are counted, another job may find what this one can't.
-        if half.is_none() && fruitless.covers(&key, 1) {
+        if half.is_none() && failed_searches.covers(&key, 1) {
             return 0;
         }
         let mut zones = self.cluster.live_tasks_by_zone(job_ix);
         let mut own = 0;
-        while tasks > 0 && begun + own < MOST_BEGUN && self.within_limit(team, &need, 1) {
-            let found = self.cheapest_room(job_ix, priority, now, |z| {
+        while tasks > 0 && begun + own < MAX_PREEMPTED_MACHINES && self.within_limit(team, &need, 1)
+        {
+            let found = self.cheapest_preemption(job_ix, priority, now, |z| {
                 half.is_none_or(|h| zones.get(z).copied().unwrap_or(0) < h)
             });
             let Some(room) = found else {
                 if half.is_none() {
-                    fruitless.note(key, 1);
+                    failed_searches.record(key, 1);
                 }
                 break;
             };
@@ -147,7 +148,7 @@
         own
     }
 
-    fn tasks_that_held_room_takes(&self, job_ix: u32, need: &Resources, now: Ms) -> i64 {
+    fn tasks_that_held_room_takes(&self, job_ix: u32, need: &Resources, now: Millis) -> i64 {
         let held = self.cluster.each_machine();
         let held = held.filter(|m| m.is_reserved_for(job_ix, now));
         held.map(|m| m.capacity.count(need)).sum()
@@ -155,7 +156,12 @@
 
     /// Stops tasks of lower priority for all missing tasks of a gang at once,
     /// and holds the rooms. Returns on how many machines tasks were stopped.
-    fn make_room_for_gang(&mut self, job_ix: u32, fruitless: &mut Fruitless, now: Ms) -> usize {
+    fn preempt_for_gang(
+        &mut self,
+        job_ix: u32,
+        failed_searches: &mut FailedSearches,
+        now: Millis,
+    ) -> usize {
         if !self.wants_room(job_ix) {
             return 0;
         }
@@ -165,14 +171,14 @@
         // Tasks that are there already may bind the rest to their zone.
         let alone = j.live_count == 0 && !j.spec.spread;
         let (key, missing) = (self.search_key(j, now), i64::from(j.waiting_count()));
-        if alone && fruitless.covers(&key, missing) {
+        if alone && failed_searches.covers(&key, missing) {
             return 0;
         }
-        match self.gang_rooms(job_ix, now, |_| true) {
+        match self.gang_candidates(job_ix, now, |_| true) {
             Some((_, rooms)) => self.preempt_all(job_ix, rooms, now),
             None => {
                 if alone {
-                    fruitless.note(key, missing);
+                    failed_searches.record(key, missing);
                 }
                 0
             }
--- a/src/control/leader/queue.rs
+++ b/src/control/leader/queue.rs
@@ -4,7 +4,7 @@
 
 impl Leader {
     /// Waiting jobs in the order in which they are served.
-    pub(super) fn queue(&mut self, now: Ms) -> Vec<u32> {
+    pub(super) fn queue(&mut self, now: Millis) -> Vec<u32> {
         self.refresh_fleet(now);
         let mut order = std::mem::take(&mut self.scheduling.queue_buffer);
         order.clear();
@@ -18,11 +18,11 @@
         let fleet = self.scheduling.fleet.capacity();
         order.sort_by_cached_key(|ix| {
             jobs[*ix as usize].as_ref().map(|j| {
-                let begun = !self.begins_late(j);
+                let begun = !self.is_starving(j);
                 let band =
                     deadline_band(&j.spec, objectives, wall.saturating_sub(j.accepted_at_ms));
                 let rank = std::cmp::Reverse(j.effective_priority);
-                let turn = j.queued_since_ms.saturating_add(yields_for(j, &fleet));
+                let turn = j.queued_since_ms.saturating_add(yield_time_ms(j, &fleet));
                 (j.failures.suspected, begun, rank, band, turn, *ix)
             })
         });
@@ -32,12 +32,12 @@
     /// Nothing of the job has run for so long that it goes ahead of all others
     /// now. Guards against large jobs that whatever is smaller, later or of
     /// higher priority passes for as long as that keeps coming.
-    pub(super) fn begins_late(&self, j: &Job) -> bool {
+    pub(super) fn is_starving(&self, j: &Job) -> bool {
         if !self.waited_long(j) || j.has_run || j.completed_count > 0 || j.live_count > 0 {
             return false;
         }
         // Guests begin where one room is enough: more would cost others theirs.
-        j.spec.kind != Kind::Gang || j.spec.tasks == 1 || !self.is_guest(j)
+        j.spec.kind != Kind::Gang || j.spec.tasks == 1 || !self.is_best_effort(j)
     }
 
     fn waited_long(&self, j: &Job) -> bool {
@@ -48,12 +48,12 @@
 
     /// All that runs of the job is what it began with. Guards against a
     /// beginning that is stopped at once for what it went ahead of.
-    pub(super) fn only_begins(&self, j: &Job) -> bool {
+    pub(super) fn has_only_starvation_start(&self, j: &Job) -> bool {
         j.live_count <= 1 && j.completed_count == 0 && self.waited_long(j)
     }
 
     /// Neither its team nor its class is promised anything.
-    fn is_guest(&self, j: &Job) -> bool {
+    fn is_best_effort(&self, j: &Job) -> bool {
         let promised = |t: &crate::protocol::settings::Team| t.cpus > 0.0 || t.gpus > 0.0;
         let class = Some(j.spec.class.as_str());
         let aims = &self.settings.cluster.objectives;
@@ -64,13 +64,13 @@
 
 /// A batch with a deadline lets those pass that came up to so many times later
 /// as the whole fleet would take for what is left of it.
-const YIELD: f64 = 40.0;
+const YIELD_FACTOR: f64 = 40.0;
 
 /// For how long after its arrival a batch lets smaller ones pass, in
 /// milliseconds. Guards against a burst that makes all batches late by the same
 /// time, where most would keep their deadline if the few large ones waited; it
 /// ends by itself, so none waits for ever.
-fn yields_for(j: &Job, fleet: &Resources) -> u64 {
+fn yield_time_ms(j: &Job, fleet: &Resources) -> u64 {
     if j.spec.kind != Kind::Array || j.spec.deadline_s.is_none() {
         return 0;
     }
@@ -79,7 +79,7 @@
         n => (n, fleet.gpus),
     };
     let left = f64::from(j.waiting_count()) * j.spec.estimate_s * each as f64;
-    (YIELD * 1000.0 * left / all.max(each).max(1) as f64) as u64
+    (YIELD_FACTOR * 1000.0 * left / all.max(each).max(1) as f64) as u64
 }
 
 /// Within a priority, jobs are served in arrival order, but those that have
--- a/src/control/leader/quotas.rs
+++ b/src/control/leader/quotas.rs
@@ -5,7 +5,7 @@
 impl Leader {
     /// What may run unseen counts against the team's limit until every machine
     /// has been heard: all that waits of jobs older than this term.
-    pub(super) fn count_unseen(&mut self) {
+    pub(super) fn count_unconfirmed_usage(&mut self) {
         self.scheduling.unconfirmed_usage.clear();
         if self.recovery.knows_all_tasks() {
             return;
--- a/src/control/leader/recovery.rs
+++ b/src/control/leader/recovery.rs
@@ -5,7 +5,7 @@
 
 /// How long workers that report take to find a new leader at most, where no
 /// node hangs.
-const FIRST: Ms = 1_500;
+const FIRST: Millis = 1_500;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Phase {
@@ -41,25 +41,25 @@
 /// How far this leader has come since it became leader, and what it may go by
 /// until it has heard every machine.
 pub(super) struct Recovery {
-    pub(super) elected_at: Ms,
+    pub(super) elected_at: Millis,
     /// Jobs and roster have been read.
     pub(super) loaded: bool,
     /// Every machine was heard, or its lease must have lapsed.
     pub(super) settled: bool,
     /// When this process last went on after it had stood still.
-    pub(super) resumed_at: Ms,
+    pub(super) resumed_at: Millis,
     pub(super) failover: super::failover::Failover,
     /// Machines that were heard, and those that were not yet.
     pub(super) responsive_machines: usize,
     pub(super) unconfirmed_machines: usize,
     /// By when a worker that can report has reported.
-    pub(super) heartbeats_due_by: Ms,
+    pub(super) heartbeats_due_by: Millis,
     phase: Phase,
-    since: Ms,
+    since: Millis,
 }
 
 impl Recovery {
-    pub(super) fn started(now: Ms, report: Ms) -> Self {
+    pub(super) fn started(now: Millis, report: Millis) -> Self {
         Recovery {
             responsive_machines: 0,
             unconfirmed_machines: 0,
@@ -77,7 +77,7 @@
     /// Enough machines were heard to judge that there is no room. Guards
     /// against stopping tasks for work that has room on a machine which is
     /// heard a second later.
-    pub(super) fn heard_from_most(&self, now: Ms) -> bool {
+    pub(super) fn heard_from_most(&self, now: Millis) -> bool {
         self.settled
             || 10 * self.unconfirmed_machines <= self.responsive_machines
             || now >= self.heartbeats_due_by
@@ -91,17 +91,17 @@
 
 impl Leader {
     /// For how long nobody was seen to lead before this term.
-    pub fn set_leaderless_time(&mut self, ms: Ms) {
+    pub fn set_leaderless_time(&mut self, ms: Millis) {
         self.record_phase_duration("leaderless", ms);
     }
 
-    fn record_phase_duration(&mut self, phase: &'static str, ms: Ms) {
+    fn record_phase_duration(&mut self, phase: &'static str, ms: Millis) {
         log::info!("term {}: {phase} took {ms} ms", self.term);
         self.events.tally.phases.push((phase, ms as f64 / 1000.0));
     }
 
     /// Notes which phases are over.
-    pub(super) fn advance_recovery(&mut self, now: Ms) {
+    pub(super) fn advance_recovery(&mut self, now: Millis) {
         loop {
             let phase = self.recovery.phase;
             let over = match phase {
--- a/src/control/leader/scale_out.rs
+++ b/src/control/leader/scale_out.rs
@@ -4,7 +4,7 @@
 
 /// Kinds of demand that are looked at in a round: arrays whose tasks differ
 /// in size are one each.
-const MOST_KINDS: usize = 200;
+const MAX_DEMANDS: usize = 200;
 
 /// What waits, by what it takes of which machines. Guards against a bound on
 /// the jobs that are looked at: with more than that waiting at high priority,
@@ -37,7 +37,7 @@
         };
         let at = match self.demands.iter().position(same) {
             Some(at) => at,
-            None if self.demands.len() >= MOST_KINDS => return None,
+            None if self.demands.len() >= MAX_DEMANDS => return None,
             None => {
                 self.demands.push(Demand {
                     need: j.need,
@@ -70,7 +70,7 @@
             .unwrap_or(0.0)
     }
 
-    pub(super) fn plan_scale_out(&mut self, now: Ms, wall_ms: u64) -> Vec<MachineRequest> {
+    pub(super) fn plan_scale_out(&mut self, now: Millis, wall_ms: u64) -> Vec<MachineRequest> {
         let mut bins = Vec::new();
         let mut coming_bins = Vec::new();
         let mut batch_held = Vec::new();
@@ -84,7 +84,9 @@
                 && !m.contents_unknown
                 && !self.is_zone_unreachable(m.zone, now)
                 && now < m.state_since + boot + boot * 7 / 10;
-            let late = m.overdue && now < m.overdue_since + MISSED && m.schedulable_once_heard();
+            let late = m.overdue
+                && now < m.overdue_since + LATE_HEARTBEAT_MS
+                && m.schedulable_once_heard();
             // Nothing is known of an unknown one, so all of it counts as free:
             // what may run there still looks like waiting.
             // What runs there is known to a leader that took over warm: one
@@ -190,8 +192,8 @@
             .zip(&free_before)
             .map(|(b, before)| b.free == *before)
             .collect();
-        let mut spares: Vec<Demand> = self
-            .spares()
+        let mut spare_capacity: Vec<Demand> = self
+            .spare_capacity()
             .into_iter()
             .map(|r| Demand {
                 need: r.need,
@@ -207,7 +209,7 @@
             bin.free += held;
         }
         bought.extend(provision::plan(
-            &mut spares,
+            &mut spare_capacity,
             &mut room,
             &offers,
             provision::MAX_NEW,
@@ -217,7 +219,7 @@
         for (bin, ix) in coming_bins {
             if let Some(m) = self.cluster.machine(ix)
                 && untouched[bin]
-                && now > m.state_since + LEAST_CHARGE
+                && now > m.state_since + MIN_CHARGE_MS
             {
                 self.release(ix, "no longer needed", now);
             }
@@ -247,7 +249,12 @@
     }
 
     /// `None`: no answer; the machines, if any, show in the list.
-    pub fn scale_out_answered(&mut self, rent: &MachineRequest, names: Option<&[String]>, now: Ms) {
+    pub fn scale_out_answered(
+        &mut self,
+        rent: &MachineRequest,
+        names: Option<&[String]>,
+        now: Millis,
+    ) {
         self.scaling.requests_in_flight = self.scaling.requests_in_flight.saturating_sub(1);
         let names = names.unwrap_or(&[]);
         log::info!(
@@ -271,12 +278,12 @@
         {
             self.scaling
                 .refused_until
-                .insert((t, z, rent.spot), now + REFUSED);
+                .insert((t, z, rent.spot), now + CLOUD_REFUSAL_MS);
         }
     }
 
     /// The cloud answered a release: the machines are gone.
-    pub fn released(&mut self, names: &[String], ok: bool, now: Ms) {
+    pub fn released(&mut self, names: &[String], ok: bool, now: Millis) {
         for name in names {
             let Some(ix) = self.cluster.machine_index(name) else {
                 continue;
--- a/src/control/leader/scheduling_cycle.rs
+++ b/src/control/leader/scheduling_cycle.rs
@@ -6,7 +6,7 @@
 
 /// Machines chosen and jobs looked at before reports are answered again: some
 /// milliseconds.
-const MOST_STEPS: u32 = 1_000;
+const MAX_CYCLE_STEPS: u32 = 1_000;
 
 /// A job by its index, and what tells it from a later one with that index.
 #[derive(Debug, Clone, Copy)]
@@ -25,50 +25,50 @@
 }
 
 /// A pass that has begun.
-pub(super) struct Pass {
+pub(super) struct SchedulingCycle {
     order: Vec<Waiting>,
     next: usize,
-    reserves: Vec<Reserve>,
+    headroom: Vec<Headroom>,
     /// Jobs for which room is held.
-    held: HashSet<u32>,
+    jobs_with_reservations: HashSet<u32>,
     /// Jobs that found no room.
-    wanting: Vec<u32>,
+    unplaced_jobs: Vec<u32>,
     /// Shapes that found no room in this pass; the rest of the queue needn't
     /// be tried for them.
-    full: Vec<Shape>,
+    full_shapes: Vec<Shape>,
     /// Gangs that wait for room, and the priority they have.
-    gathering: Vec<u32>,
-    gathering_priority: Priority,
+    waiting_gangs: Vec<u32>,
+    waiting_gangs_priority: Priority,
     /// The job at hand may start one task under its team's limit.
     may_start_one: bool,
 }
 
 impl Leader {
     /// Begins a pass, or goes on with the one that was interrupted.
-    pub(super) fn place(&mut self, now: Ms) {
-        self.count_unseen();
-        self.scheduling.steps_left = MOST_STEPS;
-        let pass = match self.scheduling.interrupted_cycle.take() {
-            Some(pass) => Some(pass),
-            None => self.begin_pass(now),
+    pub(super) fn schedule(&mut self, now: Millis) {
+        self.count_unconfirmed_usage();
+        self.scheduling.steps_left = MAX_CYCLE_STEPS;
+        let cycle = match self.scheduling.interrupted_cycle.take() {
+            Some(cycle) => Some(cycle),
+            None => self.begin_cycle(now),
         };
-        let Some(mut pass) = pass else { return };
-        while let Some(waiting) = pass.order.get(pass.next).copied() {
+        let Some(mut cycle) = cycle else { return };
+        while let Some(waiting) = cycle.order.get(cycle.next).copied() {
             let there = self.cluster.job(waiting.job);
             let still =
                 there.is_some_and(|j| j.generation == waiting.serial && is_schedulable_job(j));
-            if still && (!self.take_step() || !self.place_job(waiting.job, &mut pass, now)) {
-                self.scheduling.interrupted_cycle = Some(pass);
+            if still && (!self.take_step() || !self.place_job(waiting.job, &mut cycle, now)) {
+                self.scheduling.interrupted_cycle = Some(cycle);
                 return;
             }
-            pass.next += 1;
+            cycle.next += 1;
         }
         // What machines have gained is offered to nobody yet.
         self.refresh_fleet(now);
         if self.recovery.heard_from_most(now) {
-            self.make_room(&pass.wanting, now);
+            self.preempt_for_waiting(&cycle.unplaced_jobs, now);
         }
-        self.end_pass();
+        self.end_cycle();
     }
 
     /// Counts a step; `false` once the pass has made as many as it may.
@@ -79,7 +79,7 @@
     }
 
     /// `None`: there is no machine to place anything on.
-    fn begin_pass(&mut self, now: Ms) -> Option<Pass> {
+    fn begin_cycle(&mut self, now: Millis) -> Option<SchedulingCycle> {
         let order = self.queue(now);
         if self.scheduling.fleet.is_empty() {
             for ix in &order {
@@ -89,8 +89,8 @@
             return None;
         }
         let keep = millis(self.options.keep_s);
-        let reserves = self.reserves(RATE_WINDOW, keep, now);
-        let held = self.jobs_with_held_room(now);
+        let headroom = self.headroom(ARRIVAL_WINDOW_MS, keep, now);
+        let held = self.jobs_with_reservations(now);
         let waiting = |ix: &u32| {
             let serial = self.cluster.job(*ix)?.generation;
             Some(Waiting { job: *ix, serial })
@@ -98,21 +98,21 @@
         let jobs = order.iter().filter_map(waiting).collect();
         self.scheduling.in_cycle = true;
         self.scheduling.queue_buffer = order;
-        Some(Pass {
+        Some(SchedulingCycle {
             order: jobs,
             next: 0,
-            reserves,
-            held,
-            wanting: Vec::new(),
-            full: Vec::new(),
-            gathering: Vec::new(),
-            gathering_priority: Priority::Low,
+            headroom,
+            jobs_with_reservations: held,
+            unplaced_jobs: Vec::new(),
+            full_shapes: Vec::new(),
+            waiting_gangs: Vec::new(),
+            waiting_gangs_priority: Priority::Low,
             may_start_one: false,
         })
     }
 
     /// Places what it can of one job; `false`: the pass was interrupted.
-    fn place_job(&mut self, job_ix: u32, pass: &mut Pass, now: Ms) -> bool {
+    fn place_job(&mut self, job_ix: u32, cycle: &mut SchedulingCycle, now: Millis) -> bool {
         let Some(job) = self.cluster.job(job_ix) else {
             return true;
         };
@@ -133,22 +133,22 @@
             zone: job.zone,
             spot: job.spec.spot,
         };
-        if job.effective_priority < pass.gathering_priority {
-            for gang in pass.gathering.drain(..) {
-                self.gather(gang, now);
+        if job.effective_priority < cycle.waiting_gangs_priority {
+            for gang in cycle.waiting_gangs.drain(..) {
+                self.reserve_for_gang(gang, now);
             }
         }
-        let held = pass.held.contains(&job_ix);
+        let held = cycle.jobs_with_reservations.contains(&job_ix);
         // No room in the open; room may be held or made for it still.
-        if pass.full.contains(&shape) && !held {
+        if cycle.full_shapes.contains(&shape) && !held {
             self.set_reason(job_ix, Reason::NoRoom);
-            pass.wanting.push(job_ix);
+            cycle.unplaced_jobs.push(job_ix);
             return true;
         }
         if suspected {
             // Into room that is free; nothing is made or kept for it.
             if let Some(ranking) = self.ranking_for(job_ix, now) {
-                self.place_try(job_ix, ranking, &mut pass.reserves, now);
+                self.place_try(job_ix, ranking, &mut cycle.headroom, now);
             }
             return true;
         }
@@ -156,17 +156,17 @@
         // Guards against a ranking for every shape that waits while the fleet
         // is full.
         if !self.may_fit(job_ix) {
-            self.note_left(job_ix, held);
-            pass.wanting.push(job_ix);
+            self.record_pending_reason(job_ix, held);
+            cycle.unplaced_jobs.push(job_ix);
             return true;
         }
-        match self.place_tasks(job_ix, pass, now) {
+        match self.place_tasks(job_ix, cycle, now) {
             Outcome::Placed => true,
             Outcome::Interrupted => false,
             Outcome::Left => {
-                self.note_left(job_ix, held);
-                pass.wanting.push(job_ix);
-                self.note_no_room(job_ix, shape, pass, now);
+                self.record_pending_reason(job_ix, held);
+                cycle.unplaced_jobs.push(job_ix);
+                self.record_no_capacity(job_ix, shape, cycle, now);
                 true
             }
         }
@@ -180,29 +180,29 @@
     }
 
     /// Places what it can of a job for which there may be room.
-    fn place_tasks(&mut self, job_ix: u32, pass: &mut Pass, now: Ms) -> Outcome {
+    fn place_tasks(&mut self, job_ix: u32, cycle: &mut SchedulingCycle, now: Millis) -> Outcome {
         let Some(job) = self.cluster.job(job_ix) else {
             return Outcome::Placed;
         };
         let gang = job.spec.kind == Kind::Gang;
         let (team, need) = (job.team, job.need);
-        let begins_late = self.begins_late(job);
-        pass.may_start_one = self.within_limit(team, &need, 1);
+        let is_starving = self.is_starving(job);
+        cycle.may_start_one = self.within_limit(team, &need, 1);
         let Some(ranking) = self.ranking_for(job_ix, now) else {
             return Outcome::Placed;
         };
-        let reserves = &mut pass.reserves;
+        let headroom = &mut cycle.headroom;
         if gang {
-            return match self.place_gang(job_ix, ranking, reserves, now) {
+            return match self.place_gang(job_ix, ranking, headroom, now) {
                 true => Outcome::Placed,
                 false => Outcome::Left,
             };
         }
-        if !begins_late {
-            return self.place_some(job_ix, u32::MAX, ranking, reserves, now);
+        if !is_starving {
+            return self.place_some(job_ix, u32::MAX, ranking, headroom, now);
         }
         // One task is a beginning; the rest takes its turn.
-        let outcome = self.place_some(job_ix, 1, ranking, reserves, now);
+        let outcome = self.place_some(job_ix, 1, ranking, headroom, now);
         // Guards against a pass at every event while it finds no room.
         if self.cluster.job(job_ix).is_some_and(|j| j.live_count > 0) {
             self.changed = true;
@@ -212,27 +212,33 @@
     }
 
     /// Keeps what a gang finds for it, or notes that the shape has no room.
-    fn note_no_room(&mut self, job_ix: u32, shape: Shape, pass: &mut Pass, now: Ms) {
+    fn record_no_capacity(
+        &mut self,
+        job_ix: u32,
+        shape: Shape,
+        cycle: &mut SchedulingCycle,
+        now: Millis,
+    ) {
         let Some(job) = self.cluster.job(job_ix) else {
             return;
         };
         let (team, priority) = (job.team, job.effective_priority);
         let bound = job.spec.single_zone || job.spec.spread || job.spec.kind == Kind::Gang;
         if job.spec.kind == Kind::Gang {
-            if self.begins_late(job) || self.out_of_patience(job_ix, now) {
-                self.gather(job_ix, now);
+            if self.is_starving(job) || self.has_waited_too_long(job_ix, now) {
+                self.reserve_for_gang(job_ix, now);
             } else {
-                pass.gathering.push(job_ix);
-                pass.gathering_priority = priority;
+                cycle.waiting_gangs.push(job_ix);
+                cycle.waiting_gangs_priority = priority;
             }
         }
-        if !bound && pass.may_start_one && self.within_limit(team, &shape.need, 1) {
-            pass.full.push(shape);
+        if !bound && cycle.may_start_one && self.within_limit(team, &shape.need, 1) {
+            cycle.full_shapes.push(shape);
         }
     }
 
     /// Notes why the rest of a job found no place in this pass.
-    fn note_left(&mut self, job_ix: u32, held: bool) {
+    fn record_pending_reason(&mut self, job_ix: u32, held: bool) {
         let Some(j) = self.cluster.job(job_ix) else {
             return;
         };
--- a/src/control/leader/status.rs
+++ b/src/control/leader/status.rs
@@ -32,7 +32,7 @@
 }
 
 /// A task that failed: when, which, where, why.
-pub(super) type Failed = (Ms, String, String, ExitReason);
+pub(super) type Failed = (Millis, String, String, ExitReason);
 
 /// Names come from the users: answers must stay within a frame.
 fn clipped(name: &str) -> String {
@@ -50,7 +50,13 @@
         }
     }
 
-    pub(super) fn note_failure(&mut self, task: String, machine: String, why: ExitReason, now: Ms) {
+    pub(super) fn note_failure(
+        &mut self,
+        task: String,
+        machine: String,
+        why: ExitReason,
+        now: Millis,
+    ) {
         self.events.tally.failed += 1;
         if self.events.recent_failures.len() >= FAILURES {
             self.events.recent_failures.pop_front();
@@ -99,7 +105,7 @@
         self.wall_ms.saturating_sub(job.accepted_at_ms) as f64 / 1000.0
     }
 
-    pub fn picture(&self, now: Ms) -> Picture {
+    pub fn picture(&self, now: Millis) -> Picture {
         let mut picture = Picture {
             term: self.term,
             since_s: (now - self.recovery.elected_at) as f64 / 1000.0,
@@ -187,7 +193,7 @@
         groups
     }
 
-    fn fleet(&self, picture: &mut Picture, now: Ms) {
+    fn fleet(&self, picture: &mut Picture, now: Millis) {
         let mut kinds: Vec<((usize, usize, bool), Fleet, f64)> = Vec::new();
         for m in self.cluster.each_machine() {
             let key = (m.type_ix, m.zone, m.spot);
@@ -276,7 +282,7 @@
         Some(format!("{how} market {market}, award {}", lent.award))
     }
 
-    fn verdict_on(&self, job: &Job, now: Ms) -> Option<String> {
+    fn verdict_on(&self, job: &Job, now: Millis) -> Option<String> {
         let machines = job.failures.failures().len();
         let times = |n| if n == 1 { "machine" } else { "machines" };
         if job.failures.suspected {
@@ -302,7 +308,7 @@
     }
 
     /// `None`: not a live job.
-    pub fn explain(&self, id: &str, now: Ms) -> Option<Explained> {
+    pub fn explain(&self, id: &str, now: Millis) -> Option<Explained> {
         let ix = self.cluster.job_index(id)?;
         let j = self.cluster.job(ix)?;
         let waiting = j.waiting_count();
--- a/src/control/leader/task_placement.rs
+++ b/src/control/leader/task_placement.rs
@@ -26,14 +26,14 @@
         job_ix: u32,
         task: u32,
         machine: u32,
-        room: &Room,
-        reserves: &[Reserve],
-        now: Ms,
+        room: &MachineView,
+        headroom: &[Headroom],
+        now: Millis,
     ) -> bool {
         let (Some(job), Some(m)) = (self.cluster.job(job_ix), self.cluster.machine(machine)) else {
             return false;
         };
-        let leaves_reserve = |r: &Reserve| {
+        let leaves_headroom = |r: &Headroom| {
             r.priority <= job.effective_priority
                 || !r.covers(room.type_ix, room.spot)
                 || match r.loss(&room.free, &job.need) {
@@ -43,7 +43,7 @@
         };
         (now >= m.closed_to_batches_until || job.spec.kind != Kind::Array)
             && m.available_to(job_ix, now)
-            && reserves.iter().all(leaves_reserve)
+            && headroom.iter().all(leaves_headroom)
             && job.allows(m)
             // An old attempt still listed there would refuse it.
             && !m.tasks.iter().any(|a| a.job == job_ix && a.task == task)
@@ -55,15 +55,16 @@
         job_ix: u32,
         task: u32,
         ranking: RankingId,
-        reserves: &[Reserve],
-        now: Ms,
+        headroom: &[Headroom],
+        now: Millis,
         zone_ok: impl Fn(usize) -> bool,
     ) -> Option<Choice> {
         let job = self.cluster.job(job_ix)?;
         let zone_ok = |zone| job.zone.is_none_or(|only| only == zone) && zone_ok(zone);
         // Where the job has failed, the fault may be there.
         let failed = |machine| job.failures.failed_on(machine);
-        let admits = |machine, room: &Room| self.admits(job_ix, task, machine, room, reserves, now);
+        let admits =
+            |machine, room: &MachineView| self.admits(job_ix, task, machine, room, headroom, now);
         let chosen = self
             .scheduling
             .fleet
@@ -77,7 +78,7 @@
     }
 
     fn log_choice(&self, job: &Job, task: u32, choice: Choice) {
-        let Some(room) = self.scheduling.fleet.room(choice.machine) else {
+        let Some(room) = self.scheduling.fleet.machine_view(choice.machine) else {
             return;
         };
         let policy = &self.scheduling.policy;
@@ -94,9 +95,9 @@
         );
     }
 
-    fn take_reserve(&self, reserves: &mut [Reserve], machine: u32, need: &Resources) {
-        if let Some(room) = self.scheduling.fleet.room(machine) {
-            for r in reserves.iter_mut() {
+    fn take_headroom(&self, headroom: &mut [Headroom], machine: u32, need: &Resources) {
+        if let Some(room) = self.scheduling.fleet.machine_view(machine) {
+            for r in headroom.iter_mut() {
                 if r.covers(room.type_ix, room.spot) {
                     r.fits -= r.loss(&room.free, need);
                 }
@@ -109,17 +110,17 @@
         &mut self,
         job_ix: u32,
         ranking: RankingId,
-        reserves: &mut [Reserve],
-        now: Ms,
+        headroom: &mut [Headroom],
+        now: Millis,
     ) {
         self.set_reason(job_ix, Reason::FailsEverywhere);
         let gang = self.cluster.job(job_ix).map(|j| j.spec.kind == Kind::Gang);
         match gang {
             Some(true) => {
-                self.place_gang(job_ix, ranking, reserves, now);
+                self.place_gang(job_ix, ranking, headroom, now);
             }
             _ => {
-                self.place_some(job_ix, 1, ranking, reserves, now);
+                self.place_some(job_ix, 1, ranking, headroom, now);
             }
         }
     }
@@ -130,8 +131,8 @@
         job_ix: u32,
         most: u32,
         ranking: RankingId,
-        reserves: &mut [Reserve],
-        now: Ms,
+        headroom: &mut [Headroom],
+        now: Millis,
     ) -> Outcome {
         let Some(job) = self.cluster.job(job_ix) else {
             return Outcome::Placed;
@@ -159,7 +160,7 @@
             if !self.take_step() {
                 return Outcome::Interrupted;
             }
-            let chosen = self.choose(job_ix, task, ranking, reserves, now, |z| {
+            let chosen = self.choose(job_ix, task, ranking, headroom, now, |z| {
                 (!one_zone || zones.iter().enumerate().all(|(i, n)| *n == 0 || i == z))
                     && (!spread || zones.get(z).copied().unwrap_or(0) < half)
             });
@@ -167,13 +168,13 @@
                 return Outcome::Left;
             };
             if !one_zone
-                && self.room_with_image(job_ix, choice, now, |z| {
+                && self.reserve_where_image_is(job_ix, choice, now, |z| {
                     !spread || zones.get(z).copied().unwrap_or(0) < half
                 })
             {
                 return Outcome::Left;
             }
-            self.take_reserve(reserves, choice.machine, &need);
+            self.take_headroom(headroom, choice.machine, &need);
             self.scheduling.fleet.take(ranking, choice.machine);
             if let Some(n) = zones.get_mut(choice.zone) {
                 *n += 1;
@@ -204,8 +205,8 @@
         &mut self,
         job_ix: u32,
         ranking: RankingId,
-        reserves: &mut [Reserve],
-        now: Ms,
+        headroom: &mut [Headroom],
+        now: Millis,
     ) -> bool {
         let Some(job) = self.cluster.job(job_ix) else {
             return true;
@@ -226,7 +227,7 @@
             return false;
         }
         for only in self.gang_zones(job_ix) {
-            let Some(chosen) = self.try_gang(job_ix, &missing, only, ranking, reserves, now) else {
+            let Some(chosen) = self.try_gang(job_ix, &missing, only, ranking, headroom, now) else {
                 continue;
             };
             if self.gang_waits_for_image(job_ix, &chosen, only, now) {
@@ -250,8 +251,8 @@
         missing: &[u32],
         only: Option<usize>,
         ranking: RankingId,
-        reserves: &mut [Reserve],
-        now: Ms,
+        headroom: &mut [Headroom],
+        now: Millis,
     ) -> Option<Vec<Choice>> {
         let job = self.cluster.job(job_ix)?;
         let (need, spread, half) = (job.need, job.spec.spread, job.spec.tasks.div_ceil(2));
@@ -261,11 +262,11 @@
         for &task in missing {
             // A gang is never interrupted; it counts for what comes after.
             self.take_step();
-            let pick = self.choose(job_ix, task, ranking, reserves, now, |z| {
+            let pick = self.choose(job_ix, task, ranking, headroom, now, |z| {
                 only.is_none_or(|o| o == z) && (!spread || per_zone[z] < half)
             });
             let Some(choice) = pick else { break };
-            self.take_reserve(reserves, choice.machine, &need);
+            self.take_headroom(headroom, choice.machine, &need);
             trial.push(self.scheduling.fleet.take(ranking, choice.machine));
             per_zone[choice.zone] += 1;
             chosen.push(choice);
@@ -280,20 +281,27 @@
         job_ix: u32,
         chosen: &[Choice],
         only: Option<usize>,
-        now: Ms,
+        now: Millis,
     ) -> bool {
         let several = self.cluster.job(job_ix).is_some_and(|j| j.spec.tasks > 1);
         if several {
             let machines: Vec<u32> = chosen.iter().map(|c| c.machine).collect();
             return chosen.iter().any(|c| c.late)
-                && self.gang_room_with_image(job_ix, &machines, now);
+                && self.reserve_gang_where_image_is(job_ix, &machines, now);
         }
         let zone_ok = |z| only.is_none_or(|o| o == z);
         let one = chosen.first().copied();
-        one.is_some_and(|c| self.room_with_image(job_ix, c, now, zone_ok))
+        one.is_some_and(|c| self.reserve_where_image_is(job_ix, c, now, zone_ok))
     }
 
-    pub(super) fn start(&mut self, job_ix: u32, task: u32, machine: u32, attempt: u64, now: Ms) {
+    pub(super) fn start(
+        &mut self,
+        job_ix: u32,
+        task: u32,
+        machine: u32,
+        attempt: u64,
+        now: Millis,
+    ) {
         if log::log_enabled!(log::Level::Debug)
             && let (Some(j), Some(m)) = (self.cluster.job(job_ix), self.cluster.machine(machine))
         {
--- a/src/control/leader/victims.rs
+++ b/src/control/leader/victims.rs
@@ -33,47 +33,47 @@
     priority: Priority,
     /// Also what other teams run beyond their guarantees.
     beyond_guarantees: bool,
-    now: Ms,
+    now: Millis,
 }
 
 impl Leader {
     /// Jobs for which room is held, or being made.
-    pub(super) fn jobs_with_held_room(&self, now: Ms) -> HashSet<u32> {
+    pub(super) fn jobs_with_reservations(&self, now: Millis) -> HashSet<u32> {
         let held = self.cluster.each_machine().filter_map(|m| m.reserved_for);
         let held = held.filter(|(_, until)| now < *until);
         held.map(|(job, _)| job).collect()
     }
 
     /// Room is held for the job, or being made.
-    pub(super) fn holds_room(&self, job_ix: u32, now: Ms) -> bool {
+    pub(super) fn has_reservation(&self, job_ix: u32, now: Millis) -> bool {
         let held = |m: &Machine| m.is_reserved_for(job_ix, now);
         self.cluster.each_machine().any(held)
     }
 
     /// The machine on which the least work is lost by making room for a task.
-    pub(super) fn cheapest_room(
+    pub(super) fn cheapest_preemption(
         &self,
         job_ix: u32,
         priority: Priority,
-        now: Ms,
+        now: Millis,
         zone_ok: impl Fn(usize) -> bool,
     ) -> Option<Preemption> {
         let guaranteed = self.within_guarantee(self.cluster.job(job_ix)?, now);
         (self.cluster.machine_range())
             .filter(|ix| self.cluster.machine(*ix).is_some_and(|m| zone_ok(m.zone)))
-            .filter_map(|ix| self.room_on(ix, job_ix, priority, guaranteed, now))
+            .filter_map(|ix| self.preemption_on(ix, job_ix, priority, guaranteed, now))
             .filter(|r| !r.victims.is_empty())
             .min_by_key(|r| (r.fetch, r.lost))
     }
 
     /// Room for a task on one machine, at the least loss there.
-    pub(super) fn room_on(
+    pub(super) fn preemption_on(
         &self,
         ix: u32,
         job_ix: u32,
         priority: Priority,
         guaranteed: bool,
-        now: Ms,
+        now: Millis,
     ) -> Option<Preemption> {
         let job = self.cluster.job(job_ix)?;
         let m = self.cluster.machine(ix)?;
@@ -134,10 +134,10 @@
         }
         let lower = v.effective_priority < search.priority
             && v.spec.kind == Kind::Array
-            && !self.only_begins(v);
+            && !self.has_only_starvation_start(v);
         let beyond = search.beyond_guarantees
             && v.team != search.job.team
-            && search.now > a.since + SETTLED_IN
+            && search.now > a.since + MIN_USEFUL_RUN_MS
             && self.beyond_guarantee(v.team, &a.need, &search.job.need);
         if !lower && !beyond {
             return None;
@@ -158,11 +158,11 @@
     /// room on a machine that caches the image may be the lesser loss: the
     /// fetch leaves the task's share idle for as long. Returns whether the
     /// task is to wait for such room.
-    pub(super) fn room_with_image(
+    pub(super) fn reserve_where_image_is(
         &mut self,
         job_ix: u32,
         at: Choice,
-        now: Ms,
+        now: Millis,
         zone_ok: impl Fn(usize) -> bool,
     ) -> bool {
         if !at.late {
@@ -182,7 +182,7 @@
         if self.cluster.machine(at.machine).is_some_and(held) {
             return false;
         }
-        if self.holds_room(job_ix, now) {
+        if self.has_reservation(job_ix, now) {
             return true;
         }
         let rate = self.cluster.machine(at.machine).map_or(1.0, |m| {
@@ -193,7 +193,7 @@
             _ => WORTH,
         };
         let worth = fetch_worth(job, rate) + least;
-        let Some(room) = self.cheapest_room(job_ix, priority, now, zone_ok) else {
+        let Some(room) = self.cheapest_preemption(job_ix, priority, now, zone_ok) else {
             return false;
         };
         if room.fetch || room.lost as f64 > worth {
@@ -203,7 +203,7 @@
         true
     }
 
-    pub(super) fn preempt(&mut self, job_ix: u32, room: Preemption, now: Ms) {
+    pub(super) fn preempt(&mut self, job_ix: u32, room: Preemption, now: Millis) {
         let id = self.cluster.job(job_ix).map(|j| j.id.clone());
         self.set_reason(job_ix, Reason::RoomBeingMade);
         self.events.tally.preempted += room.victims.len() as u64;
@@ -218,15 +218,15 @@
                 id.unwrap_or_default()
             );
         }
-        m.reserved_for = Some((job_ix, now + HELD));
+        m.reserved_for = Some((job_ix, now + RESERVATION_MS));
         for at in room.victims {
-            self.stop_orderly(room.machine, at);
+            self.stop_gracefully(room.machine, at);
         }
     }
 
     /// Tells a task to stop, with the time it needs to save; a gang is told
     /// as a whole, or the save would fail.
-    pub(super) fn stop_orderly(&mut self, machine: u32, at: usize) {
+    pub(super) fn stop_gracefully(&mut self, machine: u32, at: usize) {
         let Some(a) = self.cluster.machine(machine).and_then(|m| m.tasks.get(at)) else {
             return;
         };
@@ -255,7 +255,7 @@
 
     /// Whether the team's unfinished work all fits its guarantee, and this job
     /// has waited a while although it must not wait for other teams.
-    pub(super) fn within_guarantee(&self, job: &Job, now: Ms) -> bool {
+    pub(super) fn within_guarantee(&self, job: &Job, now: Millis) -> bool {
         let within = self
             .settings
             .cluster
--- a/src/control/leader/zone_health.rs
+++ b/src/control/leader/zone_health.rs
@@ -5,21 +5,21 @@
 /// A zone that fell silent gets nothing new for this long, unless something
 /// in it is heard before. Where a controller stands, the end of a cut shows
 /// in that; elsewhere only a new machine can tell.
-const UNREACHABLE_ZONE_MS: Ms = 60_000;
-const UNREACHABLE_WATCHED_ZONE_MS: Ms = 300_000;
+const UNREACHABLE_ZONE_MS: Millis = 60_000;
+const UNREACHABLE_WATCHED_ZONE_MS: Millis = 300_000;
 /// So many machines must be silent at once to speak for their zone.
 const MIN_SILENT_MACHINES: u32 = 2;
 
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ZoneHealth {
     /// When a worker or a controller in it was last heard.
-    last_heartbeat: Ms,
-    unreachable_until: Ms,
+    last_heartbeat: Millis,
+    unreachable_until: Millis,
 }
 
 impl ZoneHealth {
     /// A new leader gives each zone the benefit of the doubt.
-    pub(super) fn since(now: Ms) -> Self {
+    pub(super) fn since(now: Millis) -> Self {
         ZoneHealth {
             last_heartbeat: now,
             unreachable_until: 0,
@@ -29,7 +29,7 @@
 
 impl Leader {
     /// A worker or a controller in the zone was heard.
-    pub(super) fn zone_responded(&mut self, zone: usize, now: Ms) {
+    pub(super) fn zone_responded(&mut self, zone: usize, now: Millis) {
         if self.scaling.zone_health.len() <= zone {
             self.scaling
                 .zone_health
@@ -39,7 +39,7 @@
     }
 
     /// Another controller answered.
-    pub fn controller_responded(&mut self, zone: &str, now: Ms) {
+    pub fn controller_responded(&mut self, zone: &str, now: Millis) {
         if let Some(zone) = self.cluster.zones.find(zone) {
             self.zone_responded(zone, now);
         }
@@ -47,7 +47,7 @@
 
     /// Several machines of a zone are silent, nothing else in it is heard,
     /// and this node does not stand there itself: it is cut off.
-    pub(super) fn update_zone_health(&mut self, silent: &[u32], overdue: Ms, now: Ms) {
+    pub(super) fn update_zone_health(&mut self, silent: &[u32], overdue: Millis, now: Millis) {
         let home = self.cluster.zones.find(&self.settings.zone);
         for (zone, n) in silent.iter().enumerate() {
             let Some(life) = self.scaling.zone_health.get_mut(zone) else {
@@ -74,7 +74,7 @@
     /// Guards against renting, at the users' cost, machines that can't be
     /// reached: with one zone cut off its capacity is all that is left, and
     /// was rented whole.
-    pub(super) fn is_zone_unreachable(&self, zone: usize, now: Ms) -> bool {
+    pub(super) fn is_zone_unreachable(&self, zone: usize, now: Millis) -> bool {
         self.scaling
             .zone_health
             .get(zone)
--- a/src/control/placement/fleet.rs
+++ b/src/control/placement/fleet.rs
@@ -7,7 +7,7 @@
 //! last used. So choosing a machine costs what has changed, not what there is.
 
 use super::{Policy, fragmentation, free_counts::FreeCounts, load};
-use crate::state::{Ms, resources::Resources};
+use crate::state::{Millis, resources::Resources};
 use rustc_hash::FxHashMap;
 use std::{
     cell::RefCell,
@@ -18,9 +18,9 @@
 /// Rankings that are kept; the one unused for longest makes room.
 const MOST_RANKINGS: usize = 24;
 /// A ranking unused for so long is dropped, in milliseconds.
-const RANKING_IDLE: Ms = 30_000;
+const RANKING_IDLE: Millis = 30_000;
 /// How long a machine must have been empty to count as surplus.
-pub const SURPLUS: Ms = 3_000;
+pub const SURPLUS: Millis = 3_000;
 /// Costs that are remembered; past that all are forgotten.
 const MOST_COSTS: usize = 8_192;
 /// Added to a machine's rank: it is about to be returned, or its fetch would
@@ -30,7 +30,7 @@
 
 /// A machine as placement sees it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Room {
+pub struct MachineView {
     pub type_ix: usize,
     pub zone: usize,
     pub spot: bool,
@@ -39,7 +39,7 @@
     /// Images that it caches.
     pub images: Vec<u32>,
     /// Since when it has been empty, if it is.
-    pub idle_since: Option<Ms>,
+    pub idle_since: Option<Millis>,
 }
 
 /// What a job asks of a machine. Jobs with equal requests share a ranking.
@@ -108,7 +108,7 @@
 
 #[derive(Debug)]
 struct Slot {
-    room: Room,
+    room: MachineView,
     /// Kept for a gang that waits: not part of `room.free` any more.
     withheld: Resources,
     surplus: bool,
@@ -123,7 +123,7 @@
     keys: Vec<Option<(usize, Key)>>,
     /// Changes up to here have been taken in.
     position: u64,
-    used: Ms,
+    used: Millis,
 }
 
 impl Ranking {
@@ -171,7 +171,7 @@
     log: VecDeque<u32>,
     dropped: u64,
     /// Empty machines that are going to be surplus.
-    soon_surplus: BTreeSet<(Ms, u32)>,
+    soon_surplus: BTreeSet<(Millis, u32)>,
     /// By type, zone and kind.
     free_counts: BTreeMap<(usize, usize, bool), FreeCounts>,
     withheld: BTreeSet<u32>,
@@ -215,20 +215,20 @@
         self.capacity
     }
 
-    pub fn room(&self, machine: u32) -> Option<&Room> {
+    pub fn machine_view(&self, machine: u32) -> Option<&MachineView> {
         let slot = self.slots.get(machine as usize)?.as_ref()?;
         Some(&slot.room)
     }
 
     /// Usable machines, by index.
-    pub fn rooms(&self) -> impl Iterator<Item = (u32, &Room)> {
+    pub fn machine_views(&self) -> impl Iterator<Item = (u32, &MachineView)> {
         let slots = self.slots.iter().enumerate();
         slots.filter_map(|(index, slot)| Some((index as u32, &slot.as_ref()?.room)))
     }
 
     /// The machine is as `room` says, without what is withheld on it; `None`:
     /// nothing may be placed on it.
-    pub fn set(&mut self, machine: u32, room: Option<Room>, now: Ms) {
+    pub fn set(&mut self, machine: u32, room: Option<MachineView>, now: Millis) {
         let index = machine as usize;
         if self.slots.len() <= index {
             self.slots.resize_with(index + 1, || None);
@@ -261,7 +261,12 @@
 
     /// The same, but room that the machine has gained is left out. Returns
     /// whether it has gained any.
-    pub fn set_without_gain(&mut self, machine: u32, room: Option<Room>, now: Ms) -> bool {
+    pub fn set_without_gain(
+        &mut self,
+        machine: u32,
+        room: Option<MachineView>,
+        now: Millis,
+    ) -> bool {
         let Some(mut room) = room else {
             self.set(machine, None, now);
             return false;
@@ -316,7 +321,7 @@
     }
 
     /// Time has passed: machines that have been empty for a while are surplus.
-    pub fn advance(&mut self, now: Ms) {
+    pub fn advance(&mut self, now: Millis) {
         while let Some(&(due, machine)) = self.soon_surplus.first()
             && due <= now
         {
@@ -339,7 +344,7 @@
     }
 
     /// The ranking for a request, as things stand.
-    pub fn ranking(&mut self, request: &Request, now: Ms) -> RankingId {
+    pub fn ranking(&mut self, request: &Request, now: Millis) -> RankingId {
         let idle = |r: &Ranking| r.used + RANKING_IDLE < now;
         self.rankings.retain(|r| r.request == *request || !idle(r));
         let known = self.rankings.iter().position(|r| r.request == *request);
@@ -351,7 +356,7 @@
         RankingId(self.rankings.len() - 1)
     }
 
-    fn add_ranking(&mut self, request: &Request, now: Ms) -> usize {
+    fn add_ranking(&mut self, request: &Request, now: Millis) -> usize {
         if self.rankings.len() >= MOST_RANKINGS {
             let oldest = self.rankings.iter().enumerate().min_by_key(|(_, r)| r.used);
             if let Some(index) = oldest.map(|(index, _)| index) {
@@ -427,7 +432,7 @@
         rank: u32,
         fetches_image: bool,
     ) -> Option<Key> {
-        let room = self.room(machine)?;
+        let room = self.machine_view(machine)?;
         if !request.need.fits(&room.free) {
             return None;
         }
@@ -459,11 +464,11 @@
         id: RankingId,
         zone_ok: impl Fn(usize) -> bool,
         last: impl Fn(u32) -> bool,
-        allowed: impl Fn(u32, &Room) -> bool,
+        allowed: impl Fn(u32, &MachineView) -> bool,
     ) -> Option<Choice> {
         let ranking = self.rankings.get(id.0)?;
         let admits = |key: &Key| {
-            self.room(key.machine)
+            self.machine_view(key.machine)
                 .is_some_and(|room| allowed(key.machine, room))
         };
         let first = |key: &Key| !last(key.machine) && admits(key);
@@ -476,7 +481,9 @@
     }
 
     fn is_late(&self, request: &Request, machine: u32) -> bool {
-        let late = self.room(machine).map(|r| request.late.get(r.type_ix));
+        let late = self
+            .machine_view(machine)
+            .map(|r| request.late.get(r.type_ix));
         late.flatten().copied().unwrap_or(false)
     }
 
--- a/src/control/reconciliation.rs
+++ b/src/control/reconciliation.rs
@@ -7,7 +7,7 @@
         workers::{Command, ExitReason, Heartbeat, TaskState, parse_task_name},
     },
     state::{
-        Ms,
+        Millis,
         cluster::{ClusterState, NONE, Phase, Placement},
     },
 };
@@ -27,7 +27,7 @@
     pub started_jobs: Vec<u32>,
     /// Jobs of tasks that are seen to run or have completed, and when those
     /// were started.
-    pub confirmed_running: Vec<(u32, Ms)>,
+    pub confirmed_running: Vec<(u32, Millis)>,
     /// Starts given in an answer that the machine did not get.
     pub lost_commands: u32,
     /// The machine's lease has ended since it was last heard.
@@ -56,7 +56,7 @@
     report: &Heartbeat,
     term_floor: u64,
     beat: bool,
-    now: Ms,
+    now: Millis,
 ) -> HeartbeatEffects {
     let mut effects = HeartbeatEffects::default();
     let Some(m) = cluster.machine_mut(ix) else {
@@ -115,7 +115,7 @@
     }
     let notice = report
         .reclaim_in_s
-        .map(|s| now + (s.max(0.0) * 1000.0) as Ms);
+        .map(|s| now + (s.max(0.0) * 1000.0) as Millis);
     if notice.is_some() && m.reclaim_at.is_none() {
         effects.cluster_changed = true;
     }
@@ -263,7 +263,7 @@
 }
 
 /// A task that an earlier leader started.
-fn adopt(cluster: &mut ClusterState, ix: u32, name: &str, attempt: u64, phase: Phase, now: Ms) {
+fn adopt(cluster: &mut ClusterState, ix: u32, name: &str, attempt: u64, phase: Phase, now: Millis) {
     let known = parse_task_name(name).and_then(|(id, task)| Some((cluster.job_index(id)?, task)));
     let Some((job_ix, task)) = known else {
         cluster.assign_orphan(ix, name, attempt, phase, now);
--- a/src/control/requests/cancel.rs
+++ b/src/control/requests/cancel.rs
@@ -3,16 +3,16 @@
 use super::*;
 
 /// How long the record is waited for, less than users wait.
-const PATIENCE: Ms = 1_500;
+const PATIENCE: Millis = 1_500;
 /// About as long as a write takes.
-const PAUSE: Ms = 15;
+const PAUSE: Millis = 15;
 
 #[derive(Debug, Default)]
-pub(super) struct Withdraw {
-    began: Option<Ms>,
+pub(super) struct Cancel {
+    began: Option<Millis>,
 }
 
-impl Withdraw {
+impl Cancel {
     pub(super) fn step(
         &mut self,
         id: &str,
@@ -31,7 +31,7 @@
             },
             Event::Forwarded(Some(answer)) => Next::Answer(answer),
             Event::Forwarded(None) => Next::Answer(Answer::later(NO_LEADER)),
-            Event::Looked(found) => match (looked(id, found, view), view.acts) {
+            Event::LookupResults(found) => match (looked(id, found, view), view.may_act) {
                 (_, false) => Next::Answer(Answer::later(LOST)),
                 (Ok(Some(status)), _) if status.state.is_final() => {
                     Next::Answer(Answer::known(status))
@@ -50,13 +50,13 @@
             return Next::Answer(Answer::later(LOST));
         };
         // Its end is on its way to the record: that is waited for.
-        if l.is_closing(id) {
+        if l.is_ending(id) {
             return self.mark(id, view);
         }
-        match l.told(id) {
+        match l.answerable_status(id) {
             Some(status) if status.state.is_final() => Next::Answer(Answer::known(status)),
             Some(_) => self.mark(id, view),
-            None if l.is_withheld(id) => Next::Answer(Answer::later(WITHHELD)),
+            None if l.is_cancelled_with_dependency(id) => Next::Answer(Answer::later(WITHHELD)),
             None => Next::Look(vec![id.to_owned()]),
         }
     }
--- a/src/control/requests/mod.rs
+++ b/src/control/requests/mod.rs
@@ -20,7 +20,7 @@
 mod view;
 
 pub use poll::polled;
-pub use provenance::{Basis, Reading, Source};
+pub use provenance::{Provenance, Reading, Source};
 pub use request::Request;
 pub use view::NodeView;
 
@@ -33,7 +33,7 @@
         users::{JobSpec, JobState, JobStatus, is_valid_job_id},
     },
     state::{
-        Ms,
+        Millis,
         records::{FinalRecord, JobRecord},
     },
 };
@@ -54,7 +54,7 @@
 }
 
 /// By job; one that is missing was never accepted.
-pub type Looked = HashMap<String, Result<Found, String>>;
+pub type LookupResults = HashMap<String, Result<Found, String>>;
 
 /// What came of a transaction.
 #[derive(Debug, Clone, PartialEq)]
@@ -134,14 +134,14 @@
 pub enum Event {
     Begin,
     /// The leader's word on a polled job.
-    Told(Reading),
+    LeaderReplied(Reading),
     /// The polled job's state by the records.
     Read(Result<Reading, String>),
     /// The leader's answer. `None`: there is none.
     Forwarded(Option<Answer>),
     /// Whether every controller runs this version.
     Versions(bool),
-    Looked(Looked),
+    LookupResults(LookupResults),
     Wrote(TxnResult),
     /// The write was not begun: over the budget.
     OverBudget,
@@ -168,11 +168,15 @@
     Look(Vec<String>),
     /// Whether it may wait for the budget of changes.
     Write(Txn, bool),
-    Wait(Ms),
+    Wait(Millis),
 }
 
 /// One look at how the job stands, by the one job that was looked up.
-fn looked(id: &str, mut looked: Looked, view: &mut NodeView) -> Result<Option<JobStatus>, Answer> {
+fn looked(
+    id: &str,
+    mut looked: LookupResults,
+    view: &mut NodeView,
+) -> Result<Option<JobStatus>, Answer> {
     match looked.remove(id) {
         Some(Ok(found)) => Ok(view.learn(id, found)),
         Some(Err(e)) => Err(Answer::unread(&e)),
--- a/src/control/requests/poll.rs
+++ b/src/control/requests/poll.rs
@@ -6,7 +6,7 @@
     match event {
         Event::Begin if id.is_empty() => Next::Answer(Answer::Refused(404, NO_SUCH.into())),
         Event::Begin => begin(id, view),
-        Event::Told(reading) => match reading.status {
+        Event::LeaderReplied(reading) => match reading.status {
             Some(status) => Next::Answer(Answer::known(status)),
             None => Next::ReadState,
         },
@@ -26,9 +26,9 @@
     let Some(l) = view.acting() else {
         return Next::AskLeader;
     };
-    match l.loaded().then(|| l.told(id)).flatten() {
+    match l.loaded().then(|| l.answerable_status(id)).flatten() {
         Some(status) => Next::Answer(Answer::known(status)),
-        None if l.is_withheld(id) => Next::Answer(Answer::later(WITHHELD)),
+        None if l.is_cancelled_with_dependency(id) => Next::Answer(Answer::later(WITHHELD)),
         // It leads, and only the records can tell.
         None => Next::ReadState,
     }
@@ -39,7 +39,7 @@
     let now = view.now;
     let l = view.acting().filter(|l| l.loaded())?;
     let known = |id: &String| {
-        l.tellable_by_peers(id, now)
+        l.answerable_by_peers(id, now)
             .map(|s| (s.state, s.done, s.running))
     };
     Some(ids.iter().map(known).collect())
--- a/src/control/requests/provenance.rs
+++ b/src/control/requests/provenance.rs
@@ -2,14 +2,14 @@
 //! when.
 
 use super::{Event, Found};
-use crate::{protocol::users::JobStatus, state::Ms};
+use crate::{protocol::users::JobStatus, state::Millis};
 
 /// A job's state as another node or the state service gave it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Reading {
     /// When the read was begun, by this node's clock: older than that it is
     /// not.
-    pub began: Ms,
+    pub started_at: Millis,
     /// `None`: the leader can't say, or no record stands.
     pub status: Option<JobStatus>,
     /// Version of the record that it was read from.
@@ -18,9 +18,9 @@
 
 impl Reading {
     /// Nothing could be learned.
-    pub fn nothing(began: Ms) -> Self {
+    pub fn nothing(began: Millis) -> Self {
         Reading {
-            began,
+            started_at: began,
             status: None,
             version: None,
         }
@@ -55,25 +55,25 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Basis {
+pub struct Provenance {
     pub source: Source,
     /// When the read was begun, by this node's clock.
-    pub read_at: Ms,
+    pub read_at: Millis,
     /// Revision of the record or write, where it is known.
     pub revision: Option<u64>,
 }
 
-impl Basis {
-    pub(super) fn memory(now: Ms) -> Basis {
-        Basis {
+impl Provenance {
+    pub(super) fn memory(now: Millis) -> Provenance {
+        Provenance {
             source: Source::Memory,
             read_at: now,
             revision: None,
         }
     }
 
-    pub(super) fn picture(now: Ms) -> Basis {
-        Basis {
+    pub(super) fn picture(now: Millis) -> Provenance {
+        Provenance {
             source: Source::Picture,
             read_at: now,
             revision: None,
@@ -82,17 +82,17 @@
 
     /// What an answer rests on that is made of this event, where what it came
     /// of was asked for at `asked`.
-    pub(super) fn of(event: &Event, asked: Ms, leads: bool, now: Ms) -> Basis {
-        let basis = |source, read_at, revision| Basis {
+    pub(super) fn of(event: &Event, asked: Millis, leads: bool, now: Millis) -> Provenance {
+        let basis = |source, read_at, revision| Provenance {
             source,
             read_at,
             revision,
         };
         match event {
-            Event::Told(reading) => basis(Source::Leader, reading.began, None),
-            Event::Read(Ok(reading)) => basis(Source::Record, reading.began, reading.version),
+            Event::LeaderReplied(reading) => basis(Source::Leader, reading.started_at, None),
+            Event::Read(Ok(reading)) => basis(Source::Record, reading.started_at, reading.version),
             Event::Forwarded(_) => basis(Source::Leader, asked, None),
-            Event::Looked(found) => {
+            Event::LookupResults(found) => {
                 let version = found.values().find_map(|f| match f {
                     Ok(Found::Live(_, version) | Found::Final(_, version)) => Some(*version),
                     _ => None,
@@ -102,12 +102,12 @@
             Event::Wrote(super::TxnResult::Done(version)) => {
                 basis(Source::Write, asked, Some(*version))
             }
-            _ if leads => Basis::picture(now),
-            _ => Basis::memory(now),
+            _ if leads => Provenance::picture(now),
+            _ => Provenance::memory(now),
         }
     }
 
-    pub fn age(&self, now: Ms) -> Ms {
+    pub fn age(&self, now: Millis) -> Millis {
         now.saturating_sub(self.read_at)
     }
 }
--- a/src/control/requests/request.rs
+++ b/src/control/requests/request.rs
@@ -3,14 +3,14 @@
 use super::*;
 
 /// See `Request::forward_limit`.
-const FORWARD: Ms = 800;
-const FORWARD_WITHDRAWAL: Ms = 2_000;
+const FORWARD_TIMEOUT_MS: Millis = 800;
+const FORWARD_CANCELLATION_TIMEOUT_MS: Millis = 2_000;
 
 #[derive(Debug)]
 enum Work {
     Poll,
     Submit(Box<submit::Submit>),
-    Withdraw(cancel::Withdraw),
+    Cancel(cancel::Cancel),
     Settle(settle::Settle),
 }
 
@@ -24,13 +24,13 @@
     work: Work,
     /// When something was last asked for elsewhere, and the term in which this
     /// node led then.
-    asked: Ms,
-    asked_in: Option<u64>,
+    requested_at: Millis,
+    requested_in_term: Option<u64>,
     /// What the last answer rests on.
-    basis: Basis,
+    provenance: Provenance,
     check: Check,
     /// Readings that were too old as they came.
-    stale: u32,
+    stale_reads: u32,
 }
 
 /// What is seen to before an answer is given.
@@ -45,7 +45,7 @@
 }
 
 /// So many readings may be too old.
-pub(super) const MOST_STALE: u32 = 3;
+pub(super) const MAX_STALE_READS: u32 = 3;
 const SLOW: &str = "its state could not be read in time";
 
 impl Request {
@@ -55,11 +55,11 @@
             id,
             forwarded,
             work,
-            asked: 0,
-            asked_in: None,
-            basis: Basis::default(),
+            requested_at: 0,
+            requested_in_term: None,
+            provenance: Provenance::default(),
             check: Check::None,
-            stale: 0,
+            stale_reads: 0,
         }
     }
 
@@ -77,12 +77,12 @@
         Self::of(&id, forwarded, work)
     }
 
-    pub fn withdraw(id: &str, forwarded: bool) -> Request {
-        Self::of(id, forwarded, Work::Withdraw(Default::default()))
+    pub fn cancel(id: &str, forwarded: bool) -> Request {
+        Self::of(id, forwarded, Work::Cancel(Default::default()))
     }
 
     /// What remains to be done once this is answered.
-    pub fn left(&self) -> Option<Request> {
+    pub fn unfinished_work(&self) -> Option<Request> {
         let (term, id) = match &self.work {
             Work::Submit(s) => (s.unsettled()?, self.id.as_deref()?),
             _ => return None,
@@ -97,16 +97,16 @@
     }
 
     /// What the answer rests on that was given last.
-    pub fn basis(&self) -> Basis {
-        self.basis
+    pub fn provenance(&self) -> Provenance {
+        self.provenance
     }
 
     /// For how long the leader's answer to it is waited for, where it is passed
     /// on. A withdrawal's record is waited for, and then held back.
-    pub fn forward_limit(&self) -> Ms {
+    pub fn forward_limit(&self) -> Millis {
         match self.work {
-            Work::Withdraw(_) => FORWARD_WITHDRAWAL,
-            _ => FORWARD,
+            Work::Cancel(_) => FORWARD_CANCELLATION_TIMEOUT_MS,
+            _ => FORWARD_TIMEOUT_MS,
         }
     }
 
@@ -116,30 +116,30 @@
     }
 
     pub fn step(&mut self, event: Event, view: &mut NodeView) -> Next {
-        self.basis = Basis::of(&event, self.asked, view.acts, view.now);
-        view.read_in = self.asked_in;
+        self.provenance = Provenance::of(&event, self.requested_at, view.may_act, view.now);
+        view.read_term = self.requested_in_term;
         let next = match std::mem::take(&mut self.check) {
-            Check::None => self.go_on(event, view),
+            Check::None => self.advance(event, view),
             Check::Held(answer) => Next::Answer(answer),
             Check::Reread(answer) => Next::Answer(reread(answer, event)),
         };
         let next = match next {
-            Next::Answer(answer) => self.give(answer, view),
+            Next::Answer(answer) => self.finish(answer, view),
             next => next,
         };
         if !matches!(next, Next::Answer(_)) {
-            self.asked = view.now;
-            self.asked_in = view.acting_term();
+            self.requested_at = view.now;
+            self.requested_in_term = view.acting_term();
         }
         next
     }
 
-    fn go_on(&mut self, event: Event, view: &mut NodeView) -> Next {
+    fn advance(&mut self, event: Event, view: &mut NodeView) -> Next {
         let id = self.id.clone().unwrap_or_default();
         match &mut self.work {
             Work::Poll => poll::step(&id, event, view),
             Work::Submit(s) => s.step(&id, self.forwarded, event, view),
-            Work::Withdraw(w) => w.step(&id, self.forwarded, event, view),
+            Work::Cancel(w) => w.step(&id, self.forwarded, event, view),
             Work::Settle(s) => s.step(&id, event, view),
         }
     }
@@ -148,12 +148,12 @@
     /// time at which an end is told first, every node has given the older
     /// answers that it may have read. Guards against one of those that is
     /// given by another node after the end.
-    fn give(&mut self, answer: Answer, view: &mut NodeView) -> Next {
-        let answer = self.last_look(answer, view);
+    fn finish(&mut self, answer: Answer, view: &mut NodeView) -> Next {
+        let answer = self.check_latest(answer, view);
         match &answer {
             Answer::Later(_) => Next::Answer(answer),
             Answer::State(_, status) if status.state.is_final() => {
-                match view.held_for(status, self.basis.source) {
+                match view.held_for(status, self.provenance.source) {
                     0 => Next::Answer(answer),
                     left => {
                         self.check = Check::Held(answer);
@@ -161,24 +161,24 @@
                     }
                 }
             }
-            _ if self.id.is_none() || self.basis.age(view.now) <= MAX_READING_AGE_MS => {
+            _ if self.id.is_none() || self.provenance.age(view.now) <= MAX_READING_AGE_MS => {
                 Next::Answer(answer)
             }
-            _ => self.too_old(answer, view),
+            _ => self.read_again(answer, view),
         }
     }
 
     /// Its reading took too long: read it once more, a few times at most.
-    fn too_old(&mut self, answer: Answer, view: &mut NodeView) -> Next {
+    fn read_again(&mut self, answer: Answer, view: &mut NodeView) -> Next {
         let id = self.id.as_deref().unwrap_or_default();
         let led = view.acting().filter(|l| l.loaded());
-        if let Some(status) = led.and_then(|l| l.told(id)) {
-            self.basis = Basis::picture(view.now);
+        if let Some(status) = led.and_then(|l| l.answerable_status(id)) {
+            self.provenance = Provenance::picture(view.now);
             let answer = answer.with(status);
-            return self.give(answer, view);
+            return self.finish(answer, view);
         }
-        self.stale += 1;
-        if self.stale > MOST_STALE {
+        self.stale_reads += 1;
+        if self.stale_reads > MAX_STALE_READS {
             return Next::Answer(Answer::later(SLOW));
         }
         self.check = Check::Reread(answer);
@@ -187,7 +187,7 @@
 
     /// As late as can be. Guards against an answer that was read, or relayed,
     /// before the job ended, and is given after this node has told that end.
-    fn last_look(&mut self, answer: Answer, view: &mut NodeView) -> Answer {
+    fn check_latest(&mut self, answer: Answer, view: &mut NodeView) -> Answer {
         let Some(id) = self.id.as_deref() else {
             return answer;
         };
@@ -197,12 +197,12 @@
             Answer::State(..) => view.end_of(id),
             // It may have been accepted while the records were read.
             Answer::Refused(..) => {
-                let led = view.acting().and_then(|l| l.told(id));
+                let led = view.acting().and_then(|l| l.answerable_status(id));
                 led.or_else(|| view.end_of(id))
             }
         };
         if told.is_some() {
-            self.basis = Basis::memory(view.now);
+            self.provenance = Provenance::memory(view.now);
         }
         told.map_or(answer, Answer::known)
     }
--- a/src/control/requests/settle.rs
+++ b/src/control/requests/settle.rs
@@ -5,7 +5,7 @@
 use super::*;
 
 /// Pauses before each look.
-const PAUSES: [Ms; 4] = [2_000, 4_000, 8_000, 16_000];
+const PAUSES: [Millis; 4] = [2_000, 4_000, 8_000, 16_000];
 
 #[derive(Debug)]
 pub(super) struct Settle {
@@ -28,7 +28,7 @@
             Event::Begin => self.pause(),
             Event::Waited if l.status(id).is_some() => Next::Over,
             Event::Waited => Next::Look(vec![id.to_owned()]),
-            Event::Looked(mut found) => match found.remove(id) {
+            Event::LookupResults(mut found) => match found.remove(id) {
                 Some(Ok(Found::Live(record, version))) => {
                     log::info!("job {id} was accepted late");
                     l.accepted(*record, version, now);
--- a/src/control/requests/submit.rs
+++ b/src/control/requests/submit.rs
@@ -80,15 +80,17 @@
             (At::Forwarded, Event::Forwarded(Some(answer))) => Next::Answer(answer),
             (At::Forwarded, Event::Forwarded(None)) => self.alone(id, view),
             (_, Event::OverBudget) => Next::Answer(Answer::later(BUSY)),
-            (_, Event::Looked(_)) if self.led && !view.acts => Next::Answer(Answer::later(LOST)),
-            (At::Known(otherwise), Event::Looked(found)) => {
+            (_, Event::LookupResults(_)) if self.led && !view.may_act => {
+                Next::Answer(Answer::later(LOST))
+            }
+            (At::Known(otherwise), Event::LookupResults(found)) => {
                 Next::Answer(match looked(id, found, view) {
                     Ok(Some(status)) => Answer::known(status),
                     Ok(None) => otherwise,
                     Err(answer) => answer,
                 })
             }
-            (At::Needs, Event::Looked(found)) => self.needs_found(id, found, view),
+            (At::Needs, Event::LookupResults(found)) => self.needs_found(id, found, view),
             (At::SpecChunks(term, pieces, left), Event::Wrote(TxnResult::Done(_))) => {
                 self.piece(term, pieces, left, true, view)
             }
@@ -104,7 +106,7 @@
         if let Some(status) = view.end_of(id) {
             return Next::Answer(Answer::known(status));
         }
-        self.led = view.acts && view.leader.is_some();
+        self.led = view.may_act && view.leader.is_some();
         let (led, upgraded) = (self.led, view.upgraded);
         match view.acting().map(|l| l.loaded()) {
             Some(false) => return Next::Answer(Answer::later(UNREAD)),
@@ -132,7 +134,7 @@
     fn refusal(&self, view: &NodeView) -> Option<Answer> {
         match &self.parsed {
             Err(e) => Some(Answer::Refused(400, e.clone())),
-            Ok(spec) => admission::never_runs(view.settings, view.types, spec)
+            Ok(spec) => admission::reject_reason(view.settings, view.types, spec)
                 .map(|why| Answer::Refused(422, why)),
         }
     }
@@ -144,10 +146,10 @@
             let Some(l) = view.acting() else {
                 return Next::Answer(Answer::later(LOST));
             };
-            if let Some(status) = l.told(id) {
+            if let Some(status) = l.answerable_status(id) {
                 return Next::Answer(Answer::known(status));
             }
-            if l.is_withheld(id) {
+            if l.is_cancelled_with_dependency(id) {
                 return Next::Answer(Answer::later(WITHHELD));
             }
         }
@@ -159,7 +161,7 @@
     }
 
     fn led_by(&mut self, id: &str, view: &mut NodeView) -> Next {
-        if let Some(status) = view.acting().and_then(|l| l.told(id)) {
+        if let Some(status) = view.acting().and_then(|l| l.answerable_status(id)) {
             return Next::Answer(Answer::known(status));
         }
         if self.parsed.is_ok() && view.types.is_empty() {
@@ -196,7 +198,7 @@
         }
     }
 
-    fn needs_found(&mut self, id: &str, mut found: Looked, view: &mut NodeView) -> Next {
+    fn needs_found(&mut self, id: &str, mut found: LookupResults, view: &mut NodeView) -> Next {
         let Ok(spec) = &self.parsed else {
             return Next::Answer(Answer::later(LOST));
         };
--- a/src/control/requests/tests.rs
+++ b/src/control/requests/tests.rs
@@ -32,14 +32,14 @@
 
 fn reading(state: Option<JobState>) -> Reading {
     Reading {
-        began: 0,
+        started_at: 0,
         status: state.map(status),
         version: None,
     }
 }
 
 fn told(state: Option<JobState>) -> Event {
-    Event::Told(reading(state))
+    Event::LeaderReplied(reading(state))
 }
 
 /// At a node that does not lead.
@@ -48,19 +48,24 @@
 }
 
 /// The same at a time.
-fn step_at(now: Ms, request: &mut Request, event: Event, final_states: &mut FinalStates) -> Next {
+fn step_at(
+    now: Millis,
+    request: &mut Request,
+    event: Event,
+    final_states: &mut FinalStates,
+) -> Next {
     request.step(
         event,
         &mut NodeView {
             leader: None,
-            acts: false,
+            may_act: false,
             final_states,
             settings: &settings(),
             types: &[],
             upgraded: true,
             now,
             wall_ms: 0,
-            read_in: None,
+            read_term: None,
         },
     )
 }
@@ -77,7 +82,7 @@
 #[test]
 fn an_answer_that_was_overtaken_on_its_way_is_not_given() {
     let ended =
-        |final_states: &mut FinalStates| final_states.remember(&status(JobState::Cancelled), 0);
+        |final_states: &mut FinalStates| final_states.insert(&status(JobState::Cancelled), 0);
     for relayed in [true, false] {
         let mut final_states = FinalStates::default();
         let mut poll = Request::poll(ID);
@@ -127,7 +132,7 @@
     for mut request in [
         Request::poll(ID),
         Request::submit(body.as_bytes(), false),
-        Request::withdraw(ID, false),
+        Request::cancel(ID, false),
     ] {
         let next = step(&mut request, Event::Begin, &mut final_states);
         assert_eq!(state_of(next), JobState::Done);
@@ -137,7 +142,7 @@
 #[test]
 fn what_is_no_ref_is_no_job_and_nobody_is_asked() {
     let mut final_states = FinalStates::default();
-    for mut request in [Request::poll("j-1"), Request::withdraw("j-1", false)] {
+    for mut request in [Request::poll("j-1"), Request::cancel("j-1", false)] {
         let next = step(&mut request, Event::Begin, &mut final_states);
         assert!(matches!(next, Next::Answer(Answer::Refused(404, _))));
     }
@@ -160,9 +165,9 @@
 }
 
 /// The record as it was read at that time.
-fn read_at(began: Ms, state: JobState) -> Event {
+fn read_at(began: Millis, state: JobState) -> Event {
     Event::Read(Ok(Reading {
-        began,
+        started_at: began,
         ..reading(Some(state))
     }))
 }
@@ -195,7 +200,7 @@
     let mut poll = Request::poll(ID);
     step_at(0, &mut poll, Event::Begin, &mut final_states);
     let (mut now, mut event) = (0, told(Some(JobState::Running)));
-    for _ in 0..request::MOST_STALE {
+    for _ in 0..request::MAX_STALE_READS {
         now += 2 * MAX_READING_AGE_MS;
         let next = step_at(now, &mut poll, event, &mut final_states);
         assert!(matches!(next, Next::ReadState), "{next:?}");
--- a/src/control/safety_bounds.rs
+++ b/src/control/safety_bounds.rs
@@ -2,47 +2,47 @@
 //! count some of them: between two machines steady clocks drift apart by up to
 //! 0.05%, so a span is taken longer or shorter by more than that.
 
-use crate::{protocol::settings::Workers, state::Ms};
+use crate::{protocol::settings::Workers, state::Millis};
 
 /// Timers fire late.
-const TIMER_MARGIN_MS: Ms = 150;
+const TIMER_MARGIN_MS: Millis = 150;
 /// A worker takes an answer for so long after it sent its report.
-pub const RESPONSE_TIMEOUT_MS: Ms = 4_000;
+pub const RESPONSE_TIMEOUT_MS: Millis = 4_000;
 
 /// A state that is not final leaves a node no later than this after its reading
 /// was begun.
-pub const MAX_READING_AGE_MS: Ms = 500;
+pub const MAX_READING_AGE_MS: Millis = 500;
 
 /// After a node has learned of a job's end, every older answer of any node has
 /// left that node by then, and reached its user over an ordinary way.
-pub fn final_state_hold_ms() -> Ms {
+pub fn final_state_hold_ms() -> Millis {
     at_most(MAX_READING_AGE_MS)
 }
 
-fn slack(span: Ms) -> Ms {
+fn slack(span: Millis) -> Millis {
     span / 500 + TIMER_MARGIN_MS
 }
 
 /// By then, here, a span that another clock counts is over.
-pub fn at_most(span: Ms) -> Ms {
+pub fn at_most(span: Millis) -> Millis {
     span + slack(span)
 }
 
 /// Until then, here, a span that another clock counts lasts.
-pub fn at_least(span: Ms) -> Ms {
+pub fn at_least(span: Millis) -> Millis {
     span.saturating_sub(slack(span))
 }
 
 /// Those that the platform's settings give.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SafetyBounds {
-    lease: Ms,
-    cancel: Ms,
+    lease: Millis,
+    cancel: Millis,
 }
 
 impl SafetyBounds {
     pub fn of(workers: &Workers) -> Self {
-        let millis = |s: f64| (s.max(0.0) * 1000.0) as Ms;
+        let millis = |s: f64| (s.max(0.0) * 1000.0) as Millis;
         SafetyBounds {
             lease: millis(workers.lease_s),
             cancel: millis(workers.cancel_s),
@@ -50,7 +50,7 @@
     }
 
     /// After a worker was last answered, its tasks are gone by then.
-    pub fn lease_expiry(&self) -> Ms {
+    pub fn lease_expiry(&self) -> Millis {
         at_most(self.lease)
     }
 
@@ -60,14 +60,14 @@
     /// from then the leases of all machines have run out by themselves, as
     /// they run from when a report was sent, and an answer may be on its way
     /// to one for 4 s. 0: not at all.
-    pub fn max_staleness(&self) -> Ms {
+    pub fn max_staleness(&self) -> Millis {
         at_least(self.cancel).saturating_sub(self.lease_expiry() + RESPONSE_TIMEOUT_MS)
     }
 
     /// How long a new leader may answer workers before it has read the records.
     /// What it does not know a user may have been told up to a lease ago: a
     /// machine that was answered later than that has been ordered to stop.
-    pub fn max_answering_unloaded(&self) -> Ms {
+    pub fn max_answering_unloaded(&self) -> Millis {
         self.max_staleness().saturating_sub(self.lease_expiry())
     }
 }
--- a/src/control/standby/mod.rs
+++ b/src/control/standby/mod.rs
@@ -20,20 +20,20 @@
         state::Txn,
         status::StandbyStatus,
     },
-    state::{Ms, cluster::ClusterState, records::StandbyRecord},
+    state::{Millis, cluster::ClusterState, records::StandbyRecord},
 };
 use registry::StandbyRegistry;
 use replication_stream::ReplicationStream;
 use std::collections::BTreeSet;
 
 /// A standby that owes a confirmation for so long is struck.
-const CONFIRM_TIMEOUT_MS: Ms = 400;
+const CONFIRM_TIMEOUT_MS: Millis = 400;
 /// How long a new leader leaves the record of the one before it as it is, so
 /// that those named there still count, if its own standbys are not warm yet.
-const HANDOVER_GRACE_MS: Ms = 1_000;
+const HANDOVER_GRACE_MS: Millis = 1_000;
 /// How long one that was struck is left alone, the first time; it doubles.
-const DEMOTION_PAUSE_MS: Ms = 2_000;
-const MAX_DEMOTION_PAUSE_MS: Ms = 32_000;
+const DEMOTION_PAUSE_MS: Millis = 2_000;
+const MAX_DEMOTION_PAUSE_MS: Millis = 32_000;
 
 /// What standbys are told of: what is, or may be, on machines.
 pub trait ReplicatedState {
@@ -84,7 +84,7 @@
     streams: Vec<ReplicationStream>,
     registry: StandbyRegistry,
     /// Since when the picture holds all that may run, and its changes are noted.
-    replicating_since: Option<Ms>,
+    replicating_since: Option<Millis>,
     /// Something is to be started.
     starts_wanted: bool,
 }
@@ -141,7 +141,7 @@
         state: &mut impl ReplicatedState,
         complete: bool,
         answers: impl Fn(usize) -> bool,
-        now: Ms,
+        now: Millis,
     ) -> Option<Txn> {
         let wanted = match complete && self.max_warm > 0 && !self.streams.is_empty() {
             true => self.select_standbys(state, answers, now),
@@ -167,7 +167,7 @@
         &mut self,
         state: &mut impl ReplicatedState,
         answers: impl Fn(usize) -> bool,
-        now: Ms,
+        now: Millis,
     ) -> StandbyRecord {
         self.replicating_since.get_or_insert(now);
         self.distribute_changes(state);
@@ -240,7 +240,7 @@
         &mut self,
         peer: usize,
         state: &mut impl ReplicatedState,
-        now: Ms,
+        now: Millis,
     ) -> Option<Follow> {
         self.replicating_since?;
         self.distribute_changes(state);
@@ -260,7 +260,7 @@
         peer: usize,
         answer: Option<(u64, bool)>,
         state: &impl ReplicatedState,
-        now: Ms,
+        now: Millis,
     ) -> bool {
         let before = self.confirmed_change();
         if let Some(f) = self.streams.get_mut(peer) {
@@ -271,13 +271,13 @@
 
     /// How the write of the record came out. Returns whether starts may go
     /// that could not before.
-    pub fn written(&mut self, how: RegistryWriteOutcome, now: Ms) -> bool {
+    pub fn written(&mut self, how: RegistryWriteOutcome, now: Millis) -> bool {
         let before = self.confirmed_change();
         self.registry.write_finished(how, now);
         self.confirmed_change() > before
     }
 
-    pub fn status(&self, now: Ms) -> Vec<StandbyStatus> {
+    pub fn status(&self, now: Millis) -> Vec<StandbyStatus> {
         let counted: Vec<&(String, u64)> = self.registry.counted_standbys(self.term).collect();
         let named = |f: &ReplicationStream| counted.iter().any(|(n, _)| *n == f.name);
         self.streams
--- a/src/control/standby/registry.rs
+++ b/src/control/standby/registry.rs
@@ -4,13 +4,13 @@
 use crate::{
     protocol::state::{Condition, Txn, Write},
     state::{
-        Ms,
+        Millis,
         records::{LEADER, STANDBYS, StandbyRecord},
     },
 };
 
 /// After a write that was refused.
-const RETRY_DELAY_MS: Ms = 200;
+const RETRY_DELAY_MS: Millis = 200;
 
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub(super) struct StandbyRegistry {
@@ -21,7 +21,7 @@
     /// until a later version is known.
     indeterminate: Vec<StandbyRecord>,
     write_in_flight: bool,
-    retry_at: Ms,
+    retry_at: Millis,
 }
 
 impl StandbyRegistry {
@@ -60,7 +60,7 @@
     }
 
     /// Writes what is wanted, unless it stands, or a write is on its way.
-    pub(super) fn plan(&mut self, wanted: StandbyRecord, now: Ms) -> Option<Txn> {
+    pub(super) fn plan(&mut self, wanted: StandbyRecord, now: Millis) -> Option<Txn> {
         if self.write_in_flight || now < self.retry_at {
             return None;
         }
@@ -95,7 +95,7 @@
         })
     }
 
-    pub(super) fn write_finished(&mut self, how: RegistryWriteOutcome, now: Ms) {
+    pub(super) fn write_finished(&mut self, how: RegistryWriteOutcome, now: Millis) {
         self.write_in_flight = false;
         match how {
             RegistryWriteOutcome::Done(version) => {
--- a/src/control/standby/replica.rs
+++ b/src/control/standby/replica.rs
@@ -3,7 +3,7 @@
 
 use crate::{
     protocol::peers::{Follow, MayRun},
-    state::Ms,
+    state::Millis,
 };
 use std::collections::BTreeMap;
 
@@ -33,13 +33,13 @@
     /// whole: nothing is started meanwhile that it lacks.
     building: Option<Replica>,
     counted: bool,
-    last_part_at: Ms,
+    last_part_at: Millis,
 }
 
 impl ReplicaReceiver {
     /// Returns whether the part was taken in. One that came late, twice, or
     /// after a gap is not, and the leader begins anew.
-    pub fn apply_part(&mut self, part: Follow, now: Ms) -> bool {
+    pub fn apply_part(&mut self, part: Follow, now: Millis) -> bool {
         let stream = (part.term, part.stream);
         if part.part == 0 {
             if stream <= self.stream {
@@ -90,7 +90,7 @@
     }
 
     /// The leader counted on this node a moment ago.
-    pub fn is_counted(&self, now: Ms) -> bool {
+    pub fn is_counted(&self, now: Millis) -> bool {
         self.counted && now < self.last_part_at + 10_000
     }
 }
--- a/src/control/standby/replication_stream.rs
+++ b/src/control/standby/replication_stream.rs
@@ -6,7 +6,7 @@
         peers::{Follow, MAX_FRAME, MachineHolds},
         status::StandbyStatus,
     },
-    state::Ms,
+    state::Millis,
 };
 use std::collections::BTreeSet;
 
@@ -14,11 +14,11 @@
 /// left for what one machine may exceed that by.
 const PART_BYTES: usize = MAX_FRAME / 2;
 /// Told that nothing has changed, a standby that began anew shows itself.
-const KEEP_ALIVE_MS: Ms = 1_000;
+const KEEP_ALIVE_MS: Millis = 1_000;
 /// Between two questions whether a peer knows of standbys at all.
-const PROBE_INTERVAL_MS: Ms = 2_000;
+const PROBE_INTERVAL_MS: Millis = 2_000;
 /// After a part that had no answer.
-const RETRY_DELAY_MS: Ms = 200;
+const RETRY_DELAY_MS: Millis = 200;
 
 /// Why a standby is struck.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -63,11 +63,11 @@
     acknowledged: Option<u64>,
     /// The part that is on its way, by stream and number.
     in_flight: Option<(u64, u64)>,
-    sent_at: Ms,
-    retry_at: Ms,
-    unacknowledged_since: Option<Ms>,
-    warm_since: Option<Ms>,
-    demoted_until: Ms,
+    sent_at: Millis,
+    retry_at: Millis,
+    unacknowledged_since: Option<Millis>,
+    warm_since: Option<Millis>,
+    demoted_until: Millis,
     demotions: u32,
     /// Why it was last struck.
     last_demotion: Option<Demotion>,
@@ -101,7 +101,7 @@
         self.active
     }
 
-    pub(super) fn is_demoted(&self, now: Ms) -> bool {
+    pub(super) fn is_demoted(&self, now: Millis) -> bool {
         now < self.demoted_until
     }
 
@@ -127,7 +127,7 @@
     }
 
     /// Why the peer, named in that incarnation, is to be struck, if it is.
-    pub(super) fn demotion_due(&self, named: u64, answers: bool, now: Ms) -> Option<Demotion> {
+    pub(super) fn demotion_due(&self, named: u64, answers: bool, now: Millis) -> Option<Demotion> {
         if !answers {
             return Some(Demotion::Silent);
         }
@@ -141,7 +141,7 @@
     }
 
     /// It is to be struck, and left alone for a while.
-    pub(super) fn demote(&mut self, why: Demotion, now: Ms) {
+    pub(super) fn demote(&mut self, why: Demotion, now: Millis) {
         if self.is_demoted(now) {
             return;
         }
@@ -192,7 +192,7 @@
         named: bool,
         probes: bool,
         state: &impl ReplicatedState,
-        now: Ms,
+        now: Millis,
     ) -> Option<Follow> {
         if self.in_flight.is_some() || now < self.retry_at {
             return None;
@@ -236,7 +236,7 @@
     }
 
     /// An empty beginning, only to see whether it is understood.
-    fn probe(&mut self, term: u64, now: Ms) -> Follow {
+    fn probe(&mut self, term: u64, now: Millis) -> Follow {
         self.stream += 1;
         self.in_flight = Some((self.stream, 0));
         self.sent_at = now;
@@ -254,7 +254,7 @@
         &mut self,
         answer: Option<(u64, bool)>,
         state: &impl ReplicatedState,
-        now: Ms,
+        now: Millis,
     ) {
         self.supports_standbys |= answer.is_some();
         // One of a stream that was given up says nothing of the present one.
@@ -297,8 +297,8 @@
         }
     }
 
-    pub(super) fn status(&self, named: bool, now: Ms) -> StandbyStatus {
-        let s = |at: Ms| now.saturating_sub(at) as f64 / 1000.0;
+    pub(super) fn status(&self, named: bool, now: Millis) -> StandbyStatus {
+        let s = |at: Millis| now.saturating_sub(at) as f64 / 1000.0;
         StandbyStatus {
             node: self.name.clone(),
             warm: named && self.acknowledged.is_some(),
--- a/src/server/audit_log.rs
+++ b/src/server/audit_log.rs
@@ -6,10 +6,10 @@
 use crate::{
     control::{
         election::Leadership,
-        requests::{Answer, Basis},
+        requests::{Answer, Provenance},
     },
     protocol::users::JobState,
-    state::{Ms, bounded_cache::Recent, rate_limit::Budget},
+    state::{Millis, bounded_cache::Recent, rate_limit::Budget},
 };
 use std::cell::{Cell, RefCell};
 
@@ -17,38 +17,38 @@
 const LINES_PER_S: f64 = 20.0;
 const BURST_S: f64 = 10.0;
 /// Jobs of which it is remembered what this node told last.
-const MOST_TOLD: usize = 4_000;
+const MAX_REMEMBERED_ANSWERS: usize = 4_000;
 /// Between two lines on what was ordered.
-const ORDERS_EVERY: Ms = 1_000;
+const ORDERS_EVERY: Millis = 1_000;
 
-pub(super) struct Evidence {
+pub(super) struct AuditLog {
     lines: RefCell<Budget>,
-    told: RefCell<Recent<Box<str>, JobState>>,
-    orders: Cell<Orders>,
+    last_answers: RefCell<Recent<Box<str>, JobState>>,
+    orders: Cell<CommandCounts>,
 }
 
 /// Starts and stops that were ordered since the last line on them.
 #[derive(Debug, Clone, Copy, Default)]
-struct Orders {
+struct CommandCounts {
     starts: u64,
     stops: u64,
-    noted_at: Ms,
+    noted_at: Millis,
 }
 
-impl Default for Evidence {
+impl Default for AuditLog {
     fn default() -> Self {
-        Evidence {
+        AuditLog {
             lines: RefCell::new(Budget::new(LINES_PER_S, BURST_S)),
-            told: RefCell::new(Recent::new(MOST_TOLD)),
+            last_answers: RefCell::new(Recent::new(MAX_REMEMBERED_ANSWERS)),
             orders: Cell::default(),
         }
     }
 }
 
-impl Evidence {
+impl AuditLog {
     /// Whether this is news of the job from this node.
     fn is_news(&self, id: &str, state: JobState) -> bool {
-        let mut told = self.told.borrow_mut();
+        let mut told = self.last_answers.borrow_mut();
         if told.get(id) == Some(&state) {
             return false;
         }
@@ -59,28 +59,30 @@
 
 impl Node {
     /// A line within the bound; what is left out is counted.
-    fn note(&self, line: impl FnOnce() -> String) {
-        let fits = (self.evidence.lines.borrow_mut()).take(self.now(), 1.0, 0.0);
+    fn log_bounded(&self, line: impl FnOnce() -> String) {
+        let fits = (self.audit_log.lines.borrow_mut()).take(self.now(), 1.0, 0.0);
         match fits {
             true => log::info!("{}", line()),
             false => {
-                self.figures.borrow().lines_left_out.inc();
+                self.metrics.borrow().lines_left_out.inc();
             }
         }
     }
 
     /// A user is about to be told so of the job.
-    pub(super) fn note_answer(&self, id: &str, answer: &Answer, basis: Basis) {
+    pub(super) fn log_answer(&self, id: &str, answer: &Answer, basis: Provenance) {
         let Answer::State(_, status) = answer else {
             return;
         };
         let age = basis.age(self.now());
         let source = basis.source.text();
-        self.figures.borrow().told(status.state, source, age);
-        if !self.evidence.is_news(id, status.state) {
+        self.metrics
+            .borrow()
+            .answer_given(status.state, source, age);
+        if !self.audit_log.is_news(id, status.state) {
             return;
         }
-        self.note(|| {
+        self.log_bounded(|| {
             let state = status.state;
             let revision = basis.revision.map(|r| format!(" at revision {r}"));
             let revision = revision.unwrap_or_default();
@@ -93,8 +95,8 @@
     }
 
     /// Starts and stops that were ordered, with what entitled this node to.
-    pub(super) fn note_orders(&self, lead: Option<Leadership>, starts: u64, stops: u64) {
-        let mut orders = self.evidence.orders.get();
+    pub(super) fn log_commands(&self, lead: Option<Leadership>, starts: u64, stops: u64) {
+        let mut orders = self.audit_log.orders.get();
         orders.starts += starts;
         orders.stops += stops;
         let now = self.now();
@@ -116,11 +118,11 @@
                 orders.starts,
                 orders.stops
             );
-            orders = Orders {
+            orders = CommandCounts {
                 noted_at: now,
-                ..Orders::default()
+                ..CommandCounts::default()
             };
         }
-        self.evidence.orders.set(orders);
+        self.audit_log.orders.set(orders);
     }
 }
--- a/src/server/client_api.rs
+++ b/src/server/client_api.rs
@@ -4,7 +4,7 @@
 use crate::{
     control::requests::{Answer, Event, Next, NodeView, Request as Asked},
     protocol::peers::{Reply, Request},
-    state::Ms,
+    state::Millis,
     transport::server::HttpResponse,
 };
 use async_io::Timer;
@@ -29,7 +29,7 @@
     match (method, target(path)) {
         ("GET", Some((id, false))) if !forwarded => Some(Asked::poll(id)),
         ("POST", None) => Some(Asked::submit(body, forwarded)),
-        ("POST", Some((id, true))) => Some(Asked::withdraw(id, forwarded)),
+        ("POST", Some((id, true))) => Some(Asked::cancel(id, forwarded)),
         _ => None,
     }
 }
@@ -55,7 +55,7 @@
     }
 
     /// Passed on by another node. `None`: this node doesn't lead.
-    pub(super) async fn user_here(
+    pub(super) async fn handle_as_leader(
         self: &Rc<Self>,
         method: &str,
         path: &str,
@@ -81,7 +81,7 @@
         };
         let id = request.id().unwrap_or_default().to_owned();
         let answer = self.see_through(&mut request, &id, Some(&pass_on)).await;
-        if let Some(mut left) = request.left() {
+        if let Some(mut left) = request.unfinished_work() {
             let node = self.clone();
             let settle = async move {
                 node.see_through(&mut left, "", None).await;
@@ -102,22 +102,22 @@
         loop {
             event = match self.step(request, event) {
                 Next::Answer(answer) => {
-                    self.note_answer(id, &answer, request.basis());
+                    self.log_answer(id, &answer, request.provenance());
                     return Some(answer);
                 }
                 Next::NotLeading | Next::Over => return None,
-                Next::AskLeader => match self.polls.ask(id).await {
-                    Ok(told) => Event::Told(told),
+                Next::AskLeader => match self.leader_polls.ask(id).await {
+                    Ok(told) => Event::LeaderReplied(told),
                     // Too many wait.
                     Err(e) => Event::Read(Err(e)),
                 },
-                Next::ReadState => Event::Read(self.reads.ask(id).await),
+                Next::ReadState => Event::Read(self.record_polls.ask(id).await),
                 Next::Forward => Event::Forwarded(match pass_on {
                     Some(pass_on) => self.pass_on(pass_on, request.forward_limit()).await,
                     None => None,
                 }),
                 Next::Versions => Event::Versions(self.upgraded().await),
-                Next::Look(ids) => Event::Looked(match &ids[..] {
+                Next::Look(ids) => Event::LookupResults(match &ids[..] {
                     [one] => [(one.clone(), self.lookup(one).await)].into(),
                     _ => self.lookup_all(&ids).await,
                 }),
@@ -146,15 +146,15 @@
         let term = self.election.borrow().authority(now);
         let mut leader = self.leader.borrow_mut();
         let result = f(&mut NodeView {
-            acts: term.is_some() && leader.as_ref().map(|l| l.term) == term,
+            may_act: term.is_some() && leader.as_ref().map(|l| l.term) == term,
             leader: leader.as_mut(),
             final_states: &mut self.final_states.borrow_mut(),
             settings: &self.settings,
-            types: &self.types.borrow(),
+            types: &self.machine_types.borrow(),
             upgraded: self.upgrade.is_complete(),
             now,
             wall_ms,
-            read_in: None,
+            read_term: None,
         });
         if leader.as_ref().is_some_and(|l| l.has_work()) {
             let _ = self.wake.0.try_send(());
@@ -162,7 +162,7 @@
         result
     }
 
-    async fn pass_on(self: &Rc<Self>, request: &Request, limit: Ms) -> Option<Answer> {
+    async fn pass_on(self: &Rc<Self>, request: &Request, limit: Millis) -> Option<Answer> {
         let leader = self.answering_leader()?;
         let limit = Duration::from_millis(limit);
         match self.ask(leader, request, limit).await {
@@ -179,7 +179,12 @@
     /// for no longer than users do.
     async fn has_budget(&self, changes: f64, waits: bool) -> bool {
         for _ in 0..if waits { LOOKS } else { 1 } {
-            if self.writes.borrow_mut().take(self.now(), changes, 0.0) && self.may_request(1.0) {
+            if self
+                .state_writes
+                .borrow_mut()
+                .take(self.now(), changes, 0.0)
+                && self.may_request(1.0)
+            {
                 return true;
             }
             if waits {
--- a/src/server/cloud.rs
+++ b/src/server/cloud.rs
@@ -16,10 +16,10 @@
 /// Keeps machine types and prices current.
 pub async fn types(node: Rc<Node>) {
     loop {
-        let known = !node.types.borrow().is_empty();
+        let known = !node.machine_types.borrow().is_empty();
         match node.fetch_types().await {
             Ok(types) => {
-                let mut own = node.types.borrow_mut();
+                let mut own = node.machine_types.borrow_mut();
                 for t in types {
                     match own.iter_mut().find(|o| o.name == t.name) {
                         Some(o) => *o = t,
@@ -63,7 +63,7 @@
             }
             Timer::after(Duration::from_millis(100)).await;
         }
-        self.figures.borrow().cloud_requests.inc();
+        self.metrics.borrow().cloud_requests.inc();
         let addr = self.settings.services.cloud;
         self.http
             .call_if(addr, method, path, body, LIMIT, still)
@@ -118,7 +118,7 @@
                 }
             }
         }
-        self.listing.set(false);
+        self.list_in_flight.set(false);
     }
 
     pub(super) async fn cloud_op(self: Rc<Self>, term: u64, op: CloudOp) {
--- a/src/server/control_loop.rs
+++ b/src/server/control_loop.rs
@@ -1,6 +1,6 @@
 //! The leader's loop: time passes, and what it wants done is begun.
 
-use super::{Node, leadership::Stop, store::USUAL};
+use super::{Node, leadership::StepDownReason, store::STATE_TIMEOUT};
 use crate::{
     control::leader::{DirectDelivery, DirectDeliveryOutcome, Leader, WritePlan},
     control::requests::{Found, TxnResult, final_status},
@@ -17,28 +17,28 @@
 
 /// Between two looks at the clock; events wake the loop sooner, but not in a
 /// row, so that a batch of reports is one pass.
-const STEP: Duration = Duration::from_millis(200);
-const LEAST: Duration = Duration::from_millis(15);
+const TICK_INTERVAL: Duration = Duration::from_millis(200);
+const MIN_TICK_PAUSE: Duration = Duration::from_millis(15);
 
 /// A round that takes so much longer than it should shows that this process
 /// stood still, or had no processor.
-const STOOD_STILL: u64 = 700;
+const PROCESS_PAUSE_MS: u64 = 700;
 
 pub async fn run(node: Rc<Node>) {
     let mut last = node.now();
     loop {
-        let _ = within(STEP, node.wake.1.recv()).await;
-        Timer::after(LEAST).await;
+        let _ = within(TICK_INTERVAL, node.wake.1.recv()).await;
+        Timer::after(MIN_TICK_PAUSE).await;
         let late = node.now().saturating_sub(last);
         last = node.now();
-        if late > STOOD_STILL {
+        if late > PROCESS_PAUSE_MS {
             log::info!("this process stood still for {late} ms");
             let lead = node.election.borrow().leadership();
             if let Some(lead) = lead {
                 node.of_term(lead.term, |l, now| l.process_resumed(now));
             }
             // What has arrived is taken in first.
-            Timer::after(STEP).await;
+            Timer::after(TICK_INTERVAL).await;
             last = node.now();
         }
         let wall = node.wall_ms();
@@ -59,10 +59,10 @@
             continue;
         };
         let lead = node.election.borrow().leadership();
-        node.note_orders(lead, tally.starts, tally.stops);
-        node.figures.borrow_mut().add(tally);
+        node.log_commands(lead, tally.starts, tally.stops);
+        node.metrics.borrow_mut().add(tally);
         let round = round_began.elapsed().as_secs_f64();
-        node.figures.borrow().round(round);
+        node.metrics.borrow().control_round(round);
         node.update_standbys(term);
         for d in directs {
             node.lanes.spawn(node.clone().direct(term, d)).detach();
@@ -70,30 +70,32 @@
         for op in ops {
             node.lanes.spawn(node.clone().cloud_op(term, op)).detach();
         }
-        if list && !node.listing.replace(true) {
+        if list && !node.list_in_flight.replace(true) {
             node.lanes.spawn(node.clone().list_machines(term)).detach();
         }
-        if !node.seeking.get() {
+        if !node.lookup_in_flight.get() {
             let ids = node
                 .acting(|l, _| l.dependencies_to_look_up())
                 .unwrap_or_default();
             if !ids.is_empty() {
-                node.seeking.set(true);
+                node.lookup_in_flight.set(true);
                 node.lanes
                     .spawn(node.clone().look_up_dependencies(term, ids))
                     .detach();
             }
         }
-        if !node.flushing.get() {
+        if !node.write_in_flight.get() {
             let now = node.now();
             let kept = share::kept_for_users(node.settings.cluster.state.always().write_rps);
-            let level = node.writes.borrow_mut().level(now) - kept;
-            let room = (level.max(0.0) as usize).min(node.narrow.get());
-            if room >= 2 && node.requests.borrow_mut().level(now) >= 2.0 {
+            let level = node.state_writes.borrow_mut().level(now) - kept;
+            let room = (level.max(0.0) as usize).min(node.max_txn_changes.get());
+            if room >= 2 && node.state_requests.borrow_mut().level(now) >= 2.0 {
                 let plan = node.acting(|l, _| l.plan_writes(room)).flatten();
                 if let Some(plan) = plan {
-                    node.flushing.set(true);
-                    node.lanes.spawn(node.clone().flush(term, plan)).detach();
+                    node.write_in_flight.set(true);
+                    node.lanes
+                        .spawn(node.clone().apply_writes(term, plan))
+                        .detach();
                 }
             }
         }
@@ -163,38 +165,39 @@
             };
             self.lanes.spawn(later).detach();
         }
-        self.seeking.set(false);
+        self.lookup_in_flight.set(false);
     }
 
-    async fn flush(self: Rc<Self>, term: u64, plan: WritePlan) {
+    async fn apply_writes(self: Rc<Self>, term: u64, plan: WritePlan) {
         let now = self.now();
-        self.requests.borrow_mut().force(now, 1.0);
-        self.writes
+        self.state_requests.borrow_mut().force(now, 1.0);
+        self.state_writes
             .borrow_mut()
             .force(now, plan.txn.writes.len() as f64);
-        match self.txn(&plan.txn, USUAL).await {
+        match self.txn(&plan.txn, STATE_TIMEOUT).await {
             TxnResult::Done(revision) => {
-                self.narrow.set(self.narrow.get().saturating_mul(2));
+                self.max_txn_changes
+                    .set(self.max_txn_changes.get().saturating_mul(2));
                 self.of_term(term, |l, now| l.writes_applied(&plan, revision, now));
             }
             TxnResult::Conflict(failed) if failed.iter().any(|k| k == LEADER) => {
-                self.resign(term, Stop::Replaced);
+                self.step_down(term, StepDownReason::Replaced);
             }
             refused @ (TxnResult::Refused | TxnResult::Rejected) => {
                 // Guards against sending again and again what was too much.
                 if matches!(refused, TxnResult::Rejected) {
-                    self.narrow.set((plan.txn.writes.len() / 2).max(2));
+                    self.max_txn_changes.set((plan.txn.writes.len() / 2).max(2));
                 }
                 self.of_term(term, |l, _| l.reconciled(&plan));
                 Timer::after(Duration::from_millis(300)).await;
             }
             TxnResult::Conflict(_) | TxnResult::Unknown => {
-                self.figures.borrow().writes_in_doubt.inc();
+                self.metrics.borrow().indeterminate_writes.inc();
                 self.of_term(term, |l, _| l.outcome_unknown(&plan));
                 self.reread(term, &plan).await;
             }
         }
-        self.flushing.set(false);
+        self.write_in_flight.set(false);
     }
 
     /// What had no answer may have been applied: look before trying again.
@@ -207,7 +210,7 @@
                     return;
                 }
                 if self.may_request(2.0)
-                    && let Ok(item) = self.get(&key, USUAL).await
+                    && let Ok(item) = self.get(&key, STATE_TIMEOUT).await
                 {
                     found.push((key, item.map(|i| (i.value, i.version))));
                     break;
--- a/src/server/exclusions.rs
+++ b/src/server/exclusions.rs
@@ -1,6 +1,6 @@
 //! Writes and lifts the exclusions of nodes that hang, while this node leads.
 
-use super::{Node, store::USUAL};
+use super::{Node, store::STATE_TIMEOUT};
 use crate::{
     control::{
         exclusions::{Exclusions, LEASE_TTL_MS, Step, exclusion_txn, readmission_txn},
@@ -63,7 +63,9 @@
             Step::RenewLease(None) => {
                 let body = serde_json::json!({ "life_ms": LEASE_TTL_MS }).to_string();
                 let body = Some(body.into_bytes());
-                let answer = self.state(Method::Post, "/leases", body, USUAL).await;
+                let answer = self
+                    .state(Method::Post, "/leases", body, STATE_TIMEOUT)
+                    .await;
                 let granted = answer
                     .ok()
                     .filter(|a| a.status == 200)
@@ -75,7 +77,7 @@
             }
             Step::RenewLease(Some(lease)) => {
                 let path = format!("/leases/{lease}/touch");
-                match self.state(Method::Post, &path, None, USUAL).await {
+                match self.state(Method::Post, &path, None, STATE_TIMEOUT).await {
                     Ok(a) if a.status == 200 => {
                         self.exclusions_of(term, |exclusions| {
                             exclusions.lease_granted(lease, sent)
@@ -134,7 +136,7 @@
             }
             Step::EndLease(lease) => {
                 self.exclusions_of(term, Exclusions::begin_lease_end);
-                let ended = self.end_lease(lease, USUAL).await;
+                let ended = self.end_lease(lease, STATE_TIMEOUT).await;
                 if ended {
                     self.exclusions_of(term, Exclusions::lease_lost);
                 }
@@ -145,7 +147,7 @@
 
     async fn change_exclusion(&self, txn: Txn) -> TxnResult {
         let now = self.now();
-        self.writes.borrow_mut().force(now, 1.0);
-        self.txn(&txn, USUAL).await
+        self.state_writes.borrow_mut().force(now, 1.0);
+        self.txn(&txn, STATE_TIMEOUT).await
     }
 }
--- a/src/server/heartbeats.rs
+++ b/src/server/heartbeats.rs
@@ -15,7 +15,7 @@
 const RELAY: Duration = Duration::from_millis(800);
 
 impl Node {
-    pub(super) async fn beat(self: &Rc<Self>, body: Option<Vec<u8>>) -> HttpResponse {
+    pub(super) async fn handle_heartbeat(self: &Rc<Self>, body: Option<Vec<u8>>) -> HttpResponse {
         let Some(body) = body else {
             return HttpResponse::error(400, "body is incomplete or over 64 KiB");
         };
@@ -23,7 +23,7 @@
             Ok(r) => r,
             Err(e) => return HttpResponse::error(400, &e.to_string()),
         };
-        if let Some(answer) = self.beat_here(&report) {
+        if let Some(answer) = self.answer_heartbeat(&report) {
             return answer;
         }
         let now = self.now();
@@ -40,13 +40,17 @@
         let RedirectTarget::Leader(leader) = target else {
             return self.redirect(target);
         };
-        if !self.relays.borrow_mut().relays(&report.machine, now) {
+        if !self
+            .heartbeat_relays
+            .borrow_mut()
+            .should_relay(&report.machine, now)
+        {
             return self.redirect(target);
         }
         // The leader's network to the workers may be cut while ours is not.
         let request = Request::Forward {
             method: "POST".into(),
-            path: super::BEAT.into(),
+            path: super::HEARTBEAT_PATH.into(),
             body,
         };
         match self.ask(leader, &request, RELAY).await {
@@ -81,9 +85,9 @@
     }
 
     /// `None`: this node doesn't lead.
-    pub(super) fn beat_here(&self, report: &Heartbeat) -> Option<HttpResponse> {
+    pub(super) fn answer_heartbeat(&self, report: &Heartbeat) -> Option<HttpResponse> {
         let reply = self.acting(|l, now| l.on_heartbeat(report, now))??;
-        self.last_beat.set(self.now());
+        self.last_heartbeat.set(self.now());
         Some(HttpResponse::json(200, &reply))
     }
 }
--- a/src/server/leadership/campaign.rs
+++ b/src/server/leadership/campaign.rs
@@ -20,9 +20,9 @@
 const STEP_TIMEOUT: Duration = Duration::from_millis(CAMPAIGN_STEP_TIMEOUT_MS);
 
 impl Node {
-    async fn read_leader(&self) -> Result<(), String> {
+    async fn read_leader_key(&self) -> Result<(), String> {
         let now = self.now();
-        self.requests.borrow_mut().force(now, 1.0);
+        self.state_requests.borrow_mut().force(now, 1.0);
         let item = self.get(LEADER, STEP_TIMEOUT).await?;
         let seen = item.and_then(|i| {
             let record: LeaderRecord = serde_json::from_value(i.value).ok()?;
@@ -31,17 +31,17 @@
         let changed = seen != self.election.borrow().observed_leader;
         self.election.borrow_mut().observe_leader(seen, self.now());
         if self.election.borrow().observed_leader.is_some() {
-            self.last_record.take();
+            self.last_standby_record.take();
         }
         if changed {
-            self.relays.borrow_mut().clear();
+            self.heartbeat_relays.borrow_mut().clear();
             self.set_shares();
         }
         Ok(())
     }
 
     /// One step of a node that doesn't lead; returns when to do the next.
-    pub(super) async fn seek(self: &Rc<Self>) -> Duration {
+    pub(super) async fn campaign(self: &Rc<Self>) -> Duration {
         let soon = Duration::from_millis(150);
         let doubt = self.election.borrow().indeterminate_lease;
         if let Some(lease) = doubt {
@@ -51,7 +51,7 @@
             }
             return soon;
         }
-        if let Err(e) = self.read_leader().await {
+        if let Err(e) = self.read_leader_key().await {
             log::debug!("reading the leader's key: {e}");
             return Duration::from_millis(250 + fastrand::u64(0..100));
         }
@@ -65,7 +65,7 @@
                 (false, false) => Duration::from_millis(500),
             };
         };
-        if self.types.borrow().is_empty() {
+        if self.machine_types.borrow().is_empty() {
             return soon;
         }
         // Nodes that are better placed go first, and those that are warm.
@@ -82,13 +82,13 @@
         {
             return soon;
         }
-        self.acquire(version).await;
+        self.become_leader(version).await;
         soon
     }
 
-    async fn acquire(self: &Rc<Self>, version: u64) {
+    async fn become_leader(self: &Rc<Self>, version: u64) {
         let asked = self.now();
-        self.requests.borrow_mut().force(asked, 2.0);
+        self.state_requests.borrow_mut().force(asked, 2.0);
         let body = serde_json::json!({ "life_ms": LEASE_TTL_MS })
             .to_string()
             .into_bytes();
@@ -162,7 +162,7 @@
             let mut leader = Leader::new(
                 self.settings.clone(),
                 self.options.clone(),
-                self.types.borrow().clone(),
+                self.machine_types.borrow().clone(),
                 term,
                 self.now(),
             );
--- a/src/server/leadership/load_state.rs
+++ b/src/server/leadership/load_state.rs
@@ -9,7 +9,7 @@
     },
     protocol::state::Item,
     state::{
-        Ms,
+        Millis,
         records::{self, MachineRecord, StoredJob},
         spec_chunks,
     },
@@ -37,17 +37,17 @@
         }
         Timer::after(Duration::from_millis(200)).await;
     }
-    node.watch_notices(term).await;
+    node.watch_acceptances(term).await;
 }
 
 impl Node {
     /// Learns of jobs that other nodes accepted.
-    async fn watch_notices(&self, term: u64) {
+    async fn watch_acceptances(&self, term: u64) {
         let mut notices = AcceptanceFeed::new(term);
         let pause = || Timer::after(Duration::from_millis(300));
         while self.of_term(term, |_, _| ()).is_some() {
             let now = self.now();
-            self.requests.borrow_mut().force(now, 1.0);
+            self.state_requests.borrow_mut().force(now, 1.0);
             let answer = self
                 .state(Method::Get, &notices.path(20_000), None, WATCH_TIMEOUT)
                 .await;
@@ -121,7 +121,7 @@
     }
 }
 
-fn load_machines(l: &mut Leader, machines: Vec<Item>, now: Ms) {
+fn load_machines(l: &mut Leader, machines: Vec<Item>, now: Millis) {
     for item in machines {
         let name = item.key.trim_start_matches(records::MACHINES).to_owned();
         match serde_json::from_value::<MachineRecord>(item.value) {
@@ -133,7 +133,7 @@
 
 /// Returns the jobs whose records can't be read. Polls of those are answered
 /// 503, and the next leader tries again; what else is kept of them must stay.
-fn load_jobs(l: &mut Leader, jobs: Vec<Item>, pieces: &[Item], now: Ms) -> HashSet<String> {
+fn load_jobs(l: &mut Leader, jobs: Vec<Item>, pieces: &[Item], now: Millis) -> HashSet<String> {
     let text: BTreeMap<&str, &str> = pieces
         .iter()
         .filter_map(|i| Some((i.key.as_str(), i.value.as_str()?)))
--- a/src/server/leadership/mod.rs
+++ b/src/server/leadership/mod.rs
@@ -15,34 +15,38 @@
 
 /// Why a leader stops: for the log, `status` and the figures.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Stop {
+pub(super) enum StepDownReason {
     LeaseEnded,
     Replaced,
     RefusedAlone,
     CancellationsUnknown,
-    HearsNobody,
-    PoorPlace,
+    Isolated,
+    UnfavourablePosition,
 }
 
-impl Stop {
+impl StepDownReason {
     pub(super) fn text(self) -> &'static str {
         match self {
-            Stop::LeaseEnded => "its lease has ended",
-            Stop::Replaced => "another node leads",
-            Stop::RefusedAlone => "the state service fails this node alone",
-            Stop::CancellationsUnknown => {
+            StepDownReason::LeaseEnded => "its lease has ended",
+            StepDownReason::Replaced => "another node leads",
+            StepDownReason::RefusedAlone => "the state service fails this node alone",
+            StepDownReason::CancellationsUnknown => {
                 "for too long nobody could show that it knows of all withdrawals"
             }
-            Stop::HearsNobody => "neither workers nor controllers are heard",
-            Stop::PoorPlace => "the node that workers try after this one is silent",
+            StepDownReason::Isolated => "neither workers nor controllers are heard",
+            StepDownReason::UnfavourablePosition => {
+                "the node that workers try after this one is silent"
+            }
         }
     }
 
     /// Whether its key may be replaced at once: the others are told.
-    fn is_told(self) -> bool {
+    fn is_announced(self) -> bool {
         matches!(
             self,
-            Stop::RefusedAlone | Stop::CancellationsUnknown | Stop::PoorPlace
+            StepDownReason::RefusedAlone
+                | StepDownReason::CancellationsUnknown
+                | StepDownReason::UnfavourablePosition
         )
     }
 }
@@ -51,8 +55,8 @@
     loop {
         let lead = node.election.borrow().leadership();
         let pause = match lead {
-            Some(_) => node.keep().await,
-            None => node.seek().await,
+            Some(_) => node.hold_leadership().await,
+            None => node.campaign().await,
         };
         Timer::after(pause).await;
     }
@@ -60,14 +64,14 @@
 
 impl Node {
     /// Stops acting under that term, then tells the others so.
-    pub(super) fn resign(self: &Rc<Self>, term: u64, why: Stop) {
+    pub(super) fn step_down(self: &Rc<Self>, term: u64, why: StepDownReason) {
         let Some(lead) = self.election.borrow_mut().resign(term) else {
             return;
         };
         if let Some(leader) = self.leader.borrow_mut().take() {
             self.final_states.replace(leader.final_states);
         }
-        self.renewals_fail.set(false);
+        self.renewals_failing.set(false);
         self.set_shares();
         let (now, (right, until)) = (self.now(), lead.authority());
         log::info!(
@@ -77,8 +81,8 @@
             right.text(),
             until as i64 - now as i64
         );
-        self.stopped.set(Some((self.now(), why)));
-        self.figures.borrow().stopped(why.text());
+        self.last_step_down.set(Some((self.now(), why)));
+        self.metrics.borrow().stepped_down(why.text());
         // Nothing is done under it any more, so the key may go at once.
         let node = self.clone();
         self.lanes
@@ -86,7 +90,7 @@
                 node.end_lease(lead.lease, PROBE_TIMEOUT).await;
             })
             .detach();
-        if why.is_told() {
+        if why.is_announced() {
             let request = Request::Resigned { term: lead.term };
             self.ask_all(&request).into_iter().for_each(Task::detach);
         }
--- a/src/server/leadership/renew.rs
+++ b/src/server/leadership/renew.rs
@@ -3,7 +3,7 @@
 
 use super::{
     super::{Node, store::OVER_LIMIT},
-    PROBE_TIMEOUT, Stop,
+    PROBE_TIMEOUT, StepDownReason,
 };
 use crate::{
     control::election::{
@@ -34,35 +34,35 @@
 
 impl Node {
     /// One step of the leader; returns when to do the next.
-    pub(super) async fn keep(self: &Rc<Self>) -> Duration {
+    pub(super) async fn hold_leadership(self: &Rc<Self>) -> Duration {
         let Some(lead) = self.election.borrow().leadership() else {
             return Duration::ZERO;
         };
         // While renewals fail the others are asked at once, and each renewal is
         // tried beside that: promises are too short to wait for it first.
-        if !self.renewals_fail.get() {
+        if !self.renewals_failing.get() {
             let mut renewal = self.renew(lead);
             match within(PROBE_TIMEOUT, &mut renewal).await {
-                Some(Touch::Renewed) => return self.settle_in(lead).await,
+                Some(Touch::Renewed) => return self.after_renewal(lead).await,
                 Some(Touch::Lost) => return Duration::ZERO,
                 Some(Touch::Busy) => return Duration::from_millis(100),
                 Some(Touch::Failed) => {}
                 None => renewal.detach(),
             }
-            self.renewals_fail.set(true);
+            self.renewals_failing.set(true);
         }
         self.ask_promises(lead).await
     }
 
     /// Does what may prolong the authority, and notes by which right it stands.
-    fn prolonged<T>(&self, f: impl FnOnce(&mut Election) -> T) -> T {
+    fn extend_authority<T>(&self, f: impl FnOnce(&mut Election) -> T) -> T {
         let mut election = self.election.borrow_mut();
         let before = election.leadership();
         let result = f(&mut election);
         if let (Some(before), Some(after)) = (before, election.leadership()) {
             let ((was, from), (is, until)) = (before.authority(), after.authority());
             if until > from {
-                self.figures.borrow().prolonged(is);
+                self.metrics.borrow().authority_extended(is);
             }
             if was != is {
                 log::info!("term {} goes on by {}", after.term, is.text());
@@ -72,12 +72,12 @@
     }
 
     /// What is looked at after each renewal.
-    async fn settle_in(self: &Rc<Self>, lead: Leadership) -> Duration {
+    async fn after_renewal(self: &Rc<Self>, lead: Leadership) -> Duration {
         self.greet_other_zones(lead.term);
-        if self.hears_nobody(lead.term).await {
+        if self.is_isolated(lead.term).await {
             let now = self.now();
             self.election.borrow_mut().abstain(now + ABSTAIN_MS);
-            self.resign(lead.term, Stop::HearsNobody);
+            self.step_down(lead.term, StepDownReason::Isolated);
             return Duration::from_millis(500);
         }
         let now = self.now();
@@ -92,7 +92,7 @@
             .borrow_mut()
             .yields_leadership(poor, warm, now)
         {
-            self.resign(lead.term, Stop::PoorPlace);
+            self.step_down(lead.term, StepDownReason::UnfavourablePosition);
             return Duration::from_millis(500);
         }
         Duration::from_millis(LEASE_TTL_MS / 4)
@@ -109,10 +109,10 @@
             if still == Some(lead.lease) {
                 match touch {
                     Touch::Renewed => {
-                        node.prolonged(|e| e.renewed(lead.lease, sent));
-                        node.renewals_fail.set(false);
+                        node.extend_authority(|e| e.renewed(lead.lease, sent));
+                        node.renewals_failing.set(false);
                     }
-                    Touch::Lost => node.resign(lead.term, Stop::LeaseEnded),
+                    Touch::Lost => node.step_down(lead.term, StepDownReason::LeaseEnded),
                     Touch::Busy | Touch::Failed => {}
                 }
             }
@@ -166,7 +166,7 @@
     /// may be between them and this node alone. A worker tries another node
     /// after 5 s of its lease, so there is no time to find out first. Returns
     /// whether neither workers nor controllers are heard.
-    async fn hears_nobody(self: &Rc<Self>, term: u64) -> bool {
+    async fn is_isolated(self: &Rc<Self>, term: u64) -> bool {
         let Some((machines, heard)) = self.of_term(term, |l, now| l.overdue_machines(now)) else {
             return false;
         };
@@ -183,13 +183,13 @@
             anybody |= ask.await.is_ok();
         }
         let report = (self.settings.cluster.workers.report_s * 1000.0) as u64;
-        let silence = self.now().saturating_sub(self.last_beat.get());
+        let silence = self.now().saturating_sub(self.last_heartbeat.get());
         !anybody && silence > 3 * report + 2000
     }
 
     async fn touch(&self, lease: u64) -> Touch {
         let now = self.now();
-        self.requests.borrow_mut().force(now, 1.0);
+        self.state_requests.borrow_mut().force(now, 1.0);
         let path = format!("/leases/{lease}/touch");
         let limit = Duration::from_millis(RENEWAL_TIMEOUT_MS);
         match self.state(Method::Post, &path, None, limit).await {
@@ -239,7 +239,7 @@
             });
         }
         let now = self.now();
-        let extended = self.prolonged(|e| e.extend_by_promises(sent, answers, now));
+        let extended = self.extend_authority(|e| e.extend_by_promises(sent, answers, now));
         match extended {
             PromiseOutcome::Extended => again.detach(),
             PromiseOutcome::NotExtended => {
@@ -248,7 +248,7 @@
             }
             PromiseOutcome::CancellationsUnknown => {
                 again.detach();
-                self.resign(lead.term, Stop::CancellationsUnknown);
+                self.step_down(lead.term, StepDownReason::CancellationsUnknown);
                 return Duration::from_millis(500);
             }
             PromiseOutcome::RefusedAlone => {
@@ -262,7 +262,7 @@
                             last.detach();
                         }
                         if self.election.borrow().is_refused_alone(begun) {
-                            self.resign(lead.term, Stop::RefusedAlone);
+                            self.step_down(lead.term, StepDownReason::RefusedAlone);
                             return Duration::from_millis(500);
                         }
                     }
@@ -276,7 +276,7 @@
         // A fresh look: what was true a second ago says nothing.
         let state_ok = {
             let now = self.now();
-            self.requests.borrow_mut().force(now, 1.0);
+            self.state_requests.borrow_mut().force(now, 1.0);
             let limit = Duration::from_millis(PROMISE_CHECK_TIMEOUT_MS);
             match self.get(LEADER, limit).await {
                 Ok(_) => true,
