--- a/src/server/metrics.rs
+++ b/src/server/metrics.rs
@@ -4,7 +4,7 @@
 use crate::{
     control::{election::AuthorityBasis, leader::Tally},
     protocol::users::JobState,
-    state::Ms,
+    state::Millis,
     transport::server::HttpResponse,
 };
 use prometheus_client::{
@@ -18,39 +18,39 @@
 const MOST_CLASSES: usize = 64;
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
-struct Class {
+struct ClassLabel {
     class: String,
 }
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
-struct Kind {
+struct RequestLabel {
     request: &'static str,
 }
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
-struct Phase {
+struct RecoveryPhaseLabel {
     phase: &'static str,
 }
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
-struct Cause {
+struct StepDownLabel {
     why: &'static str,
 }
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
-struct Way {
+struct FailoverLabel {
     /// `warm`, or why it was cold.
     how: &'static str,
 }
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
-struct Told {
+struct AnswerLabels {
     state: &'static str,
     source: &'static str,
 }
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
-struct By {
+struct AuthorityLabel {
     right: &'static str,
 }
 
@@ -58,11 +58,11 @@
 
 pub(super) struct Metrics {
     registry: Registry,
-    answers: Histograms<Kind>,
-    waits: Histograms<Class>,
-    recoveries: Histograms<Phase>,
-    takeovers: Family<Way, Counter>,
-    stops: Family<Cause, Counter>,
+    answers: Histograms<RequestLabel>,
+    waits: Histograms<ClassLabel>,
+    recoveries: Histograms<RecoveryPhaseLabel>,
+    failovers: Family<FailoverLabel, Counter>,
+    step_downs: Family<StepDownLabel, Counter>,
     warm: Gauge,
     classes: std::collections::BTreeSet<String>,
     failures: Counter,
@@ -79,10 +79,10 @@
     peer_requests: Counter,
     peer_bytes: Counter,
     rounds: Histogram,
-    told: Family<Told, Counter>,
+    answers_given: Family<AnswerLabels, Counter>,
     ages: Histogram,
-    authority: Family<By, Counter>,
-    pub(super) writes_in_doubt: Counter,
+    authority: Family<AuthorityLabel, Counter>,
+    pub(super) indeterminate_writes: Counter,
     pub(super) lines_left_out: Counter,
 }
 
@@ -109,8 +109,8 @@
             answers: Family::new_with_constructor(answer_times as fn() -> Histogram),
             waits: Family::new_with_constructor(wait_times as fn() -> Histogram),
             recoveries: Family::new_with_constructor(recovery_times as fn() -> Histogram),
-            takeovers: Family::default(),
-            stops: Family::default(),
+            failovers: Family::default(),
+            step_downs: Family::default(),
             warm: Gauge::default(),
             classes: Default::default(),
             failures: Counter::default(),
@@ -127,10 +127,10 @@
             peer_requests: Counter::default(),
             peer_bytes: Counter::default(),
             rounds: round_times(),
-            told: Family::default(),
+            answers_given: Family::default(),
             ages: Histogram::new([0.001, 0.005, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0]),
             authority: Family::default(),
-            writes_in_doubt: Counter::default(),
+            indeterminate_writes: Counter::default(),
             lines_left_out: Counter::default(),
         };
         let r = &mut m.registry;
@@ -141,9 +141,9 @@
         let help = "Seconds that a phase took until the service was whole under a new leader";
         r.register("recovery_seconds", help, m.recoveries.clone());
         let help = "Takeovers by this node: warm, or why it had to hear all machines first";
-        r.register("takeovers", help, m.takeovers.clone());
+        r.register("takeovers", help, m.failovers.clone());
         let help = "Times that this node gave up the lead, by cause";
-        r.register("stops", help, m.stops.clone());
+        r.register("stops", help, m.step_downs.clone());
         let help = "Standbys that would take over warm, while this node leads";
         r.register("warm_standbys", help, m.warm.clone());
         r.register("task_failures", "Tasks that failed", m.failures.clone());
@@ -171,40 +171,44 @@
         let help = "Time of a round of the leader's loop, placement included, in seconds";
         r.register("round_seconds", help, m.rounds.clone());
         let help = "States told to users, by state and by what the answer rested on";
-        r.register("answers_told", help, m.told.clone());
+        r.register("answers_told", help, m.answers_given.clone());
         let help = "Age of what was read as an unfinished state was told, in seconds";
         r.register("answer_age_seconds", help, m.ages.clone());
         let help = "Times that this node's authority was prolonged, by what";
         r.register("authority", help, m.authority.clone());
         let help = "The leader's transactions of which the fate had to be read";
-        r.register("writes_in_doubt", help, m.writes_in_doubt.clone());
+        r.register("writes_in_doubt", help, m.indeterminate_writes.clone());
         let help = "Lines on answers that were left out of the log, past its bound";
         r.register("log_lines_left_out", help, m.lines_left_out.clone());
         m
     }
 
     pub(super) fn answered(&self, request: &'static str, seconds: f64) {
-        let kind = Kind { request };
+        let kind = RequestLabel { request };
         self.answers.get_or_create(&kind).observe(seconds);
     }
 
     /// A user is told this state, as it was read so many milliseconds ago.
-    pub(super) fn told(&self, state: JobState, source: &'static str, age: Ms) {
+    pub(super) fn answer_given(&self, state: JobState, source: &'static str, age: Millis) {
         if !state.is_final() {
             self.ages.observe(age as f64 / 1000.0);
         }
         let state = state.name();
-        self.told.get_or_create(&Told { state, source }).inc();
+        self.answers_given
+            .get_or_create(&AnswerLabels { state, source })
+            .inc();
     }
 
     /// Its authority was prolonged.
-    pub(super) fn prolonged(&self, right: AuthorityBasis) {
+    pub(super) fn authority_extended(&self, right: AuthorityBasis) {
         let right = right.text();
-        self.authority.get_or_create(&By { right }).inc();
+        self.authority
+            .get_or_create(&AuthorityLabel { right })
+            .inc();
     }
 
     /// A round of the leader's loop took so many seconds.
-    pub(super) fn round(&self, seconds: f64) {
+    pub(super) fn control_round(&self, seconds: f64) {
         self.rounds.observe(seconds);
     }
 
@@ -217,8 +221,8 @@
         more(&self.peer_bytes, bytes);
     }
 
-    pub(super) fn stopped(&self, why: &'static str) {
-        self.stops.get_or_create(&Cause { why }).inc();
+    pub(super) fn stepped_down(&self, why: &'static str) {
+        self.step_downs.get_or_create(&StepDownLabel { why }).inc();
     }
 
     pub(super) fn add(&mut self, tally: Tally) {
@@ -227,11 +231,11 @@
         self.rentals.inc_by(tally.rented);
         self.releases.inc_by(tally.released);
         for (phase, seconds) in tally.phases {
-            let phase = Phase { phase };
+            let phase = RecoveryPhaseLabel { phase };
             self.recoveries.get_or_create(&phase).observe(seconds);
         }
         if let Some(how) = tally.took_over {
-            self.takeovers.get_or_create(&Way { how }).inc();
+            self.failovers.get_or_create(&FailoverLabel { how }).inc();
         }
         for (class, waited) in tally.waits {
             let known = self.classes.contains(&class);
@@ -242,7 +246,9 @@
             if !known {
                 self.classes.insert(class.clone());
             }
-            self.waits.get_or_create(&Class { class }).observe(waited);
+            self.waits
+                .get_or_create(&ClassLabel { class })
+                .observe(waited);
         }
     }
 }
@@ -253,7 +259,7 @@
             let warm = l.warm_standbys(now);
             (l.cluster.live_jobs(), l.cluster.machine_count(), warm)
         });
-        let m = self.figures.borrow();
+        let m = self.metrics.borrow();
         let (requests, bytes) = self.peers.exchanged();
         m.exchanged(requests, bytes);
         m.leading.set(i64::from(led.is_some()));
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -21,13 +21,13 @@
 use crate::{
     control::{
         election::Election, exclusions::Exclusions, failure_detector::FailureDetector,
-        heartbeat_relay::Relays, leader::Leader, polls::FinalStates, safety_bounds::SafetyBounds,
-        standby::replica::ReplicaReceiver,
+        heartbeat_relay::HeartbeatRelays, leader::Leader, polls::FinalStates,
+        safety_bounds::SafetyBounds, standby::replica::ReplicaReceiver,
     },
     options::Options,
     protocol::{cloud::MachineType, settings::Settings},
     state::{
-        Ms,
+        Millis,
         rate_limit::{
             Budget,
             share::{self, Role},
@@ -49,7 +49,7 @@
     time::{Instant, SystemTime, UNIX_EPOCH},
 };
 
-const BEAT: &str = "/agent/beat";
+const HEARTBEAT_PATH: &str = "/agent/beat";
 /// For how many seconds' worth of requests a budget may be saved.
 const BURST_S: f64 = 0.9;
 
@@ -67,34 +67,34 @@
     /// What this node keeps as a standby.
     replica_receiver: RefCell<ReplicaReceiver>,
     /// The record of standbys, as read since nobody leads.
-    last_record: RefCell<Option<StandbyRecord>>,
-    requests: RefCell<Budget>,
-    writes: RefCell<Budget>,
+    last_standby_record: RefCell<Option<StandbyRecord>>,
+    state_requests: RefCell<Budget>,
+    state_writes: RefCell<Budget>,
     cloud_requests: RefCell<Budget>,
-    types: RefCell<Vec<MachineType>>,
+    machine_types: RefCell<Vec<MachineType>>,
     /// When the state service last answered.
-    state_ok: Cell<Option<Ms>>,
+    state_answered_at: Cell<Option<Millis>>,
     /// While it leads: the last renewal failed.
-    renewals_fail: Cell<bool>,
+    renewals_failing: Cell<bool>,
     /// When and why it last gave up leadership.
-    stopped: Cell<Option<(Ms, leadership::Stop)>>,
-    flushing: Cell<bool>,
-    seeking: Cell<bool>,
+    last_step_down: Cell<Option<(Millis, leadership::StepDownReason)>>,
+    write_in_flight: Cell<bool>,
+    lookup_in_flight: Cell<bool>,
     /// Changes that a transaction may hold, since one was rejected.
-    narrow: Cell<usize>,
+    max_txn_changes: Cell<usize>,
     upgrade: upgrade::Upgrade,
-    listing: Cell<bool>,
+    list_in_flight: Cell<bool>,
     /// Polls that wait for the leader, and those that wait for the records.
-    polls: polls::Waiting,
-    reads: polls::Waiting,
+    leader_polls: polls::PollQueue,
+    record_polls: polls::PollQueue,
     /// Final states that this node has learned while it did not lead.
     final_states: RefCell<FinalStates>,
     /// When a report was last answered.
-    last_beat: Cell<Ms>,
-    relays: RefCell<Relays>,
-    last_picture: RefCell<status::LastPicture>,
-    figures: RefCell<metrics::Metrics>,
-    evidence: audit_log::Evidence,
+    last_heartbeat: Cell<Millis>,
+    heartbeat_relays: RefCell<HeartbeatRelays>,
+    last_cluster_status: RefCell<status::LastClusterStatus>,
+    metrics: RefCell<metrics::Metrics>,
+    audit_log: audit_log::AuditLog,
     wake: (async_channel::Sender<()>, async_channel::Receiver<()>),
 }
 
@@ -126,33 +126,33 @@
         exclusions: RefCell::default(),
         leader: RefCell::new(None),
         replica_receiver: RefCell::default(),
-        last_record: RefCell::default(),
-        requests: RefCell::new(Budget::new(
+        last_standby_record: RefCell::default(),
+        state_requests: RefCell::new(Budget::new(
             limits.state.rps * share::of_requests(Role::Leaderless, nodes),
             BURST_S,
         )),
-        writes: RefCell::new(Budget::new(
+        state_writes: RefCell::new(Budget::new(
             limits.state.write_rps * share::of_changes(Role::Leaderless, nodes),
             BURST_S,
         )),
         cloud_requests: RefCell::new(Budget::new(limits.cloud.rps * 0.8, 1.0)),
-        types: RefCell::new(Vec::new()),
-        state_ok: Cell::new(None),
-        renewals_fail: Cell::new(false),
-        stopped: Cell::new(None),
-        flushing: Cell::new(false),
-        seeking: Cell::new(false),
-        narrow: Cell::new(usize::MAX),
+        machine_types: RefCell::new(Vec::new()),
+        state_answered_at: Cell::new(None),
+        renewals_failing: Cell::new(false),
+        last_step_down: Cell::new(None),
+        write_in_flight: Cell::new(false),
+        lookup_in_flight: Cell::new(false),
+        max_txn_changes: Cell::new(usize::MAX),
         upgrade: upgrade::Upgrade::default(),
-        listing: Cell::new(false),
-        polls: polls::Waiting::new(users),
-        reads: polls::Waiting::new(2 * users),
+        list_in_flight: Cell::new(false),
+        leader_polls: polls::PollQueue::new(users),
+        record_polls: polls::PollQueue::new(2 * users),
         final_states: RefCell::default(),
-        last_beat: Cell::new(0),
-        relays: RefCell::new(Relays::default()),
-        last_picture: RefCell::new(None),
-        figures: RefCell::new(metrics::Metrics::new()),
-        evidence: audit_log::Evidence::default(),
+        last_heartbeat: Cell::new(0),
+        heartbeat_relays: RefCell::new(HeartbeatRelays::default()),
+        last_cluster_status: RefCell::new(None),
+        metrics: RefCell::new(metrics::Metrics::new()),
+        audit_log: audit_log::AuditLog::default(),
         wake: async_channel::bounded(1),
     });
     async_io::block_on(lanes.run(async {
@@ -178,7 +178,7 @@
         let limits = server::Limits {
             connections: sockets * 5 / 8,
             others: users,
-            first: BEAT,
+            first: HEARTBEAT_PATH,
         };
         let listen = lanes.spawn(server::serve(
             lanes.clone(),
@@ -199,8 +199,8 @@
 }
 
 impl Node {
-    pub fn now(&self) -> Ms {
-        self.start.elapsed().as_millis() as Ms
+    pub fn now(&self) -> Millis {
+        self.start.elapsed().as_millis() as Millis
     }
 
     fn wall_ms(&self) -> u64 {
@@ -210,7 +210,7 @@
     }
 
     /// Runs `f` on the leader's state if this process may act right now.
-    fn acting<T>(&self, f: impl FnOnce(&mut Leader, Ms) -> T) -> Option<T> {
+    fn acting<T>(&self, f: impl FnOnce(&mut Leader, Millis) -> T) -> Option<T> {
         let term = self.election.borrow().authority(self.now())?;
         self.of_term(term, f)
     }
@@ -228,13 +228,15 @@
         let (now, limits) = (self.now(), self.settings.cluster.state.always());
         let nodes = self.settings.peers.len() + 1;
         let rate = limits.rps * share::of_requests(role, nodes);
-        self.requests.borrow_mut().set_rate(now, rate, BURST_S);
+        self.state_requests
+            .borrow_mut()
+            .set_rate(now, rate, BURST_S);
         let rate = limits.write_rps * share::of_changes(role, nodes);
-        self.writes.borrow_mut().set_rate(now, rate, BURST_S);
+        self.state_writes.borrow_mut().set_rate(now, rate, BURST_S);
     }
 
     /// The leader's state, for results of what was begun with authority.
-    fn of_term<T>(&self, term: u64, f: impl FnOnce(&mut Leader, Ms) -> T) -> Option<T> {
+    fn of_term<T>(&self, term: u64, f: impl FnOnce(&mut Leader, Millis) -> T) -> Option<T> {
         let now = self.now();
         let mut leader = self.leader.borrow_mut();
         let leader = leader.as_mut().filter(|l| l.term == term)?;
@@ -252,9 +254,9 @@
         match path {
             "/ready" if get => return self.ready(),
             metrics::PATH if get => return self.metrics(),
-            BEAT if post => return self.beat(request.body).await,
+            HEARTBEAT_PATH if post => return self.handle_heartbeat(request.body).await,
             "/v1/jobs" if post => {}
-            "/ready" | metrics::PATH | BEAT | "/v1/jobs" => {
+            "/ready" | metrics::PATH | HEARTBEAT_PATH | "/v1/jobs" => {
                 return HttpResponse::error(405, "method not allowed");
             }
             _ => match path.strip_prefix("/v1/jobs/") {
@@ -285,13 +287,16 @@
         let began = Instant::now();
         let answer = self.user(request.method.as_ref(), path, body).await;
         let seconds = began.elapsed().as_secs_f64();
-        self.figures.borrow().answered(kind, seconds);
+        self.metrics.borrow().answered(kind, seconds);
         answer
     }
 
     fn ready(&self) -> HttpResponse {
         let now = self.now();
-        let fresh = self.state_ok.get().is_some_and(|at| now < at + 3000);
+        let fresh = self
+            .state_answered_at
+            .get()
+            .is_some_and(|at| now < at + 3000);
         if fresh || self.election.borrow().authority(now).is_some() {
             HttpResponse::json(200, &serde_json::json!({ "ready": true }))
         } else {
--- a/src/server/peers.rs
+++ b/src/server/peers.rs
@@ -1,11 +1,11 @@
 //! The other controllers: what they ask, what is asked of them, and which of
 //! them answer.
 
-use super::{BEAT, Node};
+use super::{HEARTBEAT_PATH, Node};
 use crate::{
     control::failure_detector::{PeerHealth, RESPONSE_PATIENCE_MS},
     protocol::peers::{Reply, Request},
-    state::Ms,
+    state::Millis,
     state::offload::OffloadTarget,
     transport::client::CallError,
 };
@@ -15,9 +15,9 @@
 /// Between two looks at which nodes are to be asked whether they answer.
 const LOOK: Duration = Duration::from_millis(100);
 /// Between two questions only to learn whether a node answers.
-const EVERY: Ms = 300;
+const EVERY: Millis = 300;
 /// The same for the leader, who asks all nodes.
-const LEADER_EVERY: Ms = 700;
+const LEADER_EVERY: Millis = 700;
 
 /// Keeps up to date which nodes answer, as far as that matters now.
 pub async fn watch(node: Rc<Node>) {
@@ -98,15 +98,17 @@
         match request {
             Request::Unheard { machines, for_ms } => {
                 let now = self.now();
-                self.relays.borrow_mut().unheard(&machines, for_ms, now);
+                self.heartbeat_relays
+                    .borrow_mut()
+                    .relay_requested(&machines, for_ms, now);
                 let election = self.election.borrow();
                 let leader = election.leader(now).map(|(n, t)| (n.to_owned(), t));
                 Reply::Greeted { leader }
             }
-            Request::Forward { path, body, .. } if path == BEAT => {
+            Request::Forward { path, body, .. } if path == HEARTBEAT_PATH => {
                 let answer = serde_json::from_slice(&body)
                     .ok()
-                    .and_then(|report| self.beat_here(&report));
+                    .and_then(|report| self.answer_heartbeat(&report));
                 match answer {
                     Some(r) => Reply::Forwarded {
                         status: r.status,
@@ -117,7 +119,7 @@
                 }
             }
             Request::Forward { method, path, body } => {
-                match self.user_here(&method, &path, body).await {
+                match self.handle_as_leader(&method, &path, body).await {
                     Some(r) => Reply::Forwarded {
                         status: r.status,
                         retry_after_s: r.retry_after_s,
@@ -127,7 +129,7 @@
                 }
             }
             Request::Follow(part) => self.receive_replication_part(part),
-            Request::Polls { ids } => self.polled_here(&ids),
+            Request::Polls { ids } => self.answer_polls(&ids),
             Request::Promise { term, for_ms, .. } => self.promise(term, for_ms).await,
             Request::Status => Reply::Status(Box::new(self.status().await)),
             Request::LeaderStatus => self.leader_status().await,
--- a/src/server/polls.rs
+++ b/src/server/polls.rs
@@ -3,14 +3,14 @@
 use super::Node;
 use crate::{
     control::{
-        polls::Batch,
+        polls::PollBatch,
         requests::{Found, Reading, final_status, polled},
     },
     protocol::{
         peers::{Reply, Request},
         users::JobStatus,
     },
-    state::Ms,
+    state::Millis,
     state::records::{FINALS, JOBS, StoredJob, job_key},
 };
 use async_channel::{Receiver, Sender};
@@ -27,17 +27,17 @@
 /// What a poll comes to.
 pub(super) type Answer = Result<Reading, String>;
 
-pub(super) struct Waiting {
-    batch: RefCell<Batch<Sender<Answer>>>,
+pub(super) struct PollQueue {
+    batch: RefCell<PollBatch<Sender<Answer>>>,
     wake: (Sender<()>, Receiver<()>),
 }
 
 type Round = Vec<(String, Vec<Sender<Answer>>)>;
 
-impl Waiting {
+impl PollQueue {
     pub(super) fn new(most: usize) -> Self {
-        Waiting {
-            batch: RefCell::new(Batch::new(most)),
+        PollQueue {
+            batch: RefCell::new(PollBatch::new(most)),
             wake: async_channel::bounded(1),
         }
     }
@@ -57,11 +57,11 @@
 
     /// No answer could be given about it.
     fn owe(&self, id: &str) {
-        self.batch.borrow_mut().owe(id);
+        self.batch.borrow_mut().mark_shed(id);
     }
 
     fn paid(&self, id: &str) {
-        self.batch.borrow_mut().paid(id);
+        self.batch.borrow_mut().mark_answered(id);
     }
 
     /// Waits until something is asked.
@@ -72,7 +72,7 @@
     }
 
     fn round(&self) -> Round {
-        self.batch.borrow_mut().begin(MOST)
+        self.batch.borrow_mut().take_round(MOST)
     }
 }
 
@@ -85,8 +85,8 @@
 /// Asks the leader, for all who wait at once.
 pub async fn ask_leader(node: Rc<Node>) {
     loop {
-        node.polls.asked().await;
-        let round = node.polls.round();
+        node.leader_polls.asked().await;
+        let round = node.leader_polls.round();
         let (mut known, began) = (Vec::new(), node.now());
         if let Some(leader) = node.answering_leader() {
             let ids = round.iter().map(|(id, _)| id.clone()).collect();
@@ -105,7 +105,7 @@
                 running,
             });
             let reading = Reading {
-                began,
+                started_at: began,
                 status: told,
                 version: None,
             };
@@ -118,10 +118,10 @@
 pub async fn ask_records(node: Rc<Node>) {
     let mut listed = 0;
     loop {
-        node.reads.asked().await;
+        node.record_polls.asked().await;
         // While requests are scarce more polls gather, for whom one list does.
         let room = node.room_to_read().await;
-        let (round, began) = (node.reads.round(), node.now());
+        let (round, began) = (node.record_polls.round(), node.now());
         let mut live = HashMap::new();
         // A list costs by the number of live jobs, a look-up by the request.
         let dear = round.len() * 16 < listed && 2 * round.len() < room;
@@ -137,7 +137,7 @@
                 Err(e) => {
                     let why = Err(format!("records can't be read: {e}"));
                     for (id, who) in round {
-                        node.reads.owe(&id);
+                        node.record_polls.owe(&id);
                         tell(who, &why);
                     }
                     continue;
@@ -170,8 +170,8 @@
                 (None, None) => look_up(&node, &id).await,
             };
             match &found {
-                Ok(_) => node.reads.paid(&id),
-                Err(_) => node.reads.owe(&id),
+                Ok(_) => node.record_polls.paid(&id),
+                Err(_) => node.record_polls.owe(&id),
             }
             let found = found.map_err(|e| format!("records can't be read: {e}"));
             tell(who, &found);
@@ -179,9 +179,9 @@
     }
 }
 
-fn reading(began: Ms, status: JobStatus, version: u64) -> Reading {
+fn reading(began: Millis, status: JobStatus, version: u64) -> Reading {
     Reading {
-        began,
+        started_at: began,
         status: Some(status),
         version: Some(version),
     }
@@ -199,7 +199,7 @@
 
 impl Node {
     /// Polls at other nodes.
-    pub(super) fn polled_here(&self, ids: &[String]) -> Reply {
+    pub(super) fn answer_polls(&self, ids: &[String]) -> Reply {
         let ids = &ids[..ids.len().min(MOST)];
         match self.view(|view| polled(view, ids)) {
             Some(answers) => Reply::Polled(answers),
@@ -209,7 +209,7 @@
 
     /// Waits, though no longer than users do, until some requests may be made.
     async fn room_to_read(&self) -> usize {
-        let room = || self.requests.borrow_mut().level(self.now()) as usize;
+        let room = || self.state_requests.borrow_mut().level(self.now()) as usize;
         for _ in 0..10 {
             if room() >= 2 * FEW {
                 break;
--- a/src/server/standby.rs
+++ b/src/server/standby.rs
@@ -1,6 +1,6 @@
 //! Keeps standbys warm while this node leads, and a copy while another does.
 
-use super::{Node, store::USUAL};
+use super::{Node, store::STATE_TIMEOUT};
 use crate::{
     control::{failure_detector::PeerHealth, requests::TxnResult, standby::RegistryWriteOutcome},
     protocol::{
@@ -72,20 +72,20 @@
 
     pub(super) async fn read_standby_record(&self) -> Result<Option<(StandbyRecord, u64)>, String> {
         let now = self.now();
-        self.requests.borrow_mut().force(now, 1.0);
-        let item = self.get(STANDBYS, USUAL).await?;
+        self.state_requests.borrow_mut().force(now, 1.0);
+        let item = self.get(STANDBYS, STATE_TIMEOUT).await?;
         Ok(item.map(|i| (StandbyRecord::read(i.value), i.version)))
     }
 
     async fn write_standbys(self: Rc<Self>, term: u64, txn: Txn) {
         let now = self.now();
-        self.requests.borrow_mut().force(now, 1.0);
-        self.writes.borrow_mut().force(now, 1.0);
-        let how = match self.txn(&txn, USUAL).await {
+        self.state_requests.borrow_mut().force(now, 1.0);
+        self.state_writes.borrow_mut().force(now, 1.0);
+        let how = match self.txn(&txn, STATE_TIMEOUT).await {
             TxnResult::Done(version) => RegistryWriteOutcome::Done(version),
             TxnResult::Refused | TxnResult::Rejected => RegistryWriteOutcome::Refused,
             TxnResult::Conflict(failed) if failed.iter().any(|k| k == LEADER) => {
-                self.resign(term, super::leadership::Stop::Replaced);
+                self.step_down(term, super::leadership::StepDownReason::Replaced);
                 return;
             }
             TxnResult::Conflict(_) | TxnResult::Unknown => loop {
@@ -105,14 +105,18 @@
     /// node leaves them a moment. Only a courtesy, so what was read may be old.
     pub(super) async fn other_standbys_are_counted(&self) -> bool {
         // Read once while nobody leads: the budget is scarce just then.
-        if self.last_record.borrow().is_none() {
+        if self.last_standby_record.borrow().is_none() {
             let Ok(found) = self.read_standby_record().await else {
                 return false;
             };
             let record = found.map(|(record, _)| record).unwrap_or_default();
-            self.last_record.replace(Some(record));
+            self.last_standby_record.replace(Some(record));
         }
-        let record = self.last_record.borrow().clone().unwrap_or_default();
+        let record = self
+            .last_standby_record
+            .borrow()
+            .clone()
+            .unwrap_or_default();
         let (me, incarnation) = {
             let e = self.election.borrow();
             (e.me.clone(), e.incarnation)
--- a/src/server/status.rs
+++ b/src/server/status.rs
@@ -8,16 +8,16 @@
         peers::{Reply, Request},
         status::{Explanation, Picture, Status},
     },
-    state::Ms,
+    state::Millis,
 };
 use std::{rc::Rc, time::Duration};
 
 const ASK: Duration = Duration::from_millis(800);
 /// A picture is put together at most this often, however many ask.
-const FRESH: Ms = 500;
+const FRESH: Millis = 500;
 
 /// The picture last put together or fetched, and when.
-pub(super) type LastPicture = Option<(Ms, Picture)>;
+pub(super) type LastClusterStatus = Option<(Millis, Picture)>;
 
 impl Node {
     pub(super) async fn status(&self) -> Status {
@@ -25,26 +25,26 @@
         if self.acting(|l, _| l.loaded()) == Some(true) {
             let term = self.election.borrow().authority(now);
             let last = self
-                .last_picture
+                .last_cluster_status
                 .borrow()
                 .as_ref()
                 .map(|(at, p)| (*at, p.term));
             let fresh = last.is_some_and(|(at, of)| now < at + FRESH && Some(of) == term);
             if !fresh && let Some(picture) = self.acting(|l, now| l.picture(now)) {
-                *self.last_picture.borrow_mut() = Some((now, picture));
+                *self.last_cluster_status.borrow_mut() = Some((now, picture));
             }
         } else if let Some(leader) = self.leader_peer()
             && let Ok(Reply::Status(answer)) = self.ask(leader, &Request::LeaderStatus, ASK).await
             && let Some(picture) = answer.picture
         {
-            let age = (answer.age_s.max(0.0) * 1000.0) as Ms;
-            *self.last_picture.borrow_mut() = Some((now.saturating_sub(age), picture));
+            let age = (answer.age_s.max(0.0) * 1000.0) as Millis;
+            *self.last_cluster_status.borrow_mut() = Some((now.saturating_sub(age), picture));
         }
         self.own_status(self.now())
     }
 
-    fn own_status(&self, now: Ms) -> Status {
-        let last = self.last_picture.borrow();
+    fn own_status(&self, now: Millis) -> Status {
+        let last = self.last_cluster_status.borrow();
         Status {
             node: self.settings.name.clone(),
             leader: self
@@ -59,7 +59,7 @@
             picture: last.as_ref().map(|(_, p)| p.clone()),
             versions: self.versions(),
             upgraded: self.upgrade.is_complete(),
-            stopped: self.stopped.get().map(|(at, why)| {
+            stopped: self.last_step_down.get().map(|(at, why)| {
                 let ago = now.saturating_sub(at) as f64 / 1000.0;
                 (why.text().to_owned(), ago)
             }),
--- a/src/server/store.rs
+++ b/src/server/store.rs
@@ -4,7 +4,7 @@
 use crate::{
     control::{
         key_pages::Pages,
-        requests::{Found, Looked, TxnResult},
+        requests::{Found, LookupResults, TxnResult},
     },
     protocol::state::{Item, Page, Revision, Txn},
     state::{
@@ -16,7 +16,7 @@
 use http_types::Method;
 use std::time::Duration;
 
-pub const USUAL: Duration = Duration::from_millis(1500);
+pub const STATE_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// Up to so many records are read one by one; of more, pages.
 const ONE_BY_ONE: usize = 4;
@@ -33,7 +33,7 @@
     /// leadership and acceptances.
     pub(super) fn may_request(&self, reserve: f64) -> bool {
         let now = self.now();
-        self.requests.borrow_mut().take(now, 1.0, reserve)
+        self.state_requests.borrow_mut().take(now, 1.0, reserve)
     }
 
     pub(super) async fn state(
@@ -43,11 +43,11 @@
         body: Option<Vec<u8>>,
         limit: Duration,
     ) -> Result<Answer, CallError> {
-        self.figures.borrow().state_requests.inc();
+        self.metrics.borrow().state_requests.inc();
         let addr = self.settings.services.state;
         let answer = self.http.call(addr, method, path, body, limit).await?;
         if answer.status != 503 && answer.status != 429 {
-            self.state_ok.set(Some(self.now()));
+            self.state_answered_at.set(Some(self.now()));
         }
         Ok(answer)
     }
@@ -117,8 +117,8 @@
     /// were never accepted. Live records are read first: a job that ends
     /// meanwhile is found among the final ones. `Err` for one alone: its record
     /// can't be read, which must not hold up the others.
-    pub(super) async fn lookup_all(&self, ids: &[String]) -> Looked {
-        let mut all = Looked::new();
+    pub(super) async fn lookup_all(&self, ids: &[String]) -> LookupResults {
+        let mut all = LookupResults::new();
         for prefix in [JOBS, FINALS] {
             let left = ids.iter().filter(|id| !all.contains_key(*id));
             let left: Vec<&str> = left.map(String::as_str).collect();
@@ -199,14 +199,14 @@
 
     pub(super) async fn txn(&self, txn: &Txn, limit: Duration) -> TxnResult {
         let changes = txn.writes.len() as u64;
-        self.figures.borrow().state_changes.inc_by(changes);
+        self.metrics.borrow().state_changes.inc_by(changes);
         let body = serde_json::to_vec(txn).unwrap_or_default();
         match self.state(Method::Post, "/txn", Some(body), limit).await {
             Ok(a) => match (a.status, serde_json::from_slice::<Revision>(&a.body)) {
                 (200, Ok(r)) => TxnResult::Done(r.revision),
                 (409, Ok(r)) => TxnResult::Conflict(r.failed),
                 (s @ (429 | 503 | 400), _) => {
-                    self.figures.borrow().state_refused.inc();
+                    self.metrics.borrow().state_refused.inc();
                     if s != 400 {
                         return TxnResult::Refused;
                     }
@@ -245,7 +245,7 @@
             return Ok(Found::Live(Box::new(record), item.version));
         }
         let now = self.now();
-        self.requests.borrow_mut().force(now, 1.0);
+        self.state_requests.borrow_mut().force(now, 1.0);
         match self.get(&final_key(id), limit).await? {
             Some(item) => serde_json::from_value(item.value)
                 .map(|r| Found::Final(r, item.version))
--- a/src/server/upgrade.rs
+++ b/src/server/upgrade.rs
@@ -1,7 +1,7 @@
 //! Which controllers run this version. Each leaves a mark in the store when it
 //! first runs it; what older ones can't read is written only once all have.
 
-use super::{Node, store::USUAL};
+use super::{Node, store::STATE_TIMEOUT};
 use crate::{
     control::requests::TxnResult,
     protocol::state::{Condition, Txn, Write},
@@ -91,7 +91,7 @@
         if !self.may_request(2.0) {
             return Err("over the request budget".into());
         }
-        let found = self.get(&key, USUAL).await?;
+        let found = self.get(&key, STATE_TIMEOUT).await?;
         let version = found.as_ref().map_or(0, |i| i.version);
         let same = found.is_some_and(|i| {
             serde_json::from_value::<VersionRecord>(i.value).is_ok_and(|v| v == own)
@@ -100,7 +100,7 @@
             return Ok(());
         }
         let now = self.now();
-        if !self.writes.borrow_mut().take(now, 1.0, 0.0) || !self.may_request(1.0) {
+        if !self.state_writes.borrow_mut().take(now, 1.0, 0.0) || !self.may_request(1.0) {
             return Err("over the change budget".into());
         }
         let txn = Txn {
@@ -114,7 +114,7 @@
                 lease: None,
             }],
         };
-        match self.txn(&txn, USUAL).await {
+        match self.txn(&txn, STATE_TIMEOUT).await {
             TxnResult::Done(_) => Ok(()),
             _ => Err("not written".into()),
         }
--- a/src/state/cluster/job.rs
+++ b/src/state/cluster/job.rs
@@ -8,7 +8,7 @@
         users::{JobSpec, JobState, JobStatus, Kind, Priority},
     },
     state::{
-        Ms,
+        Millis,
         dependencies::Readiness,
         fault_attribution::JobFailures,
         offload::OffloadState,
@@ -40,7 +40,7 @@
     /// Accepted in this term: no earlier leader can have started it.
     pub accepted_this_term: bool,
     /// Steady-clock time at which this leader first knew of it.
-    pub known_since: Ms,
+    pub known_since: Millis,
     pub completed: TaskBitmap,
     pub completed_count: u32,
     pub(super) task_slots: Vec<u32>,
@@ -66,7 +66,7 @@
     pub ending_in_flight: bool,
     /// Starts in a row that came to nothing for other reasons than errors.
     pub consecutive_refusals: u32,
-    pub backoff_until: Ms,
+    pub backoff_until: Millis,
     pub failures: JobFailures,
     /// A task of it has run since this leader knows of it.
     pub has_run: bool,
--- a/src/state/cluster/machine.rs
+++ b/src/state/cluster/machine.rs
@@ -2,13 +2,13 @@
 
 use crate::{
     protocol::workers::ExitReason,
-    state::{Ms, fault_attribution::MachineFailures, resources::Resources},
+    state::{Millis, fault_attribution::MachineFailures, resources::Resources},
 };
 use std::{fmt, net::SocketAddr};
 
 /// For so long the answer to a direct order is waited for. It is not sent later
 /// than that: the connection is made or given up within it.
-pub const DIRECT_COMMAND_TIMEOUT_MS: Ms = 2_000;
+pub const DIRECT_COMMAND_TIMEOUT_MS: Millis = 2_000;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
@@ -60,7 +60,7 @@
     pub indeterminate_token: u64,
     /// The report whose response carried the launch.
     pub sent_with_heartbeat: u64,
-    pub since: Ms,
+    pub since: Millis,
     /// It was reported running more than once, or completed: it was counted
     /// in favour of its job and its machine.
     pub seen_running: bool,
@@ -110,7 +110,7 @@
     /// count.
     pub latest_heartbeat: (u64, u64),
     /// The last report that was older than that, and when it came.
-    pub last_stale_heartbeat: ((u64, u64), Ms),
+    pub last_stale_heartbeat: ((u64, u64), Millis),
     /// Reports in a row that show no token of this term, although those before
     /// them were answered.
     pub unacknowledged_heartbeats: u32,
@@ -120,12 +120,12 @@
     /// nor lapsed: anything may run on it.
     pub contents_unknown: bool,
     /// When a report was last answered with 200.
-    pub last_answered: Ms,
+    pub last_answered: Millis,
     /// When the direct command with a start was sent that is on its way.
-    pub start_sent_at: Option<Ms>,
+    pub start_sent_at: Option<Millis>,
     /// When the last one can have reached it at the latest.
-    pub latest_possible_start: Ms,
-    pub last_heartbeat: Ms,
+    pub latest_possible_start: Millis,
+    pub last_heartbeat: Millis,
     pub registration: Registration,
     pub record_version: u64,
     pub write_in_flight: bool,
@@ -136,30 +136,30 @@
     pub recorded_empty: bool,
     pub release_requested: bool,
     /// Steady-clock time at which it is to be taken away.
-    pub reclaim_at: Option<Ms>,
-    pub state_since: Ms,
-    pub idle_since: Ms,
-    pub last_listed: Ms,
+    pub reclaim_at: Option<Millis>,
+    pub state_since: Millis,
+    pub idle_since: Millis,
+    pub last_listed: Millis,
     pub failures: MachineFailures,
     /// The record lacks the verdict on it.
     pub quarantine_unrecorded: bool,
     /// A direct order is on its way.
     pub command_in_flight: bool,
-    pub command_retry_at: Ms,
+    pub command_retry_at: Millis,
     pub images: Vec<u32>,
     /// The record lacks some of them.
     pub images_unrecorded: bool,
     /// When a task other than a service's was last on it.
-    pub last_batch_activity: Ms,
+    pub last_batch_activity: Millis,
     /// Services move here: batches keep off until then.
-    pub closed_to_batches_until: Ms,
+    pub closed_to_batches_until: Millis,
     /// Up, but its reports are overdue, and since when.
     pub overdue: bool,
-    pub overdue_since: Ms,
+    pub overdue_since: Millis,
     /// Its services are being moved off, then it is returned.
     pub draining: bool,
     /// Room is being made on it for this job, until then.
-    pub reserved_for: Option<(u32, Ms)>,
+    pub reserved_for: Option<(u32, Millis)>,
 }
 
 impl Machine {
@@ -170,12 +170,12 @@
         self.tasks.iter().filter(|t| t.is_live()).count()
     }
     /// Room on it is held for this job.
-    pub fn is_reserved_for(&self, job: u32, now: Ms) -> bool {
+    pub fn is_reserved_for(&self, job: u32, now: Millis) -> bool {
         self.reserved_for
             .is_some_and(|(of, until)| of == job && now < until)
     }
     /// No room on it is held for another job.
-    pub fn available_to(&self, job: u32, now: Ms) -> bool {
+    pub fn available_to(&self, job: u32, now: Millis) -> bool {
         self.reserved_for
             .is_none_or(|(of, until)| of == job || now >= until)
     }
@@ -186,7 +186,7 @@
     /// Since when its lease may run. A process of it that has just begun counts
     /// from its own beginning, which may be as late as the moment at which it
     /// took a direct order; what was started by that runs until then.
-    pub fn lease_start(&self) -> Ms {
+    pub fn lease_start(&self) -> Millis {
         let on_its_way = self
             .start_sent_at
             .map_or(0, |sent| sent + DIRECT_COMMAND_TIMEOUT_MS);
--- a/src/state/cluster/mod.rs
+++ b/src/state/cluster/mod.rs
@@ -13,7 +13,7 @@
 use stale::StaleMachines;
 
 use super::{
-    Ms,
+    Millis,
     dependencies::Readiness,
     fault_attribution::{JobFailures, MachineFailures},
     offload::OffloadState,
@@ -176,7 +176,7 @@
         all.filter_map(|(ix, m)| Some((ix as u32, m.as_ref()?)))
     }
     /// Notes on which machines work other than services runs now.
-    pub fn record_batch_activity(&mut self, now: Ms) {
+    pub fn record_batch_activity(&mut self, now: Millis) {
         self.count(self.machines.len());
         let jobs = &self.jobs;
         let is_batch = |a: &Assignment| {
@@ -214,7 +214,7 @@
         version: u64,
         done: TaskBitmap,
         cancelled: bool,
-        now: Ms,
+        now: Millis,
     ) -> u32 {
         if let Some(ix) = self.job_index(&spec.id) {
             return ix;
@@ -317,7 +317,7 @@
         type_name: &str,
         zone: &str,
         spot: bool,
-        now: Ms,
+        now: Millis,
     ) -> Option<u32> {
         if let Some(ix) = self.machine_index(name) {
             return Some(ix);
@@ -449,7 +449,7 @@
         machine: u32,
         attempt: u64,
         phase: Phase,
-        now: Ms,
+        now: Millis,
     ) {
         let Some(job) = self.jobs.get_mut(job_ix as usize).and_then(Option::as_mut) else {
             return;
@@ -526,7 +526,14 @@
 
     /// A task reported by a machine whose job is not known, or that should
     /// not be there: it is stopped, or reaped if it has ended.
-    pub fn assign_orphan(&mut self, machine: u32, name: &str, attempt: u64, phase: Phase, now: Ms) {
+    pub fn assign_orphan(
+        &mut self,
+        machine: u32,
+        name: &str,
+        attempt: u64,
+        phase: Phase,
+        now: Millis,
+    ) {
         if let Some(m) = self.machine_mut(machine) {
             m.tasks.push(Assignment {
                 name: name.to_owned(),
@@ -556,7 +563,7 @@
         machine: u32,
         attempt: u64,
         phase: Phase,
-        now: Ms,
+        now: Millis,
     ) {
         let Some(job) = self.job_mut(job_ix) else {
             return;
--- a/src/state/fault_attribution.rs
+++ b/src/state/fault_attribution.rs
@@ -4,7 +4,7 @@
 //! fails every task. So a machine is accused by jobs that run elsewhere, or by
 //! several jobs, and a job by several machines, or by one on which others run.
 
-use super::Ms;
+use super::Millis;
 
 /// Failures that are remembered of a job or a machine.
 const MAX_REMEMBERED_FAILURES: usize = 8;
@@ -13,15 +13,15 @@
 /// So many jobs of which nothing is known accuse a machine.
 const JOBS_TO_SUSPECT_MACHINE: usize = 3;
 /// Pauses between tries of a suspected job.
-const FIRST_RETRY_DELAY_MS: Ms = 8_000;
-const MAX_RETRY_DELAY_MS: Ms = 64_000;
+const FIRST_RETRY_DELAY_MS: Millis = 8_000;
+const MAX_RETRY_DELAY_MS: Millis = 64_000;
 /// A machine that is quarantined, but kept for what runs there, is retried.
-const QUARANTINE_RETRY_MS: Ms = 300_000;
+const QUARANTINE_RETRY_MS: Millis = 300_000;
 
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FailuresOnMachine {
     pub machine: u32,
-    pub last_failure: Ms,
+    pub last_failure: Millis,
     pub count: u32,
 }
 
@@ -36,7 +36,7 @@
     /// An earlier leader suspected it, on evidence that is not kept.
     inherited: bool,
     retries: u32,
-    next_retry_at: Ms,
+    next_retry_at: Millis,
 }
 
 /// A job's failures on one machine.
@@ -44,7 +44,7 @@
 struct FailuresOfJob {
     job: String,
     count: u32,
-    last_failure: Ms,
+    last_failure: Millis,
     /// The job runs elsewhere.
     job_has_succeeded: bool,
 }
@@ -55,16 +55,16 @@
     by_job: Vec<FailuresOfJob>,
     /// When the latest of the tasks that ran there was started. One that was
     /// started before a failure says nothing of the time after it.
-    last_success: Option<Ms>,
+    last_success: Option<Millis>,
     pub quarantined: bool,
-    quarantined_since: Ms,
+    quarantined_since: Millis,
     /// An earlier leader set it aside, on evidence that is not kept.
     inherited: bool,
 }
 
 impl JobFailures {
     /// As recorded by an earlier leader.
-    pub fn inherited_suspicion(now: Ms) -> Self {
+    pub fn inherited_suspicion(now: Millis) -> Self {
         JobFailures {
             suspected: true,
             inherited: true,
@@ -82,7 +82,7 @@
         &self.by_machine
     }
 
-    pub fn record_failure(&mut self, machine: u32, now: Ms) {
+    pub fn record_failure(&mut self, machine: u32, now: Millis) {
         let at = self.by_machine.iter().position(|f| f.machine == machine);
         let before = at.map_or(0, |at| self.by_machine.remove(at).count);
         if self.by_machine.len() >= MAX_REMEMBERED_FAILURES {
@@ -110,7 +110,11 @@
 
     /// Weighs the evidence again. `machine`: whether it is surely at fault,
     /// and when a task last ran there. Returns whether the verdict has changed.
-    pub fn reevaluate(&mut self, now: Ms, machine: impl Fn(u32) -> (bool, Option<Ms>)) -> bool {
+    pub fn reevaluate(
+        &mut self,
+        now: Millis,
+        machine: impl Fn(u32) -> (bool, Option<Millis>),
+    ) -> bool {
         let weight: u32 = self
             .by_machine
             .iter()
@@ -135,7 +139,7 @@
 
     /// A try of a job that has never run has failed: the next one later, and
     /// much later if it is suspected. The many tasks of one try count once.
-    pub fn delay_retry(&mut self, now: Ms) {
+    pub fn delay_retry(&mut self, now: Millis) {
         if self.has_succeeded || now < self.next_retry_at {
             return;
         }
@@ -149,17 +153,17 @@
 
     /// Whether the job is put off for now. Guards, too, against a job that
     /// takes the only room there is again and again.
-    pub fn is_backing_off(&self, now: Ms) -> bool {
+    pub fn is_backing_off(&self, now: Millis) -> bool {
         now < self.next_retry_at
     }
 
-    pub fn next_retry_at(&self) -> Ms {
+    pub fn next_retry_at(&self) -> Millis {
         self.next_retry_at
     }
 }
 
 impl MachineFailures {
-    pub fn inherited_quarantine(now: Ms) -> Self {
+    pub fn inherited_quarantine(now: Millis) -> Self {
         MachineFailures {
             quarantined: true,
             quarantined_since: now,
@@ -168,7 +172,7 @@
         }
     }
 
-    pub fn last_success(&self) -> Option<Ms> {
+    pub fn last_success(&self) -> Option<Millis> {
         self.last_success
     }
 
@@ -185,13 +189,13 @@
     }
 
     /// A task that was started then ran there.
-    pub fn record_success(&mut self, started: Ms) {
+    pub fn record_success(&mut self, started: Millis) {
         self.last_success = self.last_success.max(Some(started));
         self.by_job.retain(|f| f.last_failure >= started);
     }
 
     /// So many tasks of the job failed there.
-    pub fn record_failure(&mut self, job: &str, proven: bool, count: u32, now: Ms) {
+    pub fn record_failure(&mut self, job: &str, proven: bool, count: u32, now: Millis) {
         if let Some(f) = self.by_job.iter_mut().find(|f| f.job == job) {
             f.count += count;
             f.last_failure = now;
@@ -213,7 +217,7 @@
 
     /// Returns whether the verdict has changed. A machine quarantined on the
     /// word of jobs that turned out to be at fault comes back.
-    pub fn reevaluate(&mut self, now: Ms) -> bool {
+    pub fn reevaluate(&mut self, now: Millis) -> bool {
         let guilty = self.inherited
             || self.fails_proven_jobs()
             || self.by_job.len() >= JOBS_TO_SUSPECT_MACHINE;
@@ -225,7 +229,7 @@
 
     /// A machine that can't be returned, as something still runs there, is
     /// retried after a while. Returns whether that is now.
-    pub fn end_quarantine_if_due(&mut self, now: Ms) -> bool {
+    pub fn end_quarantine_if_due(&mut self, now: Millis) -> bool {
         let again = self.quarantined && now >= self.quarantined_since + QUARANTINE_RETRY_MS;
         if again {
             *self = MachineFailures {
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -12,4 +12,4 @@
 pub mod spec_chunks;
 
 /// Milliseconds of the steady clock since the process began.
-pub type Ms = u64;
+pub type Millis = u64;
--- a/tests/failover.rs
+++ b/tests/failover.rs
@@ -20,7 +20,7 @@
         state::{Txn, Write},
     },
     state::{
-        Ms,
+        Millis,
         records::{STANDBYS, StandbyRecord},
     },
 };
@@ -107,7 +107,7 @@
 
 #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Debug)]
 enum Msg {
-    Tell(usize, usize, Told),
+    Tell(usize, usize, LeaderReplied),
     Answer(usize, usize, u64, (u64, u64), u64, bool),
     Start(u64, u32, u64),
     /// By a node in its incarnation and term: the version it is guarded by,
@@ -119,7 +119,7 @@
 
 /// A part, in a form that can be ordered.
 #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Debug)]
-struct Told {
+struct LeaderReplied {
     term: u64,
     id: (u64, u64),
     whole: bool,
@@ -138,7 +138,7 @@
 
 #[derive(Clone, PartialEq, Eq, Hash)]
 struct State {
-    now: Ms,
+    now: Millis,
     revision: u64,
     key: Option<(u64, usize)>,
     record: Option<(StandbyRecord, u64)>,
@@ -408,7 +408,7 @@
                 l.telling[*j] = Some((part.stream, part.part));
                 // Guards against an old leader that begins for ever anew.
                 if part.stream <= MOST_STREAMS {
-                    self.wire.push(Msg::Tell(i, *j, Told::of(part)));
+                    self.wire.push(Msg::Tell(i, *j, LeaderReplied::of(part)));
                 }
             }
         }
@@ -491,13 +491,13 @@
     }
 }
 
-impl Told {
-    fn of(f: Follow) -> Told {
+impl LeaderReplied {
+    fn of(f: Follow) -> LeaderReplied {
         let holds = f.machines.first().map(|m| {
             let tasks = m.jobs.iter().flat_map(|(_, tasks)| tasks);
             tasks.map(|t| (t.0, t.1, t.2)).collect()
         });
-        Told {
+        LeaderReplied {
             term: f.term,
             id: (f.stream, f.part),
             whole: f.whole,
--- a/tests/input.rs
+++ b/tests/input.rs
@@ -3,7 +3,7 @@
 mod simulation;
 
 use pathwinch::{
-    control::admission::never_runs,
+    control::admission::reject_reason,
     operator,
     options::Options,
     protocol::{
@@ -62,7 +62,7 @@
 #[test]
 fn what_can_never_run_is_told_apart_from_what_must_wait() {
     let limited = settings(8.0);
-    let never = |spec: &JobSpec| never_runs(&limited, &types(), spec);
+    let never = |spec: &JobSpec| reject_reason(&limited, &types(), spec);
     // An array needs room for one task within the limit, a gang for all.
     assert_eq!(never(&job(1, Kind::Array, 50)), None);
     assert_eq!(never(&job(1, Kind::Gang, 2)), None);
@@ -70,7 +70,7 @@
     assert!(never(&job(1, Kind::Service, 3)).is_some());
     // A limit of 0 is no limit.
     assert_eq!(
-        never_runs(&settings(0.0), &types(), &job(1, Kind::Gang, 30)),
+        reject_reason(&settings(0.0), &types(), &job(1, Kind::Gang, 30)),
         None
     );
 
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -4,7 +4,7 @@
 use pathwinch::{
     control::placement::{
         Policy,
-        fleet::{Fleet, Request, Room, SURPLUS},
+        fleet::{Fleet, MachineView, Request, SURPLUS},
         fragmentation, load,
     },
     options::LoadResource,
@@ -31,8 +31,8 @@
 }
 
 /// A machine of one type that is in use.
-fn room(capacity: (f64, f64, f64), free: (f64, f64, f64)) -> Room {
-    Room {
+fn room(capacity: (f64, f64, f64), free: (f64, f64, f64)) -> MachineView {
+    MachineView {
         type_ix: 0,
         zone: 0,
         spot: false,
@@ -55,7 +55,7 @@
 }
 
 /// The machine chosen among these for one task.
-fn chosen(rooms: &[Room], need: Resources) -> Option<u32> {
+fn chosen(rooms: &[MachineView], need: Resources) -> Option<u32> {
     let mut fleet = Fleet::new(policy());
     for (machine, room) in rooms.iter().enumerate() {
         fleet.set(machine as u32, Some(room.clone()), 0);
@@ -119,13 +119,18 @@
 #[derive(Clone)]
 struct Candidate {
     machine: u32,
-    room: Room,
+    room: MachineView,
     rank: u32,
     caches_image: bool,
 }
 
 /// Marks every usable machine for a request, as a pass did for each job.
-fn mark(rooms: &[Option<Room>], request: &Request, failed: &[u32], now: u64) -> Vec<Candidate> {
+fn mark(
+    rooms: &[Option<MachineView>],
+    request: &Request,
+    failed: &[u32],
+    now: u64,
+) -> Vec<Candidate> {
     let mut out = Vec::new();
     for (machine, room) in rooms.iter().enumerate() {
         let Some(room) = room else { continue };
@@ -188,7 +193,7 @@
 /// A fleet under drawn changes, with the rooms as they truly are.
 struct Drawn {
     rng: fastrand::Rng,
-    rooms: Vec<Option<Room>>,
+    rooms: Vec<Option<MachineView>>,
     fleet: Fleet,
     now: u64,
 }
@@ -215,7 +220,7 @@
             _ => Resources::need(f64::from(rng.u32(..48)), 0.0, f64::from(rng.u32(..200))),
         };
         let free = capacity.minus(used);
-        let room = Room {
+        let room = MachineView {
             type_ix,
             zone: rng.usize(..ZONES),
             spot: rng.bool(),
@@ -347,7 +352,7 @@
     fleet.set(42, None, 0);
     let ranking = fleet.ranking(&wanted, 0);
     let with_room: Vec<u32> = fleet
-        .rooms()
+        .machine_views()
         .filter(|(_, r)| wanted.need.fits(&r.free))
         .map(|(machine, _)| machine)
         .collect();
--- a/tests/read_monotonicity.rs
+++ b/tests/read_monotonicity.rs
@@ -132,7 +132,7 @@
     let mut end = led.status(ID).expect("it is known");
     assert_eq!(end.state, JobState::Queued);
     end.state = JobState::Cancelled;
-    led.remember_final(&end, 0);
+    led.remember_final_state(&end, 0);
     assert_eq!(led.status(ID), Some(end.clone()));
-    assert_eq!(led.told(ID), Some(end));
+    assert_eq!(led.answerable_status(ID), Some(end));
 }
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -12,7 +12,7 @@
         cloud::MachineType,
         users::{JobSpec, Kind, Priority},
     },
-    state::{Ms, records::JobRecord},
+    state::{Millis, records::JobRecord},
 };
 use simulation::{Ask, LEASE, Net, World, job};
 use std::rc::Rc;
@@ -39,7 +39,7 @@
 }
 
 /// An installation with a leader, whose tasks run for so long.
-fn led(seed: u64, machines: usize, limit: f64, run_ms: Ms) -> World {
+fn led(seed: u64, machines: usize, limit: f64, run_ms: Millis) -> World {
     let mut w = World::led(seed, machines, limit);
     w.run_ms = run_ms;
     w
@@ -60,7 +60,7 @@
 }
 
 /// Machines of a kind that are asked for at a time.
-fn scale_out_answered(l: &mut Leader, now: Ms, kind: &str) -> u32 {
+fn scale_out_answered(l: &mut Leader, now: Millis, kind: &str) -> u32 {
     l.tick(now, now);
     let mut n = 0;
     for op in l.cloud_ops(now, now) {
--- a/tests/simulation/check.rs
+++ b/tests/simulation/check.rs
@@ -50,7 +50,7 @@
 
     /// When a user was first told that the job, or one that it needs directly
     /// or not, is cancelled.
-    pub(super) fn cancelled_before(&self, id: &str) -> Option<Ms> {
+    pub(super) fn cancelled_before(&self, id: &str) -> Option<Millis> {
         let mut first = self.told.get(&format!("{id}!")).map(|t| t.1);
         let (mut all, mut seen) = (vec![id.to_owned()], BTreeSet::new());
         while let Some(id) = all.pop() {
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -29,7 +29,7 @@
         },
         exclusions::{self, Exclusions, Step, exclusion_txn, readmission_txn},
         failure_detector::{FailureDetector, PeerHealth, RedirectTarget},
-        heartbeat_relay::Relays,
+        heartbeat_relay::HeartbeatRelays,
         leader::{CloudOp, DirectDelivery, DirectDeliveryOutcome, Leader, WritePlan},
         polls::FinalStates,
         requests::{Answer, TxnResult, final_status},
@@ -49,7 +49,7 @@
         },
     },
     state::{
-        Ms,
+        Millis,
         cluster::DIRECT_COMMAND_TIMEOUT_MS,
         rate_limit::Budget,
         records::{self, FinalRecord, LEADER, MachineRecord, StoredJob, TaskBitmap},
@@ -62,9 +62,9 @@
 };
 use users::Desk;
 
-pub const STEP: Ms = 50;
-pub const LEASE: Ms = 10_000;
-pub const CANCEL: Ms = 35_000;
+pub const STEP: Millis = 50;
+pub const LEASE: Millis = 10_000;
+pub const CANCEL: Millis = 35_000;
 
 pub fn settings(cpus_max: f64) -> Settings {
     Settings::parse(
@@ -150,35 +150,35 @@
 
 pub struct Node {
     pub alive: bool,
-    pub back_at: Ms,
+    pub back_at: Millis,
     /// Stands still until then.
-    pub still_until: Ms,
+    pub still_until: Millis,
     pub election: Election,
     pub leader: Option<Leader>,
     pub follower: ReplicaReceiver,
     /// Parts that are on their way to each node, by stream and number.
     telling: Vec<Option<(u64, u64)>>,
     /// A write of the record of standbys without an answer, to be read back.
-    record_open: Option<Ms>,
+    record_open: Option<Millis>,
     /// Where it stands in the notices, while it leads.
     notices: Option<AcceptanceFeed>,
     /// Its records are read by then.
-    loads_at: Ms,
+    loads_at: Millis,
     pub failure_detector: FailureDetector,
     pub exclusions: Exclusions,
-    bar_at: Ms,
-    relays: Relays,
+    bar_at: Millis,
+    relays: HeartbeatRelays,
     finals: FinalStates,
-    next: Ms,
-    greet_at: Ms,
-    last_beat: Ms,
-    flush_at: Ms,
+    next: Millis,
+    greet_at: Millis,
+    last_beat: Millis,
+    flush_at: Millis,
     /// A plan whose transaction is carried out, and its answer comes then.
-    flushing: Option<(Ms, WritePlan, TxnResult)>,
+    flushing: Option<(Millis, WritePlan, TxnResult)>,
     /// A plan whose transaction had no answer, to be read back then.
-    unclear: Option<(Ms, WritePlan)>,
+    unclear: Option<(Millis, WritePlan)>,
     /// Since when questions to peers are open.
-    asked: Vec<Option<Ms>>,
+    asked: Vec<Option<Millis>>,
 }
 
 #[derive(Clone, Debug)]
@@ -187,7 +187,7 @@
     pub attempt: u64,
     pub state: TaskState,
     pub why: Option<ExitReason>,
-    pub until: Ms,
+    pub until: Millis,
 }
 
 pub struct Worker {
@@ -200,20 +200,20 @@
     pub seq: u64,
     pub token: u64,
     pub tasks: Vec<Task>,
-    last_ok: Ms,
-    next: Ms,
-    sent: Ms,
+    last_ok: Millis,
+    next: Millis,
+    sent: Millis,
     dirty: bool,
     target: usize,
     /// Every task that starts on it fails.
     pub sick: bool,
-    flight: Option<(u64, Ms)>,
-    boots: Ms,
-    hangs_until: Ms,
+    flight: Option<(u64, Millis)>,
+    boots: Millis,
+    hangs_until: Millis,
 }
 
 pub struct World {
-    pub now: Ms,
+    pub now: Millis,
     pub rng: Rng,
     pub settings: Rc<Settings>,
     pub store: Store,
@@ -223,21 +223,21 @@
     /// Jobs whose users asked to cancel them.
     cancelling: BTreeSet<String>,
     /// When jobs were accepted.
-    submitted: HashMap<String, Ms>,
-    pub told: HashMap<String, (JobState, Ms)>,
-    wire: Vec<(Ms, Msg)>,
+    submitted: HashMap<String, Millis>,
+    pub told: HashMap<String, (JobState, Millis)>,
+    wire: Vec<(Millis, Msg)>,
     held: Vec<Msg>,
     cuts: Vec<(usize, Side, Cut)>,
     /// What this node sends now leaves it only then: it stands still between
     /// its last check and the wire.
-    stalls: Option<(usize, Ms)>,
+    stalls: Option<(usize, Millis)>,
     /// The answer to what a leader writes comes at most so much later.
-    pub write_ms: Ms,
+    pub write_ms: Millis,
     /// How long a new leader takes to read the records.
-    pub load_ms: Ms,
+    pub load_ms: Millis,
     /// Workers, and their reports, that a node passed on.
     relaying: BTreeSet<(usize, u64)>,
-    late_ops: Vec<(Ms, usize, u64, CloudOp)>,
+    late_ops: Vec<(Millis, usize, u64, CloudOp)>,
     /// Of a hundred reports so many come again, seconds to half a minute late.
     pub copies: u32,
     /// Some reports are kept for the next leader, and those that are.
@@ -246,16 +246,16 @@
     /// Kept reports that came to a new leader.
     pub copied: u32,
     /// Extra delay of all between a worker and the controllers.
-    pub slow_links: HashMap<usize, Ms>,
+    pub slow_links: HashMap<usize, Millis>,
     /// How long a rented machine takes until it is up.
-    pub boot_ms: Ms,
+    pub boot_ms: Millis,
     /// Since when each job waits beside room, while nothing is amiss.
-    beside_room: HashMap<String, Ms>,
+    beside_room: HashMap<String, Millis>,
     pub calm: bool,
     /// Direct orders that are open: node, term, machine, token.
     directs: BTreeSet<(usize, u64, String, u64)>,
     /// Extra delay of direct orders to a worker.
-    pub slow_do: HashMap<usize, Ms>,
+    pub slow_do: HashMap<usize, Millis>,
     pub broken: Vec<String>,
     pub starts: u32,
     /// Tasks that failed on sick machines, or of faulty jobs.
@@ -271,8 +271,8 @@
     /// How often a node became leader.
     pub terms: u32,
     pub finished: BTreeSet<String>,
-    pub run_ms: Ms,
-    pub fetch_ms: Ms,
+    pub run_ms: Millis,
+    pub fetch_ms: Millis,
     /// For the checker's own test: lets a new leader skip what it must wait
     /// for.
     pub sabotage: bool,
@@ -280,7 +280,7 @@
     /// The option.
     pub begin_s: f64,
     /// What started, where and when.
-    pub story: Vec<(Ms, usize, String)>,
+    pub story: Vec<(Millis, usize, String)>,
     /// Not every node is known to run this version.
     pub mixed: bool,
     /// Nodes keep standbys warm.
@@ -290,7 +290,7 @@
     pub lossy: u32,
     /// Answers to renewals that are on their way: when, to whom, of which
     /// lease, sent when.
-    renewals: Vec<(Ms, usize, u64, Ms)>,
+    renewals: Vec<(Millis, usize, u64, Millis)>,
     /// Leaders that stopped as they could not show that they know of all
     /// withdrawals.
     pub blind: u32,
@@ -426,7 +426,7 @@
             failure_detector: FailureDetector::new(&names[i], &peers),
             exclusions: Exclusions::default(),
             bar_at: 0,
-            relays: Relays::default(),
+            relays: HeartbeatRelays::default(),
             finals: FinalStates::default(),
             next: self.now,
             greet_at: 0,
@@ -438,7 +438,7 @@
         }
     }
 
-    pub fn add_worker(&mut self, zone: &str, spot: bool, boot: Ms) -> String {
+    pub fn add_worker(&mut self, zone: &str, spot: bool, boot: Millis) -> String {
         let name = format!("i-{:06}", self.workers.len());
         self.workers.push(Worker {
             name: name.clone(),
@@ -517,7 +517,7 @@
 
     // ---- time ----
 
-    pub fn run(&mut self, ms: Ms) {
+    pub fn run(&mut self, ms: Millis) {
         let end = self.now + ms;
         while self.now < end {
             self.step();
@@ -525,7 +525,7 @@
     }
 
     /// Runs until it holds, at most so long.
-    pub fn until(&mut self, ms: Ms, what: &str, f: impl Fn(&mut World) -> bool) {
+    pub fn until(&mut self, ms: Millis, what: &str, f: impl Fn(&mut World) -> bool) {
         let end = self.now + ms;
         while self.now < end {
             if f(self) {
@@ -584,7 +584,7 @@
         let now = self.now;
         self.store.pass_time(now);
         self.cloud_time();
-        let due: Vec<(Ms, Msg)>;
+        let due: Vec<(Millis, Msg)>;
         (due, self.wire) = std::mem::take(&mut self.wire)
             .into_iter()
             .partition(|(at, _)| *at <= now);
--- a/tests/simulation/net.rs
+++ b/tests/simulation/net.rs
@@ -51,19 +51,19 @@
 
 #[derive(Clone)]
 pub(super) enum Msg {
-    Beat(usize, usize, Heartbeat, Ms),
+    Beat(usize, usize, Heartbeat, Millis),
     /// A report that comes once more: nobody waits for the answer.
     Replica(usize, usize, Heartbeat),
     /// Passed on by the first node to the second.
-    Relay(usize, usize, usize, Heartbeat, Ms),
-    Reply(usize, usize, Option<HeartbeatResponse>, u64, u64, Ms),
+    Relay(usize, usize, usize, Heartbeat, Millis),
+    Reply(usize, usize, Option<HeartbeatResponse>, u64, u64, Millis),
     Do(usize, usize, u64, DirectCommands),
     Done(usize, u64, String, u64, Option<(bool, Heartbeat)>),
     /// The first node tells the second, its standby.
     Tell(usize, usize, Follow),
     /// The second node's answer to the first, which led that term, about that
     /// part: who it is, and whether it was taken in.
-    Told(usize, usize, u64, (u64, u64), Option<(u64, bool)>),
+    LeaderReplied(usize, usize, u64, (u64, u64), Option<(u64, bool)>),
 }
 
 impl Msg {
@@ -73,7 +73,7 @@
             | Msg::Replica(i, w, ..)
             | Msg::Reply(w, i, ..)
             | Msg::Do(i, w, ..) => Some((*i, *w)),
-            Msg::Relay(..) | Msg::Done(..) | Msg::Tell(..) | Msg::Told(..) => None,
+            Msg::Relay(..) | Msg::Done(..) | Msg::Tell(..) | Msg::LeaderReplied(..) => None,
         }
     }
 }
@@ -81,7 +81,7 @@
 impl World {
     // ---- troubles ----
 
-    pub fn crash(&mut self, i: usize, back: Ms) {
+    pub fn crash(&mut self, i: usize, back: Millis) {
         let n = &mut self.nodes[i];
         n.alive = false;
         n.flushing = None;
@@ -107,12 +107,12 @@
     pub fn join(&mut self, i: usize) {
         self.cuts.retain(|(n, ..)| *n != i);
         for (at, node, _) in self.store.held.iter_mut() {
-            if *node == i && *at == Ms::MAX {
+            if *node == i && *at == Millis::MAX {
                 *at = self.now;
             }
         }
         for (at, node, ..) in self.late_ops.iter_mut() {
-            if *node == i && *at == Ms::MAX {
+            if *node == i && *at == Millis::MAX {
                 *at = self.now;
             }
         }
@@ -122,7 +122,7 @@
     /// The node goes on computing for a moment, but nothing of what comes out
     /// leaves it before `ms` have passed; meanwhile it takes in nothing and
     /// its clock runs on.
-    pub fn stand_still(&mut self, i: usize, ms: Ms) {
+    pub fn stand_still(&mut self, i: usize, ms: Millis) {
         if !self.nodes[i].alive || self.nodes[i].still_until > self.now {
             return;
         }
@@ -185,7 +185,7 @@
     }
 
     /// The machine stands still for so long: what comes to it waits at its door.
-    pub fn hang(&mut self, w: usize, ms: Ms) {
+    pub fn hang(&mut self, w: usize, ms: Millis) {
         self.workers[w].hangs_until = self.now + ms;
     }
 
@@ -269,7 +269,7 @@
 
     // ---- what is on its way ----
 
-    pub(super) fn send(&mut self, i: usize, w: usize, delay: Ms, msg: Msg) {
+    pub(super) fn send(&mut self, i: usize, w: usize, delay: Millis, msg: Msg) {
         let from_node = matches!(msg, Msg::Reply(..) | Msg::Do(..));
         let stalled = self.stalls.filter(|(n, _)| *n == i && from_node);
         let slow = self.slow_links.get(&w).copied().unwrap_or(0);
@@ -304,7 +304,7 @@
                 Some(*i)
             }
             Msg::Tell(_, j, _) => Some(*j),
-            Msg::Told(i, ..) => Some(*i),
+            Msg::LeaderReplied(i, ..) => Some(*i),
             Msg::Reply(..) | Msg::Do(..) => None,
         };
         if let Some(i) = to.filter(|i| self.nodes[*i].still_until > now) {
@@ -322,7 +322,9 @@
         }
         match msg {
             Msg::Tell(i, j, part) => self.told(i, j, part),
-            Msg::Told(i, j, term, part, answer) => self.confirmed(i, j, term, part, answer),
+            Msg::LeaderReplied(i, j, term, part, answer) => {
+                self.confirmed(i, j, term, part, answer)
+            }
             Msg::Beat(i, w, report, sent) => self.beat(i, w, report, sent),
             Msg::Replica(i, _, report) => {
                 self.answer(i, &report);
@@ -430,7 +432,7 @@
         Some(reply)
     }
 
-    fn beat(&mut self, i: usize, w: usize, report: Heartbeat, sent: Ms) {
+    fn beat(&mut self, i: usize, w: usize, report: Heartbeat, sent: Millis) {
         if !self.nodes[i].alive {
             return;
         }
@@ -445,7 +447,7 @@
                     .redirect_target(Some(leader), now),
                 RedirectTarget::Leader(_)
             )
-            && self.nodes[i].relays.relays(&report.machine, now)
+            && self.nodes[i].relays.should_relay(&report.machine, now)
             && let Some(l) = peers_of(i, self.nodes.len()).nth(leader)
             && self.contact(i, l) != Some(PeerHealth::Refusing)
         {
--- a/tests/simulation/nodes.rs
+++ b/tests/simulation/nodes.rs
@@ -121,7 +121,7 @@
                 // Checked, and carried out after standing still.
                 (Some((_, until)), _) => self.late_ops.push((until, i, term, op)),
                 // Carried out when the cut ends.
-                (None, Some(_)) => self.late_ops.push((Ms::MAX, i, term, op)),
+                (None, Some(_)) => self.late_ops.push((Millis::MAX, i, term, op)),
                 (None, None) => self.cloud(i, term, op),
             }
         }
@@ -509,7 +509,7 @@
         }
         // No answer, and it is carried out late.
         let late = match link {
-            Link::Hold => Some(Ms::MAX),
+            Link::Hold => Some(Millis::MAX),
             _ => self.store.late_bars.pop().map(|delay| now + delay),
         };
         if let Some(at) = late {
@@ -578,7 +578,7 @@
         for j in peers_of(i, self.nodes.len()) {
             if self.contact(i, j) == Some(PeerHealth::Healthy) {
                 anybody = true;
-                self.nodes[j].relays.unheard(&machines, 15_000, now);
+                self.nodes[j].relays.relay_requested(&machines, 15_000, now);
             }
         }
         if !anybody && now > self.nodes[i].last_beat + 5000 {
--- a/tests/simulation/standbys.rs
+++ b/tests/simulation/standbys.rs
@@ -45,7 +45,7 @@
         let found = self.record_of_standbys();
         let held = match (self.stalls, self.link(i, EndLease::State)) {
             (Some((n, until)), _) if n == i => Some(until),
-            (_, Link::Hold) => Some(Ms::MAX),
+            (_, Link::Hold) => Some(Millis::MAX),
             _ => None,
         };
         let node = &mut self.nodes[i];
@@ -110,7 +110,7 @@
         self.nodes[i].telling[j] = Some(id);
         let stalled = self.stalls.filter(|(n, _)| *n == i);
         let at = stalled.map_or(now, |(_, until)| until) + 5;
-        let lost = Msg::Told(i, j, term, id, None);
+        let lost = Msg::LeaderReplied(i, j, term, id, None);
         match self.contact(i, j) {
             _ if self.old.contains(&j) => self.wire.push((at, lost)),
             Some(PeerHealth::Refusing) => self.wire.push((at, lost)),
@@ -143,7 +143,8 @@
         let taken = node.follower.apply_part(part, now);
         let answer = Some((node.election.incarnation, taken));
         if self.link(i, EndLease::Node(j)) == Link::Up {
-            self.wire.push((now + 5, Msg::Told(i, j, term, id, answer)));
+            self.wire
+                .push((now + 5, Msg::LeaderReplied(i, j, term, id, answer)));
         }
     }
 
--- a/tests/simulation/store.rs
+++ b/tests/simulation/store.rs
@@ -3,7 +3,7 @@
 use pathwinch::{
     protocol::state::{Txn, Write},
     state::{
-        Ms,
+        Millis,
         records::{ACCEPTANCES, JobRecord, StoredJob},
         spec_chunks,
     },
@@ -19,17 +19,17 @@
     pub kv: BTreeMap<String, (Value, u64)>,
     pub down: bool,
     /// It answers so much later.
-    pub slow: Ms,
+    pub slow: Millis,
     /// Nodes that alone are refused.
     pub refuses: BTreeSet<usize>,
     lease: u64,
     /// Until when, and the life.
-    leases: BTreeMap<u64, (Ms, Ms)>,
+    leases: BTreeMap<u64, (Millis, Millis)>,
     /// Keys under a lease.
     attached: BTreeMap<String, u64>,
     /// Answers of the next transactions are lost, and they are applied so
     /// much later.
-    pub late: Vec<Ms>,
+    pub late: Vec<Millis>,
     /// Of a hundred transactions so many are carried out at once, and only
     /// their answers are lost.
     pub lost_answers: u32,
@@ -40,11 +40,11 @@
     /// Puts and deletes so far.
     pub changes: u32,
     /// The same for writes of the record of standbys.
-    pub late_record: Vec<Ms>,
+    pub late_record: Vec<Millis>,
     /// The same for exclusions, and for lifting them.
-    pub late_bars: Vec<Ms>,
-    /// To be applied then, each by a node; `Ms::MAX`: when it is healed.
-    pub held: Vec<(Ms, usize, Txn)>,
+    pub late_bars: Vec<Millis>,
+    /// To be applied then, each by a node; `Millis::MAX`: when it is healed.
+    pub held: Vec<(Millis, usize, Txn)>,
 }
 
 impl Default for Store {
@@ -155,7 +155,7 @@
 }
 
 impl Store {
-    pub fn pass_time(&mut self, now: Ms) {
+    pub fn pass_time(&mut self, now: Millis) {
         for (at, node, txn) in std::mem::take(&mut self.held) {
             if at <= now && !self.down {
                 let _ = self.apply(&txn);
@@ -173,14 +173,14 @@
         self.drop_keys();
     }
 
-    pub fn grant(&mut self, now: Ms, life: Ms) -> u64 {
+    pub fn grant(&mut self, now: Millis, life: Millis) -> u64 {
         self.lease += 1;
         self.leases.insert(self.lease, (now + life, life));
         self.lease
     }
 
     /// Whether there was such a lease.
-    pub fn touch(&mut self, lease: u64, now: Ms) -> bool {
+    pub fn touch(&mut self, lease: u64, now: Millis) -> bool {
         let found = self.leases.get_mut(&lease);
         found.is_some_and(|(until, life)| {
             *until = now + *life;
--- a/tests/simulation/users.rs
+++ b/tests/simulation/users.rs
@@ -5,7 +5,7 @@
 use super::*;
 use pathwinch::{
     control::requests::{
-        Event, Found, Looked, Next, NodeView, Reading, Request, TxnResult, polled,
+        Event, Found, LookupResults, Next, NodeView, Reading, Request, TxnResult, polled,
     },
     control::safety_bounds::MAX_READING_AGE_MS,
     state::rate_limit::share::{self, Role},
@@ -36,14 +36,14 @@
     fn request(&self, forwarded: bool) -> Request {
         match self {
             Ask::Poll(id) => Request::poll(id),
-            Ask::Withdraw(id) => Request::withdraw(id, forwarded),
+            Ask::Withdraw(id) => Request::cancel(id, forwarded),
             Ask::Odd(_, body) => Request::submit(body, forwarded),
             Ask::Submit(spec) => Request::submit(&serde_json::to_vec(spec).unwrap(), forwarded),
         }
     }
 
     /// How long its user waits.
-    fn patience(&self) -> Ms {
+    fn patience(&self) -> Millis {
         match self {
             Ask::Poll(_) => 2_000,
             _ => 5_000,
@@ -55,8 +55,8 @@
 pub struct Asked {
     pub ask: Ask,
     pub node: usize,
-    pub sent: Ms,
-    pub answer: Option<(Ms, Answer)>,
+    pub sent: Millis,
+    pub answer: Option<(Millis, Answer)>,
     order: u64,
 }
 
@@ -67,8 +67,8 @@
     Sent,
     Event(Event),
     /// At the leader, or the state service; asked then.
-    AtLeader(usize, Ms),
-    ReadState(Ms),
+    AtLeader(usize, Millis),
+    ReadState(Millis),
     Look(Vec<String>),
     Write(Txn),
     Passed(usize),
@@ -91,7 +91,7 @@
     who: For,
     ask: Ask,
     request: Request,
-    due: Ms,
+    due: Millis,
     comes: Comes,
 }
 
@@ -99,7 +99,7 @@
 #[derive(Default)]
 struct Said {
     /// By that order, and when.
-    accepted: Option<(u64, Ms)>,
+    accepted: Option<(u64, Millis)>,
     over: Option<JobState>,
 }
 
@@ -110,16 +110,16 @@
     said: HashMap<String, Said>,
     order: u64,
     /// Since when no question about a job had an answer.
-    unanswered: HashMap<String, Ms>,
+    unanswered: HashMap<String, Millis>,
     /// Refusals of jobs that another node had just called accepted, to a question
     /// that had been sent before that.
     pub refusals_overtaken: u32,
     /// Jobs that were submitted with bodies that can't be accepted.
     pub unfit: BTreeSet<String>,
     /// The longest way between two nodes, or to the state service and back.
-    pub way: Ms,
+    pub way: Millis,
     /// The state service's answers to looks at records come so much later.
-    pub slow_answers: Ms,
+    pub slow_answers: Millis,
 }
 
 impl Desk {
@@ -142,12 +142,12 @@
 impl World {
     // ---- what nodes know and do ----
 
-    fn view<T>(&mut self, i: usize, now: Ms, f: impl FnOnce(&mut NodeView) -> T) -> T {
+    fn view<T>(&mut self, i: usize, now: Millis, f: impl FnOnce(&mut NodeView) -> T) -> T {
         let types = if self.no_types { Vec::new() } else { types() };
         let node = &mut self.nodes[i];
         let term = node.election.authority(now);
         f(&mut NodeView {
-            acts: term.is_some() && node.leader.as_ref().map(|l| l.term) == term,
+            may_act: term.is_some() && node.leader.as_ref().map(|l| l.term) == term,
             leader: node.leader.as_mut(),
             final_states: &mut node.finals,
             settings: &self.settings,
@@ -155,7 +155,7 @@
             upgraded: !self.mixed,
             now,
             wall_ms: now,
-            read_in: None,
+            read_term: None,
         })
     }
 
@@ -169,7 +169,7 @@
         }
     }
 
-    fn look(&self, i: usize, ids: &[String]) -> Looked {
+    fn look(&self, i: usize, ids: &[String]) -> LookupResults {
         let reaches = self.reaches_state(i);
         let one = |id: &String| match reaches {
             true => Ok(self.look_up(id)),
@@ -178,7 +178,7 @@
         ids.iter().map(|id| (id.clone(), one(id))).collect()
     }
 
-    fn read_state(&self, i: usize, id: &str, began: Ms) -> Result<Reading, String> {
+    fn read_state(&self, i: usize, id: &str, began: Millis) -> Result<Reading, String> {
         if !self.reaches_state(i) {
             return Err("status 503".into());
         }
@@ -188,7 +188,7 @@
             Found::Nothing => (None, None),
         };
         Ok(Reading {
-            began,
+            started_at: began,
             status,
             version,
         })
@@ -200,7 +200,7 @@
         let stalled = self.stalls.filter(|(n, _)| *n == i);
         let late = match (stalled, self.link(i, EndLease::State)) {
             (Some((_, until)), _) => Some(until),
-            (None, Link::Hold) => Some(Ms::MAX),
+            (None, Link::Hold) => Some(Millis::MAX),
             _ => None,
         };
         if let Some(at) = late {
@@ -236,7 +236,7 @@
         self.budgets = self.nodes.iter().map(|_| budget()).collect();
     }
 
-    fn has_budget(&mut self, i: usize, now: Ms, txn: &Txn) -> bool {
+    fn has_budget(&mut self, i: usize, now: Millis, txn: &Txn) -> bool {
         let budget = self.budgets.get_mut(i);
         budget.is_none_or(|b| b.take(now, txn.writes.len() as f64, 0.0))
     }
@@ -249,7 +249,7 @@
     }
 
     /// The leader that node `i` would ask, if it answers.
-    fn leader_for(&self, i: usize, now: Ms) -> Option<usize> {
+    fn leader_for(&self, i: usize, now: Millis) -> Option<usize> {
         let (name, _) = self.nodes[i].election.leader(now)?;
         let l: usize = name[1..].parse().ok()?;
         (l != i && self.reaches(l) && self.link(i, EndLease::Node(l)) == Link::Up).then_some(l)
@@ -287,7 +287,7 @@
                 }
                 Next::ReadState => Event::Read(self.read_state(i, ask.id(), now)),
                 Next::Versions => Event::Versions(!self.mixed),
-                Next::Look(ids) => Event::Looked(self.look(i, &ids)),
+                Next::Look(ids) => Event::LookupResults(self.look(i, &ids)),
                 Next::Write(txn, _) => Event::Wrote(self.transact(i, &txn)),
                 Next::Forward => {
                     let leader = self.leader_for(i, now);
@@ -321,7 +321,7 @@
 
     /// A user sends it in so long; the answer comes, if one does, as time
     /// passes.
-    pub fn ask(&mut self, after: Ms, i: usize, ask: Ask) -> usize {
+    pub fn ask(&mut self, after: Millis, i: usize, ask: Ask) -> usize {
         if let Ask::Withdraw(id) = &ask {
             self.cancelling.insert(id.clone());
         }
@@ -342,7 +342,7 @@
         n
     }
 
-    fn fly(&mut self, i: usize, ask: Ask, forwarded: bool, who: For, due: Ms, comes: Comes) {
+    fn fly(&mut self, i: usize, ask: Ask, forwarded: bool, who: For, due: Millis, comes: Comes) {
         let serial = self.desk.next();
         self.desk.flights.push(Flight {
             serial,
@@ -356,7 +356,7 @@
         });
     }
 
-    fn way(&mut self) -> Ms {
+    fn way(&mut self) -> Millis {
         let most = self.desk.way;
         1 + self.rng.u64(0..=most)
     }
@@ -421,7 +421,7 @@
             Comes::Look(ids) => {
                 let looked = self.look(i, &ids);
                 let after = self.way() + self.desk.slow_answers;
-                (after, Comes::Event(Event::Looked(looked)))
+                (after, Comes::Event(Event::LookupResults(looked)))
             }
             Comes::Write(txn) => {
                 let wrote = self.transact(i, &txn);
@@ -450,12 +450,12 @@
     }
 
     /// What a step asks for, and when it is there.
-    fn asks_for(&mut self, f: &mut Flight, next: Next) -> (Ms, Comes) {
+    fn asks_for(&mut self, f: &mut Flight, next: Next) -> (Millis, Comes) {
         let way = self.way();
         let leader = self.leader_for(f.node, f.due);
         match next {
             Next::Answer(answer) => {
-                if let Some(left) = f.request.left() {
+                if let Some(left) = f.request.unfinished_work() {
                     let serial = self.desk.next();
                     self.desk.flights.push(Flight {
                         serial,
@@ -516,13 +516,13 @@
     }
 
     /// When the last of the job's tasks that run now will end.
-    pub fn last_end(&self, id: &str) -> Option<Ms> {
+    pub fn last_end(&self, id: &str) -> Option<Millis> {
         let prefix = format!("{id}/");
         let tasks = self.workers.iter().flat_map(|m| &m.tasks);
         let of = tasks.filter(|t| t.name.starts_with(&prefix));
         let ends = of
             .map(|t| t.until)
-            .filter(|at| *at > self.now && *at < Ms::MAX);
+            .filter(|at| *at > self.now && *at < Millis::MAX);
         ends.max()
     }
 
@@ -677,9 +677,9 @@
     }
 }
 
-fn told(began: Ms, status: Option<JobStatus>) -> Event {
-    Event::Told(Reading {
-        began,
+fn told(began: Millis, status: Option<JobStatus>) -> Event {
+    Event::LeaderReplied(Reading {
+        started_at: began,
         status,
         version: None,
     })
--- a/tests/simulation/workers.rs
+++ b/tests/simulation/workers.rs
@@ -5,7 +5,7 @@
 impl Worker {
     /// It hangs, or has not looked at its lease since, and that is over: what it
     /// lists never goes on.
-    pub(super) fn is_lost(&self, now: Ms) -> bool {
+    pub(super) fn is_lost(&self, now: Millis) -> bool {
         self.hangs_until > 0 && now > self.last_ok + LEASE
     }
 }
@@ -185,7 +185,7 @@
                 TaskState::Fetching => {
                     t.state = TaskState::Running;
                     t.until = if spec.kind == Kind::Service {
-                        Ms::MAX
+                        Millis::MAX
                     } else {
                         now + run_ms
                     };
