--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -173,7 +173,7 @@
         Self::status_in(&self.request("/v1/jobs", Some(body)).await?)
     }
 
-    /// Withdraws a job. The state returned is final: withdrawn, or done if it
+    /// Withdraws a job. The state returned is final: cancelled, or done if it
     /// was done before.
     pub async fn withdraw(&self, id: &str) -> Result<JobStatus, Failure> {
         if !is_valid_job_id(id) {
--- a/crates/lab/src/hosts.rs
+++ b/crates/lab/src/hosts.rs
@@ -1,5 +1,5 @@
 //! Hosts the workers of all rented machines in this process: each has an
-//! address of its own for direct orders and a connection of its own for its
+//! address of its own for direct commands and a connection of its own for its
 //! reports; one loop lets time pass for all of them.
 
 use crate::{
@@ -29,7 +29,7 @@
 /// After a report that failed, and after one that named another controller.
 const RETRY_MS: Ms = 1_000;
 const REDIRECT_MS: Ms = 100;
-/// A controller keeps one connection for direct orders, and a new one may
+/// A controller keeps one connection for direct commands, and a new one may
 /// come while the old one closes.
 const DIRECT_CONNECTIONS: usize = 64;
 
--- a/crates/lab/src/object_store.rs
+++ b/crates/lab/src/object_store.rs
@@ -52,7 +52,7 @@
     gangs: HashMap<(String, u64), Gang>,
     /// Which machine each task is on.
     on: HashMap<String, String>,
-    /// Which market each lent job is at.
+    /// Which market each offloaded job is at.
     lent: HashMap<String, String>,
     lent_ever: usize,
     broken: Vec<String>,
@@ -106,7 +106,7 @@
         });
     }
 
-    /// A user was told that the job is withdrawn.
+    /// A user was told that the job is cancelled.
     pub fn cancelled(&mut self, id: &str, now: Ms) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.cancelled.get_or_insert(now);
--- a/crates/lab/src/scale/history.rs
+++ b/crates/lab/src/scale/history.rs
@@ -37,7 +37,7 @@
     /// The first answer that called it accepted: when it came, and from whom.
     accepted: Option<(Ms, String)>,
     over: Option<(JobState, Ms, String)>,
-    /// Its user asked to withdraw it.
+    /// Its user asked to cancel it.
     withdrawn: bool,
     heard: Ms,
 }
@@ -60,7 +60,7 @@
         &self.broken
     }
 
-    /// Its user asks to withdraw it.
+    /// Its user asks to cancel it.
     pub fn asked_to_withdraw(&mut self, job: &str) {
         self.jobs.entry(job.to_owned()).or_default().withdrawn = true;
     }
--- a/crates/lab/src/scale/plan.rs
+++ b/crates/lab/src/scale/plan.rs
@@ -55,7 +55,7 @@
     /// Seconds between two ends of a controller, the leader and another in
     /// turn; it is back within a second. 0: none ends.
     pub controller_ends_every_s: f64,
-    /// Of all jobs, the share that is withdrawn by its users.
+    /// Of all jobs, the share that is cancelled by its users.
     pub withdrawn: f64,
     /// Users ask at all controllers within milliseconds after a job was
     /// accepted or over.
--- a/crates/lab/src/scale/users.rs
+++ b/crates/lab/src/scale/users.rs
@@ -23,7 +23,7 @@
 const POLL_TIMEOUT: Duration = Duration::from_secs(2);
 /// Before a request that failed is repeated.
 const RETRY: Duration = Duration::from_secs(1);
-/// A job that is withdrawn is so within this time after it was accepted.
+/// A job that is cancelled is so within this time after it was accepted.
 const MOST_BEFORE_WITHDRAWAL_S: f64 = 20.0;
 /// Close looks at each controller, and within how long.
 const LOOKS: usize = 2;
--- a/crates/lab/src/up.rs
+++ b/crates/lab/src/up.rs
@@ -18,7 +18,7 @@
     time::Duration,
 };
 
-/// Jobs of this class may be lent, by two brokers, of which one acts.
+/// Jobs of this class may be offloaded, by two brokers, of which one acts.
 const LENT_CLASSES: &str = "slice";
 const BROKERS: usize = 2;
 /// Between two looks at whether a controller is ready.
--- a/crates/lab/src/worker.rs
+++ b/crates/lab/src/worker.rs
@@ -168,7 +168,7 @@
         true
     }
 
-    /// A direct order. Returns the status; the body is the report.
+    /// A direct command. Returns the status; the body is the report.
     pub fn ordered(
         &mut self,
         order: DirectCommands,
@@ -309,7 +309,7 @@
         depot.leaves(&name, &self.id);
     }
 
-    /// Lets time pass: tasks go on, the lease may lapse.
+    /// Lets time pass: tasks go on, the lease may expire.
     pub fn step(&mut self, depot: &mut Depot, now: Ms) {
         if now > self.renewed + millis(self.limits.lease_s) {
             self.lapse(depot, now);
@@ -539,7 +539,7 @@
         one.step(&mut d, 3000);
         assert_eq!(states(&mut one)[0].0, TaskState::Running);
         let all = d.left_ms("j-000001/0").unwrap();
-        // The second machine's lease lapses; it had run for 3 s of 2 s steps.
+        // The second machine's lease expires; it had run for 3 s of 2 s steps.
         one.renewed = 31_000;
         two.lose_all(&mut d, 6000);
         one.step(&mut d, 8000);
--- a/crates/market/examples/nights.rs
+++ b/crates/market/examples/nights.rs
@@ -1,7 +1,7 @@
 //! Measures the broker in the in-memory world of the tests, with seeds:
 //!
 //!     nights settle      from a broker's end to the successor having settled
-//!                        all that was in doubt
+//!                        all that was indeterminate
 //!     nights worth       money and deadlines of a night with and without
 //!                        markets, and messages a job
 
@@ -10,7 +10,7 @@
 
 use simulation::{Ms, World};
 
-/// All jobs lent and running for long, then the broker's process ends.
+/// All jobs offloaded and running for long, then the broker's process ends.
 fn settle(jobs: u32, down: bool) -> (usize, Ms) {
     let mut w = World::new(11, jobs);
     for j in w.jobs.values_mut() {
--- a/crates/market/src/broker/bids.rs
+++ b/crates/market/src/broker/bids.rs
@@ -35,7 +35,7 @@
     until: Ms,
 }
 
-/// Bids under way. They lapse by themselves and are not recorded.
+/// Bids under way. They expire by themselves and are not recorded.
 #[derive(Debug, Default)]
 pub(super) struct Bidding {
     jobs: BTreeMap<String, Bids>,
@@ -285,7 +285,7 @@
         }
     }
 
-    /// Writes down that a job is to be lent, before anyone is told.
+    /// Writes down that a job is to be offloaded, before anyone is told.
     fn intend(&mut self, w: Waiting, worth: Money, m: usize, bid: u64, price: Money, now: Ms) {
         let hours = hours(&w);
         let expected = f64::from(w.left()) * hours * price as f64;
--- a/crates/market/src/broker/calls.rs
+++ b/crates/market/src/broker/calls.rs
@@ -11,7 +11,7 @@
 /// Two renewals that differ by less than this are one.
 const SYNC_SPREAD: f64 = 0.25;
 
-/// Besides three rounds, a market may be silent for so long.
+/// Besides three rounds, a market may be unresponsive for so long.
 const SILENT: Ms = 2_000;
 
 impl Broker {
@@ -83,7 +83,7 @@
         if !market.known || !market.clock.sound() || !market.reputation.trusted() {
             return;
         }
-        // A silent market's horizon stands still, so that it is reached.
+        // A unresponsive market's horizon stands still, so that it is reached.
         if !market.clock.heard(now, 3 * self.o.every_ms + SILENT) {
             return;
         }
--- a/crates/market/src/broker/mod.rs
+++ b/crates/market/src/broker/mod.rs
@@ -2,7 +2,7 @@
 //! carried out by whoever drives it, which checks its leadership right before
 //! each and tells what came of it.
 //!
-//! A job that is lent passes through `Phase`; `docs/markets.md` has the table
+//! A job that is offloaded passes through `Phase`; `docs/markets.md` has the table
 //! of what is certain in each, and what a successor does with it.
 
 mod bids;
@@ -39,7 +39,7 @@
         call: u64,
         request: wire::Request,
     },
-    /// The leader is to mark the job as lent, by a write guarded on this
+    /// The leader is to mark the job as offloaded, by a write guarded on this
     /// version of the job's award record: one that comes late fails.
     Lend {
         job: String,
--- a/crates/market/src/broker/settle.rs
+++ b/crates/market/src/broker/settle.rs
@@ -12,7 +12,7 @@
     }
 
     /// Takes the next step of each job that something has happened to: work
-    /// per event must not grow with the jobs that are lent.
+    /// per event must not grow with the jobs that are offloaded.
     pub(super) fn advance(&mut self, now: Ms) {
         while let Some(job) = self.ready.pop_first() {
             if self.jobs.get(&job).is_some_and(|l| l.acts(now)) {
--- a/crates/market/src/lending.rs
+++ b/crates/market/src/lending.rs
@@ -52,7 +52,7 @@
     WaitedTooLittle,
     /// The floor of work that stays for the machines here.
     Floor,
-    /// As many as allowed are lent.
+    /// As many as allowed are offloaded.
     Enough,
     /// Its team may not spend anything.
     NoBudget,
@@ -111,8 +111,8 @@
     }
 }
 
-/// Splits what waits into jobs to be lent, most urgent first, and jobs that
-/// stay, with the reason. `lent`: jobs that are lent already; `money`: what a
+/// Splits what waits into jobs to be offloaded, most urgent first, and jobs that
+/// stay, with the reason. `offloaded`: jobs that are offloaded already; `money`: what a
 /// team may still spend.
 pub fn choose<'a>(
     waiting: &'a [Waiting],
--- a/crates/market/src/options.rs
+++ b/crates/market/src/options.rs
@@ -9,15 +9,15 @@
 
 #[derive(Debug, Clone, PartialEq)]
 pub struct Options {
-    /// Classes of jobs that may be lent; none: nothing is.
+    /// Classes of jobs that may be offloaded; none: nothing is.
     pub classes: Vec<String>,
-    /// A job waits here for so long before it may be lent.
+    /// A job waits here for so long before it may be offloaded.
     pub after_ms: Ms,
     /// CPUs of waiting work that stay for the machines here.
     pub floor_cpus: f64,
     /// At most this share of what renting here would cost is bid.
     pub worth: f64,
-    /// Jobs that may be lent at once.
+    /// Jobs that may be offloaded at once.
     pub jobs: usize,
     /// How far ahead a market may run what was awarded to it.
     pub tenancy_ms: Ms,
--- a/crates/market/src/serve/home.rs
+++ b/crates/market/src/serve/home.rs
@@ -78,7 +78,7 @@
         left_ms: l.left_ms,
         here_ms: l.here_ms,
         rent: l.rent,
-        // Only what could be lent is told of.
+        // Only what could be offloaded is told of.
         placed: 0,
         kept: l.kept,
     }
--- a/crates/market/tests/random_histories.rs
+++ b/crates/market/tests/random_histories.rs
@@ -1,5 +1,5 @@
 //! Histories over three markets under drawn faults: whatever dies, answers
-//! twice, withdraws or lies, each job has one final answer and runs in one
+//! twice, cancels or lies, each job has one final answer and runs in one
 //! place at a time. `SEEDS=n` runs more of them.
 
 mod simulation;
--- a/crates/market/tests/simulation/mod.rs
+++ b/crates/market/tests/simulation/mod.rs
@@ -384,7 +384,7 @@
         }
     }
 
-    /// A user withdraws a job.
+    /// A user cancels a job.
     pub fn cancel(&mut self, job: &str) {
         if self.jobs[job].answer.is_some() {
             return;
--- a/crates/protocol/src/market.rs
+++ b/crates/protocol/src/market.rs
@@ -5,12 +5,12 @@
 
 /// Where brokers keep their records in the state service.
 pub const PREFIX: &str = "market/";
-/// Under that, one record for each job that is, or may be, lent.
+/// Under that, one record for each job that is, or may be, offloaded.
 pub const AWARDS: &str = "market/award/";
 /// Jobs in one answer, so that it fits a frame.
 pub const MOST_LENDABLE: usize = 100;
 
-/// A waiting job that could be lent.
+/// A waiting job that could be offloaded.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Lendable {
     pub spec: JobSpec,
@@ -27,7 +27,7 @@
     pub kept: bool,
 }
 
-/// Whether a job is marked as lent.
+/// Whether a job is marked as offloaded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Marked {
     Yes,
--- a/crates/protocol/src/peers.rs
+++ b/crates/protocol/src/peers.rs
@@ -38,7 +38,7 @@
     /// Is anybody there? The leader has not heard these machines for a
     /// while: their reports are to be relayed for `for_ms` if they come.
     Unheard { machines: Vec<String>, for_ms: u64 },
-    /// The leader's picture, or what changed of it, for a standby to keep.
+    /// The leader's cluster state, or what changed of it, for a standby to keep.
     Follow(Follow),
     /// The leader of `term` has stopped acting, its key may be replaced.
     Resigned { term: u64 },
@@ -48,10 +48,10 @@
     LeaderStatus,
     /// An operator asks about one job. `forwarded`: on their behalf.
     Explain { id: String, forwarded: bool },
-    /// A broker asks the leader what could be lent, and which of the jobs that
+    /// A broker asks the leader what could be offloaded, and which of the jobs that
     /// it has out (with their awards) are not needed any more.
     Lendable { lent: Vec<(String, u64)> },
-    /// The job is to be marked as lent, if the award's record has this
+    /// The job is to be marked as offloaded, if the award's record has this
     /// version.
     Lend {
         id: String,
@@ -76,7 +76,7 @@
     pub stream: u64,
     /// Place in the stream, from 0 without a gap.
     pub part: u64,
-    /// With this part the copy holds all that the leader's picture held when
+    /// With this part the copy holds all that the leader's cluster state held when
     /// the round began that the part ends.
     pub whole: bool,
     /// The leader counts on this standby, as far as it knows.
--- a/crates/protocol/src/status.rs
+++ b/crates/protocol/src/status.rs
@@ -159,7 +159,7 @@
     pub node: String,
     /// Who leads, as far as the answering node knows.
     pub leader: Option<String>,
-    /// How old the picture is.
+    /// How old the cluster state is.
     pub age_s: f64,
     pub picture: Option<Picture>,
     /// Controllers with the versions that they were seen to run; none: from
--- a/src/control/election.rs
+++ b/src/control/election.rs
@@ -1,7 +1,7 @@
 //! Leader election: who leads, and until when. The leader's key stands in the state service
 //! under a lease; authority ends a margin before the lease can. While the state
 //! service fails all nodes alike, their promises prolong it, as far as the
-//! leader can know of every withdrawal that a user was told of.
+//! leader can know of every cancellation that a user was told of.
 
 use super::safety_bounds::{SafetyBounds, at_least, at_most};
 use crate::state::Millis;
@@ -52,7 +52,7 @@
     /// Another node is served: if a renewal that begins now fails, this one is
     /// refused alone.
     RefusedAlone,
-    /// It may have missed withdrawals for as long as it may.
+    /// It may have missed cancellations for as long as it may.
     CancellationsUnknown,
 }
 
@@ -95,7 +95,7 @@
     pub lease: u64,
     valid_until: Millis,
     /// Up to then no later term had begun, so that this leader knows of every
-    /// withdrawal: only leaders write any, under the guard of their key.
+    /// cancellation: only leaders write any, under the guard of their key.
     cancellations_known_until: Millis,
     /// When another node said, since the last renewal, that it is served.
     peer_served_at: Option<Millis>,
@@ -126,7 +126,7 @@
         (self.basis, self.valid_until)
     }
 
-    /// Up to when it surely knows of every withdrawal.
+    /// Up to when it surely knows of every cancellation.
     pub fn cancellations_known_until(&self) -> Millis {
         self.cancellations_known_until
     }
@@ -455,7 +455,7 @@
     }
 
     /// Guards against a leader that goes on while another, which none of those
-    /// who promise remembers, has told users of withdrawals.
+    /// who promise remembers, has told users of cancellations.
     #[test]
     fn without_evidence_of_all_promises_end_at_the_horizon_and_with_it_they_do_not() {
         let blind = bounds(35.0).max_staleness();
--- a/src/control/failure_detector.rs
+++ b/src/control/failure_detector.rs
@@ -5,9 +5,9 @@
 
 use crate::state::Millis;
 
-/// A question that has been open for so long makes a node silent.
+/// A question that has been open for so long makes a node unresponsive.
 pub const RESPONSE_PATIENCE_MS: Millis = 350;
-/// A node silent for so long is not just slow.
+/// A node unresponsive for so long is not just slow.
 const UNRESPONSIVE_AFTER_MS: Millis = 2000;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -145,7 +145,7 @@
         self.health(peer, now) == PeerHealth::Healthy
     }
 
-    /// It has been silent for longer than one that is slow.
+    /// It has been unresponsive for longer than one that is slow.
     fn is_unresponsive(&self, peer: usize, now: Millis) -> bool {
         let since = self.peers.get(peer).and_then(|p| p.unresponsive_since);
         since.is_some_and(|at| now >= at + UNRESPONSIVE_AFTER_MS)
--- a/src/control/leader/dependencies.rs
+++ b/src/control/leader/dependencies.rs
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Lets go what became ready and withdraws what can't become so any more.
+    /// Lets go what became ready and cancels what can't become so any more.
     pub(super) fn apply_dependency_changes(&mut self, now: Millis) {
         let (changed, lost) = self.dependencies.take_changes();
         for ix in changed {
@@ -75,7 +75,7 @@
             }
             j.known_since = now;
             j.reason = Reason::New;
-            log::debug!("job {} has all that it needs", j.id);
+            log::debug!("job {} is ready: all its dependencies are done", j.id);
             self.record_arrival(ix, now);
         }
         for ix in lost
@@ -83,7 +83,7 @@
             .filter(|ix| self.dependencies.must_cancel(*ix))
         {
             if let Some(j) = self.cluster.job_mut(ix).filter(|j| !j.cancelled) {
-                log::info!("job {} goes with a job that it needs", j.id);
+                log::info!("job {} is cancelled with a dependency", j.id);
                 j.cancel_requested = true;
             }
         }
--- a/src/control/leader/expiry.rs
+++ b/src/control/leader/expiry.rs
@@ -1,4 +1,4 @@
-//! What time alone brings: leases that lapse, notices, tasks that must stop.
+//! What time alone brings: leases that expire, notices, tasks that must stop.
 
 use super::*;
 
@@ -10,9 +10,9 @@
 
 impl Leader {
     /// This process stood still, or could not keep up, until now. What came
-    /// meanwhile still waits to be read: nobody is judged silent before that.
+    /// meanwhile still waits to be read: nobody is judged unresponsive before that.
     ///
-    /// That a lease has lapsed is another matter: nothing was answered while
+    /// That a lease has expired is another matter: nothing was answered while
     /// the process stood still, so it has.
     pub fn process_resumed(&mut self, now: Millis) {
         self.recovery.resumed_at = now;
@@ -70,7 +70,7 @@
                 continue;
             }
             log::info!(
-                "machine {} silent: its lease has lapsed, {} tasks gone",
+                "machine {} unresponsive: its lease has expired, {} tasks gone",
                 m.name,
                 m.live_tasks()
             );
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Tasks of withdrawn jobs, and what is left of gangs that lost a task.
+    /// Tasks of cancelled jobs, and what is left of gangs that lost a task.
     pub(super) fn stop_cancelled_and_broken_gangs(&mut self) {
         let mut stop = Vec::new();
         for (ix, job) in self.cluster.jobs.iter().enumerate() {
@@ -148,7 +148,7 @@
             let Some(m) = self.cluster.machine(ix) else {
                 continue;
             };
-            // Never sent, not even in doubt: simply not launched.
+            // Never sent, not even indeterminate: simply not launched.
             for at in (0..m.tasks.len()).rev() {
                 let drop = self.cluster.machine(ix).is_some_and(|m| {
                     let a = &m.tasks[at];
--- a/src/control/leader/failover.rs
+++ b/src/control/leader/failover.rs
@@ -1,4 +1,4 @@
-//! Taking over from the leader before: by its picture, if this node was kept
+//! Taking over from the leader before: by its cluster state, if this node was kept
 //! warm, and keeping others warm in turn.
 
 use super::*;
@@ -85,7 +85,7 @@
                 self.changed = true;
                 self.events.tally.took_over = Some("warm");
                 log::info!(
-                    "term {} takes over warm from {}: {held} tasks on {machines} machines not heard",
+                    "term {} fails over warm from {}: {held} tasks on {machines} machines not heard from yet",
                     self.term,
                     replica.term,
                 );
@@ -94,12 +94,12 @@
             (Err(why), _) => {
                 self.recovery.failover.cold_reason = Some(why.text());
                 self.events.tally.took_over = Some(why.text());
-                log::info!("term {} takes over cold: {}", self.term, why.text());
+                log::info!("term {} fails over cold: {}", self.term, why.text());
             }
         }
     }
 
-    /// Puts into the picture what may be on machines that were not heard yet,
+    /// Puts into the cluster state what may be on machines that were not heard yet,
     /// and what has completed. Those heard have said themselves what they hold.
     /// Returns how many tasks on how many machines.
     fn restore_from_replica(&mut self, replica: &Replica, now: Millis) -> (usize, usize) {
@@ -123,7 +123,7 @@
         (held, unheard.count())
     }
 
-    /// What is not in the roster any more, or is noted to be empty, is surely
+    /// What is not in the machine registry any more, or is noted to be empty, is surely
     /// gone, and so is all of a job that has no record.
     fn restore_task(&mut self, machine: &str, job: &str, may_run: MayRun, now: Millis) -> bool {
         let MayRun(task, attempt, _, seen) = may_run;
--- a/src/control/leader/inventory.rs
+++ b/src/control/leader/inventory.rs
@@ -35,7 +35,7 @@
         self.recovery.elected_at + 2 * lag + LIST_MARGIN_MS
     }
 
-    /// The whole list was read, from `asked` on. What stood in the roster when
+    /// The whole list was read, from `asked` on. What stood in the machine registry when
     /// this term began was up, so it had been or would be listed until it is
     /// gone: a list that describes a later time and lacks it shows that it is.
     /// Guards against a lease of waiting for machines that were taken away.
@@ -58,7 +58,7 @@
         }
         if !gone.is_empty() {
             let gone = gone.len();
-            log::info!("{gone} machines of the roster are not listed any more: they are gone");
+            log::info!("{gone} registered machines are not listed any more: they are gone");
             self.changed = true;
         }
     }
@@ -158,7 +158,7 @@
 
     /// Every machine is known, or those that can report have had the time to.
     /// Guards against a lease during which nothing is rented, as a few
-    /// machines are silent when a new leader begins.
+    /// machines are unresponsive when a new leader begins.
     fn knows_enough_to_scale(&self, now: Millis) -> bool {
         self.recovery.settled || !self.workers_may_be_redirecting(now)
     }
@@ -227,8 +227,8 @@
             {
                 Some("never came up")
             } else if !m.up
-                // One of the roster that was never heard in this term is as
-                // silent: left there, each new leader would wait for it.
+                // One of the machine registry that was never heard in this term is as
+                // unresponsive: left there, each new leader would wait for it.
                 && (m.incarnation > 0 || m.registration == Registration::Present)
                 && now > m.state_since + lapse
             {
--- a/src/control/leader/mod.rs
+++ b/src/control/leader/mod.rs
@@ -137,7 +137,7 @@
     pub commands: DirectCommands,
 }
 
-/// How a direct order came out.
+/// How a direct command came out.
 pub enum DirectDeliveryOutcome {
     Executed(Heartbeat),
     Refused(Option<Heartbeat>),
@@ -152,7 +152,7 @@
 pub struct Leader {
     settings: Rc<Settings>,
     options: Options,
-    /// The picture: jobs, machines, and what is or may be on them.
+    /// The cluster state: jobs, machines, and what is or may be on them.
     pub cluster: ClusterState,
     pub term: u64,
     /// Final states told or learned; they outlast the term.
@@ -228,7 +228,7 @@
         SafetyBounds::of(&self.settings.cluster.workers).lease_expiry()
     }
 
-    /// Jobs and roster have been read.
+    /// Jobs and machine registry have been read.
     pub fn loaded(&self) -> bool {
         self.recovery.loaded
     }
@@ -334,8 +334,8 @@
     /// `None`: not a machine to answer.
     pub fn on_heartbeat(&mut self, report: &Heartbeat, now: Millis) -> Option<HeartbeatResponse> {
         if !self.recovery.loaded {
-            // The lease must not lapse while the records are being read; nor
-            // may it be renewed for long, as they hold withdrawals.
+            // The lease must not expire while the records are being read; nor
+            // may it be renewed for long, as they hold cancellations.
             let unread = SafetyBounds::of(&self.settings.cluster.workers).max_answering_unloaded();
             return (now < self.recovery.elected_at + unread).then(|| HeartbeatResponse {
                 fencing_token: self.term_token(),
@@ -510,7 +510,7 @@
         self.changed = true;
     }
 
-    /// An end that is remembered goes before the picture: it never changes.
+    /// An end that is remembered goes before the cluster state: it never changes.
     pub fn status(&self, id: &str) -> Option<JobStatus> {
         self.final_states.get(id).or_else(|| self.live_status(id))
     }
@@ -532,7 +532,7 @@
         }
     }
 
-    /// A job that it needs is withdrawn, and so will it be. What stands of it
+    /// A job that it needs is cancelled, and so will it be. What stands of it
     /// until that is recorded may be told no more by then.
     pub fn is_cancelled_with_dependency(&self, id: &str) -> bool {
         let ix = self.cluster.job_index(id);
@@ -582,7 +582,7 @@
         self.write_queue.unconditional_deletes.push(key);
     }
 
-    /// Marks a known job for withdrawal. Its tasks stop only once that is
+    /// Marks a known job for cancellation. Its tasks stop only once that is
     /// recorded: until then it may still complete.
     pub fn cancel(&mut self, id: &str) {
         if let Some(job) = self
--- a/src/control/leader/offload.rs
+++ b/src/control/leader/offload.rs
@@ -1,4 +1,4 @@
-//! Jobs that are lent to neighbouring markets: which could be, the mark in
+//! Jobs that are offloaded to neighbouring markets: which could be, the mark in
 //! their records, and what comes back.
 
 use super::*;
@@ -108,7 +108,7 @@
         within(all.cpus, team.cpus) && within(all.gpus, team.gpus)
     }
 
-    /// Those of a broker's jobs that it is to call back: over, withdrawn, or
+    /// Those of a broker's jobs that it is to call back: over, cancelled, or
     /// not marked as its.
     pub fn not_needed(&self, lent: &[(String, u64)]) -> Vec<String> {
         let needed = |id: &str, award: u64| {
--- a/src/control/leader/partitions.rs
+++ b/src/control/leader/partitions.rs
@@ -52,7 +52,10 @@
             false => 0,
         };
         if m.unacknowledged_heartbeats > MAX_UNACKNOWLEDGED_HEARTBEATS && now > over {
-            log::debug!("machine {} reports, but gets no answers", m.name);
+            log::debug!(
+                "machine {} sends heartbeats, but receives no responses",
+                m.name
+            );
             return false;
         }
         m.last_answered = now;
@@ -82,7 +85,10 @@
         if !lost || m.misses_responses() {
             return;
         }
-        log::info!("machine {} may not get answers: nothing new there", m.name);
+        log::info!(
+            "machine {} may not receive responses: no new tasks there",
+            m.name
+        );
         m.token_epoch += 1;
         self.require_new_token(ix);
         self.changed = true;
--- a/src/control/leader/parts.rs
+++ b/src/control/leader/parts.rs
@@ -1,4 +1,4 @@
-//! What the leader keeps beside its picture, by what each part is for.
+//! What the leader keeps beside its cluster state, by what each part is for.
 
 use super::{
     headroom::Class, scheduling_cycle::SchedulingCycle, status, zone_health::ZoneHealth, *,
@@ -82,13 +82,13 @@
     }
 }
 
-/// What is to be written that the picture does not show by itself.
+/// What is to be written that the cluster state does not show by itself.
 #[derive(Default)]
 pub(super) struct WriteQueue {
     pub(super) unconditional_deletes: Vec<String>,
     /// Keys to be deleted if they still have this version.
     pub(super) conditional_deletes: Vec<(String, u64)>,
-    /// Jobs whose mark as lent is to be set or lifted.
+    /// Jobs whose mark as offloaded is to be set or lifted.
     pub(super) offload_changes: Vec<u32>,
     /// The last transaction set marks: other changes go first now.
     pub(super) offloads_went_last: bool,
--- a/src/control/leader/persistence.rs
+++ b/src/control/leader/persistence.rs
@@ -66,7 +66,7 @@
                 });
             };
         let mut lapsed = Vec::new();
-        // Withdrawals, then endings, then progress.
+        // Cancellations, then endings, then progress.
         let knows_all = self.recovery.knows_all_tasks();
         for pass in 0..3 {
             for ix in 0..self.cluster.jobs.len() {
@@ -80,7 +80,7 @@
                     continue;
                 }
                 let gone = j.live_count == 0 && knows_all;
-                // Of one that is to be withdrawn and has nothing anywhere the
+                // Of one that is to be cancelled and has nothing anywhere the
                 // end is recorded at once, without a mark before it.
                 let marked = j.cancelled || j.cancel_requested && j.offload.is_local();
                 let over = if j.is_complete() && !j.cancelled {
@@ -192,7 +192,7 @@
         (!plan.txn.writes.is_empty()).then_some(plan)
     }
 
-    /// Returns the machines whose lapsed leases remain to be noted, which
+    /// Returns the machines whose expired leases remain to be noted, which
     /// nothing waits for.
     fn plan_machine_records(&mut self, plan: &mut WritePlan, room: usize, spare: bool) -> Vec<u32> {
         let mut lapsed = Vec::new();
@@ -311,7 +311,7 @@
                         // A mark that was on its way can't be set any more.
                         j.offload.mark_refused();
                         log::info!(
-                            "job {id} withdrawn, by its mark at revision {revision} in term {}",
+                            "job {id} cancelled, by its record at revision {revision} in term {}",
                             self.term
                         );
                         self.final_states.learn(&status, now);
@@ -400,11 +400,11 @@
     /// The transaction had no answer, and it may take long until its keys can
     /// be read; nor does that settle it, as it may be carried out later. Guards
     /// against tasks that run on through an outage after a user read that their
-    /// job is withdrawn, and against calling a job unfinished from memory after
+    /// job is cancelled, and against calling a job unfinished from memory after
     /// a user read its end.
     pub fn outcome_unknown(&mut self, plan: &WritePlan) {
         log::info!(
-            "a transaction had no answer, or failed, in term {}: {}",
+            "write with unknown outcome in term {}: {}",
             self.term,
             describe_endings(plan).unwrap_or_else(|| "it ends no job".to_owned())
         );
@@ -486,7 +486,7 @@
         }
     }
 
-    /// What was found of a transaction that was in doubt, for the log.
+    /// What was found of a transaction that was indeterminate, for the log.
     pub fn log_reconciliation(&self, plan: &WritePlan) {
         let Some(ends) = describe_endings(plan) else {
             return;
@@ -498,7 +498,7 @@
             _ => false,
         };
         let stand = plan.intents.iter().filter(stands).count();
-        log::info!("read again in term {}: {ends}: {stand} stand", self.term);
+        log::info!("reconciled in term {}: {ends}: {stand} in force", self.term);
     }
 
     pub fn reconciled(&mut self, plan: &WritePlan) {
@@ -540,11 +540,11 @@
     }
 }
 
-/// Jobs that a transaction withdraws or ends, the first few by name.
+/// Jobs that a transaction cancels or ends, the first few by name.
 fn describe_endings(plan: &WritePlan) -> Option<String> {
     const NAMED: usize = 5;
     let ends = plan.intents.iter().filter_map(|item| match item {
-        WriteIntent::Cancel(_, id) => Some(format!("withdrawal of {id}")),
+        WriteIntent::Cancel(_, id) => Some(format!("cancellation of {id}")),
         WriteIntent::Finish(_, id, state) => Some(format!("{id} {state}")),
         _ => None,
     });
--- a/src/control/leader/quotas.rs
+++ b/src/control/leader/quotas.rs
@@ -24,7 +24,7 @@
 
     /// Whether all tasks of the job that are, or may be, on a machine are
     /// known: it is younger than the term, or no machine that has neither been
-    /// heard nor lapsed is of a kind that the job allows.
+    /// heard nor expired is of a kind that the job allows.
     pub(super) fn job_settled(&self, job: &Job) -> bool {
         self.recovery.knows_all_tasks()
             || job.accepted_this_term
--- a/src/control/leader/recovery.rs
+++ b/src/control/leader/recovery.rs
@@ -9,9 +9,9 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// Reads jobs and roster.
+    /// Reads jobs and machine registry.
     Loading,
-    /// Waits to hear every machine, or for its lease to lapse, unless it knows
+    /// Waits to hear every machine, or for its lease to expire, unless it knows
     /// what may run there.
     Settling,
     /// Works off what waited meanwhile and may not wait: services and gangs.
@@ -42,9 +42,9 @@
 /// until it has heard every machine.
 pub(super) struct Recovery {
     pub(super) elected_at: Millis,
-    /// Jobs and roster have been read.
+    /// Jobs and machine registry have been read.
     pub(super) loaded: bool,
-    /// Every machine was heard, or its lease must have lapsed.
+    /// Every machine was heard, or its lease must have expired.
     pub(super) settled: bool,
     /// When this process last went on after it had stood still.
     pub(super) resumed_at: Millis,
@@ -83,7 +83,7 @@
             || now >= self.heartbeats_due_by
     }
 
-    /// All that may run is in the picture, heard or not.
+    /// All that may run is in the cluster state, heard or not.
     pub(super) fn knows_all_tasks(&self) -> bool {
         self.settled || self.failover.warm
     }
@@ -117,7 +117,7 @@
             (self.recovery.phase, self.recovery.since) = (phase.next(), now);
             if self.recovery.phase == Phase::Whole {
                 let all = now - self.recovery.elected_at;
-                log::info!("term {}: whole after {all} ms", self.term);
+                log::info!("term {}: recovered after {all} ms", self.term);
             }
         }
     }
--- a/src/control/leader/scale_out.rs
+++ b/src/control/leader/scale_out.rs
@@ -90,7 +90,7 @@
             // Nothing is known of an unknown one, so all of it counts as free:
             // what may run there still looks like waiting.
             // What runs there is known to a leader that took over warm: one
-            // that stays silent counts for no more than it holds.
+            // that stays unresponsive counts for no more than it holds.
             let unheard = m.contents_unknown
                 && !m.releasing
                 && (!self.recovery.failover.warm || self.workers_may_be_redirecting(now));
@@ -258,7 +258,7 @@
         self.scaling.requests_in_flight = self.scaling.requests_in_flight.saturating_sub(1);
         let names = names.unwrap_or(&[]);
         log::info!(
-            "rented {} of {} {} in {}{}",
+            "scaled out by {} of {} {} in {}{}",
             names.len(),
             rent.count,
             rent.type_name,
--- a/src/control/leader/status.rs
+++ b/src/control/leader/status.rs
@@ -167,7 +167,7 @@
                 Some(Due::AtRisk) => g.at_risk_jobs += 1,
                 _ => {}
             }
-            // What is lent waits as well, for its market, and what needs
+            // What is offloaded waits as well, for its market, and what needs
             // others for those.
             let waiting = match j.offload.is_local() && j.readiness == Readiness::Ready {
                 true => j.waiting_count(),
--- a/src/control/leader/zone_health.rs
+++ b/src/control/leader/zone_health.rs
@@ -2,12 +2,12 @@
 
 use super::*;
 
-/// A zone that fell silent gets nothing new for this long, unless something
+/// A zone that fell unresponsive gets nothing new for this long, unless something
 /// in it is heard before. Where a controller stands, the end of a cut shows
 /// in that; elsewhere only a new machine can tell.
 const UNREACHABLE_ZONE_MS: Millis = 60_000;
 const UNREACHABLE_WATCHED_ZONE_MS: Millis = 300_000;
-/// So many machines must be silent at once to speak for their zone.
+/// So many machines must be unresponsive at once to speak for their zone.
 const MIN_SILENT_MACHINES: u32 = 2;
 
 #[derive(Debug, Clone, Copy)]
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Several machines of a zone are silent, nothing else in it is heard,
+    /// Several machines of a zone are unresponsive, nothing else in it is heard,
     /// and this node does not stand there itself: it is cut off.
     pub(super) fn update_zone_health(&mut self, silent: &[u32], overdue: Millis, now: Millis) {
         let home = self.cluster.zones.find(&self.settings.zone);
@@ -59,7 +59,7 @@
             }
             let name = self.cluster.zones.name(zone);
             if now >= life.unreachable_until {
-                log::info!("zone {name} is silent");
+                log::info!("zone {name} is unreachable");
             }
             let watched = self.settings.peers.iter().any(|p| p.zone == name);
             life.unreachable_until = now
--- a/src/control/reconciliation.rs
+++ b/src/control/reconciliation.rs
@@ -48,7 +48,7 @@
 /// term: a message that has not seen it is no news, as commands of an earlier
 /// leader may still be carried out after it.
 ///
-/// `beat`: it is a report, not the answer to a direct order. Only a report is
+/// `beat`: it is a report, not the answer to a direct command. Only a report is
 /// sure to be later than the response to the report before it.
 pub fn apply_heartbeat(
     cluster: &mut ClusterState,
@@ -72,7 +72,7 @@
         return effects;
     }
     if reborn {
-        log::info!("machine {} has started anew", m.name);
+        log::info!("machine {} has restarted", m.name);
         m.min_token = m.restart_token;
         m.last_stale_heartbeat = ((0, 0), 0);
         m.latest_heartbeat = (report.incarnation, report.seq);
@@ -211,7 +211,7 @@
             // It was there and is not any more, in the same session. Nothing
             // in the protocol does this; the newest message is to be believed.
             _ => {
-                log::error!("task {} vanished from a live session", a.name);
+                log::error!("task {} vanished from a live incarnation", a.name);
                 cluster.unassign(ix, at);
                 effects.cluster_changed = true;
             }
@@ -296,7 +296,7 @@
 }
 
 /// Commands for a machine, and marks what they launch as sent. `direct`: the
-/// token of a direct order; in the response to report `seq` it is `None`.
+/// token of a direct command; in the response to report `seq` it is `None`.
 /// Nothing is started of changes after `confirmed`: a standby that counts does
 /// not know of them.
 pub fn commands(
@@ -366,8 +366,8 @@
     out
 }
 
-/// A direct order was not carried out, or was answered: what it launched is
-/// no longer in doubt.
+/// A direct command was not carried out, or was answered: what it launched is
+/// no longer indeterminate.
 pub fn resolve_direct_commands(cluster: &mut ClusterState, ix: u32, token: u64, executed: bool) {
     if let Some(m) = cluster.machine_mut(ix) {
         for a in m
--- a/src/control/requests/cancel.rs
+++ b/src/control/requests/cancel.rs
@@ -1,4 +1,4 @@
-//! Withdrawals. They are recorded by leaders alone.
+//! Cancellations. They are recorded by leaders alone.
 
 use super::*;
 
--- a/src/control/requests/mod.rs
+++ b/src/control/requests/mod.rs
@@ -1,10 +1,10 @@
-//! What users are told: polls, submissions and withdrawals, in steps that do
+//! What users are told: polls, submissions and cancellations, in steps that do
 //! no input or output. A step is taken with what the node knows at that moment;
 //! what it asks for (the leader's word, a look at the records, a write) may
 //! take any time and comes back as the next event.
 //!
 //! What may be said of a job is a register that moves one way: unknown,
-//! accepted, and then done or withdrawn. An answer is made from what was read
+//! accepted, and then done or cancelled. An answer is made from what was read
 //! after its request came in, or from memory where that can't be older than
 //! any answer given. As it leaves it is looked at once more: an end that this
 //! node has learned meanwhile goes before it.
--- a/src/control/requests/provenance.rs
+++ b/src/control/requests/provenance.rs
@@ -32,7 +32,7 @@
     /// An end that this node learned before.
     #[default]
     Memory,
-    /// The leader's picture, at the leader itself.
+    /// The leader's cluster state, at the leader itself.
     Picture,
     /// The leader's word, at another node.
     Leader,
--- a/src/control/requests/request.rs
+++ b/src/control/requests/request.rs
@@ -102,7 +102,7 @@
     }
 
     /// For how long the leader's answer to it is waited for, where it is passed
-    /// on. A withdrawal's record is waited for, and then held back.
+    /// on. A cancellation's record is waited for, and then held back.
     pub fn forward_limit(&self) -> Millis {
         match self.work {
             Work::Cancel(_) => FORWARD_CANCELLATION_TIMEOUT_MS,
--- a/src/control/requests/view.rs
+++ b/src/control/requests/view.rs
@@ -68,7 +68,7 @@
     }
 
     /// Takes in what was read of a job, and says how it stands by that. Into
-    /// the picture goes only what was read in its own term. Guards against a
+    /// the cluster state goes only what was read in its own term. Guards against a
     /// job that ended under another leader while a slow read was under way.
     pub(super) fn learn(&mut self, id: &str, found: Found) -> Option<JobStatus> {
         let status = match found {
--- a/src/control/safety_bounds.rs
+++ b/src/control/safety_bounds.rs
@@ -55,7 +55,7 @@
     }
 
     /// How long a leader may answer workers, or start anything, after the last
-    /// moment at which it surely knew of every withdrawal. A user may be told
+    /// moment at which it surely knew of every cancellation. A user may be told
     /// of one that it does not know right after that moment; by `cancel_s`
     /// from then the leases of all machines have run out by themselves, as
     /// they run from when a report was sent, and an answer may be on its way
--- a/src/control/standby/failover_checks.rs
+++ b/src/control/standby/failover_checks.rs
@@ -1,6 +1,6 @@
 //! What a new leader checks before its first decision. Each answer in turn
 //! must be yes; any no takes the cold way, on which nothing older than the
-//! term is placed before every machine was heard or its lease has lapsed.
+//! term is placed before every machine was heard or its lease has expired.
 
 use super::replica::Replica;
 use crate::state::records::StandbyRecord;
--- a/src/control/standby/mod.rs
+++ b/src/control/standby/mod.rs
@@ -1,7 +1,7 @@
 //! Standbys that are warm: nodes that know what may run on machines, so that
 //! one of them can decide at once when it takes over.
 //!
-//! The leader tells them its picture and each change of it (`stream`), they keep
+//! The leader tells them its cluster state and each change of it (`stream`), they keep
 //! a copy (`replica`), a record says who counts (`registry`), and a start waits until
 //! all who count have confirmed the change that it is of. A new leader checks
 //! that it was one of them before it goes by its copy (`checks`).
@@ -83,7 +83,7 @@
     max_warm: usize,
     streams: Vec<ReplicationStream>,
     registry: StandbyRegistry,
-    /// Since when the picture holds all that may run, and its changes are noted.
+    /// Since when the cluster state holds all that may run, and its changes are noted.
     replicating_since: Option<Millis>,
     /// Something is to be started.
     starts_wanted: bool,
@@ -112,7 +112,7 @@
         self.registry = StandbyRegistry::found(found);
     }
 
-    /// Up to which change of the picture starts may be sent.
+    /// Up to which change of the cluster state starts may be sent.
     pub fn confirmed_change(&self) -> u64 {
         if !self.registry.belongs_to(self.term) {
             return 0;
@@ -131,7 +131,7 @@
     }
 
     /// Looks who is to be kept warm, and returns the write of the record that
-    /// is due, if any: one at a time. `complete`: the picture holds all that
+    /// is due, if any: one at a time. `complete`: the cluster state holds all that
     /// may run. `answers`: by peer.
     ///
     /// Who is entered must know all that was started so far, and counts from
--- a/src/control/standby/replica.rs
+++ b/src/control/standby/replica.rs
@@ -17,7 +17,7 @@
 /// Knowing more than runs is harmless, knowing less is not.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct Replica {
-    /// Of whose picture.
+    /// Of whose cluster state.
     pub term: u64,
     pub machines: BTreeMap<String, Held>,
 }
--- a/src/control/standby/replication_stream.rs
+++ b/src/control/standby/replication_stream.rs
@@ -145,7 +145,7 @@
         if self.is_demoted(now) {
             return;
         }
-        log::info!("standby {} is struck: it {}", self.name, why.text());
+        log::info!("standby {} is demoted: it {}", self.name, why.text());
         // One that began anew is as good as any other.
         let pause = match why {
             Demotion::BeganAnew => 0,
--- a/src/server/audit_log.rs
+++ b/src/server/audit_log.rs
@@ -90,7 +90,7 @@
                 Some((leader, term)) => format!("term {term} of {leader}"),
                 None => "no leader known".to_owned(),
             };
-            format!("told {id} {state}: {source}{revision}, read {age} ms before, {term}")
+            format!("answered {id} {state}: {source}{revision}, read {age} ms before, {term}")
         });
     }
 
@@ -105,16 +105,16 @@
             let right = lead.map(|lead| {
                 let (right, until) = lead.authority();
                 format!(
-                    "term {}, by {} for {} ms more, withdrawals known up to {} ms ago",
+                    "term {}, by {} for {} ms more, cancellations known up to {} ms ago",
                     lead.term,
                     right.text(),
                     until.saturating_sub(now),
                     now.saturating_sub(lead.cancellations_known_until())
                 )
             });
-            let right = right.unwrap_or_else(|| "the lead is given up since".to_owned());
+            let right = right.unwrap_or_else(|| "leadership has been given up since".to_owned());
             log::info!(
-                "ordered {} starts and {} stops: {right}",
+                "commanded {} starts and {} stops: {right}",
                 orders.starts,
                 orders.stops
             );
--- a/src/server/client_api.rs
+++ b/src/server/client_api.rs
@@ -1,4 +1,4 @@
-//! Submissions, polls and withdrawals: does what their steps ask for.
+//! Submissions, polls and cancellations: does what their steps ask for.
 
 use super::Node;
 use crate::{
@@ -16,7 +16,7 @@
 const LOOKS: u32 = 20;
 const PAUSE: Duration = Duration::from_millis(50);
 
-/// The job's id in a path, and whether it is to be withdrawn.
+/// The job's id in a path, and whether it is to be cancelled.
 fn target(path: &str) -> Option<(&str, bool)> {
     let rest = path.strip_prefix("/v1/jobs/")?;
     match rest.strip_suffix("/abort") {
--- a/src/server/control_loop.rs
+++ b/src/server/control_loop.rs
@@ -32,7 +32,7 @@
         let late = node.now().saturating_sub(last);
         last = node.now();
         if late > PROCESS_PAUSE_MS {
-            log::info!("this process stood still for {late} ms");
+            log::info!("this process was paused for {late} ms");
             let lead = node.election.borrow().leadership();
             if let Some(lead) = lead {
                 node.of_term(lead.term, |l, now| l.process_resumed(now));
@@ -125,11 +125,11 @@
                 _ => DirectDeliveryOutcome::NoAnswer,
             },
             Err(CallError::NotSent(e)) => {
-                log::debug!("order to {}: {e}", d.machine);
+                log::debug!("direct commands to {}: {e}", d.machine);
                 DirectDeliveryOutcome::NotSent
             }
             Err(e @ (CallError::NoAnswer(_) | CallError::TooLong)) => {
-                log::debug!("order to {}: {e}", d.machine);
+                log::debug!("direct commands to {}: {e}", d.machine);
                 DirectDeliveryOutcome::NoAnswer
             }
         };
@@ -157,7 +157,7 @@
         let again = again.unwrap_or_default();
         if !again.is_empty() {
             // They hold up their own jobs only.
-            log::info!("jobs that others need could not be read: {again:?}");
+            log::info!("dependencies could not be read: {again:?}");
             let node = self.clone();
             let later = async move {
                 Timer::after(Duration::from_millis(500)).await;
--- a/src/server/heartbeats.rs
+++ b/src/server/heartbeats.rs
@@ -62,7 +62,7 @@
                 content: JSON,
                 body,
             },
-            // Not to whichever it tries next: that may be a silent node.
+            // Not to whichever it tries next: that may be a unresponsive node.
             _ => {
                 let other = self
                     .failure_detector
--- a/src/server/leadership/load_state.rs
+++ b/src/server/leadership/load_state.rs
@@ -93,7 +93,7 @@
     }
 
     async fn read_records(&self, term: u64) -> Result<(), String> {
-        // The roster first: it is what the leases of workers hang on.
+        // The machine registry first: it is what the leases of workers hang on.
         let (machines, as_of) = self.list_as_of(records::MACHINES).await?;
         if as_of < term {
             return Err(format!("they are of revision {as_of}, before the term"));
--- a/src/server/leadership/mod.rs
+++ b/src/server/leadership/mod.rs
@@ -75,7 +75,7 @@
         self.set_shares();
         let (now, (right, until)) = (self.now(), lead.authority());
         log::info!(
-            "term {} given up: {}; it might act by {} until {} ms from now",
+            "leader of term {} steps down: {}; its authority, by {}, lasts until {} ms from now",
             lead.term,
             why.text(),
             right.text(),
--- a/src/server/leadership/renew.rs
+++ b/src/server/leadership/renew.rs
@@ -65,7 +65,7 @@
                 self.metrics.borrow().authority_extended(is);
             }
             if was != is {
-                log::info!("term {} goes on by {}", after.term, is.text());
+                log::info!("term {} is extended by {}", after.term, is.text());
             }
         }
         result
@@ -162,7 +162,7 @@
         }
     }
 
-    /// Asks the others to relay reports of machines that fell silent: the cut
+    /// Asks the others to relay reports of machines that fell unresponsive: the cut
     /// may be between them and this node alone. A worker tries another node
     /// after 5 s of its lease, so there is no time to find out first. Returns
     /// whether neither workers nor controllers are heard.
@@ -243,7 +243,7 @@
         match extended {
             PromiseOutcome::Extended => again.detach(),
             PromiseOutcome::NotExtended => {
-                log::debug!("promises are missing, or came too late");
+                log::debug!("promises are missing or came too late");
                 again.detach();
             }
             PromiseOutcome::CancellationsUnknown => {
--- a/src/server/status.rs
+++ b/src/server/status.rs
@@ -13,10 +13,10 @@
 use std::{rc::Rc, time::Duration};
 
 const ASK: Duration = Duration::from_millis(800);
-/// A picture is put together at most this often, however many ask.
+/// A cluster state is put together at most this often, however many ask.
 const FRESH: Millis = 500;
 
-/// The picture last put together or fetched, and when.
+/// The cluster state last put together or fetched, and when.
 pub(super) type LastClusterStatus = Option<(Millis, Picture)>;
 
 impl Node {
--- a/src/server/upgrade.rs
+++ b/src/server/upgrade.rs
@@ -60,7 +60,7 @@
 
 pub async fn run(node: Rc<Node>) {
     while let Err(e) = node.leave_mark().await {
-        log::debug!("leaving a mark of this version: {e}");
+        log::debug!("recording this version: {e}");
         Timer::after(SOON).await;
     }
     while !node.upgraded().await {
--- a/src/state/cluster/job.rs
+++ b/src/state/cluster/job.rs
@@ -51,9 +51,9 @@
     pub running_count: u32,
     /// Withdrawn as the record says.
     pub cancelled: bool,
-    /// A withdrawal that the record does not hold yet.
+    /// A cancellation that the record does not hold yet.
     pub cancel_requested: bool,
-    /// That withdrawal was sent and had no answer: a user may read it in the
+    /// That cancellation was sent and had no answer: a user may read it in the
     /// record, and be told of it, before this leader learns that it stands.
     pub cancel_indeterminate: bool,
     /// The same of its end, whichever that is.
@@ -62,7 +62,7 @@
     /// Chunks of `done` that the record lacks.
     pub dirty_segments: Vec<bool>,
     pub write_in_flight: bool,
-    /// What is being written ends or withdraws it.
+    /// What is being written ends or cancels it.
     pub ending_in_flight: bool,
     /// Starts in a row that came to nothing for other reasons than errors.
     pub consecutive_refusals: u32,
--- a/src/state/cluster/machine.rs
+++ b/src/state/cluster/machine.rs
@@ -6,7 +6,7 @@
 };
 use std::{fmt, net::SocketAddr};
 
-/// For so long the answer to a direct order is waited for. It is not sent later
+/// For so long the answer to a direct command is waited for. It is not sent later
 /// than that: the connection is made or given up within it.
 pub const DIRECT_COMMAND_TIMEOUT_MS: Millis = 2_000;
 
@@ -64,7 +64,7 @@
     /// It was reported running more than once, or completed: it was counted
     /// in favour of its job and its machine.
     pub seen_running: bool,
-    /// The change of the picture that put it here. Standbys must have
+    /// The change of the cluster state that put it here. Standbys must have
     /// confirmed that before it is started.
     pub change_number: u64,
 }
@@ -114,10 +114,10 @@
     /// Reports in a row that show no token of this term, although those before
     /// them were answered.
     pub unacknowledged_heartbeats: u32,
-    /// Heard in this term, and not lapsed since.
+    /// Heard in this term, and not expired since.
     pub up: bool,
-    /// Stood in the roster when this term began and has neither been heard
-    /// nor lapsed: anything may run on it.
+    /// Stood in the machine registry when this term began and has neither been heard
+    /// nor expired: anything may run on it.
     pub contents_unknown: bool,
     /// When a report was last answered with 200.
     pub last_answered: Millis,
@@ -143,7 +143,7 @@
     pub failures: MachineFailures,
     /// The record lacks the verdict on it.
     pub quarantine_unrecorded: bool,
-    /// A direct order is on its way.
+    /// A direct command is on its way.
     pub command_in_flight: bool,
     pub command_retry_at: Millis,
     pub images: Vec<u32>,
@@ -179,13 +179,13 @@
         self.reserved_for
             .is_none_or(|(of, until)| of == job || now >= until)
     }
-    /// Known to hold nothing: its lease has lapsed, and it was not heard since.
+    /// Known to hold nothing: its lease has expired, and it was not heard since.
     pub fn lease_expired(&self) -> bool {
         !self.up && !self.contents_unknown && self.registration == Registration::Present
     }
     /// Since when its lease may run. A process of it that has just begun counts
     /// from its own beginning, which may be as late as the moment at which it
-    /// took a direct order; what was started by that runs until then.
+    /// took a direct command; what was started by that runs until then.
     pub fn lease_start(&self) -> Millis {
         let on_its_way = self
             .start_sent_at
--- a/src/state/cluster/mod.rs
+++ b/src/state/cluster/mod.rs
@@ -1,4 +1,4 @@
-//! The leader's picture of jobs, machines and what runs where. Names are
+//! The leader's cluster state of jobs, machines and what runs where. Names are
 //! mapped to dense indices at the door; everything inside uses those.
 
 mod interner;
--- a/src/state/cluster/replication.rs
+++ b/src/state/cluster/replication.rs
@@ -1,4 +1,4 @@
-//! The picture as standbys are told of it.
+//! The cluster state as standbys are told of it.
 
 use super::{ClusterState, Phase};
 use crate::protocol::{
--- a/src/state/dependencies.rs
+++ b/src/state/dependencies.rs
@@ -1,5 +1,5 @@
 //! Jobs that need others to be done first: which wait for which, what became
-//! ready, what is to be withdrawn with a job that it needs, and the priority
+//! ready, what is to be cancelled with a job that it needs, and the priority
 //! that a job has from those that need it. Decides from what is durable alone;
 //! whoever calls says what that is.
 
@@ -13,7 +13,7 @@
     Live(u32, Priority),
     /// Its final record says so.
     Done,
-    /// It is recorded as withdrawn, or surely will be.
+    /// It is recorded as cancelled, or surely will be.
     Cancelled,
     /// Not live as far as known: its final record is to be read.
     Unknown,
@@ -37,7 +37,7 @@
     dependencies: HashSet<u32>,
     /// Needs of which nothing is known yet.
     unresolved: usize,
-    /// One of its needs was withdrawn.
+    /// One of its needs was cancelled.
     must_cancel: bool,
     /// Live jobs that need it.
     dependents: HashSet<u32>,
@@ -143,7 +143,7 @@
         self.lookups.extend(ids);
     }
 
-    /// A live job's withdrawal is durable, or follows from what is: so does
+    /// A live job's cancellation is durable, or follows from what is: so does
     /// that of all that need it, directly or not.
     pub fn job_cancelled(&mut self, job: u32) {
         let Some(links) = self.nodes.get(&job) else {
@@ -286,7 +286,7 @@
         due.into_iter().filter_map(|(j, d)| Some((j, d?))).collect()
     }
 
-    /// It is to be withdrawn, as a job that it needs was.
+    /// It is to be cancelled, as a job that it needs was.
     pub fn must_cancel(&self, job: u32) -> bool {
         self.nodes.get(&job).is_some_and(|l| l.must_cancel)
     }
@@ -300,7 +300,7 @@
         (before, links.map_or(0, |l| l.unresolved))
     }
 
-    /// Jobs to look at again, and jobs that are to be withdrawn if they are
+    /// Jobs to look at again, and jobs that are to be cancelled if they are
     /// still the same (`is_lost`): indices are used again.
     pub fn take_changes(&mut self) -> (Vec<u32>, Vec<u32>) {
         (
--- a/src/state/records.rs
+++ b/src/state/records.rs
@@ -68,7 +68,7 @@
 /// anybody, before it starts anything.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct StandbyRecord {
-    /// Of whose picture the copies are.
+    /// Of whose cluster state the copies are.
     #[serde(rename = "t")]
     pub term: u64,
     /// Nodes with their incarnations.
@@ -255,7 +255,7 @@
     /// Its release has been decided.
     #[serde(rename = "r", default, skip_serializing_if = "std::ops::Not::not")]
     pub releasing: bool,
-    /// Beside that: only its lease has lapsed, and should it come back it may
+    /// Beside that: only its lease has expired, and should it come back it may
     /// be used, once this is written without either mark. A program that does
     /// not know this one returns the machine.
     #[serde(rename = "l", default, skip_serializing_if = "std::ops::Not::not")]
--- a/tests/controllers.rs
+++ b/tests/controllers.rs
@@ -1,4 +1,4 @@
-//! Stories of controllers that stand still, fall silent or are cut off in
+//! Stories of controllers that stand still, fall unresponsive or are cut off in
 //! part, against a whole installation in memory.
 
 mod simulation;
@@ -81,7 +81,7 @@
     }
 }
 
-/// Guards against two silent nodes in a row in the order in which workers try
+/// Guards against two unresponsive nodes in a row in the order in which workers try
 /// them: that takes as long as their lease.
 #[test]
 fn the_lead_moves_where_the_node_that_workers_try_next_answers() {
@@ -103,7 +103,7 @@
 }
 
 /// Guards against sending workers to a leader that is only remembered: the
-/// key of a silent leader stands for as long as the state service is down, and
+/// key of a unresponsive leader stands for as long as the state service is down, and
 /// 4 s more.
 #[test]
 fn workers_are_kept_among_nodes_that_answer_until_one_leads() {
--- a/tests/dependencies.rs
+++ b/tests/dependencies.rs
@@ -66,7 +66,7 @@
 }
 
 /// Guards against starting what a report alone says is due: the report's end
-/// may be lost with the leader, and the need runs again, or is withdrawn.
+/// may be lost with the leader, and the need runs again, or is cancelled.
 #[test]
 fn a_job_starts_only_once_the_end_of_its_need_is_recorded() {
     let mut w = World::led(3, 3, 0.0);
@@ -177,7 +177,7 @@
 }
 
 /// As the leader ends, nobody can say at once whether what a chain's job needs
-/// was done; what may run of it on a machine that is silent counts all the same.
+/// was done; what may run of it on a machine that is unresponsive counts all the same.
 #[test]
 fn a_new_leader_counts_what_may_run_of_a_chain_before_it_knows_its_needs() {
     let mut w = cold(7, 2, 16.0);
--- a/tests/failover.rs
+++ b/tests/failover.rs
@@ -35,7 +35,7 @@
 /// Streams of a leader to a peer that are followed.
 const MOST_STREAMS: u64 = 3;
 
-/// The picture of one machine: tasks with attempt, change, and whether the
+/// The cluster state of one machine: tasks with attempt, change, and whether the
 /// start was sent.
 #[derive(Clone, Default, PartialEq, Eq, Hash)]
 struct OneMachine {
@@ -378,7 +378,7 @@
     }
 
     /// One round of the leader, as in `node::engine`: what may be started is,
-    /// the record is looked at, standbys are told. `silent`: a peer that does
+    /// the record is looked at, standbys are told. `unresponsive`: a peer that does
     /// not answer.
     fn act(&mut self, i: usize, silent: Option<usize>) -> bool {
         let now = self.now;
--- a/tests/fault_combinations.rs
+++ b/tests/fault_combinations.rs
@@ -126,7 +126,7 @@
 }
 
 /// Whoever it was, and in spite of all promises: another became leader, wrote
-/// that the job is withdrawn, and a user was told.
+/// that the job is cancelled, and a user was told.
 fn withdrawn_by_another(w: &mut World) {
     let (value, _) = w.store.kv[&job_key(&id(1))].clone();
     let mut record: StoredJob = serde_json::from_value(value).unwrap();
@@ -148,7 +148,7 @@
 }
 
 /// The horizon holds by itself. Guards against a leader that promises alone
-/// keep going, when nobody can show that it has not missed a withdrawal.
+/// keep going, when nobody can show that it has not missed a cancellation.
 #[test]
 fn a_leader_that_may_have_missed_a_withdrawal_lets_all_leases_run_out_in_time() {
     for (seed, nodes) in [(20, 3), (21, 7)] {
@@ -236,7 +236,7 @@
     }
 }
 
-/// The withdrawal had no answer, a user read it in the record at another node,
+/// The cancellation had no answer, a user read it in the record at another node,
 /// and the outage came before the leader could read that. All promise, so that
 /// it goes on. Guards against tasks that run on through the outage.
 #[test]
@@ -286,7 +286,7 @@
     assert_eq!(w.running(&id(1)), 0);
 }
 
-/// A chain's dependents are withdrawn with the job that they need; the outage
+/// A chain's dependents are cancelled with the job that they need; the outage
 /// comes before that is recorded and lasts longer than it may take. Guards
 /// against calling them queued from memory (`orphaned`).
 #[test]
@@ -389,7 +389,7 @@
     assert!(w.store.apply(&older.txn).is_err(), "carried out late");
 }
 
-/// A machine is back at once and counts its sessions from one; a direct order
+/// A machine is back at once and counts its sessions from one; a direct command
 /// reaches it before its first report, and then it is cut off. Its lease runs
 /// from its own beginning, later than the last answer. Guards against starting
 /// the task elsewhere while it runs there (one drawn day of 1,859 showed it).
--- a/tests/invariant_checker.rs
+++ b/tests/invariant_checker.rs
@@ -138,7 +138,7 @@
     w.poll(0, &id(1));
     caught(&w, "forgotten");
 
-    // Done, before its task is; and withdrawn, though nobody asked.
+    // Done, before its task is; and cancelled, though nobody asked.
     for (state, what) in [
         (JobState::Done, "not_done"),
         (JobState::Cancelled, "went_back"),
--- a/tests/leader_changes.rs
+++ b/tests/leader_changes.rs
@@ -1,5 +1,5 @@
 //! What falls into the seconds in which one controller's work changes hands:
-//! limits, withdrawals, old reports, machines that can't be asked, new ones.
+//! limits, cancellations, old reports, machines that can't be asked, new ones.
 
 mod simulation;
 
@@ -63,7 +63,7 @@
     }
 }
 
-/// Every team is at its limit while jobs are withdrawn whose machines are cut
+/// Every team is at its limit while jobs are cancelled whose machines are cut
 /// off, hang, hear nothing or can't be heard, and the leader changes in that
 /// spell. Guards against use that counts as free because its job is over in
 /// the records, and against claims that never end.
@@ -125,11 +125,11 @@
         assert!(w.broken.is_empty(), "{k} {how:?}: {:?}", w.broken);
     }
     // The meeting: tasks stood on machines that could not be asked, and users
-    // were told that their jobs are withdrawn.
+    // were told that their jobs are cancelled.
     assert!(unasked >= 90 && withdrawn >= 50, "{unasked}, {withdrawn}");
 }
 
-/// Withdrawals in the seconds before, within and after a change, asked at all
+/// Cancellations in the seconds before, within and after a change, asked at all
 /// nodes. Guards against one that is confirmed and lost on the way from one
 /// leader to the next, and against its tasks running on.
 #[test]
@@ -189,7 +189,7 @@
 }
 
 /// At the very moment at which the state service refuses the leader alone jobs
-/// are withdrawn, at it and at the others, and a second later it is out for
+/// are cancelled, at it and at the others, and a second later it is out for
 /// longer than `cancel_s`.
 #[test]
 fn what_is_withdrawn_as_the_leader_is_refused_stops_though_the_outage_is_long() {
@@ -346,7 +346,7 @@
 
 /// New machines are up within two seconds and get work at once, while writes
 /// are late or have no answer, and the leader ends. Guards against a machine
-/// that runs something and stands in no roster that the next leader reads.
+/// that runs something and stands in no machine registry that the next leader reads.
 #[test]
 fn machines_that_are_up_at_once_are_known_to_whoever_leads_next() {
     let (mut started, mut lost) = (0, 0);
--- a/tests/offload.rs
+++ b/tests/offload.rs
@@ -1,4 +1,4 @@
-//! Jobs that are lent to neighbouring markets: while one is marked nothing of
+//! Jobs that are offloaded to neighbouring markets: while one is marked nothing of
 //! it starts here, and what comes back is kept once.
 
 mod simulation;
--- a/tests/read_monotonicity.rs
+++ b/tests/read_monotonicity.rs
@@ -50,7 +50,7 @@
 /// and the answer is slow. Before it comes the job ends under the next leader,
 /// and the first one leads again. Guards against a record that was read in one
 /// term and taken in under a later one: the job would be called queued from
-/// the leader's picture, and its tasks would start again.
+/// the leader's cluster state, and its tasks would start again.
 #[test]
 fn a_record_that_was_read_in_an_earlier_term_is_not_taken_in() {
     let mut met = 0;
@@ -120,8 +120,8 @@
     assert!(met >= 3, "{met}");
 }
 
-/// Whatever brings a job that is over back into the picture, its end is what
-/// is told. Guards against a picture that outweighs the end.
+/// Whatever brings a job that is over back into the cluster state, its end is what
+/// is told. Guards against a cluster state that outweighs the end.
 #[test]
 fn an_end_that_is_remembered_goes_before_the_picture() {
     let mut w = World::sized(1, 2, 0.0, 3);
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -94,7 +94,7 @@
 }
 
 /// Guards against a lease without any rental after each change of leadership
-/// beside a silent machine; and against renting, before the others could
+/// beside a unresponsive machine; and against renting, before the others could
 /// report, for all that runs.
 #[test]
 fn a_leader_rents_before_it_has_heard_every_machine_but_not_for_what_may_run_on_them() {
@@ -170,7 +170,7 @@
     }
 }
 
-/// Two machines, of which the first has been silent for longer than its lease,
+/// Two machines, of which the first has been unresponsive for longer than its lease,
 /// and a service for which one is not enough.
 fn with_a_silent_machine(seed: u64, before_lapse: impl Fn(&mut World)) -> World {
     let mut w = led(seed, 2, 0.0, 600_000);
@@ -215,7 +215,7 @@
 }
 
 /// Guards against a recovery that operators cannot see: each phase is told
-/// once, in order, and a silent machine shows in the one that waits for it.
+/// once, in order, and a unresponsive machine shows in the one that waits for it.
 #[test]
 fn the_phases_of_a_recovery_are_told_apart() {
     let mut w = led(62, 4, 0.0, 600_000);
--- a/tests/request_consistency.rs
+++ b/tests/request_consistency.rs
@@ -100,7 +100,7 @@
             c.open = None;
             c.next = w.now + w.rng.u64(200..1_000);
             let Some(state) = told else { continue };
-            // Some withdraw at once.
+            // Some cancel at once.
             if !std::mem::replace(&mut c.accepted, true) && c.withdraws {
                 c.next = w.now;
             }
@@ -176,8 +176,8 @@
     }
 }
 
-/// Right after an acceptance, an end and a confirmed withdrawal everybody asks
-/// everywhere, and some withdraw at once. Guards against a node that answers
+/// Right after an acceptance, an end and a confirmed cancellation everybody asks
+/// everywhere, and some cancel at once. Guards against a node that answers
 /// from what it, or the leader, knew before.
 #[test]
 fn no_node_says_what_is_older_than_what_was_told() {
@@ -228,7 +228,7 @@
     }
 }
 
-/// A withdrawal, polls and repeated submissions meet the end of the last task,
+/// A cancellation, polls and repeated submissions meet the end of the last task,
 /// with no other trouble. Guards against an end that is told and then undone,
 /// either way, and against dependents that go with a job which was done.
 #[test]
@@ -413,7 +413,7 @@
     }
 }
 
-/// One-task jobs, four a second for minutes, a quarter of them withdrawn, with
+/// One-task jobs, four a second for minutes, a quarter of them cancelled, with
 /// the changes that the smallest site allows. Guards against a record that is
 /// written once too often for each: ends would be told later and later.
 #[test]
@@ -461,7 +461,7 @@
 }
 
 /// Guards against a mark in the record of a job that has nothing anywhere: at
-/// 15 changes a second a burst of withdrawals would hold up all else.
+/// 15 changes a second a burst of cancellations would hold up all else.
 #[test]
 fn what_is_withdrawn_before_it_starts_costs_two_changes() {
     let mut w = in_flight(610, 1, 3);
--- a/tests/scale_run.rs
+++ b/tests/scale_run.rs
@@ -37,7 +37,7 @@
     report
 }
 
-/// Controllers end and are back within a second, users withdraw jobs and ask at
+/// Controllers end and are back within a second, users cancel jobs and ask at
 /// all controllers within milliseconds: no answer is older than one before it.
 #[test]
 fn users_who_look_closely_see_nothing_go_back_while_controllers_end() {
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -273,7 +273,7 @@
     w.until(20_000, "running", |w| {
         w.running("j-000001") == 4 && w.running("j-000002") == 4
     });
-    // The spot machine falls silent and another dies with the leader.
+    // The spot machine falls unresponsive and another dies with the leader.
     let dies = w
         .workers
         .iter()
@@ -427,7 +427,7 @@
     for i in lost {
         w.workers[i].net = Net::Lose;
     }
-    // Its lease has to lapse; a fetch and two reports come on top.
+    // Its lease has to expire; a fetch and two reports come on top.
     w.until(LEASE + 4_000, "up again elsewhere", |w| {
         let there = w.workers.iter().filter(|m| m.net == Net::Up);
         let tasks = there.flat_map(|m| &m.tasks);
@@ -647,7 +647,7 @@
     }
 }
 
-/// A day on which controllers stand still at any moment, fall silent, are cut
+/// A day on which controllers stand still at any moment, fall unresponsive, are cut
 /// off in part and crash, several at once, under jobs of all kinds.
 fn hard_day(seed: u64, nodes: usize) -> World {
     let mut w = World::sized(seed, 6, 48.0, nodes);
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -1,6 +1,6 @@
 //! A whole installation in memory, written from the protocol: users, state
 //! service, cloud, workers and controllers, with a network that can lose,
-//! hold, refuse and delay, and controllers that crash, fall silent or stand
+//! hold, refuse and delay, and controllers that crash, fall unresponsive or stand
 //! still. A checker asserts the rules at every step.
 #![allow(dead_code)]
 
@@ -108,7 +108,7 @@
     names.chain(["m8".to_owned()]).collect()
 }
 
-/// A machine of the roster on which something may run.
+/// A machine of the machine registry on which something may run.
 pub fn roster_record() -> MachineRecord {
     MachineRecord {
         addr: "127.0.0.1:9".into(),
@@ -254,7 +254,7 @@
     pub calm: bool,
     /// Direct orders that are open: node, term, machine, token.
     directs: BTreeSet<(usize, u64, String, u64)>,
-    /// Extra delay of direct orders to a worker.
+    /// Extra delay of direct commands to a worker.
     pub slow_do: HashMap<usize, Millis>,
     pub broken: Vec<String>,
     pub starts: u32,
@@ -262,7 +262,7 @@
     pub failed: u32,
     /// Jobs submitted with a mistake: their tasks fail wherever they start.
     pub faulty: BTreeSet<String>,
-    /// Tasks killed as their worker's lease had lapsed.
+    /// Tasks killed as their worker's lease had expired.
     pub lapsed: usize,
     /// Machines returned to the cloud.
     pub returned: Vec<String>,
@@ -292,7 +292,7 @@
     /// lease, sent when.
     renewals: Vec<(Millis, usize, u64, Millis)>,
     /// Leaders that stopped as they could not show that they know of all
-    /// withdrawals.
+    /// cancellations.
     pub blind: u32,
     /// Nodes of a version that knows of no standbys, nor of evidence beside a
     /// promise.
@@ -308,7 +308,7 @@
     /// second.
     budgets: Vec<Budget>,
     change_rate: f64,
-    /// Tasks that started after a user was told that their job is withdrawn.
+    /// Tasks that started after a user was told that their job is cancelled.
     pub started_after: u32,
     /// Nodes in the second zone.
     pub in_b: BTreeSet<usize>,
--- a/tests/standby.rs
+++ b/tests/standby.rs
@@ -1,4 +1,4 @@
-//! Stories of leaders that end while machines are silent, and of the standbys
+//! Stories of leaders that end while machines are unresponsive, and of the standbys
 //! that take over: whoever is named knows at least all that may run, which the
 //! world's checker asserts at every step, and decides at once.
 
@@ -47,7 +47,7 @@
     w.leader().unwrap()
 }
 
-/// A third of the machines is silent as the leader ends: what waited, and what
+/// A third of the machines is unresponsive as the leader ends: what waited, and what
 /// comes, is placed at once elsewhere; what may run there is not.
 #[test]
 fn a_third_is_silent_as_the_leader_ends_and_only_that_third_waits() {
@@ -80,7 +80,7 @@
 }
 
 /// The same where they never come back: theirs is placed once their leases
-/// have lapsed, and once only.
+/// have expired, and once only.
 #[test]
 fn what_ran_on_machines_that_stay_silent_is_placed_when_their_leases_lapse() {
     let mut w = warm(10, 9, 3);
@@ -99,7 +99,7 @@
 }
 
 /// The leader ends at every step between a decision and the worker's answer:
-/// told, confirmed, sent, carried out, answered. The machine is silent from
+/// told, confirmed, sent, carried out, answered. The machine is unresponsive from
 /// then on, or comes back with what was sent.
 #[test]
 fn the_leader_ends_at_any_step_of_a_start() {
@@ -402,7 +402,7 @@
     w.sound();
 }
 
-/// A job withdrawn as the leader ends, while its tasks are on a silent
+/// A job cancelled as the leader ends, while its tasks are on a unresponsive
 /// machine: it is over only when they are gone.
 #[test]
 fn a_job_is_withdrawn_during_the_takeover() {
@@ -452,7 +452,7 @@
         another_leads(&mut w, old);
         w.run(6_000);
         assert_eq!(w.warm, 1);
-        // Nothing that belongs to the silent ones is run elsewhere.
+        // Nothing that belongs to the unresponsive ones is run elsewhere.
         (0..8).for_each(|m| w.heal(m));
         w.run(6_000);
         assert_eq!(w.running("j-000002"), 3, "seed {seed}: the gang ran on");
@@ -619,7 +619,7 @@
 
 /// Nights on which leaders and standbys end, stand still and are cut from each
 /// other, parts are lost and come twice, the record is written late, machines
-/// fall silent and come back. Counted by hand with SEEDS=2000.
+/// fall unresponsive and come back. Counted by hand with SEEDS=2000.
 #[test]
 fn nights_of_changing_leaders_leave_no_named_standby_unaware() {
     let seeds = std::env::var("SEEDS").map_or(24, |n| n.parse().unwrap());
@@ -654,7 +654,7 @@
         let some = w.rng.usize(..nodes);
         match w.rng.u8(..11) {
             0..3 => {
-                // Some machines silent, then the leader ends.
+                // Some machines unresponsive, then the leader ends.
                 for _ in 0..w.rng.usize(1..4) {
                     let m = w.rng.usize(..w.workers.len());
                     w.workers[m].net = [Net::Hold, Net::Lose][w.rng.usize(..2)];
