--- a/crates/lab/src/base.rs
+++ b/crates/lab/src/base.rs
@@ -11,7 +11,7 @@
 use anyhow::{Context, Result};
 use pathwinch_protocol::settings::Services;
 use pathwinch_transport::{
-    priority_executor::Lanes,
+    priority_executor::PriorityExecutor,
     server::{self, HttpRequest, HttpResponse, Limits},
 };
 use std::{
@@ -45,7 +45,7 @@
         let (users_listener, users) = loopback()?;
         let services = Services { cloud, state };
         let list = controllers::configure(&site, &services, dir)?;
-        let lanes = Rc::new(Lanes::default());
+        let lanes = Rc::new(PriorityExecutor::default());
         Ok(Base {
             lab: Rc::new(Lab::new(site, lanes, list)),
             users,
@@ -74,8 +74,10 @@
         serve_on(&lab, self.state_listener, services::state);
         serve_on(&lab, self.cloud_listener, services::cloud);
         serve_on(&lab, self.users_listener, load_balancer::front);
-        lab.lanes.spawn(hosts::run(lab.clone())).detach();
-        lab.lanes.spawn(load_balancer::probe(lab.clone())).detach();
+        lab.lanes.spawn_high(hosts::run(lab.clone())).detach();
+        lab.lanes
+            .spawn_high(load_balancer::probe(lab.clone()))
+            .detach();
     }
 }
 
@@ -92,5 +94,5 @@
     let shared = lab.clone();
     let handle = move |request| handler(shared.clone(), request);
     let serve = server::serve_on(lab.lanes.clone(), listener, limits, handle);
-    lab.lanes.spawn(serve).detach();
+    lab.lanes.spawn_high(serve).detach();
 }
--- a/crates/lab/src/cloud.rs
+++ b/crates/lab/src/cloud.rs
@@ -6,7 +6,7 @@
     ListedMachine, ListedState, MAX_MACHINES_PER_REQUEST, MachineList, MachineNames,
     MachineRequest, MachineType,
 };
-use pathwinch_transport::rate_limit::Budget;
+use pathwinch_transport::rate_limit::TokenBucket;
 use std::collections::{BTreeMap, HashMap};
 
 #[derive(Debug, Clone)]
@@ -30,7 +30,7 @@
     capacity: Vec<u32>,
     stillborn: f64,
     lag: Ms,
-    requests: Budget,
+    requests: TokenBucket,
     machines: BTreeMap<String, Rented>,
     /// What each request's name was answered with: it rents once.
     answered: HashMap<String, Vec<String>>,
@@ -59,7 +59,7 @@
             capacity: (0..site.rigs.len()).map(|t| site.capacity_of(t)).collect(),
             stillborn: site.stillborn,
             lag: millis(site.cluster.cloud.list_lag_s),
-            requests: Budget::new(site.cluster.cloud.rps, 2.0),
+            requests: TokenBucket::new(site.cluster.cloud.rps, 2.0),
             machines: BTreeMap::new(),
             answered: HashMap::new(),
             last: 0,
--- a/crates/lab/src/hosts.rs
+++ b/crates/lab/src/hosts.rs
@@ -95,7 +95,7 @@
         wait_until: Cell::new(0),
     });
     let (shared, own) = (lab.clone(), hosted.clone());
-    let direct_orders = lab.lanes.spawn(async move {
+    let direct_orders = lab.lanes.spawn_high(async move {
         let Some(listener) = listener else {
             return Ok(());
         };
@@ -158,7 +158,7 @@
     let (lab, own) = (lab.clone(), hosted.clone());
     let lanes = lab.lanes.clone();
     lanes
-        .spawn(async move {
+        .spawn_high(async move {
             let pause = report(&lab, &own).await;
             own.wait_until.set(lab.now() + pause);
             own.in_flight.set(false);
--- a/crates/lab/src/installation.rs
+++ b/crates/lab/src/installation.rs
@@ -6,7 +6,7 @@
     traffic::Traffic,
 };
 use anyhow::{Context, Result};
-use pathwinch_transport::{client::Client, priority_executor::Lanes};
+use pathwinch_transport::{client::Client, priority_executor::PriorityExecutor};
 use std::{
     cell::{Cell, RefCell},
     net::{SocketAddr, TcpListener},
@@ -30,7 +30,7 @@
 /// Everything of a lab that its parts share.
 pub struct Lab {
     pub site: Site,
-    pub lanes: Rc<Lanes>,
+    pub lanes: Rc<PriorityExecutor>,
     pub http: Client,
     pub state: RefCell<StateService>,
     pub cloud: RefCell<Cloud>,
@@ -46,7 +46,7 @@
 
 impl Lab {
     /// A lab of these controllers, with nothing rented and nothing stored.
-    pub fn new(site: Site, lanes: Rc<Lanes>, controllers: Vec<Controller>) -> Self {
+    pub fn new(site: Site, lanes: Rc<PriorityExecutor>, controllers: Vec<Controller>) -> Self {
         let workers = &site.cluster.workers;
         Lab {
             lanes,
--- a/crates/lab/src/markets.rs
+++ b/crates/lab/src/markets.rs
@@ -144,7 +144,7 @@
         MAX_BODY,
         answer,
     );
-    lab.lanes.spawn(serve).detach();
+    lab.lanes.spawn_high(serve).detach();
     loop {
         let list = sim.borrow_mut().step(lab.now(), STEP);
         did(&lab, name, list);
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -120,7 +120,7 @@
         self.users.begin();
         self.lab
             .lanes
-            .spawn(note_starts(self.users.clone(), self.lab.clone()))
+            .spawn_high(note_starts(self.users.clone(), self.lab.clone()))
             .detach();
         self.warm_up().await?;
         let counters = self.counters().await;
--- a/crates/lab/src/scale/users.rs
+++ b/crates/lab/src/scale/users.rs
@@ -135,7 +135,7 @@
                 users.submit_initial(class).await;
                 users.arrive(class).await;
             };
-            self.lab.lanes.spawn_second(arrivals).detach();
+            self.lab.lanes.spawn_low(arrivals).detach();
         }
     }
 
@@ -178,7 +178,7 @@
         self.figures.borrow_mut().classes[class].submitted += 1;
         let users = self.clone();
         let user = async move { users.follow(class, spec).await };
-        self.lab.lanes.spawn_second(user).detach();
+        self.lab.lanes.spawn_low(user).detach();
     }
 
     /// One user's part: submits until that is accepted, then polls.
@@ -260,7 +260,7 @@
                     let answer = answer.await;
                     users.note_answer(&id, &at.name, asked, answer.as_ref());
                 };
-                self.lab.lanes.spawn_second(look).detach();
+                self.lab.lanes.spawn_low(look).detach();
             }
         }
     }
--- a/crates/lab/src/state.rs
+++ b/crates/lab/src/state.rs
@@ -6,7 +6,7 @@
     settings::StateLimits,
     state::{Txn, Write},
 };
-use pathwinch_transport::rate_limit::Budget;
+use pathwinch_transport::rate_limit::TokenBucket;
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -56,8 +56,8 @@
 #[derive(Debug)]
 pub struct StateService {
     limits: StateLimits,
-    requests: Budget,
-    changes: Budget,
+    requests: TokenBucket,
+    changes: TokenBucket,
     revision: u64,
     keys: BTreeMap<String, Stored>,
     leases: BTreeMap<u64, Lease>,
@@ -74,8 +74,8 @@
 impl StateService {
     pub fn new(limits: StateLimits) -> Self {
         StateService {
-            requests: Budget::new(limits.rps, 1.0),
-            changes: Budget::new(limits.write_rps, 1.0),
+            requests: TokenBucket::new(limits.rps, 1.0),
+            changes: TokenBucket::new(limits.write_rps, 1.0),
             limits,
             revision: 0,
             keys: BTreeMap::new(),
--- a/crates/lab/src/up.rs
+++ b/crates/lab/src/up.rs
@@ -75,7 +75,7 @@
             let named = (market.name.to_owned(), market.addr);
             addresses.markets.push(named);
             let run = markets::run(lab.clone(), market, number as u64);
-            lab.lanes.spawn(run).detach();
+            lab.lanes.spawn_high(run).detach();
         }
         let stands = async {
             until_ready(&lab).await;
--- a/crates/market/src/serve/mod.rs
+++ b/crates/market/src/serve/mod.rs
@@ -26,7 +26,7 @@
     keys::{Texts, system_time},
     reload::{Followed, Seen},
 };
-use pathwinch_transport::{client::CallError, priority_executor::Lanes};
+use pathwinch_transport::{client::CallError, priority_executor::PriorityExecutor};
 use state::{Held, Lost, State};
 use std::{
     cell::{Cell, RefCell},
@@ -46,7 +46,7 @@
 struct Server {
     options: Options,
     settings: Settings,
-    lanes: Rc<Lanes>,
+    lanes: Rc<PriorityExecutor>,
     keys: RefCell<Followed>,
     dir: PathBuf,
     state: State,
@@ -69,7 +69,7 @@
     let keys = Followed::new(Texts::read(dir)?, system_time())
         .with_context(|| dir.display().to_string())?;
     let replies = Reader::new(&schema::reply()).map_err(|e| anyhow::anyhow!(e.0))?;
-    let lanes = Rc::new(Lanes::default());
+    let lanes = Rc::new(PriorityExecutor::default());
     let server = Rc::new(Server {
         state: State::new(&settings, options.share),
         home: Home::new(&settings),
@@ -85,7 +85,7 @@
             .map_or(0, |d| d.as_millis() as Ms),
     });
     async_io::block_on(lanes.run(async {
-        lanes.spawn(follow(server.clone())).detach();
+        lanes.spawn_high(follow(server.clone())).detach();
         loop {
             let name = server.settings.name.as_str();
             let incarnation = fastrand::u64(1..(1 << 53));
@@ -151,8 +151,8 @@
         broker: RefCell::new(broker),
     });
     let lanes = &server.lanes;
-    lanes.spawn(keep(acting.clone(), held.lease)).detach();
-    lanes.spawn_second(ask_home(acting.clone())).detach();
+    lanes.spawn_high(keep(acting.clone(), held.lease)).detach();
+    lanes.spawn_low(ask_home(acting.clone())).detach();
     let mut told = Counts::default();
     let mut next = Instant::now();
     while acting.may_act() {
@@ -238,7 +238,7 @@
                 return;
             }
             let lanes = self.server.lanes.clone();
-            lanes.spawn(self.clone().carry_out(effect)).detach();
+            lanes.spawn_high(self.clone().carry_out(effect)).detach();
         }
     }
 
--- a/crates/market/src/serve/state.rs
+++ b/crates/market/src/serve/state.rs
@@ -14,7 +14,7 @@
 };
 use pathwinch_transport::{
     client::{Answer, CallError, Client},
-    rate_limit::Budget,
+    rate_limit::TokenBucket,
 };
 use serde_json::{Value, json};
 use std::{cell::RefCell, collections::BTreeMap, net::SocketAddr, time::Duration, time::Instant};
@@ -29,8 +29,8 @@
 pub struct State {
     addr: SocketAddr,
     http: Client,
-    requests: RefCell<Budget>,
-    writes: RefCell<Budget>,
+    requests: RefCell<TokenBucket>,
+    writes: RefCell<TokenBucket>,
     start: Instant,
 }
 
@@ -61,8 +61,8 @@
         State {
             addr: settings.services.state,
             http: Client::new(4),
-            requests: RefCell::new(Budget::new(limits.rps * share, 1.0)),
-            writes: RefCell::new(Budget::new(limits.write_rps * share, 1.0)),
+            requests: RefCell::new(TokenBucket::new(limits.rps * share, 1.0)),
+            writes: RefCell::new(TokenBucket::new(limits.write_rps * share, 1.0)),
             start: Instant::now(),
         }
     }
@@ -77,7 +77,7 @@
         path: &str,
         body: Option<Value>,
     ) -> Result<Answer, CallError> {
-        let wait = self.requests.borrow_mut().owe(self.now(), 1.0);
+        let wait = self.requests.borrow_mut().take_with_delay(self.now(), 1.0);
         if wait > 0 {
             Timer::after(Duration::from_millis(wait)).await;
         }
@@ -130,7 +130,7 @@
         let wait = self
             .writes
             .borrow_mut()
-            .owe(self.now(), txn.writes.len() as f64);
+            .take_with_delay(self.now(), txn.writes.len() as f64);
         if wait > 0 {
             Timer::after(Duration::from_millis(wait)).await;
         }
--- a/crates/tls/src/http.rs
+++ b/crates/tls/src/http.rs
@@ -10,7 +10,7 @@
 use pathwinch_transport::{
     Slot, Stream,
     client::{Answer, CallError},
-    priority_executor::Lanes,
+    priority_executor::PriorityExecutor,
     server::{HttpRequest, HttpResponse, receive, respond},
     within,
 };
@@ -123,7 +123,7 @@
 /// Serves callers that show a certificate; the handler is told whose. `most`:
 /// bytes of a body.
 pub async fn serve<F, Fut>(
-    lanes: Rc<Lanes>,
+    lanes: Rc<PriorityExecutor>,
     listener: TcpListener,
     keys: Rc<RefCell<Followed>>,
     connections: usize,
@@ -147,7 +147,7 @@
         };
         let (keys, handler) = (keys.clone(), handler.clone());
         lanes
-            .spawn(async move {
+            .spawn_high(async move {
                 let _slot = slot;
                 let config = keys.borrow().keys().server.clone();
                 let plain = Stream(Arc::new(plain));
--- a/crates/tls/tests/loopback.rs
+++ b/crates/tls/tests/loopback.rs
@@ -7,7 +7,9 @@
     keys::{At, Texts},
     reload::Followed,
 };
-use pathwinch_transport::{client::CallError, priority_executor::Lanes, server::HttpResponse};
+use pathwinch_transport::{
+    client::CallError, priority_executor::PriorityExecutor, server::HttpResponse,
+};
 use std::{
     cell::RefCell,
     net::{SocketAddr, TcpListener},
@@ -41,7 +43,7 @@
     let stranger = Authority::make(&other, "city", 100, NOW).unwrap();
     let (home, north) = (keys(&own, &city, "home"), keys(&own, &city, "north"));
     let unknown = keys(&other, &stranger, "home");
-    let lanes = Rc::new(Lanes::default());
+    let lanes = Rc::new(PriorityExecutor::default());
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr: SocketAddr = listener.local_addr().unwrap();
     let serve = http::serve(
@@ -57,7 +59,7 @@
             }
         },
     );
-    lanes.spawn(serve).detach();
+    lanes.spawn_high(serve).detach();
     async_io::block_on(lanes.run(async {
         let call = async |keys: &RefCell<Followed>, name: &str, bytes: usize| {
             http::call(keys, addr, name, "/x", vec![b'x'; bytes], LIMIT, 10_000).await
--- a/crates/transport/src/frames.rs
+++ b/crates/transport/src/frames.rs
@@ -1,6 +1,6 @@
 //! Length-prefixed CBOR frames between controllers.
 
-use super::{Slot, Stream, client::CallError, priority_executor::Lanes, within};
+use super::{Slot, Stream, client::CallError, priority_executor::PriorityExecutor, within};
 use anyhow::{Result, ensure};
 use async_io::{Async, Timer};
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
@@ -48,7 +48,7 @@
 }
 
 pub async fn serve<F, Fut>(
-    lanes: Rc<Lanes>,
+    lanes: Rc<PriorityExecutor>,
     addr: SocketAddr,
     limit: usize,
     handler: F,
@@ -71,7 +71,7 @@
         let _ = stream.get_ref().set_nodelay(true);
         let handler = handler.clone();
         lanes
-            .spawn(async move {
+            .spawn_high(async move {
                 let _slot = slot;
                 let mut stream = Stream(Arc::new(stream));
                 loop {
--- a/crates/transport/src/priority_executor.rs
+++ b/crates/transport/src/priority_executor.rs
@@ -14,19 +14,19 @@
 const SECOND: usize = 8;
 
 #[derive(Default)]
-pub struct Lanes {
+pub struct PriorityExecutor {
     first: LocalExecutor<'static>,
     second: LocalExecutor<'static>,
 }
 
-impl Lanes {
+impl PriorityExecutor {
     /// For what leases and authority hang on.
-    pub fn spawn<T: 'static>(&self, work: impl Future<Output = T> + 'static) -> Task<T> {
+    pub fn spawn_high<T: 'static>(&self, work: impl Future<Output = T> + 'static) -> Task<T> {
         self.first.spawn(work)
     }
 
     /// For what may wait a little, such as answers to users.
-    pub fn spawn_second<T: 'static>(&self, work: impl Future<Output = T> + 'static) -> Task<T> {
+    pub fn spawn_low<T: 'static>(&self, work: impl Future<Output = T> + 'static) -> Task<T> {
         self.second.spawn(work)
     }
 
@@ -62,13 +62,13 @@
 
     #[test]
     fn what_is_ready_in_the_first_lane_never_waits_for_the_second() {
-        let lanes = Lanes::default();
+        let lanes = PriorityExecutor::default();
         let order = Rc::new(RefCell::new(Vec::new()));
         let (wake, woken) = async_channel::unbounded::<()>();
         for n in 0..50 {
             let (order, wake) = (order.clone(), wake.clone());
             lanes
-                .spawn_second(async move {
+                .spawn_low(async move {
                     order.borrow_mut().push(("poll", n));
                     if n == 20 {
                         let _ = wake.try_send(());
@@ -78,7 +78,7 @@
         }
         let renewals = order.clone();
         lanes
-            .spawn(async move {
+            .spawn_high(async move {
                 renewals.borrow_mut().push(("renewal", 0));
                 let _ = woken.recv().await;
                 renewals.borrow_mut().push(("renewal", 1));
--- a/crates/transport/src/rate_limit.rs
+++ b/crates/transport/src/rate_limit.rs
@@ -4,17 +4,17 @@
 type Ms = u64;
 
 #[derive(Debug)]
-pub struct Budget {
+pub struct TokenBucket {
     per_ms: f64,
     burst: f64,
     level: f64,
     at: Ms,
 }
 
-impl Budget {
+impl TokenBucket {
     pub fn new(per_s: f64, burst_s: f64) -> Self {
         let burst = (per_s * burst_s).max(1.0);
-        Budget {
+        TokenBucket {
             per_ms: per_s / 1000.0,
             burst,
             level: burst,
@@ -59,7 +59,7 @@
     }
 
     /// The same, and says for how many milliseconds to wait before acting.
-    pub fn owe(&mut self, now: Ms, n: f64) -> Ms {
+    pub fn take_with_delay(&mut self, now: Ms, n: f64) -> Ms {
         self.force(now, n);
         match self.level < 0.0 {
             true => (-self.level / self.per_ms).ceil() as Ms,
@@ -74,13 +74,13 @@
 
     #[test]
     fn what_is_owed_is_waited_for_and_bursts_are_bounded() {
-        let mut r = Budget::new(10.0, 1.0);
+        let mut r = TokenBucket::new(10.0, 1.0);
         assert!(r.take(0, 10.0, 0.0) && !r.take(0, 1.0, 0.0));
         assert!(r.take(100, 1.0, 0.0) && !r.take(100, 1.0, 0.0));
         assert!(r.take(60_000, 10.0, 0.0) && !r.take(60_000, 1.0, 0.0));
-        assert_eq!(r.owe(60_000, 5.0), 500);
-        assert_eq!(r.owe(60_500, 5.0), 500);
+        assert_eq!(r.take_with_delay(60_000, 5.0), 500);
+        assert_eq!(r.take_with_delay(60_500, 5.0), 500);
         // Fewer than one a second still lets one through.
-        assert!(Budget::new(0.1, 1.0).take(0, 1.0, 0.0));
+        assert!(TokenBucket::new(0.1, 1.0).take(0, 1.0, 0.0));
     }
 }
--- a/crates/transport/src/server.rs
+++ b/crates/transport/src/server.rs
@@ -1,6 +1,6 @@
 //! The HTTP server of the users' and workers' interface.
 
-use super::{Slot, Stream, priority_executor::Lanes, within};
+use super::{Slot, Stream, priority_executor::PriorityExecutor, within};
 use async_h1::server::{Encoder, decode};
 use async_io::{Async, Timer};
 use futures_lite::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt, io};
@@ -73,7 +73,7 @@
 }
 
 struct Server<F> {
-    lanes: Rc<Lanes>,
+    lanes: Rc<PriorityExecutor>,
     limits: Limits,
     used: Rc<Cell<usize>>,
     others: Rc<Cell<usize>>,
@@ -93,7 +93,7 @@
 }
 
 pub async fn serve<F, Fut>(
-    lanes: Rc<Lanes>,
+    lanes: Rc<PriorityExecutor>,
     addr: SocketAddr,
     limits: Limits,
     handler: F,
@@ -109,7 +109,7 @@
 /// The same on a listener that stands already, such as one on a port that the
 /// system chose.
 pub async fn serve_on<F, Fut>(
-    lanes: Rc<Lanes>,
+    lanes: Rc<PriorityExecutor>,
     listener: TcpListener,
     limits: Limits,
     handler: F,
@@ -145,16 +145,16 @@
         let _ = stream.get_ref().set_nodelay(true);
         let stream = Stream(Arc::new(stream));
         let first = newcomer(server.clone(), stream, slot);
-        server.lanes.spawn_second(first).detach();
+        server.lanes.spawn_low(first).detach();
     }
 }
 
 const BUSY: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nretry-after: 2\r\n\
                       content-length: 0\r\nconnection: close\r\n\r\n";
 
-fn shed(lanes: &Rc<Lanes>, mut stream: Async<std::net::TcpStream>) {
+fn shed(lanes: &Rc<PriorityExecutor>, mut stream: Async<std::net::TcpStream>) {
     lanes
-        .spawn_second(async move {
+        .spawn_low(async move {
             let _ = within(Duration::from_millis(200), stream.write_all(BUSY)).await;
         })
         .detach();
@@ -173,7 +173,7 @@
     };
     if first.request.path == server.limits.first {
         let work = connection(server.clone(), stream, first, slot, None);
-        server.lanes.spawn(work).detach();
+        server.lanes.spawn_high(work).detach();
         return;
     }
     match Slot::take(&server.others, server.limits.others) {
--- a/crates/transport/tests/server.rs
+++ b/crates/transport/tests/server.rs
@@ -3,7 +3,7 @@
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use pathwinch_transport::{
-    priority_executor::Lanes,
+    priority_executor::PriorityExecutor,
     server::{self, HttpResponse, Limits},
 };
 use std::{
@@ -21,7 +21,7 @@
     String::from_utf8_lossy(&bytes[..n]).to_lowercase()
 }
 
-fn serve(lanes: &Rc<Lanes>) -> SocketAddr {
+fn serve(lanes: &Rc<PriorityExecutor>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
     let limits = Limits {
@@ -31,7 +31,7 @@
     };
     let answer = |_| async { HttpResponse::error(200, "taken in") };
     let serving = server::serve_on(lanes.clone(), listener, limits, answer);
-    lanes.spawn(serving).detach();
+    lanes.spawn_high(serving).detach();
     addr
 }
 
@@ -39,7 +39,7 @@
 /// each of the others holds one that it seldom uses.
 #[test]
 fn as_connections_get_scarce_none_is_kept_and_more_callers_than_the_limit_are_answered() {
-    let lanes = Rc::new(Lanes::default());
+    let lanes = Rc::new(PriorityExecutor::default());
     async_io::block_on(lanes.clone().run(async {
         let addr = serve(&lanes);
         let mut callers = Vec::new();
--- a/src/server/audit_log.rs
+++ b/src/server/audit_log.rs
@@ -9,7 +9,7 @@
         requests::{Answer, Basis},
     },
     protocol::users::JobState,
-    state::{Ms, bounded_cache::Recent, rate_limit::Budget},
+    state::{Ms, bounded_cache::Recent, rate_limit::TokenBucket},
 };
 use std::cell::{Cell, RefCell};
 
@@ -22,7 +22,7 @@
 const ORDERS_EVERY: Ms = 1_000;
 
 pub(super) struct Evidence {
-    lines: RefCell<Budget>,
+    lines: RefCell<TokenBucket>,
     told: RefCell<Recent<Box<str>, JobState>>,
     orders: Cell<Orders>,
 }
@@ -38,7 +38,7 @@
 impl Default for Evidence {
     fn default() -> Self {
         Evidence {
-            lines: RefCell::new(Budget::new(LINES_PER_S, BURST_S)),
+            lines: RefCell::new(TokenBucket::new(LINES_PER_S, BURST_S)),
             told: RefCell::new(Recent::new(MOST_TOLD)),
             orders: Cell::default(),
         }
--- a/src/server/client_api.rs
+++ b/src/server/client_api.rs
@@ -86,7 +86,7 @@
             let settle = async move {
                 node.see_through(&mut left, "", None).await;
             };
-            self.lanes.spawn(settle).detach();
+            self.lanes.spawn_high(settle).detach();
         }
         answer.map(|a| response(&a))
     }
--- a/src/server/control_loop.rs
+++ b/src/server/control_loop.rs
@@ -65,20 +65,24 @@
         node.figures.borrow().round(round);
         node.keep_standbys(term);
         for d in directs {
-            node.lanes.spawn(node.clone().direct(term, d)).detach();
+            node.lanes.spawn_high(node.clone().direct(term, d)).detach();
         }
         for op in ops {
-            node.lanes.spawn(node.clone().cloud_op(term, op)).detach();
+            node.lanes
+                .spawn_high(node.clone().cloud_op(term, op))
+                .detach();
         }
         if list && !node.listing.replace(true) {
-            node.lanes.spawn(node.clone().list_machines(term)).detach();
+            node.lanes
+                .spawn_high(node.clone().list_machines(term))
+                .detach();
         }
         if !node.seeking.get() {
             let ids = node.acting(|l, _| l.sought()).unwrap_or_default();
             if !ids.is_empty() {
                 node.seeking.set(true);
                 node.lanes
-                    .spawn(node.clone().seek_needs(term, ids))
+                    .spawn_high(node.clone().seek_needs(term, ids))
                     .detach();
             }
         }
@@ -91,7 +95,9 @@
                 let plan = node.acting(|l, _| l.plan_flush(room)).flatten();
                 if let Some(plan) = plan {
                     node.flushing.set(true);
-                    node.lanes.spawn(node.clone().flush(term, plan)).detach();
+                    node.lanes
+                        .spawn_high(node.clone().flush(term, plan))
+                        .detach();
                 }
             }
         }
@@ -159,7 +165,7 @@
                 Timer::after(Duration::from_millis(500)).await;
                 node.of_term(term, |l, _| l.not_found(again));
             };
-            self.lanes.spawn(later).detach();
+            self.lanes.spawn_high(later).detach();
         }
         self.seeking.set(false);
     }
--- a/src/server/leadership/campaign.rs
+++ b/src/server/leadership/campaign.rs
@@ -172,7 +172,7 @@
             leader.set_leaderless_time(self.election.borrow().leaderless_for(self.now()));
             self.exclusions.take();
             *self.leader.borrow_mut() = Some(leader);
-            self.lanes.spawn(load(self.clone(), term)).detach();
+            self.lanes.spawn_high(load(self.clone(), term)).detach();
         }
     }
 }
--- a/src/server/leadership/mod.rs
+++ b/src/server/leadership/mod.rs
@@ -82,7 +82,7 @@
         // Nothing is done under it any more, so the key may go at once.
         let node = self.clone();
         self.lanes
-            .spawn(async move {
+            .spawn_high(async move {
                 node.end_lease(lead.lease, PROBE_TIMEOUT).await;
             })
             .detach();
--- a/src/server/leadership/renew.rs
+++ b/src/server/leadership/renew.rs
@@ -102,7 +102,7 @@
     /// it comes late.
     fn renew(self: &Rc<Self>, lead: Leadership) -> Task<Touch> {
         let node = self.clone();
-        self.lanes.spawn(async move {
+        self.lanes.spawn_high(async move {
             let sent = node.now();
             let touch = node.touch(lead.lease).await;
             let still = node.election.borrow().leadership().map(|l| l.lease);
@@ -136,7 +136,7 @@
         let ask = |peer| {
             let (node, request) = (self.clone(), request.clone());
             self.lanes
-                .spawn(async move { node.ask(peer, &request, PROBE_TIMEOUT).await })
+                .spawn_high(async move { node.ask(peer, &request, PROBE_TIMEOUT).await })
         };
         let peers = 0..self.settings.peers.len();
         peers.filter(|p| !but.contains(p)).map(ask).collect()
@@ -149,7 +149,7 @@
         for (peer, p) in peers.filter(|(_, p)| p.zone != *own) {
             let (node, zone) = (self.clone(), p.zone.clone());
             self.lanes
-                .spawn(async move {
+                .spawn_high(async move {
                     if node
                         .ask(peer, &Request::greeting(), PROBE_TIMEOUT)
                         .await
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -29,7 +29,7 @@
     state::{
         Ms,
         rate_limit::{
-            Budget,
+            TokenBucket,
             share::{self, Role},
         },
         records::StandbyRecord,
@@ -37,7 +37,7 @@
     transport::{
         client::Client,
         frames::{self, PeerClient},
-        priority_executor::Lanes,
+        priority_executor::PriorityExecutor,
         server::{self, HttpRequest, HttpResponse},
     },
 };
@@ -56,7 +56,7 @@
 pub struct Node {
     settings: Rc<Settings>,
     options: Options,
-    lanes: Rc<Lanes>,
+    lanes: Rc<PriorityExecutor>,
     start: Instant,
     http: Client,
     peers: PeerClient,
@@ -68,9 +68,9 @@
     follower: RefCell<Follower>,
     /// The record of standbys, as read since nobody leads.
     last_record: RefCell<Option<StandbyRecord>>,
-    requests: RefCell<Budget>,
-    writes: RefCell<Budget>,
-    cloud_requests: RefCell<Budget>,
+    requests: RefCell<TokenBucket>,
+    writes: RefCell<TokenBucket>,
+    cloud_requests: RefCell<TokenBucket>,
     types: RefCell<Vec<MachineType>>,
     /// When the state service last answered.
     state_ok: Cell<Option<Ms>>,
@@ -99,7 +99,7 @@
 }
 
 pub fn run(settings: Settings, options: Options) -> Result<()> {
-    let lanes = Rc::new(Lanes::default());
+    let lanes = Rc::new(PriorityExecutor::default());
     let mut limits = settings.cluster.clone();
     limits.state = limits.state.always();
     let sockets = limits.quota.max_connections;
@@ -127,15 +127,15 @@
         leader: RefCell::new(None),
         follower: RefCell::default(),
         last_record: RefCell::default(),
-        requests: RefCell::new(Budget::new(
+        requests: RefCell::new(TokenBucket::new(
             limits.state.rps * share::of_requests(Role::Leaderless, nodes),
             BURST_S,
         )),
-        writes: RefCell::new(Budget::new(
+        writes: RefCell::new(TokenBucket::new(
             limits.state.write_rps * share::of_changes(Role::Leaderless, nodes),
             BURST_S,
         )),
-        cloud_requests: RefCell::new(Budget::new(limits.cloud.rps * 0.8, 1.0)),
+        cloud_requests: RefCell::new(TokenBucket::new(limits.cloud.rps * 0.8, 1.0)),
         types: RefCell::new(Vec::new()),
         state_ok: Cell::new(None),
         renewals_fail: Cell::new(false),
@@ -156,18 +156,16 @@
         wake: async_channel::bounded(1),
     });
     async_io::block_on(lanes.run(async {
-        lanes.spawn(leadership::run(node.clone())).detach();
-        lanes.spawn(control_loop::run(node.clone())).detach();
-        lanes.spawn(cloud::types(node.clone())).detach();
-        lanes.spawn(peers::watch(node.clone())).detach();
-        lanes.spawn(exclusions::run(node.clone())).detach();
-        lanes.spawn(upgrade::run(node.clone())).detach();
-        lanes.spawn_second(polls::ask_leader(node.clone())).detach();
-        lanes
-            .spawn_second(polls::ask_records(node.clone()))
-            .detach();
+        lanes.spawn_high(leadership::run(node.clone())).detach();
+        lanes.spawn_high(control_loop::run(node.clone())).detach();
+        lanes.spawn_high(cloud::types(node.clone())).detach();
+        lanes.spawn_high(peers::watch(node.clone())).detach();
+        lanes.spawn_high(exclusions::run(node.clone())).detach();
+        lanes.spawn_high(upgrade::run(node.clone())).detach();
+        lanes.spawn_low(polls::ask_leader(node.clone())).detach();
+        lanes.spawn_low(polls::ask_records(node.clone())).detach();
         let n = node.clone();
-        let back = lanes.spawn(frames::serve(
+        let back = lanes.spawn_high(frames::serve(
             lanes.clone(),
             node.settings.peer_listen,
             sockets / 8,
@@ -180,7 +178,7 @@
             others: users,
             first: BEAT,
         };
-        let listen = lanes.spawn(server::serve(
+        let listen = lanes.spawn_high(server::serve(
             lanes.clone(),
             node.settings.listen,
             limits,
--- a/src/server/peers.rs
+++ b/src/server/peers.rs
@@ -43,7 +43,7 @@
                 let limit = Duration::from_millis(2 * RESPONSE_PATIENCE_MS);
                 let _ = n.ask(peer, &Request::greeting(), limit).await;
             };
-            node.lanes.spawn(ask).detach();
+            node.lanes.spawn_high(ask).detach();
         }
     }
 }
--- a/src/server/standby.rs
+++ b/src/server/standby.rs
@@ -25,7 +25,7 @@
         });
         if let Some(txn) = due.flatten() {
             self.lanes
-                .spawn(self.clone().write_standbys(term, txn))
+                .spawn_high(self.clone().write_standbys(term, txn))
                 .detach();
         }
         let peers = self.of_term(term, |l, _| l.standby_peers());
@@ -33,7 +33,7 @@
             let part = self.of_term(term, |l, _| l.next_replication_part(peer, now));
             if let Some(part) = part.flatten() {
                 let told = self.clone().tell_standby(term, peer, part);
-                self.lanes.spawn(told).detach();
+                self.lanes.spawn_high(told).detach();
             }
         }
     }
--- a/src/state/rate_limit.rs
+++ b/src/state/rate_limit.rs
@@ -1,6 +1,6 @@
 //! Rate budgets towards the outside, and how nodes share them.
 
-pub use crate::transport::rate_limit::Budget;
+pub use crate::transport::rate_limit::TokenBucket;
 
 /// How the nodes share what all of them together may ask per second, in
 /// shares of the whole. A tenth is left for what can't wait.
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -51,7 +51,7 @@
     state::{
         Ms,
         cluster::DIRECT_COMMAND_TIMEOUT_MS,
-        rate_limit::Budget,
+        rate_limit::TokenBucket,
         records::{self, Bits, FinalRecord, LEADER, MachineRecord, StoredJob},
         spec_chunks::PIECES,
     },
@@ -306,7 +306,7 @@
     pub desk: Desk,
     /// What nodes may still change, where that is limited, and how much a
     /// second.
-    budgets: Vec<Budget>,
+    budgets: Vec<TokenBucket>,
     change_rate: f64,
     /// Tasks that started after a user was told that their job is withdrawn.
     pub started_after: u32,
--- a/tests/simulation/users.rs
+++ b/tests/simulation/users.rs
@@ -232,7 +232,7 @@
     /// The state service takes so many changes a second.
     pub fn limit_changes(&mut self, rate: f64) {
         self.change_rate = rate;
-        let budget = || Budget::new(rate * share::of_changes(Role::Leads, 3), 1.0);
+        let budget = || TokenBucket::new(rate * share::of_changes(Role::Leads, 3), 1.0);
         self.budgets = self.nodes.iter().map(|_| budget()).collect();
     }
 
