--- a/crates/tls/src/http.rs
+++ b/crates/tls/src/http.rs
@@ -1,22 +1,21 @@
 //! HTTP over mutual TLS: both sides show a certificate, and the server knows
-//! the caller by its name.
+//! the caller by the name in it. What is answered is the handler's part.
 
 use crate::{keys::says, reload::Followed};
-use async_h1::client;
 use async_io::{Async, Timer};
-use futures_lite::{AsyncRead, AsyncReadExt, AsyncWrite};
+use futures_lite::{AsyncRead, AsyncWrite};
 use futures_rustls::{TlsAcceptor, TlsConnector, TlsStream};
-use http_types::{Method, Request, Url};
+use http_types::Method;
 use pathwinch_transport::{
-    Slot, Stream,
-    client::{Answer, CallError},
+    ConnectionLimit, SharedTcpStream,
+    client::{Answer, CallError, exchange, json_request},
     priority_executor::PriorityExecutor,
-    server::{HttpRequest, HttpResponse, receive, respond},
+    server::{HttpRequest, HttpResponse, read_request, write_response},
     within,
 };
-use rustls::pki_types::ServerName;
+use rustls::{ServerConfig, pki_types::ServerName};
 use std::{
-    cell::{Cell, RefCell},
+    cell::RefCell,
     future::Future,
     io,
     net::{SocketAddr, TcpListener, TcpStream},
@@ -27,19 +26,28 @@
     time::Duration,
 };
 
-/// An encrypted stream that can be cloned, as `async-h1` wants it. Everything
-/// is on one thread: the lock is never waited for.
+/// Connecting and the handshake must be over within this time.
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Pause after a failed accept, so that a lack of sockets is no busy loop.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+
+/// An encrypted stream that can be cloned, as `async-h1` requires it. All
+/// clones are used on one thread: the lock is never waited for.
 #[derive(Clone)]
-struct Shared(Arc<Mutex<TlsStream<Stream>>>);
+struct SharedTlsStream(Arc<Mutex<TlsStream<SharedTcpStream>>>);
+
+impl SharedTlsStream {
+    fn new(stream: impl Into<TlsStream<SharedTcpStream>>) -> Self {
+        SharedTlsStream(Arc::new(Mutex::new(stream.into())))
+    }
 
-impl Shared {
-    fn with<T>(&self, f: impl FnOnce(Pin<&mut TlsStream<Stream>>) -> T) -> T {
+    fn with<T>(&self, f: impl FnOnce(Pin<&mut TlsStream<SharedTcpStream>>) -> T) -> T {
         let mut stream = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         f(Pin::new(&mut *stream))
     }
 }
 
-impl AsyncRead for Shared {
+impl AsyncRead for SharedTlsStream {
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -49,7 +57,7 @@
     }
 }
 
-impl AsyncWrite for Shared {
+impl AsyncWrite for SharedTlsStream {
     fn poll_write(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -57,77 +65,66 @@
     ) -> Poll<io::Result<usize>> {
         self.with(|s| s.poll_write(cx, buf))
     }
+
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         self.with(|s| s.poll_flush(cx))
     }
+
     fn poll_close(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         self.with(|s| s.poll_close(cx))
     }
 }
 
-/// A handshake must be over within this time.
-const HANDSHAKE: Duration = Duration::from_secs(5);
-
-/// Makes one call over a connection of its own: calls are few, and the keys in
-/// force at the moment are used. `name`: what the other side's certificate
-/// must say.
+/// Makes one POST request over a connection of its own: calls are few, and so
+/// each uses the keys that are in force at the moment. The other side's
+/// certificate must be for `server_name`. `timeout` applies to the connection
+/// and to the exchange each; the response's body is cut off after
+/// `max_response_bytes` and one byte, which shows that it is too large.
 pub async fn call(
     keys: &RefCell<Followed>,
     addr: SocketAddr,
-    name: &str,
+    server_name: &str,
     path: &str,
     body: Vec<u8>,
-    limit: Duration,
-    most: usize,
+    timeout: Duration,
+    max_response_bytes: usize,
 ) -> Result<Answer, CallError> {
-    let not_sent = |e: String| CallError::NotSent(e);
     let config = keys.borrow().keys().client.clone();
-    let server = ServerName::try_from(name.to_owned()).map_err(|e| not_sent(e.to_string()))?;
-    let url = Url::parse(&format!("http://{addr}{path}")).map_err(|e| not_sent(e.to_string()))?;
+    let server_name = ServerName::try_from(server_name.to_owned())
+        .map_err(|e| CallError::NotSent(e.to_string()))?;
+    let mut request = json_request(addr, Method::Post, path, Some(body))?;
+    request.insert_header("connection", "close");
     let connect = async {
-        let plain = Async::<TcpStream>::connect(addr).await?;
-        let _ = plain.get_ref().set_nodelay(true);
-        let plain = Stream(Arc::new(plain));
-        TlsConnector::from(config).connect(server, plain).await
+        let plain = SharedTcpStream::connect(addr).await?;
+        TlsConnector::from(config).connect(server_name, plain).await
     };
-    let stream = match within(limit.min(HANDSHAKE), connect).await {
-        Some(Ok(stream)) => Shared(Arc::new(Mutex::new(TlsStream::Client(stream)))),
-        Some(Err(e)) => return Err(not_sent(e.to_string())),
-        None => return Err(not_sent("connecting took too long".into())),
+    let stream = match within(timeout.min(HANDSHAKE_TIMEOUT), connect).await {
+        Some(Ok(stream)) => SharedTlsStream::new(stream),
+        Some(Err(e)) => return Err(CallError::NotSent(e.to_string())),
+        None => return Err(CallError::NotSent("connecting took too long".into())),
     };
-    let mut request = Request::new(Method::Post, url);
-    request.set_body(body);
-    request.insert_header("content-type", "application/json");
-    request.insert_header("connection", "close");
-    let exchange = async {
-        let mut response = client::connect(stream, request).await?;
-        let status = u16::from(response.status());
-        let mut body = Vec::new();
-        (&mut response)
-            .take(most as u64 + 1)
-            .read_to_end(&mut body)
-            .await?;
-        Ok::<_, http_types::Error>(Answer {
-            status,
+    let exchange = exchange(stream, request, max_response_bytes as u64 + 1);
+    match within(timeout, exchange).await {
+        // Callers pace themselves: they follow no Retry-After.
+        Some(Ok((answer, _))) => Ok(Answer {
             retry_after_s: None,
-            body,
-        })
-    };
-    match within(limit, exchange).await {
-        Some(Ok(answer)) => Ok(answer),
+            ..answer
+        }),
         Some(Err(e)) => Err(CallError::NoAnswer(e.to_string())),
         None => Err(CallError::TooLong),
     }
 }
 
-/// Serves callers that show a certificate; the handler is told whose. `most`:
-/// bytes of a body.
+/// Serves callers that show a certificate; the handler is given the name in
+/// it. At most `max_connections` are open at a time; further ones are closed
+/// at once. Request bodies beyond `max_body_bytes` are left out. Returns only
+/// if it can't listen.
 pub async fn serve<F, Fut>(
-    lanes: Rc<PriorityExecutor>,
+    executor: Rc<PriorityExecutor>,
     listener: TcpListener,
     keys: Rc<RefCell<Followed>>,
-    connections: usize,
-    most: usize,
+    max_connections: usize,
+    max_body_bytes: usize,
     handler: F,
 ) -> io::Result<()>
 where
@@ -135,41 +132,65 @@
     Fut: Future<Output = HttpResponse> + 'static,
 {
     let listener = Async::new(listener)?;
-    let used = Rc::new(Cell::new(0));
+    let connections = ConnectionLimit::new(max_connections);
     let handler = Rc::new(handler);
     loop {
         let Ok((plain, _)) = listener.accept().await else {
-            Timer::after(Duration::from_millis(50)).await;
+            Timer::after(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        let Some(slot) = Slot::take(&used, connections) else {
+        let Some(permit) = connections.try_acquire() else {
             continue;
         };
         let (keys, handler) = (keys.clone(), handler.clone());
-        lanes
+        executor
             .spawn_high(async move {
-                let _slot = slot;
+                let _permit = permit;
+                // Taken only now, as keys may have changed since the accept.
                 let config = keys.borrow().keys().server.clone();
-                let plain = Stream(Arc::new(plain));
-                let accepted = within(HANDSHAKE, TlsAcceptor::from(config).accept(plain)).await;
-                let stream = match accepted {
-                    Some(Ok(stream)) => stream,
-                    Some(Err(e)) => return log::warn!("a caller is refused: {e}"),
-                    None => return,
-                };
-                let peer = stream.get_ref().1.peer_certificates();
-                let Some(Ok(peer)) = peer.and_then(|c| c.first()).map(says) else {
-                    return;
-                };
-                let mut stream = Shared(Arc::new(Mutex::new(TlsStream::Server(stream))));
-                while let Ok(Some(next)) = receive(&mut stream, most).await {
-                    let (method, close) = (next.request.method, next.close);
-                    let answer = handler(peer.name.clone(), next.request).await;
-                    if !matches!(respond(&mut stream, answer, method, close).await, Ok(true)) {
-                        return;
-                    }
+                if let Some((caller, stream)) = accept(config, plain).await {
+                    serve_connection(stream, caller, max_body_bytes, &*handler).await;
                 }
             })
             .detach();
     }
 }
+
+/// Makes the handshake; returns the caller's name with the stream, `None` if
+/// the caller is not let in.
+async fn accept(
+    config: Arc<ServerConfig>,
+    plain: Async<TcpStream>,
+) -> Option<(String, SharedTlsStream)> {
+    let accept = TlsAcceptor::from(config).accept(SharedTcpStream::from(plain));
+    let stream = match within(HANDSHAKE_TIMEOUT, accept).await? {
+        Ok(stream) => stream,
+        Err(e) => {
+            log::warn!("a caller is refused: {e}");
+            return None;
+        }
+    };
+    let certificate = stream.get_ref().1.peer_certificates()?.first()?;
+    let caller = says(certificate).ok()?.name;
+    Some((caller, SharedTlsStream::new(stream)))
+}
+
+/// Answers one request after the other until the connection ends.
+async fn serve_connection<F, Fut>(
+    mut stream: SharedTlsStream,
+    caller: String,
+    max_body_bytes: usize,
+    handler: &F,
+) where
+    F: Fn(String, HttpRequest) -> Fut,
+    Fut: Future<Output = HttpResponse>,
+{
+    while let Ok(Some(next)) = read_request(&mut stream, max_body_bytes).await {
+        let (method, close) = (next.request.method, next.close);
+        let response = handler(caller.clone(), next.request).await;
+        let written = write_response(&mut stream, response, method, close).await;
+        if !matches!(written, Ok(true)) {
+            return;
+        }
+    }
+}
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,81 +1,26 @@
-//! Sockets: HTTP server and client, frames between controllers, time limits
-//! and the budget of sockets.
+//! Network I/O of pathwinch's programs on one thread.
+//!
+//! Here: the HTTP server ([`server`]) and client ([`client`]), the framed
+//! protocol between controllers ([`frames`]), the executor that gives urgent
+//! tasks precedence ([`priority_executor`]), token buckets ([`rate_limit`]),
+//! and what these share: cloneable TCP streams, the pool of idle connections,
+//! limits on open connections, and timeouts.
+//!
+//! Not here: what requests mean and who may act on them (the callers' part),
+//! message types (`pathwinch-protocol`), and encryption (`pathwinch-tls`).
+
+#![warn(missing_docs)]
 
 pub mod client;
+mod connection_limit;
+mod connection_pool;
 pub mod frames;
 pub mod priority_executor;
 pub mod rate_limit;
 pub mod server;
+mod stream;
+mod timeout;
 
-use async_io::{Async, Timer};
-use futures_lite::{AsyncRead, AsyncWrite, FutureExt};
-use std::{
-    cell::Cell,
-    future::Future,
-    io,
-    net::TcpStream,
-    pin::Pin,
-    rc::Rc,
-    sync::Arc,
-    task::{Context, Poll},
-    time::Duration,
-};
-
-/// A TCP stream that can be cloned, as `async-h1` wants it.
-#[derive(Debug, Clone)]
-pub struct Stream(pub Arc<Async<TcpStream>>);
-
-impl AsyncRead for Stream {
-    fn poll_read(
-        self: Pin<&mut Self>,
-        cx: &mut Context<'_>,
-        buf: &mut [u8],
-    ) -> Poll<io::Result<usize>> {
-        Pin::new(&mut &*self.0).poll_read(cx, buf)
-    }
-}
-
-impl AsyncWrite for Stream {
-    fn poll_write(
-        self: Pin<&mut Self>,
-        cx: &mut Context<'_>,
-        buf: &[u8],
-    ) -> Poll<io::Result<usize>> {
-        Pin::new(&mut &*self.0).poll_write(cx, buf)
-    }
-    fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Pin::new(&mut &*self.0).poll_flush(cx)
-    }
-    fn poll_close(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Pin::new(&mut &*self.0).poll_close(cx)
-    }
-}
-
-/// `None` when the time is over first.
-pub async fn within<T>(limit: Duration, work: impl Future<Output = T>) -> Option<T> {
-    async { Some(work.await) }
-        .or(async {
-            Timer::after(limit).await;
-            None
-        })
-        .await
-}
-
-/// One of a limited number of places; given back when dropped.
-pub struct Slot(Rc<Cell<usize>>);
-
-impl Slot {
-    pub fn take(used: &Rc<Cell<usize>>, limit: usize) -> Option<Slot> {
-        if used.get() >= limit {
-            return None;
-        }
-        used.set(used.get() + 1);
-        Some(Slot(used.clone()))
-    }
-}
-
-impl Drop for Slot {
-    fn drop(&mut self) {
-        self.0.set(self.0.get() - 1);
-    }
-}
+pub use connection_limit::{ConnectionLimit, ConnectionPermit};
+pub use stream::{ByteStream, SharedTcpStream};
+pub use timeout::within;
--- a/crates/transport/src/priority_executor.rs
+++ b/crates/transport/src/priority_executor.rs
@@ -1,97 +1,68 @@
-//! Tasks of one thread in two lanes: what is ready in the first goes ahead of
-//! everything in the second.
+//! An executor for the tasks of one thread, in two priorities: a ready task of
+//! high priority runs before every ready task of low priority.
 //!
-//! Guards against floods of polls: in one queue, renewals of leadership and
-//! workers' reports waited behind each of them, and leases were lost.
+//! Guards against floods of status polls: in a single queue, renewals of the
+//! leader lease and workers' heartbeats waited behind all of them, and leases
+//! expired.
 
 use async_executor::{LocalExecutor, Task};
 use futures_lite::{FutureExt, future};
 use std::future::Future;
 
-/// Tasks run between two looks at the sockets. Few of the second lane, as
-/// what arrives meanwhile may belong to the first.
-const FIRST: usize = 64;
-const SECOND: usize = 8;
+/// Tasks that are run between two looks at the sockets.
+const MAX_HIGH_TASKS_PER_TURN: usize = 64;
+/// Few, as what arrives meanwhile may be of high priority.
+const MAX_LOW_TASKS_PER_TURN: usize = 8;
 
+/// Two queues of tasks with strict priority between them. Tasks are not
+/// preempted: each runs until it awaits.
 #[derive(Default)]
 pub struct PriorityExecutor {
-    first: LocalExecutor<'static>,
-    second: LocalExecutor<'static>,
+    high: LocalExecutor<'static>,
+    low: LocalExecutor<'static>,
 }
 
 impl PriorityExecutor {
-    /// For what leases and authority hang on.
+    /// Spawns a task of high priority: what leases and authority depend on.
     pub fn spawn_high<T: 'static>(&self, work: impl Future<Output = T> + 'static) -> Task<T> {
-        self.first.spawn(work)
+        self.high.spawn(work)
     }
 
-    /// For what may wait a little, such as answers to users.
+    /// Spawns a task of low priority: what may wait, such as answers to users.
     pub fn spawn_low<T: 'static>(&self, work: impl Future<Output = T> + 'static) -> Task<T> {
-        self.second.spawn(work)
+        self.low.spawn(work)
     }
 
-    /// Runs tasks of both lanes until `work` is over.
+    /// Runs tasks of both priorities until `work` is complete.
     pub async fn run<T>(&self, work: impl Future<Output = T>) -> T {
-        let drive = async {
-            loop {
-                let (mut first, mut second) = (0, 0);
-                while first < FIRST && second < SECOND {
-                    if self.first.try_tick() {
-                        first += 1;
-                    } else if self.second.try_tick() {
-                        second += 1;
-                    } else {
-                        break;
-                    }
-                }
-                match first + second {
-                    0 => self.first.tick().or(self.second.tick()).await,
-                    // Lets the reactor take in what has arrived.
-                    _ => future::yield_now().await,
-                }
-            }
-        };
-        work.or(drive).await
+        work.or(self.run_tasks()).await
     }
-}
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use std::{cell::RefCell, rc::Rc};
-
-    #[test]
-    fn what_is_ready_in_the_first_lane_never_waits_for_the_second() {
-        let lanes = PriorityExecutor::default();
-        let order = Rc::new(RefCell::new(Vec::new()));
-        let (wake, woken) = async_channel::unbounded::<()>();
-        for n in 0..50 {
-            let (order, wake) = (order.clone(), wake.clone());
-            lanes
-                .spawn_low(async move {
-                    order.borrow_mut().push(("poll", n));
-                    if n == 20 {
-                        let _ = wake.try_send(());
-                    }
-                })
-                .detach();
+    async fn run_tasks<T>(&self) -> T {
+        loop {
+            match self.run_turn() {
+                0 => self.high.tick().or(self.low.tick()).await,
+                // Lets the reactor take in what has arrived.
+                _ => future::yield_now().await,
+            }
         }
-        let renewals = order.clone();
-        lanes
-            .spawn_high(async move {
-                renewals.borrow_mut().push(("renewal", 0));
-                let _ = woken.recv().await;
-                renewals.borrow_mut().push(("renewal", 1));
-            })
-            .detach();
-        let seen = order.clone();
-        async_io::block_on(lanes.run(async {
-            while seen.borrow().len() < 52 {
-                future::yield_now().await;
+    }
+
+    /// Runs ready tasks up to the limits; returns how many.
+    fn run_turn(&self) -> usize {
+        let (mut high, mut low) = (0, 0);
+        while high < MAX_HIGH_TASKS_PER_TURN && low < MAX_LOW_TASKS_PER_TURN {
+            if self.high.try_tick() {
+                high += 1;
+            } else if self.low.try_tick() {
+                low += 1;
+            } else {
+                break;
             }
-        }));
-        let order = order.borrow();
-        assert_eq!(order[0], ("renewal", 0), "spawned last, ready first");
-        assert_eq!(order[22], ("renewal", 1), "right after what woke it");
+        }
+        high + low
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/transport/src/rate_limit.rs
+++ b/crates/transport/src/rate_limit.rs
@@ -1,86 +1,86 @@
-//! Token buckets for requests and changes per second.
+//! Token buckets for requests and changes per second. They read no clock: the
+//! caller gives the time.
 
 /// Milliseconds of the caller's clock.
-type Ms = u64;
+type Millis = u64;
 
+/// A token bucket: it is refilled at a constant rate up to its capacity, and
+/// each request takes tokens. The level can become negative; later requests
+/// then wait until the debt is refilled.
 #[derive(Debug)]
 pub struct TokenBucket {
-    per_ms: f64,
-    burst: f64,
-    level: f64,
-    at: Ms,
+    tokens_per_ms: f64,
+    capacity: f64,
+    tokens: f64,
+    refilled_at: Millis,
+}
+
+/// At least one token, so that rates below one a second let requests through.
+fn capacity(per_s: f64, burst_s: f64) -> f64 {
+    (per_s * burst_s).max(1.0)
 }
 
 impl TokenBucket {
+    /// A full bucket, refilled with `per_s` tokens a second, that holds the
+    /// tokens of `burst_s` seconds.
     pub fn new(per_s: f64, burst_s: f64) -> Self {
-        let burst = (per_s * burst_s).max(1.0);
+        let capacity = capacity(per_s, burst_s);
         TokenBucket {
-            per_ms: per_s / 1000.0,
-            burst,
-            level: burst,
-            at: 0,
+            tokens_per_ms: per_s / 1000.0,
+            capacity,
+            tokens: capacity,
+            refilled_at: 0,
         }
     }
 
-    /// Another rate from now on.
-    pub fn set_rate(&mut self, now: Ms, per_s: f64, burst_s: f64) {
+    /// Changes rate and capacity from `now` on. Tokens beyond the new capacity
+    /// are lost.
+    pub fn set_rate(&mut self, now: Millis, per_s: f64, burst_s: f64) {
         self.refill(now);
-        self.per_ms = per_s / 1000.0;
-        self.burst = (per_s * burst_s).max(1.0);
-        self.level = self.level.min(self.burst);
+        self.tokens_per_ms = per_s / 1000.0;
+        self.capacity = capacity(per_s, burst_s);
+        self.tokens = self.tokens.min(self.capacity);
     }
 
-    fn refill(&mut self, now: Ms) {
-        let passed = now.saturating_sub(self.at) as f64;
-        self.at = self.at.max(now);
-        self.level = (self.level + passed * self.per_ms).min(self.burst);
+    fn refill(&mut self, now: Millis) {
+        let elapsed = now.saturating_sub(self.refilled_at) as f64;
+        self.refilled_at = self.refilled_at.max(now);
+        self.tokens = (self.tokens + elapsed * self.tokens_per_ms).min(self.capacity);
     }
 
-    pub fn level(&mut self, now: Ms) -> f64 {
+    /// The tokens that are there at `now`; negative while in debt.
+    pub fn level(&mut self, now: Millis) -> f64 {
         self.refill(now);
-        self.level
+        self.tokens
     }
 
-    /// Takes `n` if that leaves at least `reserve`; the reserve is for what
-    /// goes ahead of ordinary requests.
-    pub fn take(&mut self, now: Ms, n: f64, reserve: f64) -> bool {
+    /// Takes `n` tokens if that leaves at least `reserve`, and says whether it
+    /// did. The reserve is for what has precedence over ordinary requests.
+    pub fn take(&mut self, now: Millis, n: f64, reserve: f64) -> bool {
         self.refill(now);
-        if self.level - n < reserve {
+        if self.tokens - n < reserve {
             return false;
         }
-        self.level -= n;
+        self.tokens -= n;
         true
     }
 
-    /// Takes `n` whatever is left: for what must not wait.
-    pub fn force(&mut self, now: Ms, n: f64) {
+    /// Takes `n` tokens whatever is left, for what must not wait.
+    pub fn force(&mut self, now: Millis, n: f64) {
         self.refill(now);
-        self.level -= n;
+        self.tokens -= n;
     }
 
-    /// The same, and says for how many milliseconds to wait before acting.
-    pub fn take_with_delay(&mut self, now: Ms, n: f64) -> Ms {
+    /// Takes `n` tokens whatever is left and returns for how many milliseconds
+    /// to wait before acting.
+    pub fn take_with_delay(&mut self, now: Millis, n: f64) -> Millis {
         self.force(now, n);
-        match self.level < 0.0 {
-            true => (-self.level / self.per_ms).ceil() as Ms,
+        match self.tokens < 0.0 {
+            true => (-self.tokens / self.tokens_per_ms).ceil() as Millis,
             false => 0,
         }
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn what_is_owed_is_waited_for_and_bursts_are_bounded() {
-        let mut r = TokenBucket::new(10.0, 1.0);
-        assert!(r.take(0, 10.0, 0.0) && !r.take(0, 1.0, 0.0));
-        assert!(r.take(100, 1.0, 0.0) && !r.take(100, 1.0, 0.0));
-        assert!(r.take(60_000, 10.0, 0.0) && !r.take(60_000, 1.0, 0.0));
-        assert_eq!(r.take_with_delay(60_000, 5.0), 500);
-        assert_eq!(r.take_with_delay(60_500, 5.0), 500);
-        // Fewer than one a second still lets one through.
-        assert!(TokenBucket::new(0.1, 1.0).take(0, 1.0, 0.0));
-    }
-}
+mod tests;
