--- a/crates/tls/src/http.rs
+++ b/crates/tls/src/http.rs
@@ -1,7 +1,7 @@
 //! HTTP over mutual TLS: both sides show a certificate, and the server knows
 //! the caller by the name in it. What is answered is the handler's part.
 
-use crate::{keys::says, reload::Followed};
+use crate::{keys::read_certificate, reload::Followed};
 use async_io::{Async, Timer};
 use futures_lite::{AsyncRead, AsyncWrite};
 use futures_rustls::{TlsAcceptor, TlsConnector, TlsStream};
@@ -171,7 +171,7 @@
         }
     };
     let certificate = stream.get_ref().1.peer_certificates()?.first()?;
-    let caller = says(certificate).ok()?.name;
+    let caller = read_certificate(certificate).ok()?.name;
     Some((caller, SharedTlsStream::new(stream)))
 }
 
--- a/crates/tls/src/lib.rs
+++ b/crates/tls/src/lib.rs
@@ -1,47 +1,38 @@
-//! Keys of installations that speak to each other over mutual TLS: an
-//! authority that makes, renews and revokes certificates, what a process loads
-//! of them, and how it follows changes without a restart. Times are given by
-//! the caller, in seconds since 1970.
+//! Keys of installations that speak to each other over mutual TLS.
+//!
+//! Here: a certificate authority that issues, lists and revokes certificates
+//! ([`authority`]), what a process loads of them ([`keys`]), how it follows
+//! changes without a restart ([`reload`]), and HTTP over them ([`http`]).
+//!
+//! Not here: the command line of operators, when to look for changes, and what
+//! a caller is allowed to ask. Times are given by the caller.
+
+#![warn(missing_docs)]
 
 pub mod authority;
+mod file;
 pub mod http;
 pub mod keys;
 pub mod reload;
 
-use std::{io, path::Path};
+pub use file::FileError;
 
+/// A time of day in seconds since 1970, or a duration in seconds.
 pub type Seconds = u64;
 
+/// One day.
 pub const DAY: Seconds = 86_400;
 
-/// Names of installations are DNS labels: lower-case letters, digits, hyphens.
-pub fn valid_name(name: &str) -> bool {
-    (1..=63).contains(&name.len())
+/// The longest name of an installation, in bytes.
+const MAX_NAME_BYTES: usize = 63;
+
+/// Whether a name can be that of an installation. Such names are DNS labels:
+/// lower-case letters, digits, hyphens.
+pub fn is_valid_name(name: &str) -> bool {
+    (1..=MAX_NAME_BYTES).contains(&name.len())
         && !name.starts_with('-')
         && !name.ends_with('-')
         && name
             .bytes()
             .all(|b| b.is_ascii_lowercase() || b.is_ascii_digit() || b == b'-')
 }
-
-/// Replaces a file as a whole: a reader sees the old one or the new one.
-/// `secret`: for its owner alone.
-pub(crate) fn replace(path: &Path, text: &str, secret: bool) -> io::Result<()> {
-    use std::{fs::OpenOptions, io::Write, os::unix::fs::OpenOptionsExt};
-    let mut name = path.as_os_str().to_owned();
-    name.push(".new");
-    let fresh = Path::new(&name);
-    // One that is left from an attempt that ended half-way.
-    match std::fs::remove_file(fresh) {
-        Err(e) if e.kind() != io::ErrorKind::NotFound => return Err(e),
-        _ => {}
-    }
-    let mut file = OpenOptions::new()
-        .write(true)
-        .create_new(true)
-        .mode(if secret { 0o600 } else { 0o644 })
-        .open(fresh)?;
-    file.write_all(text.as_bytes())?;
-    file.sync_all()?;
-    std::fs::rename(fresh, path)
-}
--- a/crates/tls/src/reload.rs
+++ b/crates/tls/src/reload.rs
@@ -1,83 +1,87 @@
-//! Follows a directory of keys: a change is taken up for new connections, and
-//! one that can't be used is reported and leaves the keys as they were.
+//! Follows a directory of keys: changed keys come into force for new
+//! connections; keys that can't be used are reported and leave the old ones in
+//! force. Reading the files, and when, is the caller's part.
 
 use crate::{
     Seconds,
-    keys::{Keys, Left, Texts, left},
+    keys::{KeyError, Keys, Left, Texts, left},
 };
-use anyhow::Result;
 use rustls::time_provider::TimeProvider;
-use std::sync::Arc;
+use std::{error::Error, sync::Arc};
 
-/// What looking again has shown.
+/// What looking at the files again has shown.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Seen {
+    /// Nothing new.
     Same,
+    /// New keys are in force.
     Changed,
-    /// They were changed to something that can't be used.
+    /// The files can't be used, for this reason; the old keys stay in force.
     Unusable(String),
 }
 
+/// Keys in force, with what is needed to replace them.
 #[derive(Debug)]
 pub struct Followed {
     time: Arc<dyn TimeProvider>,
     texts: Texts,
     keys: Keys,
-    /// What was found unusable, so that it is told once.
-    refused: Option<Texts>,
-    warned: Option<Left>,
+    /// Texts that were found unusable, so that they are reported once.
+    rejected: Option<Texts>,
+    last_warning: Option<Left>,
 }
 
 impl Followed {
-    pub fn new(texts: Texts, time: Arc<dyn TimeProvider>) -> Result<Self> {
+    /// Loads the first keys, which must be usable.
+    pub fn new(texts: Texts, time: Arc<dyn TimeProvider>) -> Result<Self, KeyError> {
         Ok(Followed {
             keys: Keys::load(&texts, &time)?,
             texts,
             time,
-            refused: None,
-            warned: None,
+            rejected: None,
+            last_warning: None,
         })
     }
 
-    /// For the next connection.
+    /// The keys in force, for the next connection.
     pub fn keys(&self) -> &Keys {
         &self.keys
     }
 
-    /// The files hold this now. A half-written set (a certificate whose key
-    /// comes a moment later) is not taken until it fits.
-    pub fn look(&mut self, found: Result<Texts>) -> Seen {
+    /// Takes what the files hold now. A set that is half written (a
+    /// certificate whose key comes a moment later) is not taken until it fits.
+    pub fn look(&mut self, found: Result<Texts, KeyError>) -> Seen {
         let found = match found {
             Ok(found) => found,
-            Err(e) => return Seen::Unusable(format!("{e:#}")),
+            Err(e) => return Seen::Unusable(with_sources(&e)),
         };
         if found == self.texts {
-            self.refused = None;
+            self.rejected = None;
             return Seen::Same;
         }
-        if self.refused.as_ref() == Some(&found) {
+        if self.rejected.as_ref() == Some(&found) {
             return Seen::Same;
         }
         match Keys::load(&found, &self.time) {
             Ok(keys) => {
                 (self.keys, self.texts) = (keys, found);
-                (self.refused, self.warned) = (None, None);
+                (self.rejected, self.last_warning) = (None, None);
                 Seen::Changed
             }
             Err(e) => {
-                self.refused = Some(found);
-                Seen::Unusable(format!("{e:#}"))
+                self.rejected = Some(found);
+                Seen::Unusable(with_sources(&e))
             }
         }
     }
 
-    /// Something to be warned of, once for each day that it goes on.
+    /// A warning that the certificate in force expires, once for each day.
     pub fn warning(&mut self, now: Seconds) -> Option<String> {
         let state = left(self.keys.own.until, now);
-        if state == Left::Enough || self.warned == Some(state) {
+        if state == Left::Enough || self.last_warning == Some(state) {
             return None;
         }
-        self.warned = Some(state);
+        self.last_warning = Some(state);
         let name = &self.keys.own.name;
         Some(match state {
             Left::Soon { days } => format!("the certificate of {name} expires in {days} days"),
@@ -85,3 +89,14 @@
         })
     }
 }
+
+/// An error and what caused it, in one line.
+fn with_sources(error: &dyn Error) -> String {
+    let mut text = error.to_string();
+    let mut source = error.source();
+    while let Some(cause) = source {
+        text.push_str(&format!(": {cause}"));
+        source = cause.source();
+    }
+    text
+}
--- a/crates/tls/tests/handshakes.rs
+++ b/crates/tls/tests/handshakes.rs
@@ -1,10 +1,10 @@
-//! Handshakes in memory between installations, under a time that the test
-//! sets. What must not be let in is refused by both sides.
+//! Handshakes in memory between installations, at a time that the test sets,
+//! and the authority and key files behind them.
 
 use pathwinch_tls::{
     DAY,
     authority::Authority,
-    keys::{At, Keys, Left, Texts, left, says},
+    keys::{FixedTime, Keys, Left, Texts, left, read_certificate},
     reload::{Followed, Seen},
 };
 use rustls::{
@@ -14,28 +14,28 @@
 
 const NOW: u64 = 1_800_000_000;
 
-/// A directory of its own, removed at the end.
-struct Dir(PathBuf);
+/// A directory for one test, removed on drop.
+struct TempDir(PathBuf);
 
-impl Dir {
+impl TempDir {
     fn new(name: &str) -> Self {
         let dir = std::env::temp_dir().join(format!("pathwinch-tls-{}-{name}", std::process::id()));
         let _ = std::fs::remove_dir_all(&dir);
-        Dir(dir)
+        TempDir(dir)
     }
 }
 
-impl Drop for Dir {
+impl Drop for TempDir {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-fn file(dir: &Dir, name: &str) -> String {
+fn file(dir: &TempDir, name: &str) -> String {
     std::fs::read_to_string(dir.0.join(name)).unwrap()
 }
 
-fn texts(dir: &Dir, authority: &Authority, name: &str, days: u64) -> Texts {
+fn texts(dir: &TempDir, authority: &Authority, name: &str, days: u64) -> Texts {
     let issued = authority.issue(name, days, NOW).unwrap();
     Texts {
         certificate: issued.certificate,
@@ -46,14 +46,14 @@
 }
 
 fn keys(texts: &Texts, now: u64) -> Keys {
-    let time: Arc<dyn TimeProvider> = Arc::new(At(now));
+    let time: Arc<dyn TimeProvider> = Arc::new(FixedTime(now));
     Keys::load(texts, &time).unwrap()
 }
 
-/// Lets both sides talk until they agree or one refuses. Returns who the
-/// server has before it.
-fn meet(client: &Keys, server: &Keys, called: &str) -> Result<String, String> {
-    let name = ServerName::try_from(called.to_owned()).unwrap();
+/// Exchanges records until both sides agree or one refuses. Returns the name
+/// by which the server knows the client.
+fn handshake(client: &Keys, server: &Keys, server_name: &str) -> Result<String, String> {
+    let name = ServerName::try_from(server_name.to_owned()).unwrap();
     let mut c = ClientConnection::new(client.client.clone(), name).unwrap();
     let mut s = ServerConnection::new(server.server.clone()).unwrap();
     for _ in 0..10 {
@@ -80,17 +80,20 @@
     }
     assert!(!c.is_handshaking() && !s.is_handshaking());
     let peer = s.peer_certificates().and_then(|p| p.first()).unwrap();
-    Ok(says(peer).unwrap().name)
+    Ok(read_certificate(peer).unwrap().name)
 }
 
 #[test]
-fn two_installations_meet_and_know_each_other_by_name() {
-    let dir = Dir::new("meet");
-    let a = Authority::make(&dir.0, "city", 3650, NOW).unwrap();
-    let (home, north) = (texts(&dir, &a, "home", 90), texts(&dir, &a, "north", 90));
+fn handshake_succeeds_only_under_certified_name_when_both_are_trusted() {
+    let dir = TempDir::new("names");
+    let authority = Authority::make(&dir.0, "city", 3650, NOW).unwrap();
+    let (home, north) = (
+        texts(&dir, &authority, "home", 90),
+        texts(&dir, &authority, "north", 90),
+    );
     let (home, north) = (keys(&home, NOW), keys(&north, NOW));
-    assert_eq!(meet(&home, &north, "north"), Ok("home".into()));
-    let other = meet(&home, &north, "south").unwrap_err();
+    assert_eq!(handshake(&home, &north, "north"), Ok("home".into()));
+    let other = handshake(&home, &north, "south").unwrap_err();
     assert!(
         other.starts_with("client: invalid peer certificate"),
         "{other}"
@@ -102,79 +105,102 @@
 }
 
 #[test]
-fn expired_unknown_and_revoked_certificates_are_refused() {
-    let (dir, elsewhere) = (Dir::new("refused"), Dir::new("elsewhere"));
-    let a = Authority::make(&dir.0, "city", 3650, NOW).unwrap();
-    let b = Authority::make(&elsewhere.0, "city", 3650, NOW).unwrap();
-    let home = texts(&dir, &a, "home", 90);
-    let mut north = texts(&dir, &a, "north", 900);
-    // The home's certificate is over, the market's is not.
+fn handshake_is_refused_when_certificate_is_expired_unknown_or_revoked() {
+    let (dir, elsewhere) = (TempDir::new("refused"), TempDir::new("elsewhere"));
+    let authority = Authority::make(&dir.0, "city", 3650, NOW).unwrap();
+    let stranger_authority = Authority::make(&elsewhere.0, "city", 3650, NOW).unwrap();
+    let home = texts(&dir, &authority, "home", 90);
+    let mut north = texts(&dir, &authority, "north", 900);
+    // The certificate of home has expired, that of north has not.
     let later = NOW + 91 * DAY;
-    let expired = meet(&keys(&home, NOW), &keys(&north, later), "north").unwrap_err();
+    let expired = handshake(&keys(&home, NOW), &keys(&north, later), "north").unwrap_err();
     assert!(expired.contains("certificate expired"), "{expired}");
-    // Of an authority of the same name that nobody trusts.
-    let mut stranger = texts(&elsewhere, &b, "home", 90);
+    // From an authority of the same name that nobody trusts.
+    let mut stranger = texts(&elsewhere, &stranger_authority, "home", 90);
     stranger.trusted = home.trusted.clone();
     stranger.revoked = String::new();
-    let unknown = meet(&keys(&stranger, NOW), &keys(&north, NOW), "north").unwrap_err();
+    let unknown = handshake(&keys(&stranger, NOW), &keys(&north, NOW), "north").unwrap_err();
     assert!(
         unknown.starts_with("server: invalid peer certificate"),
         "{unknown}"
     );
-    // Revoked; the market has the new list.
+    // Revoked, and north has the new list.
     let serial = keys(&home, NOW).own.serial;
-    a.revoke(serial, NOW).unwrap();
+    authority.revoke(serial, NOW).unwrap();
     north.revoked = file(&dir, "crl.pem");
-    let revoked = meet(&keys(&home, NOW), &keys(&north, NOW), "north").unwrap_err();
+    let revoked = handshake(&keys(&home, NOW), &keys(&north, NOW), "north").unwrap_err();
     assert!(revoked.contains("Revoked"), "{revoked}");
-    // A renewed one is let in again.
-    let home = texts(&dir, &a, "home", 90);
-    assert!(meet(&keys(&home, NOW), &keys(&north, NOW), "north").is_ok());
+    // A renewed one is accepted again.
+    let home = texts(&dir, &authority, "home", 90);
+    assert!(handshake(&keys(&home, NOW), &keys(&north, NOW), "north").is_ok());
 }
 
 #[test]
-fn changed_keys_are_taken_up_and_unusable_ones_are_not() {
-    let dir = Dir::new("reload");
-    let a = Authority::make(&dir.0, "city", 3650, NOW).unwrap();
-    let (old, new) = (texts(&dir, &a, "home", 40), texts(&dir, &a, "home", 90));
-    let mut f = Followed::new(old.clone(), Arc::new(At(NOW))).unwrap();
-    assert_eq!(f.look(Ok(old.clone())), Seen::Same);
-    // The certificate is there, its key is not yet.
+fn reload_takes_usable_keys_and_rejects_others_when_files_change() {
+    let dir = TempDir::new("reload");
+    let authority = Authority::make(&dir.0, "city", 3650, NOW).unwrap();
+    let (old, new) = (
+        texts(&dir, &authority, "home", 40),
+        texts(&dir, &authority, "home", 90),
+    );
+    let mut followed = Followed::new(old.clone(), Arc::new(FixedTime(NOW))).unwrap();
+    assert_eq!(followed.look(Ok(old.clone())), Seen::Same);
+    // The certificate is new, its key is not yet.
     let half = Texts {
         certificate: new.certificate.clone(),
         ..old.clone()
     };
-    assert!(matches!(f.look(Ok(half.clone())), Seen::Unusable(_)));
-    assert_eq!(f.look(Ok(half)), Seen::Same, "told once");
-    assert_eq!(f.keys().own.serial, 1);
-    assert_eq!(f.warning(NOW), None);
-    let soon = f.warning(NOW + 15 * DAY).unwrap();
+    assert!(matches!(followed.look(Ok(half.clone())), Seen::Unusable(_)));
+    assert_eq!(followed.look(Ok(half)), Seen::Same, "reported once");
+    assert_eq!(followed.keys().own.serial, 1);
+    assert_eq!(followed.warning(NOW), None);
+    let soon = followed.warning(NOW + 15 * DAY).unwrap();
     assert_eq!(soon, "the certificate of home expires in 25 days");
-    assert_eq!(f.warning(NOW + 15 * DAY), None, "once a day");
-    assert_eq!(f.look(Ok(new)), Seen::Changed);
-    assert_eq!(f.keys().own.serial, 2);
-    assert_eq!(f.warning(NOW + 15 * DAY), None);
-    assert!(f.warning(NOW + 91 * DAY).unwrap().contains("has expired"));
+    assert_eq!(followed.warning(NOW + 15 * DAY), None, "once a day");
+    assert_eq!(followed.look(Ok(new)), Seen::Changed);
+    assert_eq!(followed.keys().own.serial, 2);
+    assert_eq!(followed.warning(NOW + 15 * DAY), None);
+    assert!(
+        followed
+            .warning(NOW + 91 * DAY)
+            .unwrap()
+            .contains("has expired")
+    );
     assert_eq!(left(NOW, NOW + 1), Left::Expired);
 }
 
 #[test]
-fn serials_never_recur_and_errors_name_the_file() {
-    let dir = Dir::new("serials");
-    let a = Authority::make(&dir.0, "city", 10, NOW).unwrap();
-    a.issue("home", 5, NOW).unwrap();
-    // As if it had ended right after the number was written down.
+fn authority_skips_recorded_serials_and_errors_name_the_file_when_reopened() {
+    let dir = TempDir::new("serials");
+    let authority = Authority::make(&dir.0, "city", 10, NOW).unwrap();
+    authority.issue("home", 5, NOW).unwrap();
+    // As if the process had ended right after the number was written down.
     let ledger = file(&dir, "authority.json").replace("\"next\": 2", "\"next\": 3");
     std::fs::write(dir.0.join("authority.json"), ledger).unwrap();
-    let again = Authority::open(&dir.0).unwrap();
-    assert_eq!(again.issue("home", 5, NOW).unwrap().made.serial, 3);
-    assert!(again.revoke(2, NOW).is_err());
-    assert!(again.issue("Home!", 5, NOW).is_err());
+    let reopened = Authority::open(&dir.0).unwrap();
+    assert_eq!(reopened.issue("home", 5, NOW).unwrap().made.serial, 3);
+    assert!(reopened.revoke(2, NOW).is_err());
+    assert!(reopened.issue("Home!", 5, NOW).is_err());
     let wrong = Texts {
         certificate: "garbage".into(),
-        ..texts(&dir, &again, "home", 5)
+        ..texts(&dir, &reopened, "home", 5)
     };
-    let time: Arc<dyn TimeProvider> = Arc::new(At(NOW));
+    let time: Arc<dyn TimeProvider> = Arc::new(FixedTime(NOW));
     let error = format!("{:#}", Keys::load(&wrong, &time).unwrap_err());
     assert_eq!(error, "own.pem: no certificate in it");
 }
+
+#[test]
+fn reload_reports_path_and_cause_when_files_are_missing() {
+    let dir = TempDir::new("missing");
+    let authority = Authority::make(&dir.0, "city", 10, NOW).unwrap();
+    let texts = texts(&dir, &authority, "home", 5);
+    let mut followed = Followed::new(texts, Arc::new(FixedTime(NOW))).unwrap();
+    let missing = dir.0.join("own.pem");
+    let expected = format!(
+        "cannot read {}: No such file or directory (os error 2)",
+        missing.display()
+    );
+    assert_eq!(followed.look(Texts::read(&dir.0)), Seen::Unusable(expected));
+    assert_eq!(followed.keys().own.serial, 1);
+}
--- a/crates/tls/tests/loopback.rs
+++ b/crates/tls/tests/loopback.rs
@@ -1,10 +1,10 @@
-//! HTTP over mutual TLS on loopback: the server is told who calls, and lets
-//! nobody in whom it can't know.
+//! HTTP over mutual TLS on loopback: the handler is given the caller's name,
+//! and callers with unknown certificates are refused.
 
 use pathwinch_tls::{
     authority::Authority,
     http,
-    keys::{At, Texts},
+    keys::{FixedTime, Texts},
     reload::Followed,
 };
 use pathwinch_transport::{
@@ -20,7 +20,7 @@
 };
 
 const NOW: u64 = 1_800_000_000;
-const LIMIT: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn keys(dir: &Path, authority: &Authority, name: &str) -> Rc<RefCell<Followed>> {
     let issued = authority.issue(name, 90, NOW).unwrap();
@@ -30,12 +30,12 @@
         trusted: std::fs::read_to_string(dir.join("ca.pem")).unwrap(),
         revoked: String::new(),
     };
-    let followed = Followed::new(texts, Arc::new(At(NOW))).unwrap();
+    let followed = Followed::new(texts, Arc::new(FixedTime(NOW))).unwrap();
     Rc::new(RefCell::new(followed))
 }
 
 #[test]
-fn the_caller_is_known_by_its_certificate_and_large_bodies_are_refused() {
+fn server_names_caller_by_certificate_and_omits_body_when_too_large() {
     let dir = std::env::temp_dir().join(format!("pathwinch-tls-{}-loopback", std::process::id()));
     let _ = std::fs::remove_dir_all(&dir);
     let (own, other) = (dir.join("own"), dir.join("other"));
@@ -43,11 +43,11 @@
     let stranger = Authority::make(&other, "city", 100, NOW).unwrap();
     let (home, north) = (keys(&own, &city, "home"), keys(&own, &city, "north"));
     let unknown = keys(&other, &stranger, "home");
-    let lanes = Rc::new(PriorityExecutor::default());
+    let executor = Rc::new(PriorityExecutor::default());
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr: SocketAddr = listener.local_addr().unwrap();
     let serve = http::serve(
-        lanes.clone(),
+        executor.clone(),
         listener,
         north,
         8,
@@ -59,10 +59,10 @@
             }
         },
     );
-    lanes.spawn_high(serve).detach();
-    async_io::block_on(lanes.run(async {
+    executor.spawn_high(serve).detach();
+    async_io::block_on(executor.run(async {
         let call = async |keys: &RefCell<Followed>, name: &str, bytes: usize| {
-            http::call(keys, addr, name, "/x", vec![b'x'; bytes], LIMIT, 10_000).await
+            http::call(keys, addr, name, "/x", vec![b'x'; bytes], TIMEOUT, 10_000).await
         };
         let answer = call(&home, "north", 900).await.unwrap();
         assert_eq!(
@@ -71,12 +71,12 @@
         );
         let large = call(&home, "north", 2_000).await.unwrap();
         assert_eq!(large.status, 400);
-        // Not the one that was called.
+        // The server's certificate is for another name.
         assert!(matches!(
             call(&home, "south", 1).await,
             Err(CallError::NotSent(_))
         ));
-        // It trusts another authority, and so does the server.
+        // Neither side trusts the authority of the other.
         assert!(call(&unknown, "north", 1).await.is_err());
     }));
     let _ = std::fs::remove_dir_all(&dir);
