--- a/crates/tls/src/http.rs
+++ b/crates/tls/src/http.rs
@@ -106,9 +106,9 @@
     let exchange = exchange(stream, request, max_response_bytes as u64 + 1);
     match within(timeout, exchange).await {
         // Callers pace themselves: they follow no Retry-After.
-        Some(Ok((answer, _))) => Ok(Answer {
+        Some(Ok(received)) => Ok(Answer {
             retry_after_s: None,
-            ..answer
+            ..received.answer
         }),
         Some(Err(e)) => Err(CallError::NoAnswer(e.to_string())),
         None => Err(CallError::TooLong),
--- a/crates/transport/src/client.rs
+++ b/crates/transport/src/client.rs
@@ -44,6 +44,15 @@
     pub body: Vec<u8>,
 }
 
+/// A response with what it means for its connection.
+#[derive(Debug)]
+pub struct ReceivedAnswer {
+    /// The response.
+    pub answer: Answer,
+    /// The other side closes the connection.
+    pub close: bool,
+}
+
 /// An HTTP client that reuses connections.
 pub struct Client {
     pool: ConnectionPool,
@@ -92,7 +101,7 @@
         }
         let exchange = exchange(stream.clone(), request, MAX_RESPONSE_BYTES);
         match within(remaining, exchange).await {
-            Some(Ok((answer, close))) => {
+            Some(Ok(ReceivedAnswer { answer, close })) => {
                 if !close {
                     self.pool.put(addr, stream);
                 }
@@ -138,13 +147,12 @@
 }
 
 /// Sends a request over an open connection and receives the response, whose
-/// body is cut off after `max_response_bytes`. The flag says whether the other
-/// side closes the connection.
+/// body is cut off after `max_response_bytes`.
 pub async fn exchange(
     stream: impl ByteStream,
     request: Request,
     max_response_bytes: u64,
-) -> http_types::Result<(Answer, bool)> {
+) -> http_types::Result<ReceivedAnswer> {
     let mut response = client::connect(stream, request).await?;
     let close = response
         .header("connection")
@@ -163,7 +171,7 @@
         retry_after_s,
         body,
     };
-    Ok((answer, close))
+    Ok(ReceivedAnswer { answer, close })
 }
 
 #[cfg(test)]
