--- a/crates/lab/src/hosts.rs
+++ b/crates/lab/src/hosts.rs
@@ -95,7 +95,7 @@
         wait_until: Cell::new(0),
     });
     let (shared, own) = (lab.clone(), hosted.clone());
-    let direct_orders = lab.lanes.spawn(async move {
+    let direct_orders = lab.executor.spawn_high(async move {
         let Some(listener) = listener else {
             return Ok(());
         };
@@ -104,9 +104,9 @@
             others: DIRECT_CONNECTIONS,
             first: "/do",
         };
-        let lanes = shared.lanes.clone();
+        let executor = shared.executor.clone();
         let handle = move |request| direct(shared.clone(), own.clone(), request);
-        server::serve_on(lanes, listener, limits, handle).await
+        server::serve_on(executor, listener, limits, handle).await
     });
     Running {
         hosted,
@@ -156,9 +156,9 @@
     }
     hosted.in_flight.set(true);
     let (lab, own) = (lab.clone(), hosted.clone());
-    let lanes = lab.lanes.clone();
-    lanes
-        .spawn(async move {
+    let executor = lab.executor.clone();
+    executor
+        .spawn_high(async move {
             let pause = report(&lab, &own).await;
             own.wait_until.set(lab.now() + pause);
             own.in_flight.set(false);
--- a/crates/lab/src/markets.rs
+++ b/crates/lab/src/markets.rs
@@ -137,14 +137,14 @@
         }
     };
     let serve = http::serve(
-        lab.lanes.clone(),
+        lab.executor.clone(),
         market.listener,
         Rc::new(RefCell::new(market.keys)),
         CONNECTIONS,
         MAX_BODY,
         answer,
     );
-    lab.lanes.spawn(serve).detach();
+    lab.executor.spawn_high(serve).detach();
     loop {
         let list = sim.borrow_mut().step(lab.now(), STEP);
         did(&lab, name, list);
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -43,7 +43,7 @@
         ended: Cell::new(0),
         plan,
     };
-    async_io::block_on(lab.lanes.run(async {
+    async_io::block_on(lab.executor.run(async {
         base.serve();
         let measured = run.measure();
         let faulty = async {
@@ -119,8 +119,8 @@
         self.lab.depot.borrow_mut().take_starts();
         self.users.begin();
         self.lab
-            .lanes
-            .spawn(note_starts(self.users.clone(), self.lab.clone()))
+            .executor
+            .spawn_high(note_starts(self.users.clone(), self.lab.clone()))
             .detach();
         self.warm_up().await?;
         let counters = self.counters().await;
--- a/crates/lab/src/scale/users.rs
+++ b/crates/lab/src/scale/users.rs
@@ -135,7 +135,7 @@
                 users.submit_initial(class).await;
                 users.arrive(class).await;
             };
-            self.lab.lanes.spawn_second(arrivals).detach();
+            self.lab.executor.spawn_low(arrivals).detach();
         }
     }
 
@@ -178,7 +178,7 @@
         self.figures.borrow_mut().classes[class].submitted += 1;
         let users = self.clone();
         let user = async move { users.follow(class, spec).await };
-        self.lab.lanes.spawn_second(user).detach();
+        self.lab.executor.spawn_low(user).detach();
     }
 
     /// One user's part: submits until that is accepted, then polls.
@@ -214,7 +214,7 @@
         }
         self.look_closely(&spec.id);
         if self.is_to_be_withdrawn() {
-            self.withdraw(&spec.id).await;
+            self.cancel(&spec.id).await;
         }
         self.poll_until_over(class, &spec).await;
     }
@@ -225,8 +225,8 @@
         share > 0.0 && self.rng.borrow_mut().f64() < share
     }
 
-    /// Withdraws a job some time after it was accepted.
-    async fn withdraw(self: &Rc<Self>, id: &str) {
+    /// Cancels a job some time after it was accepted.
+    async fn cancel(self: &Rc<Self>, id: &str) {
         let after = MOST_BEFORE_WITHDRAWAL_S * self.rng.borrow_mut().f64();
         Timer::after(Duration::from_secs_f64(after)).await;
         self.history.borrow_mut().asked_to_withdraw(id);
@@ -260,7 +260,7 @@
                     let answer = answer.await;
                     users.note_answer(&id, &at.name, asked, answer.as_ref());
                 };
-                self.lab.lanes.spawn_second(look).detach();
+                self.lab.executor.spawn_low(look).detach();
             }
         }
     }
--- a/crates/lab/src/up.rs
+++ b/crates/lab/src/up.rs
@@ -69,13 +69,13 @@
         markets: Vec::new(),
         dir,
     };
-    async_io::block_on(lab.lanes.run(async {
+    async_io::block_on(lab.executor.run(async {
         base.serve();
         for (number, market) in made.into_iter().flat_map(|m| m.markets).enumerate() {
             let named = (market.name.to_owned(), market.addr);
             addresses.markets.push(named);
             let run = markets::run(lab.clone(), market, number as u64);
-            lab.lanes.spawn(run).detach();
+            lab.executor.spawn_high(run).detach();
         }
         let stands = async {
             until_ready(&lab).await;
--- a/crates/market/tests/random_histories.rs
+++ b/crates/market/tests/random_histories.rs
@@ -67,10 +67,10 @@
         .ok()
         .and_then(|s| s.parse().ok())
         .unwrap_or(20);
-    let lanes = std::thread::available_parallelism().map_or(1, |n| n.get() as u64);
+    let executor = std::thread::available_parallelism().map_or(1, |n| n.get() as u64);
     let lane = |first: u64| {
         let (mut accepted, mut jobs, mut calls) = (0, 0, 0);
-        for seed in (first..seeds).step_by(lanes as usize) {
+        for seed in (first..seeds).step_by(executor as usize) {
             let w = night(seed, 500);
             assert_eq!(w.check(), Vec::<String>::new(), "seed {seed}");
             accepted += w.markets.iter().map(|m| m.accepted).sum::<u64>();
@@ -81,7 +81,7 @@
     };
     let (mut accepted, mut jobs, mut calls) = (0, 0, 0);
     std::thread::scope(|s| {
-        let threads: Vec<_> = (0..lanes).map(|n| s.spawn(move || lane(n))).collect();
+        let threads: Vec<_> = (0..executor).map(|n| s.spawn(move || lane(n))).collect();
         for t in threads {
             let (a, j, c) = t.join().expect("a night went wrong, see above");
             (accepted, jobs, calls) = (accepted + a, jobs + j, calls + c);
--- a/src/command.rs
+++ b/src/command.rs
@@ -12,7 +12,7 @@
     },
     server,
 };
-use pathwinch_client::{Client, Failure, retry::Rules};
+use pathwinch_client::{Client, Failure, retry::RetryPolicy};
 use std::{
     ffi::OsString,
     io::{Read, Write},
@@ -163,7 +163,7 @@
             })?;
             nodes.push(addr);
         }
-        Ok(Client::new(nodes, Rules::default()))
+        Ok(Client::new(nodes, RetryPolicy::default()))
     }
 
     fn line(&self, status: &JobStatus) -> String {
@@ -251,7 +251,7 @@
         }
         Command::Abort { job, users } => {
             let client = users.client()?;
-            Ok(users.line(&async_io::block_on(client.withdraw(job))?))
+            Ok(users.line(&async_io::block_on(client.cancel(job))?))
         }
         _ => Ok(String::new()),
     }
--- a/src/server/audit_log.rs
+++ b/src/server/audit_log.rs
@@ -9,7 +9,7 @@
         requests::{Answer, Provenance},
     },
     protocol::users::JobState,
-    state::{Millis, bounded_cache::Recent, rate_limit::Budget},
+    state::{Millis, bounded_cache::Recent, rate_limit::TokenBucket},
 };
 use std::cell::{Cell, RefCell};
 
@@ -22,7 +22,7 @@
 const ORDERS_EVERY: Millis = 1_000;
 
 pub(super) struct AuditLog {
-    lines: RefCell<Budget>,
+    lines: RefCell<TokenBucket>,
     last_answers: RefCell<Recent<Box<str>, JobState>>,
     orders: Cell<CommandCounts>,
 }
@@ -38,7 +38,7 @@
 impl Default for AuditLog {
     fn default() -> Self {
         AuditLog {
-            lines: RefCell::new(Budget::new(LINES_PER_S, BURST_S)),
+            lines: RefCell::new(TokenBucket::new(LINES_PER_S, BURST_S)),
             last_answers: RefCell::new(Recent::new(MAX_REMEMBERED_ANSWERS)),
             orders: Cell::default(),
         }
--- a/src/server/control_loop.rs
+++ b/src/server/control_loop.rs
@@ -65,13 +65,19 @@
         node.metrics.borrow().control_round(round);
         node.update_standbys(term);
         for d in directs {
-            node.lanes.spawn(node.clone().direct(term, d)).detach();
+            node.executor
+                .spawn_high(node.clone().direct(term, d))
+                .detach();
         }
         for op in ops {
-            node.lanes.spawn(node.clone().cloud_op(term, op)).detach();
+            node.executor
+                .spawn_high(node.clone().cloud_op(term, op))
+                .detach();
         }
         if list && !node.list_in_flight.replace(true) {
-            node.lanes.spawn(node.clone().list_machines(term)).detach();
+            node.executor
+                .spawn_high(node.clone().list_machines(term))
+                .detach();
         }
         if !node.lookup_in_flight.get() {
             let ids = node
@@ -79,8 +85,8 @@
                 .unwrap_or_default();
             if !ids.is_empty() {
                 node.lookup_in_flight.set(true);
-                node.lanes
-                    .spawn(node.clone().look_up_dependencies(term, ids))
+                node.executor
+                    .spawn_high(node.clone().look_up_dependencies(term, ids))
                     .detach();
             }
         }
@@ -93,8 +99,8 @@
                 let plan = node.acting(|l, _| l.plan_writes(room)).flatten();
                 if let Some(plan) = plan {
                     node.write_in_flight.set(true);
-                    node.lanes
-                        .spawn(node.clone().apply_writes(term, plan))
+                    node.executor
+                        .spawn_high(node.clone().apply_writes(term, plan))
                         .detach();
                 }
             }
@@ -163,7 +169,7 @@
                 Timer::after(Duration::from_millis(500)).await;
                 node.of_term(term, |l, _| l.requeue_dependency_lookups(again));
             };
-            self.lanes.spawn(later).detach();
+            self.executor.spawn_high(later).detach();
         }
         self.lookup_in_flight.set(false);
     }
--- a/src/server/leadership/mod.rs
+++ b/src/server/leadership/mod.rs
@@ -85,8 +85,8 @@
         self.metrics.borrow().stepped_down(why.text());
         // Nothing is done under it any more, so the key may go at once.
         let node = self.clone();
-        self.lanes
-            .spawn(async move {
+        self.executor
+            .spawn_high(async move {
                 node.end_lease(lead.lease, PROBE_TIMEOUT).await;
             })
             .detach();
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -29,7 +29,7 @@
     state::{
         Millis,
         rate_limit::{
-            Budget,
+            TokenBucket,
             share::{self, Role},
         },
         records::StandbyRecord,
@@ -37,7 +37,7 @@
     transport::{
         client::Client,
         frames::{self, PeerClient},
-        priority_executor::Lanes,
+        priority_executor::PriorityExecutor,
         server::{self, HttpRequest, HttpResponse},
     },
 };
@@ -56,7 +56,7 @@
 pub struct Node {
     settings: Rc<Settings>,
     options: Options,
-    lanes: Rc<Lanes>,
+    executor: Rc<PriorityExecutor>,
     start: Instant,
     http: Client,
     peers: PeerClient,
@@ -68,9 +68,9 @@
     replica_receiver: RefCell<ReplicaReceiver>,
     /// The record of standbys, as read since nobody leads.
     last_standby_record: RefCell<Option<StandbyRecord>>,
-    state_requests: RefCell<Budget>,
-    state_writes: RefCell<Budget>,
-    cloud_requests: RefCell<Budget>,
+    state_requests: RefCell<TokenBucket>,
+    state_writes: RefCell<TokenBucket>,
+    cloud_requests: RefCell<TokenBucket>,
     machine_types: RefCell<Vec<MachineType>>,
     /// When the state service last answered.
     state_answered_at: Cell<Option<Millis>>,
@@ -99,7 +99,7 @@
 }
 
 pub fn run(settings: Settings, options: Options) -> Result<()> {
-    let lanes = Rc::new(Lanes::default());
+    let executor = Rc::new(PriorityExecutor::default());
     let mut limits = settings.cluster.clone();
     limits.state = limits.state.always();
     let sockets = limits.quota.max_connections;
@@ -116,7 +116,7 @@
         )),
         settings: Rc::new(settings),
         options,
-        lanes: lanes.clone(),
+        executor: executor.clone(),
         start: Instant::now(),
         // Of the sockets, 5/8 are for those who call and 1/8 for other
         // controllers; what is left must also do for calls under way.
@@ -127,15 +127,15 @@
         leader: RefCell::new(None),
         replica_receiver: RefCell::default(),
         last_standby_record: RefCell::default(),
-        state_requests: RefCell::new(Budget::new(
+        state_requests: RefCell::new(TokenBucket::new(
             limits.state.rps * share::of_requests(Role::Leaderless, nodes),
             BURST_S,
         )),
-        state_writes: RefCell::new(Budget::new(
+        state_writes: RefCell::new(TokenBucket::new(
             limits.state.write_rps * share::of_changes(Role::Leaderless, nodes),
             BURST_S,
         )),
-        cloud_requests: RefCell::new(Budget::new(limits.cloud.rps * 0.8, 1.0)),
+        cloud_requests: RefCell::new(TokenBucket::new(limits.cloud.rps * 0.8, 1.0)),
         machine_types: RefCell::new(Vec::new()),
         state_answered_at: Cell::new(None),
         renewals_failing: Cell::new(false),
@@ -155,20 +155,22 @@
         audit_log: audit_log::AuditLog::default(),
         wake: async_channel::bounded(1),
     });
-    async_io::block_on(lanes.run(async {
-        lanes.spawn(leadership::run(node.clone())).detach();
-        lanes.spawn(control_loop::run(node.clone())).detach();
-        lanes.spawn(cloud::types(node.clone())).detach();
-        lanes.spawn(peers::watch(node.clone())).detach();
-        lanes.spawn(exclusions::run(node.clone())).detach();
-        lanes.spawn(upgrade::run(node.clone())).detach();
-        lanes.spawn_second(polls::ask_leader(node.clone())).detach();
-        lanes
-            .spawn_second(polls::ask_records(node.clone()))
+    async_io::block_on(executor.run(async {
+        executor.spawn_high(leadership::run(node.clone())).detach();
+        executor
+            .spawn_high(control_loop::run(node.clone()))
+            .detach();
+        executor.spawn_high(cloud::types(node.clone())).detach();
+        executor.spawn_high(peers::watch(node.clone())).detach();
+        executor.spawn_high(exclusions::run(node.clone())).detach();
+        executor.spawn_high(upgrade::run(node.clone())).detach();
+        executor.spawn_low(polls::ask_leader(node.clone())).detach();
+        executor
+            .spawn_low(polls::ask_records(node.clone()))
             .detach();
         let n = node.clone();
-        let back = lanes.spawn(frames::serve(
-            lanes.clone(),
+        let back = executor.spawn_high(frames::serve(
+            executor.clone(),
             node.settings.peer_listen,
             sockets / 8,
             move |request| n.clone().peer(request),
@@ -180,8 +182,8 @@
             others: users,
             first: HEARTBEAT_PATH,
         };
-        let listen = lanes.spawn(server::serve(
-            lanes.clone(),
+        let listen = executor.spawn_high(server::serve(
+            executor.clone(),
             node.settings.listen,
             limits,
             move |request| n.clone().http(request),
--- a/src/server/standby.rs
+++ b/src/server/standby.rs
@@ -24,8 +24,8 @@
             l.update_standbys(|p| failure_detector.is_healthy(p, now), now)
         });
         if let Some(txn) = due.flatten() {
-            self.lanes
-                .spawn(self.clone().write_standbys(term, txn))
+            self.executor
+                .spawn_high(self.clone().write_standbys(term, txn))
                 .detach();
         }
         let peers = self.of_term(term, |l, _| l.standby_peers());
@@ -33,7 +33,7 @@
             let part = self.of_term(term, |l, _| l.next_replication_part(peer, now));
             if let Some(part) = part.flatten() {
                 let told = self.clone().send_replication_part(term, peer, part);
-                self.lanes.spawn(told).detach();
+                self.executor.spawn_high(told).detach();
             }
         }
     }
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -51,7 +51,7 @@
     state::{
         Millis,
         cluster::DIRECT_COMMAND_TIMEOUT_MS,
-        rate_limit::Budget,
+        rate_limit::TokenBucket,
         records::{self, FinalRecord, LEADER, MachineRecord, StoredJob, TaskBitmap},
         spec_chunks::SPEC_CHUNKS,
     },
@@ -306,7 +306,7 @@
     pub desk: Desk,
     /// What nodes may still change, where that is limited, and how much a
     /// second.
-    budgets: Vec<Budget>,
+    budgets: Vec<TokenBucket>,
     change_rate: f64,
     /// Tasks that started after a user was told that their job is cancelled.
     pub started_after: u32,
