--- a/crates/protocol/src/market.rs
+++ b/crates/protocol/src/market.rs
@@ -13,9 +13,11 @@
 /// A waiting job that could be offloaded.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Lendable {
+    /// The job, without its dependencies: all of them are done.
     pub spec: JobSpec,
     /// Finished tasks, as sorted ranges with both ends.
     pub done: Vec<(u32, u32)>,
+    /// Milliseconds since its acceptance.
     pub waited_ms: u64,
     /// Until its deadline; below zero: passed.
     pub left_ms: Option<i64>,
@@ -30,7 +32,9 @@
 /// Whether a job is marked as offloaded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Marked {
+    /// Its record says that it is offloaded to this award.
     Yes,
+    /// It is not, and will not be for this award.
     No,
     /// To be asked again.
     NotYet,
--- a/crates/protocol/src/peers.rs
+++ b/crates/protocol/src/peers.rs
@@ -12,57 +12,93 @@
 /// A forwarded body is at most 64 KiB; the rest is framing.
 pub const MAX_FRAME: usize = 96 * 1024;
 
+/// What is sent in a length-prefixed frame.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Frame<T> {
+    /// `VERSION` of the sender.
     pub v: u16,
+    /// The request or the reply.
     pub body: T,
 }
 
+/// What one controller, broker or operator asks of a controller.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Request {
     /// A user's request, passed on to the leader.
     Forward {
+        /// HTTP method.
         method: String,
+        /// HTTP path.
         path: String,
+        /// HTTP body, at most 64 KiB.
         body: Vec<u8>,
     },
     /// Polls of users, as many as wait: how do these jobs stand?
-    Polls { ids: Vec<String> },
+    Polls {
+        /// The jobs, each once.
+        ids: Vec<String>,
+    },
     /// The leader of `term` can't reach the state service: will the peer
     /// refrain from seeking leadership for `for_ms`?
     Promise {
+        /// The leader's term.
         term: u64,
+        /// The leader's name.
         leader: String,
+        /// For how many milliseconds.
         for_ms: u64,
     },
     /// Is anybody there? The leader has not heard these machines for a
     /// while: their reports are to be relayed for `for_ms` if they come.
-    Unheard { machines: Vec<String>, for_ms: u64 },
+    Unheard {
+        /// Names of the machines; none for a mere probe.
+        machines: Vec<String>,
+        /// For how many milliseconds.
+        for_ms: u64,
+    },
     /// The leader's cluster state, or what changed of it, for a standby to keep.
     Follow(Follow),
     /// The leader of `term` has stopped acting, its key may be replaced.
-    Resigned { term: u64 },
+    Resigned {
+        /// The term that is over.
+        term: u64,
+    },
     /// An operator asks any node how things stand.
     Status,
     /// The same among controllers: only the leader answers.
     LeaderStatus,
     /// An operator asks about one job. `forwarded`: on their behalf.
-    Explain { id: String, forwarded: bool },
+    Explain {
+        /// The job.
+        id: String,
+        /// By a controller that does not lead.
+        forwarded: bool,
+    },
     /// A broker asks the leader what could be offloaded, and which of the jobs that
     /// it has out (with their awards) are not needed any more.
-    Lendable { lent: Vec<(String, u64)> },
+    Lendable {
+        /// Ids of offloaded jobs, each with its award.
+        lent: Vec<(String, u64)>,
+    },
     /// The job is to be marked as offloaded, if the award's record has this
     /// version.
     Lend {
+        /// The job.
         id: String,
+        /// The award.
         award: u64,
+        /// To which market.
         market: String,
+        /// Of the award's record, on which the mark's write is conditional.
         version: u64,
     },
     /// The award is over: these tasks are done, the mark is to be lifted.
     TakeBack {
+        /// The job.
         id: String,
+        /// The award that has ended.
         award: u64,
+        /// Finished tasks, as sorted ranges with both ends.
         done: Vec<(u32, u32)>,
     },
 }
@@ -71,6 +107,7 @@
 /// or may be, on machines.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Follow {
+    /// The leader's term.
     pub term: u64,
     /// Later streams replace earlier ones; each begins with everything.
     pub stream: u64,
@@ -81,12 +118,14 @@
     pub whole: bool,
     /// The leader counts on this standby, as far as it knows.
     pub named: bool,
+    /// Machines of which the content is told, each whole.
     pub machines: Vec<MachineHolds>,
 }
 
 /// All that is, or may be, on a machine.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MachineHolds {
+    /// The machine's name.
     #[serde(rename = "m")]
     pub machine: String,
     /// By job.
@@ -108,11 +147,13 @@
     pub Seen,
 );
 
+/// See `Seen`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(into = "u8", try_from = "u8")]
 pub enum Seen {
     /// It may be there, or come to be there.
     Sent,
+    /// Running, as last reported.
     Running,
     /// It has completed, which may not be recorded yet.
     Done,
@@ -147,11 +188,16 @@
     }
 }
 
+/// The answer to a `Request`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Reply {
+    /// The leader's HTTP response to a forwarded request.
     Forwarded {
+        /// HTTP status.
         status: u16,
+        /// `Retry-After`, in seconds.
         retry_after_s: Option<u32>,
+        /// HTTP body.
         body: Vec<u8>,
     },
     /// In the order of the ids asked about: state, tasks done and running.
@@ -160,12 +206,16 @@
     /// Who keeps the copy, and whether the part was taken in. If not, the
     /// stream has to begin anew.
     Followed {
+        /// Of the standby's process.
         incarnation: u64,
+        /// The part was applied.
         taken: bool,
     },
     /// Not the leader.
     NotLeader,
+    /// The answer to a request for a promise.
     Promise {
+        /// The promise is given.
         granted: bool,
         /// The peer's own requests to the state service succeed.
         state_ok: bool,
@@ -175,17 +225,25 @@
         #[serde(default, skip_serializing_if = "Option::is_none")]
         running_ms: Option<u64>,
     },
+    /// Nothing more to say.
     Ok,
     /// Name and term of the leader, as far as this node knows.
     Greeted {
+        /// `None`: it knows of none.
         leader: Option<(String, u64)>,
     },
+    /// To `Status` and `LeaderStatus`.
     Status(Box<Status>),
+    /// To `Explain`.
     Explained(Explanation),
+    /// To `Lendable`.
     Lendable {
+        /// Jobs that could be offloaded.
         jobs: Vec<Lendable>,
+        /// Offloaded jobs that are to be called back.
         recall: Vec<String>,
     },
+    /// To `Lend`.
     Lent(Marked),
     /// Whether that is durable.
     TakenBack(bool),
--- a/crates/protocol/src/settings.rs
+++ b/crates/protocol/src/settings.rs
@@ -9,62 +9,88 @@
 /// A job's end is two changes, and an acceptance with its notice.
 pub const LEAST_TXN_OPS: usize = 2;
 
+/// The whole file.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct Settings {
+    /// Name of this controller.
     #[serde(rename = "host_name")]
     pub name: String,
+    /// Zone in which it runs.
     #[serde(rename = "area")]
     pub zone: String,
+    /// Address for users and workers.
     pub listen: SocketAddr,
+    /// Address for controllers, brokers and operators.
     #[serde(rename = "back")]
     pub peer_listen: SocketAddr,
+    /// The other controllers.
     #[serde(rename = "known", default)]
     pub peers: Vec<Peer>,
+    /// Where the outside services are.
     #[serde(rename = "outside")]
     pub services: Services,
+    /// What is the same for all controllers.
     pub cluster: Cluster,
 }
 
+/// Another controller.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct Peer {
+    /// Its name.
     #[serde(rename = "host_name")]
     pub name: String,
     /// Where it stands, if that is told.
     #[serde(rename = "area", default)]
     pub zone: String,
+    /// Its address for controllers.
     #[serde(rename = "endpoint")]
     pub addr: SocketAddr,
 }
 
+/// Addresses of the outside services.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct Services {
+    /// The cloud's API.
     pub cloud: SocketAddr,
+    /// The state service.
     pub state: SocketAddr,
 }
 
+/// What is the same for all controllers.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct Cluster {
+    /// Names of all zones.
     pub zones: Vec<String>,
+    /// All teams, with quotas.
     pub teams: Vec<Team>,
+    /// Service-level objectives.
     #[serde(default)]
     pub objectives: Vec<Objective>,
+    /// Times that workers keep.
     pub workers: Workers,
+    /// Limits of the state service.
     pub state: StateLimits,
+    /// Limits of the cloud's API.
     pub cloud: CloudLimits,
+    /// Limits of this process.
     pub quota: Quota,
 }
 
+/// A team, with its guarantee and limit.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct Team {
+    /// Its name in jobs.
     pub name: String,
     /// Guaranteed amounts; 0 is no guarantee.
     #[serde(default)]
     pub cpus: f64,
+    /// Guaranteed GPUs; 0 is no guarantee.
     #[serde(default)]
     pub gpus: f64,
     /// Limits; 0 is no limit for that resource.
     #[serde(default)]
     pub cpus_max: f64,
+    /// Limit in GPUs; 0 is no limit.
     #[serde(default)]
     pub gpus_max: f64,
 }
@@ -73,9 +99,12 @@
 /// matter to scheduling.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct Objective {
+    /// What is aimed at: `wait`, `guarantee`, `deadline` and others.
     pub kind: String,
+    /// The class of jobs that it is for.
     #[serde(default)]
     pub class: Option<String>,
+    /// Within how many seconds.
     #[serde(default)]
     pub within_s: Option<f64>,
     /// For deadlines: by how many times the deadline.
@@ -83,20 +112,31 @@
     pub times: Option<f64>,
 }
 
+/// Times that workers keep, in seconds.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct Workers {
+    /// Between two heartbeats.
     pub report_s: f64,
+    /// A worker without an answer for so long ends its tasks.
     pub lease_s: f64,
+    /// So long a gang's task waits for the others.
     pub gang_wait_s: f64,
+    /// Within this time a gang notices that a task of it is lost.
     pub gang_peer_s: f64,
+    /// Within this time all tasks of a cancelled job must be gone.
     pub cancel_s: f64,
 }
 
+/// Limits of the state service, for all controllers together.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct StateLimits {
+    /// Requests a second.
     pub rps: f64,
+    /// Puts and deletes a second.
     pub write_rps: f64,
+    /// KiB of a value.
     pub value_kb: f64,
+    /// Puts and deletes of a transaction.
     pub txn_ops: usize,
     /// What some of them will be from some moment on, without notice.
     #[serde(default)]
@@ -106,12 +146,16 @@
 /// Limits to come; one that is absent stays.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Deserialize, Serialize)]
 pub struct NextLimits {
+    /// Requests a second.
     #[serde(default)]
     pub rps: Option<f64>,
+    /// Puts and deletes a second.
     #[serde(default)]
     pub write_rps: Option<f64>,
+    /// KiB of a value.
     #[serde(default)]
     pub value_kb: Option<f64>,
+    /// Puts and deletes of a transaction.
     #[serde(default)]
     pub txn_ops: Option<usize>,
 }
@@ -132,25 +176,32 @@
     }
 }
 
+/// Limits of the cloud's API.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct CloudLimits {
+    /// Requests a second, for all controllers together.
     pub rps: f64,
+    /// Usual age of the machine list, in seconds; it may be twice that.
     pub list_lag_s: f64,
 }
 
+/// Limits of this process.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct Quota {
+    /// Open sockets.
     #[serde(rename = "max_sockets")]
     pub max_connections: usize,
 }
 
 impl Settings {
+    /// Reads and checks the file.
     pub fn load(path: &Path) -> Result<Self> {
         let text = std::fs::read_to_string(path)
             .with_context(|| format!("cannot read settings file {}", path.display()))?;
         Self::parse(&text).with_context(|| format!("settings file {}", path.display()))
     }
 
+    /// Reads and checks the text of a file. Errors name the field.
     pub fn parse(text: &str) -> Result<Self> {
         let settings: Settings = serde_json::from_str(text)?;
         settings.check()?;
--- a/crates/protocol/src/status.rs
+++ b/crates/protocol/src/status.rs
@@ -38,6 +38,7 @@
 }
 
 impl Reason {
+    /// As operators read it.
     pub fn text(self) -> &'static str {
         match self {
             Reason::New => "not looked at yet",
@@ -56,47 +57,72 @@
     }
 }
 
+/// How a job stands to its deadline.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Due {
+    /// No sign that it will miss it.
     InTime,
     /// Waiting tasks would be late even if they started now.
     AtRisk,
+    /// It has missed it.
     Late,
 }
 
 /// Jobs of one class and team.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Group {
+    /// The class.
     pub class: String,
+    /// The team.
     pub team: String,
+    /// Tasks that wait.
     pub waiting: u32,
+    /// Tasks that run.
     pub running: u32,
+    /// Age of the job that waits longest, in seconds.
     pub oldest_wait_s: f64,
     /// Waiting tasks by reason.
     pub reasons: Vec<(Reason, u32)>,
+    /// Jobs past their deadline.
     pub late_jobs: u32,
+    /// Jobs that are going to miss it.
     pub at_risk_jobs: u32,
 }
 
+/// What a team uses of its quota.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct TeamUse {
+    /// The team.
     pub name: String,
+    /// CPUs in use.
     pub cpus: f64,
+    /// GPUs in use.
     pub gpus: f64,
+    /// Guaranteed CPUs.
     pub cpus_guaranteed: f64,
+    /// Guaranteed GPUs.
     pub gpus_guaranteed: f64,
+    /// Limit in CPUs; 0 is none.
     pub cpus_max: f64,
+    /// Limit in GPUs; 0 is none.
     pub gpus_max: f64,
 }
 
+/// Machines of one type, zone and kind.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Fleet {
+    /// The type.
     pub type_name: String,
+    /// The zone.
     pub zone: String,
+    /// Spot machines.
     pub spot: bool,
+    /// Machines that are up.
     pub up: u32,
+    /// Machines that are not up yet.
     pub booting: u32,
+    /// Machines that are being released.
     pub leaving: u32,
     /// Share of the scarcest resource that is taken, on machines that are up.
     pub load: f64,
@@ -105,21 +131,29 @@
 /// A machine that is not in order.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Trouble {
+    /// The machine.
     pub machine: String,
+    /// What is the matter.
     pub why: String,
 }
 
+/// A task that failed lately.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Failure {
+    /// The task.
     pub task: String,
+    /// Where it failed.
     pub machine: String,
+    /// Its exit reason.
     pub why: String,
+    /// How many seconds ago.
     pub ago_s: f64,
 }
 
 /// A node that is to take over without hearing every machine.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct StandbyStatus {
+    /// The standby's name.
     pub node: String,
     /// It is recorded, and knows all that was started.
     pub warm: bool,
@@ -131,16 +165,26 @@
     pub why_not: Option<String>,
 }
 
+/// The leader's view of the cluster.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Picture {
+    /// The leader's term.
     pub term: u64,
+    /// For how many seconds it has led.
     pub since_s: f64,
+    /// Every machine was heard from, or its lease has expired.
     pub settled: bool,
+    /// Unfinished jobs.
     pub jobs: u32,
+    /// Jobs by class and team.
     pub groups: Vec<Group>,
+    /// Quotas and their use.
     pub teams: Vec<TeamUse>,
+    /// Machines by kind.
     pub fleet: Vec<Fleet>,
+    /// Machines that are not in order.
     pub troubles: Vec<Trouble>,
+    /// Tasks that failed lately, the latest first.
     pub failures: Vec<Failure>,
     /// Jobs with each neighbouring market, or on their way.
     #[serde(default)]
@@ -153,6 +197,7 @@
     pub took_over: String,
 }
 
+/// The answer to an operator who asks how things stand.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Status {
     /// Who answers.
@@ -161,6 +206,7 @@
     pub leader: Option<String>,
     /// How old the cluster state is.
     pub age_s: f64,
+    /// What the leader last said.
     pub picture: Option<Picture>,
     /// Controllers with the versions that they were seen to run; none: from
     /// before versions were told.
@@ -174,22 +220,35 @@
     pub stopped: Option<(String, f64)>,
 }
 
+/// One unfinished job.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Explained {
+    /// The job's id.
     pub id: String,
+    /// Its class.
     pub class: String,
+    /// Its team.
     pub team: String,
+    /// Its state.
     pub state: String,
+    /// Its number of tasks.
     pub tasks: u32,
+    /// Tasks that are done.
     pub done: u32,
+    /// Tasks that run.
     pub running: u32,
+    /// Tasks that wait.
     pub waiting: u32,
+    /// Seconds since its acceptance.
     pub age_s: f64,
+    /// Why tasks of it wait.
     pub reason: Option<Reason>,
     /// What is held against it, if anything.
     #[serde(default)]
     pub verdict: Option<String>,
+    /// How it stands to its deadline.
     pub due: Option<Due>,
+    /// Its deadline, in seconds after its submission.
     pub deadline_s: Option<f64>,
     /// Its tasks on machines: task, machine, phase.
     pub places: Vec<(u32, String, String)>,
@@ -205,14 +264,19 @@
     pub needs_all: u32,
 }
 
+/// The answer to an operator who asks about one job.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Explanation {
+    /// It is unfinished.
     Job(Box<Explained>),
     /// Over: its final state and finished tasks.
     Over {
+        /// Its final state.
         state: String,
+        /// Tasks that were done.
         done: u32,
     },
+    /// It was never accepted.
     NoSuchJob,
     /// Nobody who would know can be asked now.
     Unknown(String),
@@ -266,6 +330,7 @@
         });
     }
 
+    /// As operators read it.
     pub fn text(&self) -> String {
         let leader = self.leader.as_deref().unwrap_or("nobody");
         let mut out = format!("asked {}; {leader} leads", self.node);
@@ -359,6 +424,7 @@
 }
 
 impl Explained {
+    /// As operators read it.
     pub fn text(&self) -> String {
         let mut out = format!(
             "{} ({}, {}): {}, {} of {} tasks done, {} running, {} waiting; {:.0} s old\n",
--- a/crates/protocol/src/users.rs
+++ b/crates/protocol/src/users.rs
@@ -3,14 +3,19 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
+/// Tasks that a job may have.
 pub const MAX_TASKS: u32 = 100_000;
 
+/// How the tasks of a job belong together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Kind {
+    /// A job array: independent tasks, each runs to completion.
     #[serde(rename = "array")]
     Array,
+    /// Gang scheduling: all tasks run at the same time, or none.
     #[serde(rename = "gang")]
     Gang,
+    /// Replicas that run until the job is cancelled.
     #[serde(rename = "standing")]
     Service,
 }
@@ -18,12 +23,16 @@
 /// Ordered by rank: a greater one may preempt a lesser one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Priority {
+    /// The lowest.
     #[serde(rename = "idle")]
     Low,
+    /// Between low and high.
     #[serde(rename = "normal")]
     Normal,
+    /// Below production.
     #[serde(rename = "urgent")]
     High,
+    /// The highest.
     #[serde(rename = "prod")]
     Production,
 }
@@ -31,42 +40,62 @@
 /// A job as submitted; also the form in which its record keeps it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
+    /// Chosen by the user; the key of idempotent submission.
     #[serde(rename = "ref")]
     pub id: String,
+    /// The class of jobs, to which objectives refer.
     #[serde(rename = "job_family")]
     pub class: String,
+    /// The team whose quota applies.
     #[serde(rename = "owner_crew")]
     pub team: String,
+    /// Array, gang or service.
     #[serde(rename = "run_shape")]
     pub kind: Kind,
+    /// Its priority.
     #[serde(rename = "urgency")]
     pub priority: Priority,
+    /// Number of tasks.
     #[serde(rename = "pieces")]
     pub tasks: u32,
+    /// CPU cores of each task.
     #[serde(rename = "cores")]
     pub cpus: f64,
+    /// GPUs of each task.
     #[serde(rename = "accelerators")]
     pub gpus: f64,
+    /// Memory of each task, in GB.
     pub memory_gb: f64,
+    /// Image that a machine needs before a task starts.
     #[serde(rename = "bundle")]
     pub image: String,
+    /// Its size, in GB.
     pub image_gb: f64,
+    /// Allowed machine types; `None`: any.
     #[serde(rename = "rigs", default, skip_serializing_if = "Option::is_none")]
     pub types: Option<Vec<String>>,
+    /// The only allowed zone; `None`: any.
     #[serde(rename = "hall", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
+    /// All tasks in one zone, whichever.
     #[serde(rename = "same_place")]
     pub single_zone: bool,
+    /// At most half of the tasks, rounded up, in one zone.
     #[serde(rename = "apart")]
     pub spread: bool,
+    /// Spot machines are allowed.
     #[serde(rename = "lendback")]
     pub spot: bool,
+    /// The owner's estimate of a task's run time, in seconds; 0 for services.
     #[serde(rename = "expected_s")]
     pub estimate_s: f64,
+    /// Seconds between two checkpoints; 0: the tasks save nothing.
     #[serde(rename = "snapshot_every_s")]
     pub checkpoint_interval_s: f64,
+    /// Seconds that saving takes when a task is stopped.
     #[serde(rename = "snapshot_cost_s")]
     pub checkpoint_cost_s: f64,
+    /// When it should be complete, in seconds after its submission.
     #[serde(rename = "due_s", default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
     /// Jobs that have to be done before any task of this one starts, each
@@ -172,14 +201,19 @@
     }
 }
 
+/// The state of a job, as users see it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobState {
+    /// No task runs.
     #[serde(rename = "pending")]
     Queued,
+    /// A task runs.
     #[serde(rename = "running")]
     Running,
+    /// All tasks are done.
     #[serde(rename = "done")]
     Done,
+    /// Cancelled by its user, or with a dependency.
     #[serde(rename = "withdrawn")]
     Cancelled,
 }
@@ -207,12 +241,17 @@
     }
 }
 
+/// The answer to a poll.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobStatus {
+    /// The job's id.
     #[serde(rename = "ref")]
     pub id: String,
+    /// Its state.
     #[serde(rename = "stage")]
     pub state: JobState,
+    /// Tasks that are done.
     pub done: u32,
+    /// Tasks that run.
     pub running: u32,
 }
