--- a/crates/lab/src/base.rs
+++ b/crates/lab/src/base.rs
@@ -4,7 +4,7 @@
 use crate::{
     children::Program,
     controllers, hosts,
-    installation::{Lab, loopback},
+    installation::{Testbed, loopback},
     load_balancer, services,
     site::Site,
 };
@@ -27,7 +27,7 @@
 
 /// Stand-ins that listen but don't serve yet.
 pub struct Base {
-    pub lab: Rc<Lab>,
+    pub testbed: Rc<Testbed>,
     pub users: SocketAddr,
     pub state: SocketAddr,
     pub cloud: SocketAddr,
@@ -47,7 +47,7 @@
         let list = controllers::configure(&site, &services, dir)?;
         let executor = Rc::new(PriorityExecutor::default());
         Ok(Base {
-            lab: Rc::new(Lab::new(site, executor, list)),
+            testbed: Rc::new(Testbed::new(site, executor, list)),
             users,
             state,
             cloud,
@@ -64,26 +64,30 @@
             path: program.to_owned(),
             arguments: vec!["serve".into(), "--config".into(), c.settings.clone().into()],
         };
-        self.lab.controllers.iter().map(of).collect()
+        self.testbed.controllers.iter().map(of).collect()
     }
 
     /// Serves all paths, hosts the workers and probes the controllers from now
     /// on.
     pub fn serve(self) {
-        let lab = self.lab;
-        serve_on(&lab, self.state_listener, services::state);
-        serve_on(&lab, self.cloud_listener, services::cloud);
-        serve_on(&lab, self.users_listener, load_balancer::front);
-        lab.executor.spawn_high(hosts::run(lab.clone())).detach();
-        lab.executor
-            .spawn_high(load_balancer::probe(lab.clone()))
+        let testbed = self.testbed;
+        serve_on(&testbed, self.state_listener, services::state);
+        serve_on(&testbed, self.cloud_listener, services::cloud);
+        serve_on(&testbed, self.users_listener, load_balancer::front);
+        testbed
+            .executor
+            .spawn_high(hosts::run(testbed.clone()))
+            .detach();
+        testbed
+            .executor
+            .spawn_high(load_balancer::probe(testbed.clone()))
             .detach();
     }
 }
 
-fn serve_on<F, Fut>(lab: &Rc<Lab>, listener: TcpListener, handler: F)
+fn serve_on<F, Fut>(testbed: &Rc<Testbed>, listener: TcpListener, handler: F)
 where
-    F: Fn(Rc<Lab>, HttpRequest) -> Fut + 'static,
+    F: Fn(Rc<Testbed>, HttpRequest) -> Fut + 'static,
     Fut: Future<Output = HttpResponse> + 'static,
 {
     let limits = Limits {
@@ -91,8 +95,8 @@
         others: CONNECTIONS,
         first: FIRST_PATH,
     };
-    let shared = lab.clone();
+    let shared = testbed.clone();
     let handle = move |request| handler(shared.clone(), request);
-    let serve = server::serve_on(lab.executor.clone(), listener, limits, handle);
-    lab.executor.spawn_high(serve).detach();
+    let serve = server::serve_on(testbed.executor.clone(), listener, limits, handle);
+    testbed.executor.spawn_high(serve).detach();
 }
--- a/crates/lab/src/children.rs
+++ b/crates/lab/src/children.rs
@@ -1,7 +1,7 @@
 //! Child processes: started, kept up, rolled to another program, and ended with
 //! this one.
 
-use crate::installation::Lab;
+use crate::installation::Testbed;
 use anyhow::{Context, Result};
 use async_io::Timer;
 use std::{
@@ -14,7 +14,7 @@
 
 /// A roll of the controllers to another program while they serve.
 #[derive(Debug, Clone)]
-pub struct Roll {
+pub struct RollingUpgrade {
     pub program: PathBuf,
     /// From the start to the first, and from one to the next.
     pub after: Duration,
@@ -108,17 +108,17 @@
 
     /// Kills the controllers one after the other; each comes back with the new
     /// program. Then the state service has its new limits.
-    pub async fn roll(&self, lab: &Lab, roll: &Roll) {
+    pub async fn roll(&self, testbed: &Testbed, roll: &RollingUpgrade) {
         Timer::after(roll.after).await;
-        for i in 0..lab.controllers.len() {
+        for i in 0..testbed.controllers.len() {
             self.commands.borrow_mut()[i].path = roll.program.clone();
             if let Some(child) = &mut self.running.borrow_mut()[i] {
                 let _ = child.kill();
             }
-            log::warn!("{} is upgraded", lab.controllers[i].name);
+            log::warn!("{} is upgraded", testbed.controllers[i].name);
             Timer::after(roll.every).await;
         }
-        lab.state.borrow_mut().lower(lab.now());
+        testbed.state.borrow_mut().apply_next_limits(testbed.now());
         log::warn!("the state service has its limits to come, if the site names any");
     }
 }
--- a/crates/lab/src/cloud.rs
+++ b/crates/lab/src/cloud.rs
@@ -1,6 +1,6 @@
 //! The cloud: rents machines by the second, lists them late.
 
-use crate::{Ms, millis, site::Site};
+use crate::{Millis, millis, site::Site};
 use fastrand::Rng;
 use pathwinch_protocol::cloud::{
     ListedMachine, ListedState, MAX_MACHINES_PER_REQUEST, MachineList, MachineNames,
@@ -14,12 +14,12 @@
     pub type_index: usize,
     pub zone: String,
     pub spot: bool,
-    pub rented: Ms,
+    pub rented: Millis,
     /// `None`: it never comes up.
-    pub up: Option<Ms>,
+    pub up: Option<Millis>,
     /// Where its worker listens, once it has one.
     pub addr: String,
-    gone: Option<Ms>,
+    gone: Option<Millis>,
 }
 
 #[derive(Debug)]
@@ -29,7 +29,7 @@
     /// Machines of each type in a zone.
     capacity: Vec<u32>,
     stillborn: f64,
-    lag: Ms,
+    lag: Millis,
     requests: TokenBucket,
     machines: BTreeMap<String, Rented>,
     /// What each request's name was answered with: it rents once.
@@ -43,7 +43,7 @@
 const RELEASE_MOST: usize = 100;
 const LIST_MOST: usize = 500;
 /// The least time charged for a machine that is deleted.
-const LEAST_CHARGED: Ms = 60_000;
+const LEAST_CHARGED: Millis = 60_000;
 
 #[derive(Debug, PartialEq)]
 pub enum Refused {
@@ -68,7 +68,7 @@
         }
     }
 
-    pub fn admit(&mut self, now: Ms) -> bool {
+    pub fn admit(&mut self, now: Millis) -> bool {
         self.requests.take(now, 1.0, 0.0)
     }
 
@@ -92,7 +92,7 @@
     }
 
     /// Machines that are up.
-    pub fn ready(&self, now: Ms) -> Vec<String> {
+    pub fn ready(&self, now: Millis) -> Vec<String> {
         let up = |m: &Rented| m.gone.is_none() && m.up.is_some_and(|up| up <= now);
         let up = self.machines.iter().filter(|(_, m)| up(m));
         up.map(|(id, _)| id.clone()).collect()
@@ -102,7 +102,7 @@
         self.machines.values().filter(|m| m.gone.is_none()).count()
     }
 
-    pub fn rent(&mut self, rent: &MachineRequest, now: Ms) -> Result<Vec<String>, Refused> {
+    pub fn rent(&mut self, rent: &MachineRequest, now: Millis) -> Result<Vec<String>, Refused> {
         if let Some(names) = self.answered.get(&rent.request_id) {
             return Ok(names.clone());
         }
@@ -140,7 +140,7 @@
                     zone: rent.zone.clone(),
                     spot: rent.spot,
                     rented: now,
-                    up: (!never).then_some(now + after as Ms),
+                    up: (!never).then_some(now + after as Millis),
                     addr: String::new(),
                     gone: None,
                 },
@@ -152,7 +152,7 @@
     }
 
     /// Returns those that were there and are gone now.
-    pub fn release(&mut self, names: &MachineNames, now: Ms) -> Result<Vec<String>, Refused> {
+    pub fn release(&mut self, names: &MachineNames, now: Millis) -> Result<Vec<String>, Refused> {
         if names.machines.len() > RELEASE_MOST {
             return Err(Refused::Malformed("posts: at most 100"));
         }
@@ -175,7 +175,7 @@
     }
 
     /// As things stood a while ago.
-    pub fn list(&self, from: &str, most: usize, now: Ms) -> MachineList {
+    pub fn list(&self, from: &str, most: usize, now: Millis) -> MachineList {
         let then = now.saturating_sub(self.lag);
         let mut machines = Vec::new();
         for (id, m) in self.machines.range(from.to_owned()..) {
@@ -209,7 +209,7 @@
     }
 
     /// Money spent so far, in the units of the price list.
-    pub fn spent(&self, now: Ms) -> f64 {
+    pub fn spent(&self, now: Millis) -> f64 {
         let running = self.machines.values().filter(|m| m.gone.is_none());
         let cost = |m: &Rented| {
             let price = self.types[m.type_index].price_of(m.spot);
--- a/crates/lab/src/cloud/tests.rs
+++ b/crates/lab/src/cloud/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-fn rent(cloud: &mut Cloud, name: &str, count: u32, now: Ms) -> Result<usize, Refused> {
+fn rent(cloud: &mut Cloud, name: &str, count: u32, now: Millis) -> Result<usize, Refused> {
     let rent = MachineRequest {
         request_id: name.into(),
         type_name: "m8".into(),
--- a/crates/lab/src/hosts.rs
+++ b/crates/lab/src/hosts.rs
@@ -3,8 +3,8 @@
 //! reports; one loop lets time pass for all of them.
 
 use crate::{
-    Ms,
-    installation::{Lab, loopback},
+    Millis,
+    installation::{Testbed, loopback},
     worker::Worker,
 };
 use async_executor::Task;
@@ -27,8 +27,8 @@
 /// How long a worker waits for the answer to a report.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(4);
 /// After a report that failed, and after one that named another controller.
-const RETRY_MS: Ms = 1_000;
-const REDIRECT_MS: Ms = 100;
+const RETRY_MS: Millis = 1_000;
+const REDIRECT_MS: Millis = 100;
 /// A controller keeps one connection for direct commands, and a new one may
 /// come while the old one closes.
 const DIRECT_CONNECTIONS: usize = 64;
@@ -40,7 +40,7 @@
     /// The controller that it reports to.
     target: Cell<usize>,
     in_flight: Cell<bool>,
-    wait_until: Cell<Ms>,
+    wait_until: Cell<Millis>,
 }
 
 /// A hosted worker, and what serves its address.
@@ -50,35 +50,40 @@
 }
 
 /// Brings up workers as their machines come up; they end with them.
-pub async fn run(lab: Rc<Lab>) {
+pub async fn run(testbed: Rc<Testbed>) {
     let mut running: HashMap<String, Running> = HashMap::new();
     loop {
-        let now = lab.now();
-        let ready = lab.cloud.borrow().ready(now);
+        let now = testbed.now();
+        let ready = testbed.cloud.borrow().ready(now);
         for id in ready {
-            running.entry(id).or_insert_with_key(|id| start(&lab, id));
+            running
+                .entry(id)
+                .or_insert_with_key(|id| start(&testbed, id));
         }
-        end_workers_of_lost_machines(&lab, &mut running);
+        end_workers_of_lost_machines(&testbed, &mut running);
         for hosted in running.values().map(|r| &r.hosted) {
-            step(&lab, hosted);
+            step(&testbed, hosted);
         }
         Timer::after(STEP).await;
     }
 }
 
-fn end_workers_of_lost_machines(lab: &Lab, running: &mut HashMap<String, Running>) {
-    let now = lab.now();
+fn end_workers_of_lost_machines(testbed: &Testbed, running: &mut HashMap<String, Running>) {
+    let now = testbed.now();
     running.retain(|id, r| {
-        let exists = lab.cloud.borrow().machine(id).is_some();
+        let exists = testbed.cloud.borrow().machine(id).is_some();
         if !exists {
-            let mut depot = lab.depot.borrow_mut();
-            r.hosted.worker.borrow_mut().lose_all(&mut depot, now);
+            let mut object_store = testbed.object_store.borrow_mut();
+            r.hosted
+                .worker
+                .borrow_mut()
+                .lose_all(&mut object_store, now);
         }
         exists
     });
 }
 
-fn start(lab: &Rc<Lab>, id: &str) -> Running {
+fn start(testbed: &Rc<Testbed>, id: &str) -> Running {
     let (listener, addr) = match loopback() {
         Ok((listener, addr)) => (Some(listener), addr.to_string()),
         Err(e) => {
@@ -86,16 +91,16 @@
             (None, String::new())
         }
     };
-    lab.cloud.borrow_mut().set_addr(id, addr.clone());
+    testbed.cloud.borrow_mut().set_addr(id, addr.clone());
     let hosted = Rc::new(Hosted {
-        worker: RefCell::new(new_worker(lab, id, addr)),
+        worker: RefCell::new(new_worker(testbed, id, addr)),
         client: Client::new(1),
-        target: Cell::new(fastrand::usize(..lab.controllers.len())),
+        target: Cell::new(fastrand::usize(..testbed.controllers.len())),
         in_flight: Cell::new(false),
         wait_until: Cell::new(0),
     });
-    let (shared, own) = (lab.clone(), hosted.clone());
-    let direct_orders = lab.executor.spawn_high(async move {
+    let (shared, own) = (testbed.clone(), hosted.clone());
+    let direct_orders = testbed.executor.spawn_high(async move {
         let Some(listener) = listener else {
             return Ok(());
         };
@@ -114,108 +119,112 @@
     }
 }
 
-fn new_worker(lab: &Lab, id: &str, addr: String) -> Worker {
-    let cloud = lab.cloud.borrow();
+fn new_worker(testbed: &Testbed, id: &str, addr: String) -> Worker {
+    let cloud = testbed.cloud.borrow();
     let (machine_type, zone, spot) = match cloud.machine(id) {
         Some(m) => (cloud.type_of(m).clone(), m.zone.clone(), m.spot),
         None => unreachable!("only machines that exist are ready"),
     };
-    let limits = lab.site.cluster.workers.clone();
-    Worker::new(id, addr, machine_type, &zone, spot, limits, lab.now())
+    let limits = testbed.site.cluster.workers.clone();
+    Worker::new(id, addr, machine_type, &zone, spot, limits, testbed.now())
 }
 
-async fn direct(lab: Rc<Lab>, hosted: Rc<Hosted>, request: HttpRequest) -> HttpResponse {
-    let now = lab.now();
+async fn direct(testbed: Rc<Testbed>, hosted: Rc<Hosted>, request: HttpRequest) -> HttpResponse {
+    let now = testbed.now();
     let answer = match (request.method, request.path.as_str()) {
         (Method::Get, "/inspect") => HttpResponse::json(200, &hosted.worker.borrow_mut().report()),
         (Method::Post, "/do") => {
             let body = request.body.unwrap_or_default();
-            lab.traffic.borrow_mut().direct_orders += 1;
-            lab.traffic.borrow_mut().received(body.len());
+            testbed.traffic.borrow_mut().direct_orders += 1;
+            testbed.traffic.borrow_mut().received(body.len());
             let Ok(order) = serde_json::from_slice::<DirectCommands>(&body) else {
                 return HttpResponse::error(400, "malformed");
             };
-            let mut depot = lab.depot.borrow_mut();
-            let (status, report) = hosted.worker.borrow_mut().ordered(order, &mut depot, now);
+            let mut object_store = testbed.object_store.borrow_mut();
+            let (status, report) =
+                hosted
+                    .worker
+                    .borrow_mut()
+                    .ordered(order, &mut object_store, now);
             HttpResponse::json(status, &report)
         }
         _ => HttpResponse::error(404, "no such path"),
     };
-    lab.traffic.borrow_mut().sent(answer.body.len());
+    testbed.traffic.borrow_mut().sent(answer.body.len());
     answer
 }
 
 /// Lets time pass for a worker, and begins a report if one is due.
-fn step(lab: &Rc<Lab>, hosted: &Rc<Hosted>) {
-    let now = lab.now();
+fn step(testbed: &Rc<Testbed>, hosted: &Rc<Hosted>) {
+    let now = testbed.now();
     let mut worker = hosted.worker.borrow_mut();
-    worker.step(&mut lab.depot.borrow_mut(), now);
+    worker.step(&mut testbed.object_store.borrow_mut(), now);
     let may_report = !hosted.in_flight.get() && now >= hosted.wait_until.get();
     if !may_report || !worker.report_due(now, fastrand::f64()) {
         return;
     }
     hosted.in_flight.set(true);
-    let (lab, own) = (lab.clone(), hosted.clone());
-    let executor = lab.executor.clone();
+    let (testbed, own) = (testbed.clone(), hosted.clone());
+    let executor = testbed.executor.clone();
     executor
         .spawn_high(async move {
-            let pause = report(&lab, &own).await;
-            own.wait_until.set(lab.now() + pause);
+            let pause = report(&testbed, &own).await;
+            own.wait_until.set(testbed.now() + pause);
             own.in_flight.set(false);
         })
         .detach();
 }
 
 /// One report; returns how long to wait at least before the next.
-async fn report(lab: &Lab, hosted: &Hosted) -> Ms {
-    let sent = lab.now();
+async fn report(testbed: &Testbed, hosted: &Hosted) -> Millis {
+    let sent = testbed.now();
     let report = hosted.worker.borrow_mut().report();
     let session = report.incarnation;
     let body = serde_json::to_vec(&report).unwrap_or_default();
     {
-        let mut traffic = lab.traffic.borrow_mut();
+        let mut traffic = testbed.traffic.borrow_mut();
         traffic.reports += 1;
         traffic.sent(body.len());
     }
-    let target = hosted.target.get() % lab.controllers.len();
-    let to = lab.controllers[target].listen;
+    let target = hosted.target.get() % testbed.controllers.len();
+    let to = testbed.controllers[target].listen;
     let call = hosted
         .client
         .call(to, Method::Post, "/agent/beat", Some(body), REPORT_TIMEOUT);
     let answer = call.await;
     if let Ok(a) = &answer {
-        lab.traffic.borrow_mut().received(a.body.len());
+        testbed.traffic.borrow_mut().received(a.body.len());
     }
     match answer {
         Ok(a) if a.status == 200 => {
-            accept(lab, hosted, sent, session, &a);
+            accept(testbed, hosted, sent, session, &a);
             0
         }
-        Ok(a) if a.status == 421 => redirect(lab, hosted, target, &a),
+        Ok(a) if a.status == 421 => redirect(testbed, hosted, target, &a),
         Ok(_) | Err(CallError::NotSent(_) | CallError::NoAnswer(_) | CallError::TooLong) => {
-            lab.traffic.borrow_mut().unanswered += 1;
+            testbed.traffic.borrow_mut().unanswered += 1;
             hosted.target.set(target + 1);
             RETRY_MS
         }
     }
 }
 
-fn accept(lab: &Lab, hosted: &Hosted, sent: Ms, session: u64, answer: &Answer) {
+fn accept(testbed: &Testbed, hosted: &Hosted, sent: Millis, session: u64, answer: &Answer) {
     let Ok(reply) = serde_json::from_slice::<HeartbeatResponse>(&answer.body) else {
         return;
     };
-    let now = lab.now();
+    let now = testbed.now();
     let mut worker = hosted.worker.borrow_mut();
-    let mut depot = lab.depot.borrow_mut();
+    let mut object_store = testbed.object_store.borrow_mut();
     let counts = worker.answered(
         sent,
         session,
         reply.fencing_token,
         reply.commands,
-        &mut depot,
+        &mut object_store,
         now,
     );
-    let mut traffic = lab.traffic.borrow_mut();
+    let mut traffic = testbed.traffic.borrow_mut();
     match counts {
         true => {
             traffic.answered += 1;
@@ -226,11 +235,11 @@
 }
 
 /// The controller names another; returns the pause before the next report.
-fn redirect(lab: &Lab, hosted: &Hosted, target: usize, answer: &Answer) -> Ms {
+fn redirect(testbed: &Testbed, hosted: &Hosted, target: usize, answer: &Answer) -> Millis {
     let named = serde_json::from_slice::<serde_json::Value>(&answer.body)
         .ok()
         .and_then(|v| v.get("foreman")?.as_str().map(str::to_owned))
-        .and_then(|name| lab.controllers.iter().position(|c| c.name == name))
+        .and_then(|name| testbed.controllers.iter().position(|c| c.name == name))
         .filter(|index| *index != target);
     hosted.target.set(named.unwrap_or(target + 1));
     named.map_or(RETRY_MS, |_| REDIRECT_MS)
--- a/crates/lab/src/installation.rs
+++ b/crates/lab/src/installation.rs
@@ -2,7 +2,7 @@
 //! and the clock that all of them are told.
 
 use crate::{
-    Ms, cloud::Cloud, millis, object_store::Depot, site::Site, state::StateService,
+    Millis, cloud::Cloud, millis, object_store::ObjectStore, site::Site, state::StateService,
     traffic::Traffic,
 };
 use anyhow::{Context, Result};
@@ -28,13 +28,13 @@
 }
 
 /// Everything of a lab that its parts share.
-pub struct Lab {
+pub struct Testbed {
     pub site: Site,
     pub executor: Rc<PriorityExecutor>,
     pub http: Client,
     pub state: RefCell<StateService>,
     pub cloud: RefCell<Cloud>,
-    pub depot: RefCell<Depot>,
+    pub object_store: RefCell<ObjectStore>,
     pub controllers: Vec<Controller>,
     /// Messages and bytes of workers, as the workers count them.
     pub traffic: RefCell<Traffic>,
@@ -44,16 +44,16 @@
     start: Instant,
 }
 
-impl Lab {
+impl Testbed {
     /// A lab of these controllers, with nothing rented and nothing stored.
     pub fn new(site: Site, executor: Rc<PriorityExecutor>, controllers: Vec<Controller>) -> Self {
         let workers = &site.cluster.workers;
-        Lab {
+        Testbed {
             executor,
             http: Client::new(KEPT_CONNECTIONS),
             state: RefCell::new(StateService::new(site.cluster.state.clone())),
             cloud: RefCell::new(Cloud::new(&site)),
-            depot: RefCell::new(Depot::new(
+            object_store: RefCell::new(ObjectStore::new(
                 site.seed,
                 site.failing,
                 millis(workers.gang_peer_s),
@@ -69,8 +69,8 @@
     }
 
     /// Milliseconds since the lab began.
-    pub fn now(&self) -> Ms {
-        self.start.elapsed().as_millis() as Ms
+    pub fn now(&self) -> Millis {
+        self.start.elapsed().as_millis() as Millis
     }
 
     /// The users' address of a controller that is ready, each in its turn.
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,5 +1,5 @@
 //! Stand-ins of everything that a controller talks to, written from the
-//! published protocols. `state`, `cloud`, `depot` and `worker` have neither
+//! published protocols. `state`, `cloud`, `object_store` and `worker` have neither
 //! clock nor sockets: they are told the time. `base` binds them to loopback;
 //! `up` and `scale` run whole installations.
 
@@ -22,9 +22,9 @@
 pub mod worker;
 
 /// Milliseconds on a clock of the caller's.
-pub type Ms = u64;
+pub type Millis = u64;
 
 /// Seconds as settings state them.
-pub fn millis(seconds: f64) -> Ms {
-    (seconds.max(0.0) * 1000.0) as Ms
+pub fn millis(seconds: f64) -> Millis {
+    (seconds.max(0.0) * 1000.0) as Millis
 }
--- a/crates/lab/src/load_balancer.rs
+++ b/crates/lab/src/load_balancer.rs
@@ -1,7 +1,7 @@
 //! The users' front door: passes requests on to a controller that is ready, and
 //! keeps what users upload for the workers.
 
-use crate::installation::Lab;
+use crate::installation::Testbed;
 use async_io::Timer;
 use http_types::Method;
 use pathwinch_protocol::users::{JobSpec, JobState, JobStatus};
@@ -18,9 +18,9 @@
 const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The users' side: passed on to a controller that is ready.
-pub async fn front(lab: Rc<Lab>, request: HttpRequest) -> HttpResponse {
+pub async fn front(testbed: Rc<Testbed>, request: HttpRequest) -> HttpResponse {
     if (request.method, request.path.as_str()) == (Method::Get, "/lab") {
-        return summary(&lab);
+        return summary(&testbed);
     }
     let Some(body) = request.body else {
         return HttpResponse::error(400, "body is incomplete or over 64 KiB");
@@ -28,14 +28,14 @@
     if request.path == "/v1/jobs"
         && let Ok(spec) = JobSpec::parse(&body)
     {
-        lab.depot.borrow_mut().upload(&spec);
+        testbed.object_store.borrow_mut().upload(&spec);
     }
     let body = (request.method == Method::Post).then_some(body);
     for _ in 0..3 {
-        let Some(to) = lab.ready_controller() else {
+        let Some(to) = testbed.ready_controller() else {
             return HttpResponse::later("no controller is ready");
         };
-        let call = lab.http.call(
+        let call = testbed.http.call(
             to,
             request.method,
             &request.path,
@@ -44,7 +44,7 @@
         );
         match call.await {
             Ok(a) => {
-                note_cancelled(&lab, &a.body);
+                note_cancelled(&testbed, &a.body);
                 return HttpResponse {
                     status: a.status,
                     retry_after_s: a.retry_after_s,
@@ -60,29 +60,36 @@
     HttpResponse::later("controllers refuse connections")
 }
 
-fn note_cancelled(lab: &Lab, body: &[u8]) {
+fn note_cancelled(testbed: &Testbed, body: &[u8]) {
     if let Ok(told) = serde_json::from_slice::<JobStatus>(body)
         && told.state == JobState::Cancelled
     {
-        lab.depot.borrow_mut().cancelled(&told.id, lab.now());
+        testbed
+            .object_store
+            .borrow_mut()
+            .cancelled(&told.id, testbed.now());
     }
 }
 
 /// What the stand-ins have seen.
-fn summary(lab: &Lab) -> HttpResponse {
-    let (now, cloud, depot) = (lab.now(), lab.cloud.borrow(), lab.depot.borrow());
-    let state = lab.state.borrow();
+fn summary(testbed: &Testbed) -> HttpResponse {
+    let (now, cloud, object_store) = (
+        testbed.now(),
+        testbed.cloud.borrow(),
+        testbed.object_store.borrow(),
+    );
+    let state = testbed.state.borrow();
     HttpResponse::json(
         200,
         &json!({
             "seconds": now as f64 / 1000.0,
             "machines": cloud.present(),
             "spent": cloud.spent(now),
-            "tasks_finished": depot.finished(),
-            "tasks_on_machines": depot.on_machines(),
-            "jobs_at_markets": depot.at_markets().0,
-            "jobs_lent_ever": depot.at_markets().1,
-            "rules_broken": depot.broken(),
+            "tasks_finished": object_store.finished(),
+            "tasks_on_machines": object_store.on_machines(),
+            "jobs_at_markets": object_store.offloaded_counts().0,
+            "jobs_lent_ever": object_store.offloaded_counts().1,
+            "rules_broken": object_store.violations(),
             "state_keys": state.keys(),
             "state_revision": state.revision(),
         }),
@@ -90,15 +97,15 @@
 }
 
 /// Asks each controller again and again whether it is ready.
-pub async fn probe(lab: Rc<Lab>) {
+pub async fn probe(testbed: Rc<Testbed>) {
     loop {
-        for i in 0..lab.controllers.len() {
-            let to = lab.controllers[i].listen;
-            let call = lab
+        for i in 0..testbed.controllers.len() {
+            let to = testbed.controllers[i].listen;
+            let call = testbed
                 .http
                 .call(to, Method::Get, "/ready", None, PROBE_TIMEOUT);
             let ok = call.await.is_ok_and(|a| a.status == 200);
-            lab.ready.borrow_mut()[i] = ok;
+            testbed.ready.borrow_mut()[i] = ok;
         }
         Timer::after(PROBE_INTERVAL).await;
     }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -5,7 +5,7 @@
 use clap::{Args, Parser, Subcommand};
 use futures_lite::StreamExt;
 use pathwinch_lab::{
-    children::{self, Roll},
+    children::{self, RollingUpgrade},
     markets,
     scale::{self, plan::Plan},
     site::Site,
@@ -55,7 +55,7 @@
 
 #[derive(Args)]
 struct Up {
-    /// The site, as JSON (see `pathwinch-lab site`).
+    /// The site, as JSON (see `pathwinch-testbed site`).
     #[arg(long, value_name = "FILE")]
     site: Option<PathBuf>,
     /// The controllers' program; by default the one beside this.
@@ -172,7 +172,7 @@
         markets::MOST
     );
     let told = |a: &Addresses| tell(a, asked.json);
-    let roll = asked.upgrade_to.map(|program| Roll {
+    let roll = asked.upgrade_to.map(|program| RollingUpgrade {
         program,
         after: Duration::from_secs(asked.after),
         every: Duration::from_secs(asked.every),
--- a/crates/lab/src/market.rs
+++ b/crates/lab/src/market.rs
@@ -1,6 +1,6 @@
 //! A market as the protocol wants it, and ways in which it may fail.
 
-use crate::Ms;
+use crate::Millis;
 use fastrand::Rng;
 use pathwinch_market::{
     ranges::Ranges,
@@ -14,8 +14,8 @@
 #[derive(Debug, Clone)]
 struct Run {
     job: String,
-    began: Ms,
-    ends: Ms,
+    began: Millis,
+    ends: Millis,
     tasks: u32,
     gang: bool,
     slots: u32,
@@ -51,12 +51,12 @@
     pub lies: bool,
     pub down: bool,
     epoch: u64,
-    boot: Ms,
+    boot: Millis,
     term: u64,
     tenancy: u64,
     awards: BTreeMap<u64, Held>,
     /// Runs on from an epoch that was forgotten, until then.
-    orphans: Vec<(Ms, String)>,
+    orphans: Vec<(Millis, String)>,
     rng: Rng,
     pub accepted: u64,
     /// Bids accepted, and let go by the home.
@@ -88,7 +88,7 @@
         }
     }
 
-    fn clock(&self, now: Ms) -> u64 {
+    fn clock(&self, now: Millis) -> u64 {
         ((now - self.boot) as f64 * self.rate) as u64
     }
 
@@ -100,7 +100,7 @@
         self.slots.saturating_sub(used.sum())
     }
 
-    fn cut(&self, r: &Run, now: Ms) -> State {
+    fn cut(&self, r: &Run, now: Millis) -> State {
         let share = (now - r.began) as f64 / (r.ends - r.began).max(1) as f64;
         let done = match r.gang {
             true => 0,
@@ -113,7 +113,7 @@
     }
 
     /// Loses what it knew, or keeps it.
-    pub fn restart(&mut self, memory: bool, now: Ms) {
+    pub fn restart(&mut self, memory: bool, now: Millis) {
         if memory {
             return;
         }
@@ -128,7 +128,7 @@
         self.tenancy = 0;
     }
 
-    pub fn step(&mut self, now: Ms, passed: Ms) -> Vec<Did> {
+    pub fn step(&mut self, now: Millis, passed: Millis) -> Vec<Did> {
         let mut did = Vec::new();
         self.orphans.retain(|(until, job)| {
             if *until <= now {
@@ -159,7 +159,7 @@
         did
     }
 
-    fn state(&self, award: u64, now: Ms) -> State {
+    fn state(&self, award: u64, now: Millis) -> State {
         match self.awards.get(&award) {
             None => State::Unknown,
             Some(Held::Void) => State::Void,
@@ -173,7 +173,7 @@
         }
     }
 
-    pub fn handle(&mut self, request: &Request, now: Ms) -> (Reply, Vec<Did>) {
+    pub fn handle(&mut self, request: &Request, now: Millis) -> (Reply, Vec<Did>) {
         let mut did = Vec::new();
         let say = if request.term < self.term {
             Say::Fenced { term: self.term }
@@ -196,7 +196,7 @@
         (reply, did)
     }
 
-    fn bid(&mut self, b: &Bid, now: Ms) -> BidSaid {
+    fn bid(&mut self, b: &Bid, now: Millis) -> BidSaid {
         if b.slots > self.free() || b.price < self.price {
             return BidSaid::Refused;
         }
@@ -207,7 +207,7 @@
         }
     }
 
-    fn sync(&mut self, sync: &Sync, now: Ms, did: &mut Vec<Did>) -> Synced {
+    fn sync(&mut self, sync: &Sync, now: Millis, did: &mut Vec<Did>) -> Synced {
         if let Some(until) = sync.until
             && until.epoch == self.epoch
             && self.clock(now) <= until.clock_ms
@@ -288,7 +288,7 @@
         }
     }
 
-    fn award(&mut self, a: &Award, now: Ms, did: &mut Vec<Did>) -> State {
+    fn award(&mut self, a: &Award, now: Millis, did: &mut Vec<Did>) -> State {
         if self.awards.contains_key(&a.award) {
             return self.state(a.award, now);
         }
@@ -303,7 +303,7 @@
             self.awards.insert(a.award, Held::Void);
             return State::Void;
         }
-        let run = (a.job.estimate_s * 1000.0 * (0.5 + self.rng.f64())) as Ms;
+        let run = (a.job.estimate_s * 1000.0 * (0.5 + self.rng.f64())) as Millis;
         let price = u64::from(slots) * run * self.price / 3_600_000;
         self.awards.insert(
             a.award,
--- a/crates/lab/src/markets.rs
+++ b/crates/lab/src/markets.rs
@@ -2,7 +2,7 @@
 //! occasion, and the INI file of a broker that knows them.
 
 use crate::{
-    installation::Lab,
+    installation::Testbed,
     market::{Did, MarketSim},
 };
 use anyhow::{Context, Result};
@@ -97,28 +97,28 @@
     })
 }
 
-fn did(lab: &Lab, market: &str, list: Vec<Did>) {
-    let mut depot = lab.depot.borrow_mut();
+fn did(testbed: &Testbed, market: &str, list: Vec<Did>) {
+    let mut object_store = testbed.object_store.borrow_mut();
     for d in list {
         match d {
-            Did::Start(job) => depot.lent(&job, market),
-            Did::End(job) => depot.back(&job, market),
+            Did::Start(job) => object_store.job_offloaded(&job, market),
+            Did::End(job) => object_store.job_returned(&job, market),
         }
     }
 }
 
 /// Runs one market until the lab ends.
-pub async fn run(lab: Rc<Lab>, market: Market, number: u64) {
+pub async fn run(testbed: Rc<Testbed>, market: Market, number: u64) {
     let price = 10_000 + 2_000 * number;
-    let sim = MarketSim::new(market.name, price, 64, lab.site.seed + number);
+    let sim = MarketSim::new(market.name, price, 64, testbed.site.seed + number);
     let sim = Rc::new(RefCell::new(sim));
     let Ok(reader) = Reader::new(&schema::request()) else {
         return;
     };
     let reader = Rc::new(reader);
-    let (l, s, name) = (lab.clone(), sim.clone(), market.name);
+    let (l, s, name) = (testbed.clone(), sim.clone(), market.name);
     let answer = move |peer: String, request: HttpRequest| {
-        let (lab, sim, reader) = (l.clone(), s.clone(), reader.clone());
+        let (testbed, sim, reader) = (l.clone(), s.clone(), reader.clone());
         async move {
             if (request.method, request.path.as_str()) != (Method::Post, PATH) {
                 return HttpResponse::error(404, "no such path");
@@ -131,23 +131,23 @@
             if request.home != peer {
                 return HttpResponse::error(403, "home: not the name in the certificate");
             }
-            let (reply, list) = sim.borrow_mut().handle(&request, lab.now());
-            did(&lab, name, list);
+            let (reply, list) = sim.borrow_mut().handle(&request, testbed.now());
+            did(&testbed, name, list);
             HttpResponse::json(200, &reply)
         }
     };
     let serve = http::serve(
-        lab.executor.clone(),
+        testbed.executor.clone(),
         market.listener,
         Rc::new(RefCell::new(market.keys)),
         CONNECTIONS,
         MAX_BODY,
         answer,
     );
-    lab.executor.spawn_high(serve).detach();
+    testbed.executor.spawn_high(serve).detach();
     loop {
-        let list = sim.borrow_mut().step(lab.now(), STEP);
-        did(&lab, name, list);
+        let list = sim.borrow_mut().step(testbed.now(), STEP);
+        did(&testbed, name, list);
         Timer::after(Duration::from_millis(STEP)).await;
     }
 }
--- a/crates/lab/src/object_store.rs
+++ b/crates/lab/src/object_store.rs
@@ -2,7 +2,7 @@
 //! and checkpoints, how gangs find each other, and a check of what must never
 //! happen.
 
-use crate::{Ms, millis};
+use crate::{Millis, millis};
 use fastrand::Rng;
 use pathwinch_protocol::users::{JobSpec, Kind};
 use std::collections::{BTreeSet, HashMap, HashSet};
@@ -10,17 +10,17 @@
 #[derive(Debug)]
 struct Job {
     spec: JobSpec,
-    cancelled: Option<Ms>,
+    cancelled: Option<Millis>,
 }
 
 /// The tasks of one attempt of a gang.
 #[derive(Debug, Default)]
 struct Gang {
     ready: BTreeSet<u32>,
-    started: Option<Ms>,
+    started: Option<Millis>,
     /// A task is gone: the others notice at this time.
-    broken: Option<Ms>,
-    first_stop: Option<Ms>,
+    broken: Option<Millis>,
+    first_stop: Option<Millis>,
     stopping: BTreeSet<u32>,
     saved: bool,
     done: bool,
@@ -40,15 +40,15 @@
 pub struct Started {
     pub job: String,
     pub task: u32,
-    pub at: Ms,
+    pub at: Millis,
 }
 
 #[derive(Debug)]
-pub struct Depot {
+pub struct ObjectStore {
     jobs: HashMap<String, Job>,
     finished: HashSet<String>,
     /// Progress that is stored: by task, of gangs by job.
-    saved: HashMap<String, Ms>,
+    saved: HashMap<String, Millis>,
     gangs: HashMap<(String, u64), Gang>,
     /// Which machine each task is on.
     on: HashMap<String, String>,
@@ -60,8 +60,8 @@
     starts: Option<Vec<Started>>,
     failing: f64,
     failed_once: HashSet<String>,
-    peer_ms: Ms,
-    cancel_ms: Ms,
+    peer_ms: Millis,
+    cancel_ms: Millis,
     seed: u64,
 }
 
@@ -78,9 +78,9 @@
         .unwrap_or(0)
 }
 
-impl Depot {
-    pub fn new(seed: u64, failing: f64, peer_ms: Ms, cancel_ms: Ms) -> Self {
-        Depot {
+impl ObjectStore {
+    pub fn new(seed: u64, failing: f64, peer_ms: Millis, cancel_ms: Millis) -> Self {
+        ObjectStore {
             jobs: HashMap::new(),
             finished: HashSet::new(),
             saved: HashMap::new(),
@@ -107,7 +107,7 @@
     }
 
     /// A user was told that the job is cancelled.
-    pub fn cancelled(&mut self, id: &str, now: Ms) {
+    pub fn cancelled(&mut self, id: &str, now: Millis) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.cancelled.get_or_insert(now);
         }
@@ -119,7 +119,7 @@
         (number_of(task) < spec.tasks).then_some(spec)
     }
 
-    pub fn broken(&self) -> &[String] {
+    pub fn violations(&self) -> &[String] {
         &self.broken
     }
 
@@ -131,7 +131,7 @@
         self.on.len()
     }
 
-    fn wrong(&mut self, what: String) {
+    fn record_violation(&mut self, what: String) {
         log::warn!("rule broken: {what}");
         if self.broken.len() < MOST_BROKEN {
             self.broken.push(what);
@@ -139,13 +139,13 @@
     }
 
     /// A task has its image and is on its machine from now on.
-    pub fn arrives(&mut self, task: &str, machine: &str, now: Ms) {
+    pub fn task_started(&mut self, task: &str, machine: &str, now: Millis) {
         if let Some(other) = self.on.get(task).filter(|m| *m != machine) {
             let what = format!("{task} started on {machine} while on {other}");
-            self.wrong(what);
+            self.record_violation(what);
         }
         if let Some(market) = self.lent.get(job_of(task)).cloned() {
-            self.wrong(format!("{task} started on {machine} while at {market}"));
+            self.record_violation(format!("{task} started on {machine} while at {market}"));
         }
         let late = self
             .jobs
@@ -153,7 +153,7 @@
             .and_then(|j| j.cancelled)
             .is_some_and(|at| now > at + self.cancel_ms);
         if late {
-            self.wrong(format!("{task} started after its job was withdrawn"));
+            self.record_violation(format!("{task} started after its job was withdrawn"));
         }
         self.on.insert(task.to_owned(), machine.to_owned());
         if let Some(starts) = &mut self.starts {
@@ -171,32 +171,32 @@
     }
 
     /// A market starts a job.
-    pub fn lent(&mut self, job: &str, market: &str) {
+    pub fn job_offloaded(&mut self, job: &str, market: &str) {
         self.lent_ever += 1;
         let prefix = format!("{job}/");
         if let Some(other) = self.lent.get(job) {
             let what = format!("{job} started at {market} while at {other}");
-            self.wrong(what);
+            self.record_violation(what);
         } else if self.on.keys().any(|t| t.starts_with(&prefix)) {
-            self.wrong(format!("{job} started at {market} while on machines"));
+            self.record_violation(format!("{job} started at {market} while on machines"));
         }
         self.lent.insert(job.to_owned(), market.to_owned());
     }
 
     /// Nothing of it runs at that market any more.
-    pub fn back(&mut self, job: &str, market: &str) {
+    pub fn job_returned(&mut self, job: &str, market: &str) {
         if self.lent.get(job).is_some_and(|m| m == market) {
             self.lent.remove(job);
         }
     }
 
     /// Jobs at markets now, and how many there were in all.
-    pub fn at_markets(&self) -> (usize, usize) {
+    pub fn offloaded_counts(&self) -> (usize, usize) {
         (self.lent.len(), self.lent_ever)
     }
 
     /// A task has left its machine.
-    pub fn leaves(&mut self, task: &str, machine: &str) {
+    pub fn task_left(&mut self, task: &str, machine: &str) {
         if self.on.get(task).is_some_and(|m| m == machine) {
             self.on.remove(task);
         }
@@ -229,7 +229,7 @@
     }
 
     /// How long a task runs from its start to its end; `None`: until stopped.
-    fn run_ms(&self, task: &str) -> Option<Ms> {
+    fn run_ms(&self, task: &str) -> Option<Millis> {
         let spec = self.spec(task)?;
         let name = match spec.kind {
             Kind::Service => return None,
@@ -237,7 +237,7 @@
             Kind::Array => task,
         };
         let factor = 0.5 + self.rng(name, 0).f64();
-        Some(((spec.estimate_s * 1000.0 * factor) as Ms).max(1))
+        Some(((spec.estimate_s * 1000.0 * factor) as Millis).max(1))
     }
 
     fn progress_name<'a>(spec: &JobSpec, task: &'a str) -> &'a str {
@@ -248,7 +248,7 @@
     }
 
     /// What is left of a task's run time.
-    pub fn left_ms(&self, task: &str) -> Option<Ms> {
+    pub fn left_ms(&self, task: &str) -> Option<Millis> {
         let run = self.run_ms(task)?;
         let spec = self.spec(task)?;
         let saved = self.saved.get(Self::progress_name(spec, task)).copied();
@@ -257,7 +257,7 @@
 
     /// The task has run for so long since its start: what it has reached is
     /// kept if it was saved, else as of the last checkpoint.
-    pub fn ran(&mut self, task: &str, ran: Ms, saved: bool) {
+    pub fn ran(&mut self, task: &str, ran: Millis, saved: bool) {
         let Some(spec) = self.spec(task) else { return };
         let every = millis(spec.checkpoint_interval_s);
         if every == 0 {
@@ -279,7 +279,7 @@
     }
 
     /// A gang's task waits for the others. Starts them when it is the last.
-    pub fn gathers(&mut self, task: &str, attempt: u64, now: Ms) {
+    pub fn gang_task_waits(&mut self, task: &str, attempt: u64, now: Millis) {
         let Some(tasks) = self.spec(task).map(|s| s.tasks as usize) else {
             return;
         };
@@ -290,7 +290,7 @@
         }
     }
 
-    pub fn gang_state(&mut self, task: &str, attempt: u64, now: Ms) -> GangState {
+    pub fn gang_state(&mut self, task: &str, attempt: u64, now: Millis) -> GangState {
         let left = self.left_ms(task).unwrap_or(1);
         let gang = self.gang(task, attempt);
         if gang.done {
@@ -310,7 +310,7 @@
     }
 
     /// A gang's task is gone, not being done.
-    pub fn gang_lost(&mut self, task: &str, attempt: u64, now: Ms) {
+    pub fn gang_lost(&mut self, task: &str, attempt: u64, now: Millis) {
         let notice = self.peer_ms / 2;
         let gang = self.gang(task, attempt);
         if gang.done || gang.saved {
@@ -329,7 +329,7 @@
     }
 
     /// A gang's task is told to stop with time to save.
-    pub fn gang_stops(&mut self, task: &str, attempt: u64, now: Ms) {
+    pub fn gang_stopping(&mut self, task: &str, attempt: u64, now: Millis) {
         let gang = self.gang(task, attempt);
         gang.first_stop.get_or_insert(now);
         gang.stopping.insert(number_of(task));
@@ -337,7 +337,7 @@
 
     /// A task has saved: `Some(true)` when all were told in time, `Some(false)`
     /// when they surely were not.
-    pub fn gang_saved(&mut self, task: &str, attempt: u64, now: Ms) -> Option<bool> {
+    pub fn gang_saved(&mut self, task: &str, attempt: u64, now: Millis) -> Option<bool> {
         let tasks = self.spec(task)?.tasks as usize;
         let peer_ms = self.peer_ms;
         let gang = self.gang(task, attempt);
--- a/crates/lab/src/scale/history.rs
+++ b/crates/lab/src/scale/history.rs
@@ -1,18 +1,18 @@
 //! What users were told of each job, by which controller and when. No answer
 //! may be older than one that was given before it, by whatever controller.
 
-use crate::Ms;
+use crate::Millis;
 use pathwinch_protocol::users::JobState;
 use std::collections::HashMap;
 
 /// A refusal may cross an acceptance by so much, as `docs/design.md` says, and
 /// come as much later as this process may be late to read it.
-const REFUSAL_BOUND: Ms = 500 + 500;
+const REFUSAL_BOUND: Millis = 500 + 500;
 /// Broken rules that are kept.
 const MOST_BROKEN: usize = 100;
 /// Jobs of which nothing was heard for so long are forgotten.
-const KEPT: Ms = 120_000;
-const CLEAR_INTERVAL: Ms = 10_000;
+const KEPT: Millis = 120_000;
+const CLEAR_INTERVAL: Millis = 10_000;
 
 /// What an answer says of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -27,19 +27,19 @@
 pub struct Answered<'a> {
     pub job: &'a str,
     pub controller: &'a str,
-    pub sent: Ms,
-    pub came: Ms,
+    pub sent: Millis,
+    pub came: Millis,
     pub said: Said,
 }
 
 #[derive(Debug, Default)]
 struct Seen {
     /// The first answer that called it accepted: when it came, and from whom.
-    accepted: Option<(Ms, String)>,
-    over: Option<(JobState, Ms, String)>,
+    accepted: Option<(Millis, String)>,
+    over: Option<(JobState, Millis, String)>,
     /// Its user asked to cancel it.
     withdrawn: bool,
-    heard: Ms,
+    heard: Millis,
 }
 
 #[derive(Debug, Default)]
@@ -47,7 +47,7 @@
     jobs: HashMap<String, Seen>,
     answers: u64,
     broken: Vec<String>,
-    cleared: Ms,
+    cleared: Millis,
 }
 
 impl History {
@@ -82,7 +82,7 @@
         self.clear(answer.came);
     }
 
-    fn clear(&mut self, now: Ms) {
+    fn clear(&mut self, now: Millis) {
         if now >= self.cleared + CLEAR_INTERVAL {
             self.cleared = now;
             self.jobs.retain(|_, seen| now < seen.heard + KEPT);
--- a/crates/lab/src/scale/measure.rs
+++ b/crates/lab/src/scale/measure.rs
@@ -1,7 +1,7 @@
 //! What the processes of a scale run spend, read from the system, and what the
 //! controllers say of themselves.
 
-use crate::installation::{Controller, Lab};
+use crate::installation::{Controller, Testbed};
 use anyhow::{Context, Result};
 use http_types::Method;
 use pathwinch_protocol::{
@@ -89,8 +89,8 @@
 }
 
 /// Asks a controller for its counters.
-pub async fn counters(lab: &Lab, controller: &Controller) -> Option<Counters> {
-    let call = lab
+pub async fn counters(testbed: &Testbed, controller: &Controller) -> Option<Counters> {
+    let call = testbed
         .http
         .call(controller.listen, Method::Get, "/metrics", None, TIMEOUT);
     let answer = call.await.ok().filter(|a| a.status == 200)?;
@@ -98,9 +98,9 @@
 }
 
 /// Asks the controllers, one after the other, how things stand.
-pub async fn status(lab: &Lab) -> Option<Status> {
+pub async fn status(testbed: &Testbed) -> Option<Status> {
     let peers = PeerClient::default();
-    for controller in &lab.controllers {
+    for controller in &testbed.controllers {
         let answer = peers.call(controller.back, &Request::Status, TIMEOUT).await;
         if let Ok(Reply::Status(status)) = answer
             && status.leader.is_some()
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -1,4 +1,4 @@
-//! `pathwinch-lab scale`: real controllers with a plan's fleet of workers in
+//! `pathwinch-testbed scale`: real controllers with a plan's fleet of workers in
 //! this process and its load; measures what each role spends, and ends.
 
 pub mod history;
@@ -7,7 +7,7 @@
 pub mod report;
 pub mod users;
 
-use crate::{base::Base, children::Children, installation::Lab, traffic::Traffic, up};
+use crate::{base::Base, children::Children, installation::Testbed, traffic::Traffic, up};
 use anyhow::{Result, ensure};
 use async_io::Timer;
 use futures_lite::future;
@@ -33,17 +33,17 @@
 /// Runs the plan. The controllers' settings and logs go to `dir`.
 pub fn run(plan: Plan, program: &Path, dir: &Path) -> Result<Heartbeat> {
     let base = Base::new(plan.site(), dir)?;
-    let lab = base.lab.clone();
+    let testbed = base.testbed.clone();
     let children = Children::new(dir.to_owned(), base.programs(program));
-    let users = Users::new(lab.clone(), plan.clone());
+    let users = Users::new(testbed.clone(), plan.clone());
     let run = Run {
-        lab: lab.clone(),
+        testbed: testbed.clone(),
         children: &children,
         users,
         ended: Cell::new(0),
         plan,
     };
-    async_io::block_on(lab.executor.run(async {
+    async_io::block_on(testbed.executor.run(async {
         base.serve();
         let measured = run.measure();
         let faulty = async {
@@ -61,7 +61,7 @@
 }
 
 struct Run<'a> {
-    lab: Rc<Lab>,
+    testbed: Rc<Testbed>,
     children: &'a Children,
     users: Rc<Users>,
     plan: Plan,
@@ -115,24 +115,24 @@
 
 impl Run<'_> {
     async fn measure(&self) -> Result<Heartbeat> {
-        up::until_ready(&self.lab).await;
-        self.lab.depot.borrow_mut().take_starts();
+        up::until_ready(&self.testbed).await;
+        self.testbed.object_store.borrow_mut().take_starts();
         self.users.begin();
-        self.lab
+        self.testbed
             .executor
-            .spawn_high(note_starts(self.users.clone(), self.lab.clone()))
+            .spawn_high(note_starts(self.users.clone(), self.testbed.clone()))
             .detach();
         self.warm_up().await?;
         let counters = self.counters().await;
-        let status = measure::status(&self.lab).await;
+        let status = measure::status(&self.testbed).await;
         let leader_before = status.and_then(|s| s.leader);
-        self.lab.traffic.replace(Traffic::default());
+        self.testbed.traffic.replace(Traffic::default());
         self.users.take_figures();
         let begun = Instant::now();
         let watched = self.watch().await?;
         let seconds = begun.elapsed().as_secs_f64();
         let mut report = self.report(seconds);
-        let status = measure::status(&self.lab).await.unwrap_or_default();
+        let status = measure::status(&self.testbed).await.unwrap_or_default();
         report.leader_changed = leader_before != status.leader;
         report.roles = self.role_rows(&watched, seconds, &status);
         self.add_counters(&mut report.roles, &counters, seconds)
@@ -152,13 +152,13 @@
         let mut rng = fastrand::Rng::with_seed(self.plan.seed);
         loop {
             Timer::after(Duration::from_secs_f64(every)).await;
-            let count = self.lab.controllers.len();
-            let leader = measure::status(&self.lab).await.and_then(|s| s.leader);
+            let count = self.testbed.controllers.len();
+            let leader = measure::status(&self.testbed).await.and_then(|s| s.leader);
             let is_leader = |name: &str| leader.as_deref() == Some(name);
-            let leads = (self.lab.controllers.iter()).position(|c| is_leader(&c.name));
+            let leads = (self.testbed.controllers.iter()).position(|c| is_leader(&c.name));
             let leads = leads.filter(|_| self.ended.get().is_multiple_of(2));
             let index = leads.unwrap_or_else(|| rng.usize(..count));
-            eprintln!("{} ends", self.lab.controllers[index].name);
+            eprintln!("{} ends", self.testbed.controllers[index].name);
             self.children.end(index);
             self.ended.set(self.ended.get() + 1);
         }
@@ -181,9 +181,9 @@
     fn show_progress(&self, what: &str) {
         eprintln!(
             "{what}: {:.0} s, {} machines, {} tasks on them, {} open jobs",
-            self.lab.now() as f64 / 1000.0,
-            self.lab.cloud.borrow().present(),
-            self.lab.depot.borrow().on_machines(),
+            self.testbed.now() as f64 / 1000.0,
+            self.testbed.cloud.borrow().present(),
+            self.testbed.object_store.borrow().on_machines(),
             self.users.open_jobs(),
         );
     }
@@ -229,8 +229,8 @@
 
     async fn counters(&self) -> Vec<Option<Counters>> {
         let mut all = Vec::new();
-        for controller in &self.lab.controllers {
-            all.push(measure::counters(&self.lab, controller).await);
+        for controller in &self.testbed.controllers {
+            all.push(measure::counters(&self.testbed, controller).await);
         }
         all
     }
@@ -252,7 +252,7 @@
             _ => "follower",
         };
         let mut rows: Vec<RoleRow> = self
-            .lab
+            .testbed
             .controllers
             .iter()
             .zip(watched)
@@ -313,18 +313,18 @@
     }
 
     fn rules_broken(&self) -> Vec<String> {
-        let mut broken = self.lab.depot.borrow().broken().to_vec();
+        let mut broken = self.testbed.object_store.borrow().violations().to_vec();
         broken.extend(self.users.rules_broken());
         broken
     }
 
     fn worker_row(&self, seconds: f64) -> WorkerRow {
-        let traffic = self.lab.traffic.borrow();
-        let workers = self.lab.cloud.borrow().ready(self.lab.now()).len();
+        let traffic = self.testbed.traffic.borrow();
+        let workers = self.testbed.cloud.borrow().ready(self.testbed.now()).len();
         let each = |count: u64| count as f64 / seconds / workers.max(1) as f64;
         WorkerRow {
             workers,
-            tasks: self.lab.depot.borrow().on_machines(),
+            tasks: self.testbed.object_store.borrow().on_machines(),
             reports: each(traffic.reports),
             unanswered: each(traffic.unanswered),
             direct_orders: each(traffic.direct_orders),
@@ -354,9 +354,9 @@
 }
 
 /// Hands what workers start to the users, again and again.
-async fn note_starts(users: Rc<Users>, lab: Rc<Lab>) {
+async fn note_starts(users: Rc<Users>, testbed: Rc<Testbed>) {
     loop {
-        let starts = lab.depot.borrow_mut().take_starts();
+        let starts = testbed.object_store.borrow_mut().take_starts();
         users.note_starts(starts);
         Timer::after(STARTS_INTERVAL).await;
     }
--- a/crates/lab/src/scale/users.rs
+++ b/crates/lab/src/scale/users.rs
@@ -5,7 +5,7 @@
     history::{Answered, History, Said},
     plan::Plan,
 };
-use crate::{Ms, installation::Lab, object_store::Started, traffic};
+use crate::{Millis, installation::Testbed, object_store::Started, traffic};
 use async_io::Timer;
 use hdrhistogram::Histogram;
 use http_types::Method;
@@ -80,12 +80,12 @@
 /// A job whose user has not seen it end.
 struct Open {
     class: usize,
-    submitted: Ms,
+    submitted: Millis,
     started: HashSet<u32>,
 }
 
 pub struct Users {
-    lab: Rc<Lab>,
+    testbed: Rc<Testbed>,
     plan: Plan,
     open: RefCell<HashMap<String, Open>>,
     figures: RefCell<Figures>,
@@ -95,7 +95,7 @@
 }
 
 impl Users {
-    pub fn new(lab: Rc<Lab>, plan: Plan) -> Rc<Self> {
+    pub fn new(testbed: Rc<Testbed>, plan: Plan) -> Rc<Self> {
         Rc::new(Users {
             figures: RefCell::new(Figures::of(plan.class.len())),
             rng: RefCell::new(fastrand::Rng::with_seed(plan.seed)),
@@ -103,7 +103,7 @@
             open: RefCell::default(),
             history: RefCell::default(),
             plan,
-            lab,
+            testbed,
         })
     }
 
@@ -135,7 +135,7 @@
                 users.submit_initial(class).await;
                 users.arrive(class).await;
             };
-            self.lab.executor.spawn_low(arrivals).detach();
+            self.testbed.executor.spawn_low(arrivals).detach();
         }
     }
 
@@ -170,21 +170,21 @@
         };
         let open = Open {
             class,
-            submitted: self.lab.now(),
+            submitted: self.testbed.now(),
             started: HashSet::new(),
         };
-        self.lab.depot.borrow_mut().upload(&spec);
+        self.testbed.object_store.borrow_mut().upload(&spec);
         self.open.borrow_mut().insert(spec.id.clone(), open);
         self.figures.borrow_mut().classes[class].submitted += 1;
         let users = self.clone();
         let user = async move { users.follow(class, spec).await };
-        self.lab.executor.spawn_low(user).detach();
+        self.testbed.executor.spawn_low(user).detach();
     }
 
     /// One user's part: submits until that is accepted, then polls.
     async fn follow(self: Rc<Self>, class: usize, spec: JobSpec) {
         let body = serde_json::to_vec(&spec).unwrap_or_default();
-        let begun = self.lab.now();
+        let begun = self.testbed.now();
         loop {
             let answer = self.ask(
                 &spec.id,
@@ -207,7 +207,7 @@
             }
         }
         {
-            let took = self.lab.now() - begun;
+            let took = self.testbed.now() - begun;
             let mut figures = self.figures.borrow_mut();
             figures.classes[class].accepted += 1;
             traffic::record(&mut figures.submit_times, took);
@@ -247,20 +247,20 @@
         if !self.plan.faults.close_looks {
             return;
         }
-        for controller in 0..self.lab.controllers.len() {
+        for controller in 0..self.testbed.controllers.len() {
             for _ in 0..LOOKS {
                 let after = self.rng.borrow_mut().u64(0..LOOKS_WITHIN_MS);
                 let (users, id) = (self.clone(), id.to_owned());
                 let look = async move {
                     Timer::after(Duration::from_millis(after)).await;
                     let path = format!("/v1/jobs/{id}");
-                    let at = &users.lab.controllers[controller];
-                    let asked = users.lab.now();
+                    let at = &users.testbed.controllers[controller];
+                    let asked = users.testbed.now();
                     let answer = users.call(at.listen, Method::Get, &path, None, POLL_TIMEOUT);
                     let answer = answer.await;
                     users.note_answer(&id, &at.name, asked, answer.as_ref());
                 };
-                self.lab.executor.spawn_low(look).detach();
+                self.testbed.executor.spawn_low(look).detach();
             }
         }
     }
@@ -301,10 +301,10 @@
         body: Option<&[u8]>,
         limit: Duration,
     ) -> Option<Answer> {
-        let to = self.lab.ready_controller()?;
-        let controllers = &self.lab.controllers;
+        let to = self.testbed.ready_controller()?;
+        let controllers = &self.testbed.controllers;
         let name = controllers.iter().find(|c| c.listen == to)?.name.as_str();
-        let asked = self.lab.now();
+        let asked = self.testbed.now();
         let answer = self.call(to, method, path, body, limit).await;
         self.note_answer(id, name, asked, answer.as_ref());
         answer
@@ -319,11 +319,15 @@
         limit: Duration,
     ) -> Option<Answer> {
         let body = body.map(<[u8]>::to_vec);
-        self.lab.http.call(to, method, path, body, limit).await.ok()
+        self.testbed
+            .http
+            .call(to, method, path, body, limit)
+            .await
+            .ok()
     }
 
     /// Holds an answer against those before it.
-    fn note_answer(&self, job: &str, controller: &str, sent: Ms, answer: Option<&Answer>) {
+    fn note_answer(&self, job: &str, controller: &str, sent: Millis, answer: Option<&Answer>) {
         let Some(answer) = answer else { return };
         let state = || serde_json::from_slice::<JobStatus>(&answer.body).ok();
         let said = match answer.status {
@@ -332,9 +336,9 @@
             _ => None,
         };
         let Some(said) = said else { return };
-        let came = self.lab.now();
+        let came = self.testbed.now();
         if said == Said::State(JobState::Cancelled) {
-            self.lab.depot.borrow_mut().cancelled(job, came);
+            self.testbed.object_store.borrow_mut().cancelled(job, came);
         }
         self.history.borrow_mut().answered(&Answered {
             job,
--- a/crates/lab/src/services.rs
+++ b/crates/lab/src/services.rs
@@ -1,6 +1,6 @@
 //! The HTTP paths of the state service and the cloud.
 
-use crate::{Ms, cloud::Refused, installation::Lab, state::Answer};
+use crate::{Millis, cloud::Refused, installation::Testbed, state::Answer};
 use async_io::Timer;
 use http_types::Method;
 use pathwinch_protocol::cloud::{MachineNames, MachineRequest, MachineTypes};
@@ -25,9 +25,9 @@
 }
 
 /// The state service's paths.
-pub async fn state(lab: Rc<Lab>, request: HttpRequest) -> HttpResponse {
-    let now = lab.now();
-    if let Some(refusal) = lab.state.borrow_mut().admit(now) {
+pub async fn state(testbed: Rc<Testbed>, request: HttpRequest) -> HttpResponse {
+    let now = testbed.now();
+    if let Some(refusal) = testbed.state.borrow_mut().admit(now) {
         return answer(refusal);
     }
     let Some(body) = &request.body else {
@@ -41,7 +41,7 @@
     match (request.method, path) {
         (Method::Get, "/kv") => {
             let most = number("most").unwrap_or(1000) as usize;
-            let state = lab.state.borrow();
+            let state = testbed.state.borrow();
             answer(state.list(text("under"), text("from"), most))
         }
         (Method::Get, "/watch") => {
@@ -49,12 +49,12 @@
                 return HttpResponse::error(400, "from: missing");
             };
             let wait = number("wait_ms").unwrap_or(0).min(MOST_WATCH_MS);
-            watch(&lab, text("under"), from, now + wait).await
+            watch(&testbed, text("under"), from, now + wait).await
         }
-        (Method::Post, "/txn") => answer(lab.state.borrow_mut().txn(body, now)),
-        (Method::Post, "/leases") => answer(lab.state.borrow_mut().grant(body, now)),
+        (Method::Post, "/txn") => answer(testbed.state.borrow_mut().txn(body, now)),
+        (Method::Post, "/leases") => answer(testbed.state.borrow_mut().grant(body, now)),
         (Method::Get, _) if path.starts_with("/kv/") => {
-            answer(lab.state.borrow().get(&path["/kv/".len()..]))
+            answer(testbed.state.borrow().get(&path["/kv/".len()..]))
         }
         (Method::Post | Method::Delete, _) => {
             let touch = request.method == Method::Post;
@@ -62,8 +62,8 @@
                 .map(|l| l.strip_suffix("/touch").filter(|_| touch).unwrap_or(l))
                 .and_then(|l| l.parse().ok());
             match id {
-                Some(id) if touch => answer(lab.state.borrow_mut().touch(id, now)),
-                Some(id) => answer(lab.state.borrow_mut().drop_lease(id)),
+                Some(id) if touch => answer(testbed.state.borrow_mut().renew_lease(id, now)),
+                Some(id) => answer(testbed.state.borrow_mut().drop_lease(id)),
                 None => HttpResponse::error(404, "no such path"),
             }
         }
@@ -71,28 +71,28 @@
     }
 }
 
-async fn watch(lab: &Rc<Lab>, under: &str, from: u64, until: Ms) -> HttpResponse {
+async fn watch(testbed: &Rc<Testbed>, under: &str, from: u64, until: Millis) -> HttpResponse {
     loop {
-        let now = lab.now();
-        lab.state.borrow_mut().pass_time(now);
-        if let Some(found) = lab.state.borrow().changes(under, from) {
+        let now = testbed.now();
+        testbed.state.borrow_mut().pass_time(now);
+        if let Some(found) = testbed.state.borrow().changes(under, from) {
             return answer(found);
         }
         if now >= until {
-            return answer(lab.state.borrow().looked(Vec::new()));
+            return answer(testbed.state.borrow().watch_answer(Vec::new()));
         }
         Timer::after(WATCH_STEP).await;
     }
 }
 
 /// The cloud's paths.
-pub async fn cloud(lab: Rc<Lab>, request: HttpRequest) -> HttpResponse {
-    let now = lab.now();
-    if !lab.cloud.borrow_mut().admit(now) {
+pub async fn cloud(testbed: Rc<Testbed>, request: HttpRequest) -> HttpResponse {
+    let now = testbed.now();
+    if !testbed.cloud.borrow_mut().admit(now) {
         return HttpResponse::error(429, "too many requests");
     }
     let body = request.body.as_deref().unwrap_or_default();
-    let mut cloud = lab.cloud.borrow_mut();
+    let mut cloud = testbed.cloud.borrow_mut();
     let refused = |r: Refused| match r {
         Refused::NoCapacity => HttpResponse::error(503, "no capacity"),
         Refused::Malformed(why) => HttpResponse::error(400, why),
--- a/crates/lab/src/site.rs
+++ b/crates/lab/src/site.rs
@@ -1,6 +1,6 @@
 //! What a lab is made of: the part of the settings that all controllers
 //! share, machine types and how much of each there is, and how things go
-//! wrong. Written as JSON; `pathwinch-lab site` prints the default.
+//! wrong. Written as JSON; `pathwinch-testbed site` prints the default.
 
 use anyhow::{Context, Result, ensure};
 use pathwinch_protocol::{
--- a/crates/lab/src/state.rs
+++ b/crates/lab/src/state.rs
@@ -1,7 +1,7 @@
 //! The state service: keys with versions, leases, transactions and watches,
 //! within the limits of the settings.
 
-use crate::Ms;
+use crate::Millis;
 use pathwinch_protocol::{
     settings::StateLimits,
     state::{Txn, Write},
@@ -40,8 +40,8 @@
 
 #[derive(Debug)]
 struct Lease {
-    until: Ms,
-    life: Ms,
+    until: Millis,
+    life: Millis,
     keys: BTreeSet<String>,
 }
 
@@ -95,14 +95,14 @@
     }
 
     /// The limits to come, if any, are there.
-    pub fn lower(&mut self, now: Ms) {
+    pub fn apply_next_limits(&mut self, now: Millis) {
         self.limits = self.limits.always();
         self.requests.set_rate(now, self.limits.rps, 1.0);
         self.changes.set_rate(now, self.limits.write_rps, 1.0);
     }
 
     /// Begins or ends an outage; afterwards all leases have their full time.
-    pub fn set_down(&mut self, down: bool, now: Ms) {
+    pub fn set_down(&mut self, down: bool, now: Millis) {
         if self.down && !down {
             for lease in self.leases.values_mut() {
                 lease.until = now + lease.life;
@@ -112,7 +112,7 @@
     }
 
     /// Ends leases that were not renewed in time.
-    pub fn pass_time(&mut self, now: Ms) {
+    pub fn pass_time(&mut self, now: Millis) {
         if self.down {
             return;
         }
@@ -153,7 +153,7 @@
     }
 
     /// Counts a request against the limits; the answer to give instead.
-    pub fn admit(&mut self, now: Ms) -> Option<Answer> {
+    pub fn admit(&mut self, now: Millis) -> Option<Answer> {
         self.pass_time(now);
         if self.down {
             return Some(error(503, "outage"));
@@ -224,7 +224,7 @@
         None
     }
 
-    pub fn txn(&mut self, body: &[u8], now: Ms) -> Answer {
+    pub fn txn(&mut self, body: &[u8], now: Millis) -> Answer {
         let Ok(txn) = serde_json::from_slice::<Txn>(body) else {
             return error(400, "malformed");
         };
@@ -288,7 +288,7 @@
         self.note(key, put.map(|p| p.0));
     }
 
-    pub fn grant(&mut self, body: &[u8], now: Ms) -> Answer {
+    pub fn grant(&mut self, body: &[u8], now: Millis) -> Answer {
         let life = serde_json::from_slice::<Value>(body)
             .ok()
             .and_then(|v| v.get("life_ms")?.as_u64())
@@ -308,7 +308,7 @@
         answer(200, json!({ "hold": self.last_lease }))
     }
 
-    pub fn touch(&mut self, id: u64, now: Ms) -> Answer {
+    pub fn renew_lease(&mut self, id: u64, now: Millis) -> Answer {
         match self.leases.get_mut(&id) {
             Some(lease) => {
                 lease.until = now + lease.life;
@@ -344,11 +344,11 @@
                 None => json!({"drop": c.key, "key_rev": c.revision}),
             })
             .collect();
-        (!log.is_empty()).then(|| self.looked(log))
+        (!log.is_empty()).then(|| self.watch_answer(log))
     }
 
     /// The answer to a watch.
-    pub fn looked(&self, log: Vec<Value>) -> Answer {
+    pub fn watch_answer(&self, log: Vec<Value>) -> Answer {
         answer(200, json!({"ledger_rev": self.revision, "log": log}))
     }
 }
--- a/crates/lab/src/state/tests.rs
+++ b/crates/lab/src/state/tests.rs
@@ -12,7 +12,7 @@
     })
 }
 
-fn txn(s: &mut StateService, now: Ms, body: Value) -> u16 {
+fn txn(s: &mut StateService, now: Millis, body: Value) -> u16 {
     s.txn(body.to_string().as_bytes(), now).status
 }
 
--- a/crates/lab/src/traffic.rs
+++ b/crates/lab/src/traffic.rs
@@ -1,6 +1,6 @@
 //! What workers exchange with controllers, as counted by the workers.
 
-use crate::Ms;
+use crate::Millis;
 use hdrhistogram::Histogram;
 
 /// Bytes of an HTTP request line with its headers, and of a status line with
@@ -18,7 +18,7 @@
 }
 
 /// Records a time; longer ones than can be told apart count as the longest.
-pub fn record(histogram: &mut Histogram<u64>, time: Ms) {
+pub fn record(histogram: &mut Histogram<u64>, time: Millis) {
     histogram.saturating_record(time);
 }
 
--- a/crates/lab/src/up.rs
+++ b/crates/lab/src/up.rs
@@ -1,10 +1,10 @@
-//! `pathwinch-lab up`: a whole installation on loopback until it is told to
+//! `pathwinch-testbed up`: a whole installation on loopback until it is told to
 //! end.
 
 use crate::{
     base::Base,
-    children::{Children, Program, Roll},
-    installation::Lab,
+    children::{Children, Program, RollingUpgrade},
+    installation::Testbed,
     markets,
     site::Site,
 };
@@ -45,23 +45,29 @@
     program: PathBuf,
     dir: PathBuf,
     markets: usize,
-    roll: Option<Roll>,
+    roll: Option<RollingUpgrade>,
     told: impl FnOnce(&Addresses),
     over: impl Future<Output = ()>,
 ) -> Result<()> {
     let base = Base::new(site, &dir)?;
-    let lab = base.lab.clone();
+    let testbed = base.testbed.clone();
     let mut programs = base.programs(&program);
     let made = match markets {
         0 => None,
-        count => Some(make_markets(&lab, &program, &dir, count, &mut programs)?),
+        count => Some(make_markets(
+            &testbed,
+            &program,
+            &dir,
+            count,
+            &mut programs,
+        )?),
     };
     let children = Children::new(dir.clone(), programs);
     let mut addresses = Addresses {
         users: base.users,
         state: base.state,
         cloud: base.cloud,
-        controllers: lab
+        controllers: testbed
             .controllers
             .iter()
             .map(|c| (c.name.clone(), c.listen, c.back))
@@ -69,22 +75,22 @@
         markets: Vec::new(),
         dir,
     };
-    async_io::block_on(lab.executor.run(async {
+    async_io::block_on(testbed.executor.run(async {
         base.serve();
         for (number, market) in made.into_iter().flat_map(|m| m.markets).enumerate() {
             let named = (market.name.to_owned(), market.addr);
             addresses.markets.push(named);
-            let run = markets::run(lab.clone(), market, number as u64);
-            lab.executor.spawn_high(run).detach();
+            let run = markets::run(testbed.clone(), market, number as u64);
+            testbed.executor.spawn_high(run).detach();
         }
         let stands = async {
-            until_ready(&lab).await;
+            until_ready(&testbed).await;
             told(&addresses);
             future::pending::<()>().await
         };
         let rolled = async {
             if let Some(roll) = &roll {
-                children.roll(&lab, roll).await;
+                children.roll(&testbed, roll).await;
             }
             future::pending::<()>().await
         };
@@ -96,21 +102,21 @@
 }
 
 /// Waits for a controller that can take requests.
-pub async fn until_ready(lab: &Lab) {
-    while !lab.ready.borrow().iter().any(|r| *r) {
+pub async fn until_ready(testbed: &Testbed) {
+    while !testbed.ready.borrow().iter().any(|r| *r) {
         Timer::after(READY_INTERVAL).await;
     }
 }
 
 /// Makes keys for stand-in markets, and adds the brokers to the programs.
 fn make_markets(
-    lab: &Rc<Lab>,
+    testbed: &Rc<Testbed>,
     program: &Path,
     dir: &Path,
     count: usize,
     programs: &mut Vec<Program>,
 ) -> Result<markets::Made> {
-    let teams: Vec<String> = lab
+    let teams: Vec<String> = testbed
         .site
         .cluster
         .teams
@@ -124,7 +130,7 @@
         let arguments = vec![
             "serve".into(),
             "--config".into(),
-            lab.controllers[0].settings.clone().into(),
+            testbed.controllers[0].settings.clone().into(),
             "--options".into(),
             made.options.clone().into(),
             "--keys".into(),
--- a/crates/lab/src/worker.rs
+++ b/crates/lab/src/worker.rs
@@ -1,8 +1,8 @@
 //! One worker: what it reports, how it takes commands, what its tasks do.
 
 use crate::{
-    Ms, millis,
-    object_store::{Depot, GangState},
+    Millis, millis,
+    object_store::{GangState, ObjectStore},
 };
 use pathwinch_protocol::{
     cloud::MachineType,
@@ -20,9 +20,9 @@
     why: Option<ExitReason>,
     saved: bool,
     /// When it came into this state.
-    since: Ms,
+    since: Millis,
     /// When what it does now is over, for fetching, running and saving.
-    until: Ms,
+    until: Millis,
 }
 
 impl Task {
@@ -36,7 +36,7 @@
 
     /// Whether time may change anything about it. A gang's task waits for the
     /// others, so only time tells that it does not.
-    fn may_change(&self, now: Ms) -> bool {
+    fn may_change(&self, now: Millis) -> bool {
         match self.state {
             TaskState::Exited => false,
             TaskState::WaitingForGang => true,
@@ -61,13 +61,13 @@
     seq: u64,
     token: u64,
     /// From when the lease counts.
-    renewed: Ms,
+    renewed: Millis,
     tasks: Vec<Task>,
     images: VecDeque<String>,
     /// The state service of changes: something is to be reported.
     changed: bool,
-    reported: Ms,
-    next: Ms,
+    reported: Millis,
+    next: Millis,
 }
 
 impl Worker {
@@ -78,7 +78,7 @@
         zone: &str,
         spot: bool,
         limits: Workers,
-        now: Ms,
+        now: Millis,
     ) -> Self {
         Worker {
             id: id.to_owned(),
@@ -127,7 +127,7 @@
 
     /// Whether a report is to be sent now; `chance` from 0 to 1 spreads the
     /// next one.
-    pub fn report_due(&mut self, now: Ms, chance: f64) -> bool {
+    pub fn report_due(&mut self, now: Millis, chance: f64) -> bool {
         let due = now >= self.next || (self.changed && now >= self.reported + 500);
         if due {
             let every = self.limits.report_s * (0.75 + 0.5 * chance);
@@ -142,18 +142,18 @@
     /// Returns whether it counts.
     pub fn answered(
         &mut self,
-        sent: Ms,
+        sent: Millis,
         session: u64,
         token: u64,
         commands: Vec<Command>,
-        depot: &mut Depot,
-        now: Ms,
+        object_store: &mut ObjectStore,
+        now: Millis,
     ) -> bool {
         if session != self.session || !self.saw(token) {
             return false;
         }
         self.renewed = self.renewed.max(sent);
-        self.execute(commands, depot, now);
+        self.execute(commands, object_store, now);
         true
     }
 
@@ -172,26 +172,26 @@
     pub fn ordered(
         &mut self,
         order: DirectCommands,
-        depot: &mut Depot,
-        now: Ms,
+        object_store: &mut ObjectStore,
+        now: Millis,
     ) -> (u16, Heartbeat) {
         let fits = order.incarnation == self.session && self.saw(order.fencing_token);
         if fits {
-            self.execute(order.commands, depot, now);
+            self.execute(order.commands, object_store, now);
         }
         (if fits { 200 } else { 409 }, self.report())
     }
 
-    fn execute(&mut self, commands: Vec<Command>, depot: &mut Depot, now: Ms) {
+    fn execute(&mut self, commands: Vec<Command>, object_store: &mut ObjectStore, now: Millis) {
         for command in commands.into_iter().take(MOST_ORDERS) {
             self.changed = true;
             match command {
-                Command::Start { task, attempt } => self.launch(task, attempt, depot, now),
+                Command::Start { task, attempt } => self.launch(task, attempt, object_store, now),
                 Command::Stop {
                     task,
                     attempt,
                     grace_s,
-                } => self.halt(&task, attempt, millis(grace_s), depot, now),
+                } => self.halt(&task, attempt, millis(grace_s), object_store, now),
                 Command::Reap { task, attempt } => {
                     self.tasks.retain(|t| t.live() || !t.is(&task, attempt));
                 }
@@ -199,22 +199,22 @@
         }
     }
 
-    fn free(&self, depot: &Depot) -> (f64, f64, f64) {
+    fn free(&self, object_store: &ObjectStore) -> (f64, f64, f64) {
         let all = (self.rig.cpus, self.rig.gpus, self.rig.memory_gb);
         let live = self.tasks.iter().filter(|t| t.live());
-        live.filter_map(|t| depot.spec(&t.name))
+        live.filter_map(|t| object_store.spec(&t.name))
             .fold(all, |(c, g, m), s| {
                 (c - s.cpus, g - s.gpus, m - s.memory_gb)
             })
     }
 
-    fn launch(&mut self, name: String, attempt: u64, depot: &mut Depot, now: Ms) {
+    fn launch(&mut self, name: String, attempt: u64, object_store: &mut ObjectStore, now: Millis) {
         if self.tasks.iter().any(|t| t.is(&name, attempt)) {
             return;
         }
-        let (cpus, gpus, memory) = self.free(depot);
+        let (cpus, gpus, memory) = self.free(object_store);
         const SLACK: f64 = 1e-6;
-        let refused = match depot.spec(&name) {
+        let refused = match object_store.spec(&name) {
             _ if self.tasks.iter().any(|t| t.live() && t.name == name) => {
                 Some(ExitReason::DuplicateTask)
             }
@@ -228,19 +228,19 @@
             }
             Some(_) => None,
         };
-        let fetch = match depot.spec(&name) {
+        let fetch = match object_store.spec(&name) {
             Some(s) if !self.images.contains(&s.image) => {
                 millis(s.image_gb / self.rig.fetch_gb_per_s)
             }
             _ => 0,
         };
         // A fetch that is under way serves this task too.
-        let image = depot.spec(&name).map(|s| s.image.clone());
+        let image = object_store.spec(&name).map(|s| s.image.clone());
         let under_way = self
             .tasks
             .iter()
             .filter(|t| t.state == TaskState::Fetching)
-            .find(|t| depot.spec(&t.name).map(|s| &s.image) == image.as_ref())
+            .find(|t| object_store.spec(&t.name).map(|s| &s.image) == image.as_ref())
             .map(|t| t.until);
         self.tasks.push(Task {
             name,
@@ -256,7 +256,14 @@
         });
     }
 
-    fn halt(&mut self, name: &str, attempt: u64, grace: Ms, depot: &mut Depot, now: Ms) {
+    fn halt(
+        &mut self,
+        name: &str,
+        attempt: u64,
+        grace: Millis,
+        object_store: &mut ObjectStore,
+        now: Millis,
+    ) {
         let Some(i) = self
             .tasks
             .iter()
@@ -264,7 +271,7 @@
         else {
             return;
         };
-        let Some(spec) = depot.spec(name).cloned() else {
+        let Some(spec) = object_store.spec(name).cloned() else {
             return;
         };
         let save = millis(spec.checkpoint_cost_s);
@@ -276,7 +283,7 @@
             TaskState::Saving if grace > 0 => {}
             _ if saves => {
                 if spec.kind == Kind::Gang {
-                    depot.gang_stops(name, attempt, now);
+                    object_store.gang_stopping(name, attempt, now);
                 }
                 let task = &mut self.tasks[i];
                 // How long it had run is needed when it has saved.
@@ -284,45 +291,45 @@
                 task.until = now + save;
                 task.since = now.saturating_sub(task.since);
             }
-            _ => self.exit(i, ExitReason::Stopped, depot, now),
+            _ => self.exit(i, ExitReason::Stopped, object_store, now),
         }
     }
 
     /// A task ends on this machine, however it came to it.
-    fn exit(&mut self, i: usize, why: ExitReason, depot: &mut Depot, now: Ms) {
+    fn exit(&mut self, i: usize, why: ExitReason, object_store: &mut ObjectStore, now: Millis) {
         let task = &mut self.tasks[i];
-        let kind = depot.spec(&task.name).map(|s| s.kind);
+        let kind = object_store.spec(&task.name).map(|s| s.kind);
         let was = task.state;
         task.state = TaskState::Exited;
         task.why = Some(why);
         self.changed = true;
         let name = task.name.clone();
         if why == ExitReason::Done {
-            depot.finish(&name);
+            object_store.finish(&name);
         } else if kind == Some(Kind::Gang) {
             if !matches!(was, TaskState::Fetching) && !task.saved {
-                depot.gang_lost(&name, task.attempt, now);
+                object_store.gang_lost(&name, task.attempt, now);
             }
         } else if was == TaskState::Running {
-            depot.ran(&name, now.saturating_sub(task.since), false);
+            object_store.ran(&name, now.saturating_sub(task.since), false);
         }
-        depot.leaves(&name, &self.id);
+        object_store.task_left(&name, &self.id);
     }
 
     /// Lets time pass: tasks go on, the lease may expire.
-    pub fn step(&mut self, depot: &mut Depot, now: Ms) {
+    pub fn step(&mut self, object_store: &mut ObjectStore, now: Millis) {
         if now > self.renewed + millis(self.limits.lease_s) {
-            self.lapse(depot, now);
+            self.lapse(object_store, now);
         }
         for i in 0..self.tasks.len() {
             if self.tasks[i].may_change(now) {
-                self.advance(i, depot, now);
+                self.advance(i, object_store, now);
             }
         }
     }
 
-    fn lapse(&mut self, depot: &mut Depot, now: Ms) {
-        self.lose_all(depot, now);
+    fn lapse(&mut self, object_store: &mut ObjectStore, now: Millis) {
+        self.lose_all(object_store, now);
         self.tasks.clear();
         self.session += 1;
         self.renewed = now;
@@ -330,94 +337,100 @@
     }
 
     /// Everything on it is gone, as when the machine is deleted.
-    pub fn lose_all(&mut self, depot: &mut Depot, now: Ms) {
+    pub fn lose_all(&mut self, object_store: &mut ObjectStore, now: Millis) {
         for i in 0..self.tasks.len() {
             if self.tasks[i].live() {
-                self.exit(i, ExitReason::Stopped, depot, now);
+                self.exit(i, ExitReason::Stopped, object_store, now);
             }
         }
     }
 
-    fn advance(&mut self, i: usize, depot: &mut Depot, now: Ms) {
+    fn advance(&mut self, i: usize, object_store: &mut ObjectStore, now: Millis) {
         let (name, attempt) = (self.tasks[i].name.clone(), self.tasks[i].attempt);
-        let Some(kind) = depot.spec(&name).map(|s| s.kind) else {
+        let Some(kind) = object_store.spec(&name).map(|s| s.kind) else {
             return;
         };
         match self.tasks[i].state {
             TaskState::Fetching if now >= self.tasks[i].until => {
-                self.has_image(i, kind, depot, now);
+                self.has_image(i, kind, object_store, now);
             }
-            TaskState::WaitingForGang => match depot.gang_state(&name, attempt, now) {
+            TaskState::WaitingForGang => match object_store.gang_state(&name, attempt, now) {
                 GangState::Waiting => {
                     let wait = millis(self.limits.gang_wait_s);
                     if now > self.tasks[i].since + wait {
-                        self.exit(i, ExitReason::GangIncomplete, depot, now);
+                        self.exit(i, ExitReason::GangIncomplete, object_store, now);
                     }
                 }
                 GangState::Running => self.becomes(i, TaskState::Running, now),
-                GangState::Done => self.exit(i, ExitReason::Done, depot, now),
-                GangState::PeersGone => self.exit(i, ExitReason::GangMemberLost, depot, now),
+                GangState::Done => self.exit(i, ExitReason::Done, object_store, now),
+                GangState::PeersGone => self.exit(i, ExitReason::GangMemberLost, object_store, now),
             },
             TaskState::Running if kind == Kind::Gang => {
-                match depot.gang_state(&name, attempt, now) {
-                    GangState::Done => self.exit(i, ExitReason::Done, depot, now),
-                    GangState::PeersGone => self.exit(i, ExitReason::GangMemberLost, depot, now),
+                match object_store.gang_state(&name, attempt, now) {
+                    GangState::Done => self.exit(i, ExitReason::Done, object_store, now),
+                    GangState::PeersGone => {
+                        self.exit(i, ExitReason::GangMemberLost, object_store, now)
+                    }
                     GangState::Running | GangState::Waiting => {}
                 }
             }
             TaskState::Running if now >= self.tasks[i].until => {
-                self.exit(i, ExitReason::Done, depot, now);
+                self.exit(i, ExitReason::Done, object_store, now);
+            }
+            TaskState::Saving if now >= self.tasks[i].until => {
+                self.saved(i, kind, object_store, now)
             }
-            TaskState::Saving if now >= self.tasks[i].until => self.saved(i, kind, depot, now),
             _ => {}
         }
     }
 
-    fn becomes(&mut self, i: usize, state: TaskState, now: Ms) {
+    fn becomes(&mut self, i: usize, state: TaskState, now: Millis) {
         self.tasks[i].state = state;
         self.tasks[i].since = now;
         self.changed = true;
     }
 
-    fn has_image(&mut self, i: usize, kind: Kind, depot: &mut Depot, now: Ms) {
+    fn has_image(&mut self, i: usize, kind: Kind, object_store: &mut ObjectStore, now: Millis) {
         let (name, attempt) = (self.tasks[i].name.clone(), self.tasks[i].attempt);
-        if let Some(image) = depot.spec(&name).map(|s| s.image.clone()) {
+        if let Some(image) = object_store.spec(&name).map(|s| s.image.clone()) {
             self.images.retain(|o| *o != image);
             self.images.push_back(image);
             if self.images.len() > CACHED {
                 self.images.pop_front();
             }
         }
-        if depot.is_finished(&name) {
-            return self.exit(i, ExitReason::Done, depot, now);
+        if object_store.is_finished(&name) {
+            return self.exit(i, ExitReason::Done, object_store, now);
         }
-        depot.arrives(&name, &self.id, now);
-        if depot.fails(&name) {
-            return self.exit(i, ExitReason::Error, depot, now);
+        object_store.task_started(&name, &self.id, now);
+        if object_store.fails(&name) {
+            return self.exit(i, ExitReason::Error, object_store, now);
         }
         if kind == Kind::Gang {
             self.becomes(i, TaskState::WaitingForGang, now);
-            depot.gathers(&name, attempt, now);
+            object_store.gang_task_waits(&name, attempt, now);
         } else {
             self.becomes(i, TaskState::Running, now);
-            self.tasks[i].until = depot.left_ms(&name).map_or(Ms::MAX, |left| now + left);
+            self.tasks[i].until = object_store
+                .left_ms(&name)
+                .map_or(Millis::MAX, |left| now + left);
         }
     }
 
-    fn saved(&mut self, i: usize, kind: Kind, depot: &mut Depot, now: Ms) {
+    fn saved(&mut self, i: usize, kind: Kind, object_store: &mut ObjectStore, now: Millis) {
         let (name, attempt) = (self.tasks[i].name.clone(), self.tasks[i].attempt);
         if kind == Kind::Gang {
-            match depot.gang_saved(&name, attempt, now) {
+            match object_store.gang_saved(&name, attempt, now) {
                 Some(true) => self.tasks[i].saved = true,
-                Some(false) => return self.exit(i, ExitReason::GangMemberLost, depot, now),
+                Some(false) => return self.exit(i, ExitReason::GangMemberLost, object_store, now),
                 None => return,
             }
         } else {
             let ran = self.tasks[i].since;
-            depot.ran(&name, ran, true);
+            object_store.ran(&name, ran, true);
             self.tasks[i].saved = true;
         }
-        self.exit(i, ExitReason::Stopped, depot, now);
+        self.exit(i, ExitReason::Stopped, object_store, now);
     }
 }
 
--- a/crates/lab/src/worker/tests.rs
+++ b/crates/lab/src/worker/tests.rs
@@ -30,7 +30,7 @@
     }
 }
 
-fn worker(id: &str, now: Ms) -> Worker {
+fn worker(id: &str, now: Millis) -> Worker {
     let site = Site::default();
     let rig = site.rigs[0].clone();
     Worker::new(
@@ -59,10 +59,10 @@
     }]
 }
 
-fn depot(spec: &JobSpec) -> Depot {
-    let mut depot = Depot::new(1, 0.0, 5_000, 20_000);
-    depot.upload(spec);
-    depot
+fn object_store(spec: &JobSpec) -> ObjectStore {
+    let mut object_store = ObjectStore::new(1, 0.0, 5_000, 20_000);
+    object_store.upload(spec);
+    object_store
 }
 
 fn states(w: &mut Worker) -> Vec<(TaskState, Option<ExitReason>)> {
@@ -76,7 +76,7 @@
 
 #[test]
 fn a_task_fetches_runs_saves_and_goes_on_from_there() {
-    let mut d = depot(&job(Kind::Array, 4));
+    let mut d = object_store(&job(Kind::Array, 4));
     let mut w = worker("i-1", 0);
     assert!(w.answered(0, 1, 7, start("j-000001/0"), &mut d, 0));
     // Two tasks fill its 8 cores; a third is refused, as is an unknown one.
@@ -106,7 +106,7 @@
 
 #[test]
 fn a_gang_starts_together_and_falls_back_when_a_machine_is_lost() {
-    let mut d = depot(&job(Kind::Gang, 2));
+    let mut d = object_store(&job(Kind::Gang, 2));
     let (mut one, mut two) = (worker("i-1", 0), worker("i-2", 0));
     one.answered(0, 1, 1, start("j-000001/0"), &mut d, 0);
     one.step(&mut d, 1000);
@@ -124,18 +124,18 @@
     one.step(&mut d, 8500);
     assert_eq!(states(&mut one)[0].1, Some(ExitReason::GangMemberLost));
     assert_eq!(d.left_ms("j-000001/0"), Some(all - 2000));
-    assert!(d.broken().is_empty());
+    assert!(d.violations().is_empty());
 }
 
 #[test]
 fn a_lapsed_lease_kills_and_a_task_in_two_places_is_noticed() {
-    let mut d = depot(&job(Kind::Service, 1));
+    let mut d = object_store(&job(Kind::Service, 1));
     let (mut one, mut two) = (worker("i-1", 0), worker("i-2", 0));
     one.answered(0, 1, 1, start("j-000001/0"), &mut d, 0);
     one.step(&mut d, 1000);
     two.answered(0, 1, 1, start("j-000001/0"), &mut d, 1000);
     two.step(&mut d, 2000);
-    assert_eq!(d.broken().len(), 1, "the checker sees it");
+    assert_eq!(d.violations().len(), 1, "the checker sees it");
     one.step(&mut d, 31_000);
     assert_eq!(one.session, 2);
     assert!(states(&mut one).is_empty());
--- a/crates/market/examples/nights.rs
+++ b/crates/market/examples/nights.rs
@@ -8,10 +8,10 @@
 #[path = "../tests/simulation/mod.rs"]
 mod simulation;
 
-use simulation::{Ms, World};
+use simulation::{Millis, World};
 
 /// All jobs offloaded and running for long, then the broker's process ends.
-fn settle(jobs: u32, down: bool) -> (usize, Ms) {
+fn settle(jobs: u32, down: bool) -> (usize, Millis) {
     let mut w = World::new(11, jobs);
     for j in w.jobs.values_mut() {
         j.local_at = 100_000_000;
@@ -47,7 +47,7 @@
 /// minutes; each is due five minutes after it came.
 fn worth(seed: u64, markets: bool) -> Night {
     const JOBS: u32 = 3_000;
-    const DUE: Ms = 300_000;
+    const DUE: Millis = 300_000;
     let mut w = World::new(seed, JOBS);
     w.room = Some(25);
     for m in &mut w.markets {
@@ -55,7 +55,7 @@
     }
     let start = w.now;
     for (n, j) in w.jobs.values_mut().enumerate() {
-        j.come = start + n as Ms * 300;
+        j.come = start + n as Millis * 300;
     }
     w.take_over();
     let mut in_time = 0;
--- a/crates/market/src/broker/bids.rs
+++ b/crates/market/src/broker/bids.rs
@@ -12,11 +12,11 @@
 };
 
 /// Bids that are not answered for so long are given up.
-const PATIENCE: Ms = 4_000;
+const PATIENCE: Millis = 4_000;
 /// Of an expected cost, what an award may come to: run times are guesses.
 const SLACK: f64 = 1.5;
 /// An offer must stand for so much longer to be bid for.
-const LEAST_LEFT: Ms = 2_000;
+const LEAST_LEFT: Millis = 2_000;
 
 #[derive(Debug)]
 struct Out {
@@ -32,7 +32,7 @@
     job: Waiting,
     worth: Money,
     out: Vec<Out>,
-    until: Ms,
+    until: Millis,
 }
 
 /// Bids under way. They expire by themselves and are not recorded.
@@ -89,7 +89,7 @@
 
 impl Broker {
     /// Offers that can be counted on now.
-    fn standing(&self, now: Ms) -> (Vec<Standing>, Vec<Place>) {
+    fn standing(&self, now: Millis) -> (Vec<Standing>, Vec<Place>) {
         let (mut list, mut places) = (Vec::new(), Vec::new());
         for (m, market) in self.markets.iter().enumerate() {
             let Some(clock) = market.clock.ahead(now, LEAST_LEFT) else {
@@ -125,7 +125,7 @@
         (list, places)
     }
 
-    pub(super) fn clear(&mut self, now: Ms) {
+    pub(super) fn clear(&mut self, now: Millis) {
         self.award_accepted(now);
         if now < self.next_clearing || self.waiting.is_empty() {
             return;
@@ -192,7 +192,7 @@
         j: &Bidder,
         offers: impl Iterator<Item = &'a Standing>,
         rows: &mut BTreeMap<usize, Vec<Bid>>,
-        now: Ms,
+        now: Millis,
     ) {
         let mut out = Vec::new();
         for s in offers {
@@ -221,7 +221,7 @@
         self.bidding.jobs.insert(w.job.clone(), bids);
     }
 
-    pub(super) fn bids_said(&mut self, m: usize, bids: &[u64], said: &[BidSaid], now: Ms) {
+    pub(super) fn bids_said(&mut self, m: usize, bids: &[u64], said: &[BidSaid], now: Millis) {
         if said.len() != bids.len() {
             self.lied(m, "not as many answers as bids");
             return self.bidding.unanswered(bids, &mut self.markets);
@@ -255,7 +255,7 @@
     }
 
     /// Awards each job whose bids are all answered to the cheapest market.
-    fn award_accepted(&mut self, now: Ms) {
+    fn award_accepted(&mut self, now: Millis) {
         let ready: Vec<String> = self
             .bidding
             .jobs
@@ -286,7 +286,7 @@
     }
 
     /// Writes down that a job is to be offloaded, before anyone is told.
-    fn intend(&mut self, w: Waiting, worth: Money, m: usize, bid: u64, price: Money, now: Ms) {
+    fn intend(&mut self, w: Waiting, worth: Money, m: usize, bid: u64, price: Money, now: Millis) {
         let hours = hours(&w);
         let expected = f64::from(w.left()) * hours * price as f64;
         let cap = ((expected * SLACK) as Money).min(worth).max(1);
@@ -330,7 +330,8 @@
             recall: false,
         };
         let record = lent.record(&self.markets[m].name, None);
-        self.books.want(vec![(award_key(&w.job), value(&record))]);
+        self.ledger_sync
+            .want(vec![(award_key(&w.job), value(&record))]);
         self.jobs.insert(w.job, lent);
     }
 }
--- a/crates/market/src/broker/calls.rs
+++ b/crates/market/src/broker/calls.rs
@@ -12,7 +12,7 @@
 const SYNC_SPREAD: f64 = 0.25;
 
 /// Besides three rounds, a market may be unresponsive for so long.
-const SILENT: Ms = 2_000;
+const SILENT: Millis = 2_000;
 
 impl Broker {
     pub(super) fn call(&mut self, market: usize, call: Call, ask: Ask) {
@@ -34,7 +34,7 @@
     }
 
     /// Keeps in touch with every market.
-    pub(super) fn sync(&mut self, now: Ms) {
+    pub(super) fn sync(&mut self, now: Millis) {
         for m in 0..self.markets.len() {
             self.write_horizon(m, now);
             let market = &mut self.markets[m];
@@ -46,7 +46,7 @@
             }
             let every = self.o.every_ms as f64;
             let spread = 1.0 + SYNC_SPREAD * (self.rng.f64() - 0.5);
-            market.next_sync = now + (every * spread) as Ms;
+            market.next_sync = now + (every * spread) as Millis;
             market.syncing = true;
             let here: Vec<(u64, bool)> = self
                 .jobs
@@ -74,7 +74,7 @@
         }
     }
 
-    fn write_horizon(&mut self, m: usize, now: Ms) {
+    fn write_horizon(&mut self, m: usize, now: Millis) {
         if !self.jobs.values().any(|l| l.market == m) {
             return;
         }
@@ -89,7 +89,7 @@
         }
         if let Some(until_ms) = market.tenancy.to_write(now) {
             let key = horizon_key(&market.name);
-            self.books
+            self.ledger_sync
                 .want(vec![(key, value(&HorizonRecord { until_ms }))]);
         }
     }
@@ -97,9 +97,9 @@
     pub(super) fn answered(
         &mut self,
         number: u64,
-        sent: Ms,
+        sent: Millis,
         reply: Result<Reply, Missing>,
-        now: Ms,
+        now: Millis,
     ) {
         let Some((m, call)) = self.under_way.remove(&number) else {
             return;
@@ -139,7 +139,7 @@
         }
     }
 
-    fn taken(&mut self, m: usize, call: Call, sent: Ms, reply: Reply, now: Ms) {
+    fn taken(&mut self, m: usize, call: Call, sent: Millis, reply: Reply, now: Millis) {
         if let Say::Fenced { term } = reply.say {
             if term > self.term {
                 return self.resign();
@@ -188,7 +188,7 @@
         }
     }
 
-    fn synced(&mut self, m: usize, asked: &[u64], reply: &Reply, synced: &Synced, now: Ms) {
+    fn synced(&mut self, m: usize, asked: &[u64], reply: &Reply, synced: &Synced, now: Millis) {
         let clock = reply.clock_ms;
         self.markets[m].offers = synced
             .offers
--- a/crates/market/src/broker/mod.rs
+++ b/crates/market/src/broker/mod.rs
@@ -10,12 +10,12 @@
 mod settle;
 
 use crate::{
-    Money, Ms,
-    call_policy::{Gate, Limits},
+    Millis, Money,
+    call_policy::{CircuitBreaker, Limits},
     clearing::Effort,
     clock::{Clock, Tenancy},
-    ledger_sync::{Books, News, Step, Wrote},
-    lending::{Stays, Waiting},
+    ledger_sync::{LedgerSync, Reconciled, Step, WriteOutcome},
+    lending::{NotLendable, Waiting},
     options::Options,
     records::{
         AWARDS, AwardRecord, End, HORIZONS, HorizonRecord, SPENT, STANDING, SpentRecord, Why,
@@ -32,7 +32,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
     /// To the state service; guarded by the leadership besides.
-    Books(Step),
+    LedgerSync(Step),
     /// To a market. Answered by `Event::Answered` with the same number.
     Call {
         market: usize,
@@ -56,13 +56,13 @@
 #[derive(Debug, Clone)]
 pub enum Event {
     /// The answer to a step of the books, by its number.
-    Wrote(u64, Wrote),
+    WriteOutcome(u64, WriteOutcome),
     Read(u64, Result<Option<(Value, u64)>, ()>),
     /// What a market answered, already checked against the schema; `Err`: no
     /// answer, or one that was refused.
     Answered {
         call: u64,
-        sent: Ms,
+        sent: Millis,
         reply: Result<wire::Reply, Missing>,
     },
     /// `None`: no answer.
@@ -96,7 +96,7 @@
     /// Its record is being written: nothing outside knows of it.
     Intended,
     /// The record is durable; the leader is asked to mark the job.
-    Marking { asked: Option<Ms> },
+    Marking { asked: Option<Millis> },
     /// The job is marked; nothing was sent to the market.
     Marked,
     /// It is, or may be, at the market, or on its way there.
@@ -109,7 +109,7 @@
     /// It surely ended; that is being written.
     Ending(End),
     /// The end is durable; the leader is told.
-    Returning { end: End, asked: Option<Ms> },
+    Returning { end: End, asked: Option<Millis> },
     /// The leader knows; the record is being deleted.
     Dropping,
 }
@@ -136,15 +136,15 @@
     known: bool,
     pub clock: Clock,
     pub tenancy: Tenancy,
-    pub gate: Gate,
+    pub gate: CircuitBreaker,
     pub reputation: Reputation,
     /// As it was last written, and when it may be written again.
     recorded: Reputation,
-    next_record: Ms,
+    next_record: Millis,
     offers: Vec<wire::Offer>,
     /// Until when the market has surely been let run things.
     granted: Option<wire::Until>,
-    next_sync: Ms,
+    next_sync: Millis,
     syncing: bool,
     settled: Vec<u64>,
     release: Vec<u64>,
@@ -186,11 +186,11 @@
     under_way: HashMap<u64, (usize, Call)>,
     bidding: bids::Bidding,
     waiting: Vec<Waiting>,
-    next_clearing: Ms,
+    next_clearing: Millis,
     spent: BTreeMap<String, SpentRecord>,
-    books: Books,
+    ledger_sync: LedgerSync,
     /// The state service is left alone until then.
-    books_after: Ms,
+    books_after: Millis,
     effort: Effort,
     rng: Rng,
     ended: bool,
@@ -201,11 +201,11 @@
 /// Awards of one term.
 const COUNT_BITS: u32 = 20;
 /// Before the state service is asked again for what it refused.
-const BOOKS_PAUSE: Ms = 200;
+const BOOKS_PAUSE: Millis = 200;
 /// Reputations are written no more often than this; a lie at once.
-const RECORD: Ms = 30_000;
+const RECORD: Millis = 30_000;
 /// The leader is asked again after this.
-const ASK_AGAIN: Ms = 2_000;
+const ASK_AGAIN: Millis = 2_000;
 
 impl Broker {
     /// `term`: of the leadership, higher than any before. `records`: all that
@@ -233,7 +233,7 @@
             waiting: Vec::new(),
             next_clearing: 0,
             spent: BTreeMap::new(),
-            books: Books::new(txn_ops, term),
+            ledger_sync: LedgerSync::new(txn_ops, term),
             books_after: 0,
             effort: Effort::default(),
             rng: Rng::with_seed(seed),
@@ -259,7 +259,7 @@
             known,
             clock: Clock::default(),
             tenancy: Tenancy::new(self.o.tenancy_ms, self.o.clock_bound_ms, 0),
-            gate: Gate::new(Limits::default()),
+            gate: CircuitBreaker::new(Limits::default()),
             reputation: Reputation::default(),
             recorded: Reputation::default(),
             next_record: 0,
@@ -276,7 +276,7 @@
 
     fn load(&mut self, records: &BTreeMap<String, (Value, u64)>) {
         for (key, (value, version)) in records {
-            self.books.loaded(key, *version);
+            self.ledger_sync.loaded(key, *version);
             if let Some(job) = key.strip_prefix(AWARDS) {
                 match serde_json::from_value::<AwardRecord>(value.clone()) {
                     Ok(record) => self.load_award(job, record),
@@ -345,7 +345,7 @@
     }
 
     /// What a team may still spend today, what is quarantined left out.
-    pub fn money(&self, team: &str, now: Ms) -> Money {
+    pub fn money(&self, team: &str, now: Millis) -> Money {
         let budget = self.o.budgets.get(team).copied().unwrap_or(0);
         let spent = self
             .spent
@@ -362,7 +362,7 @@
     }
 
     /// Why jobs stay here, as of now.
-    pub fn stays(&self, now: Ms) -> Vec<(&str, Stays)> {
+    pub fn stays(&self, now: Millis) -> Vec<(&str, NotLendable)> {
         let money = |team: &str| self.money(team, now);
         crate::lending::choose(&self.waiting, self.jobs.len(), money, &self.o).1
     }
@@ -377,23 +377,23 @@
     }
 
     /// Takes in what has happened.
-    pub fn event(&mut self, event: Event, now: Ms) -> Vec<Effect> {
+    pub fn event(&mut self, event: Event, now: Millis) -> Vec<Effect> {
         if self.ended {
             return Vec::new();
         }
         match event {
-            Event::Wrote(step, wrote) => {
-                if matches!(wrote, Wrote::Later | Wrote::Unknown) {
+            Event::WriteOutcome(step, wrote) => {
+                if matches!(wrote, WriteOutcome::Later | WriteOutcome::Unknown) {
                     self.books_after = now + self.pause();
                 }
-                let news = self.books.wrote(step, wrote);
+                let news = self.ledger_sync.wrote(step, wrote);
                 self.news(news);
             }
             Event::Read(step, found) => {
                 if found.is_err() {
                     self.books_after = now + self.pause();
                 }
-                let news = self.books.read(step, found);
+                let news = self.ledger_sync.read(step, found);
                 self.news(news);
             }
             Event::Answered { call, sent, reply } => self.answered(call, sent, reply, now),
@@ -412,7 +412,7 @@
     }
 
     /// Works out the difference between what is wanted and what is.
-    pub fn tick(&mut self, now: Ms) -> Vec<Effect> {
+    pub fn tick(&mut self, now: Millis) -> Vec<Effect> {
         if self.ended {
             return Vec::new();
         }
@@ -424,7 +424,7 @@
         self.go_on(now)
     }
 
-    fn go_on(&mut self, now: Ms) -> Vec<Effect> {
+    fn go_on(&mut self, now: Millis) -> Vec<Effect> {
         if self.ended {
             self.out.clear();
             return vec![Effect::Resign];
@@ -433,17 +433,17 @@
         if now < self.books_after {
             return std::mem::take(&mut self.out);
         }
-        while let Some(step) = self.books.next_step() {
+        while let Some(step) = self.ledger_sync.next_step() {
             if matches!(step, Step::Write(..)) {
                 self.counts.writes += 1;
             }
-            self.out.push(Effect::Books(step));
+            self.out.push(Effect::LedgerSync(step));
         }
         std::mem::take(&mut self.out)
     }
 
     /// Records what markets are worth, so that a successor knows a liar.
-    fn record_standing(&mut self, now: Ms) {
+    fn record_standing(&mut self, now: Millis) {
         for m in &mut self.markets {
             let lied = m.reputation.lies > m.recorded.lies;
             if m.reputation == m.recorded || (now < m.next_record && !lied) {
@@ -452,11 +452,11 @@
             m.next_record = now + RECORD;
             m.recorded = m.reputation.clone();
             let group = vec![(standing_key(&m.name), value(&m.recorded))];
-            self.books.want(group);
+            self.ledger_sync.want(group);
         }
     }
 
-    fn pause(&mut self) -> Ms {
+    fn pause(&mut self) -> Millis {
         BOOKS_PAUSE + self.rng.u64(0..BOOKS_PAUSE)
     }
 
@@ -465,11 +465,11 @@
     }
 
     /// What has become durable lets the next step be taken.
-    fn news(&mut self, news: News) {
+    fn news(&mut self, news: Reconciled) {
         let list = match news {
-            News::Nothing => return,
-            News::Lost => return self.resign(),
-            News::Durable(list) => list,
+            Reconciled::Nothing => return,
+            Reconciled::Lost => return self.resign(),
+            Reconciled::Durable(list) => list,
         };
         for (key, value) in list {
             if let Some(job) = key.strip_prefix(AWARDS) {
--- a/crates/market/src/broker/settle.rs
+++ b/crates/market/src/broker/settle.rs
@@ -6,14 +6,14 @@
 
 impl Broker {
     /// Steps that have become due by time alone.
-    pub(super) fn due(&mut self, now: Ms) {
+    pub(super) fn due(&mut self, now: Millis) {
         let due = self.jobs.iter().filter(|(_, l)| l.acts(now));
         self.ready.extend(due.map(|(j, _)| j.clone()));
     }
 
     /// Takes the next step of each job that something has happened to: work
     /// per event must not grow with the jobs that are offloaded.
-    pub(super) fn advance(&mut self, now: Ms) {
+    pub(super) fn advance(&mut self, now: Millis) {
         while let Some(job) = self.ready.pop_first() {
             if self.jobs.get(&job).is_some_and(|l| l.acts(now)) {
                 self.step(&job, now);
@@ -21,8 +21,8 @@
         }
     }
 
-    fn step(&mut self, job: &str, now: Ms) {
-        let version = self.books.version(&award_key(job));
+    fn step(&mut self, job: &str, now: Millis) {
+        let version = self.ledger_sync.version(&award_key(job));
         let Some(lent) = self.jobs.get_mut(job) else {
             return;
         };
@@ -52,7 +52,7 @@
     }
 
     /// The leader has said whether the job is marked.
-    pub(super) fn marked(&mut self, job: &str, award: u64, marked: Option<bool>, now: Ms) {
+    pub(super) fn marked(&mut self, job: &str, award: u64, marked: Option<bool>, now: Millis) {
         let Some(lent) = self.jobs.get_mut(job).filter(|l| l.award == award) else {
             return;
         };
@@ -71,7 +71,7 @@
         }
     }
 
-    fn end_unsent(&mut self, job: &str, now: Ms) {
+    fn end_unsent(&mut self, job: &str, now: Millis) {
         let end = End {
             done: Ranges::default(),
             result: None,
@@ -82,7 +82,7 @@
     }
 
     /// Sends the award if it can still be accepted, else ends it unsent.
-    fn send(&mut self, job: &str, now: Ms) {
+    fn send(&mut self, job: &str, now: Millis) {
         let Some(lent) = self.jobs.get(job) else {
             return;
         };
@@ -130,7 +130,7 @@
     }
 
     /// What a market says of an award that it was asked about.
-    pub(super) fn heard(&mut self, job: &str, reply: &wire::Reply, state: &State, now: Ms) {
+    pub(super) fn heard(&mut self, job: &str, reply: &wire::Reply, state: &State, now: Millis) {
         let Some(lent) = self.jobs.get_mut(job) else {
             return;
         };
@@ -191,7 +191,7 @@
         result: Option<String>,
         charge: Money,
         why: Why,
-        now: Ms,
+        now: Millis,
     ) {
         let Some(lent) = self.jobs.get(job) else {
             return;
@@ -218,7 +218,7 @@
     }
 
     /// Records the end and, in the same transaction, what it cost.
-    fn end(&mut self, job: &str, end: End, now: Ms) {
+    fn end(&mut self, job: &str, end: End, now: Millis) {
         let Some(lent) = self.jobs.get_mut(job) else {
             return;
         };
@@ -241,7 +241,7 @@
             group.push((spent_key(&lent.team), value(spent)));
         }
         lent.phase = Phase::Ending(end);
-        self.books.want(group);
+        self.ledger_sync.want(group);
     }
 
     pub(super) fn returned(&mut self, job: &str, award: u64, taken: bool) {
@@ -250,12 +250,12 @@
         };
         if taken && matches!(lent.phase, Phase::Returning { .. }) {
             lent.phase = Phase::Dropping;
-            self.books.want(vec![(award_key(job), None)]);
+            self.ledger_sync.want(vec![(award_key(job), None)]);
         }
     }
 
     /// Ends what can't be running any more, whatever became of it.
-    pub(super) fn expire(&mut self, now: Ms) {
+    pub(super) fn expire(&mut self, now: Millis) {
         let gone: Vec<String> = self
             .jobs
             .iter()
@@ -278,8 +278,8 @@
 
 impl Lent {
     /// Whether there is something to do for it without further news.
-    fn acts(&self, now: Ms) -> bool {
-        let due = |asked: &Option<Ms>| asked.is_none_or(|at| now >= at + ASK_AGAIN);
+    fn acts(&self, now: Millis) -> bool {
+        let due = |asked: &Option<Millis>| asked.is_none_or(|at| now >= at + ASK_AGAIN);
         match &self.phase {
             Phase::Marking { asked } => due(asked) || self.recall,
             Phase::Returning { asked, .. } => due(asked),
--- a/crates/market/src/call_policy.rs
+++ b/crates/market/src/call_policy.rs
@@ -2,7 +2,7 @@
 //! breaker, back-off with jitter and a budget of retries. Each market has its
 //! own, so that a slow or broken one costs the others nothing.
 
-use crate::Ms;
+use crate::Millis;
 
 #[derive(Debug, Clone, PartialEq)]
 pub struct Limits {
@@ -11,8 +11,8 @@
     /// Failures in a row after which the market is left alone.
     pub failures: u32,
     /// For how long at first, and at most.
-    pub open_ms: Ms,
-    pub most_open_ms: Ms,
+    pub open_ms: Millis,
+    pub most_open_ms: Millis,
     /// Retries saved up at most, and how many first calls earn one.
     pub retries: u32,
     pub calls_per_retry: u32,
@@ -36,7 +36,7 @@
     /// Calls go through.
     Closed,
     /// None do, until then.
-    Open { until: Ms },
+    Open { until: Millis },
     /// One call is under way that decides.
     Trying,
 }
@@ -52,7 +52,7 @@
 }
 
 #[derive(Debug)]
-pub struct Gate {
+pub struct CircuitBreaker {
     limits: Limits,
     state: State,
     under_way: u32,
@@ -66,9 +66,9 @@
     credit: u32,
 }
 
-impl Gate {
+impl CircuitBreaker {
     pub fn new(limits: Limits) -> Self {
-        Gate {
+        CircuitBreaker {
             state: State::Closed,
             under_way: 0,
             window: f64::from(limits.calls.clamp(1, 4)),
@@ -93,7 +93,7 @@
     }
 
     /// Takes a place for one call. `retry`: it repeats one that failed.
-    pub fn enter(&mut self, now: Ms, retry: bool) -> bool {
+    pub fn enter(&mut self, now: Millis, retry: bool) -> bool {
         match self.state {
             State::Open { until } if now < until => return false,
             State::Open { .. } if self.under_way > 0 => return false,
@@ -115,7 +115,7 @@
     }
 
     /// A call has ended; `chance` from 0 to 1 spreads the next attempt.
-    pub fn leave(&mut self, outcome: Outcome, now: Ms, chance: f64) {
+    pub fn leave(&mut self, outcome: Outcome, now: Millis, chance: f64) {
         self.under_way = self.under_way.saturating_sub(1);
         if outcome == Outcome::Good {
             self.failed = 0;
@@ -135,7 +135,7 @@
             // Half of it is sure, half is drawn.
             let wait = long * (0.5 + 0.5 * chance.clamp(0.0, 1.0));
             self.state = State::Open {
-                until: now + wait as Ms,
+                until: now + wait as Millis,
             };
             self.opened = self.opened.saturating_add(1);
             self.failed = 0;
--- a/crates/market/src/call_policy/tests.rs
+++ b/crates/market/src/call_policy/tests.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn a_silent_market_is_left_alone_ever_longer_and_tried_with_one_call() {
-    let mut g = Gate::new(Limits::default());
+    let mut g = CircuitBreaker::new(Limits::default());
     let mut now = 0;
     for _ in 0..5 {
         assert!(g.enter(now, false));
@@ -30,8 +30,8 @@
 
 #[test]
 fn calls_under_way_are_few_at_a_slow_market_and_many_at_a_good_one() {
-    let mut g = Gate::new(Limits::default());
-    let take = |g: &mut Gate| (0..100).filter(|_| g.enter(0, false)).count() as u32;
+    let mut g = CircuitBreaker::new(Limits::default());
+    let take = |g: &mut CircuitBreaker| (0..100).filter(|_| g.enter(0, false)).count() as u32;
     assert_eq!(take(&mut g), 4);
     for _ in 0..4 {
         g.leave(Outcome::Good, 0, 0.0);
@@ -49,7 +49,7 @@
 
 #[test]
 fn retries_are_a_share_of_calls() {
-    let mut g = Gate::new(Limits::default());
+    let mut g = CircuitBreaker::new(Limits::default());
     let mut retry = |n: u32| {
         let mut taken = 0;
         for _ in 0..n {
--- a/crates/market/src/clock.rs
+++ b/crates/market/src/clock.rs
@@ -6,13 +6,13 @@
 //! written durably before each renewal, after which nothing awarded there can
 //! be running, whether or not an answer ever came.
 
-use crate::{Ms, wire::Until};
+use crate::{Millis, wire::Until};
 
 /// Steady clocks of two machines drift apart by up to this share.
 const DRIFT: f64 = 0.0005;
 /// A market's clock is watched for so long before anything is awarded there,
 /// and from then on against the first reading.
-const WATCHED: Ms = 10_000;
+const WATCHED: Millis = 10_000;
 /// By this share a clock may be slow without being noticed within that time,
 /// as answers take up to a fifth of a second; horizons reach beyond it.
 const UNNOTICED: f64 = 0.02;
@@ -22,8 +22,8 @@
     pub epoch: u64,
     pub clock_ms: u64,
     /// When the request for it was sent and its answer received, here.
-    pub sent: Ms,
-    pub received: Ms,
+    pub sent: Millis,
+    pub received: Millis,
 }
 
 /// What a new reading shows.
@@ -68,7 +68,7 @@
     }
 
     /// Whether the market has answered within the last `within`.
-    pub fn heard(&self, now: Ms, within: Ms) -> bool {
+    pub fn heard(&self, now: Millis, within: Millis) -> bool {
         self.last.is_some_and(|r| now <= r.received + within)
     }
 
@@ -100,7 +100,7 @@
 
     /// A time `from_now` ahead on the market's clock: never later there than
     /// meant, as the reading is not younger than its receipt.
-    pub fn ahead(&self, now: Ms, from_now: Ms) -> Option<Until> {
+    pub fn ahead(&self, now: Millis, from_now: Millis) -> Option<Until> {
         let r = self.last.filter(|_| self.sound())?;
         let since = now.saturating_sub(r.received) as f64 * (1.0 - DRIFT);
         Some(Until {
@@ -120,17 +120,17 @@
 #[derive(Debug)]
 pub struct Tenancy {
     /// How far ahead each renewal reaches.
-    life_ms: Ms,
+    life_ms: Millis,
     /// By how much the time of day may differ between brokers.
-    bound_ms: Ms,
+    bound_ms: Millis,
     /// Durable: nothing runs there after this.
-    horizon: Ms,
+    horizon: Millis,
     /// The horizon that is being written, if any.
-    writing: Option<Ms>,
+    writing: Option<Millis>,
 }
 
 impl Tenancy {
-    pub fn new(life_ms: Ms, bound_ms: Ms, horizon: Ms) -> Self {
+    pub fn new(life_ms: Millis, bound_ms: Millis, horizon: Millis) -> Self {
         Tenancy {
             life_ms,
             bound_ms,
@@ -140,13 +140,13 @@
     }
 
     /// When a renewal that is granted now has surely ended.
-    fn ends(&self, now: Ms) -> Ms {
-        now + (self.life_ms as f64 * (1.0 + UNNOTICED)) as Ms + 1
+    fn ends(&self, now: Millis) -> Millis {
+        now + (self.life_ms as f64 * (1.0 + UNNOTICED)) as Millis + 1
     }
 
     /// A horizon to be written first, if renewals would soon go beyond the
     /// one that is durable: it reaches further, so that it is written seldom.
-    pub fn to_write(&mut self, now: Ms) -> Option<Ms> {
+    pub fn to_write(&mut self, now: Millis) -> Option<Millis> {
         if self.writing.is_some() || self.ends(now) + self.life_ms / 4 <= self.horizon {
             return None;
         }
@@ -156,13 +156,13 @@
     }
 
     /// It is durable now.
-    pub fn written(&mut self, horizon: Ms) {
+    pub fn written(&mut self, horizon: Millis) {
         self.horizon = self.horizon.max(horizon);
         self.writing = None;
     }
 
     /// Until when a renewal may be granted, on the market's clock.
-    pub fn renewal(&self, clock: &Clock, now: Ms) -> Option<Until> {
+    pub fn renewal(&self, clock: &Clock, now: Millis) -> Option<Until> {
         if self.ends(now) > self.horizon {
             return None;
         }
@@ -170,7 +170,7 @@
     }
 
     /// Nothing that was awarded there can be running.
-    pub fn over(&self, now: Ms) -> bool {
+    pub fn over(&self, now: Millis) -> bool {
         self.writing.is_none() && now > self.horizon + self.bound_ms
     }
 }
--- a/crates/market/src/clock/tests.rs
+++ b/crates/market/src/clock/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-fn reading(epoch: u64, clock_ms: u64, at: Ms) -> Reading {
+fn reading(epoch: u64, clock_ms: u64, at: Millis) -> Reading {
     Reading {
         epoch,
         clock_ms,
--- a/crates/market/src/ledger_sync.rs
+++ b/crates/market/src/ledger_sync.rs
@@ -17,7 +17,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub enum Wrote {
+pub enum WriteOutcome {
     /// Applied, as this revision.
     Done(u64),
     /// Some key has another version.
@@ -39,7 +39,7 @@
 
 /// What came of it.
 #[derive(Debug, PartialEq)]
-pub enum News {
+pub enum Reconciled {
     Nothing,
     /// These are durable now.
     Durable(Vec<(String, Option<Value>)>),
@@ -48,7 +48,7 @@
 }
 
 #[derive(Debug, PartialEq)]
-enum Flight {
+enum InFlight {
     Idle,
     Writing(Change),
     /// To be made again.
@@ -58,11 +58,11 @@
 }
 
 #[derive(Debug)]
-pub struct Books {
+pub struct LedgerSync {
     versions: BTreeMap<String, u64>,
     /// Groups that belong into one transaction, in order.
     queue: VecDeque<Vec<(String, Option<Value>)>>,
-    flight: Flight,
+    flight: InFlight,
     steps: u64,
     /// The broker's term: the line's values never recur.
     term: u64,
@@ -72,13 +72,13 @@
 /// Written by every transaction.
 pub const LINE: &str = "line";
 
-impl Books {
+impl LedgerSync {
     /// `most`: writes that one transaction may have.
     pub fn new(most: usize, term: u64) -> Self {
-        Books {
+        LedgerSync {
             versions: BTreeMap::new(),
             queue: VecDeque::new(),
-            flight: Flight::Idle,
+            flight: InFlight::Idle,
             steps: 0,
             term,
             // One of them is for the line.
@@ -100,24 +100,24 @@
     }
 
     pub fn next_step(&mut self) -> Option<Step> {
-        match std::mem::replace(&mut self.flight, Flight::Idle) {
-            Flight::Idle => {
+        match std::mem::replace(&mut self.flight, InFlight::Idle) {
+            InFlight::Idle => {
                 let change = self.gather()?;
-                self.flight = Flight::Writing(change.clone());
+                self.flight = InFlight::Writing(change.clone());
                 self.steps += 1;
                 Some(Step::Write(self.steps, change))
             }
-            Flight::Again(change) => {
-                self.flight = Flight::Writing(change.clone());
+            InFlight::Again(change) => {
+                self.flight = InFlight::Writing(change.clone());
                 self.steps += 1;
                 Some(Step::Write(self.steps, change))
             }
-            Flight::ToRead(change) => {
-                self.flight = Flight::Reading(change);
+            InFlight::ToRead(change) => {
+                self.flight = InFlight::Reading(change);
                 self.steps += 1;
                 Some(Step::Read(self.steps, LINE.to_owned()))
             }
-            busy @ (Flight::Writing(_) | Flight::Reading(_)) => {
+            busy @ (InFlight::Writing(_) | InFlight::Reading(_)) => {
                 self.flight = busy;
                 None
             }
@@ -153,7 +153,7 @@
         Some(Change { writes })
     }
 
-    fn applied(&mut self, change: Change, revision: u64) -> News {
+    fn applied(&mut self, change: Change, revision: u64) -> Reconciled {
         let mut durable = Vec::new();
         for (key, _, value) in change.writes {
             match &value {
@@ -162,53 +162,53 @@
             };
             durable.push((key, value));
         }
-        News::Durable(durable)
+        Reconciled::Durable(durable)
     }
 
-    pub fn wrote(&mut self, step: u64, wrote: Wrote) -> News {
+    pub fn wrote(&mut self, step: u64, wrote: WriteOutcome) -> Reconciled {
         if step != self.steps {
-            return News::Nothing;
+            return Reconciled::Nothing;
         }
-        let change = match std::mem::replace(&mut self.flight, Flight::Idle) {
-            Flight::Writing(change) => change,
+        let change = match std::mem::replace(&mut self.flight, InFlight::Idle) {
+            InFlight::Writing(change) => change,
             other => {
                 self.flight = other;
-                return News::Nothing;
+                return Reconciled::Nothing;
             }
         };
         match wrote {
-            Wrote::Done(revision) => return self.applied(change, revision),
-            Wrote::Later | Wrote::Unknown => self.flight = Flight::Again(change),
-            Wrote::Conflict => self.flight = Flight::ToRead(change),
+            WriteOutcome::Done(revision) => return self.applied(change, revision),
+            WriteOutcome::Later | WriteOutcome::Unknown => self.flight = InFlight::Again(change),
+            WriteOutcome::Conflict => self.flight = InFlight::ToRead(change),
         }
-        News::Nothing
+        Reconciled::Nothing
     }
 
     /// What the line holds, with its version; `Err`: it could not be read.
-    pub fn read(&mut self, step: u64, found: Result<Option<(Value, u64)>, ()>) -> News {
+    pub fn read(&mut self, step: u64, found: Result<Option<(Value, u64)>, ()>) -> Reconciled {
         if step != self.steps {
-            return News::Nothing;
+            return Reconciled::Nothing;
         }
-        let change = match std::mem::replace(&mut self.flight, Flight::Idle) {
-            Flight::Reading(change) => change,
+        let change = match std::mem::replace(&mut self.flight, InFlight::Idle) {
+            InFlight::Reading(change) => change,
             other => {
                 self.flight = other;
-                return News::Nothing;
+                return Reconciled::Nothing;
             }
         };
         let Ok(found) = found else {
-            self.flight = Flight::ToRead(change);
-            return News::Nothing;
+            self.flight = InFlight::ToRead(change);
+            return Reconciled::Nothing;
         };
         let line = change.writes.iter().find(|w| w.0 == LINE);
         let (before, ours) = line.map_or((0, None), |w| (w.1, w.2.as_ref()));
         match found {
             Some((value, version)) if Some(&value) == ours => self.applied(change, version),
             other if other.as_ref().map_or(0, |o| o.1) == before => {
-                self.flight = Flight::Again(change);
-                News::Nothing
+                self.flight = InFlight::Again(change);
+                Reconciled::Nothing
             }
-            _ => News::Lost,
+            _ => Reconciled::Lost,
         }
     }
 }
--- a/crates/market/src/ledger_sync/tests.rs
+++ b/crates/market/src/ledger_sync/tests.rs
@@ -12,7 +12,7 @@
 
 #[test]
 fn groups_stay_together_and_one_transaction_is_under_way() {
-    let mut b = Books::new(4, 1);
+    let mut b = LedgerSync::new(4, 1);
     let group = |a: &str, spent: u64| {
         vec![
             (a.to_owned(), Some(json!(1))),
@@ -30,7 +30,7 @@
     );
     assert_eq!(first.writes[1], ("s".into(), 0, Some(json!(7))));
     assert_eq!(b.next_step(), None);
-    assert!(matches!(b.wrote(1, Wrote::Done(9)), News::Durable(d) if d.len() == 4));
+    assert!(matches!(b.wrote(1, WriteOutcome::Done(9)), Reconciled::Durable(d) if d.len() == 4));
     assert_eq!(b.version("s"), 9);
     assert_eq!(change(b.next_step()).writes.len(), 3);
 }
@@ -39,23 +39,29 @@
 /// other way round.
 #[test]
 fn a_write_without_an_answer_is_found_out_about() {
-    let mut b = Books::new(8, 1);
+    let mut b = LedgerSync::new(8, 1);
     b.loaded("a", 3);
     b.want(vec![("a".into(), Some(json!(1)))]);
     let first = change(b.next_step());
-    assert_eq!(b.wrote(1, Wrote::Unknown), News::Nothing);
+    assert_eq!(b.wrote(1, WriteOutcome::Unknown), Reconciled::Nothing);
     assert_eq!(change(b.next_step()), first, "the same again");
-    assert_eq!(b.wrote(2, Wrote::Conflict), News::Nothing);
+    assert_eq!(b.wrote(2, WriteOutcome::Conflict), Reconciled::Nothing);
     let read = Some(Step::Read(3, LINE.into()));
     assert_eq!(b.next_step(), read);
     let ours = first.writes[1].2.clone().unwrap();
-    assert!(matches!(b.read(3, Ok(Some((ours, 8)))), News::Durable(_)));
+    assert!(matches!(
+        b.read(3, Ok(Some((ours, 8)))),
+        Reconciled::Durable(_)
+    ));
     assert_eq!(b.version("a"), 8);
     b.want(vec![("a".into(), None)]);
     b.next_step();
-    b.wrote(4, Wrote::Conflict);
+    b.wrote(4, WriteOutcome::Conflict);
     b.next_step();
-    assert_eq!(b.read(5, Ok(Some((json!("another's"), 9)))), News::Lost);
+    assert_eq!(
+        b.read(5, Ok(Some((json!("another's"), 9)))),
+        Reconciled::Lost
+    );
 }
 
 /// Guards against what the drawn histories found: a transaction that made
@@ -63,13 +69,13 @@
 /// again.
 #[test]
 fn a_late_transaction_finds_the_line_moved_on() {
-    let mut b = Books::new(8, 1);
+    let mut b = LedgerSync::new(8, 1);
     b.want(vec![("a".into(), Some(json!(1)))]);
     let late = change(b.next_step());
-    b.wrote(1, Wrote::Done(5));
+    b.wrote(1, WriteOutcome::Done(5));
     b.want(vec![("a".into(), None)]);
     b.next_step();
-    b.wrote(2, Wrote::Done(6));
+    b.wrote(2, WriteOutcome::Done(6));
     // The key is gone again, as the late one wants it; the line is not.
     let fails = |w: &(String, u64, Option<Value>)| b.version(&w.0) != w.1;
     assert_eq!(b.version("a"), 0);
@@ -81,24 +87,30 @@
 /// believed to be durable and was not.
 #[test]
 fn an_answer_counts_for_its_own_step_alone() {
-    let mut b = Books::new(8, 1);
+    let mut b = LedgerSync::new(8, 1);
     b.want(vec![("a".into(), Some(json!(1)))]);
     b.next_step();
-    assert!(matches!(b.wrote(1, Wrote::Done(1)), News::Durable(_)));
+    assert!(matches!(
+        b.wrote(1, WriteOutcome::Done(1)),
+        Reconciled::Durable(_)
+    ));
     b.want(vec![("b".into(), Some(json!(2)))]);
     b.next_step();
-    assert_eq!(b.wrote(1, Wrote::Done(1)), News::Nothing);
-    assert!(matches!(b.wrote(2, Wrote::Done(2)), News::Durable(_)));
+    assert_eq!(b.wrote(1, WriteOutcome::Done(1)), Reconciled::Nothing);
+    assert!(matches!(
+        b.wrote(2, WriteOutcome::Done(2)),
+        Reconciled::Durable(_)
+    ));
 }
 
 /// Guards against what the drawn histories found: a second answer to a
 /// step that was about to be made again dropped the change for good.
 #[test]
 fn a_second_answer_does_not_drop_what_is_to_be_made_again() {
-    let mut b = Books::new(8, 1);
+    let mut b = LedgerSync::new(8, 1);
     b.want(vec![("a".into(), Some(json!(1)))]);
     let first = change(b.next_step());
-    b.wrote(1, Wrote::Unknown);
-    b.wrote(1, Wrote::Later);
+    b.wrote(1, WriteOutcome::Unknown);
+    b.wrote(1, WriteOutcome::Later);
     assert_eq!(change(b.next_step()), first);
 }
--- a/crates/market/src/lending.rs
+++ b/crates/market/src/lending.rs
@@ -1,6 +1,6 @@
 //! Which waiting jobs are offered to other clusters.
 
-use crate::{Money, Ms, options::Options, ranges::Ranges, wire::Slot};
+use crate::{Millis, Money, options::Options, ranges::Ranges, wire::Slot};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
@@ -25,11 +25,11 @@
     pub image: String,
     pub image_gb: f64,
     pub estimate_s: f64,
-    pub waited_ms: Ms,
+    pub waited_ms: Millis,
     /// Until its deadline, if it has one; below zero: passed.
     pub left_ms: Option<i64>,
     /// When it is expected to be done here; absent: nobody knows.
-    pub here_ms: Option<Ms>,
+    pub here_ms: Option<Millis>,
     /// What renting for it here would cost, in millionths.
     pub rent: Money,
     /// Tasks that are, or may be, on machines here.
@@ -41,7 +41,7 @@
 /// Why a job stays.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Stays {
+pub enum NotLendable {
     Service,
     Class,
     /// Some of it is, or may be, on a machine here.
@@ -58,18 +58,18 @@
     NoBudget,
 }
 
-impl fmt::Display for Stays {
+impl fmt::Display for NotLendable {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Stays::Service => "services are never lent",
-            Stays::Class => "its class is not lent",
-            Stays::Placed => "some of it runs here",
-            Stays::Guaranteed => "its team's guarantee covers it",
-            Stays::InTime => "expected in time here",
-            Stays::WaitedTooLittle => "has not waited long enough",
-            Stays::Floor => "kept as work for the machines here",
-            Stays::Enough => "as many jobs as allowed are lent",
-            Stays::NoBudget => "its team has no budget",
+            NotLendable::Service => "services are never lent",
+            NotLendable::Class => "its class is not lent",
+            NotLendable::Placed => "some of it runs here",
+            NotLendable::Guaranteed => "its team's guarantee covers it",
+            NotLendable::InTime => "expected in time here",
+            NotLendable::WaitedTooLittle => "has not waited long enough",
+            NotLendable::Floor => "kept as work for the machines here",
+            NotLendable::Enough => "as many jobs as allowed are lent",
+            NotLendable::NoBudget => "its team has no budget",
         })
     }
 }
@@ -84,20 +84,20 @@
     }
 
     /// What can be said of the job alone.
-    fn stays(&self, o: &Options) -> Option<Stays> {
+    fn stays(&self, o: &Options) -> Option<NotLendable> {
         if self.kind == Kind::Service {
-            return Some(Stays::Service);
+            return Some(NotLendable::Service);
         }
         if !o.classes.contains(&self.class) {
-            return Some(Stays::Class);
+            return Some(NotLendable::Class);
         }
         // Never half a gang, and an array only whole: a job's tasks are in
         // one place or in none.
         if self.placed > 0 {
-            return Some(Stays::Placed);
+            return Some(NotLendable::Placed);
         }
         if self.kept {
-            return Some(Stays::Guaranteed);
+            return Some(NotLendable::Guaranteed);
         }
         let in_time = match (self.left_ms, self.here_ms) {
             (Some(left), Some(here)) => here as i64 <= left,
@@ -105,9 +105,9 @@
             (_, None) => false,
         };
         if in_time {
-            return Some(Stays::InTime);
+            return Some(NotLendable::InTime);
         }
-        (self.waited_ms < o.after_ms).then_some(Stays::WaitedTooLittle)
+        (self.waited_ms < o.after_ms).then_some(NotLendable::WaitedTooLittle)
     }
 }
 
@@ -119,7 +119,7 @@
     lent: usize,
     money: impl Fn(&str) -> Money,
     o: &Options,
-) -> (Vec<&'a Waiting>, Vec<(&'a str, Stays)>) {
+) -> (Vec<&'a Waiting>, Vec<(&'a str, NotLendable)>) {
     let (mut go, mut stay) = (Vec::new(), Vec::new());
     let mut local: f64 = waiting.iter().map(Waiting::cpus).sum();
     let mut order: Vec<&Waiting> = waiting.iter().collect();
@@ -133,11 +133,11 @@
     for w in order {
         let why = w.stays(o).or_else(|| {
             if money(&w.team) == 0 || w.rent == 0 {
-                Some(Stays::NoBudget)
+                Some(NotLendable::NoBudget)
             } else if lent + go.len() >= o.jobs {
-                Some(Stays::Enough)
+                Some(NotLendable::Enough)
             } else if local - w.cpus() < o.floor_cpus {
-                Some(Stays::Floor)
+                Some(NotLendable::Floor)
             } else {
                 None
             }
--- a/crates/market/src/lending/tests.rs
+++ b/crates/market/src/lending/tests.rs
@@ -47,13 +47,25 @@
         stay.first().map(|s| s.1)
     };
     assert_eq!(case(&|_| {}), None);
-    assert_eq!(case(&|w| w.kind = Kind::Service), Some(Stays::Service));
-    assert_eq!(case(&|w| w.class = "orders".into()), Some(Stays::Class));
-    assert_eq!(case(&|w| w.placed = 1), Some(Stays::Placed));
-    assert_eq!(case(&|w| w.kept = true), Some(Stays::Guaranteed));
-    assert_eq!(case(&|w| w.here_ms = Some(900_000)), Some(Stays::InTime));
-    assert_eq!(case(&|w| w.waited_ms = 1), Some(Stays::WaitedTooLittle));
-    assert_eq!(case(&|w| w.rent = 0), Some(Stays::NoBudget));
+    assert_eq!(
+        case(&|w| w.kind = Kind::Service),
+        Some(NotLendable::Service)
+    );
+    assert_eq!(
+        case(&|w| w.class = "orders".into()),
+        Some(NotLendable::Class)
+    );
+    assert_eq!(case(&|w| w.placed = 1), Some(NotLendable::Placed));
+    assert_eq!(case(&|w| w.kept = true), Some(NotLendable::Guaranteed));
+    assert_eq!(
+        case(&|w| w.here_ms = Some(900_000)),
+        Some(NotLendable::InTime)
+    );
+    assert_eq!(
+        case(&|w| w.waited_ms = 1),
+        Some(NotLendable::WaitedTooLittle)
+    );
+    assert_eq!(case(&|w| w.rent = 0), Some(NotLendable::NoBudget));
 }
 
 #[test]
@@ -68,7 +80,7 @@
     // 100 CPUs wait; two jobs of 20 may go, the latest ones first.
     let names: Vec<&str> = go.iter().map(|w| w.job.as_str()).collect();
     assert_eq!(names, ["j-000004", "j-000003"]);
-    assert!(stay.iter().all(|s| s.1 == Stays::Floor));
+    assert!(stay.iter().all(|s| s.1 == NotLendable::Floor));
     o.floor_cpus = 0.0;
     o.jobs = 3;
     assert_eq!(choose(&list, 2, |_| 1, &o).0.len(), 1);
--- a/crates/market/src/lib.rs
+++ b/crates/market/src/lib.rs
@@ -18,11 +18,11 @@
 
 /// Milliseconds of the time of day, which all brokers of a home share within
 /// the bound of the options.
-pub type Ms = u64;
+pub type Millis = u64;
 
 /// Money in millionths of the price list's unit.
 pub type Money = u64;
 
-pub fn millis(seconds: f64) -> Ms {
-    (seconds.max(0.0) * 1000.0) as Ms
+pub fn millis(seconds: f64) -> Millis {
+    (seconds.max(0.0) * 1000.0) as Millis
 }
--- a/crates/market/src/options.rs
+++ b/crates/market/src/options.rs
@@ -1,7 +1,7 @@
 //! The operators' INI file of the broker. Every key has a default; an unknown
 //! section or key, or a value out of range, stops the start with its name.
 
-use crate::{Money, Ms, millis};
+use crate::{Millis, Money, millis};
 use anyhow::{Context, Result, bail, ensure};
 use ini::Ini;
 use pathwinch_cli::number;
@@ -12,7 +12,7 @@
     /// Classes of jobs that may be offloaded; none: nothing is.
     pub classes: Vec<String>,
     /// A job waits here for so long before it may be offloaded.
-    pub after_ms: Ms,
+    pub after_ms: Millis,
     /// CPUs of waiting work that stay for the machines here.
     pub floor_cpus: f64,
     /// At most this share of what renting here would cost is bid.
@@ -20,13 +20,13 @@
     /// Jobs that may be offloaded at once.
     pub jobs: usize,
     /// How far ahead a market may run what was awarded to it.
-    pub tenancy_ms: Ms,
+    pub tenancy_ms: Millis,
     /// By how much the time of day may differ between brokers.
-    pub clock_bound_ms: Ms,
+    pub clock_bound_ms: Millis,
     /// An award that is not accepted within this is void.
-    pub start_within_ms: Ms,
+    pub start_within_ms: Millis,
     /// How often each market is asked.
-    pub every_ms: Ms,
+    pub every_ms: Millis,
     /// Share of the state service's limits that brokers may use.
     pub share: f64,
     /// Of each team, for a day, in millionths.
@@ -56,7 +56,7 @@
 
 const MOST_MARKETS: usize = 100;
 
-fn seconds(key: &str, text: &str, low: f64, high: f64) -> Result<Ms> {
+fn seconds(key: &str, text: &str, low: f64, high: f64) -> Result<Millis> {
     Ok(millis(number(key, text, low, high)?))
 }
 
--- a/crates/market/src/records.rs
+++ b/crates/market/src/records.rs
@@ -1,6 +1,6 @@
 //! What the broker keeps in the state service, under its own prefix.
 
-use crate::{Money, Ms, ranges::Ranges, reputation::Outcome, wire::Until};
+use crate::{Millis, Money, ranges::Ranges, reputation::Outcome, wire::Until};
 use serde::{Deserialize, Serialize};
 
 pub const AWARDS: &str = "award/";
@@ -81,7 +81,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HorizonRecord {
     /// After this nothing runs at the market, in the time of day.
-    pub until_ms: Ms,
+    pub until_ms: Millis,
 }
 
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
@@ -90,8 +90,8 @@
     pub spent: Money,
 }
 
-const DAY_MS: Ms = 86_400_000;
+const DAY_MS: Millis = 86_400_000;
 
-pub fn day(now: Ms) -> u64 {
+pub fn day(now: Millis) -> u64 {
     now / DAY_MS
 }
--- a/crates/market/src/serve/mod.rs
+++ b/crates/market/src/serve/mod.rs
@@ -6,7 +6,7 @@
 mod state;
 
 use crate::{
-    Ms,
+    Millis,
     broker::{Broker, Counts, Effect, Event, Missing},
     ledger_sync::Step,
     options::Options,
@@ -53,7 +53,7 @@
     home: Home,
     replies: Reader,
     start: Instant,
-    start_ms: Ms,
+    start_ms: Millis,
 }
 
 /// One leadership.
@@ -82,7 +82,7 @@
         start: Instant::now(),
         start_ms: SystemTime::now()
             .duration_since(UNIX_EPOCH)
-            .map_or(0, |d| d.as_millis() as Ms),
+            .map_or(0, |d| d.as_millis() as Millis),
     });
     async_io::block_on(executor.run(async {
         executor.spawn_high(follow(server.clone())).detach();
@@ -118,8 +118,8 @@
 
 impl Server {
     /// The time of day as of the start, steadily on from there.
-    fn now(&self) -> Ms {
-        self.start_ms + self.start.elapsed().as_millis() as Ms
+    fn now(&self) -> Millis {
+        self.start_ms + self.start.elapsed().as_millis() as Millis
     }
 }
 
@@ -228,7 +228,7 @@
     }
 
     /// Lets the broker decide, and sets about what it wants done.
-    fn go(self: Rc<Self>, decide: impl FnOnce(&mut Broker, Ms) -> Vec<Effect>) {
+    fn go(self: Rc<Self>, decide: impl FnOnce(&mut Broker, Millis) -> Vec<Effect>) {
         if !self.may_act() {
             return;
         }
@@ -250,13 +250,13 @@
         }
         let server = &self.server;
         match effect {
-            Effect::Books(Step::Write(n, change)) => {
+            Effect::LedgerSync(Step::Write(n, change)) => {
                 match server.state.write(self.term, &change).await {
-                    Ok(wrote) => self.tell_broker(Event::Wrote(n, wrote)),
+                    Ok(wrote) => self.tell_broker(Event::WriteOutcome(n, wrote)),
                     Err(Lost) => self.ended.set(true),
                 }
             }
-            Effect::Books(Step::Read(n, key)) => {
+            Effect::LedgerSync(Step::Read(n, key)) => {
                 let found = server.state.get(&key).await;
                 self.tell_broker(Event::Read(n, found));
             }
--- a/crates/market/src/serve/state.rs
+++ b/crates/market/src/serve/state.rs
@@ -2,8 +2,8 @@
 //! the limits, and the leadership among brokers.
 
 use crate::{
-    Ms,
-    ledger_sync::{Change, Wrote},
+    Millis,
+    ledger_sync::{Change, WriteOutcome},
 };
 use async_io::Timer;
 use http_types::Method;
@@ -23,8 +23,8 @@
 /// Under the prefix: who acts.
 const BROKER: &str = "broker";
 /// Life of the leadership's lease, and what is kept off it.
-const LIFE: Ms = 6_000;
-const MARGIN: Ms = 500;
+const LIFE: Millis = 6_000;
+const MARGIN: Millis = 500;
 
 pub struct State {
     addr: SocketAddr,
@@ -139,7 +139,7 @@
     }
 
     /// Writes what the books want, guarded by the leadership.
-    pub async fn write(&self, term: u64, change: &Change) -> Result<Wrote, Lost> {
+    pub async fn write(&self, term: u64, change: &Change) -> Result<WriteOutcome, Lost> {
         let mut txn = Txn {
             conditions: vec![Condition {
                 key: key(BROKER),
@@ -164,20 +164,20 @@
         }
         let answer = match self.txn(&txn).await {
             Ok(answer) => answer,
-            Err(CallError::NotSent(_)) => return Ok(Wrote::Later),
-            Err(_) => return Ok(Wrote::Unknown),
+            Err(CallError::NotSent(_)) => return Ok(WriteOutcome::Later),
+            Err(_) => return Ok(WriteOutcome::Unknown),
         };
         let said: Option<Revision> = serde_json::from_slice(&answer.body).ok();
         match (answer.status, said) {
-            (200, Some(r)) => Ok(Wrote::Done(r.revision)),
+            (200, Some(r)) => Ok(WriteOutcome::Done(r.revision)),
             (409, Some(r)) if r.failed.contains(&key(BROKER)) => Err(Lost),
-            (409, _) => Ok(Wrote::Conflict),
-            (429 | 503, _) => Ok(Wrote::Later),
+            (409, _) => Ok(WriteOutcome::Conflict),
+            (429 | 503, _) => Ok(WriteOutcome::Later),
             (400, _) => {
                 log::error!("the state service refuses a transaction as malformed");
-                Ok(Wrote::Later)
+                Ok(WriteOutcome::Later)
             }
-            _ => Ok(Wrote::Unknown),
+            _ => Ok(WriteOutcome::Unknown),
         }
     }
 
--- a/crates/market/tests/scenarios.rs
+++ b/crates/market/tests/scenarios.rs
@@ -3,7 +3,7 @@
 mod simulation;
 
 use pathwinch_market::broker::Phase;
-use simulation::{Ms, World};
+use simulation::{Millis, World};
 
 /// A calm world, in which nothing starts at home by itself.
 fn calm(jobs: u32) -> World {
@@ -88,7 +88,7 @@
     w.until("they came home or went elsewhere", move |w| {
         home(w) || w.now > began + 120_000
     });
-    let took: Ms = w.now - began;
+    let took: Millis = w.now - began;
     assert!((20_000..60_000).contains(&took), "{took} ms");
     w.settle();
     assert_eq!(w.check(), NONE);
--- a/crates/market/tests/simulation/mod.rs
+++ b/crates/market/tests/simulation/mod.rs
@@ -9,7 +9,7 @@
 use pathwinch_market::{
     broker::{Broker, Effect, Event, Missing},
     clearing::Effort,
-    ledger_sync::{Change, Step, Wrote},
+    ledger_sync::{Change, Step, WriteOutcome},
     lending::{Kind, Waiting},
     options::Options,
     ranges::Ranges,
@@ -19,7 +19,7 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-pub type Ms = u64;
+pub type Millis = u64;
 
 /// What goes wrong, as chances for each message.
 #[derive(Debug, Clone, Default)]
@@ -35,25 +35,25 @@
     done: Vec<bool>,
     mark: Option<u64>,
     /// Runs here until then.
-    here: Option<Ms>,
+    here: Option<Millis>,
     pub answer: Option<&'static str>,
     /// Jobs that wait long enough are run here.
-    pub local_at: Ms,
+    pub local_at: Millis,
     /// When it is submitted.
-    pub come: Ms,
+    pub come: Millis,
 }
 
 #[derive(Clone)]
 enum Msg {
     Store(usize, Step),
-    Market(usize, usize, u64, Ms, Request),
+    Market(usize, usize, u64, Millis, Request),
     Lend(usize, String, u64, u64),
     Return(usize, String, u64, End),
     Broker(usize, Box<Event>),
 }
 
 pub struct World {
-    pub now: Ms,
+    pub now: Millis,
     pub rng: Rng,
     pub faults: Faults,
     pub jobs: BTreeMap<String, HomeJob>,
@@ -65,7 +65,7 @@
     /// All brokers there ever were; only the last has the leadership.
     pub brokers: Vec<Option<Broker>>,
     pub options: Options,
-    queue: BTreeMap<(Ms, u64), Msg>,
+    queue: BTreeMap<(Millis, u64), Msg>,
     sequence: u64,
     /// Where each job runs.
     places: BTreeMap<String, Vec<String>>,
@@ -74,16 +74,16 @@
     /// before it is carried out, or right after.
     pub effects: u64,
     pub ends_at: Option<(u64, bool)>,
-    pub takes_over_at: Ms,
+    pub takes_over_at: Millis,
     pub calls: u64,
     /// Jobs that the home runs at a time, in the order in which they came;
     /// `None`: as `local_at` says.
     pub room: Option<usize>,
 }
 
-const TIMEOUT: Ms = 2_000;
+const TIMEOUT: Millis = 2_000;
 /// The time of day at which every world begins.
-pub const BEGIN: Ms = 1_000_000_000;
+pub const BEGIN: Millis = 1_000_000_000;
 
 impl World {
     pub fn new(seed: u64, jobs: u32) -> Self {
@@ -195,7 +195,7 @@
         }
     }
 
-    fn put(&mut self, after: Ms, msg: Msg) {
+    fn put(&mut self, after: Millis, msg: Msg) {
         self.sequence += 1;
         self.queue.insert((self.now + after, self.sequence), msg);
     }
@@ -227,9 +227,9 @@
                 return;
             }
             match effect {
-                Effect::Books(step) => {
+                Effect::LedgerSync(step) => {
                     let unknown = match &step {
-                        Step::Write(n, _) => Event::Wrote(*n, Wrote::Unknown),
+                        Step::Write(n, _) => Event::WriteOutcome(*n, WriteOutcome::Unknown),
                         Step::Read(n, _) => Event::Read(*n, Err(())),
                     };
                     self.send(Msg::Store(b, step));
@@ -275,7 +275,7 @@
             Msg::Broker(b, event) => self.event(b, *event),
             Msg::Store(b, Step::Write(n, change)) => {
                 let wrote = self.write(b, change);
-                self.send(Msg::Broker(b, Box::new(Event::Wrote(n, wrote))));
+                self.send(Msg::Broker(b, Box::new(Event::WriteOutcome(n, wrote))));
             }
             Msg::Store(b, Step::Read(n, key)) => {
                 let found = match self.store_down {
@@ -307,19 +307,19 @@
         }
     }
 
-    fn write(&mut self, b: usize, change: Change) -> Wrote {
+    fn write(&mut self, b: usize, change: Change) -> WriteOutcome {
         if self.store_down {
-            return Wrote::Later;
+            return WriteOutcome::Later;
         }
         // Each write is guarded by the leadership.
         if b + 1 != self.brokers.len() {
             self.brokers[b] = None;
-            return Wrote::Conflict;
+            return WriteOutcome::Conflict;
         }
         assert!(change.writes.len() <= 12, "txn_ops");
         let fits = |(k, v, _): &(String, u64, _)| self.store.get(k).map_or(0, |s| s.1) == *v;
         if !change.writes.iter().all(fits) {
-            return Wrote::Conflict;
+            return WriteOutcome::Conflict;
         }
         self.revision += 1;
         for (key, _, value) in change.writes {
@@ -328,7 +328,7 @@
                 None => self.store.remove(&key),
             };
         }
-        Wrote::Done(self.revision)
+        WriteOutcome::Done(self.revision)
     }
 
     fn lend(&mut self, job: &str, award: u64, version: u64) -> Option<bool> {
@@ -445,7 +445,7 @@
         }
         let here = self.jobs.values().filter(|j| j.here.is_some()).count();
         let room = self.room.map_or(usize::MAX, |r| r.saturating_sub(here));
-        let mut starts: Vec<(Ms, String)> = self
+        let mut starts: Vec<(Millis, String)> = self
             .jobs
             .iter()
             .filter(|(_, j)| j.answer.is_none() && j.mark.is_none() && j.here.is_none())
@@ -458,7 +458,7 @@
         starts.sort();
         for (_, id) in starts.into_iter().take(room) {
             let run = match self.room {
-                Some(_) => (self.jobs[&id].w.estimate_s * 1000.0) as Ms,
+                Some(_) => (self.jobs[&id].w.estimate_s * 1000.0) as Millis,
                 None => 10_000,
             };
             if let Some(j) = self.jobs.get_mut(&id) {
@@ -469,7 +469,7 @@
     }
 
     pub fn step(&mut self) {
-        const STEP: Ms = 100;
+        const STEP: Millis = 100;
         self.now += STEP;
         while let Some(entry) = self.queue.first_entry() {
             if entry.key().0 > self.now {
@@ -510,7 +510,7 @@
         }
     }
 
-    pub fn run(&mut self, ms: Ms) {
+    pub fn run(&mut self, ms: Millis) {
         let until = self.now + ms;
         while self.now < until {
             self.step();
