--- a/src/control/requests/tests.rs
+++ b/src/control/requests/tests.rs
@@ -80,7 +80,7 @@
 /// Guards against a relayed word, or one read from the records, that was true
 /// when it was said and is given after this node has told the job's end.
 #[test]
-fn an_answer_that_was_overtaken_on_its_way_is_not_given() {
+fn overtaken_answer_is_discarded() {
     let ended =
         |final_states: &mut FinalStates| final_states.insert(&status(JobState::Cancelled), 0);
     for relayed in [true, false] {
@@ -122,7 +122,7 @@
 
 /// Guards against asking the leader, or the records, for what never changes.
 #[test]
-fn an_end_that_is_known_is_told_from_memory_whatever_is_asked() {
+fn known_final_state_answers_every_request() {
     let mut final_states = FinalStates::default();
     let mut poll = Request::poll(ID);
     step(&mut poll, Event::Begin, &mut final_states);
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn what_is_no_ref_is_no_job_and_nobody_is_asked() {
+fn invalid_job_id_is_rejected_without_lookup() {
     let mut final_states = FinalStates::default();
     for mut request in [Request::poll("j-1"), Request::cancel("j-1", false)] {
         let next = step(&mut request, Event::Begin, &mut final_states);
@@ -151,7 +151,7 @@
 /// Guards against a user who is told that a job is not known because a leader
 /// that is overloaded, or of another version, said something else.
 #[test]
-fn a_relayed_answer_is_read_for_what_it_says() {
+fn relayed_answer_is_parsed_by_status() {
     let body = serde_json::to_vec(&status(JobState::Queued)).unwrap();
     let known = Answer::relayed(201, &body);
     assert_eq!(known, Answer::State(201, status(JobState::Queued)));
@@ -175,7 +175,7 @@
 /// Guards against an unfinished state that is given long after it was read: by
 /// then another node may have told the end.
 #[test]
-fn a_reading_that_is_too_old_is_read_again_and_not_for_ever() {
+fn stale_reading_is_reread_within_bound() {
     for late in [MAX_READING_AGE_MS, MAX_READING_AGE_MS + 1] {
         let mut final_states = FinalStates::default();
         let mut poll = Request::poll(ID);
@@ -218,7 +218,7 @@
 /// Guards against a job that was accepted while a refusal was on its way for
 /// long: it is looked up again.
 #[test]
-fn a_refusal_that_is_too_old_is_read_again() {
+fn stale_refusal_is_read_again() {
     let mut final_states = FinalStates::default();
     let body = format!(r#"{{"ref":"{ID}"}}"#);
     let mut submit = Request::submit(body.as_bytes(), false);
@@ -245,7 +245,7 @@
 /// Guards against an end that is told while another node may still give an
 /// answer that it read before. What the leader says has been held back there.
 #[test]
-fn an_end_that_a_node_reads_is_held_back_and_then_told_at_once() {
+fn final_state_read_is_held_then_answered_immediately() {
     let mut final_states = FinalStates::default();
     let mut poll = Request::poll(ID);
     step_at(0, &mut poll, Event::Begin, &mut final_states);
--- a/tests/controllers.rs
+++ b/tests/controllers.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_leader_that_stands_still_harms_nothing_whenever_that_is() {
+fn process_pause_of_leader_breaks_no_invariant() {
     for (seed, ms) in (0..24).flat_map(|s| [(s, 1_500), (s, 3_300), (s, 5_000), (s, 20_000)]) {
         for nodes in [3, 7] {
             let mut w = serving(100 + seed, nodes);
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn no_machine_is_judged_silent_because_its_reports_waited() {
+fn queued_heartbeats_never_make_machine_unresponsive() {
     for seed in 0..10 {
         let mut w = serving(150 + seed, 3);
         let leader = w.leader().unwrap();
@@ -84,7 +84,7 @@
 /// Guards against two unresponsive nodes in a row in the order in which workers try
 /// them: that takes as long as their lease.
 #[test]
-fn the_lead_moves_where_the_node_that_workers_try_next_answers() {
+fn leader_yields_when_redirect_target_is_unresponsive() {
     for (seed, nodes) in (0..8).flat_map(|s| [(s, 3), (s, 7)]) {
         let mut w = serving(250 + seed, nodes);
         let leader = w.leader().unwrap();
@@ -106,7 +106,7 @@
 /// key of a unresponsive leader stands for as long as the state service is down, and
 /// 4 s more.
 #[test]
-fn workers_are_kept_among_nodes_that_answer_until_one_leads() {
+fn workers_are_redirected_to_responsive_nodes_until_election() {
     for (seed, nodes) in (0..8).flat_map(|s| [(s, 3), (s, 7)]) {
         let mut w = serving(270 + seed, nodes);
         let leader = w.leader().unwrap();
@@ -124,7 +124,7 @@
 /// Guards against the loss of authority, and of all leases, in an outage in
 /// which one node hangs: it promises nothing, but the store exclusions it.
 #[test]
-fn a_leader_outlasts_an_outage_in_which_one_node_hangs() {
+fn leader_survives_outage_when_one_node_hangs() {
     for (seed, nodes) in (0..6).flat_map(|s| [(s, 3), (s, 7)]) {
         for away in 1..nodes {
             let mut w = serving(280 + seed, nodes);
@@ -147,7 +147,7 @@
 /// The excluded node comes back and reaches the state service while no other
 /// node does: it must not lead beside them.
 #[test]
-fn a_barred_node_that_alone_reaches_the_state_service_does_not_lead() {
+fn excluded_node_never_leads_when_alone_reaching_store() {
     for (seed, nodes) in (0..8).flat_map(|s| [(s, 3), (s, 7)]) {
         let mut w = serving(320 + seed, nodes);
         let leader = w.leader().unwrap();
@@ -177,7 +177,7 @@
 /// that it asks is itself cut off from the state service, and knows only from
 /// the others who leads.
 #[test]
-fn a_node_that_cant_ask_the_state_service_knows_where_to_send_workers() {
+fn node_redirects_workers_when_cut_from_store() {
     for seed in 0..8 {
         let mut w = serving(290 + seed, 3);
         let first = w.leader().unwrap();
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn a_leader_silent_for_90_s_is_replaced_and_disturbs_nothing_when_it_returns() {
+fn replaced_leader_disturbs_nothing_when_it_returns() {
     for seed in 0..8 {
         let mut w = serving(200 + seed, 3);
         let old = w.leader().unwrap();
@@ -213,7 +213,7 @@
 }
 
 #[test]
-fn any_node_may_stand_still_or_fall_silent_beside_another() {
+fn paused_and_unresponsive_nodes_break_no_invariant() {
     // The second fault hits whoever leads 10 s after the first.
     for (seed, ms) in (0..10).flat_map(|s| [(s, 5_000), (s, 20_000), (s, 90_000)]) {
         for nodes in [3, 7] {
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn a_partial_cut_of_the_leader_costs_no_lease() {
+fn partial_partition_of_leader_expires_no_lease() {
     let sides = |nodes: usize| {
         let peers = (0..nodes).map(Side::Node);
         [Side::State, Side::Workers].into_iter().chain(peers)
@@ -254,7 +254,7 @@
 }
 
 #[test]
-fn two_partial_cuts_the_second_of_the_successor_cost_no_lease() {
+fn partial_partitions_of_successive_leaders_expire_no_lease() {
     let sides = [Side::State, Side::Workers, Side::All];
     for (a, b) in sides
         .iter()
@@ -278,7 +278,7 @@
 /// Guards against a leader that tells, from memory, less than another node
 /// has read and told: it learns late that the end of the job is recorded.
 #[test]
-fn while_a_jobs_end_is_being_recorded_only_the_records_tell_its_state() {
+fn only_records_answer_while_completion_is_written() {
     let mut w = World::new(7, 3, 0.0);
     w.until(10_000, "a leader", |w| w.leader().is_some());
     w.submit(job(1, Kind::Array, 1));
@@ -301,7 +301,7 @@
 }
 
 #[test]
-fn final_states_outlast_the_leader_that_learned_them() {
+fn final_states_survive_failover() {
     let mut w = World::new(8, 3, 0.0);
     w.until(10_000, "a leader", |w| w.leader().is_some());
     w.submit(job(1, Kind::Array, 2));
--- a/tests/dependencies.rs
+++ b/tests/dependencies.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn the_jobs_of_a_chain_run_one_after_the_other() {
+fn dependent_jobs_run_in_dependency_order() {
     let mut w = World::led(1, 3, 0.0);
     w.submit(job(1, Kind::Array, 4));
     w.submit(after(2, 2, &[1]));
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_chain_goes_on_under_a_new_leader_that_has_to_look_up_what_is_over() {
+fn dependent_jobs_continue_after_failover() {
     let mut w = cold(2, 3, 0.0);
     w.submit(job(1, Kind::Array, 2));
     w.submit(after(2, 40, &[1]));
@@ -68,7 +68,7 @@
 /// Guards against starting what a report alone says is due: the report's end
 /// may be lost with the leader, and the need runs again, or is cancelled.
 #[test]
-fn a_job_starts_only_once_the_end_of_its_need_is_recorded() {
+fn dependent_job_starts_after_completion_is_recorded() {
     let mut w = World::led(3, 3, 0.0);
     w.submit(job(1, Kind::Array, 1));
     w.submit(after(2, 1, &[1]));
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_withdrawal_takes_all_that_follow_along_and_no_others() {
+fn cancellation_reaches_exactly_the_dependent_jobs() {
     let mut w = World::led(4, 2, 0.0);
     w.submit(job(1, Kind::Array, 40));
     w.submit(job(2, Kind::Array, 1));
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn a_withdrawal_is_carried_on_by_each_later_leader_from_the_records_alone() {
+fn cancellation_of_dependents_survives_repeated_failover() {
     let mut w = World::led(5, 2, 0.0);
     w.submit(job(1, Kind::Array, 40));
     for n in 2..120 {
@@ -136,7 +136,7 @@
 /// The last task's end is under way as the user cancels: one answer holds for
 /// the job and for what follows it.
 #[test]
-fn a_withdrawal_that_crosses_the_end_decides_what_follows() {
+fn dependents_follow_outcome_when_cancellation_races_completion() {
     let (mut went_on, mut went_with) = (0, 0);
     for seed in 0..12 {
         let mut w = World::led(100 + seed, 2, 0.0);
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn what_waits_for_others_holds_no_part_of_its_teams_limit() {
+fn blocked_jobs_use_no_team_quota() {
     // Room for two tasks of the team at once.
     let mut w = World::led(6, 3, 8.0);
     w.run_ms = 20_000;
@@ -179,7 +179,7 @@
 /// As the leader ends, nobody can say at once whether what a chain's job needs
 /// was done; what may run of it on a machine that is unresponsive counts all the same.
 #[test]
-fn a_new_leader_counts_what_may_run_of_a_chain_before_it_knows_its_needs() {
+fn quota_counts_unresolved_dependent_tasks_after_failover() {
     let mut w = cold(7, 2, 16.0);
     w.run_ms = 60_000;
     w.submit(job(1, Kind::Gang, 1));
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn a_need_is_as_urgent_as_what_waits_for_it() {
+fn dependency_inherits_urgency_of_its_dependents() {
     let mut w = World::led(8, 1, 0.0);
     w.run_ms = 10_000;
     // Two fill the machine; of what waits, the chain's goes first.
@@ -219,7 +219,7 @@
 /// Guards against a chain of which nobody sees that its end will be late, as
 /// its first job has no deadline.
 #[test]
-fn operators_see_at_the_first_job_that_the_last_will_be_late() {
+fn status_reports_late_dependents_at_first_job() {
     use pathwinch::protocol::status::{Due, Reason};
     let mut w = World::led(9, 1, 0.0);
     w.run_ms = 40_000;
@@ -251,7 +251,7 @@
 /// Jobs with needs drawn at random, cancelled and not, on days on which
 /// controllers crash, the store is out and answers are late.
 #[test]
-fn days_of_chains_and_trouble_break_no_rule() {
+fn random_dependency_graphs_under_faults_break_no_invariant() {
     let (mut starts, mut gone) = (0, 0);
     for seed in 0..std::env::var("SEEDS").map_or(15, |n| n.parse().unwrap()) {
         let mut w = World::new(7000 + seed, 6, 48.0);
--- a/tests/failover.rs
+++ b/tests/failover.rs
@@ -575,7 +575,7 @@
 }
 
 #[test]
-fn no_order_of_events_leaves_a_named_standby_unaware() {
+fn registered_standby_is_informed_in_every_event_order() {
     let given = std::env::var("BOUNDS").unwrap_or_else(|_| "1,1,0,0,4".into());
     let n: Vec<u8> = given.split(',').map(|n| n.parse().unwrap()).collect();
     let bounds = SafetyBounds {
--- a/tests/fault_combinations.rs
+++ b/tests/fault_combinations.rs
@@ -79,7 +79,7 @@
 /// Guards against promises that revive a leader which was replaced: those who
 /// knew of its successor ended and are back with no memory.
 #[test]
-fn a_leader_that_was_replaced_is_not_revived_by_those_who_forgot() {
+fn replaced_leader_stays_deposed_when_peers_forget_promises() {
     for (seed, nodes) in [(1, 3), (2, 7)] {
         for ends in ["before the outage", "in the outage", "not at all"] {
             let (mut w, old) = long_tasks(seed, nodes);
@@ -103,7 +103,7 @@
 /// The same where it stands still meanwhile, or a machine hears nothing for a
 /// while, or one of the nodes is of a version that gives no evidence.
 #[test]
-fn nor_does_it_come_back_after_standing_still_or_among_old_nodes() {
+fn replaced_leader_stays_deposed_despite_pause_or_old_nodes() {
     for case in 0..3 {
         let (mut w, old) = long_tasks(10 + case, 3);
         if case == 0 {
@@ -150,7 +150,7 @@
 /// The horizon holds by itself. Guards against a leader that promises alone
 /// keep going, when nobody can show that it has not missed a cancellation.
 #[test]
-fn a_leader_that_may_have_missed_a_withdrawal_lets_all_leases_run_out_in_time() {
+fn stale_leader_lets_leases_expire_within_bound() {
     for (seed, nodes) in [(20, 3), (21, 7)] {
         let (mut w, leader) = long_tasks(seed, nodes);
         w.store.down = true;
@@ -174,7 +174,7 @@
 
 /// Guards against stopping at every outage.
 #[test]
-fn where_all_nodes_stay_up_services_outlast_any_outage() {
+fn services_survive_outage_when_all_nodes_stay_up() {
     for (nodes, down_for) in [(3, 20_000), (7, 120_000)] {
         let (mut w, leader) = long_tasks(30, nodes);
         w.store.down = true;
@@ -199,7 +199,7 @@
 /// renewals that don't count although they were carried out: promises would
 /// prolong authority up to the horizon, and all leases run out.
 #[test]
-fn a_slow_state_service_ends_no_leadership_and_prevents_none() {
+fn slow_store_neither_ends_nor_prevents_leadership() {
     for slow in [300, 900, 2_000] {
         let (mut w, leader) = long_tasks(45, 3);
         w.old.extend(others(&w, leader));
@@ -222,7 +222,7 @@
 
 /// An outage that ends a little before the horizon, and one that ends after it.
 #[test]
-fn at_the_horizon_a_leader_goes_on_if_it_is_renewed_in_time_and_else_another_follows() {
+fn leader_is_replaced_at_horizon_unless_renewed() {
     for (down_for, blind) in [(18_000, 0), (26_000, 1)] {
         let (mut w, leader) = long_tasks(40, 3);
         w.old.extend(others(&w, leader));
@@ -240,7 +240,7 @@
 /// and the outage came before the leader could read that. All promise, so that
 /// it goes on. Guards against tasks that run on through the outage.
 #[test]
-fn tasks_of_a_job_whose_withdrawal_had_no_answer_stop_before_the_record_is_read() {
+fn tasks_stop_in_time_after_indeterminate_cancellation() {
     for (seed, nodes) in [(50, 3), (51, 7)] {
         let (mut w, leader) = long_tasks(seed, nodes);
         let other = others(&w, leader)[0];
@@ -262,7 +262,7 @@
 /// them a machine that missed the order to stop. Guards against leases that it
 /// renews for as long as that lasts.
 #[test]
-fn a_leader_that_has_not_read_the_records_keeps_no_machine_for_long() {
+fn leader_without_records_renews_no_leases_for_long() {
     let (mut w, old) = long_tasks(60, 3);
     w.load_ms = 60_000;
     let m = w
@@ -290,7 +290,7 @@
 /// comes before that is recorded and lasts longer than it may take. Guards
 /// against calling them queued from memory (`orphaned`).
 #[test]
-fn in_an_outage_nobody_is_told_that_a_job_waits_for_one_that_is_withdrawn() {
+fn dependent_of_cancelled_job_never_queued_during_outage() {
     let (mut w, leader) = long_tasks(70, 3);
     let mut after = job(3, Kind::Array, 2);
     after.dependencies = vec![id(1)];
@@ -332,7 +332,7 @@
 /// and it is carried out later: another node reads it, and tells a user.
 /// Guards against the leader calling the job unfinished from memory after that.
 #[test]
-fn a_job_whose_end_may_be_recorded_yet_is_not_called_unfinished_from_memory() {
+fn indeterminate_completion_is_never_answered_from_memory() {
     for withdrawn in [true, false] {
         let (mut w, leader) = long_tasks(100, 3);
         let other = others(&w, leader)[0];
@@ -365,7 +365,7 @@
 /// answer and is carried out after the newer. Guards against ends that are
 /// lost from the records, so that a new leader runs those tasks again.
 #[test]
-fn an_older_chunk_of_finished_tasks_never_replaces_a_newer_one() {
+fn stale_completion_segment_never_replaces_newer_one() {
     let (mut w, leader) = long_tasks(110, 3);
     w.submit(job(3, Kind::Array, 9_000));
     w.run(2_000);
@@ -394,7 +394,7 @@
 /// from its own beginning, later than the last answer. Guards against starting
 /// the task elsewhere while it runs there (one drawn day of 1,859 showed it).
 #[test]
-fn what_a_machine_was_given_as_it_was_back_at_once_counts_until_its_own_lease_is_over() {
+fn tasks_of_restarted_agent_count_until_lease_expiry() {
     let mut w = World::sized(80, 2, 0.0, 3);
     (w.run_ms, w.standbys) = (900_000, false);
     w.until(10_000, "a leader", |w| w.leader().is_some());
@@ -428,7 +428,7 @@
 /// An exclusion was lifted without an answer, and set anew; the first is carried out
 /// late. Guards against a leader that counts on an exclusion which is not there.
 #[test]
-fn a_bar_that_is_counted_on_stands_whatever_is_carried_out_late() {
+fn exclusion_holds_when_earlier_writes_apply_late() {
     let (mut w, leader) = long_tasks(90, 3);
     // Not the one that workers try next: it would hand over.
     let other = (leader + 2) % 3;
@@ -729,7 +729,7 @@
 /// cancelled and asked about all along. By hand: `SEEDS=2000`, `FIRST=`,
 /// `MACHINES=179`.
 #[test]
-fn any_two_troubles_at_once_break_no_rule_and_forget_no_job() {
+fn every_fault_pair_breaks_no_invariant_loses_no_job() {
     let number = |name: &str, otherwise: u64| -> u64 {
         std::env::var(name).map_or(otherwise, |n| n.parse().unwrap())
     };
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn several_broken_jobs_at_once_cost_no_good_machine_and_no_good_job() {
+fn concurrent_faulty_jobs_quarantine_no_healthy_machine() {
     for kind in [Kind::Array, Kind::Gang] {
         let mut w = quiet(1, 6);
         for n in 1..5 {
@@ -83,7 +83,7 @@
 /// Guards against counting what a job does once it is suspected: a wide one
 /// fails on all machines.
 #[test]
-fn wide_broken_jobs_one_after_the_other_cost_no_good_machine() {
+fn successive_wide_faulty_jobs_quarantine_no_healthy_machine() {
     let mut w = quiet(2, 24);
     for n in 1..6 {
         broken(&mut w, n, Kind::Array, 48);
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_sick_machine_is_found_beside_broken_jobs_and_they_beside_it() {
+fn faulty_machine_and_faulty_jobs_are_both_identified() {
     for seed in 0..6 {
         let mut w = quiet(10 + seed, 5);
         service_on_each(&mut w, 5);
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn a_job_suspected_for_two_sick_machines_runs_on_others() {
+fn job_suspected_through_faulty_machines_completes_elsewhere() {
     let mut w = quiet(20, 2);
     (0..2).for_each(|m| w.workers[m].sick = true);
     w.submit(job(1, Kind::Array, 4));
@@ -130,7 +130,7 @@
 
 /// On a site with one machine nothing else can tell them apart.
 #[test]
-fn a_job_that_fails_where_others_run_is_suspected() {
+fn job_failing_where_others_succeed_is_suspected() {
     let mut w = quiet(26, 1);
     w.run_ms = 1_500;
     let id = broken(&mut w, 1, Kind::Array, 1);
@@ -147,7 +147,7 @@
 
 /// A service is not an array: what fails is the start of a replica.
 #[test]
-fn a_broken_service_is_suspected_and_a_good_one_is_not() {
+fn only_faulty_service_is_suspected() {
     let mut w = quiet(21, 4);
     let id = broken(&mut w, 1, Kind::Service, 3);
     w.submit(job(2, Kind::Service, 3));
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn nothing_is_rented_or_stopped_for_a_suspected_job() {
+fn suspected_job_triggers_no_scale_out_or_preemption() {
     let mut w = quiet(22, 3);
     let mut urgent = job(1, Kind::Gang, 3);
     urgent.priority = Priority::High;
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn the_verdicts_outlast_the_leader() {
+fn fault_attribution_survives_failover() {
     let mut w = quiet(23, 4);
     service_on_each(&mut w, 4);
     let id = broken(&mut w, 1, Kind::Array, 40);
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn a_machine_set_aside_wrongly_comes_back() {
+fn wrongly_quarantined_machine_is_cleared() {
     let mut w = quiet(24, 1);
     service_on_each(&mut w, 1);
     // One by one, so that each fails there before it could elsewhere.
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn operators_are_told_the_verdict_and_why() {
+fn explain_reports_fault_attribution_with_reason() {
     let mut w = quiet(25, 4);
     let id = broken(&mut w, 1, Kind::Array, 4);
     w.until(20_000, "suspected", |w| suspected(w, &id));
--- a/tests/input.rs
+++ b/tests/input.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn malformed_submissions_are_refused_in_one_line() {
+fn malformed_submission_is_rejected_in_one_line() {
     for bad in ["", "[]", "7", "{\"ref\":", "{}", "\"j-000001\""] {
         let why = JobSpec::parse(bad.as_bytes()).unwrap_err();
         assert!(!why.contains('\n'), "{why}");
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn unknown_fields_are_ignored_and_nullable_ones_may_be_missing() {
+fn unknown_fields_are_ignored_and_nullable_fields_optional() {
     assert!(with("colour", serde_json::json!("red")).is_ok());
     for field in ["hall", "rigs", "due_s"] {
         assert!(with(field, serde_json::Value::Null).is_ok(), "{field}");
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn what_can_never_run_is_told_apart_from_what_must_wait() {
+fn infeasible_job_is_distinguished_from_waiting_job() {
     let limited = settings(8.0);
     let never = |spec: &JobSpec| reject_reason(&limited, &types(), spec);
     // An array needs room for one task within the limit, a gang for all.
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn the_jobs_that_a_submission_names_are_a_list_of_ids_or_nothing() {
+fn dependencies_parse_as_id_list_or_nothing() {
     let with = |value: serde_json::Value| {
         let mut body = serde_json::to_value(job(1, Kind::Array, 1)).unwrap();
         body["waits_on"] = value;
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn limits_to_come_may_be_lower_or_absent_and_the_lesser_counts() {
+fn announced_limits_apply_when_lower() {
     let mut s = settings(0.0).cluster.state;
     assert_eq!(s.always().value_kb, s.value_kb);
     s.next = serde_json::from_str(r#"{"value_kb":2.0,"write_rps":500.0,"other":1}"#).unwrap();
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn settings_errors_name_the_field() {
+fn settings_error_names_the_field() {
     let good = serde_json::json!({
         "host_name": "n0", "area": "a", "listen": "127.0.0.1:1", "back": "127.0.0.1:2",
         "outside": {"cloud": "127.0.0.1:3", "state": "127.0.0.1:4"}, "later": 1,
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn the_example_options_parse_and_unknown_keys_do_not() {
+fn example_options_parse_and_unknown_keys_fail() {
     let example = include_str!("../examples/pathwinch.ini");
     assert_eq!(Options::parse(example).unwrap().threshold, 0.4);
     for bad in [
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn frames_between_controllers_are_limited_and_versioned() {
+fn controller_frames_are_size_limited_and_versioned() {
     let ask = Request::Resigned { term: 7 };
     let bytes = frames::encode(ask).unwrap();
     assert!(matches!(
@@ -213,7 +213,7 @@
 }
 
 #[test]
-fn an_operator_without_an_answer_gets_one_line_and_a_code() {
+fn cli_without_reply_prints_one_line_and_code() {
     let wrong = operator::status("nowhere", false).unwrap_err();
     assert_eq!(wrong.code(), 2);
     // A port that was just free: nobody listens there.
@@ -228,7 +228,7 @@
 }
 
 #[test]
-fn the_largest_status_fits_a_frame() {
+fn largest_status_fits_one_frame() {
     let name = "n".repeat(60);
     let rows = || std::iter::repeat_n((), status::MOST_ROWS);
     let picture = status::Picture {
--- a/tests/invariant_checker.rs
+++ b/tests/invariant_checker.rs
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn what_starts_where_it_must_not_is_caught() {
+fn checker_detects_forbidden_task_start() {
     let mut w = led();
     known(&mut w, 1, Kind::Array);
     plant(&mut w, 0, "j-000001/0");
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn what_is_withdrawn_and_goes_on_is_caught() {
+fn checker_detects_cancelled_job_that_continues() {
     let mut w = led();
     known(&mut w, 1, Kind::Array);
     w.told_cancelled(&id(1));
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn what_is_told_wrongly_is_caught() {
+fn checker_detects_wrong_answer() {
     // No record any more, and nobody who remembers.
     let mut w = led();
     w.submit(job(1, Kind::Array, 1));
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn jobs_that_are_left_alone_are_caught() {
+fn checker_detects_abandoned_job() {
     // Nobody answers, though nothing is said to be amiss.
     let mut w = led();
     w.submit(job(1, Kind::Array, 1));
--- a/tests/job_liveness.rs
+++ b/tests/job_liveness.rs
@@ -42,7 +42,7 @@
 /// Guards against a machine that reports on and on, and is given work that
 /// never starts there, as each report looks like one that could take orders.
 #[test]
-fn what_was_on_a_machine_that_hears_nothing_runs_elsewhere_once_its_lease_is_over() {
+fn tasks_move_after_lease_expiry_under_one_way_partition() {
     let mut w = serving(1, 3, 3);
     let deaf = busy(&w);
     w.workers[deaf].net = Net::Deaf;
@@ -65,7 +65,7 @@
 /// Guards against a new leader that waits for ever: each report was answered,
 /// so that the machine's lease seemed never to end.
 #[test]
-fn a_new_leader_does_not_wait_for_ever_for_a_machine_that_hears_nothing() {
+fn new_leader_wait_is_bounded_under_one_way_partition() {
     // One controller, to which each of its reports comes.
     let mut w = World::sized(2, 3, 0.0, 1);
     w.standbys = false;
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_fleet_that_hears_nothing_for_a_while_is_neither_returned_nor_rented_again() {
+fn one_way_partition_of_fleet_triggers_no_scaling() {
     let mut w = serving(3, 6, 6);
     w.rents = true;
     let (asked, returned) = (w.asked_for, w.returned.len());
@@ -98,7 +98,7 @@
 
 /// A copy of a report comes after the lease that it tells of is over.
 #[test]
-fn a_late_copy_brings_no_machine_back() {
+fn late_duplicate_heartbeat_revives_no_machine() {
     let mut w = serving(4, 3, 3);
     let m = busy(&w);
     let copy = w.report_of(m);
@@ -132,7 +132,7 @@
 /// A leader hears a machine only through reports that are no news, until its
 /// lease must be over; a copy of one that was news comes after that.
 #[test]
-fn a_late_copy_of_a_report_that_was_lost_misleads_no_new_leader() {
+fn late_duplicate_of_lost_heartbeat_misleads_no_leader() {
     let mut w = cold(5, 2, 3);
     let m = busy(&w);
     let first = w.report_of(m);
@@ -167,7 +167,7 @@
 /// Guards against reports that count as old for ever, as a machine that
 /// started anew counts from one again.
 #[test]
-fn a_machine_that_is_back_at_once_is_used_again_and_what_ran_there_starts_anew() {
+fn restarted_agent_is_reused_and_its_tasks_restart() {
     for twice in [false, true] {
         let mut w = serving(6, 2, 4);
         w.run(8_000);
@@ -185,7 +185,7 @@
 /// Guards against copies from before a machine began anew, which count further
 /// than anything that it says since.
 #[test]
-fn a_copy_from_before_a_machine_began_anew_is_no_news() {
+fn duplicate_heartbeat_of_earlier_incarnation_is_ignored() {
     let mut w = serving(15, 2, 4);
     let m = busy(&w);
     w.workers[m].net = Net::Deaf;
@@ -214,7 +214,7 @@
 
 /// The leader hears and answers workers, and nobody else.
 #[test]
-fn a_leader_that_only_workers_reach_gives_way_and_disturbs_nobody_when_it_is_back() {
+fn leader_reached_only_by_workers_yields_leadership() {
     for how in [Cut::Hold, Cut::Reset] {
         let mut w = serving(7, 3, 4);
         let old = w.leader().unwrap();
@@ -267,7 +267,7 @@
 }
 
 #[test]
-fn the_largest_jobs_begin_within_four_minutes_whatever_keeps_coming() {
+fn largest_jobs_start_within_bound_under_load() {
     let batch = |n: u32| {
         let mut j = job(n, Kind::Array, 500);
         j.deadline_s = Some(1_000.0);
@@ -287,7 +287,7 @@
 }
 
 #[test]
-fn on_a_calm_day_the_bound_for_beginning_changes_nothing() {
+fn start_bound_changes_nothing_without_contention() {
     let day = |begin_s: f64| {
         let mut w = World::new(14, 5, 48.0);
         (w.begin_s, w.rents) = (begin_s, true);
@@ -312,7 +312,7 @@
 /// All of it at once: whatever happened, each accepted job is known at each
 /// node soon after the last trouble, and nothing is started twice.
 #[test]
-fn days_of_all_these_troubles_forget_no_job() {
+fn liveness_faults_lose_no_job() {
     let mut longest = 0;
     let (mut starts, mut lapsed) = (0, 0);
     let number = |name: &str, otherwise: u64| -> u64 {
--- a/tests/leader_changes.rs
+++ b/tests/leader_changes.rs
@@ -68,7 +68,7 @@
 /// spell. Guards against use that counts as free because its job is over in
 /// the records, and against claims that never end.
 #[test]
-fn limits_hold_while_jobs_are_withdrawn_on_machines_that_cannot_be_asked() {
+fn quota_holds_when_cancelled_tasks_are_unreachable() {
     let (mut withdrawn, mut unasked) = (0, 0);
     let ways = [Net::Hold, Net::Lose, Net::Deaf, Net::Mute, Net::Up];
     for (k, how) in (0..50u64).map(|k| (k, CHANGES[(k / 5) as usize % 5])) {
@@ -133,7 +133,7 @@
 /// nodes. Guards against one that is confirmed and lost on the way from one
 /// leader to the next, and against its tasks running on.
 #[test]
-fn a_withdrawal_falls_anywhere_into_a_change_of_leader() {
+fn cancellation_survives_at_any_moment_of_failover() {
     let (mut met, mut late) = ([0; 5], 0);
     for seed in 0..60u64 {
         let nodes = [3, 7][(seed % 2) as usize];
@@ -192,7 +192,7 @@
 /// are cancelled, at it and at the others, and a second later it is out for
 /// longer than `cancel_s`.
 #[test]
-fn what_is_withdrawn_as_the_leader_is_refused_stops_though_the_outage_is_long() {
+fn cancelled_tasks_stop_during_long_outage_after_refusal() {
     let mut told = 0;
     for seed in 0..30u64 {
         let nodes = [3, 7][(seed % 2) as usize];
@@ -239,7 +239,7 @@
 /// a second. Guards against tasks that are started beside what still runs, and
 /// against jobs that nobody takes up again.
 #[test]
-fn ten_leaders_in_two_minutes_and_none_at_all() {
+fn rapid_failovers_and_leaderless_spells_break_no_invariant() {
     for seed in 0..16u64 {
         let nodes = [3, 7][(seed % 2) as usize];
         let mut w = World::sized(4_000 + seed, 5, 0.0, nodes);
@@ -295,7 +295,7 @@
 /// after it has acted: from before tasks ended, from earlier sessions, and
 /// from before a machine began anew. Guards against taking them for news.
 #[test]
-fn old_reports_that_reach_every_controller_with_a_new_leader_say_nothing() {
+fn stale_heartbeats_are_ignored_after_failover() {
     let mut copied = 0;
     for seed in 0..40u64 {
         let nodes = [3, 7][(seed % 2) as usize];
@@ -348,7 +348,7 @@
 /// are late or have no answer, and the leader ends. Guards against a machine
 /// that runs something and stands in no machine registry that the next leader reads.
 #[test]
-fn machines_that_are_up_at_once_are_known_to_whoever_leads_next() {
+fn quickly_booted_machines_are_registered_before_failover() {
     let (mut started, mut lost) = (0, 0);
     for seed in 0..40u64 {
         let nodes = [3, 7][(seed % 2) as usize];
@@ -396,7 +396,7 @@
 /// Guards against a machine that is taken for usable because it answers
 /// commands: its lease ends every ten seconds, with all that was begun there.
 #[test]
-fn a_machine_that_no_controller_hears_gets_nothing_new_and_is_not_given_up_early() {
+fn machine_without_received_heartbeats_gets_no_new_tasks() {
     for (seed, how) in (0..20u64).map(|s| (s, CHANGES[s as usize % 5])) {
         let mut w = World::sized(7_000 + seed, 4, 0.0, 3);
         w.run_ms = 600_000;
@@ -436,7 +436,7 @@
 /// A zone with workers and a controller is cut off for longer than a lease,
 /// the leader inside and outside; jobs are bound to it, arrays among them.
 #[test]
-fn a_zone_that_is_cut_off_with_its_controller_disturbs_nothing_for_good() {
+fn partitioned_zone_with_controller_recovers() {
     let mut led_inside = 0;
     for seed in 0..24u64 {
         let nodes = [3, 7][(seed % 2) as usize];
@@ -485,7 +485,7 @@
 /// More work than room, urgent and not, over slow links, with commands held
 /// for seconds: each class gets its share, and nobody is forgotten.
 #[test]
-fn more_work_than_room_over_slow_links_starves_nobody() {
+fn overload_over_slow_links_starves_no_class() {
     for seed in 0..6u64 {
         let mut w = World::sized(9_000 + seed, 5, 0.0, 3);
         (w.run_ms, w.desk.way) = (4_000, 20);
@@ -522,7 +522,7 @@
 /// that the leader gave. Guards against taking its count for a sign that it is
 /// the process which was answered (one of 6,555 drawn days showed it).
 #[test]
-fn a_machine_back_at_once_that_counts_past_what_was_known_keeps_its_own_lease() {
+fn restarted_agent_with_higher_sequence_keeps_own_lease() {
     let mut met = 0;
     for seed in 0..40u64 {
         let mut w = World::sized(9_500 + seed, 4, 0.0, 3);
--- a/tests/offload.rs
+++ b/tests/offload.rs
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_marked_job_starts_nowhere_here_also_under_the_next_leader() {
+fn offloaded_job_never_starts_locally_after_failover() {
     let mut w = waiting();
     let version = record(&mut w, false);
     assert_eq!(lend(&mut w, 7, version), Marked::Yes);
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn all_that_comes_back_done_is_the_final_answer() {
+fn offloaded_job_returned_done_is_final() {
     let mut w = waiting();
     let version = record(&mut w, false);
     assert_eq!(lend(&mut w, 7, version), Marked::Yes);
@@ -119,7 +119,7 @@
 /// Guards against a request to mark that was held up until its award was over:
 /// nobody would ever lift that mark.
 #[test]
-fn a_mark_that_comes_after_the_awards_end_is_not_set() {
+fn offload_is_rejected_after_award_expiry() {
     let mut w = waiting();
     let version = record(&mut w, false);
     record(&mut w, true);
@@ -131,7 +131,7 @@
 /// The write of a mark has no answer and is applied seconds later, while its
 /// award is over meanwhile or not.
 #[test]
-fn a_mark_without_an_answer_keeps_the_job_until_it_is_known() {
+fn indeterminate_offload_blocks_job_until_resolved() {
     for ends in [false, true] {
         let mut w = waiting();
         let version = record(&mut w, false);
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn what_runs_here_is_not_lent_and_a_withdrawn_job_is_called_back() {
+fn running_job_stays_local_cancelled_job_is_recalled() {
     let mut w = waiting();
     let version = record(&mut w, false);
     let i = w.leader().unwrap();
@@ -179,7 +179,7 @@
 /// Guards against marks that are set one at a time, which took 50 ms each, and
 /// against one that can't be set holding up those beside it.
 #[test]
-fn marks_are_set_together_and_a_stale_one_holds_up_no_other() {
+fn offloads_are_batched_and_stale_one_blocks_none() {
     let mut w = waiting();
     for n in 3..9 {
         w.submit(job(n, Kind::Array, 1));
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -68,7 +68,7 @@
 const SMALL: (f64, f64, f64) = (8.0, 4.0, 32.0);
 
 #[test]
-fn a_lazy_machine_goes_before_a_busy_one_that_would_be_left_tidier() {
+fn lightly_used_machine_is_preferred_over_better_fit() {
     let busy = room(SMALL, (4.0, 2.0, 8.0));
     let lazy = room(SMALL, SMALL);
     let rooms = [busy.clone(), lazy];
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn among_lazy_machines_the_least_fragmented_wins_and_the_cache_breaks_ties() {
+fn least_fragmented_machine_wins_and_cache_breaks_ties() {
     // Taking CPUs from machine 0 strands its GPUs, from machine 1 not.
     let a = room(SMALL, (5.5, 4.0, 32.0));
     let b = room(SMALL, (8.0, 3.0, 32.0));
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn shapes_that_could_not_fit_at_all_do_not_count() {
+fn infeasible_shapes_do_not_count_as_fragmentation() {
     let c = Resources::offer(8.0, 0.0, 32.0);
     let shapes = [
         Resources::need(1.0, 1.0, 1.0),
@@ -310,7 +310,7 @@
 }
 
 #[test]
-fn rankings_choose_the_machine_that_a_look_at_all_of_them_would() {
+fn rankings_choose_same_machine_as_full_scan() {
     let (mut placed, mut gangs) = (0, 0);
     for seed in 0..60 {
         let mut drawn = Drawn::new(seed, 5 + seed as usize);
@@ -336,7 +336,7 @@
 
 /// Guards against rankings that miss what changed while they were not used.
 #[test]
-fn a_ranking_that_was_left_behind_is_built_anew() {
+fn stale_ranking_is_rebuilt() {
     let mut fleet = Fleet::new(policy());
     let wanted = request(Resources::need(2.0, 0.0, 4.0));
     for machine in 0..100 {
@@ -361,7 +361,7 @@
 }
 
 #[test]
-fn what_is_withheld_for_a_gang_is_not_offered_until_it_is_released() {
+fn gang_reservation_hides_capacity_until_released() {
     let mut fleet = Fleet::new(policy());
     let need = Resources::need(4.0, 0.0, 4.0);
     fleet.set(0, Some(room(SMALL, SMALL)), 0);
--- a/tests/read_monotonicity.rs
+++ b/tests/read_monotonicity.rs
@@ -52,7 +52,7 @@
 /// term and taken in under a later one: the job would be called queued from
 /// the leader's cluster state, and its tasks would start again.
 #[test]
-fn a_record_that_was_read_in_an_earlier_term_is_not_taken_in() {
+fn record_read_in_earlier_term_is_discarded() {
     let mut met = 0;
     for seed in 0..12 {
         let mut w = World::sized(seed, 4, 0.0, 3);
@@ -94,7 +94,7 @@
 /// the answer is slow. Before it comes the job ends, and this node leads.
 /// Guards against the same as above, for a read that was begun in no term.
 #[test]
-fn a_record_that_was_read_before_this_node_led_is_not_taken_in() {
+fn record_read_before_election_is_discarded() {
     let mut met = 0;
     for seed in 20..32 {
         let mut w = World::sized(seed, 4, 0.0, 3);
@@ -123,7 +123,7 @@
 /// Whatever brings a job that is over back into the cluster state, its end is what
 /// is told. Guards against a cluster state that outweighs the end.
 #[test]
-fn an_end_that_is_remembered_goes_before_the_picture() {
+fn remembered_final_state_overrides_cluster_state() {
     let mut w = World::sized(1, 2, 0.0, 3);
     w.until(10_000, "a leader", |w| w.leader().is_some());
     w.submit(job(1, Kind::Array, 1));
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -76,7 +76,7 @@
 /// services than that waited for their machines to boot, nothing was rented
 /// for the gangs behind them.
 #[test]
-fn gangs_are_rented_for_however_many_services_wait_before_them() {
+fn gangs_scale_out_behind_many_waiting_services() {
     let mut l = leader(1);
     for n in 1..=400 {
         let mut service = job(n, Kind::Service, 1);
@@ -97,7 +97,7 @@
 /// beside a unresponsive machine; and against renting, before the others could
 /// report, for all that runs.
 #[test]
-fn a_leader_rents_before_it_has_heard_every_machine_but_not_for_what_may_run_on_them() {
+fn new_leader_scales_out_only_for_unplaced_tasks() {
     let mut l = leader(9);
     load_machines(&mut l, 3);
     // Two tasks to a machine: six may be running.
@@ -121,7 +121,7 @@
 /// Guards against a large batch that makes all that come after it late: in
 /// arrival order, the small one would wait for 40 tasks of 10 s on two places.
 #[test]
-fn a_small_batch_with_a_deadline_is_not_made_late_by_a_large_one() {
+fn small_batch_meets_deadline_beside_large_one() {
     let mut w = led(41, 1, 0.0, 10_000);
     w.submit(due(job(1, Kind::Array, 40)));
     w.run(1_000);
@@ -141,7 +141,7 @@
 /// Guards against a lease of waiting, at each change of leadership, for
 /// machines that the leader before had known to be empty.
 #[test]
-fn a_new_leader_need_not_wait_for_machines_whose_leases_had_lapsed_before() {
+fn new_leader_skips_machines_with_recorded_lease_expiry() {
     for seed in 50..58 {
         let mut w = led(seed, 4, 0.0, 600_000);
         w.submit(job(1, Kind::Service, 6));
@@ -186,7 +186,7 @@
 /// Guards against starting something on a machine while a record may say that
 /// nothing runs there: the next leader would not wait for it.
 #[test]
-fn a_machine_noted_as_empty_is_not_used_before_that_is_taken_back() {
+fn machine_recorded_empty_is_unused_until_record_cleared() {
     let mut w = with_a_silent_machine(60, |_| {});
     w.store.down = true;
     w.workers[0].net = Net::Up;
@@ -200,7 +200,7 @@
 /// The same where the note had no answer and is applied later, before or after
 /// the machine is used again.
 #[test]
-fn a_note_that_is_applied_late_calls_no_machine_empty_that_is_in_use() {
+fn late_lease_expiry_record_never_marks_used_machine() {
     for late in [300, 2_000, 6_000, 9_000, 14_000] {
         let mut w = with_a_silent_machine(61, |w| w.store.late.push(late));
         w.workers[0].net = Net::Up;
@@ -217,7 +217,7 @@
 /// Guards against a recovery that operators cannot see: each phase is told
 /// once, in order, and a unresponsive machine shows in the one that waits for it.
 #[test]
-fn the_phases_of_a_recovery_are_told_apart() {
+fn recovery_phases_are_reported_once_in_order() {
     let mut w = led(62, 4, 0.0, 600_000);
     w.submit(job(1, Kind::Service, 6));
     w.until(20_000, "running", |w| w.running("j-000001") == 6);
@@ -244,7 +244,7 @@
 /// away; against taking an old list for a new one, or one that is still listed
 /// for gone.
 #[test]
-fn a_machine_missing_from_a_list_younger_than_the_term_is_not_waited_for() {
+fn new_leader_skips_machine_absent_from_fresh_list() {
     for still_listed in [false, true] {
         let mut w = led(63, 3, 0.0, 600_000);
         w.submit(job(1, Kind::Service, 6));
@@ -280,7 +280,7 @@
 
 /// Guards against placing again what comes back within its lease.
 #[test]
-fn all_controllers_end_while_a_third_is_silent_and_comes_back_with_its_tasks() {
+fn unresponsive_third_returns_with_tasks_after_full_crash() {
     for seed in 64..68 {
         let mut w = led(seed, 9, 0.0, 600_000);
         w.submit(job(1, Kind::Service, 18));
@@ -300,7 +300,7 @@
 /// Guards against a task in two places, or a team past its limit, when those
 /// that were given up return beside their replacements.
 #[test]
-fn machines_thought_dead_return_after_their_replacements_run() {
+fn machines_returning_beside_replacements_break_no_invariant() {
     for (seed, net) in [(68, Net::Hold), (69, Net::Lose), (70, Net::Hold)] {
         let mut w = led(seed, 9, 48.0, 600_000);
         w.submit(job(1, Kind::Service, 12));
@@ -329,7 +329,7 @@
 /// Guards against guests that keep a team with a guarantee from its aims: all
 /// room is theirs when its work comes, one vast array and a flood of tiny jobs.
 #[test]
-fn guests_fill_the_room_and_make_way_for_a_team_with_a_guarantee() {
+fn offloaded_jobs_are_preempted_for_guaranteed_team() {
     let mut w = led(71, 4, 0.0, 20_000);
     let guest = |n, tasks| {
         let mut j = job(n, Kind::Array, tasks);
@@ -358,7 +358,7 @@
 
 /// Guards against a pass over the fleet for each first report.
 #[test]
-fn first_reports_of_a_large_fleet_cost_each_machine_a_few_looks() {
+fn first_heartbeats_cost_few_inspections_per_machine() {
     let looks = |machines: u32| {
         let mut l = leader(9);
         load_machines(&mut l, machines);
@@ -395,7 +395,7 @@
 /// Guards against reports that are not answered, or tasks placed again, while
 /// one leader after the other ends before it has read the records.
 #[test]
-fn a_leader_ends_a_second_time_while_its_successor_loads() {
+fn successor_crash_while_loading_loses_nothing() {
     for seed in 72..76 {
         let mut w = led(seed, 6, 0.0, 600_000);
         w.submit(job(1, Kind::Service, 10));
@@ -427,7 +427,7 @@
 /// version: what is added to the time of arrival for it must not pass the end
 /// of time. (At the door it is refused, as the world now asks there.)
 #[test]
-fn an_absurd_estimate_stops_nobody() {
+fn absurd_estimate_in_record_blocks_no_job() {
     let mut w = led(76, 1, 0.0, 5_000);
     let mut absurd = due(job(1, Kind::Array, 6));
     absurd.estimate_s = 1e300;
--- a/tests/request_consistency.rs
+++ b/tests/request_consistency.rs
@@ -180,7 +180,7 @@
 /// everywhere, and some cancel at once. Guards against a node that answers
 /// from what it, or the leader, knew before.
 #[test]
-fn no_node_says_what_is_older_than_what_was_told() {
+fn answers_are_monotonic_across_nodes() {
     let mut close = 0;
     for (seed, nodes) in (0..6).flat_map(|s| [(s, 3), (s, 7)]) {
         let mut w = in_flight(200 + seed, 6, nodes);
@@ -205,7 +205,7 @@
 /// nothing had been: each kind of write, and a writer that leads on, has lost
 /// the lead, ends, or is back at once.
 #[test]
-fn what_was_written_without_an_answer_holds_for_all_who_may_have_read_it() {
+fn indeterminate_write_holds_for_every_reader() {
     let mut met = std::collections::BTreeMap::new();
     for (seed, nodes) in (0..8).flat_map(|s| [(s, 3), (s, 7)]) {
         let mut w = in_flight(300 + seed, 6, nodes);
@@ -232,7 +232,7 @@
 /// with no other trouble. Guards against an end that is told and then undone,
 /// either way, and against dependents that go with a job which was done.
 #[test]
-fn what_meets_the_end_of_the_last_task_is_answered_one_way() {
+fn requests_racing_completion_get_one_outcome() {
     let (mut done, mut withdrawn) = (0, 0);
     for seed in 0..60 {
         let mut w = in_flight(400 + seed, 4, 3);
@@ -336,7 +336,7 @@
 /// in one line that names the field, and never once the job is known. Guards
 /// against 4xx for a known job, and against accepting what can't run.
 #[test]
-fn odd_requests_are_refused_by_name_and_known_jobs_answered_whatever_they_say() {
+fn invalid_requests_are_rejected_unless_job_is_known() {
     for led in [true, false] {
         let mut w = in_flight(500, 4, 3);
         w.submit(job(1, Kind::Array, 1));
@@ -417,7 +417,7 @@
 /// the changes that the smallest site allows. Guards against a record that is
 /// written once too often for each: ends would be told later and later.
 #[test]
-fn one_task_jobs_at_four_a_second_stay_within_the_smallest_rates() {
+fn one_task_jobs_stay_within_smallest_write_rate() {
     let mut w = in_flight(600, 24, 3);
     w.limit_changes(15.0);
     w.run_ms = 2_000;
@@ -463,7 +463,7 @@
 /// Guards against a mark in the record of a job that has nothing anywhere: at
 /// 15 changes a second a burst of cancellations would hold up all else.
 #[test]
-fn what_is_withdrawn_before_it_starts_costs_two_changes() {
+fn cancellation_before_start_costs_two_writes() {
     let mut w = in_flight(610, 1, 3);
     w.run_ms = 600_000;
     for n in 1..=32 {
@@ -489,7 +489,7 @@
 /// from then on, at a node that reads the record. Guards against a job that is
 /// called pending and of which the leader never learns.
 #[test]
-fn a_job_of_which_only_the_records_know_runs() {
+fn job_known_only_from_records_runs() {
     for nodes in [3, 7] {
         let mut w = in_flight(620, 2, nodes);
         w.store.lost_answers = 100;
@@ -513,7 +513,7 @@
 /// Guards against a final record while tasks may still run: whoever leads next
 /// would not know whose they are.
 #[test]
-fn a_withdrawn_job_is_over_once_nothing_of_it_may_run() {
+fn cancelled_job_is_final_once_no_task_runs() {
     let mut w = in_flight(630, 1, 3);
     w.run_ms = 600_000;
     w.submit(job(1, Kind::Array, 1));
@@ -532,7 +532,7 @@
 /// state that one node read before the job's end and gives after another has
 /// told that end: whoever asked both sees it go back.
 #[test]
-fn no_answer_is_older_than_one_that_was_given_before_it() {
+fn overlapping_polls_never_go_backwards() {
     let mut close = 0;
     for (seed, nodes) in (0..6).flat_map(|s| [(s, 3), (s, 7)]) {
         let mut w = in_flight(900 + seed, 6, nodes);
--- a/tests/scale_run.rs
+++ b/tests/scale_run.rs
@@ -40,7 +40,7 @@
 /// Controllers end and are back within a second, users cancel jobs and ask at
 /// all controllers within milliseconds: no answer is older than one before it.
 #[test]
-fn users_who_look_closely_see_nothing_go_back_while_controllers_end() {
+fn testbed_answers_are_monotonic_while_controllers_crash() {
     let mut plan = plan();
     plan.warm_up_s = 6.0;
     plan.measure_s = 24.0;
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn two_hundred_workers_hold_the_rules_and_the_run_ends_by_itself() {
+fn two_hundred_workers_break_no_invariant_and_finish() {
     let report = run(plan(), "scale");
     assert_eq!(report.rules_broken, Vec::<String>::new());
     assert_eq!(report.processes, 4, "three controllers and this process");
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_batch_runs_and_stays_done() {
+fn batch_stays_done_after_full_restart() {
     let mut w = quiet(1, 3, 0.0);
     w.submit(job(1, Kind::Array, 9));
     w.until(60_000, "done", |w| w.done("j-000001"));
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_new_leader_waits_for_a_silent_machine_before_placing_its_tasks_again() {
+fn new_leader_awaits_lease_expiry_before_replacing_tasks() {
     let mut w = serving(2, 3, 4);
     let old = w.leader().unwrap();
     let silent = w.workers.iter().position(|m| !m.tasks.is_empty()).unwrap();
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn the_checker_catches_a_leader_that_does_not_wait() {
+fn checker_detects_leader_that_skips_lease_wait() {
     let mut w = quiet(2, 3, 0.0);
     w.sabotage = true;
     w.submit(job(1, Kind::Service, 4));
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_report_that_arrives_minutes_late_is_no_news() {
+fn delayed_heartbeats_are_ignored() {
     let mut w = serving(3, 3, 2);
     let cut = w.workers.iter().position(|m| !m.tasks.is_empty()).unwrap();
     // Its reports are held, its tasks are killed by the lease and run
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_direct_order_executed_late_starts_nothing_twice() {
+fn late_direct_command_starts_no_task_twice() {
     for delay in [1_000, 2_500, 6_000, 30_000] {
         let mut w = quiet(4, 2, 0.0);
         w.slow_do.insert(0, delay);
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn an_outage_longer_than_the_workers_lease_ends_nothing() {
+fn store_outage_beyond_lease_stops_no_task() {
     let mut w = serving(5, 3, 4);
     let sessions: Vec<u64> = w.workers.iter().map(|m| m.session).collect();
     w.store.down = true;
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn an_outage_with_a_node_down_gives_no_promise_and_no_rule_breaks() {
+fn outage_with_node_down_breaks_no_invariant() {
     let mut w = serving(6, 3, 4);
     let leader = w.leader().unwrap();
     w.crash((leader + 1) % 3, 60_000);
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn a_leader_that_alone_is_refused_hands_over_at_once() {
+fn leader_refused_by_store_yields_at_once() {
     let mut w = serving(7, 3, 4);
     let old = w.leader().unwrap();
     w.store.refuses.insert(old);
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn all_controllers_crash_and_nothing_stops() {
+fn tasks_survive_crash_of_all_controllers() {
     let mut w = serving(8, 3, 4);
     for i in 0..3 {
         w.crash(i, 6_000);
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn a_transaction_applied_late_undoes_nothing() {
+fn late_transaction_undoes_no_completion() {
     for delay in [500, 1_400, 3_000, 20_000] {
         let mut w = quiet(9, 3, 0.0);
         w.submit(job(1, Kind::Array, 8));
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn a_withdrawal_and_a_completion_agree_on_one_answer() {
+fn racing_cancellation_and_completion_agree() {
     let mut cancelled = 0;
     for seed in 0..12 {
         let mut w = quiet(100 + seed, 3, 0.0);
@@ -202,7 +202,7 @@
 }
 
 #[test]
-fn a_cancelled_job_is_gone_in_time_although_its_launch_was_held() {
+fn cancelled_job_stops_in_time_despite_delayed_launch() {
     let mut w = quiet(10, 2, 0.0);
     w.run(2_000);
     w.slow_do.insert(0, 20_000);
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn a_team_stays_within_its_limit_across_a_failover() {
+fn team_quota_holds_across_failover() {
     let mut w = quiet(11, 6, 16.0);
     for n in 1..8 {
         w.submit(job(n, Kind::Array, 3));
@@ -238,7 +238,7 @@
 }
 
 #[test]
-fn a_new_job_need_not_wait_for_a_silent_machine_as_far_as_the_limit_holds() {
+fn new_job_starts_beside_unresponsive_machine_within_quota() {
     for (limit, starts_early) in [(16.0, true), (12.0, false)] {
         let mut w = quiet(15, 3, limit);
         w.submit(job(1, Kind::Service, 2));
@@ -259,7 +259,7 @@
 }
 
 #[test]
-fn a_silent_spot_machine_does_not_hold_up_jobs_that_it_may_not_run() {
+fn unresponsive_spot_machine_blocks_no_on_demand_job() {
     let mut w = quiet(20, 3, 0.0);
     let spot = w.workers.len();
     w.add_worker("a", true, 0);
@@ -298,7 +298,7 @@
 }
 
 #[test]
-fn a_machine_that_vanished_is_waited_for_once() {
+fn vanished_machine_is_awaited_by_one_leader_only() {
     let mut w = quiet(16, 3, 0.0);
     w.run(2_000);
     w.workers[1].alive = false;
@@ -318,7 +318,7 @@
 }
 
 #[test]
-fn room_made_for_a_service_is_held_no_longer_than_it_takes_to_start() {
+fn reservation_ends_when_preempting_service_starts() {
     let mut w = quiet(17, 1, 0.0);
     w.run_ms = 20_000;
     w.submit(job(1, Kind::Array, 6));
@@ -335,7 +335,7 @@
 }
 
 #[test]
-fn a_team_within_its_guarantee_takes_room_from_one_beyond_its_own() {
+fn team_below_guarantee_preempts_team_above_its_own() {
     let mut w = quiet(18, 2, 0.0);
     w.run_ms = 600_000;
     w.submit(job(1, Kind::Array, 6));
@@ -360,7 +360,7 @@
 }
 
 #[test]
-fn spread_and_one_zone_hold_while_old_tasks_linger() {
+fn zone_constraints_hold_while_old_tasks_linger() {
     let mut w = quiet(12, 8, 0.0);
     let mut spread = job(1, Kind::Service, 4);
     spread.spread = true;
@@ -389,7 +389,7 @@
 }
 
 #[test]
-fn a_gang_starts_whole_and_again_only_when_the_old_tasks_are_gone() {
+fn gang_restarts_only_after_old_tasks_are_gone() {
     let mut w = quiet(13, 4, 0.0);
     w.run_ms = 60_000;
     w.submit(job(1, Kind::Gang, 6));
@@ -408,7 +408,7 @@
 }
 
 #[test]
-fn a_lost_service_starts_in_the_room_made_for_it_although_the_image_is_not_there() {
+fn lost_service_restarts_by_preemption_without_cached_image() {
     let mut w = quiet(19, 3, 0.0);
     w.run_ms = 120_000;
     let mut service = job(1, Kind::Service, 2);
@@ -438,7 +438,7 @@
 }
 
 #[test]
-fn nothing_is_rented_in_a_zone_that_fell_silent_until_it_is_heard_again() {
+fn scale_out_skips_unreachable_zone_until_it_responds() {
     let mut w = quiet(20, 8, 0.0);
     w.rents = true;
     w.run_ms = 60_000;
@@ -462,7 +462,7 @@
 }
 
 #[test]
-fn a_new_leader_knows_on_which_machine_tasks_fail() {
+fn machine_quarantine_survives_failover() {
     let mut w = quiet(25, 2, 0.0);
     // A service on each machine, so that none is empty and goes back.
     let mut service = job(1, Kind::Service, 2);
@@ -501,7 +501,7 @@
 }
 
 #[test]
-fn machines_that_come_up_one_by_one_are_kept_together_for_a_waiting_gang() {
+fn gang_reservation_collects_machines_as_they_boot() {
     let mut w = quiet(17, 0, 0.0);
     for _ in 0..3 {
         w.add_worker("a", false, 0);
@@ -520,7 +520,7 @@
 }
 
 #[test]
-fn a_gang_gets_its_machines_at_once_from_batches_of_lower_priority() {
+fn gang_preempts_lower_priority_batches_at_once() {
     let mut w = quiet(18, 8, 0.0);
     w.run_ms = 20_000;
     w.submit(job(1, Kind::Array, 200));
@@ -531,7 +531,7 @@
 }
 
 #[test]
-fn a_gang_that_lost_a_task_before_it_started_is_completed() {
+fn gang_replaces_task_lost_before_start() {
     let mut w = quiet(19, 4, 0.0);
     w.run_ms = 60_000;
     w.fetch_ms = 25_000;
@@ -552,7 +552,7 @@
 }
 
 #[test]
-fn a_job_of_100_000_tasks_fits_the_limits_and_survives_a_failover() {
+fn hundred_thousand_task_job_survives_failover() {
     let mut w = quiet(14, 4, 0.0);
     let mut big = job(1, Kind::Array, 100_000);
     big.estimate_s = 1.0;
@@ -583,7 +583,7 @@
 }
 
 #[test]
-fn days_of_mixed_trouble_break_no_rule() {
+fn random_faults_break_no_invariant() {
     for seed in 0..std::env::var("SEEDS").map_or(25, |n| n.parse().unwrap()) {
         let mut w = quiet(1000 + seed, 6, 48.0);
         w.rents = true;
@@ -726,7 +726,7 @@
 }
 
 #[test]
-fn days_of_silent_and_stalled_controllers_break_no_rule() {
+fn random_controller_faults_break_no_invariant() {
     for seed in 0..std::env::var("SEEDS").map_or(12, |n| n.parse().unwrap()) {
         for nodes in [3, 7] {
             let w = hard_day(2000 + seed, nodes);
@@ -739,7 +739,7 @@
 /// Seven nodes and 400 machines: gangs of eight, an array of 500, services; a
 /// node is down when the state service goes, and all crash as it comes back.
 #[test]
-fn a_grown_installation_gets_through_an_outage_that_ends_with_all_nodes_crashing() {
+fn large_cluster_recovers_from_outage_and_full_crash() {
     let mut w = World::sized(21, 400, 0.0, 7);
     w.fetch_ms = 1_000;
     w.run_ms = 15_000;
@@ -782,7 +782,7 @@
 }
 
 #[test]
-fn operators_are_told_why_a_task_waits() {
+fn explain_reports_why_task_waits() {
     let mut w = quiet(22, 2, 40.0);
     w.run_ms = 600_000;
     w.run(3_000);
@@ -816,7 +816,7 @@
 }
 
 #[test]
-fn a_team_at_its_limit_and_a_leader_that_settles_are_named_as_reasons() {
+fn explain_reports_team_limit_and_settling_leader() {
     let mut w = quiet(23, 4, 8.0);
     w.run_ms = 600_000;
     w.submit(job(1, Kind::Array, 5));
@@ -875,7 +875,7 @@
 }
 
 #[test]
-fn work_per_report_and_pass_does_not_grow_with_the_fleet() {
+fn heartbeat_and_cycle_cost_is_independent_of_fleet() {
     let (small, large) = (work_done(20), work_done(200));
     assert_eq!(small.0, large.0, "a report touches its machine alone");
     // A pass looks at each machine a few times, however many jobs wait.
--- a/tests/scheduling_cycles.rs
+++ b/tests/scheduling_cycles.rs
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn a_long_pass_lets_reports_be_answered_and_goes_on_in_the_order_of_arrival() {
+fn long_scheduling_cycle_yields_and_keeps_arrival_order() {
     let mut l = leader();
     let first = accept(&mut l, 1, "array", 1_500);
     let second = accept(&mut l, 2, "array", 900);
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn a_machine_lost_and_a_job_withdrawn_between_two_parts_of_a_pass_are_left_out() {
+fn interrupted_cycle_skips_lost_machine_and_cancelled_job() {
     let mut l = leader();
     let first = accept(&mut l, 1, "array", 1_500);
     let second = accept(&mut l, 2, "array", 900);
@@ -195,7 +195,7 @@
 /// Guards against a place in the order that a later job inherits with the
 /// index of one that is gone.
 #[test]
-fn a_job_that_takes_the_index_of_one_that_is_gone_waits_for_its_own_turn() {
+fn job_reusing_index_waits_its_own_turn() {
     let mut l = leader();
     let first = accept(&mut l, 1, "array", 1_500);
     let second = accept(&mut l, 2, "array", 900);
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn a_gang_is_placed_whole_or_not_at_all_also_when_machines_leave_in_a_pass() {
+fn gang_placement_stays_atomic_when_machines_leave() {
     let mut l = leader();
     let array = accept(&mut l, 1, "array", 1_500);
     let gang = accept(&mut l, 2, "gang", 2_500);
@@ -241,7 +241,7 @@
 /// Guards against room that goes to whoever is next in a pass that was
 /// interrupted, past an earlier job that had found none.
 #[test]
-fn room_that_appears_between_two_parts_goes_to_the_earliest_that_waits() {
+fn capacity_freed_mid_cycle_goes_to_earliest_job() {
     let mut l = leader();
     let wide = accept_with_cores(&mut l, 1, "array", 1, CORES as f64);
     accept_with_cores(&mut l, 2, "array", MACHINES as u32 - 1, 60.0);
@@ -264,7 +264,7 @@
 /// Guards against room that is held for a gang, past an earlier job to which it
 /// was not offered yet, as it appeared in a pass that was interrupted.
 #[test]
-fn room_that_appears_in_a_pass_is_not_held_for_a_gang_that_comes_later() {
+fn capacity_freed_mid_cycle_skips_later_gang() {
     let mut l = leader();
     let wide = accept_with_cores(&mut l, 1, "array", 1, CORES as f64);
     accept_with_cores(&mut l, 2, "array", MACHINES as u32 - 1, 60.0);
@@ -283,7 +283,7 @@
 }
 
 #[test]
-fn a_pass_that_ends_with_the_lead_is_finished_by_the_next_leader_each_task_once() {
+fn interrupted_cycle_finishes_once_after_failover() {
     let mut first = leader();
     let job = accept(&mut first, 1, "array", 1_500);
     first.tick(200, 200);
--- a/tests/standby.rs
+++ b/tests/standby.rs
@@ -50,7 +50,7 @@
 /// A third of the machines is unresponsive as the leader ends: what waited, and what
 /// comes, is placed at once elsewhere; what may run there is not.
 #[test]
-fn a_third_is_silent_as_the_leader_ends_and_only_that_third_waits() {
+fn only_tasks_on_unresponsive_third_wait_after_failover() {
     for seed in 0..6 {
         let mut w = warm(seed, 9, 3);
         // It finds no room yet.
@@ -82,7 +82,7 @@
 /// The same where they never come back: theirs is placed once their leases
 /// have expired, and once only.
 #[test]
-fn what_ran_on_machines_that_stay_silent_is_placed_when_their_leases_lapse() {
+fn tasks_on_unresponsive_machines_move_after_lease_expiry() {
     let mut w = warm(10, 9, 3);
     (0..3).for_each(|m| w.workers[m].net = Net::Lose);
     let old = w.leader().unwrap();
@@ -102,7 +102,7 @@
 /// told, confirmed, sent, carried out, answered. The machine is unresponsive from
 /// then on, or comes back with what was sent.
 #[test]
-fn the_leader_ends_at_any_step_of_a_start() {
+fn leader_crash_at_any_start_step_breaks_nothing() {
     for net in [Net::Lose, Net::Hold, Net::Up] {
         for steps in 0..30 {
             let mut w = warm(20 + steps, 4, 3);
@@ -128,7 +128,7 @@
 /// Orders of the old leader that are carried out under the new one, up to a
 /// minute late.
 #[test]
-fn a_start_arrives_late_under_the_new_leader() {
+fn late_start_command_is_safe_under_new_leader() {
     for delay in [1_000, 4_500, 6_000, 9_000, 15_000, 60_000] {
         let mut w = warm(50, 4, 3);
         let free = free(&w);
@@ -150,7 +150,7 @@
 /// Nobody who knows is left: the next leader hears every machine, or waits for
 /// its lease.
 #[test]
-fn the_leader_and_all_standbys_end_together_and_the_next_is_cold() {
+fn failover_is_cold_when_all_standbys_crash() {
     let mut w = warm(60, 6, 7);
     let (old, standbys) = (w.leader().unwrap(), w.named());
     w.workers[0].net = Net::Hold;
@@ -170,7 +170,7 @@
 /// A standby that takes over and ends before it has started anything leaves
 /// the record as it was: the other one is still warm.
 #[test]
-fn a_standby_ends_right_after_it_took_over_and_the_other_is_warm() {
+fn second_standby_is_warm_when_first_crashes() {
     for steps in 0..12 {
         let mut w = warm(70 + steps, 6, 7);
         let terms = w.terms;
@@ -194,7 +194,7 @@
 /// A standby that was struck before something was started, and leads: it does
 /// not go by its copy.
 #[test]
-fn a_standby_that_was_struck_takes_over_cold() {
+fn demoted_standby_takes_over_cold() {
     let mut w = warm(90, 4, 3);
     let old = w.leader().unwrap();
     let (cut, other) = (w.named()[0], w.named()[1]);
@@ -219,7 +219,7 @@
 /// A standby that hangs holds up starts for well under a second; one that
 /// can't reach the state service stays, but another leads.
 #[test]
-fn a_standby_that_hangs_or_cannot_lead_costs_little() {
+fn hanging_standby_delays_starts_briefly() {
     let mut w = warm(100, 5, 3);
     let hung = w.named()[0];
     w.stand_still(hung, 30_000);
@@ -244,7 +244,7 @@
 /// A standby that begins anew under its old name knows nothing, though the
 /// record names that node.
 #[test]
-fn a_standby_that_began_anew_is_not_taken_for_the_one_that_was_named() {
+fn restarted_standby_is_not_treated_as_registered() {
     for pause in [0, 100, 300, 1_000] {
         let mut w = warm(110, 4, 3);
         let (old, again) = (w.leader().unwrap(), w.named()[0]);
@@ -270,7 +270,7 @@
 /// While the state service is out nobody can be struck: what a standby does
 /// not confirm is not started, and is once it can be.
 #[test]
-fn in_an_outage_starts_wait_for_a_standby_that_is_gone() {
+fn starts_wait_for_lost_standby_during_outage() {
     let mut w = warm(120, 5, 3);
     let standby = w.named()[0];
     w.submit(job(2, Kind::Array, 1));
@@ -299,7 +299,7 @@
 /// Writes of the record that are applied late, or lost, count from when they
 /// were sent until they can't be applied any more.
 #[test]
-fn a_late_write_of_the_record_names_nobody_who_does_not_know() {
+fn late_registry_write_registers_no_uninformed_standby() {
     for late in [200, 1_000, 1_600, 3_000, 8_000] {
         let mut w = warm(130, 5, 3);
         let standby = w.named()[0];
@@ -317,7 +317,7 @@
 
 /// All controllers restarted one after the other: no takeover is cold.
 #[test]
-fn in_a_roll_every_takeover_is_warm() {
+fn every_failover_is_warm_in_rolling_restart() {
     for (seed, nodes) in [(140, 3), (141, 7)] {
         let mut w = warm(seed, 6, nodes);
         let terms = w.terms;
@@ -337,7 +337,7 @@
 
 /// A leader that hands over on purpose: the one that follows is warm.
 #[test]
-fn a_leader_that_is_refused_alone_hands_over_to_a_warm_one() {
+fn refused_leader_hands_over_to_warm_standby() {
     let mut w = warm(150, 6, 7);
     let (old, terms) = (w.leader().unwrap(), w.terms);
     w.workers[0].net = Net::Hold;
@@ -353,7 +353,7 @@
 /// A leader whose place is poor, as the node that workers try next hangs, gives
 /// the lead to one that came back only once that is warm.
 #[test]
-fn a_leader_in_a_poor_place_waits_for_a_warm_one_to_hand_over_to() {
+fn unfavourably_placed_leader_yields_only_to_warm_standby() {
     let mut w = warm(155, 6, 3);
     let (old, terms) = (w.leader().unwrap(), w.terms);
     let (next, hangs) = ((old + 1) % 3, (old + 2) % 3);
@@ -377,7 +377,7 @@
 /// A task that completed before its leader could record it is not run again by
 /// a leader that decides before it hears the machine.
 #[test]
-fn what_completed_unrecorded_is_not_run_again() {
+fn unrecorded_completion_is_not_rerun_after_failover() {
     let mut w = warm(160, 4, 3);
     w.run_ms = 3_000;
     w.submit(job(2, Kind::Array, 2));
@@ -405,7 +405,7 @@
 /// A job cancelled as the leader ends, while its tasks are on a unresponsive
 /// machine: it is over only when they are gone.
 #[test]
-fn a_job_is_withdrawn_during_the_takeover() {
+fn cancellation_during_failover_ends_after_tasks_stop() {
     for heals in [false, true] {
         let mut w = warm(170, 6, 3);
         let old = w.leader().unwrap();
@@ -429,7 +429,7 @@
 
 /// Limits, zones and gangs count what may run unseen.
 #[test]
-fn limits_zones_and_gangs_count_what_may_run_on_silent_machines() {
+fn constraints_count_tasks_on_unresponsive_machines() {
     for seed in 180..184 {
         let mut w = World::sized(seed, 8, 48.0, 3);
         w.run_ms = 600_000;
@@ -463,7 +463,7 @@
 /// One controller of a version that knows of no standbys would lead without a
 /// trace: nobody is named before all are seen to know.
 #[test]
-fn nobody_is_named_beside_a_controller_that_knows_of_no_standbys() {
+fn no_standby_is_registered_beside_old_controller() {
     let mut w = World::sized(190, 4, 0.0, 3);
     w.old.insert(2);
     w.until(10_000, "a leader", |w| w.leader().is_some());
@@ -486,7 +486,7 @@
 /// The invariant's checker, and the rules', find a standby that confirms what
 /// it does not keep.
 #[test]
-fn the_checker_catches_a_standby_that_forgets() {
+fn checker_detects_standby_that_loses_updates() {
     let mut w = World::sized(200, 4, 0.0, 3);
     w.run_ms = 600_000;
     w.until(10_000, "standbys", |w| named(w) == 2);
@@ -556,7 +556,7 @@
 
 /// A copy may hold a task twice, as it was told of the later place first.
 #[test]
-fn of_two_places_in_a_copy_the_later_holds() {
+fn replica_keeps_later_of_two_placements() {
     let at = |change| std::iter::once(MayRun(0, change, change, Seen::Sent));
     let told = vec![holds(0, at(3)), holds(1, at(8)), holds(2, at(5))];
     let mut l = taking_over(3, told, job(1, Kind::Service, 1));
@@ -567,7 +567,7 @@
 
 /// What a machine says of itself in this term goes before any copy.
 #[test]
-fn a_machine_that_was_heard_is_taken_at_its_word() {
+fn heartbeat_overrides_replica() {
     let told = vec![holds(0, (0..2).map(|t| MayRun(t, 1, 1, Seen::Running)))];
     let mut l = taking_over(2, told.clone(), job(1, Kind::Service, 2));
     reports_empty(&mut l, 0, 20);
@@ -585,7 +585,7 @@
 /// Whether a gang has started is not known before all of it was heard: it is
 /// neither completed nor stopped until then.
 #[test]
-fn a_gang_that_lost_a_task_is_left_alone_until_the_rest_is_heard() {
+fn incomplete_gang_is_untouched_until_all_heartbeats_arrive() {
     let told = vec![holds(0, (0..2).map(|t| MayRun(t, 1, 1, Seen::Sent)))];
     let mut l = taking_over(2, told, job(1, Kind::Gang, 3));
     reports_empty(&mut l, 1, 20);
@@ -599,7 +599,7 @@
 
 /// Guards against a takeover that looks at every machine for every task.
 #[test]
-fn taking_over_a_large_fleet_costs_each_machine_a_few_looks() {
+fn warm_failover_costs_few_inspections_per_machine() {
     let looks = |machines: u32| {
         let tasks =
             |n: u32| (8 * n..8 * n + 8).map(|t| MayRun(t, 1, 1 + u64::from(t), Seen::Running));
@@ -621,7 +621,7 @@
 /// other, parts are lost and come twice, the record is written late, machines
 /// fall unresponsive and come back. Counted by hand with SEEDS=2000.
 #[test]
-fn nights_of_changing_leaders_leave_no_named_standby_unaware() {
+fn random_leader_changes_leave_no_standby_uninformed() {
     let seeds = std::env::var("SEEDS").map_or(24, |n| n.parse().unwrap());
     let (mut terms, mut warm) = (0, 0);
     for seed in 0..seeds {
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -46,7 +46,7 @@
 
 /// Its record can't be written any more as production left it.
 #[test]
-fn jobs_with_long_records_of_production_run_on_are_marked_and_end_under_lower_limits() {
+fn legacy_long_records_remain_usable_under_lower_limits() {
     for seed in 0..8 {
         let mut w = led(10 + seed, 2, true);
         w.submit(long(1, 30));
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_long_description_is_accepted_under_either_limit_and_survives_its_leader() {
+fn long_spec_survives_failover_under_either_limit() {
     let mut w = warned(30, 3);
     w.submit(long(1, 12));
     assert!(w.store.under(SPEC_CHUNKS).len() > 2);
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn five_thousand_needs_are_kept_over_several_values() {
+fn five_thousand_dependencies_span_several_values() {
     let mut w = warned(31, 2);
     w.lower();
     w.submit(job(9_000, Kind::Array, 3));
@@ -121,7 +121,7 @@
 
 /// Pieces of a submission that was given up, or whose leader ended half way.
 #[test]
-fn pieces_that_no_record_names_are_cleared_and_those_of_a_later_try_are_not() {
+fn only_unreferenced_spec_chunks_are_cleared() {
     let mut w = warned(32, 2);
     let spec = long(1, 6);
     let i = w.leader().unwrap();
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn a_hundred_jobs_change_as_the_limits_fall_in_an_outage() {
+fn hundred_jobs_update_when_limits_drop_during_outage() {
     let mut w = warned(33, 6);
     for n in 1..=100 {
         w.submit(job(n, Kind::Array, 1 + n % 3));
@@ -164,7 +164,7 @@
 
 /// Guards against a list of images that outgrows its machine's record.
 #[test]
-fn a_machine_with_many_images_of_long_names_keeps_those_used_last() {
+fn machine_record_keeps_most_recent_images() {
     let mut w = warned(34, 1);
     w.lower();
     for n in 1..=30 {
