--- a/src/control/leader/expiry.rs
+++ b/src/control/leader/expiry.rs
@@ -138,7 +138,10 @@
         }
         for m in self.cluster.each_machine_mut() {
             for a in m.tasks.iter_mut() {
-                if a.job != NONE && a.is_live() && a.stop_grace_s.is_none() && stop.contains(&a.job)
+                if a.job != NO_JOB
+                    && a.is_live()
+                    && a.stop_grace_s.is_none()
+                    && stop.contains(&a.job)
                 {
                     a.stop_grace_s = Some(0.0);
                 }
--- a/src/control/leader/inventory.rs
+++ b/src/control/leader/inventory.rs
@@ -79,17 +79,12 @@
                         m.min_incarnation = m.incarnation + 1;
                     }
                     self.changed = true;
-                } else if let Some(ix) =
-                    self.cluster
-                        .insert_machine(&l.id, &l.addr, &l.type_name, &l.zone, l.spot, now)
-                {
+                } else if let Some(ix) = self.cluster.insert_machine(l.into(), now) {
                     self.release(ix, "failed", now);
                 }
                 continue;
             }
-            let ix =
-                self.cluster
-                    .insert_machine(&l.id, &l.addr, &l.type_name, &l.zone, l.spot, now);
+            let ix = self.cluster.insert_machine(l.into(), now);
             if let Some(m) = ix.and_then(|ix| self.cluster.machine_mut(ix)) {
                 m.last_listed = now;
                 if m.state_since == now && l.state == ListedState::Booting {
--- a/src/control/leader/mod.rs
+++ b/src/control/leader/mod.rs
@@ -51,8 +51,8 @@
     state::{
         Millis,
         cluster::{
-            Assignment, ClusterState, DIRECT_COMMAND_TIMEOUT_MS, Job, Machine, NONE, Phase,
-            Placement, Registration,
+            Assignment, ClusterState, DIRECT_COMMAND_TIMEOUT_MS, Job, Machine, NO_JOB, NewJob,
+            NewMachine, Phase, Placement, Registration,
         },
         dependencies::{DependencyGraph, Readiness},
         fault_attribution::{JobFailures, MachineFailures},
@@ -245,9 +245,14 @@
         let (at_ms, suspected) = (record.accepted_at_ms, record.suspected);
         let pieces = record.spec_chunks;
         let away = OffloadState::recorded(record.offloaded_to);
-        let ix = self
-            .cluster
-            .insert_job(record.spec, at_ms, version, done, record.cancelled, now);
+        let new = NewJob {
+            spec: record.spec,
+            accepted_at_ms: at_ms,
+            record_version: version,
+            completed: done,
+            cancelled: record.cancelled,
+        };
+        let ix = self.cluster.insert_job(new, now);
         if let Some(j) = self.cluster.job_mut(ix) {
             j.accepted_this_term |= version > self.term;
             if j.record_version == version {
@@ -297,14 +302,14 @@
     }
 
     pub fn load_machine(&mut self, name: &str, record: MachineRecord, version: u64, now: Millis) {
-        let ix = self.cluster.insert_machine(
+        let new = NewMachine {
             name,
-            &record.addr,
-            &record.type_name,
-            &record.zone,
-            record.spot,
-            now,
-        );
+            addr: &record.addr,
+            type_name: &record.type_name,
+            zone: &record.zone,
+            spot: record.spot,
+        };
+        let ix = self.cluster.insert_machine(new, now);
         if let Some(m) = ix.and_then(|ix| self.cluster.machine_mut(ix)) {
             m.registration = Registration::Present;
             m.record_version = version;
@@ -345,14 +350,7 @@
         if self.scaling.released.contains_key(&report.machine) {
             return None;
         }
-        let ix = self.cluster.insert_machine(
-            &report.machine,
-            &report.addr,
-            &report.type_name,
-            &report.zone,
-            report.spot,
-            now,
-        )?;
+        let ix = self.cluster.insert_machine(report.into(), now)?;
         if !self.accepts_heartbeat(ix, report, now) {
             return None;
         }
--- a/src/control/leader/scale_out.rs
+++ b/src/control/leader/scale_out.rs
@@ -267,8 +267,14 @@
         );
         self.events.tally.rented += names.len() as u64;
         for name in names {
-            self.cluster
-                .insert_machine(name, "", &rent.type_name, &rent.zone, rent.spot, now);
+            let new = NewMachine {
+                name,
+                addr: "",
+                type_name: &rent.type_name,
+                zone: &rent.zone,
+                spot: rent.spot,
+            };
+            self.cluster.insert_machine(new, now);
         }
         if (names.len() as u32) < rent.count
             && let (Some(t), Some(z)) = (
--- a/src/control/reconciliation.rs
+++ b/src/control/reconciliation.rs
@@ -8,7 +8,7 @@
     },
     state::{
         Millis,
-        cluster::{ClusterState, NONE, Phase, Placement},
+        cluster::{ClusterState, NO_JOB, Phase, Placement},
     },
 };
 use std::collections::HashSet;
@@ -324,7 +324,7 @@
                 // recorded before the only witness is removed.
                 let in_doubt = a.indeterminate_token != 0 && seen <= a.indeterminate_token;
                 let recorded = why != ExitReason::Done
-                    || a.job == NONE
+                    || a.job == NO_JOB
                     || jobs
                         .get(a.job as usize)
                         .and_then(Option::as_ref)
--- a/src/state/cluster/replication.rs
+++ b/src/state/cluster/replication.rs
@@ -1,4 +1,7 @@
-//! The cluster state as standbys are told of it.
+//! The cluster state as it is replicated to standbys.
+//!
+//! Owns which machines changed since the last replication. Called by the
+//! leader's replication stream. Must never change what is on a machine.
 
 use super::{ClusterState, Phase};
 use crate::protocol::{
@@ -8,35 +11,39 @@
 use std::collections::BTreeSet;
 
 impl ClusterState {
-    /// Machines that changed since this was last called. They are noted from
+    /// Machines that changed since the last call. Changes are collected from
     /// the first call on.
     pub fn take_changed_machines(&mut self) -> BTreeSet<String> {
         std::mem::take(self.changed_machines.get_or_insert_default())
     }
 
-    /// What a standby is told of a machine.
+    /// What a standby receives of a machine: its tasks, grouped by job.
     pub fn tasks_on(&self, name: &str) -> MachineHolds {
+        let machine = self.machine_index(name).and_then(|ix| self.machine(ix));
         let mut jobs: Vec<(String, Vec<MayRun>)> = Vec::new();
-        let tasks = self.machine_index(name).and_then(|ix| self.machine(ix));
-        let mut of: Vec<u32> = Vec::new();
-        for a in tasks.map_or(&[][..], |m| &m.tasks) {
-            let seen = match a.phase {
+        let mut job_indices: Vec<u32> = Vec::new();
+        for assignment in machine.map_or(&[][..], |m| &m.tasks) {
+            let seen = match assignment.phase {
                 Phase::Running => Seen::Running,
                 Phase::Ended(ExitReason::Done) => Seen::Done,
                 Phase::Ended(_) => continue,
                 _ => Seen::Sent,
             };
-            let Some(job) = self.job(a.job) else {
+            let Some(job) = self.job(assignment.job) else {
                 continue;
             };
-            let at = of.iter().position(|j| *j == a.job).unwrap_or_else(|| {
-                of.push(a.job);
+            let known = job_indices.iter().position(|ix| *ix == assignment.job);
+            let at = known.unwrap_or_else(|| {
+                job_indices.push(assignment.job);
                 jobs.push((job.id.clone(), Vec::new()));
-                of.len() - 1
+                jobs.len() - 1
             });
-            jobs[at]
-                .1
-                .push(MayRun(a.task, a.attempt, a.change_number, seen));
+            jobs[at].1.push(MayRun(
+                assignment.task,
+                assignment.attempt,
+                assignment.change_number,
+                seen,
+            ));
         }
         MachineHolds {
             machine: name.to_owned(),
@@ -46,7 +53,7 @@
 
     /// Machines on which something is, or may be.
     pub fn occupied_machines(&self) -> BTreeSet<String> {
-        let held = self.each_machine().filter(|m| !m.tasks.is_empty());
-        held.map(|m| m.name.clone()).collect()
+        let occupied = self.each_machine().filter(|m| !m.tasks.is_empty());
+        occupied.map(|m| m.name.clone()).collect()
     }
 }
--- a/src/state/cluster/stale.rs
+++ b/src/state/cluster/stale.rs
@@ -1,4 +1,7 @@
-//! Which machines may have changed since somebody last looked.
+//! Which machines may have changed since the scheduler last looked.
+//!
+//! Owns the marks. Called by the table of machines on every mutable access.
+//! Must never lose a mark before it is taken.
 
 /// Marks by machine index.
 #[derive(Debug, Default)]
@@ -25,7 +28,7 @@
         self.all = true;
     }
 
-    /// Takes the marks; there are so many machine indices.
+    /// Takes the marks of a table with `machines` indices.
     pub(super) fn take(&mut self, machines: usize) -> Vec<u32> {
         let list = std::mem::take(&mut self.list);
         for machine in &list {
