--- a/src/control/leader/mod.rs
+++ b/src/control/leader/mod.rs
@@ -25,6 +25,8 @@
 mod victims;
 mod zone_health;
 
+pub use persistence::{WriteIntent, WritePlan};
+
 use super::{
     placement::{
         self, Policy,
@@ -32,7 +34,7 @@
     },
     polls::FinalStates,
     provision::{self, Bin, Demand, Offer},
-    reconciliation,
+    reconciliation::{self, StatusSource},
     safety_bounds::SafetyBounds,
     standby::Standbys,
 };
@@ -57,10 +59,7 @@
         dependencies::{DependencyGraph, Readiness},
         fault_attribution::{JobFailures, MachineFailures},
         offload::OffloadState,
-        records::{
-            self as keys, FinalRecord, JobRecord, LEADER, MachineRecord, TaskBitmap, final_key,
-            job_key, machine_key, segment_key,
-        },
+        records::{JobRecord, MachineRecord, TaskBitmap, job_key, machine_key, segment_key},
         resources::Resources,
     },
 };
@@ -102,28 +101,6 @@
     (s.max(0.0) * 1000.0) as Millis
 }
 
-#[derive(Debug, Clone, PartialEq)]
-pub enum WriteIntent {
-    Cancel(u32, String),
-    Offload(u32, String),
-    EndOffload(u32, String),
-    Finish(u32, String, JobState),
-    RecordProgress(u32, String, Vec<usize>),
-    Registration(u32, String),
-    ExpireMachine(u32, String),
-    MarkReleasing(u32, String),
-    Delete(String),
-    /// Pieces of the job's description, up to this one.
-    UploadSpec(u32, String, usize),
-}
-
-/// One transaction and what it says.
-#[derive(Debug, Clone)]
-pub struct WritePlan {
-    pub txn: Txn,
-    pub intents: Vec<WriteIntent>,
-}
-
 #[derive(Debug, Clone)]
 pub enum CloudOp {
     MachineRequest(MachineRequest),
@@ -354,7 +331,7 @@
         if !self.accepts_heartbeat(ix, report, now) {
             return None;
         }
-        self.apply_heartbeat(ix, report, true, now);
+        self.apply_heartbeat(ix, report, StatusSource::Heartbeat, now);
         let m = self.cluster.machine_mut(ix)?;
         let fresh = m.up && (report.incarnation, report.seq) == (m.incarnation, m.heartbeat_seq);
         let commands = if fresh {
@@ -372,10 +349,10 @@
         })
     }
 
-    fn apply_heartbeat(&mut self, ix: u32, report: &Heartbeat, beat: bool, now: Millis) {
+    fn apply_heartbeat(&mut self, ix: u32, report: &Heartbeat, source: StatusSource, now: Millis) {
         let floor = self.term_token();
         let effects =
-            reconciliation::apply_heartbeat(&mut self.cluster, ix, report, floor, beat, now);
+            reconciliation::apply_heartbeat(&mut self.cluster, ix, report, floor, source, now);
         self.changed |= effects.cluster_changed;
         self.detect_one_way_partition(ix, &effects);
         if let Some(m) = self.cluster.machine(ix)
@@ -390,11 +367,11 @@
                 self.events.tally.waits.push((j.spec.class.clone(), waited));
             }
         }
-        for (job_ix, started) in effects.confirmed_running {
-            self.on_task_running(ix, job_ix, started, now);
+        for task in effects.confirmed_running {
+            self.on_task_running(ix, task.job, task.since, now);
         }
-        for (job_ix, task, why) in effects.ended_tasks {
-            self.on_task_ended(ix, job_ix, task, why, now);
+        for ended in effects.ended_tasks {
+            self.on_task_ended(ix, ended.job, ended.task, ended.reason, now);
         }
     }
 
@@ -478,7 +455,7 @@
         match outcome {
             DirectDeliveryOutcome::Executed(report) => {
                 reconciliation::resolve_direct_commands(&mut self.cluster, ix, token, true);
-                self.apply_heartbeat(ix, &report, false, now);
+                self.apply_heartbeat(ix, &report, StatusSource::DirectCommand, now);
             }
             DirectDeliveryOutcome::Refused(report) => {
                 reconciliation::resolve_direct_commands(&mut self.cluster, ix, token, false);
@@ -486,7 +463,7 @@
                     m.command_retry_at = now + retry;
                 }
                 if let Some(report) = report {
-                    self.apply_heartbeat(ix, &report, false, now);
+                    self.apply_heartbeat(ix, &report, StatusSource::DirectCommand, now);
                 }
             }
             DirectDeliveryOutcome::NotSent => {
--- a/src/control/leader/offload.rs
+++ b/src/control/leader/offload.rs
@@ -1,7 +1,7 @@
 //! Jobs that are offloaded to neighbouring markets: which could be, the mark in
 //! their records, and what comes back.
 
-use super::*;
+use super::{persistence::WriteBudget, *};
 use crate::{
     protocol::market::{Lendable, Marked},
     state::{
@@ -245,7 +245,10 @@
                 value,
                 lease: None,
             });
-            plan.intents.push(WriteIntent::Offload(ix, j.id.clone()));
+            plan.intents.push(WriteIntent::Offload {
+                job: ix,
+                id: j.id.clone(),
+            });
             j.write_in_flight = true;
         }
         self.write_queue.offload_changes.retain(|ix| {
@@ -258,7 +261,7 @@
     }
 
     /// Marks to be lifted, once all that came back is recorded.
-    pub(super) fn plan_offload_removals(&mut self, plan: &mut WritePlan, room: usize) {
+    pub(super) fn plan_offload_removals(&mut self, plan: &mut WritePlan, budget: &WriteBudget) {
         let value_kb = self.settings.cluster.state.always().value_kb;
         for n in 0..self.write_queue.offload_changes.len() {
             let ix = self.write_queue.offload_changes[n];
@@ -271,14 +274,17 @@
                 && !j.is_complete()
                 && !j.cancelled
                 && !self.spec_uploads.is_due(j, value_kb);
-            if due && plan.txn.writes.len() < room {
+            if due && budget.has_write(plan) {
                 plan.txn.conditions.push(j.record_condition());
                 plan.txn.writes.push(Write::Put {
                     key: job_key(&j.id),
                     value: persistence::job_record(j, false, None),
                     lease: None,
                 });
-                plan.intents.push(WriteIntent::EndOffload(ix, j.id.clone()));
+                plan.intents.push(WriteIntent::EndOffload {
+                    job: ix,
+                    id: j.id.clone(),
+                });
                 j.write_in_flight = true;
             }
         }
--- a/src/control/leader/persistence.rs
+++ b/src/control/leader/persistence.rs
@@ -1,13 +1,206 @@
 //! What the leader writes to the state service, and what it learns when a
 //! transaction had no answer.
+//!
+//! Owns the order in which records are written, the budget of a transaction
+//! and what its outcome changes in the cluster state. Called by the control
+//! loop, which sends the transactions, one at a time. Must never write without
+//! the condition on the leader's own key, nor treat an unknown outcome as a
+//! failure.
 
-use super::*;
+use super::Leader;
 use crate::{
-    protocol::market::AWARDS,
-    state::{offload::OffloadTarget, records::StoredJob, spec_chunks::SpecChunks},
+    protocol::{
+        market::AWARDS,
+        state::{Condition, Txn, Write},
+        users::{JobSpec, JobState, JobStatus},
+    },
+    state::{
+        Millis,
+        cluster::{Job, Machine, Registration},
+        offload::OffloadTarget,
+        records::{
+            self as keys, FinalRecord, JobRecord, LEADER, MachineRecord, StoredJob, final_key,
+            job_key, machine_key, segment_key,
+        },
+        spec_chunks::SpecChunks,
+    },
 };
 
+/// Bytes of keys and values after which a transaction takes nothing more: of
+/// its 64 KiB, so that one more record and the conditions fit.
+const MAX_PLAN_BYTES: usize = 48 * 1024;
+/// What a write takes beside its key and value.
+const WRITE_OVERHEAD_BYTES: usize = 40;
+/// What the list of images takes in a machine's record beside their names.
+const IMAGE_LIST_BYTES: usize = 20;
+
+/// What one part of a transaction is to do, so that its outcome can be applied
+/// to the cluster state. Jobs and machines by index, and by id or name, as an
+/// index may be given to another one meanwhile.
+#[derive(Debug, Clone, PartialEq)]
+pub enum WriteIntent {
+    /// Records a cancellation in the job's record.
+    Cancel {
+        /// Index of the job.
+        job: u32,
+        /// Its id.
+        id: String,
+    },
+    /// Records that the job is offloaded.
+    Offload {
+        /// Index of the job.
+        job: u32,
+        /// Its id.
+        id: String,
+    },
+    /// Records that the job is not offloaded any more.
+    EndOffload {
+        /// Index of the job.
+        job: u32,
+        /// Its id.
+        id: String,
+    },
+    /// Replaces the job's record by that of its terminal state.
+    Finish {
+        /// Index of the job.
+        job: u32,
+        /// Its id.
+        id: String,
+        /// The terminal state.
+        state: JobState,
+    },
+    /// Records complete tasks.
+    RecordProgress {
+        /// Index of the job.
+        job: u32,
+        /// Its id.
+        id: String,
+        /// Segments of the completion bitmap that are written.
+        segments: Vec<usize>,
+    },
+    /// Writes the record of a machine that is in use.
+    Registration {
+        /// Index of the machine.
+        machine: u32,
+        /// Its name.
+        name: String,
+    },
+    /// Records that the machine's lease has expired.
+    ExpireMachine {
+        /// Index of the machine.
+        machine: u32,
+        /// Its name.
+        name: String,
+    },
+    /// Records that the machine is being released.
+    MarkReleasing {
+        /// Index of the machine.
+        machine: u32,
+        /// Its name.
+        name: String,
+    },
+    /// Deletes a key that no record names.
+    Delete {
+        /// The key.
+        key: String,
+    },
+    /// Writes chunks of the job's spec.
+    UploadSpec {
+        /// Index of the job.
+        job: u32,
+        /// Its id.
+        id: String,
+        /// How many chunks are written after it.
+        chunks_written: usize,
+    },
+}
+
+/// One transaction, and what its parts are to do.
+#[derive(Debug, Clone)]
+pub struct WritePlan {
+    /// As it is sent.
+    pub txn: Txn,
+    /// What it is to do.
+    pub intents: Vec<WriteIntent>,
+}
+
+/// How much one transaction may hold. Writes are counted by the plan itself,
+/// bytes only of what is put through the budget: job records, segments, final
+/// records and spec chunks.
+pub(super) struct WriteBudget {
+    max_writes: usize,
+    used_bytes: usize,
+}
+
+impl WriteBudget {
+    fn new(max_writes: usize) -> Self {
+        WriteBudget {
+            max_writes,
+            used_bytes: 0,
+        }
+    }
+
+    /// How many writes the plan may still take.
+    pub(super) fn writes_left(&self, plan: &WritePlan) -> usize {
+        self.max_writes.saturating_sub(plan.txn.writes.len())
+    }
+
+    /// Whether it may take one more write.
+    pub(super) fn has_write(&self, plan: &WritePlan) -> bool {
+        self.writes_left(plan) > 0
+    }
+
+    fn has_bytes(&self) -> bool {
+        self.used_bytes <= MAX_PLAN_BYTES
+    }
+
+    /// Whether it may take what a job needs at most before it is cut short:
+    /// two writes.
+    fn has_job(&self, plan: &WritePlan) -> bool {
+        self.writes_left(plan) >= 2 && self.has_bytes()
+    }
+
+    /// Adds a write of this value to the plan, and counts its bytes.
+    fn put(&mut self, plan: &mut WritePlan, key: String, value: serde_json::Value) {
+        let value_bytes = value.to_string().len();
+        self.put_sized(plan, key, value, value_bytes);
+    }
+
+    /// The same for a value of known size.
+    pub(super) fn put_sized(
+        &mut self,
+        plan: &mut WritePlan,
+        key: String,
+        value: serde_json::Value,
+        value_bytes: usize,
+    ) {
+        self.used_bytes += key.len() + value_bytes + WRITE_OVERHEAD_BYTES;
+        plan.txn.writes.push(Write::Put {
+            key,
+            value,
+            lease: None,
+        });
+    }
+}
+
+/// In which order the writes of jobs are planned.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum JobPass {
+    Cancellations,
+    Endings,
+    Progress,
+}
+
+/// What is to be written of one job.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum JobWrite {
+    Cancel,
+    End(JobState),
+    Progress,
+}
+
 impl Leader {
+    /// That this leader's term is still the current one.
     pub(super) fn leader_condition(&self) -> Condition {
         Condition {
             key: LEADER.into(),
@@ -15,20 +208,21 @@
         }
     }
 
-    /// The transaction that accepts a job.
+    /// The transaction that accepts a job, and the job's record in it.
     pub fn acceptance(
         &self,
         spec: &JobSpec,
-        pieces: Option<SpecChunks>,
+        spec_chunks: Option<SpecChunks>,
         wall_ms: u64,
     ) -> (Txn, JobRecord) {
         let mut record = JobRecord::new(spec.clone(), wall_ms);
-        record.spec_chunks = pieces;
+        record.spec_chunks = spec_chunks;
         let mut txn = acceptance(&record);
         txn.conditions.push(self.leader_condition());
         (txn, record)
     }
 
+    /// A plan with nothing but that condition.
     pub(super) fn empty_plan(&self) -> WritePlan {
         WritePlan {
             txn: Txn {
@@ -39,152 +233,33 @@
         }
     }
 
-    /// What is to be written next, at most `room` changes.
-    pub fn plan_writes(&mut self, room: usize) -> Option<WritePlan> {
+    /// What is to be written next, at most `max_writes` changes. Cancellations
+    /// come first, as users wait for them, then machine records, as starts
+    /// wait for them, then terminal states, then progress.
+    pub fn plan_writes(&mut self, max_writes: usize) -> Option<WritePlan> {
         if !self.recovery.loaded {
             return None;
         }
         if !self.write_queue.offload_changes.is_empty()
-            && let Some(marks) = self.plan_offloads(room)
+            && let Some(offloads) = self.plan_offloads(max_writes)
         {
-            return Some(marks);
+            return Some(offloads);
         }
         let limits = self.settings.cluster.state.always();
-        let value_limits = limits.value_kb;
-        let spare = room as f64 > limits.write_rps / 2.0;
-        let room = room.min(limits.txn_ops);
-        let mut bytes = 0usize;
-        let byte_limit = 48 * 1024;
+        let rate_to_spare = max_writes as f64 > limits.write_rps / 2.0;
+        let mut budget = WriteBudget::new(max_writes.min(limits.txn_ops));
         let mut plan = self.empty_plan();
-        let put =
-            |plan: &mut WritePlan, bytes: &mut usize, key: String, value: serde_json::Value| {
-                *bytes += key.len() + value.to_string().len() + 40;
-                plan.txn.writes.push(Write::Put {
-                    key,
-                    value,
-                    lease: None,
-                });
-            };
-        let mut lapsed = Vec::new();
-        // Cancellations, then endings, then progress.
-        let knows_all = self.recovery.knows_all_tasks();
-        for pass in 0..3 {
-            for ix in 0..self.cluster.jobs.len() {
-                if plan.txn.writes.len() + 2 > room || bytes > byte_limit {
-                    break;
-                }
-                let Some(j) = self.cluster.jobs[ix].as_mut() else {
-                    continue;
-                };
-                if j.write_in_flight {
-                    continue;
-                }
-                let gone = j.live_count == 0 && knows_all;
-                // Of one that is to be cancelled and has nothing anywhere the
-                // end is recorded at once, without a mark before it.
-                let marked = j.cancelled || j.cancel_requested && j.offload.is_local();
-                let over = if j.is_complete() && !j.cancelled {
-                    Some(JobState::Done)
-                } else if marked && gone {
-                    Some(JobState::Cancelled)
-                } else {
-                    None
-                };
-                let awaited = j.cancel_requested && !j.cancelled && over != Some(JobState::Done);
-                let due = match (awaited, over) {
-                    (true, _) => 0,
-                    (false, Some(_)) => 1,
-                    (false, None) => 2,
-                };
-                // Its record can't be written as it is: first the pieces.
-                let rewrites =
-                    over.is_none() && (awaited || j.is_dirty() || j.offload.has_pending_change());
-                if rewrites && self.spec_uploads.is_due(j, value_limits) {
-                    if pass == 0 {
-                        let most = room.saturating_sub(plan.txn.writes.len());
-                        self.spec_uploads
-                            .plan(ix as u32, j, &mut plan, most, &mut bytes);
-                    }
-                    continue;
-                }
-                let guard = j.record_condition();
-                match (pass, over) {
-                    _ if pass != due => {}
-                    (0, None) => {
-                        plan.txn.conditions.push(guard);
-                        let record = job_record(j, true, j.offload.recorded_target());
-                        put(&mut plan, &mut bytes, job_key(&j.id), record);
-                        plan.intents
-                            .push(WriteIntent::Cancel(ix as u32, j.id.clone()));
-                        j.write_in_flight = true;
-                        j.ending_in_flight = true;
-                    }
-                    (_, Some(state)) => {
-                        plan.txn.conditions.push(guard);
-                        plan.txn.conditions.push(Condition {
-                            key: final_key(&j.id),
-                            version: 0,
-                        });
-                        let record = FinalRecord {
-                            state,
-                            done: j.completed_count,
-                        };
-                        let value = serde_json::to_value(record).unwrap_or_default();
-                        put(&mut plan, &mut bytes, final_key(&j.id), value);
-                        plan.txn.writes.push(Write::Delete {
-                            key: job_key(&j.id),
-                        });
-                        plan.intents
-                            .push(WriteIntent::Finish(ix as u32, j.id.clone(), state));
-                        j.write_in_flight = true;
-                        j.ending_in_flight = true;
-                    }
-                    (2, None) if j.is_dirty() && !j.cancelled => {
-                        let mut chunks = Vec::new();
-                        plan.txn.conditions.push(guard);
-                        // With each chunk goes the record, so that its version
-                        // moves on. Guards against an older state of a chunk
-                        // that is carried out late, over a newer one.
-                        for c in 0..j.dirty_segments.len() {
-                            if c > 0 && (!j.dirty_segments[c] || plan.txn.writes.len() + 1 > room) {
-                                continue;
-                            }
-                            if c > 0 {
-                                let value = serde_json::Value::String(j.completed.chunk(c));
-                                put(&mut plan, &mut bytes, segment_key(&j.id, c), value);
-                                chunks.push(c);
-                            } else {
-                                let record = job_record(j, false, j.offload.recorded_target());
-                                put(&mut plan, &mut bytes, job_key(&j.id), record);
-                                chunks.push(c);
-                            }
-                        }
-                        for c in &chunks {
-                            j.dirty_segments[*c] = false;
-                        }
-                        plan.intents.push(WriteIntent::RecordProgress(
-                            ix as u32,
-                            j.id.clone(),
-                            chunks,
-                        ));
-                        j.write_in_flight = true;
-                    }
-                    _ => {}
-                }
-            }
-            if pass == 2 {
-                self.plan_offload_removals(&mut plan, room);
-            }
-            if pass == 0 {
-                lapsed = self.plan_machine_records(&mut plan, room, spare);
-            }
-        }
-        for ix in lapsed {
-            if plan.txn.writes.len() < room && bytes <= byte_limit {
+        self.plan_job_writes(JobPass::Cancellations, &mut plan, &mut budget);
+        let expired = self.plan_machine_records(&mut plan, &budget, rate_to_spare);
+        self.plan_job_writes(JobPass::Endings, &mut plan, &mut budget);
+        self.plan_job_writes(JobPass::Progress, &mut plan, &mut budget);
+        self.plan_offload_removals(&mut plan, &budget);
+        for ix in expired {
+            if budget.has_write(&plan) && budget.has_bytes() {
                 self.plan_machine(ix, &mut plan);
             }
         }
-        while plan.txn.writes.len() < room
+        while budget.has_write(&plan)
             && let Some(key) = self.write_queue.unconditional_deletes.pop()
         {
             plan.txn.writes.push(Write::Delete { key });
@@ -192,33 +267,77 @@
         (!plan.txn.writes.is_empty()).then_some(plan)
     }
 
-    /// Returns the machines whose expired leases remain to be noted, which
-    /// nothing waits for.
-    fn plan_machine_records(&mut self, plan: &mut WritePlan, room: usize, spare: bool) -> Vec<u32> {
-        let mut lapsed = Vec::new();
+    /// Adds the writes of this pass for all jobs, as far as the budget goes;
+    /// in the first also spec chunks that a record has to wait for.
+    fn plan_job_writes(&mut self, pass: JobPass, plan: &mut WritePlan, budget: &mut WriteBudget) {
+        let value_kb = self.settings.cluster.state.always().value_kb;
+        let knows_all = self.recovery.knows_all_tasks();
+        for (ix, job) in self.cluster.jobs.iter_mut().enumerate() {
+            if !budget.has_job(plan) {
+                break;
+            }
+            let Some(job) = job.as_mut().filter(|job| !job.write_in_flight) else {
+                continue;
+            };
+            let ix = ix as u32;
+            let (due, write) = JobWrite::due(job, knows_all);
+            // The record can't be written as it is: first the spec chunks.
+            if write.keeps_record(job) && self.spec_uploads.is_due(job, value_kb) {
+                if pass == JobPass::Cancellations {
+                    self.spec_uploads.plan(ix, job, plan, budget);
+                }
+                continue;
+            }
+            if pass != due {
+                continue;
+            }
+            match write {
+                JobWrite::Cancel => plan_cancellation(ix, job, plan, budget),
+                JobWrite::End(state) => plan_ending(ix, job, state, plan, budget),
+                JobWrite::Progress if job.is_dirty() && !job.cancelled => {
+                    plan_progress(ix, job, plan, budget);
+                }
+                JobWrite::Progress => {}
+            }
+        }
+    }
+
+    /// Adds machine records that something waits for, and deletions of keys
+    /// that no record names. Returns the machines whose lease expiry remains
+    /// to be recorded, which nothing waits for.
+    fn plan_machine_records(
+        &mut self,
+        plan: &mut WritePlan,
+        budget: &WriteBudget,
+        rate_to_spare: bool,
+    ) -> Vec<u32> {
+        let mut expired = Vec::new();
         for ix in self.cluster.machine_range() {
-            if plan.txn.writes.len() + 1 > room {
-                return lapsed;
+            if !budget.has_write(plan) {
+                return expired;
             }
-            let Some(m) = self.cluster.machine(ix).filter(|m| !m.write_in_flight) else {
+            let Some(machine) = self.cluster.machine(ix).filter(|m| !m.write_in_flight) else {
                 continue;
             };
-            if m.lease_expired() && !m.releasing && !m.recorded_empty {
-                lapsed.push(ix);
+            if machine.lease_expired() && !machine.releasing && !machine.recorded_empty {
+                expired.push(ix);
                 continue;
             }
-            let add = m.awaits_record();
-            let mark =
-                m.releasing && !m.release_recorded && m.registration == Registration::Present;
-            // Not urgent, so only while much of the budget is left.
-            let images =
-                m.images_unrecorded && m.registration == Registration::Present && m.up && spare;
-            let quarantine = m.quarantine_unrecorded && m.registration == Registration::Present;
-            if add || mark || images || quarantine {
+            let registered = machine.registration == Registration::Present;
+            let release = machine.releasing && !machine.release_recorded;
+            // Not urgent, so only while much of the rate budget is left.
+            let images = machine.images_unrecorded && machine.up && rate_to_spare;
+            let update = release || images || machine.quarantine_unrecorded;
+            if machine.awaits_record() || registered && update {
                 self.plan_machine(ix, plan);
             }
         }
-        while plan.txn.writes.len() < room
+        self.plan_conditional_deletes(plan, budget);
+        expired
+    }
+
+    fn plan_conditional_deletes(&mut self, plan: &mut WritePlan, budget: &WriteBudget) {
+        while budget.has_write(plan)
             && let Some((key, version)) = self.write_queue.conditional_deletes.pop()
         {
             if self.spec_chunk_in_use(&key) {
@@ -229,136 +348,157 @@
                 version,
             });
             plan.txn.writes.push(Write::Delete { key: key.clone() });
-            plan.intents.push(WriteIntent::Delete(key));
+            plan.intents.push(WriteIntent::Delete { key });
         }
-        lapsed
     }
 
     /// Adds a machine's record to what is to be written.
     fn plan_machine(&mut self, ix: u32, plan: &mut WritePlan) {
-        let Some(m) = self.cluster.machine(ix) else {
+        let Some(machine) = self.cluster.machine(ix) else {
             return;
         };
+        let key = machine_key(&machine.name);
         plan.txn.conditions.push(Condition {
-            key: machine_key(&m.name),
-            version: m.record_version,
+            key: key.clone(),
+            version: machine.record_version,
         });
-        let lapsed = m.lease_expired() && !m.releasing;
+        let lease_expired = machine.lease_expired() && !machine.releasing;
+        let registered = machine.registration == Registration::Present;
         let record = MachineRecord {
-            addr: m.addr.map(|a| a.to_string()).unwrap_or_default(),
-            type_name: self.cluster.types[m.type_ix].name.clone(),
-            zone: self.cluster.zones.name(m.zone).to_owned(),
-            spot: m.spot,
-            releasing: lapsed || m.releasing && m.registration == Registration::Present,
-            lease_expired: lapsed,
-            quarantined: m.failures.quarantined,
+            addr: machine.addr.map(|a| a.to_string()).unwrap_or_default(),
+            type_name: self.cluster.types[machine.type_ix].name.clone(),
+            zone: self.cluster.zones.name(machine.zone).to_owned(),
+            spot: machine.spot,
+            releasing: lease_expired || machine.releasing && registered,
+            lease_expired,
+            quarantined: machine.failures.quarantined,
             images: Vec::new(),
         };
-        let record = self.with_images(record, &m.images);
-        let marked = record.releasing;
+        let record = self.with_images(record, &machine.images);
+        let recorded_empty = record.releasing;
         plan.txn.writes.push(Write::Put {
-            key: machine_key(&m.name),
+            key,
             value: serde_json::to_value(record).unwrap_or_default(),
             lease: None,
         });
-        let name = m.name.clone();
-        plan.intents.push(match (lapsed, m.releasing) {
-            (true, _) => WriteIntent::ExpireMachine(ix, name),
-            (false, true) => WriteIntent::MarkReleasing(ix, name),
-            (false, false) => WriteIntent::Registration(ix, name),
+        let name = machine.name.clone();
+        plan.intents.push(match (lease_expired, machine.releasing) {
+            (true, _) => WriteIntent::ExpireMachine { machine: ix, name },
+            (false, true) => WriteIntent::MarkReleasing { machine: ix, name },
+            (false, false) => WriteIntent::Registration { machine: ix, name },
         });
-        if let Some(m) = self.cluster.machine_mut(ix) {
-            m.write_in_flight = true;
-            m.images_unrecorded = false;
-            m.quarantine_unrecorded = false;
-            // From now on, as a write without an answer may be applied late.
-            m.recorded_empty |= marked;
+        if let Some(machine) = self.cluster.machine_mut(ix) {
+            machine.write_in_flight = true;
+            machine.images_unrecorded = false;
+            machine.quarantine_unrecorded = false;
+            // From now on, as an indeterminate write may be applied late.
+            machine.recorded_empty |= recorded_empty;
         }
     }
 
     /// The images used last, as many as its value has room for.
     fn with_images(&self, mut record: MachineRecord, images: &[u32]) -> MachineRecord {
         let limit = self.settings.cluster.state.always().value_kb * 1024.0;
-        let empty = serde_json::to_value(&record).map_or(0, |v| v.to_string().len());
-        let mut left = (limit as usize).saturating_sub(empty + 20);
-        for i in images.iter().rev() {
-            let name = self.cluster.images.name(*i as usize);
+        let without_images = serde_json::to_value(&record).map_or(0, |v| v.to_string().len());
+        let mut bytes_left = (limit as usize).saturating_sub(without_images + IMAGE_LIST_BYTES);
+        for image in images.iter().rev() {
+            let name = self.cluster.images.name(*image as usize);
             // As text in the value, however it is escaped there.
-            let size = serde_json::to_string(name).map_or(usize::MAX, |t| t.len() + 1);
-            if size > left {
+            let bytes = serde_json::to_string(name).map_or(usize::MAX, |text| text.len() + 1);
+            if bytes > bytes_left {
                 break;
             }
-            left -= size;
+            bytes_left -= bytes;
             record.images.insert(0, name.to_owned());
         }
         record
     }
 
+    /// The job with this index, if the index was not given to another since.
     pub(super) fn job_of(&mut self, ix: u32, id: &str) -> Option<&mut Job> {
-        self.cluster.job_mut(ix).filter(|j| j.id == id)
+        self.cluster.job_mut(ix).filter(|job| job.id == id)
     }
 
+    /// The machine with this index, under the same rule.
+    fn machine_of(&mut self, ix: u32, name: &str) -> Option<&mut Machine> {
+        self.cluster.machine_mut(ix).filter(|m| m.name == name)
+    }
+
+    /// The transaction was applied at this revision.
     pub fn writes_applied(&mut self, plan: &WritePlan, revision: u64, now: Millis) {
-        for item in &plan.intents {
-            match item {
-                WriteIntent::Cancel(ix, id) => {
-                    if let Some(j) = self.job_of(*ix, id) {
-                        j.record_version = revision;
-                        j.write_in_flight = false;
-                        j.ending_in_flight = false;
-                        j.cancelled = true;
-                        let status = j.status();
-                        // A mark that was on its way can't be set any more.
-                        j.offload.mark_refused();
-                        log::info!(
-                            "job {id} cancelled, by its record at revision {revision} in term {}",
-                            self.term
-                        );
-                        self.final_states.learn(&status, now);
-                        self.dependencies.job_cancelled(*ix);
+        for intent in &plan.intents {
+            match intent {
+                WriteIntent::Cancel { job, id } => {
+                    self.cancellation_applied(*job, id, revision, now);
+                }
+                WriteIntent::Offload { job, id } => {
+                    if let Some(job) = self.job_of(*job, id) {
+                        job.record_version = revision;
+                        job.write_in_flight = false;
+                        job.offload.mark_recorded();
                     }
                 }
-                WriteIntent::Offload(ix, id) | WriteIntent::EndOffload(ix, id) => {
-                    if let Some(j) = self.job_of(*ix, id) {
-                        j.record_version = revision;
-                        j.write_in_flight = false;
-                        match item {
-                            WriteIntent::Offload(..) => j.offload.mark_recorded(),
-                            _ => j.offload.mark_removed(),
-                        }
+                WriteIntent::EndOffload { job, id } => {
+                    if let Some(job) = self.job_of(*job, id) {
+                        job.record_version = revision;
+                        job.write_in_flight = false;
+                        job.offload.mark_removed();
                     }
                 }
-                WriteIntent::Finish(ix, id, state) => {
-                    self.job_ended(*ix, id, *state, revision, now)
+                WriteIntent::Finish { job, id, state } => {
+                    self.job_ended(*job, id, *state, revision, now);
                 }
-                WriteIntent::RecordProgress(ix, id, chunks) => {
-                    if let Some(j) = self.job_of(*ix, id) {
-                        j.write_in_flight = false;
-                        if chunks.contains(&0) {
-                            j.record_version = revision;
+                WriteIntent::RecordProgress { job, id, segments } => {
+                    if let Some(job) = self.job_of(*job, id) {
+                        job.write_in_flight = false;
+                        if segments.contains(&0) {
+                            job.record_version = revision;
                         }
                     }
                 }
-                WriteIntent::Registration(ix, name)
-                | WriteIntent::MarkReleasing(ix, name)
-                | WriteIntent::ExpireMachine(ix, name) => {
-                    if let Some(m) = self.cluster.machine_mut(*ix).filter(|m| m.name == *name) {
-                        m.write_in_flight = false;
-                        m.registration = Registration::Present;
-                        m.record_version = revision;
-                        m.release_recorded |= matches!(item, WriteIntent::MarkReleasing(..));
+                WriteIntent::Registration { machine, name }
+                | WriteIntent::MarkReleasing { machine, name }
+                | WriteIntent::ExpireMachine { machine, name } => {
+                    if let Some(machine) = self.machine_of(*machine, name) {
+                        machine.write_in_flight = false;
+                        machine.registration = Registration::Present;
+                        machine.record_version = revision;
+                        machine.release_recorded |=
+                            matches!(intent, WriteIntent::MarkReleasing { .. });
                         // Whatever was written before it can't be applied now.
-                        m.recorded_empty &= !matches!(item, WriteIntent::Registration(..));
+                        machine.recorded_empty &=
+                            !matches!(intent, WriteIntent::Registration { .. });
                     }
                 }
-                WriteIntent::UploadSpec(ix, id, upto) => self.cut(*ix, id, *upto),
-                WriteIntent::Delete(_) => {}
+                WriteIntent::UploadSpec {
+                    job,
+                    id,
+                    chunks_written,
+                } => self.spec_chunks_written(*job, id, *chunks_written),
+                WriteIntent::Delete { .. } => {}
             }
         }
         self.changed = true;
     }
 
-    /// The record of its end stands, at this revision.
+    fn cancellation_applied(&mut self, ix: u32, id: &str, revision: u64, now: Millis) {
+        let term = self.term;
+        let Some(job) = self.job_of(ix, id) else {
+            return;
+        };
+        job.record_version = revision;
+        job.write_in_flight = false;
+        job.ending_in_flight = false;
+        job.cancelled = true;
+        let status = job.status();
+        // An offload write that was in flight can't be applied any more.
+        job.offload.mark_refused();
+        log::info!("job {id} cancelled, by its record at revision {revision} in term {term}");
+        self.final_states.learn(&status, now);
+        self.dependencies.job_cancelled(ix);
+    }
+
+    /// The record of its terminal state is in force, at this revision.
     pub(super) fn job_ended(
         &mut self,
         ix: u32,
@@ -368,53 +508,52 @@
         now: Millis,
     ) {
         let term = self.term;
-        let Some(j) = self.job_of(ix, id) else { return };
+        let Some(job) = self.job_of(ix, id) else {
+            return;
+        };
         let status = JobStatus {
             id: id.to_owned(),
             state,
-            done: j.completed_count,
+            done: job.completed_count,
             running: 0,
         };
         log::info!(
             "job {id} is over, {state}, by its record at revision {revision} in term {term}"
         );
-        let chunks = j.dirty_segments.len();
-        let pieces = j.spec_chunks.clone();
-        for c in 1..chunks {
-            self.write_queue
-                .unconditional_deletes
-                .push(segment_key(id, c));
+        let segments = job.dirty_segments.len();
+        let spec_chunks = job.spec_chunks.clone();
+        let deletes = &mut self.write_queue.unconditional_deletes;
+        deletes.extend((1..segments).map(|segment| segment_key(id, segment)));
+        if let Some(spec_chunks) = spec_chunks {
+            deletes.extend(spec_chunks.keys(id));
         }
-        if let Some(pieces) = pieces {
-            self.write_queue
-                .unconditional_deletes
-                .extend(pieces.keys(id));
-        }
-        self.drop_cut(ix);
+        self.drop_spec_upload(ix);
         self.cluster.remove_job(ix);
         self.remember_final_state(&status, now);
         self.dependencies.job_ended(ix, state == JobState::Done);
         self.changed = true;
     }
 
-    /// The transaction had no answer, and it may take long until its keys can
-    /// be read; nor does that settle it, as it may be carried out later. Guards
-    /// against tasks that run on through an outage after a user read that their
-    /// job is cancelled, and against calling a job unfinished from memory after
-    /// a user read its end.
+    /// The transaction had no answer: it may be in force, or be applied later,
+    /// and it may take long until its keys can be read. Until then its jobs are
+    /// handled as if their endings were in force, as a user may have read them
+    /// in the records: tasks of a cancelled job must not run on through an
+    /// outage, nor may a job that was read as over be answered as unfinished.
     pub fn outcome_unknown(&mut self, plan: &WritePlan) {
         log::info!(
             "write with unknown outcome in term {}: {}",
             self.term,
             describe_endings(plan).unwrap_or_else(|| "it ends no job".to_owned())
         );
-        for item in &plan.intents {
-            if let WriteIntent::Cancel(ix, id) | WriteIntent::Finish(ix, id, _) = item
-                && let Some(j) = self.job_of(*ix, id)
-            {
-                j.end_indeterminate = true;
-                let withdrawn = matches!(item, WriteIntent::Finish(_, _, JobState::Cancelled));
-                j.cancel_indeterminate |= withdrawn || matches!(item, WriteIntent::Cancel(..));
+        for intent in &plan.intents {
+            let (job, id, cancels) = match intent {
+                WriteIntent::Cancel { job, id } => (*job, id, true),
+                WriteIntent::Finish { job, id, state } => (*job, id, *state == JobState::Cancelled),
+                _ => continue,
+            };
+            if let Some(job) = self.job_of(job, id) {
+                job.end_indeterminate = true;
+                job.cancel_indeterminate |= cancels;
             }
         }
         self.changed = true;
@@ -422,13 +561,12 @@
 
     /// Keys to read again after a transaction that had no answer or failed.
     pub fn keys_to_reread(plan: &WritePlan) -> Vec<String> {
-        let mut keys: Vec<String> = plan.txn.conditions.iter().map(|g| g.key.clone()).collect();
-        keys.retain(|k| k != LEADER);
-        keys
+        let keys = plan.txn.conditions.iter().map(|c| &c.key);
+        keys.filter(|key| *key != LEADER).cloned().collect()
     }
 
     /// A key of such a transaction as it stands now. All keys must have been
-    /// read before `reread_done`.
+    /// read before `reconciled` is called.
     pub fn reconcile_key(
         &mut self,
         key: &str,
@@ -436,105 +574,130 @@
         now: Millis,
     ) {
         if let Some(id) = key.strip_prefix(AWARDS) {
-            self.award_seen(id, found.map_or(0, |f| f.1));
+            self.award_seen(id, found.map_or(0, |(_, version)| version));
         } else if let Some(id) = key.strip_prefix(keys::FINALS) {
-            if let Some((value, version)) = found
-                && let Ok(record) = serde_json::from_value::<FinalRecord>(value)
-                && let Some(ix) = self.cluster.job_index(id)
-            {
-                self.job_ended(ix, id, record.state, version, now);
-            }
+            self.reconcile_final_record(id, found, now);
         } else if let Some(id) = key.strip_prefix(keys::JOBS) {
-            if let Some((value, version)) = found
-                && let Ok(record) = serde_json::from_value::<StoredJob>(value)
-                && let Some(ix) = self.cluster.job_index(id)
-                && let Some(j) = self.cluster.job_mut(ix)
-            {
-                j.record_version = version;
-                j.spec_chunks = record.spec_chunks;
-                j.cancelled |= record.cancelled;
-                j.offload.reread(record.offloaded_to.as_ref());
-                if j.cancelled {
-                    self.dependencies.job_cancelled(ix);
-                }
-            }
+            self.reconcile_job_record(id, found);
         } else if let Some(name) = key.strip_prefix(keys::MACHINES) {
-            if let Some(m) = self
-                .cluster
-                .machine_index(name)
-                .and_then(|ix| self.cluster.machine_mut(ix))
-            {
-                match found {
-                    Some((value, version)) => {
-                        m.registration = Registration::Present;
-                        m.record_version = version;
-                        if let Ok(r) = serde_json::from_value::<MachineRecord>(value) {
-                            m.release_recorded = r.releasing && !r.lease_expired;
-                            m.recorded_empty |= r.releasing;
-                        }
-                    }
-                    None => {
-                        m.registration = Registration::Absent;
-                        m.record_version = 0;
-                    }
+            self.reconcile_machine_record(key, name, found);
+        }
+    }
+
+    fn reconcile_final_record(
+        &mut self,
+        id: &str,
+        found: Option<(serde_json::Value, u64)>,
+        now: Millis,
+    ) {
+        if let Some((value, version)) = found
+            && let Ok(record) = serde_json::from_value::<FinalRecord>(value)
+            && let Some(ix) = self.cluster.job_index(id)
+        {
+            self.job_ended(ix, id, record.state, version, now);
+        }
+    }
+
+    fn reconcile_job_record(&mut self, id: &str, found: Option<(serde_json::Value, u64)>) {
+        if let Some((value, version)) = found
+            && let Ok(record) = serde_json::from_value::<StoredJob>(value)
+            && let Some(ix) = self.cluster.job_index(id)
+            && let Some(job) = self.cluster.job_mut(ix)
+        {
+            job.record_version = version;
+            job.spec_chunks = record.spec_chunks;
+            job.cancelled |= record.cancelled;
+            job.offload.reread(record.offloaded_to.as_ref());
+            if job.cancelled {
+                self.dependencies.job_cancelled(ix);
+            }
+        }
+    }
+
+    fn reconcile_machine_record(
+        &mut self,
+        key: &str,
+        name: &str,
+        found: Option<(serde_json::Value, u64)>,
+    ) {
+        let machine = self
+            .cluster
+            .machine_index(name)
+            .and_then(|ix| self.cluster.machine_mut(ix));
+        match (machine, found) {
+            (Some(machine), Some((value, version))) => {
+                machine.registration = Registration::Present;
+                machine.record_version = version;
+                if let Ok(record) = serde_json::from_value::<MachineRecord>(value) {
+                    machine.release_recorded = record.releasing && !record.lease_expired;
+                    machine.recorded_empty |= record.releasing;
                 }
-            } else if let Some((_, version)) = found {
-                self.write_queue
-                    .conditional_deletes
-                    .push((key.to_owned(), version));
             }
+            (Some(machine), None) => {
+                machine.registration = Registration::Absent;
+                machine.record_version = 0;
+            }
+            (None, Some((_, version))) => {
+                let deletes = &mut self.write_queue.conditional_deletes;
+                deletes.push((key.to_owned(), version));
+            }
+            (None, None) => {}
         }
     }
 
     /// What was found of a transaction that was indeterminate, for the log.
     pub fn log_reconciliation(&self, plan: &WritePlan) {
-        let Some(ends) = describe_endings(plan) else {
+        let Some(endings) = describe_endings(plan) else {
             return;
         };
-        let stands = |item: &&WriteIntent| match item {
-            WriteIntent::Cancel(_, id) | WriteIntent::Finish(_, id, _) => {
+        let in_force = |intent: &&WriteIntent| match intent {
+            WriteIntent::Cancel { id, .. } | WriteIntent::Finish { id, .. } => {
                 self.status(id).is_some_and(|s| s.state.is_final())
             }
             _ => false,
         };
-        let stand = plan.intents.iter().filter(stands).count();
-        log::info!("reconciled in term {}: {ends}: {stand} in force", self.term);
+        let count = plan.intents.iter().filter(in_force).count();
+        log::info!(
+            "reconciled in term {}: {endings}: {count} in force",
+            self.term
+        );
     }
 
+    /// All keys of such a transaction have been read: what it did not write is
+    /// to be planned again.
     pub fn reconciled(&mut self, plan: &WritePlan) {
         // What was found may have made machines or jobs ready.
         self.changed = true;
-        for item in &plan.intents {
-            match item {
-                WriteIntent::Cancel(ix, id) | WriteIntent::Finish(ix, id, _) => {
-                    if let Some(j) = self.job_of(*ix, id) {
-                        j.write_in_flight = false;
-                        j.ending_in_flight = false;
+        for intent in &plan.intents {
+            match intent {
+                WriteIntent::Cancel { job, id } | WriteIntent::Finish { job, id, .. } => {
+                    if let Some(job) = self.job_of(*job, id) {
+                        job.write_in_flight = false;
+                        job.ending_in_flight = false;
                     }
                 }
-                WriteIntent::Offload(ix, id) | WriteIntent::EndOffload(ix, id) => {
-                    if let Some(j) = self.job_of(*ix, id) {
-                        j.write_in_flight = false;
+                WriteIntent::Offload { job, id } | WriteIntent::EndOffload { job, id } => {
+                    if let Some(job) = self.job_of(*job, id) {
+                        job.write_in_flight = false;
                     }
                 }
-                WriteIntent::RecordProgress(ix, id, chunks) => {
-                    let chunks = chunks.clone();
-                    if let Some(j) = self.job_of(*ix, id) {
-                        j.write_in_flight = false;
-                        for c in chunks {
-                            j.dirty_segments[c] = true;
+                WriteIntent::RecordProgress { job, id, segments } => {
+                    if let Some(job) = self.job_of(*job, id) {
+                        job.write_in_flight = false;
+                        for segment in segments {
+                            job.dirty_segments[*segment] = true;
                         }
                     }
                 }
-                WriteIntent::Registration(ix, name)
-                | WriteIntent::MarkReleasing(ix, name)
-                | WriteIntent::ExpireMachine(ix, name) => {
-                    if let Some(m) = self.cluster.machine_mut(*ix).filter(|m| m.name == *name) {
-                        m.write_in_flight = false;
-                        m.quarantine_unrecorded |= m.failures.quarantined;
+                WriteIntent::Registration { machine, name }
+                | WriteIntent::MarkReleasing { machine, name }
+                | WriteIntent::ExpireMachine { machine, name } => {
+                    if let Some(machine) = self.machine_of(*machine, name) {
+                        machine.write_in_flight = false;
+                        machine.quarantine_unrecorded |= machine.failures.quarantined;
                     }
                 }
-                WriteIntent::UploadSpec(..) | WriteIntent::Delete(_) => {}
+                WriteIntent::UploadSpec { .. } | WriteIntent::Delete { .. } => {}
             }
         }
     }
@@ -542,24 +705,128 @@
 
 /// Jobs that a transaction cancels or ends, the first few by name.
 fn describe_endings(plan: &WritePlan) -> Option<String> {
-    const NAMED: usize = 5;
-    let ends = plan.intents.iter().filter_map(|item| match item {
-        WriteIntent::Cancel(_, id) => Some(format!("cancellation of {id}")),
-        WriteIntent::Finish(_, id, state) => Some(format!("{id} {state}")),
+    const MAX_NAMED_JOBS: usize = 5;
+    let endings = plan.intents.iter().filter_map(|intent| match intent {
+        WriteIntent::Cancel { id, .. } => Some(format!("cancellation of {id}")),
+        WriteIntent::Finish { id, state, .. } => Some(format!("{id} {state}")),
         _ => None,
     });
-    let ends: Vec<String> = ends.collect();
-    let more = ends.len().saturating_sub(NAMED);
-    let named = ends[..ends.len().min(NAMED)].join(", ");
-    match (ends.is_empty(), more) {
+    let endings: Vec<String> = endings.collect();
+    let more = endings.len().saturating_sub(MAX_NAMED_JOBS);
+    let named = endings[..endings.len() - more].join(", ");
+    match (endings.is_empty(), more) {
         (true, _) => None,
         (false, 0) => Some(named),
         (false, more) => Some(format!("{named} and {more} more")),
     }
 }
 
+impl JobWrite {
+    /// What is to be written of the job, and in which pass. `knows_all`: this
+    /// leader knows of each task that an earlier one may have started.
+    fn due(job: &Job, knows_all: bool) -> (JobPass, JobWrite) {
+        let nothing_runs = job.live_count == 0 && knows_all;
+        // A job that is to be cancelled and has no task anywhere is ended at
+        // once, without a cancellation in its record before that.
+        let to_cancel = job.cancelled || job.cancel_requested && job.offload.is_local();
+        let ending = if job.is_complete() && !job.cancelled {
+            Some(JobState::Done)
+        } else if to_cancel && nothing_runs {
+            Some(JobState::Cancelled)
+        } else {
+            None
+        };
+        let awaited = job.cancel_requested && !job.cancelled && ending != Some(JobState::Done);
+        match (ending, awaited) {
+            (Some(state), true) => (JobPass::Cancellations, JobWrite::End(state)),
+            (Some(state), false) => (JobPass::Endings, JobWrite::End(state)),
+            (None, true) => (JobPass::Cancellations, JobWrite::Cancel),
+            (None, false) => (JobPass::Progress, JobWrite::Progress),
+        }
+    }
+
+    /// Whether the job's record is to be written anew and kept, by this write
+    /// or for its offload state.
+    fn keeps_record(self, job: &Job) -> bool {
+        match self {
+            JobWrite::Cancel => true,
+            JobWrite::End(_) => false,
+            JobWrite::Progress => job.is_dirty() || job.offload.has_pending_change(),
+        }
+    }
+}
+
+fn plan_cancellation(ix: u32, job: &mut Job, plan: &mut WritePlan, budget: &mut WriteBudget) {
+    plan.txn.conditions.push(job.record_condition());
+    let record = job_record(job, true, job.offload.recorded_target());
+    budget.put(plan, job_key(&job.id), record);
+    plan.intents.push(WriteIntent::Cancel {
+        job: ix,
+        id: job.id.clone(),
+    });
+    job.write_in_flight = true;
+    job.ending_in_flight = true;
+}
+
+fn plan_ending(
+    ix: u32,
+    job: &mut Job,
+    state: JobState,
+    plan: &mut WritePlan,
+    budget: &mut WriteBudget,
+) {
+    plan.txn.conditions.push(job.record_condition());
+    plan.txn.conditions.push(Condition {
+        key: final_key(&job.id),
+        version: 0,
+    });
+    let record = FinalRecord {
+        state,
+        done: job.completed_count,
+    };
+    let value = serde_json::to_value(record).unwrap_or_default();
+    budget.put(plan, final_key(&job.id), value);
+    plan.txn.writes.push(Write::Delete {
+        key: job_key(&job.id),
+    });
+    plan.intents.push(WriteIntent::Finish {
+        job: ix,
+        id: job.id.clone(),
+        state,
+    });
+    job.write_in_flight = true;
+    job.ending_in_flight = true;
+}
+
+/// The job's record goes with its dirty segments, as many as the budget
+/// allows, so that its version moves on: an older state of a segment that is
+/// applied late can't overwrite a newer one.
+fn plan_progress(ix: u32, job: &mut Job, plan: &mut WritePlan, budget: &mut WriteBudget) {
+    plan.txn.conditions.push(job.record_condition());
+    let record = job_record(job, false, job.offload.recorded_target());
+    budget.put(plan, job_key(&job.id), record);
+    // The first segment is in the record.
+    let mut segments = vec![0];
+    for segment in 1..job.dirty_segments.len() {
+        if job.dirty_segments[segment] && budget.has_write(plan) {
+            let value = serde_json::Value::String(job.completed.chunk(segment));
+            budget.put(plan, segment_key(&job.id, segment), value);
+            segments.push(segment);
+        }
+    }
+    for segment in &segments {
+        job.dirty_segments[*segment] = false;
+    }
+    plan.intents.push(WriteIntent::RecordProgress {
+        job: ix,
+        id: job.id.clone(),
+        segments,
+    });
+    job.write_in_flight = true;
+}
+
 /// The transaction that accepts a job on a node that can't reach a leader,
-/// with a notice for the leader to come.
+/// with an entry in the feed that the next leader reads.
 pub fn acceptance_with_feed_entry(record: &JobRecord) -> Txn {
     let mut txn = acceptance(record);
     txn.writes.push(Write::Put {
@@ -592,19 +859,20 @@
     }
 }
 
+/// The job's record as it is to be written.
 pub(super) fn job_record(
-    j: &Job,
+    job: &Job,
     cancelled: bool,
-    lent: Option<OffloadTarget>,
+    offloaded_to: Option<OffloadTarget>,
 ) -> serde_json::Value {
     let record = JobRecord {
-        spec: j.spec.clone(),
-        spec_chunks: j.spec_chunks.clone(),
-        accepted_at_ms: j.accepted_at_ms,
-        cancelled: cancelled || j.cancelled,
-        suspected: j.failures.suspected,
-        completed: j.completed.chunk(0),
-        offloaded_to: lent,
+        spec: job.spec.clone(),
+        spec_chunks: job.spec_chunks.clone(),
+        accepted_at_ms: job.accepted_at_ms,
+        cancelled: cancelled || job.cancelled,
+        suspected: job.failures.suspected,
+        completed: job.completed.chunk(0),
+        offloaded_to,
     };
     record.stored()
 }
--- a/src/control/leader/spec_chunks.rs
+++ b/src/control/leader/spec_chunks.rs
@@ -1,120 +1,143 @@
-//! Descriptions too long for one value, cut before a record is written that
-//! names the pieces. Nothing hangs on when that is done: an older record can be
-//! read as it is, and its job be ended; only what marks it needs the cut first.
+//! Specs too long for one value: written in chunks before a record is written
+//! that names them. Nothing waits for it: an older record can be read as it
+//! is, and its job be ended; only a change of the record needs the chunks first.
+//!
+//! Owns which chunks of which job are written. Called by persistence, which
+//! plans the writes, and by submission. Must never let a record name a chunk
+//! that is not surely written, nor delete one that a record may name.
 
-use super::*;
-use crate::state::spec_chunks::{self, SpecChunks};
+use super::{
+    Leader,
+    persistence::{WriteBudget, WriteIntent, WritePlan},
+};
+use crate::{
+    protocol::{
+        state::{Txn, Write},
+        users::JobSpec,
+    },
+    state::{
+        cluster::Job,
+        records as keys,
+        spec_chunks::{self, SpecChunks},
+    },
+};
+use std::collections::HashMap;
 
-/// A description on its way into pieces.
-struct Cut {
+/// Chunks in one transaction, which then stays well under 64 KiB.
+const MAX_CHUNKS_PER_TRANSACTION: usize = 24;
+
+/// A spec of which chunks are being written.
+struct SpecUpload {
     id: String,
-    pieces: SpecChunks,
+    spec_chunks: SpecChunks,
+    /// Keys and values of the chunks, in order.
     values: Vec<(String, String)>,
-    /// So many are written.
+    /// How many of them are written.
     written: usize,
 }
 
+/// Specs of known jobs that are being written in chunks.
 #[derive(Default)]
 pub(super) struct SpecUploads {
-    /// Every controller can read pieces.
+    /// Every controller can read chunks.
     pub(super) allowed: bool,
     /// By job.
-    open: HashMap<u32, Cut>,
+    open: HashMap<u32, SpecUpload>,
 }
 
 impl SpecUploads {
-    /// The job's record can't be written before its description is cut.
-    pub(super) fn is_due(&self, j: &Job, value_kb: f64) -> bool {
-        self.allowed && j.spec_chunks.is_none() && !keys::fits(j.inline_size, value_kb)
+    /// Whether the job's record can't be written before its spec's chunks are.
+    pub(super) fn is_due(&self, job: &Job, value_kb: f64) -> bool {
+        self.allowed && job.spec_chunks.is_none() && !keys::fits(job.inline_size, value_kb)
     }
 
-    /// Adds what comes next of a job's pieces to what is to be written.
+    /// Adds the next chunks of a job's spec to what is to be written.
     pub(super) fn plan(
         &mut self,
         ix: u32,
-        j: &mut Job,
+        job: &Job,
         plan: &mut WritePlan,
-        most: usize,
-        bytes: &mut usize,
+        budget: &mut WriteBudget,
     ) {
-        if self.open.get(&ix).is_none_or(|c| c.id != j.id) {
-            match spec_chunks::cut(&j.spec) {
-                Ok((pieces, values)) => {
-                    let (id, written) = (j.id.clone(), 0);
-                    let cut = Cut {
-                        id,
-                        pieces,
+        if self.open.get(&ix).is_none_or(|upload| upload.id != job.id) {
+            match spec_chunks::cut(&job.spec) {
+                Ok((spec_chunks, values)) => {
+                    let upload = SpecUpload {
+                        id: job.id.clone(),
+                        spec_chunks,
                         values,
-                        written,
+                        written: 0,
                     };
-                    self.open.insert(ix, cut);
+                    self.open.insert(ix, upload);
                 }
-                Err(e) => return log::error!("job {}: {e}", j.id),
+                Err(e) => return log::error!("job {}: {e}", job.id),
             }
         }
-        let Some(cut) = self.open.get(&ix) else {
+        let Some(upload) = self.open.get(&ix) else {
             return;
         };
-        let upto = cut.values.len().min(cut.written + most);
-        for (key, value) in &cut.values[cut.written..upto] {
-            *bytes += key.len() + value.len() + 40;
-            plan.txn.writes.push(Write::Put {
-                key: key.clone(),
-                value: value.as_str().into(),
-                lease: None,
-            });
+        let chunks_written = upload
+            .values
+            .len()
+            .min(upload.written + budget.writes_left(plan));
+        for (key, value) in &upload.values[upload.written..chunks_written] {
+            budget.put_sized(plan, key.clone(), value.as_str().into(), value.len());
         }
-        if upto > cut.written {
-            plan.intents
-                .push(WriteIntent::UploadSpec(ix, j.id.clone(), upto));
+        if chunks_written > upload.written {
+            plan.intents.push(WriteIntent::UploadSpec {
+                job: ix,
+                id: job.id.clone(),
+                chunks_written,
+            });
         }
     }
 }
 
 impl Leader {
-    /// Every controller runs this version.
+    /// Whether every controller runs this version, once it is known.
     pub fn upgraded(&mut self, complete: bool) {
         self.spec_uploads.allowed |= complete;
     }
 
-    /// Pieces up to this one are written.
-    pub(super) fn cut(&mut self, ix: u32, id: &str, upto: usize) {
-        let Some(cut) = self.spec_uploads.open.get_mut(&ix).filter(|c| c.id == id) else {
+    /// So many chunks of the job's spec are written.
+    pub(super) fn spec_chunks_written(&mut self, ix: u32, id: &str, chunks_written: usize) {
+        let uploads = &mut self.spec_uploads.open;
+        let Some(upload) = uploads.get_mut(&ix).filter(|upload| upload.id == id) else {
             return;
         };
-        cut.written = cut.written.max(upto);
-        if cut.written < cut.values.len() {
+        upload.written = upload.written.max(chunks_written);
+        if upload.written < upload.values.len() {
             return;
         }
-        let Some(cut) = self.spec_uploads.open.remove(&ix) else {
+        let Some(upload) = uploads.remove(&ix) else {
             return;
         };
-        if let Some(j) = self.job_of(ix, id).filter(|j| j.spec_chunks.is_none()) {
-            j.spec_chunks = Some(cut.pieces);
+        if let Some(job) = self.job_of(ix, id).filter(|job| job.spec_chunks.is_none()) {
+            job.spec_chunks = Some(upload.spec_chunks);
         }
     }
 
-    /// The job is over: what was written of a cut that is not complete goes.
-    pub(super) fn drop_cut(&mut self, ix: u32) {
-        if let Some(cut) = self.spec_uploads.open.remove(&ix) {
-            let keys = cut.values.into_iter().map(|(key, _)| key);
+    /// The job is over: chunks of an upload that is not complete are deleted.
+    pub(super) fn drop_spec_upload(&mut self, ix: u32) {
+        if let Some(upload) = self.spec_uploads.open.remove(&ix) {
+            let keys = upload.values.into_iter().map(|(key, _)| key);
             self.write_queue
                 .unconditional_deletes
-                .extend(keys.take(cut.written));
+                .extend(keys.take(upload.written));
         }
     }
 
-    /// What is written before a long description is accepted. Each transaction
-    /// is guarded by this term, so that none can undo what a later leader
-    /// clears away.
+    /// What is written before a job with a long spec is accepted. Each
+    /// transaction is on condition of this term, so that none can undo what a
+    /// later leader deletes.
     pub fn pieces_first(&self, spec: &JobSpec) -> anyhow::Result<Option<(SpecChunks, Vec<Txn>)>> {
         let limits = self.settings.cluster.state.always();
         if !self.spec_uploads.allowed || keys::fits(keys::inline_record_size(spec), limits.value_kb)
         {
             return Ok(None);
         }
-        let (pieces, values) = spec_chunks::cut(spec)?;
-        let puts: Vec<Write> = values
+        let (spec_chunks, values) = spec_chunks::cut(spec)?;
+        let writes: Vec<Write> = values
             .into_iter()
             .map(|(key, value)| Write::Put {
                 key,
@@ -122,27 +145,33 @@
                 lease: None,
             })
             .collect();
-        // Well under the 64 KiB of a transaction.
-        let txns = puts.chunks(limits.txn_ops.min(24)).map(|writes| Txn {
-            conditions: vec![self.leader_condition()],
-            writes: writes.to_vec(),
-        });
-        Ok(Some((pieces, txns.collect())))
+        let txns = writes
+            .chunks(limits.txn_ops.min(MAX_CHUNKS_PER_TRANSACTION))
+            .map(|writes| Txn {
+                conditions: vec![self.leader_condition()],
+                writes: writes.to_vec(),
+            });
+        Ok(Some((spec_chunks, txns.collect())))
     }
 
-    /// Guards against clearing away, as left over, what is being written again
-    /// under the same key, or was since.
+    /// Whether the chunk with this key is named by its job's record, or is
+    /// being written: then it must not be deleted as left over, even if it once
+    /// was.
     pub(super) fn spec_chunk_in_use(&self, key: &str) -> bool {
         let Some(ix) = SpecChunks::job_of(key).and_then(|id| self.cluster.job_index(id)) else {
             return false;
         };
-        let cut = self.spec_uploads.open.get(&ix);
-        let cut = cut.is_some_and(|c| c.values.iter().any(|(k, _)| k == key));
-        let job = self.cluster.job(ix);
-        cut || job.is_some_and(|j| j.spec_chunks.as_ref().is_some_and(|p| p.names(&j.id, key)))
+        let upload = self.spec_uploads.open.get(&ix);
+        if upload.is_some_and(|upload| upload.values.iter().any(|(other, _)| other == key)) {
+            return true;
+        }
+        self.cluster.job(ix).is_some_and(|job| {
+            let spec_chunks = job.spec_chunks.as_ref();
+            spec_chunks.is_some_and(|chunks| chunks.names(&job.id, key))
+        })
     }
 
-    /// Pieces as they were found in this term: those that no record names are
+    /// Chunks as they were found in this term: those that no record names are
     /// left from a submission that was given up, or from a job that is over.
     pub fn load_spec_chunks(&mut self, found: Vec<(String, u64)>) {
         for (key, version) in found {
@@ -151,8 +180,8 @@
                 .cluster
                 .job_index(id)
                 .and_then(|ix| self.cluster.job(ix));
-            let named = job.and_then(|j| j.spec_chunks.as_ref());
-            if !named.is_some_and(|p| p.names(id, &key)) {
+            let spec_chunks = job.and_then(|job| job.spec_chunks.as_ref());
+            if !spec_chunks.is_some_and(|chunks| chunks.names(id, &key)) {
                 self.write_queue.conditional_deletes.push((key, version));
             }
         }
--- a/src/control/reconciliation.rs
+++ b/src/control/reconciliation.rs
@@ -1,14 +1,19 @@
-//! Wanted tasks against reported tasks, for one machine at a time: what a
-//! report changes in the cluster state, and which commands follow.
+//! Reconciliation of one machine: what its heartbeat, or its answer to a direct
+//! command, changes in the cluster state, and which commands follow from the
+//! difference between wanted and reported tasks.
+//!
+//! Owns no state. Called by the leader for each heartbeat and direct command.
+//! Must never release a task that a command still on its way may start, nor
+//! have a complete task reaped before that is recorded.
 
 use crate::{
     protocol::{
         users::Kind,
-        workers::{Command, ExitReason, Heartbeat, TaskState, parse_task_name},
+        workers::{Command, ExitReason, Heartbeat, TaskState, TaskStatus, parse_task_name},
     },
     state::{
         Millis,
-        cluster::{ClusterState, NO_JOB, Phase, Placement},
+        cluster::{Assignment, ClusterState, Job, Machine, NO_JOB, Phase, Placement},
     },
 };
 use std::collections::HashSet;
@@ -16,254 +21,359 @@
 /// Commands in one message; a response line must stay under 64 KiB.
 const MAX_COMMANDS: usize = 300;
 
-/// What the leader must know of a report beyond the changes of the cluster state.
+/// A task that ended.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct EndedTask {
+    /// Index of its job.
+    pub job: u32,
+    /// Its number within the job.
+    pub task: u32,
+    /// Why it ended.
+    pub reason: ExitReason,
+}
+
+/// A task that was seen to run for a while, or to complete.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct ConfirmedTask {
+    /// Index of its job.
+    pub job: u32,
+    /// When it was assigned.
+    pub since: Millis,
+}
+
+/// What the leader must know of a heartbeat beyond the changes of the cluster
+/// state.
 #[derive(Debug, Default, PartialEq)]
 pub struct HeartbeatEffects {
     /// Tasks, jobs or the machine's readiness changed.
     pub cluster_changed: bool,
-    /// (job, task, cause) of tasks that ended.
-    pub ended_tasks: Vec<(u32, u32, ExitReason)>,
+    /// Tasks that ended.
+    pub ended_tasks: Vec<EndedTask>,
     /// Jobs of tasks that began to run.
     pub started_jobs: Vec<u32>,
-    /// Jobs of tasks that are seen to run or have completed, and when those
-    /// were started.
-    pub confirmed_running: Vec<(u32, Millis)>,
-    /// Starts given in an answer that the machine did not get.
+    /// Tasks that are confirmed to run, or have completed.
+    pub confirmed_running: Vec<ConfirmedTask>,
+    /// Starts in a response that the machine did not receive.
     pub lost_commands: u32,
-    /// The machine's lease has ended since it was last heard.
+    /// The agent has begun a new incarnation since the last heartbeat: the
+    /// machine's lease had ended.
     pub new_incarnation: bool,
 }
 
-fn phase_of(state: TaskState, why: Option<ExitReason>) -> Phase {
-    match state {
+/// Where a status came from. Only a heartbeat is sure to be later than the
+/// response to the heartbeat before it.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum StatusSource {
+    /// A heartbeat of the machine.
+    Heartbeat,
+    /// Its answer to a direct command.
+    DirectCommand,
+}
+
+/// How a heartbeat relates to what is known of the machine.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum Freshness {
+    Stale,
+    Newer,
+    /// Older by its sequence number, but of a restarted agent.
+    Restarted,
+}
+
+fn phase_of(reported: &TaskStatus) -> Phase {
+    match reported.state {
         TaskState::Fetching => Phase::Fetching,
         TaskState::WaitingForGang => Phase::Waiting,
         TaskState::Running => Phase::Running,
         TaskState::Saving => Phase::Saving,
-        TaskState::Exited => Phase::Ended(why.unwrap_or(ExitReason::Other)),
+        TaskState::Exited => Phase::Ended(reported.exit_reason.unwrap_or(ExitReason::Other)),
     }
 }
 
-/// Takes in what a worker says. `term_floor` is the lowest token of this
-/// term: a message that has not seen it is no news, as commands of an earlier
+/// Applies what a machine reports. `term_floor` is the lowest fencing token of
+/// this term: a status that has not seen it is stale, as commands of an earlier
 /// leader may still be carried out after it.
-///
-/// `beat`: it is a report, not the answer to a direct command. Only a report is
-/// sure to be later than the response to the report before it.
 pub fn apply_heartbeat(
     cluster: &mut ClusterState,
     ix: u32,
-    report: &Heartbeat,
+    heartbeat: &Heartbeat,
     term_floor: u64,
-    beat: bool,
+    source: StatusSource,
     now: Millis,
 ) -> HeartbeatEffects {
     let mut effects = HeartbeatEffects::default();
-    let Some(m) = cluster.machine_mut(ix) else {
+    let Some(machine) = cluster.machine_mut(ix) else {
         return effects;
     };
-    let older = report.incarnation < m.min_incarnation
-        || (m.up && (report.incarnation, report.seq) <= (m.incarnation, m.heartbeat_seq));
-    // It has seen a token that was raised after all that is known of it: what
-    // it says is newer, so it counts from the start again, and holds nothing
-    // but what it lists.
-    let reborn = older && m.restart_token != 0 && report.acknowledged_token >= m.restart_token;
-    if report.acknowledged_token < term_floor.max(m.min_token) || older && !reborn {
-        return effects;
-    }
-    if reborn {
-        log::info!("machine {} has restarted", m.name);
-        m.min_token = m.restart_token;
-        m.last_stale_heartbeat = ((0, 0), 0);
-        m.latest_heartbeat = (report.incarnation, report.seq);
-        m.last_answered = now;
-        forget_previous_process(cluster, ix, report.acknowledged_token);
-        effects.cluster_changed = true;
+    match freshness(machine, heartbeat, term_floor) {
+        Freshness::Stale => return effects,
+        Freshness::Newer => {}
+        Freshness::Restarted => {
+            note_restart(machine, heartbeat, now);
+            forget_previous_process(cluster, ix, heartbeat.acknowledged_token);
+            effects.cluster_changed = true;
+        }
     }
-    let Some(m) = cluster.machine_mut(ix) else {
+    let Some(machine) = cluster.machine_mut(ix) else {
         return effects;
     };
-    if report.acknowledged_token >= m.restart_token {
-        m.restart_token = 0;
+    if heartbeat.acknowledged_token >= machine.restart_token {
+        machine.restart_token = 0;
     }
-    effects.new_incarnation = m.up && report.incarnation > m.incarnation;
-    if effects.new_incarnation && !m.tasks.is_empty() {
-        // A new session: everything of the old one is gone, including
-        // commands still on their way, which name the old session.
+    effects.new_incarnation = machine.up && heartbeat.incarnation > machine.incarnation;
+    if effects.new_incarnation && !machine.tasks.is_empty() {
+        // Everything of the old incarnation is gone, including commands still
+        // on their way, which name it.
         cluster.clear_machine(ix);
         effects.cluster_changed = true;
     }
     if cluster.machine(ix).is_some_and(|m| !m.up) {
-        drop_unlisted_tasks(cluster, ix, report);
+        drop_unlisted_tasks(cluster, ix, heartbeat);
     }
-    let Some(m) = cluster.machine_mut(ix) else {
+    let Some(machine) = cluster.machine_mut(ix) else {
         return effects;
     };
-    if !m.up {
-        m.up = true;
-        m.contents_unknown = false;
-        m.idle_since = now;
-        effects.cluster_changed = true;
-    }
-    m.incarnation = report.incarnation;
-    m.heartbeat_seq = report.seq;
-    m.min_incarnation = report.incarnation;
-    m.acknowledged_token = m.acknowledged_token.max(report.acknowledged_token);
-    m.last_heartbeat = now;
-    if let Ok(addr) = report.addr.parse() {
-        m.addr = Some(addr);
-    }
-    let notice = report
-        .reclaim_in_s
-        .map(|s| now + (s.max(0.0) * 1000.0) as Millis);
-    if notice.is_some() && m.reclaim_at.is_none() {
-        effects.cluster_changed = true;
-    }
-    m.reclaim_at = notice;
-    let seen_token = m.acknowledged_token;
+    effects.cluster_changed |= update_machine(machine, heartbeat, now);
 
-    let mut listed = vec![false; m.tasks.len()];
-    for t in &report.tasks {
-        let phase = phase_of(t.state, t.exit_reason);
-        let found = cluster.machine(ix).and_then(|m| {
+    let mut listed = vec![false; machine.tasks.len()];
+    for reported in &heartbeat.tasks {
+        let known = cluster.machine(ix).and_then(|m| {
             m.tasks
                 .iter()
-                .position(|a| a.attempt == t.attempt && a.name == t.task)
+                .position(|a| a.attempt == reported.attempt && a.name == reported.task)
         });
-        match found {
-            Some(at) => {
-                if at < listed.len() {
-                    listed[at] = true;
-                }
-                let Some(a) = cluster.machine(ix).and_then(|m| m.tasks.get(at)) else {
-                    continue;
-                };
-                // Seen running once, it may be about to fail.
-                let again = phase == Phase::Running && a.phase == phase;
-                let ran = !a.seen_running
-                    && a.is_live()
-                    && (again || phase == Phase::Ended(ExitReason::Done));
-                if ran {
-                    effects.confirmed_running.push((a.job, a.since));
-                }
-                if ran && let Some(m) = cluster.machine_mut(ix) {
-                    m.tasks[at].seen_running = true;
-                }
-                let Some(a) = cluster.machine(ix).and_then(|m| m.tasks.get(at)) else {
-                    continue;
-                };
-                if a.phase == phase || !a.is_live() {
-                    continue;
-                }
-                let (job, task) = (a.job, a.task);
-                if phase == Phase::Running {
-                    effects.started_jobs.push(job);
-                }
-                if let Phase::Ended(why) = phase {
-                    effects.ended_tasks.push((job, task, why));
-                }
-                effects.cluster_changed = true;
-                log::debug!("task {}: {phase:?}", t.task);
-                cluster.set_phase(ix, at, phase);
-            }
-            None => {
-                effects.cluster_changed = true;
-                adopt(cluster, ix, &t.task, t.attempt, phase, now);
-            }
+        let Some(at) = known else {
+            effects.cluster_changed = true;
+            adopt_task(cluster, ix, reported, now);
+            continue;
+        };
+        if let Some(listed) = listed.get_mut(at) {
+            *listed = true;
         }
+        update_task(cluster, ix, at, reported, &mut effects);
     }
-    // Launched, but not on the machine.
+    // From the end, as a removal moves the last entry into its place.
     for at in (0..listed.len()).rev() {
-        if listed[at] {
-            continue;
+        if !listed[at] {
+            resolve_unlisted_task(cluster, ix, at, heartbeat.seq, source, &mut effects);
         }
-        let Some(a) = cluster.machine(ix).and_then(|m| m.tasks.get(at)) else {
-            continue;
-        };
-        let ordering = cluster.machine(ix).is_some_and(|m| m.command_in_flight);
-        match a.phase {
-            // Ended and reaped.
-            Phase::Ended(_) => cluster.unassign(ix, at),
-            Phase::New | Phase::Sent => {
-                // A direct launch without an answer may come yet, unless the
-                // machine has seen a higher token; one in a response can't
-                // that the report didn't get, once a later report is made.
-                let open = if a.indeterminate_token != 0 {
-                    ordering || seen_token <= a.indeterminate_token
-                } else {
-                    a.phase == Phase::Sent && (!beat || report.seq <= a.sent_with_heartbeat)
-                };
-                if open {
-                    continue;
-                }
-                let withdrawn = a.stop_grace_s.is_some();
-                if withdrawn {
-                    cluster.unassign(ix, at);
-                    effects.cluster_changed = true;
-                } else if let Some(m) = cluster.machine_mut(ix) {
-                    let a = &mut m.tasks[at];
-                    effects.lost_commands +=
-                        u32::from(a.phase == Phase::Sent && a.indeterminate_token == 0);
-                    a.indeterminate_token = 0;
-                    a.phase = Phase::New;
-                }
+    }
+    if let Some(machine) = cluster.machine_mut(ix)
+        && machine.live_tasks() > 0
+    {
+        machine.idle_since = now;
+    }
+    effects
+}
+
+fn freshness(machine: &Machine, heartbeat: &Heartbeat, term_floor: u64) -> Freshness {
+    let token = heartbeat.acknowledged_token;
+    if token < term_floor.max(machine.min_token) {
+        return Freshness::Stale;
+    }
+    let reported = (heartbeat.incarnation, heartbeat.seq);
+    let known = (machine.incarnation, machine.heartbeat_seq);
+    let older = heartbeat.incarnation < machine.min_incarnation || machine.up && reported <= known;
+    // It has seen a token that was raised after all that is known of the
+    // machine, so it is newer: the agent has restarted, counts from one again,
+    // and holds nothing but what it lists.
+    let restarted = machine.restart_token != 0 && token >= machine.restart_token;
+    match (older, restarted) {
+        (false, _) => Freshness::Newer,
+        (true, true) => Freshness::Restarted,
+        (true, false) => Freshness::Stale,
+    }
+}
+
+fn note_restart(machine: &mut Machine, heartbeat: &Heartbeat, now: Millis) {
+    log::info!("machine {} has restarted", machine.name);
+    machine.min_token = machine.restart_token;
+    machine.last_stale_heartbeat = ((0, 0), 0);
+    machine.latest_heartbeat = (heartbeat.incarnation, heartbeat.seq);
+    machine.last_answered = now;
+}
+
+/// Takes over what the heartbeat says of the machine itself. Returns whether
+/// its readiness changed.
+fn update_machine(machine: &mut Machine, heartbeat: &Heartbeat, now: Millis) -> bool {
+    let mut changed = false;
+    if !machine.up {
+        machine.up = true;
+        machine.contents_unknown = false;
+        machine.idle_since = now;
+        changed = true;
+    }
+    machine.incarnation = heartbeat.incarnation;
+    machine.heartbeat_seq = heartbeat.seq;
+    machine.min_incarnation = heartbeat.incarnation;
+    machine.acknowledged_token = machine.acknowledged_token.max(heartbeat.acknowledged_token);
+    machine.last_heartbeat = now;
+    if let Ok(addr) = heartbeat.addr.parse() {
+        machine.addr = Some(addr);
+    }
+    let reclaim_at = heartbeat
+        .reclaim_in_s
+        .map(|s| now + (s.max(0.0) * 1000.0) as Millis);
+    changed |= reclaim_at.is_some() && machine.reclaim_at.is_none();
+    machine.reclaim_at = reclaim_at;
+    changed
+}
+
+/// Applies the reported state of a task that is in the machine's list.
+fn update_task(
+    cluster: &mut ClusterState,
+    ix: u32,
+    at: usize,
+    reported: &TaskStatus,
+    effects: &mut HeartbeatEffects,
+) {
+    let phase = phase_of(reported);
+    let Some(assignment) = cluster.machine(ix).and_then(|m| m.tasks.get(at)) else {
+        return;
+    };
+    // Reported running once only, it may be about to fail.
+    let running_again = phase == Phase::Running && assignment.phase == phase;
+    let confirmed = !assignment.seen_running
+        && assignment.is_live()
+        && (running_again || phase == Phase::Ended(ExitReason::Done));
+    if confirmed {
+        effects.confirmed_running.push(ConfirmedTask {
+            job: assignment.job,
+            since: assignment.since,
+        });
+        if let Some(machine) = cluster.machine_mut(ix) {
+            machine.tasks[at].seen_running = true;
+        }
+    }
+    let Some(assignment) = cluster.machine(ix).and_then(|m| m.tasks.get(at)) else {
+        return;
+    };
+    if assignment.phase == phase || !assignment.is_live() {
+        return;
+    }
+    let (job, task) = (assignment.job, assignment.task);
+    if phase == Phase::Running {
+        effects.started_jobs.push(job);
+    }
+    if let Phase::Ended(reason) = phase {
+        effects.ended_tasks.push(EndedTask { job, task, reason });
+    }
+    effects.cluster_changed = true;
+    log::debug!("task {}: {phase:?}", reported.task);
+    cluster.set_phase(ix, at, phase);
+}
+
+/// Decides on a task in the machine's list that the heartbeat does not have: it
+/// is gone, or a start of it was lost, or is still on its way.
+fn resolve_unlisted_task(
+    cluster: &mut ClusterState,
+    ix: u32,
+    at: usize,
+    heartbeat_seq: u64,
+    source: StatusSource,
+    effects: &mut HeartbeatEffects,
+) {
+    let Some(assignment) = cluster.machine(ix).and_then(|m| m.tasks.get(at)) else {
+        return;
+    };
+    let Some(machine) = cluster.machine(ix) else {
+        return;
+    };
+    match assignment.phase {
+        // Ended and reaped.
+        Phase::Ended(_) => cluster.unassign(ix, at),
+        Phase::New | Phase::Sent => {
+            // A direct start without an answer may come yet, unless the machine
+            // has seen a higher token. One in a response can't any more once a
+            // later heartbeat was made.
+            let may_start = if assignment.indeterminate_token != 0 {
+                direct_start_pending(assignment, machine, machine.acknowledged_token)
+            } else {
+                assignment.phase == Phase::Sent
+                    && (source == StatusSource::DirectCommand
+                        || heartbeat_seq <= assignment.sent_with_heartbeat)
+            };
+            if may_start {
+                return;
             }
-            // It was there and is not any more, in the same session. Nothing
-            // in the protocol does this; the newest message is to be believed.
-            _ => {
-                log::error!("task {} vanished from a live incarnation", a.name);
+            let cancelled = assignment.stop_grace_s.is_some();
+            if cancelled {
                 cluster.unassign(ix, at);
                 effects.cluster_changed = true;
+            } else if let Some(machine) = cluster.machine_mut(ix) {
+                let assignment = &mut machine.tasks[at];
+                let sent_in_response =
+                    assignment.phase == Phase::Sent && assignment.indeterminate_token == 0;
+                effects.lost_commands += u32::from(sent_in_response);
+                assignment.indeterminate_token = 0;
+                assignment.phase = Phase::New;
             }
         }
+        // It was there and is not any more, in the same incarnation. Nothing
+        // in the protocol does this; the newest status is to be believed.
+        _ => {
+            log::error!("task {} vanished from a live incarnation", assignment.name);
+            cluster.unassign(ix, at);
+            effects.cluster_changed = true;
+        }
     }
-    if let Some(m) = cluster.machine_mut(ix)
-        && m.live_tasks() > 0
-    {
-        m.idle_since = now;
-    }
-    effects
 }
 
-/// The machine has started anew, and has seen this token: all that is known of
-/// it is gone, but for starts sent directly that it may still carry out, as
-/// sessions count from one again as well.
+/// Whether a direct start may still be carried out by a machine that has seen
+/// this token.
+fn direct_start_pending(assignment: &Assignment, machine: &Machine, seen_token: u64) -> bool {
+    machine.command_in_flight || seen_token <= assignment.indeterminate_token
+}
+
+/// The agent has restarted, and has seen this token: all that is known of the
+/// machine is gone, but for direct starts that it may still carry out, as
+/// incarnations count from one again as well.
 fn forget_previous_process(cluster: &mut ClusterState, ix: u32, token: u64) {
-    let Some(m) = cluster.machine(ix) else { return };
-    let open = |at: &usize| {
-        let a = &m.tasks[*at];
-        a.phase == Phase::Sent
-            && a.indeterminate_token != 0
-            && (m.command_in_flight || token <= a.indeterminate_token)
+    let Some(machine) = cluster.machine(ix) else {
+        return;
     };
-    let gone: Vec<usize> = (0..m.tasks.len()).filter(|at| !open(at)).collect();
-    for at in gone.into_iter().rev() {
-        cluster.unassign(ix, at);
-    }
+    let gone = machine_tasks_where(machine, |assignment| {
+        !(assignment.phase == Phase::Sent
+            && assignment.indeterminate_token != 0
+            && direct_start_pending(assignment, machine, token))
+    });
+    remove_tasks(cluster, ix, gone);
 }
 
-/// The machine is heard for the first time in this term, so it has seen this
-/// term's token: of what an earlier leader had there, or had sent there, only
-/// what it lists is there or will ever be.
-fn drop_unlisted_tasks(cluster: &mut ClusterState, ix: u32, report: &Heartbeat) {
-    let Some(m) = cluster.machine(ix).filter(|m| !m.tasks.is_empty()) else {
+/// The first heartbeat of the machine in this term, so it has seen this term's
+/// token: of what an earlier leader had there, or had sent there, only what it
+/// lists is there or will ever be.
+fn drop_unlisted_tasks(cluster: &mut ClusterState, ix: u32, heartbeat: &Heartbeat) {
+    let Some(machine) = cluster.machine(ix).filter(|m| !m.tasks.is_empty()) else {
         return;
     };
-    let listed: HashSet<(&str, u64)> = report
+    let listed: HashSet<(&str, u64)> = heartbeat
         .tasks
         .iter()
-        .map(|t| (t.task.as_str(), t.attempt))
-        .collect();
-    let gone: Vec<usize> = (0..m.tasks.len())
-        .filter(|at| !listed.contains(&(m.tasks[*at].name.as_str(), m.tasks[*at].attempt)))
+        .map(|reported| (reported.task.as_str(), reported.attempt))
         .collect();
-    for at in gone.into_iter().rev() {
+    let unlisted = machine_tasks_where(machine, |assignment| {
+        !listed.contains(&(assignment.name.as_str(), assignment.attempt))
+    });
+    remove_tasks(cluster, ix, unlisted);
+}
+
+/// Places in the machine's list, in order.
+fn machine_tasks_where(machine: &Machine, holds: impl Fn(&Assignment) -> bool) -> Vec<usize> {
+    let tasks = machine.tasks.iter().enumerate();
+    tasks.filter(|(_, a)| holds(a)).map(|(at, _)| at).collect()
+}
+
+fn remove_tasks(cluster: &mut ClusterState, ix: u32, places: Vec<usize>) {
+    // From the end, as a removal moves the last entry into its place.
+    for at in places.into_iter().rev() {
         cluster.unassign(ix, at);
     }
 }
 
-/// A task that an earlier leader started.
-fn adopt(cluster: &mut ClusterState, ix: u32, name: &str, attempt: u64, phase: Phase, now: Millis) {
+/// A task that is not in the machine's list: an earlier leader started it.
+fn adopt_task(cluster: &mut ClusterState, ix: u32, reported: &TaskStatus, now: Millis) {
+    let (name, attempt) = (reported.task.as_str(), reported.attempt);
+    let phase = phase_of(reported);
     let known = parse_task_name(name).and_then(|(id, task)| Some((cluster.job_index(id)?, task)));
     let Some((job_ix, task)) = known else {
         cluster.assign_orphan(ix, name, attempt, phase, now);
@@ -272,33 +382,36 @@
     let Some(job) = cluster.job_mut(job_ix) else {
         return;
     };
-    let ended = matches!(phase, Phase::Ended(_));
-    if phase == Phase::Ended(ExitReason::Done)
-        && job.spec.kind != Kind::Service
-        && task < job.spec.tasks
-    {
+    let of_job = task < job.spec.tasks;
+    if phase == Phase::Ended(ExitReason::Done) && job.spec.kind != Kind::Service && of_job {
         job.mark_done(task);
     }
-    if !ended && task < job.spec.tasks && job.placement(task) == Placement::Unplaced {
+    if phase.is_live() && of_job && job.placement(task) == Placement::Unplaced {
         let cancelled = job.cancelled || job.cancel_requested;
         cluster.assign(job_ix, task, ix, attempt, phase, now);
-        if cancelled && let Some(a) = cluster.machine_mut(ix).and_then(|m| m.tasks.last_mut()) {
-            a.stop_grace_s = Some(0.0);
+        if cancelled && let Some(assignment) = last_assignment(cluster, ix) {
+            assignment.stop_grace_s = Some(0.0);
         }
         return;
     }
     cluster.assign_orphan(ix, name, attempt, phase, now);
     // An ended task keeps its job, so that it is reaped only once recorded.
-    if ended && let Some(a) = cluster.machine_mut(ix).and_then(|m| m.tasks.last_mut()) {
-        a.job = job_ix;
-        a.task = task;
+    if !phase.is_live()
+        && let Some(assignment) = last_assignment(cluster, ix)
+    {
+        assignment.job = job_ix;
+        assignment.task = task;
     }
 }
 
-/// Commands for a machine, and marks what they launch as sent. `direct`: the
-/// token of a direct command; in the response to report `seq` it is `None`.
-/// Nothing is started of changes after `confirmed`: a standby that counts does
-/// not know of them.
+fn last_assignment(cluster: &mut ClusterState, ix: u32) -> Option<&mut Assignment> {
+    cluster.machine_mut(ix).and_then(|m| m.tasks.last_mut())
+}
+
+/// Commands for a machine; what they start is marked as sent. `direct`: the
+/// token of a direct command; in the response to heartbeat `seq` it is `None`.
+/// Nothing is started of changes after `confirmed`, as a standby that may take
+/// over does not have them.
 pub fn commands(
     cluster: &mut ClusterState,
     ix: u32,
@@ -306,92 +419,101 @@
     seq: u64,
     confirmed: u64,
 ) -> Vec<Command> {
-    let mut out = Vec::new();
-    let mut sent = 0;
-    let Some((m, jobs)) = cluster.machine_with_jobs(ix) else {
-        return out;
+    let mut commands = Vec::new();
+    let mut latest_sent = 0;
+    let Some((machine, jobs)) = cluster.machine_with_jobs(ix) else {
+        return commands;
     };
-    let seen = m.acknowledged_token;
-    for a in &mut m.tasks {
-        if out.len() >= MAX_COMMANDS {
+    let seen_token = machine.acknowledged_token;
+    for assignment in &mut machine.tasks {
+        if commands.len() >= MAX_COMMANDS {
             break;
         }
-        let (task, attempt) = (a.name.clone(), a.attempt);
-        match a.phase {
-            Phase::Ended(why) => {
-                // After a reap, a launch of that attempt which is still on
-                // its way would start it again; and a task's end must be
-                // recorded before the only witness is removed.
-                let in_doubt = a.indeterminate_token != 0 && seen <= a.indeterminate_token;
-                let recorded = why != ExitReason::Done
-                    || a.job == NO_JOB
-                    || jobs
-                        .get(a.job as usize)
-                        .and_then(Option::as_ref)
-                        .is_none_or(|j| !j.is_dirty() && !j.write_in_flight);
-                if !in_doubt && recorded {
-                    out.push(Command::Reap { task, attempt });
+        let (task, attempt) = (assignment.name.clone(), assignment.attempt);
+        match (assignment.phase, assignment.stop_grace_s) {
+            (Phase::Ended(reason), _) => {
+                if may_reap(assignment, reason, seen_token, jobs) {
+                    commands.push(Command::Reap { task, attempt });
                 }
             }
-            Phase::New | Phase::Sent => {
-                if let Some(grace_s) = a.stop_grace_s {
-                    out.push(Command::Stop {
-                        task,
-                        attempt,
-                        grace_s,
-                    });
-                } else if a.phase == Phase::New && a.change_number <= confirmed {
-                    sent = sent.max(a.change_number);
-                    a.phase = Phase::Sent;
-                    a.sent_with_heartbeat = seq;
-                    a.indeterminate_token = direct.unwrap_or(0);
-                    out.push(Command::Start { task, attempt });
-                }
+            (Phase::New | Phase::Sent, Some(grace_s)) => commands.push(Command::Stop {
+                task,
+                attempt,
+                grace_s,
+            }),
+            (Phase::New, None) if assignment.change_number <= confirmed => {
+                latest_sent = latest_sent.max(assignment.change_number);
+                assignment.phase = Phase::Sent;
+                assignment.sent_with_heartbeat = seq;
+                assignment.indeterminate_token = direct.unwrap_or(0);
+                commands.push(Command::Start { task, attempt });
             }
-            _ => {
-                if let Some(grace_s) = a.stop_grace_s
-                    && !(a.phase == Phase::Saving && grace_s > 0.0)
-                {
-                    a.stop_sent = true;
-                    out.push(Command::Stop {
-                        task,
-                        attempt,
-                        grace_s,
-                    });
-                }
+            // It is stopping already.
+            (Phase::Saving, Some(grace_s)) if grace_s > 0.0 => {}
+            (_, Some(grace_s)) => {
+                assignment.stop_sent = true;
+                commands.push(Command::Stop {
+                    task,
+                    attempt,
+                    grace_s,
+                });
             }
+            (_, None) => {}
         }
     }
-    cluster.latest_sent_change = cluster.latest_sent_change.max(sent);
-    out
+    cluster.latest_sent_change = cluster.latest_sent_change.max(latest_sent);
+    commands
 }
 
-/// A direct command was not carried out, or was answered: what it launched is
+/// Whether the machine may forget an ended task. After that, a start of the
+/// same attempt which is still on its way would run it again; and completion
+/// must be recorded before its only witness is removed.
+fn may_reap(
+    assignment: &Assignment,
+    reason: ExitReason,
+    seen_token: u64,
+    jobs: &[Option<Job>],
+) -> bool {
+    let start_pending =
+        assignment.indeterminate_token != 0 && seen_token <= assignment.indeterminate_token;
+    let recorded = reason != ExitReason::Done
+        || assignment.job == NO_JOB
+        || jobs
+            .get(assignment.job as usize)
+            .and_then(Option::as_ref)
+            .is_none_or(|job| !job.is_dirty() && !job.write_in_flight);
+    !start_pending && recorded
+}
+
+/// A direct command was answered, or surely not carried out: what it starts is
 /// no longer indeterminate.
 pub fn resolve_direct_commands(cluster: &mut ClusterState, ix: u32, token: u64, executed: bool) {
-    if let Some(m) = cluster.machine_mut(ix) {
-        for a in m
-            .tasks
-            .iter_mut()
-            .filter(|a| a.indeterminate_token == token)
-        {
-            a.indeterminate_token = 0;
-            if a.phase == Phase::Sent {
-                a.phase = if executed { Phase::Sent } else { Phase::New };
-            }
+    let Some(machine) = cluster.machine_mut(ix) else {
+        return;
+    };
+    let sent = machine.tasks.iter_mut();
+    for assignment in sent.filter(|a| a.indeterminate_token == token) {
+        assignment.indeterminate_token = 0;
+        if assignment.phase == Phase::Sent && !executed {
+            assignment.phase = Phase::New;
         }
     }
 }
 
-/// Is there anything to tell the machine that shouldn't wait for its report?
+/// Whether there is a command for the machine that shouldn't wait for its next
+/// heartbeat.
 pub fn needs_direct_commands(cluster: &ClusterState, ix: u32, confirmed: u64) -> bool {
-    cluster.machine(ix).is_some_and(|m| {
-        m.up && m.addr.is_some()
-            && m.tasks.iter().any(|a| match (a.phase, a.stop_grace_s) {
-                (Phase::New, None) => a.change_number <= confirmed,
-                // A halt is told at once, and again with the reports.
-                (Phase::Fetching | Phase::Waiting | Phase::Running, Some(_)) => !a.stop_sent,
-                _ => false,
-            })
+    cluster.machine(ix).is_some_and(|machine| {
+        machine.up
+            && machine.addr.is_some()
+            && machine
+                .tasks
+                .iter()
+                .any(|a| match (a.phase, a.stop_grace_s) {
+                    (Phase::New, None) => a.change_number <= confirmed,
+                    // A stop is sent at once, and again with the responses.
+                    (Phase::Fetching | Phase::Waiting | Phase::Running, Some(_)) => !a.stop_sent,
+                    _ => false,
+                })
     })
 }
