--- a/src/state/bounded_cache.rs
+++ b/src/state/bounded_cache.rs
@@ -1,32 +1,37 @@
-//! A map that keeps what was entered last, within a bound.
+//! A bounded map that keeps the entries inserted last.
+//!
+//! Owns its entries only. Used for final states, which users ask for again.
+//! Must never hold more than its bound, nor be relied upon to hold an entry.
 
 use std::{borrow::Borrow, collections::HashMap, hash::Hash};
 
-/// Two generations: as the younger is full, the older goes.
+/// Two generations: when the younger is full, the older is dropped.
 #[derive(Debug)]
 pub struct Recent<K, V> {
     young: HashMap<K, V>,
     old: HashMap<K, V>,
-    most: usize,
+    max_entries: usize,
 }
 
 impl<K: Hash + Eq, V> Recent<K, V> {
-    /// Holds at most so many entries.
-    pub fn new(most: usize) -> Self {
+    /// One that holds at most so many entries.
+    pub fn new(max_entries: usize) -> Self {
         Recent {
             young: HashMap::new(),
             old: HashMap::new(),
-            most,
+            max_entries,
         }
     }
 
+    /// Inserts or replaces an entry.
     pub fn insert(&mut self, key: K, value: V) {
-        if self.young.len() >= self.most / 2 && !self.young.contains_key(&key) {
+        if self.young.len() >= self.max_entries / 2 && !self.young.contains_key(&key) {
             self.old = std::mem::take(&mut self.young);
         }
         self.young.insert(key, value);
     }
 
+    /// The entry with this key, if it is still held.
     pub fn get<Q: Hash + Eq + ?Sized>(&self, key: &Q) -> Option<&V>
     where
         K: Borrow<Q>,
@@ -34,7 +39,7 @@
         self.young.get(key).or_else(|| self.old.get(key))
     }
 
-    /// Whether it was entered lately: then it stays for some time yet.
+    /// Whether it was inserted lately: then it stays for some time yet.
     pub fn is_young<Q: Hash + Eq + ?Sized>(&self, key: &Q) -> bool
     where
         K: Borrow<Q>,
@@ -42,30 +47,16 @@
         self.young.contains_key(key)
     }
 
+    /// How many entries it holds.
     pub fn len(&self) -> usize {
         self.young.len() + self.old.len()
     }
 
+    /// Whether it holds none.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn what_was_entered_last_stays_and_the_bound_holds() {
-        let mut recent = Recent::new(10);
-        for n in 0..100 {
-            recent.insert(n, n);
-            recent.insert(n, n + 1);
-            assert!(recent.len() <= 10);
-        }
-        assert_eq!(recent.get(&99), Some(&100));
-        assert_eq!(recent.get(&95), Some(&96));
-        assert_eq!(recent.get(&1), None);
-        assert!(recent.is_young(&99));
-    }
-}
+mod tests;
--- a/src/state/dependencies.rs
+++ b/src/state/dependencies.rs
@@ -1,31 +1,36 @@
-//! Jobs that need others to be done first: which wait for which, what became
-//! ready, what is to be cancelled with a job that it needs, and the priority
-//! that a job has from those that need it. Decides from what is durable alone;
-//! whoever calls says what that is.
+//! The dependency graph of jobs: which wait for which, what became ready, what
+//! is to be cancelled with a job that it depends on, and the priority that a job
+//! inherits from its dependents.
+//!
+//! Owns the edges between live jobs and the lookups of unknown ones. Called by
+//! the leader as jobs come, are cancelled and end. Must never be called with
+//! what is not durable yet: a job must not start, or be cancelled, by a state
+//! that a failover may undo.
 
 use crate::protocol::users::Priority;
 use std::collections::{HashMap, HashSet, VecDeque};
 
-/// How a job stands that another needs.
+/// The state of a job that another depends on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DependencyState {
-    /// Live: its index, and the priority that it has by itself.
+    /// Not over: its index, and its own priority.
     Live(u32, Priority),
     /// Its final record says so.
     Done,
     /// It is recorded as cancelled, or surely will be.
     Cancelled,
-    /// Not live as far as known: its final record is to be read.
+    /// Not known to be live: its final record is to be read.
     Unknown,
 }
 
-/// Whether a job's tasks may start, as far as the jobs that it needs go.
+/// Whether a job's dependencies let its tasks start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Readiness {
+    /// All are done.
     #[default]
     Ready,
-    /// Of some needs it is not known yet whether they are done; of an earlier
-    /// leader it may run.
+    /// Of some it is not known yet whether they are done; an earlier leader may
+    /// have started the job.
     Unresolved,
     /// One is surely not done: nothing of the job can run anywhere.
     Blocked,
@@ -33,20 +38,21 @@
 
 #[derive(Debug, Default)]
 struct DependencyNode {
-    /// Live jobs that it needs.
+    /// Live jobs that it depends on.
     dependencies: HashSet<u32>,
-    /// Needs of which nothing is known yet.
+    /// How many dependencies nothing is known of yet.
     unresolved: usize,
-    /// One of its needs was cancelled.
+    /// A dependency was cancelled.
     must_cancel: bool,
-    /// Live jobs that need it.
+    /// Live jobs that depend on it.
     dependents: HashSet<u32>,
-    /// How many of those have which priority, by inheritance as well.
+    /// How many of those have which effective priority.
     dependent_priorities: [u32; 4],
     own_priority: Option<Priority>,
     effective_priority: Option<Priority>,
 }
 
+/// By rank, which is the index in `dependent_priorities`.
 const PRIORITIES: [Priority; 4] = [
     Priority::Low,
     Priority::Normal,
@@ -54,31 +60,33 @@
     Priority::Production,
 ];
 
+/// Live jobs and what they depend on.
 #[derive(Debug, Default)]
 pub struct DependencyGraph {
-    /// Of live jobs that need others or are needed.
+    /// By index of live jobs.
     nodes: HashMap<u32, DependencyNode>,
-    /// Who waits to hear of a job that is not known.
+    /// Which jobs depend on an unknown job, by its id.
     waiting_for_unknown: HashMap<String, Vec<u32>>,
+    /// Ids to be looked up.
     lookups: VecDeque<String>,
-    /// Whose gate or priority is to be looked at again.
+    /// Jobs whose readiness or priority may have changed.
     changed: Vec<u32>,
     newly_cancelled: Vec<u32>,
 }
 
 impl DependencyGraph {
-    /// A live job, with those that it needs and how they stand.
+    /// Adds a live job with its dependencies and their states.
     pub fn add<'a>(
         &mut self,
         job: u32,
         own: Priority,
-        needs: impl IntoIterator<Item = (&'a str, DependencyState)>,
+        dependencies: impl IntoIterator<Item = (&'a str, DependencyState)>,
     ) {
         self.set_own_priority(job, own);
-        for (id, need) in needs {
-            match need {
+        for (id, state) in dependencies {
+            match state {
                 DependencyState::Done => {}
-                DependencyState::Live(before, own) => self.add_edge(before, own, job),
+                DependencyState::Live(on, own) => self.add_edge(on, own, job),
                 DependencyState::Cancelled => self.cancel_with_dependents(job),
                 DependencyState::Unknown => {
                     self.nodes.entry(job).or_default().unresolved += 1;
@@ -94,29 +102,30 @@
     }
 
     fn set_own_priority(&mut self, job: u32, own: Priority) {
-        let links = self.nodes.entry(job).or_default();
-        links.own_priority = Some(own);
+        let node = self.nodes.entry(job).or_default();
+        node.own_priority = Some(own);
         self.update_priority(job);
     }
 
-    /// Whether a job of this name has to be told of with `found`.
+    /// Whether jobs depend on an unknown job with this id: its state is to be
+    /// given to `resolve`.
     pub fn is_awaited(&self, id: &str) -> bool {
         self.waiting_for_unknown.contains_key(id)
     }
 
-    /// How a job that was sought stands.
-    pub fn resolve(&mut self, id: &str, need: DependencyState) {
+    /// The state of a job that was unknown.
+    pub fn resolve(&mut self, id: &str, state: DependencyState) {
         let Some(waiting) = self.waiting_for_unknown.remove(id) else {
             return;
         };
         for job in waiting {
             // It may be over by now.
-            let Some(links) = self.nodes.get_mut(&job) else {
+            let Some(node) = self.nodes.get_mut(&job) else {
                 continue;
             };
-            links.unresolved = links.unresolved.saturating_sub(1);
-            match need {
-                DependencyState::Live(before, own) => self.add_edge(before, own, job),
+            node.unresolved = node.unresolved.saturating_sub(1);
+            match state {
+                DependencyState::Live(on, own) => self.add_edge(on, own, job),
                 DependencyState::Cancelled => self.cancel_with_dependents(job),
                 DependencyState::Done | DependencyState::Unknown => {}
             }
@@ -124,11 +133,10 @@
         }
     }
 
-    /// Names to be looked up, at most so many; they come again only if put
-    /// back.
-    pub fn take_lookups(&mut self, most: usize) -> Vec<String> {
+    /// Ids to be looked up, at most so many; they come again only if requeued.
+    pub fn take_lookups(&mut self, max_lookups: usize) -> Vec<String> {
         let mut ids = Vec::new();
-        while ids.len() < most
+        while ids.len() < max_lookups
             && let Some(id) = self.lookups.pop_front()
         {
             if self.waiting_for_unknown.contains_key(&id) {
@@ -138,170 +146,173 @@
         ids
     }
 
-    /// Nothing could be learned of them.
+    /// These lookups failed.
     pub fn requeue_lookups(&mut self, ids: Vec<String>) {
         self.lookups.extend(ids);
     }
 
     /// A live job's cancellation is durable, or follows from what is: so does
-    /// that of all that need it, directly or not.
+    /// that of all that depend on it, directly or not.
     pub fn job_cancelled(&mut self, job: u32) {
-        let Some(links) = self.nodes.get(&job) else {
+        let Some(node) = self.nodes.get(&job) else {
             return;
         };
-        let after: Vec<u32> = links.dependents.iter().copied().collect();
-        after
-            .into_iter()
-            .for_each(|a| self.cancel_with_dependents(a));
+        let dependents: Vec<u32> = node.dependents.iter().copied().collect();
+        for dependent in dependents {
+            self.cancel_with_dependents(dependent);
+        }
     }
 
     fn cancel_with_dependents(&mut self, job: u32) {
-        let mut all = vec![job];
-        while let Some(job) = all.pop() {
-            if let Some(links) = self.nodes.get_mut(&job)
-                && !std::mem::replace(&mut links.must_cancel, true)
+        let mut pending = vec![job];
+        while let Some(job) = pending.pop() {
+            if let Some(node) = self.nodes.get_mut(&job)
+                && !std::mem::replace(&mut node.must_cancel, true)
             {
                 self.newly_cancelled.push(job);
-                all.extend(links.dependents.iter().copied());
+                pending.extend(node.dependents.iter().copied());
             }
         }
     }
 
-    /// The job's final state is durable: it is not live any more.
+    /// The job's terminal state is durable: it is not live any more.
     pub fn job_ended(&mut self, job: u32, done: bool) {
         if !done {
             self.job_cancelled(job);
         }
-        let Some(links) = self.nodes.remove(&job) else {
+        let Some(node) = self.nodes.remove(&job) else {
             return;
         };
-        self.changed.extend(&links.dependents);
-        for a in &links.dependents {
-            if let Some(after) = self.nodes.get_mut(a) {
-                after.dependencies.remove(&job);
+        self.changed.extend(&node.dependents);
+        for dependent in &node.dependents {
+            if let Some(dependent) = self.nodes.get_mut(dependent) {
+                dependent.dependencies.remove(&job);
             }
         }
-        let rank = links.effective_priority;
-        for b in links.dependencies {
-            if let Some(before) = self.nodes.get_mut(&b) {
-                before.dependents.remove(&job);
-                if let Some(rank) = rank {
-                    before.dependent_priorities[rank as usize] -= 1;
+        for dependency in node.dependencies {
+            if let Some(on) = self.nodes.get_mut(&dependency) {
+                on.dependents.remove(&job);
+                if let Some(priority) = node.effective_priority {
+                    on.dependent_priorities[priority as usize] -= 1;
                 }
-                self.update_priority(b);
+                self.update_priority(dependency);
             }
         }
     }
 
-    fn add_edge(&mut self, before: u32, own: Priority, job: u32) {
-        self.set_own_priority(before, own);
-        let rank = self.nodes.get(&job).and_then(|l| l.effective_priority);
-        let links = self.nodes.entry(before).or_default();
-        if !links.dependents.insert(job) {
+    /// `job` depends on `on`, which has this priority of its own.
+    fn add_edge(&mut self, on: u32, own: Priority, job: u32) {
+        self.set_own_priority(on, own);
+        let priority = self.nodes.get(&job).and_then(|n| n.effective_priority);
+        let node = self.nodes.entry(on).or_default();
+        if !node.dependents.insert(job) {
             return;
         }
-        if let Some(rank) = rank {
-            links.dependent_priorities[rank as usize] += 1;
+        if let Some(priority) = priority {
+            node.dependent_priorities[priority as usize] += 1;
         }
-        let lost = links.must_cancel;
-        self.nodes
-            .entry(job)
-            .or_default()
-            .dependencies
-            .insert(before);
-        self.update_priority(before);
-        if lost {
+        let must_cancel = node.must_cancel;
+        self.nodes.entry(job).or_default().dependencies.insert(on);
+        self.update_priority(on);
+        if must_cancel {
             self.cancel_with_dependents(job);
         }
     }
 
-    /// Works out a job's priority again, and that of those that it needs as
-    /// far as it changes.
+    /// Computes a job's effective priority again, and that of its dependencies
+    /// as far as it changes.
     fn update_priority(&mut self, job: u32) {
-        let mut all = vec![job];
-        while let Some(job) = all.pop() {
-            let Some(links) = self.nodes.get_mut(&job) else {
+        let mut pending = vec![job];
+        while let Some(job) = pending.pop() {
+            let Some(node) = self.nodes.get_mut(&job) else {
                 continue;
             };
             let inherited = (0..PRIORITIES.len())
                 .rev()
-                .find(|r| links.dependent_priorities[*r] > 0);
-            let rank = links.own_priority.max(inherited.map(|r| PRIORITIES[r]));
-            let was = std::mem::replace(&mut links.effective_priority, rank);
-            if was == rank {
+                .find(|rank| node.dependent_priorities[*rank] > 0);
+            let priority = node
+                .own_priority
+                .max(inherited.map(|rank| PRIORITIES[rank]));
+            let previous = std::mem::replace(&mut node.effective_priority, priority);
+            if previous == priority {
                 continue;
             }
             self.changed.push(job);
-            let before: Vec<u32> = links.dependencies.iter().copied().collect();
-            for b in before {
-                if let Some(l) = self.nodes.get_mut(&b) {
-                    if let Some(was) = was {
-                        l.dependent_priorities[was as usize] -= 1;
+            let dependencies: Vec<u32> = node.dependencies.iter().copied().collect();
+            for dependency in dependencies {
+                if let Some(on) = self.nodes.get_mut(&dependency) {
+                    if let Some(previous) = previous {
+                        on.dependent_priorities[previous as usize] -= 1;
                     }
-                    if let Some(rank) = rank {
-                        l.dependent_priorities[rank as usize] += 1;
+                    if let Some(priority) = priority {
+                        on.dependent_priorities[priority as usize] += 1;
                     }
-                    all.push(b);
+                    pending.push(dependency);
                 }
             }
         }
     }
 
+    /// Whether the job's dependencies let it start.
     pub fn readiness(&self, job: u32) -> Readiness {
         match self.nodes.get(&job) {
-            Some(l) if l.must_cancel || !l.dependencies.is_empty() => Readiness::Blocked,
-            Some(l) if l.unresolved > 0 => Readiness::Unresolved,
+            Some(node) if node.must_cancel || !node.dependencies.is_empty() => Readiness::Blocked,
+            Some(node) if node.unresolved > 0 => Readiness::Unresolved,
             _ => Readiness::Ready,
         }
     }
 
-    /// Its own, or that of a job that needs it, whichever is more.
+    /// Its own priority, or that of a dependent, whichever is higher.
     pub fn effective_priority(&self, job: u32) -> Option<Priority> {
         self.nodes.get(&job)?.effective_priority
     }
 
-    /// Until when each job that others need has to be done, as far as any of
-    /// those is due: along the longest path, by the estimates. `own`: a job's
-    /// due time, if any, and how long it takes.
+    /// When each job has to be done so that it and all that depend on it meet
+    /// their deadlines, if any of them has one: along the longest path, by the
+    /// estimates. `own`: a job's own deadline, and how long it takes.
     pub fn due_by(&self, own: impl Fn(u32) -> (Option<u64>, u64)) -> HashMap<u32, u64> {
         let mut due: HashMap<u32, Option<u64>> = HashMap::new();
-        let mut all: Vec<(u32, bool)> = self.nodes.keys().map(|j| (*j, false)).collect();
-        while let Some((job, after_known)) = all.pop() {
+        // Depth first; `true`: its dependents are in `due`.
+        let mut pending: Vec<(u32, bool)> = self.nodes.keys().map(|job| (*job, false)).collect();
+        while let Some((job, dependents_done)) = pending.pop() {
             if due.contains_key(&job) {
                 continue;
             }
-            let after = self.nodes.get(&job).map(|l| &l.dependents);
-            if !after_known {
-                all.push((job, true));
-                all.extend(after.into_iter().flatten().map(|a| (*a, false)));
+            let dependents = self.nodes.get(&job).map(|node| &node.dependents);
+            let dependents = dependents.into_iter().flatten();
+            if !dependents_done {
+                pending.push((job, true));
+                pending.extend(dependents.map(|dependent| (*dependent, false)));
                 continue;
             }
-            let of_after = after.into_iter().flatten().filter_map(|a| {
-                let end = due.get(a).copied().flatten()?;
-                Some(end.saturating_sub(own(*a).1))
+            let latest_starts = dependents.filter_map(|dependent| {
+                let end = due.get(dependent).copied().flatten()?;
+                Some(end.saturating_sub(own(*dependent).1))
             });
-            let end = of_after.chain(own(job).0).min();
+            let end = latest_starts.chain(own(job).0).min();
             due.insert(job, end);
         }
-        due.into_iter().filter_map(|(j, d)| Some((j, d?))).collect()
+        due.into_iter()
+            .filter_map(|(job, end)| Some((job, end?)))
+            .collect()
     }
 
-    /// It is to be cancelled, as a job that it needs was.
+    /// Whether it is to be cancelled, as a dependency was.
     pub fn must_cancel(&self, job: u32) -> bool {
-        self.nodes.get(&job).is_some_and(|l| l.must_cancel)
+        self.nodes.get(&job).is_some_and(|node| node.must_cancel)
     }
 
-    /// Live jobs that it needs, and how many are not known.
+    /// Live jobs that it depends on, and how many dependencies are not known.
     pub fn unfinished_dependencies(&self, job: u32) -> (impl Iterator<Item = u32>, usize) {
-        let links = self.nodes.get(&job);
-        let before = links
+        let node = self.nodes.get(&job);
+        let live = node
             .into_iter()
-            .flat_map(|l| l.dependencies.iter().copied());
-        (before, links.map_or(0, |l| l.unresolved))
+            .flat_map(|node| node.dependencies.iter().copied());
+        (live, node.map_or(0, |node| node.unresolved))
     }
 
     /// Jobs to look at again, and jobs that are to be cancelled if they are
-    /// still the same (`is_lost`): indices are used again.
+    /// still the same (`must_cancel`), as indices are used again.
     pub fn take_changes(&mut self) -> (Vec<u32>, Vec<u32>) {
         (
             std::mem::take(&mut self.changed),
@@ -311,137 +322,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use Priority::*;
-
-    fn gates(c: &DependencyGraph, jobs: &[u32]) -> Vec<Readiness> {
-        jobs.iter().map(|j| c.readiness(*j)).collect()
-    }
-
-    #[test]
-    fn a_job_is_ready_once_the_last_of_a_diamond_is_over() {
-        let mut c = DependencyGraph::default();
-        c.add(0, Low, []);
-        c.add(1, Low, [("j-000000", DependencyState::Live(0, Low))]);
-        c.add(2, Low, [("j-000000", DependencyState::Live(0, Low))]);
-        c.add(
-            3,
-            High,
-            [
-                ("j-000001", DependencyState::Live(1, Low)),
-                ("j-000002", DependencyState::Live(2, Low)),
-            ],
-        );
-        assert_eq!(gates(&c, &[0, 1, 2, 3])[1..], [Readiness::Blocked; 3]);
-        // All of it is as urgent as its end, until that has gone.
-        assert_eq!(c.effective_priority(0), Some(High));
-        c.job_ended(0, true);
-        assert_eq!(
-            gates(&c, &[1, 2, 3]),
-            [Readiness::Ready, Readiness::Ready, Readiness::Blocked]
-        );
-        c.job_ended(1, true);
-        assert_eq!(c.readiness(3), Readiness::Blocked);
-        c.job_ended(2, true);
-        assert_eq!(c.readiness(3), Readiness::Ready);
-        assert_eq!(c.take_changes().1, Vec::<u32>::new());
-    }
-
-    #[test]
-    fn priority_falls_again_when_the_job_that_lent_it_goes() {
-        let mut c = DependencyGraph::default();
-        c.add(0, Low, []);
-        c.add(1, Normal, [("j-000000", DependencyState::Live(0, Low))]);
-        c.add(
-            2,
-            Production,
-            [("j-000001", DependencyState::Live(1, Normal))],
-        );
-        assert_eq!(c.effective_priority(0), Some(Production));
-        c.job_ended(2, false);
-        assert_eq!(
-            (c.effective_priority(1), c.effective_priority(0)),
-            (Some(Normal), Some(Normal))
-        );
-    }
-
-    #[test]
-    fn a_job_keeps_its_own_priority_where_those_that_need_it_have_less() {
-        let mut c = DependencyGraph::default();
-        c.add(1, Low, [("j-000000", DependencyState::Live(0, High))]);
-        assert_eq!(c.effective_priority(0), Some(High));
-    }
-
-    #[test]
-    fn a_need_is_due_before_the_longest_way_to_whatever_is_due_after_it() {
-        let mut c = DependencyGraph::default();
-        c.add(1, Low, [("j-000000", DependencyState::Live(0, Low))]);
-        c.add(2, Low, [("j-000000", DependencyState::Live(0, Low))]);
-        let last = [
-            ("j-000001", DependencyState::Live(1, Low)),
-            ("j-000002", DependencyState::Live(2, Low)),
-        ];
-        c.add(3, High, last);
-        let own = |job| match job {
-            1 => (None, 40),
-            2 => (Some(70), 10),
-            3 => (Some(100), 20),
-            _ => (None, 5),
-        };
-        let due = c.due_by(own);
-        assert_eq!((due[&3], due[&1], due[&2]), (100, 80, 70));
-        assert_eq!(due[&0], 40);
-        // With the last one gone nothing but the other's own time counts.
-        c.job_ended(3, false);
-        let due = c.due_by(own);
-        assert_eq!((due.get(&1), due[&2], due[&0]), (None, 70, 60));
-    }
-
-    #[test]
-    fn a_withdrawal_reaches_all_that_follow_in_whatever_order_they_are_learned() {
-        let mut c = DependencyGraph::default();
-        // Deep enough to end a stack.
-        for n in (1..20_000u32).rev() {
-            let id = format!("j-{:06}", n - 1);
-            c.add(n, Low, [(id.as_str(), DependencyState::Unknown)]);
-            c.resolve(&format!("j-{n:06}"), DependencyState::Live(n, Low));
-        }
-        assert_eq!(
-            (c.readiness(1), c.readiness(2)),
-            (Readiness::Unresolved, Readiness::Blocked)
-        );
-        assert!(c.is_awaited("j-000000"));
-        c.resolve("j-000000", DependencyState::Cancelled);
-        assert_eq!(c.take_changes().1.len(), 19_999);
-        // Whoever names one of them later goes with it, and stays shut.
-        c.add(20_000, Low, [("j-000005", DependencyState::Live(5, Low))]);
-        assert_eq!(c.take_changes().1, [20_000]);
-        c.job_ended(5, false);
-        assert_eq!(c.readiness(20_000), Readiness::Blocked);
-    }
-
-    #[test]
-    fn what_is_not_known_is_sought_once_and_until_it_is_found() {
-        let mut c = DependencyGraph::default();
-        c.add(1, Low, [("j-000007", DependencyState::Unknown)]);
-        c.add(
-            2,
-            Low,
-            [
-                ("j-000007", DependencyState::Unknown),
-                ("j-000001", DependencyState::Live(1, Low)),
-            ],
-        );
-        let ids = c.take_lookups(9);
-        assert_eq!(ids, ["j-000007"]);
-        assert!(c.take_lookups(9).is_empty());
-        c.requeue_lookups(ids);
-        assert_eq!(c.take_lookups(9).len(), 1);
-        c.resolve("j-000007", DependencyState::Done);
-        assert_eq!(
-            (c.readiness(1), c.readiness(2)),
-            (Readiness::Ready, Readiness::Blocked)
-        );
-    }
-}
+mod tests;
--- /dev/null
+++ b/src/state/dependencies/tests.rs
@@ -0,0 +1,135 @@
+use super::*;
+use Priority::*;
+
+fn readiness_of(c: &DependencyGraph, jobs: &[u32]) -> Vec<Readiness> {
+    jobs.iter().map(|j| c.readiness(*j)).collect()
+}
+
+#[test]
+fn job_is_ready_once_last_dependency_of_a_diamond_is_done() {
+    let mut c = DependencyGraph::default();
+    c.add(0, Low, []);
+    c.add(1, Low, [("j-000000", DependencyState::Live(0, Low))]);
+    c.add(2, Low, [("j-000000", DependencyState::Live(0, Low))]);
+    c.add(
+        3,
+        High,
+        [
+            ("j-000001", DependencyState::Live(1, Low)),
+            ("j-000002", DependencyState::Live(2, Low)),
+        ],
+    );
+    assert_eq!(
+        readiness_of(&c, &[0, 1, 2, 3])[1..],
+        [Readiness::Blocked; 3]
+    );
+    // All of it has the priority of its end, until that is over.
+    assert_eq!(c.effective_priority(0), Some(High));
+    c.job_ended(0, true);
+    assert_eq!(
+        readiness_of(&c, &[1, 2, 3]),
+        [Readiness::Ready, Readiness::Ready, Readiness::Blocked]
+    );
+    c.job_ended(1, true);
+    assert_eq!(c.readiness(3), Readiness::Blocked);
+    c.job_ended(2, true);
+    assert_eq!(c.readiness(3), Readiness::Ready);
+    assert_eq!(c.take_changes().1, Vec::<u32>::new());
+}
+
+#[test]
+fn inherited_priority_falls_when_the_dependent_ends() {
+    let mut c = DependencyGraph::default();
+    c.add(0, Low, []);
+    c.add(1, Normal, [("j-000000", DependencyState::Live(0, Low))]);
+    c.add(
+        2,
+        Production,
+        [("j-000001", DependencyState::Live(1, Normal))],
+    );
+    assert_eq!(c.effective_priority(0), Some(Production));
+    c.job_ended(2, false);
+    assert_eq!(
+        (c.effective_priority(1), c.effective_priority(0)),
+        (Some(Normal), Some(Normal))
+    );
+}
+
+#[test]
+fn job_keeps_own_priority_when_its_dependents_have_less() {
+    let mut c = DependencyGraph::default();
+    c.add(1, Low, [("j-000000", DependencyState::Live(0, High))]);
+    assert_eq!(c.effective_priority(0), Some(High));
+}
+
+#[test]
+fn dependency_is_due_before_longest_path_to_a_deadline() {
+    let mut c = DependencyGraph::default();
+    c.add(1, Low, [("j-000000", DependencyState::Live(0, Low))]);
+    c.add(2, Low, [("j-000000", DependencyState::Live(0, Low))]);
+    let last = [
+        ("j-000001", DependencyState::Live(1, Low)),
+        ("j-000002", DependencyState::Live(2, Low)),
+    ];
+    c.add(3, High, last);
+    let own = |job| match job {
+        1 => (None, 40),
+        2 => (Some(70), 10),
+        3 => (Some(100), 20),
+        _ => (None, 5),
+    };
+    let due = c.due_by(own);
+    assert_eq!((due[&3], due[&1], due[&2]), (100, 80, 70));
+    assert_eq!(due[&0], 40);
+    // With the last one over, only the other's own deadline counts.
+    c.job_ended(3, false);
+    let due = c.due_by(own);
+    assert_eq!((due.get(&1), due[&2], due[&0]), (None, 70, 60));
+}
+
+#[test]
+fn cancellation_reaches_all_dependents_in_any_order_of_arrival() {
+    let mut c = DependencyGraph::default();
+    // Deep enough to end a stack.
+    for n in (1..20_000u32).rev() {
+        let id = format!("j-{:06}", n - 1);
+        c.add(n, Low, [(id.as_str(), DependencyState::Unknown)]);
+        c.resolve(&format!("j-{n:06}"), DependencyState::Live(n, Low));
+    }
+    assert_eq!(
+        (c.readiness(1), c.readiness(2)),
+        (Readiness::Unresolved, Readiness::Blocked)
+    );
+    assert!(c.is_awaited("j-000000"));
+    c.resolve("j-000000", DependencyState::Cancelled);
+    assert_eq!(c.take_changes().1.len(), 19_999);
+    // A dependent added later is cancelled with it, and stays blocked.
+    c.add(20_000, Low, [("j-000005", DependencyState::Live(5, Low))]);
+    assert_eq!(c.take_changes().1, [20_000]);
+    c.job_ended(5, false);
+    assert_eq!(c.readiness(20_000), Readiness::Blocked);
+}
+
+#[test]
+fn unknown_dependency_is_looked_up_once_until_resolved() {
+    let mut c = DependencyGraph::default();
+    c.add(1, Low, [("j-000007", DependencyState::Unknown)]);
+    c.add(
+        2,
+        Low,
+        [
+            ("j-000007", DependencyState::Unknown),
+            ("j-000001", DependencyState::Live(1, Low)),
+        ],
+    );
+    let ids = c.take_lookups(9);
+    assert_eq!(ids, ["j-000007"]);
+    assert!(c.take_lookups(9).is_empty());
+    c.requeue_lookups(ids);
+    assert_eq!(c.take_lookups(9).len(), 1);
+    c.resolve("j-000007", DependencyState::Done);
+    assert_eq!(
+        (c.readiness(1), c.readiness(2)),
+        (Readiness::Ready, Readiness::Blocked)
+    );
+}
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,5 +1,18 @@
-//! What the service knows: the in-memory cluster state, the records it keeps in the
-//! state service, and the rate budgets towards the outside.
+//! State of the cluster: in memory, and as it is stored.
+//!
+//! | module | owns |
+//! | --- | --- |
+//! | `cluster` | jobs, machines, and what is or may be running where |
+//! | `records` | keys and form of what the state service stores |
+//! | `spec_chunks` | specs too long for one value |
+//! | `dependencies` | the graph of jobs that depend on others |
+//! | `fault_attribution` | whether jobs or machines are at fault |
+//! | `offload` | whether a job runs here or in another cluster |
+//! | `rate_limit` | shares of the state service's rate limits |
+//! | `bounded_cache`, `resources` | a bounded map; amounts that add up exactly |
+//!
+//! Called by `control/`, which decides, and `server/`, which does the I/O. Nothing
+//! here does I/O or reads a clock.
 
 pub mod bounded_cache;
 pub mod cluster;
--- a/src/state/offload.rs
+++ b/src/state/offload.rs
@@ -1,42 +1,58 @@
-//! Whether a job is with a neighbouring market. While it isn't here, nothing
-//! of it starts here.
+//! Whether a job runs here or was offloaded to another cluster's market.
+//!
+//! Owns the state machine of one job's offload. Called by the leader as the
+//! market client asks, and as writes of the job's record are applied or read
+//! again. Must never be local while the record may say that the job is
+//! offloaded: then it could run in both clusters.
 
 use serde::{Deserialize, Serialize};
 
-/// To whom, as the job's record says.
+/// To whom a job is offloaded, as its record says.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct OffloadTarget {
+    /// Number of the market's award.
     #[serde(rename = "a")]
     pub award: u64,
+    /// Name of the market.
     #[serde(rename = "m")]
     pub market: String,
 }
 
+/// How far a job's offload has come. The target in the job's record is the
+/// mark by which every leader knows.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub enum OffloadState {
+    /// It runs here.
     #[default]
     Local,
-    /// The same, and the mark for this award can't be set any more.
+    /// The same, and the target of this award can't be recorded any more.
     Refused(u64),
-    /// The mark is wanted. It may be in the record, or get there late, as long
-    /// as the award's record has this version.
-    Offloading { target: OffloadTarget, version: u64 },
-    /// The record says so.
+    /// The target is to be recorded. It may be in the record, or get there
+    /// late, as long as the award's record has this version.
+    Offloading {
+        /// To whom.
+        target: OffloadTarget,
+        /// Version of the award's record.
+        version: u64,
+    },
+    /// The target is in the record.
     Offloaded(OffloadTarget),
-    /// What came back is known; the mark is to be lifted.
+    /// Its results are known; the target is to be removed from the record.
     Returning(OffloadTarget),
 }
 
 impl OffloadState {
-    pub fn recorded(lent: Option<OffloadTarget>) -> Self {
-        lent.map_or(OffloadState::Local, OffloadState::Offloaded)
+    /// The state that follows from a job's record.
+    pub fn recorded(target: Option<OffloadTarget>) -> Self {
+        target.map_or(OffloadState::Local, OffloadState::Offloaded)
     }
 
+    /// Whether its tasks may start here.
     pub fn is_local(&self) -> bool {
         matches!(self, OffloadState::Local | OffloadState::Refused(_))
     }
 
-    /// The mark is to be set or lifted.
+    /// Whether the target is to be recorded or removed.
     pub fn has_pending_change(&self) -> bool {
         matches!(
             self,
@@ -44,50 +60,53 @@
         )
     }
 
+    /// To whom it is, or may be, offloaded.
     pub fn target(&self) -> Option<&OffloadTarget> {
         match self {
             OffloadState::Local | OffloadState::Refused(_) => None,
-            OffloadState::Offloading { target: lent, .. }
-            | OffloadState::Offloaded(lent)
-            | OffloadState::Returning(lent) => Some(lent),
+            OffloadState::Offloading { target, .. }
+            | OffloadState::Offloaded(target)
+            | OffloadState::Returning(target) => Some(target),
         }
     }
 
-    /// What any other write of the job's record must keep.
+    /// The target that any other write of the job's record must keep.
     pub fn recorded_target(&self) -> Option<OffloadTarget> {
         match self {
             OffloadState::Local | OffloadState::Refused(_) | OffloadState::Offloading { .. } => {
                 None
             }
-            OffloadState::Offloaded(lent) | OffloadState::Returning(lent) => Some(lent.clone()),
+            OffloadState::Offloaded(target) | OffloadState::Returning(target) => {
+                Some(target.clone())
+            }
         }
     }
 
-    /// The mark is in the record.
+    /// The target is in the record.
     pub fn mark_recorded(&mut self) {
-        if let OffloadState::Offloading { target: lent, .. } = self {
-            *self = OffloadState::Offloaded(lent.clone());
+        if let OffloadState::Offloading { target, .. } = self {
+            *self = OffloadState::Offloaded(target.clone());
         }
     }
 
-    /// The mark is surely not in the record, and can't get there.
+    /// The target is surely not in the record, and can't get there.
     pub fn mark_refused(&mut self) {
-        if let OffloadState::Offloading { target: lent, .. } = self {
-            *self = OffloadState::Refused(lent.award);
+        if let OffloadState::Offloading { target, .. } = self {
+            *self = OffloadState::Refused(target.award);
         }
     }
 
-    /// The mark is out of the record.
+    /// The target is out of the record.
     pub fn mark_removed(&mut self) {
         if let OffloadState::Returning(_) = self {
             *self = OffloadState::Local;
         }
     }
 
-    /// The record was read again after a write that had no answer.
-    pub fn reread(&mut self, mark: Option<&OffloadTarget>) {
-        match (&*self, mark) {
-            (OffloadState::Offloading { target: lent, .. }, Some(found)) if lent == found => {
+    /// The record was read again after an indeterminate write.
+    pub fn reread(&mut self, recorded: Option<&OffloadTarget>) {
+        match (&*self, recorded) {
+            (OffloadState::Offloading { target, .. }, Some(found)) if target == found => {
                 self.mark_recorded()
             }
             (OffloadState::Returning(_), None) => self.mark_removed(),
--- a/src/state/records.rs
+++ b/src/state/records.rs
@@ -1,4 +1,26 @@
-//! What is kept in the state service, and under which keys.
+//! What is stored in the state service, and under which keys.
+//!
+//! Owns the keys and the stored form of each record but spec chunks. Called by
+//! the leader's persistence, by followers that accept jobs, and as a new leader
+//! loads its state. Must never change a stored name, nor what a missing field
+//! means: older versions have written records, and run beside this one.
+//!
+//! Stored names are short, as values are small:
+//!
+//! | record | key | stored name: field |
+//! | --- | --- | --- |
+//! | `LeaderRecord` | `leader` | `n` node, `i` incarnation |
+//! | `StandbyRecord` | `standbys` | `t` term, `n` named nodes, `k` known to all |
+//! | `VersionRecord` | `v/<node>` | `f` format, `p` program |
+//! | `StoredJob` | `j/<job>` | `d` spec, `p` spec chunks, `a` accepted at (ms), `w` cancelled, `e` suspected, `b` complete tasks of the first segment, `l` offloaded to |
+//! | `OffloadTarget` | in `l` of a job | `a` award, `m` market |
+//! | `SpecChunks` | in `p` of a job | `h` hash, `n` count |
+//! | `FinalRecord` | `f/<job>` | `s` terminal state, `n` complete tasks |
+//! | `MachineRecord` | `m/<machine>` | `a` address, `t` type, `z` zone, `s` spot, `r` releasing, `l` lease expired, `q` quarantined, `i` images |
+//! | segment of the completion bitmap | `c/<job>/<segment>` | a string of base 64 |
+//! | spec chunk | `p/<job>/<hash>/<number>` | a string of base 64 |
+//! | feed of accepted jobs | `n/<job>` | `true` |
+//! | exclusion from elections | `x/<node>` | of `control/` |
 
 use super::{offload::OffloadTarget, spec_chunks::SpecChunks};
 use crate::protocol::{
@@ -8,81 +30,106 @@
 use base64::{Engine, engine::general_purpose::STANDARD_NO_PAD};
 use serde::{Deserialize, Serialize};
 
+/// Key of the leader's record: whoever holds it leads.
 pub const LEADER: &str = "leader";
+/// Prefix of jobs that are not over.
 pub const JOBS: &str = "j/";
+/// Prefix of segments of completion bitmaps.
 pub const SEGMENTS: &str = "c/";
+/// Prefix of jobs that are over.
 pub const FINALS: &str = "f/";
+/// Prefix of the machine registry.
 pub const MACHINES: &str = "m/";
-/// Notices to the leader of jobs that another node accepted.
+/// Prefix of the feed that tells the leader of jobs that followers accepted.
 pub const ACCEPTANCES: &str = "n/";
 
-/// Nodes that may not campaign.
+/// Prefix of exclusions from elections.
 pub const EXCLUSIONS: &str = "x/";
 
-/// Who may take over without hearing every machine.
+/// Key of the standby registry: who may take over without a heartbeat of every
+/// machine.
 pub const STANDBYS: &str = "standbys";
 
-/// Finished tasks a chunk holds: 1 KiB of bits. The first chunk is part of
-/// the job's record, the others have keys of their own, so that a job of
-/// 100,000 tasks fits any sensible value limit.
+/// Tasks in one segment of a completion bitmap: 1 KiB of bits. The first segment
+/// is part of the job's record, the others have keys of their own, so that a job
+/// of 100,000 tasks fits any sensible value limit.
 pub const SEGMENT_TASKS: u32 = 8192;
+const SEGMENT_BYTES: usize = SEGMENT_TASKS as usize / 8;
 
-/// Controllers that have run this version, or a later one.
+/// Prefix of the versions that controllers run.
 pub const VERSIONS: &str = "v/";
 
+/// Key of a controller's version.
 pub fn version_key(node: &str) -> String {
     format!("{VERSIONS}{node}")
 }
+
+/// Key of a job's record.
 pub fn job_key(id: &str) -> String {
     format!("{JOBS}{id}")
 }
+
+/// Key of the record of a job's terminal state.
 pub fn final_key(id: &str) -> String {
     format!("{FINALS}{id}")
 }
-pub fn segment_key(id: &str, chunk: usize) -> String {
-    format!("{SEGMENTS}{id}/{chunk}")
+
+/// Key of a segment of a job's completion bitmap, from 1 on.
+pub fn segment_key(id: &str, segment: usize) -> String {
+    format!("{SEGMENTS}{id}/{segment}")
 }
+
+/// Key of a machine's record.
 pub fn machine_key(name: &str) -> String {
     format!("{MACHINES}{name}")
 }
+
+/// Key of a controller's exclusion from elections.
 pub fn exclusion_key(node: &str) -> String {
     format!("{EXCLUSIONS}{node}")
 }
+
+/// Key of the market's award of a job.
 pub fn award_key(id: &str) -> String {
     format!("{AWARDS}{id}")
 }
+
+/// Key of a job's entry in the feed of accepted jobs.
 pub fn acceptance_key(id: &str) -> String {
     format!("{ACCEPTANCES}{id}")
 }
 
+/// Who leads.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LeaderRecord {
+    /// Its name.
     #[serde(rename = "n")]
     pub node: String,
+    /// Which start of its process it is.
     #[serde(rename = "i")]
     pub incarnation: u64,
 }
 
-/// Whoever it names knows at least all that may run on machines. Written by
-/// the leader under the guard of its key, and by each leader anew, if it named
-/// anybody, before it starts anything.
+/// Which standbys may take over at once: each of them knows at least all that may
+/// run on machines. Written by the leader on condition of its own key, and by
+/// each new leader, if it named anybody, before it starts anything.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct StandbyRecord {
-    /// Of whose cluster state the copies are.
+    /// Term of the leader whose cluster state the replicas are of.
     #[serde(rename = "t")]
     pub term: u64,
-    /// Nodes with their incarnations.
+    /// Names of controllers with their incarnations.
     #[serde(rename = "n")]
     pub named: Vec<(String, u64)>,
-    /// Each controller was seen to know of this record. One that doesn't would
-    /// lead, and start things, without a trace in it.
+    /// Each controller runs a version that knows of this record. One that doesn't
+    /// would lead, and start tasks, without changing it.
     #[serde(rename = "k", default)]
     pub known_to_all: bool,
 }
 
 impl StandbyRecord {
-    /// One that can't be read may name anybody: it has to be written over
-    /// before anything is started.
+    /// The record from its stored form. One that can't be read may name anybody:
+    /// it has to be overwritten before anything is started.
     pub fn read(value: serde_json::Value) -> Self {
         serde_json::from_value(value).unwrap_or_else(|e| {
             log::error!("record {STANDBYS}: {e}");
@@ -94,39 +141,47 @@
     }
 }
 
-/// What a controller's records and messages may hold: 1 knows of jobs that
-/// need others. A version from before this mark writes none.
+/// Version of the form of records and messages. 1: jobs may depend on others.
+/// Programs from before that write no version.
 pub const FORMAT: u32 = 1;
 
-/// Left by each controller of this version once it can reach the store.
+/// Written by each controller once it can reach the state service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct VersionRecord {
+    /// The `FORMAT` of its program.
     #[serde(rename = "f")]
     pub format: u32,
-    /// For operators.
+    /// Version of its program, for operators.
     #[serde(rename = "p", default)]
     pub program: String,
 }
 
-/// A job and what is recorded of it.
+/// A job as its record and its spec chunks have it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct JobRecord {
+    /// What the user submitted.
     pub spec: JobSpec,
-    /// Its description is kept in these.
+    /// Chunks that hold the spec, if the record does not.
     pub spec_chunks: Option<SpecChunks>,
+    /// Time of day of the acceptance, in milliseconds.
     pub accepted_at_ms: u64,
+    /// Cancelled; its tasks may still run.
     pub cancelled: bool,
+    /// It is thought to fail wherever it starts.
     pub suspected: bool,
+    /// Complete tasks of the first segment, as text.
     pub completed: String,
+    /// To whom it is offloaded.
     pub offloaded_to: Option<OffloadTarget>,
 }
 
 impl JobRecord {
-    pub fn new(spec: JobSpec, at_ms: u64) -> Self {
+    /// One that was accepted just now.
+    pub fn new(spec: JobSpec, accepted_at_ms: u64) -> Self {
         JobRecord {
             spec,
             spec_chunks: None,
-            accepted_at_ms: at_ms,
+            accepted_at_ms,
             cancelled: false,
             suspected: false,
             completed: String::new(),
@@ -134,7 +189,7 @@
         }
     }
 
-    /// As it is to be written.
+    /// Its stored form.
     pub fn stored(&self) -> serde_json::Value {
         let stored = StoredJob {
             spec: self.spec_chunks.is_none().then(|| self.spec.clone()),
@@ -149,41 +204,43 @@
     }
 }
 
-/// A job's record as it stands in the store.
+/// A job's record as it is stored.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct StoredJob {
+    /// What the user submitted.
     #[serde(rename = "d", default, skip_serializing_if = "Option::is_none")]
     pub spec: Option<JobSpec>,
-    /// In place of the description, where that is long. Written only once
-    /// every controller knows of it.
+    /// In place of a long spec. Written only once every controller's version
+    /// knows of it.
     #[serde(rename = "p", default, skip_serializing_if = "Option::is_none")]
     pub spec_chunks: Option<SpecChunks>,
     /// Time of day of the acceptance, in milliseconds.
     #[serde(rename = "a")]
     pub accepted_at_ms: u64,
+    /// Cancelled; its tasks may still run.
     #[serde(rename = "w", default, skip_serializing_if = "std::ops::Not::not")]
     pub cancelled: bool,
     /// It fails wherever it starts: a new leader need not find that out again.
     #[serde(rename = "e", default, skip_serializing_if = "std::ops::Not::not")]
     pub suspected: bool,
-    /// Finished tasks of the first chunk.
+    /// Complete tasks of the first segment.
     #[serde(rename = "b", default, skip_serializing_if = "String::is_empty")]
     pub completed: String,
-    /// Nothing of it starts here while it is with a market. A program that
-    /// does not know this mark must not lead beside one that sets it.
+    /// To whom it is offloaded; nothing of it starts here meanwhile. A program
+    /// that does not know this field must not lead beside one that writes it.
     #[serde(rename = "l", default, skip_serializing_if = "Option::is_none")]
     pub offloaded_to: Option<OffloadTarget>,
 }
 
 impl StoredJob {
-    /// With its description, from the record or from what `join` makes of its
-    /// pieces.
+    /// The job with its spec, from the record or from what `join` makes of its
+    /// chunks.
     pub fn with_spec(
         self,
         join: impl FnOnce(&SpecChunks) -> anyhow::Result<JobSpec>,
     ) -> anyhow::Result<JobRecord> {
         let spec = match (self.spec, &self.spec_chunks) {
-            (_, Some(pieces)) => join(pieces)?,
+            (_, Some(chunks)) => join(chunks)?,
             (Some(spec), None) => spec,
             (None, None) => anyhow::bail!("no description"),
         };
@@ -198,27 +255,28 @@
         })
     }
 
-    /// One that is whole by itself.
+    /// The job of a record that holds its spec.
     pub fn read(value: serde_json::Value) -> anyhow::Result<JobRecord> {
         let stored: StoredJob = serde_json::from_value(value)?;
         stored.with_spec(|_| anyhow::bail!("its description is in pieces"))
     }
 
-    /// How the job stands by its record alone.
+    /// What users are answered by the record alone.
     pub fn status(&self, id: &str) -> JobStatus {
         status_of(id, self.cancelled, &self.completed)
     }
 }
 
 impl JobRecord {
+    /// What users are answered by the record alone.
     pub fn status(&self) -> JobStatus {
         status_of(&self.spec.id, self.cancelled, &self.completed)
     }
 }
 
-fn status_of(id: &str, cancelled: bool, done: &str) -> JobStatus {
+fn status_of(id: &str, cancelled: bool, completed: &str) -> JobStatus {
     let mut bits = TaskBitmap::with_len(SEGMENT_TASKS);
-    bits.load(0, done);
+    bits.load(0, completed);
     let done = bits.count();
     JobStatus {
         id: id.to_owned(),
@@ -234,30 +292,38 @@
     }
 }
 
+/// A job that is over.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct FinalRecord {
+    /// Its terminal state.
     #[serde(rename = "s")]
     pub state: JobState,
+    /// How many tasks were complete.
     #[serde(rename = "n")]
     pub done: u32,
 }
 
+/// A machine in the machine registry: tasks may run on it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineRecord {
+    /// Where its agent listens; empty if unknown.
     #[serde(rename = "a")]
     pub addr: String,
+    /// Name of its machine type.
     #[serde(rename = "t")]
     pub type_name: String,
+    /// Name of its zone.
     #[serde(rename = "z")]
     pub zone: String,
+    /// Whether the cloud may reclaim it.
     #[serde(rename = "s")]
     pub spot: bool,
     /// Its release has been decided.
     #[serde(rename = "r", default, skip_serializing_if = "std::ops::Not::not")]
     pub releasing: bool,
-    /// Beside that: only its lease has expired, and should it come back it may
-    /// be used, once this is written without either mark. A program that does
-    /// not know this one returns the machine.
+    /// Beside `releasing`: only its lease has expired, and should it come back it
+    /// may be used, once this is written without either. A program that does
+    /// not know this field releases the machine.
     #[serde(rename = "l", default, skip_serializing_if = "std::ops::Not::not")]
     pub lease_expired: bool,
     /// Tasks fail on it: a new leader need not find that out again.
@@ -269,71 +335,78 @@
     pub images: Vec<String>,
 }
 
-/// A set of task numbers.
+/// A set of task numbers: the complete ones of a job.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct TaskBitmap(Vec<u8>);
 
 impl TaskBitmap {
-    pub fn with_len(n: u32) -> Self {
-        TaskBitmap(vec![0; (n as usize).div_ceil(8)])
+    /// An empty set for so many tasks.
+    pub fn with_len(tasks: u32) -> Self {
+        TaskBitmap(vec![0; (tasks as usize).div_ceil(8)])
     }
-    pub fn get(&self, i: u32) -> bool {
+
+    /// Whether the task is in the set.
+    pub fn get(&self, task: u32) -> bool {
         self.0
-            .get(i as usize / 8)
-            .is_some_and(|b| b & (1 << (i % 8)) != 0)
+            .get(task as usize / 8)
+            .is_some_and(|byte| byte & (1 << (task % 8)) != 0)
     }
-    /// Returns whether it is new.
-    pub fn set(&mut self, i: u32) -> bool {
-        match self.0.get_mut(i as usize / 8) {
-            Some(b) if *b & (1 << (i % 8)) == 0 => {
-                *b |= 1 << (i % 8);
+
+    /// Adds a task, and returns whether it is new.
+    pub fn set(&mut self, task: u32) -> bool {
+        match self.0.get_mut(task as usize / 8) {
+            Some(byte) if *byte & (1 << (task % 8)) == 0 => {
+                *byte |= 1 << (task % 8);
                 true
             }
             _ => false,
         }
     }
 
+    /// How many segments it has.
     pub fn chunks(&self) -> usize {
-        self.0.len().div_ceil(SEGMENT_TASKS as usize / 8)
+        self.0.len().div_ceil(SEGMENT_BYTES)
     }
 
-    /// One chunk as text, without trailing zeros.
-    pub fn chunk(&self, chunk: usize) -> String {
-        let size = SEGMENT_TASKS as usize / 8;
-        let end = self.0.len().min((chunk + 1) * size);
-        let bytes = self.0.get(chunk * size..end).unwrap_or(&[]);
-        let used = bytes.iter().rposition(|b| *b != 0).map_or(0, |p| p + 1);
+    /// One segment as text, without trailing zeros.
+    pub fn chunk(&self, segment: usize) -> String {
+        let end = self.0.len().min((segment + 1) * SEGMENT_BYTES);
+        let bytes = self.0.get(segment * SEGMENT_BYTES..end).unwrap_or(&[]);
+        let last = bytes.iter().rposition(|byte| *byte != 0);
+        let used = last.map_or(0, |at| at + 1);
         STANDARD_NO_PAD.encode(&bytes[..used])
     }
 
-    /// Adds a chunk read from the store.
-    pub fn load(&mut self, chunk: usize, text: &str) {
-        let start = chunk * SEGMENT_TASKS as usize / 8;
-        if let Ok(bytes) = STANDARD_NO_PAD.decode(text) {
-            for (i, b) in bytes.iter().enumerate() {
-                if let Some(slot) = self.0.get_mut(start + i) {
-                    *slot |= b;
-                }
-            }
+    /// Adds the tasks of a stored segment. One that can't be read adds none, and
+    /// tasks past the end are left out.
+    pub fn load(&mut self, segment: usize, text: &str) {
+        let Ok(stored) = STANDARD_NO_PAD.decode(text) else {
+            return;
+        };
+        let own = self.0.iter_mut().skip(segment * SEGMENT_BYTES);
+        for (byte, stored) in own.zip(stored) {
+            *byte |= stored;
         }
     }
 
+    /// How many tasks are in the set.
     pub fn count(&self) -> u32 {
-        self.0.iter().map(|b| b.count_ones()).sum()
+        self.0.iter().map(|byte| byte.count_ones()).sum()
     }
 }
 
-/// Beside description and finished tasks: marks, a market's name, the time.
-const MARKS: usize = 320;
+/// What a job's record takes beside its spec and complete tasks: flags, the
+/// name of a market, the time.
+const RECORD_OVERHEAD_BYTES: usize = 320;
 
-/// Bytes that a record with the description in it may come to take.
+/// Bytes that a job's record with the spec in it may take at most.
 pub fn inline_record_size(spec: &JobSpec) -> usize {
-    let chunk = (spec.tasks.min(SEGMENT_TASKS) as usize).div_ceil(8) * 4 / 3 + 4;
+    let segment = (spec.tasks.min(SEGMENT_TASKS) as usize).div_ceil(8) * 4 / 3 + 4;
     let len = serde_json::to_vec(spec).map_or(usize::MAX / 2, |v| v.len());
-    len + chunk + MARKS
+    len + segment + RECORD_OVERHEAD_BYTES
 }
 
-/// Whether a record of that size can always be written.
-pub fn fits(size: usize, value_kb: f64) -> bool {
-    size as f64 <= value_kb * 1024.0
+/// Whether a record of so many bytes is within the limit on values.
+pub fn fits(bytes: usize, value_kb: f64) -> bool {
+    bytes as f64 <= value_kb * 1024.0
 }
--- a/src/state/resources.rs
+++ b/src/state/resources.rs
@@ -1,43 +1,55 @@
-//! Amounts of resources in thousandths, so that sums compare exactly.
+//! Amounts of CPUs, GPUs and memory in thousandths, so that sums compare
+//! exactly.
+//!
+//! Owns the rounding: needs up, offers down. Used wherever capacity is compared.
+//! Must never round so that a task fits where it does not.
 
 use std::ops::{AddAssign, SubAssign};
 
+/// What a task takes, or a machine or quota offers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub struct Resources {
+    /// CPUs, in thousandths.
     pub cpus: i64,
+    /// GPUs, in thousandths.
     pub gpus: i64,
+    /// Memory, in thousandths of a GB.
     pub memory: i64,
 }
 
-fn up(v: f64) -> i64 {
-    (v * 1000.0 - 1e-6).ceil() as i64
+/// What an amount may be off by, in thousandths, from how it was computed.
+const ROUNDING_TOLERANCE: f64 = 1e-6;
+
+fn thousandths_up(amount: f64) -> i64 {
+    (amount * 1000.0 - ROUNDING_TOLERANCE).ceil() as i64
 }
 
-fn down(v: f64) -> i64 {
-    (v * 1000.0 + 1e-6).floor() as i64
+fn thousandths_down(amount: f64) -> i64 {
+    (amount * 1000.0 + ROUNDING_TOLERANCE).floor() as i64
 }
 
 impl Resources {
     /// What a task takes: rounded up.
     pub fn need(cpus: f64, gpus: f64, memory_gb: f64) -> Self {
         Resources {
-            cpus: up(cpus),
-            gpus: up(gpus),
-            memory: up(memory_gb),
+            cpus: thousandths_up(cpus),
+            gpus: thousandths_up(gpus),
+            memory: thousandths_up(memory_gb),
         }
     }
 
     /// What a machine or a limit offers: rounded down.
     pub fn offer(cpus: f64, gpus: f64, memory_gb: f64) -> Self {
         Resources {
-            cpus: down(cpus),
-            gpus: down(gpus),
-            memory: down(memory_gb),
+            cpus: thousandths_down(cpus),
+            gpus: thousandths_down(gpus),
+            memory: thousandths_down(memory_gb),
         }
     }
 
-    pub fn fits(&self, room: &Resources) -> bool {
-        self.cpus <= room.cpus && self.gpus <= room.gpus && self.memory <= room.memory
+    /// Whether this fits into what is free.
+    pub fn fits(&self, free: &Resources) -> bool {
+        self.cpus <= free.cpus && self.gpus <= free.gpus && self.memory <= free.memory
     }
 
     /// Raises each amount to the other's.
@@ -56,12 +68,13 @@
         }
     }
 
+    /// The difference of each amount, which may be negative.
     pub fn minus(mut self, other: Resources) -> Resources {
         self -= other;
         self
     }
 
-    /// How many of `each` fit into this.
+    /// How many of `each` fit into this: as many as the scarcest amount allows.
     pub fn count(&self, each: &Resources) -> i64 {
         [
             (self.cpus, each.cpus),
@@ -69,60 +82,37 @@
             (self.memory, each.memory),
         ]
         .iter()
-        .filter(|(_, e)| *e > 0)
-        .map(|(r, e)| (r.max(&0)) / e)
+        .filter(|(_, needed)| *needed > 0)
+        .map(|(have, needed)| have.max(&0) / needed)
         .min()
         .unwrap_or(i64::MAX)
     }
 
-    pub fn scaled(self, n: i64) -> Resources {
+    /// What `count` of these take together.
+    pub fn scaled(self, count: i64) -> Resources {
         Resources {
-            cpus: self.cpus * n,
-            gpus: self.gpus * n,
-            memory: self.memory * n,
+            cpus: self.cpus * count,
+            gpus: self.gpus * count,
+            memory: self.memory * count,
         }
     }
 }
 
 impl AddAssign for Resources {
-    fn add_assign(&mut self, o: Resources) {
-        self.cpus += o.cpus;
-        self.gpus += o.gpus;
-        self.memory += o.memory;
+    fn add_assign(&mut self, other: Resources) {
+        self.cpus += other.cpus;
+        self.gpus += other.gpus;
+        self.memory += other.memory;
     }
 }
 
 impl SubAssign for Resources {
-    fn sub_assign(&mut self, o: Resources) {
-        self.cpus -= o.cpus;
-        self.gpus -= o.gpus;
-        self.memory -= o.memory;
+    fn sub_assign(&mut self, other: Resources) {
+        self.cpus -= other.cpus;
+        self.gpus -= other.gpus;
+        self.memory -= other.memory;
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn what_fits_any_machine_fits_the_most_that_is_free_of_each_resource() {
-        let mut rng = fastrand::Rng::with_seed(1);
-        let mut any = |most: i64| Resources {
-            cpus: rng.i64(0..=most),
-            gpus: rng.i64(0..=most),
-            memory: rng.i64(0..=most),
-        };
-        let (mut fitting, mut passed_over) = (0, 0);
-        for _ in 0..2000 {
-            let machines: Vec<Resources> = (0..5).map(|_| any(8)).collect();
-            let need = any(10);
-            let mut most = machines[0];
-            machines.iter().for_each(|m| most.widen(m));
-            let fits = machines.iter().any(|m| need.fits(m));
-            assert!(!fits || need.fits(&most), "{need:?} {machines:?}");
-            fitting += u32::from(fits);
-            passed_over += u32::from(!need.fits(&most));
-        }
-        assert!(fitting > 100 && passed_over > 100);
-    }
-}
+mod tests;
--- /dev/null
+++ b/src/state/resources/tests.rs
@@ -0,0 +1,23 @@
+use super::*;
+
+#[test]
+fn need_that_fits_any_machine_fits_the_widened_maximum() {
+    let mut rng = fastrand::Rng::with_seed(1);
+    let mut any = |most: i64| Resources {
+        cpus: rng.i64(0..=most),
+        gpus: rng.i64(0..=most),
+        memory: rng.i64(0..=most),
+    };
+    let (mut fitting, mut not_fitting) = (0, 0);
+    for _ in 0..2000 {
+        let machines: Vec<Resources> = (0..5).map(|_| any(8)).collect();
+        let need = any(10);
+        let mut most = machines[0];
+        machines.iter().for_each(|m| most.widen(m));
+        let fits = machines.iter().any(|m| need.fits(m));
+        assert!(!fits || need.fits(&most), "{need:?} {machines:?}");
+        fitting += u32::from(fits);
+        not_fitting += u32::from(!need.fits(&most));
+    }
+    assert!(fitting > 100 && not_fitting > 100);
+}
--- a/src/state/spec_chunks.rs
+++ b/src/state/spec_chunks.rs
@@ -1,7 +1,13 @@
-//! Descriptions of jobs too long for one value: kept in pieces under keys of
-//! their own, which never change, while the job's record names them and keeps
-//! what does change. Keys are made from what they hold, so that writing them
-//! again, in any order and by anybody, changes nothing.
+//! Specs of jobs too long for one value, cut into chunks under keys of their
+//! own. The chunks never change; the job's record names them, and holds what
+//! does change. Keys derive from the content, so that writing them again, in any
+//! order and by any controller, changes nothing.
+//!
+//! Owns the keys and the form of chunks. Called on submission, by persistence
+//! and as a new leader loads records. Must never change how the hash is made of
+//! the bytes: stored records name it.
+//!
+//! Stored names: `h` hash, `n` count.
 
 use crate::protocol::users::JobSpec;
 use anyhow::{Context, Result, ensure};
@@ -9,25 +15,29 @@
 use serde::{Deserialize, Serialize};
 use std::hash::{DefaultHasher, Hasher};
 
+/// Prefix of the keys of chunks.
 pub const SPEC_CHUNKS: &str = "p/";
-/// Bytes of a description in a piece: fits any allowed limit in base 64.
-const BYTES: usize = 1200;
+/// Bytes of a spec in one chunk: in base 64 it fits any allowed value limit.
+const CHUNK_BYTES: usize = 1200;
 
-/// What a job's record says of its description.
+/// What a job's record says of its spec.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SpecChunks {
-    /// From the description itself.
+    /// Of the spec, with its length.
     #[serde(rename = "h")]
     hash: String,
+    /// How many chunks there are.
     #[serde(rename = "n")]
     count: usize,
 }
 
 impl SpecChunks {
+    /// Prefix of the keys of these chunks.
     pub fn prefix(&self, id: &str) -> String {
         format!("{SPEC_CHUNKS}{id}/{}/", self.hash)
     }
 
+    /// Their keys, in order.
     pub fn keys(&self, id: &str) -> impl Iterator<Item = String> + use<> {
         let prefix = self.prefix(id);
         (0..self.count).map(move |n| format!("{prefix}{n:04}"))
@@ -39,28 +49,31 @@
         matches!(number, Some(Ok(n)) if n < self.count)
     }
 
-    /// The job that a piece's key belongs to.
+    /// The job that a chunk's key belongs to.
     pub fn job_of(key: &str) -> Option<&str> {
         Some(key.strip_prefix(SPEC_CHUNKS)?.split_once('/')?.0)
     }
 }
 
-/// What is to be written before a record may name the pieces.
+/// The chunks of a spec, and the keys and values to be written before a record
+/// may name them.
 pub fn cut(spec: &JobSpec) -> Result<(SpecChunks, Vec<(String, String)>)> {
     let bytes = serde_json::to_vec(spec)?;
     let mut hasher = DefaultHasher::new();
     hasher.write(&bytes);
-    let pieces = SpecChunks {
+    let chunks = SpecChunks {
         hash: format!("{:016x}{:x}", hasher.finish(), bytes.len()),
-        count: bytes.len().div_ceil(BYTES),
+        count: bytes.len().div_ceil(CHUNK_BYTES),
     };
-    let texts = bytes.chunks(BYTES).map(|c| STANDARD_NO_PAD.encode(c));
-    let values = pieces.keys(&spec.id).zip(texts).collect();
-    Ok((pieces, values))
+    let texts = bytes
+        .chunks(CHUNK_BYTES)
+        .map(|chunk| STANDARD_NO_PAD.encode(chunk));
+    let values = chunks.keys(&spec.id).zip(texts).collect();
+    Ok((chunks, values))
 }
 
-/// The description, from its pieces in order.
-pub fn join<'a>(pieces: &SpecChunks, values: impl Iterator<Item = &'a str>) -> Result<JobSpec> {
+/// The spec, from the values of its chunks in order.
+pub fn join<'a>(chunks: &SpecChunks, values: impl Iterator<Item = &'a str>) -> Result<JobSpec> {
     let mut bytes = Vec::new();
     let mut count = 0;
     for value in values {
@@ -68,6 +81,6 @@
         bytes.extend(part);
         count += 1;
     }
-    ensure!(count == pieces.count, "{count} pieces of {}", pieces.count);
+    ensure!(count == chunks.count, "{count} pieces of {}", chunks.count);
     serde_json::from_slice(&bytes).context("the pieces together")
 }
