--- a/src/control/leader/mod.rs
+++ b/src/control/leader/mod.rs
@@ -45,7 +45,7 @@
             ListedMachine, ListedState, MAX_MACHINES_PER_REQUEST, MachineRequest, MachineType,
         },
         settings::{Objective, Settings},
-        state::{Condition, Txn, Write},
+        state::Txn,
         status::Reason,
         users::{JobSpec, JobState, JobStatus, Kind, Priority},
         workers::{Command, DirectCommands, ExitReason, Heartbeat, HeartbeatResponse},
@@ -59,7 +59,7 @@
         dependencies::{DependencyGraph, Readiness},
         fault_attribution::{JobFailures, MachineFailures},
         offload::OffloadState,
-        records::{JobRecord, MachineRecord, TaskBitmap, job_key, machine_key, segment_key},
+        records::{JobRecord, MachineRecord, TaskBitmap, machine_key, segment_key},
         resources::Resources,
     },
 };
--- a/src/control/leader/offload.rs
+++ b/src/control/leader/offload.rs
@@ -1,45 +1,63 @@
-//! Jobs that are offloaded to neighbouring markets: which could be, the mark in
-//! their records, and what comes back.
+//! Jobs offloaded to the markets of neighbouring clusters: which may be, the
+//! target in their records, and what comes back.
+//!
+//! Owns the decision which jobs are offered and the writes that record or
+//! remove a target. Called by the market client through the control loop, and
+//! by persistence. Must never start a task here of a job whose record may name
+//! a target, nor confirm an offload before that is recorded.
 
-use super::{persistence::WriteBudget, *};
+use super::{
+    Leader, millis,
+    persistence::{self, WriteBudget, WriteIntent, WritePlan},
+};
 use crate::{
-    protocol::market::{Lendable, Marked},
+    protocol::{
+        market::{Lendable, Marked},
+        state::{Condition, Write},
+        status::Reason,
+        users::{JobSpec, Kind},
+    },
     state::{
+        cluster::Job,
         offload::{OffloadState, OffloadTarget},
-        records::award_key,
+        records::{award_key, job_key},
     },
 };
 
+/// Bytes of records after which a transaction of targets takes nothing more: of
+/// its 64 KiB, so that one more record and the conditions fit.
+const MAX_OFFLOAD_PLAN_BYTES: usize = 32 * 1024;
+/// Bytes of offers in one answer, which must fit a frame whatever names users
+/// chose.
+const MAX_OFFER_BYTES: usize = 64 * 1024;
+/// What an offer takes in a frame beside names and ranges, and each range.
+const OFFER_OVERHEAD_BYTES: usize = 500;
+const RANGE_BYTES: usize = 12;
+/// What the name of a machine type takes in a frame beside its text.
+const NAME_OVERHEAD_BYTES: usize = 4;
+/// Millionths of the price list's unit in one.
+const PRICE_SCALE: f64 = 1e6;
+
 impl Leader {
-    /// Waiting jobs that a broker may choose from, longest waiting first.
-    pub fn lendable(&self, most: usize) -> Vec<Lendable> {
-        // Only when it is settled, so that no job is held against each machine.
+    /// Waiting jobs that the market client may choose from, longest waiting
+    /// first, at most `max_offers`.
+    pub fn lendable(&self, max_offers: usize) -> Vec<Lendable> {
+        // Only when it is settled, so that no job may run on a machine that has
+        // sent no heartbeat.
         if !self.recovery.settled {
             return Vec::new();
         }
-        let mut list: Vec<(u32, &Job)> = Vec::new();
-        for (ix, j) in self.cluster.jobs.iter().enumerate() {
-            if let Some(j) = j
-                && j.waiting_count() > 0
-                && j.live_count == 0
-                && j.spec.kind != Kind::Service
-                && !j.cancelled
-                && !j.cancel_requested
-                && !j.failures.suspected
-                && matches!(
-                    j.reason,
-                    Reason::NoRoom | Reason::TeamLimit | Reason::GangIncomplete
-                )
-            {
-                list.push((ix as u32, j));
-            }
-        }
-        list.sort_by_key(|(ix, j)| (j.accepted_at_ms, *ix));
+        let jobs = self.cluster.jobs.iter().enumerate();
+        let mut candidates: Vec<(usize, &Job)> = jobs
+            .filter_map(|(ix, job)| Some((ix, job.as_ref()?)))
+            .filter(|(_, job)| may_be_offered(job))
+            .collect();
+        candidates.sort_by_key(|(ix, job)| (job.accepted_at_ms, *ix));
         let (mut offers, mut bytes) = (Vec::new(), 0);
-        for (_, j) in list.into_iter().take(most) {
-            let offer = self.offer(j);
-            bytes += size(&offer);
-            if bytes > MOST_BYTES {
+        for (_, job) in candidates.into_iter().take(max_offers) {
+            let offer = self.offer(job);
+            bytes += offer_bytes(&offer);
+            if bytes > MAX_OFFER_BYTES {
                 break;
             }
             offers.push(offer);
@@ -47,292 +65,306 @@
         offers
     }
 
-    fn offer(&self, j: &Job) -> Lendable {
-        let waited_ms = self.wall_ms.saturating_sub(j.accepted_at_ms);
-        let left = j
+    fn offer(&self, job: &Job) -> Lendable {
+        let waited_ms = self.wall_ms.saturating_sub(job.accepted_at_ms);
+        let left_ms = job
             .spec
             .deadline_s
-            .map(|d| (d * 1000.0) as i64 - waited_ms as i64);
-        let coming = j.supply_reason == Some(Reason::MachineBooting);
+            .map(|deadline_s| (deadline_s * 1000.0) as i64 - waited_ms as i64);
+        let machine_coming = job.supply_reason == Some(Reason::MachineBooting);
         Lendable {
             waited_ms,
-            left_ms: left,
-            here_ms: coming.then(|| millis(j.spec.estimate_s)),
-            rent: self.rent_for(j),
-            kept: self.guaranteed(j),
-            done: ranges(j),
-            // All that it needs is done.
+            left_ms,
+            here_ms: machine_coming.then(|| millis(job.spec.estimate_s)),
+            rent: self.cost_of_machines(job),
+            kept: self.fits_guarantee(job),
+            done: completed_ranges(job),
+            // All that it depends on is done.
             spec: JobSpec {
                 dependencies: Vec::new(),
-                ..j.spec.clone()
+                ..job.spec.clone()
             },
         }
     }
 
     /// What machines for the job would cost, in millionths of the price
-    /// list's unit: its share of the cheapest kind that it may use.
-    fn rent_for(&self, j: &Job) -> u64 {
+    /// list's unit: its share of the cheapest type that it may use.
+    fn cost_of_machines(&self, job: &Job) -> u64 {
+        let spec = &job.spec;
         let share = |need: f64, have: f64| if need > 0.0 { need / have } else { 0.0 };
-        let hours = j.spec.estimate_s.max(1.0) / 3600.0;
-        let each = self
+        let hours = spec.estimate_s.max(1.0) / 3600.0;
+        let task_hour = self
             .cluster
             .types
             .iter()
-            .zip(&j.types)
-            .filter(|(t, allowed)| **allowed && t.cpus >= j.spec.cpus && t.gpus >= j.spec.gpus)
-            .map(|(t, _)| {
-                let part = share(j.spec.cpus, t.cpus)
-                    .max(share(j.spec.gpus, t.gpus))
-                    .max(share(j.spec.memory_gb, t.memory_gb));
-                part * t.price_of(j.spec.spot)
+            .zip(&job.types)
+            .filter(|(offered, allowed)| {
+                **allowed && offered.cpus >= spec.cpus && offered.gpus >= spec.gpus
+            })
+            .map(|(offered, _)| {
+                let largest_share = share(spec.cpus, offered.cpus)
+                    .max(share(spec.gpus, offered.gpus))
+                    .max(share(spec.memory_gb, offered.memory_gb));
+                largest_share * offered.price_of(spec.spot)
             })
             .fold(f64::INFINITY, f64::min);
-        let cost = each * hours * f64::from(j.waiting_count()) * 1e6;
+        let cost = task_hour * hours * f64::from(job.waiting_count()) * PRICE_SCALE;
         if cost.is_finite() { cost as u64 } else { 0 }
     }
 
-    /// Whether the job fits into what its team is guaranteed beside what the
+    /// Whether the job fits into what its team is guaranteed, beside what the
     /// team runs.
-    fn guaranteed(&self, j: &Job) -> bool {
-        let Some((team, used)) = self
-            .cluster
-            .teams
-            .get(j.team)
-            .zip(self.cluster.team_usage.get(j.team))
-        else {
+    fn fits_guarantee(&self, job: &Job) -> bool {
+        let teams = self.cluster.teams.get(job.team);
+        let Some((team, used)) = teams.zip(self.cluster.team_usage.get(job.team)) else {
             return false;
         };
-        let mut all = j.need.scaled(i64::from(j.waiting_count()));
-        all += *used;
-        let within = |used: i64, most: f64| used as f64 <= most * 1000.0;
-        within(all.cpus, team.cpus) && within(all.gpus, team.gpus)
+        let mut total = job.need.scaled(i64::from(job.waiting_count()));
+        total += *used;
+        let within = |total: i64, guaranteed: f64| total as f64 <= guaranteed * 1000.0;
+        within(total.cpus, team.cpus) && within(total.gpus, team.gpus)
     }
 
-    /// Those of a broker's jobs that it is to call back: over, cancelled, or
-    /// not marked as its.
-    pub fn not_needed(&self, lent: &[(String, u64)]) -> Vec<String> {
+    /// Those of the market client's jobs, with their awards, that it is to call
+    /// back: over, cancelled, or offloaded by another award.
+    pub fn not_needed(&self, offloaded: &[(String, u64)]) -> Vec<String> {
         let needed = |id: &str, award: u64| {
             let job = self
                 .cluster
                 .job_index(id)
                 .and_then(|ix| self.cluster.job(ix));
-            job.is_some_and(|j| {
-                !j.cancelled
-                    && !j.cancel_requested
-                    && j.offload.target().is_none_or(|l| l.award == award)
+            job.is_some_and(|job| {
+                !job.cancelled
+                    && !job.cancel_requested
+                    && job.offload.target().is_none_or(|t| t.award == award)
             })
         };
-        let idle = lent.iter().filter(|(id, award)| !needed(id, *award));
-        idle.map(|(id, _)| id.clone()).collect()
+        let unneeded = offloaded.iter().filter(|(id, award)| !needed(id, *award));
+        unneeded.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Asks for the mark, or how it stands with it. `version`: of the award's
-    /// record, which the mark's write is guarded on.
-    pub fn lend(&mut self, id: &str, lent: OffloadTarget, version: u64) -> Marked {
+    /// Asks for the target to be recorded, or whether it is. `version`: of the
+    /// award's record, which the write is on condition of.
+    pub fn lend(&mut self, id: &str, target: OffloadTarget, version: u64) -> Marked {
         let Some(ix) = self.cluster.job_index(id) else {
             return Marked::No;
         };
-        let Some(j) = self.cluster.job(ix) else {
+        let Some(job) = self.cluster.job(ix) else {
             return Marked::No;
         };
-        match &j.offload {
-            OffloadState::Offloaded(l) if *l == lent => return Marked::Yes,
-            OffloadState::Offloading { target: l, .. } if *l == lent => return Marked::NotYet,
+        match &job.offload {
+            OffloadState::Offloaded(known) if *known == target => return Marked::Yes,
+            OffloadState::Offloading { target: known, .. } if *known == target => {
+                return Marked::NotYet;
+            }
             OffloadState::Local => {}
-            OffloadState::Refused(award) if *award != lent.award => {}
+            OffloadState::Refused(award) if *award != target.award => {}
             _ => return Marked::No,
         }
-        let free = j.live_count == 0
-            && j.waiting_count() > 0
-            && !j.cancelled
-            && !j.cancel_requested
-            && !j.ending_in_flight
-            && j.spec.kind != Kind::Service
-            && self.job_settled(j);
-        if !free {
+        let may_leave = job.live_count == 0
+            && job.waiting_count() > 0
+            && !job.cancelled
+            && !job.cancel_requested
+            && !job.ending_in_flight
+            && job.spec.kind != Kind::Service
+            && self.job_settled(job);
+        if !may_leave {
             return Marked::No;
         }
-        if let Some(j) = self.cluster.job_mut(ix) {
-            j.offload = OffloadState::Offloading {
-                target: lent,
-                version,
-            };
-            j.reason = Reason::Lent;
+        if let Some(job) = self.cluster.job_mut(ix) {
+            job.offload = OffloadState::Offloading { target, version };
+            job.reason = Reason::Lent;
             self.write_queue.offload_changes.push(ix);
             self.changed = true;
         }
         Marked::NotYet
     }
 
-    /// Keeps what is done of a job that comes back, and lifts the mark. Says
-    /// whether that is durable, or there is nothing to lift.
-    pub fn take_back(&mut self, id: &str, award: u64, done: &[(u32, u32)]) -> bool {
-        if done.iter().any(|(first, last)| first > last) {
+    /// Takes over the complete tasks, as ranges, of a job that comes back, and
+    /// has its target removed. Returns whether that is durable, or there is
+    /// nothing to remove.
+    pub fn take_back(&mut self, id: &str, award: u64, completed: &[(u32, u32)]) -> bool {
+        if completed.iter().any(|(first, last)| first > last) {
             return false;
         }
         let Some(ix) = self.cluster.job_index(id) else {
             return true;
         };
-        let Some(j) = self.cluster.job_mut(ix) else {
+        let Some(job) = self.cluster.job_mut(ix) else {
             return true;
         };
-        match &j.offload {
-            OffloadState::Offloaded(l) if l.award == award => {
-                let lent = l.clone();
-                // Of a gang all is done or nothing.
-                let count: u64 = done.iter().map(|(a, b)| u64::from(b - a) + 1).sum();
-                let part = j.spec.kind == Kind::Gang && count < u64::from(j.spec.tasks);
-                let done = if part { &[] } else { done };
-                for (first, last) in done {
-                    for task in *first..=(*last).min(j.spec.tasks.saturating_sub(1)) {
-                        j.mark_done(task);
-                    }
-                }
-                j.offload = OffloadState::Returning(lent);
-                j.reason = Reason::New;
+        match &job.offload {
+            OffloadState::Offloaded(target) if target.award == award => {
+                let target = target.clone();
+                mark_completed_ranges(job, completed);
+                job.offload = OffloadState::Returning(target);
+                job.reason = Reason::New;
                 self.write_queue.offload_changes.push(ix);
                 self.changed = true;
                 false
             }
-            // The award's end is recorded: the mark's write fails, unless it
-            // was applied before.
-            OffloadState::Offloading { target: lent, .. } | OffloadState::Returning(lent) => {
-                lent.award != award
+            // The award's end is recorded: the write of the target fails,
+            // unless it was applied before.
+            OffloadState::Offloading { target, .. } | OffloadState::Returning(target) => {
+                target.award != award
             }
             _ => true,
         }
     }
 
-    /// Marks to be set, in transactions of their own: a guard on an award that
-    /// has ended must not hold up anything else. Of those in one transaction,
-    /// the ones that made it fail are known once its keys have been read.
-    pub(super) fn plan_offloads(&mut self, room: usize) -> Option<WritePlan> {
+    /// Targets to be recorded, in transactions of their own: a condition on an
+    /// award that has ended must not hold up anything else. Which of those in
+    /// one transaction made it fail is known once its keys have been read.
+    pub(super) fn plan_offloads(&mut self, max_writes: usize) -> Option<WritePlan> {
+        // In turn with other writes.
         if std::mem::replace(&mut self.write_queue.offloads_went_last, false) {
             return None;
         }
         let mut plan = self.empty_plan();
-        let room = room.min(self.settings.cluster.state.always().txn_ops);
-        let value_kb = self.settings.cluster.state.always().value_kb;
+        let limits = self.settings.cluster.state.always();
+        let max_writes = max_writes.min(limits.txn_ops);
+        let value_kb = limits.value_kb;
         let mut bytes = 0;
-        for n in 0..self.write_queue.offload_changes.len() {
-            let ix = self.write_queue.offload_changes[n];
-            let Some(j) = self.cluster.job_mut(ix).filter(|j| !j.write_in_flight) else {
+        for ix in &self.write_queue.offload_changes {
+            let job = self.cluster.job_mut(*ix);
+            let Some(job) = job.filter(|job| !job.write_in_flight) else {
                 continue;
             };
-            let OffloadState::Offloading {
-                target: lent,
-                version,
-            } = &j.offload
-            else {
+            let OffloadState::Offloading { target, version } = &job.offload else {
                 continue;
             };
-            if plan.txn.writes.len() >= room || bytes > MARK_BYTES {
+            if plan.txn.writes.len() >= max_writes || bytes > MAX_OFFLOAD_PLAN_BYTES {
                 break;
             }
-            if j.cancel_requested || self.spec_uploads.is_due(j, value_kb) {
+            if job.cancel_requested || self.spec_uploads.is_due(job, value_kb) {
                 continue;
             }
-            let award = Condition {
-                key: award_key(&j.id),
+            plan.txn.conditions.push(job.record_condition());
+            plan.txn.conditions.push(Condition {
+                key: award_key(&job.id),
                 version: *version,
-            };
-            plan.txn.conditions.push(j.record_condition());
-            plan.txn.conditions.push(award);
-            let value = persistence::job_record(j, j.cancelled, Some(lent.clone()));
+            });
+            let value = persistence::job_record(job, job.cancelled, Some(target.clone()));
             bytes += value.to_string().len();
             plan.txn.writes.push(Write::Put {
-                key: job_key(&j.id),
+                key: job_key(&job.id),
                 value,
                 lease: None,
             });
             plan.intents.push(WriteIntent::Offload {
-                job: ix,
-                id: j.id.clone(),
+                job: *ix,
+                id: job.id.clone(),
             });
-            j.write_in_flight = true;
+            job.write_in_flight = true;
         }
         self.write_queue.offload_changes.retain(|ix| {
-            self.cluster
-                .job(*ix)
-                .is_some_and(|j| j.offload.has_pending_change())
+            let job = self.cluster.job(*ix);
+            job.is_some_and(|job| job.offload.has_pending_change())
         });
         self.write_queue.offloads_went_last = !plan.intents.is_empty();
         (!plan.txn.writes.is_empty()).then_some(plan)
     }
 
-    /// Marks to be lifted, once all that came back is recorded.
+    /// Targets to be removed, once all that came back is recorded.
     pub(super) fn plan_offload_removals(&mut self, plan: &mut WritePlan, budget: &WriteBudget) {
         let value_kb = self.settings.cluster.state.always().value_kb;
-        for n in 0..self.write_queue.offload_changes.len() {
-            let ix = self.write_queue.offload_changes[n];
-            let Some(j) = self.cluster.job_mut(ix) else {
+        for ix in &self.write_queue.offload_changes {
+            let Some(job) = self.cluster.job_mut(*ix) else {
                 continue;
             };
-            let due = matches!(j.offload, OffloadState::Returning(_))
-                && !j.write_in_flight
-                && !j.is_dirty()
-                && !j.is_complete()
-                && !j.cancelled
-                && !self.spec_uploads.is_due(j, value_kb);
+            let due = matches!(job.offload, OffloadState::Returning(_))
+                && !job.write_in_flight
+                && !job.is_dirty()
+                && !job.is_complete()
+                && !job.cancelled
+                && !self.spec_uploads.is_due(job, value_kb);
             if due && budget.has_write(plan) {
-                plan.txn.conditions.push(j.record_condition());
+                plan.txn.conditions.push(job.record_condition());
                 plan.txn.writes.push(Write::Put {
-                    key: job_key(&j.id),
-                    value: persistence::job_record(j, false, None),
+                    key: job_key(&job.id),
+                    value: persistence::job_record(job, false, None),
                     lease: None,
                 });
                 plan.intents.push(WriteIntent::EndOffload {
-                    job: ix,
-                    id: j.id.clone(),
+                    job: *ix,
+                    id: job.id.clone(),
                 });
-                j.write_in_flight = true;
+                job.write_in_flight = true;
             }
         }
     }
 
-    /// The award's record as it stands: once it has another version, the mark
-    /// can't be set any more.
+    /// The version of the award's record: once it has another one than the
+    /// target's write is on condition of, the target can't be recorded any more.
     pub(super) fn award_seen(&mut self, id: &str, found: u64) {
-        if let Some(j) = self
+        if let Some(job) = self
             .cluster
             .job_index(id)
             .and_then(|ix| self.cluster.job_mut(ix))
-            && let OffloadState::Offloading { version, .. } = j.offload
+            && let OffloadState::Offloading { version, .. } = job.offload
             && version != found
         {
-            j.offload.mark_refused();
-            j.reason = Reason::New;
+            job.offload.mark_refused();
+            job.reason = Reason::New;
         }
     }
 }
 
-/// Of a transaction's 64 KiB, so that one more record and the guards fit.
-const MARK_BYTES: usize = 32 * 1024;
-/// An answer must fit a frame, whatever names users chose.
-const MOST_BYTES: usize = 64 * 1024;
+/// Whether the job waits for nothing but capacity or quota.
+fn may_be_offered(job: &Job) -> bool {
+    job.waiting_count() > 0
+        && job.live_count == 0
+        && job.spec.kind != Kind::Service
+        && !job.cancelled
+        && !job.cancel_requested
+        && !job.failures.suspected
+        && matches!(
+            job.reason,
+            Reason::NoRoom | Reason::TeamLimit | Reason::GangIncomplete
+        )
+}
 
 /// About what an offer takes in a frame.
-fn size(o: &Lendable) -> usize {
-    let types = o.spec.types.iter().flatten();
-    let names = types.map(|t| t.len() + 4).sum::<usize>()
-        + o.spec.class.len()
-        + o.spec.team.len()
-        + o.spec.image.len()
-        + o.spec.zone.as_ref().map_or(0, String::len);
-    500 + names + o.done.len() * 12
+fn offer_bytes(offer: &Lendable) -> usize {
+    let spec = &offer.spec;
+    let types = spec.types.iter().flatten();
+    let names = types
+        .map(|name| name.len() + NAME_OVERHEAD_BYTES)
+        .sum::<usize>()
+        + spec.class.len()
+        + spec.team.len()
+        + spec.image.len()
+        + spec.zone.as_ref().map_or(0, String::len);
+    OFFER_OVERHEAD_BYTES + names + offer.done.len() * RANGE_BYTES
+}
+
+/// Complete tasks as sorted ranges, both ends included.
+fn completed_ranges(job: &Job) -> Vec<(u32, u32)> {
+    let mut ranges: Vec<(u32, u32)> = Vec::new();
+    if job.completed_count == 0 {
+        return ranges;
+    }
+    for task in (0..job.spec.tasks).filter(|task| job.completed.get(*task)) {
+        match ranges.last_mut() {
+            Some((_, last)) if *last + 1 == task => *last = task,
+            _ => ranges.push((task, task)),
+        }
+    }
+    ranges
 }
 
-/// Finished tasks as sorted ranges, both ends included.
-fn ranges(j: &Job) -> Vec<(u32, u32)> {
-    let mut list: Vec<(u32, u32)> = Vec::new();
-    if j.completed_count == 0 {
-        return list;
+/// Marks tasks in these ranges as done; of a gang all or none.
+fn mark_completed_ranges(job: &mut Job, ranges: &[(u32, u32)]) {
+    let tasks: u64 = ranges
+        .iter()
+        .map(|(first, last)| u64::from(last - first) + 1)
+        .sum();
+    if job.spec.kind == Kind::Gang && tasks < u64::from(job.spec.tasks) {
+        return;
     }
-    for n in (0..j.spec.tasks).filter(|n| j.completed.get(*n)) {
-        match list.last_mut() {
-            Some((_, last)) if *last + 1 == n => *last = n,
-            _ => list.push((n, n)),
+    for (first, last) in ranges {
+        for task in *first..=(*last).min(job.spec.tasks.saturating_sub(1)) {
+            job.mark_done(task);
         }
     }
-    list
 }
