--- a/src/control/election.rs
+++ b/src/control/election.rs
@@ -1,117 +1,152 @@
-//! Leader election: who leads, and until when. The leader's key stands in the state service
-//! under a lease; authority ends a margin before the lease can. While the state
-//! service fails all nodes alike, their promises prolong it, as far as the
-//! leader can know of every cancellation that a user was told of.
+//! Leader election and the leader's authority, as a state machine without I/O.
+//!
+//! The leader's key stands in the key-value store under a lease. A leader may
+//! act until shortly before that lease can expire. While the store fails all
+//! controllers alike, promises of the other controllers extend its authority,
+//! but no longer than [`SafetyBounds::max_staleness`] after the last moment at
+//! which it surely knew of every cancellation.
+//!
+//! Owns: this process's term, its lease and authority, its promise to others,
+//! and what it last learned of who leads. Called by `server::leadership` (the
+//! campaign, renewals, promises), by `server` to find the current leader, and by
+//! the simulation in `tests/`.
+//!
+//! Must never: grant a promise while this process leads or an attempt of its own
+//! may still succeed; extend an authority that has ended, except by a renewal of
+//! the lease; campaign before a promise that an earlier process of this node may
+//! have granted has expired.
 
 use super::safety_bounds::{SafetyBounds, at_least, at_most};
 use crate::state::Millis;
 
-/// Life of the lease behind the leader's key.
+/// Time to live of the lease under the leader's key.
 pub const LEASE_TTL_MS: Millis = 4000;
-/// How long it holds what was last read or told of who leads.
+/// How long an observed leader, or a leader hint of a peer, is used.
 const LEADER_HINT_TTL_MS: Millis = 2_000;
-/// How long a node that is placed poorly leaves leadership to others.
+/// How long a node in an unfavourable failover position leaves a vacant
+/// leadership to others.
 const CANDIDACY_DELAY_MS: Millis = 500;
-/// The same for one that gives up leadership for its place.
+/// How long a leader abstains after it yielded for its failover position.
 const YIELD_PAUSE_MS: Millis = 1500;
+/// Shortest time between two such yields of one process.
 const YIELD_INTERVAL_MS: Millis = 120_000;
-/// How long it waits for a standby to be warm first.
+/// How long a leader that would yield waits for a warm standby.
 const WARM_STANDBY_WAIT_MS: Millis = 5_000;
-/// How long a promise not to seek leadership holds.
+/// How long a promise not to campaign holds.
 pub const PROMISE_MS: Millis = 1300;
 
-/// How long the answer to a renewal is waited for: where the state service is
-/// slow, others are asked meanwhile, and it counts from when it was sent.
+/// How long the leader waits for the answer to a renewal. Peers are asked for
+/// promises meanwhile, and a late success counts from when it was sent.
 pub const RENEWAL_TIMEOUT_MS: Millis = 2_500;
-/// How long a step of campaigning may take.
+/// How long one step of a campaign may take.
 pub const CAMPAIGN_STEP_TIMEOUT_MS: Millis = 1_200;
-/// How long a node that is asked for a promise waits for the state service.
+/// How long a node that is asked for a promise waits for the key-value store.
 pub const PROMISE_CHECK_TIMEOUT_MS: Millis = 400;
 
-/// How another node answered, asked by a leader that can't reach the state
-/// service.
+/// A peer's answer to a leader that asks for a promise.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PromiseResponse {
-    /// It seeks nothing for a while. `begun`: its process, which has led no
-    /// later term, had begun by then, as it says itself.
+    /// The peer doesn't campaign for [`PROMISE_MS`]. `started_by`: its process,
+    /// which has led no later term, had started by then, as it states itself.
     Granted { started_by: Option<Millis> },
-    /// It can't seek anything before `until`, as the state service holds.
+    /// An exclusion in the key-value store keeps the peer from being elected
+    /// before `until`.
     Excluded { until: Millis },
-    /// Its own requests succeed.
+    /// The peer's own requests to the key-value store succeed.
     StoreReachable,
     /// No promise, or no answer.
     Refused,
 }
 
-/// What promises came to.
+/// Result of one round of promises.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PromiseOutcome {
+    /// The leader may go on acting.
     Extended,
     /// A promise is missing, or they came when authority had ended.
     NotExtended,
-    /// Another node is served: if a renewal that begins now fails, this one is
-    /// refused alone.
+    /// A peer reaches the key-value store: if a renewal that begins now fails,
+    /// the store fails this node alone.
     RefusedAlone,
-    /// It may have missed cancellations for as long as it may.
+    /// Authority has ended, as later cancellations may be unknown for longer
+    /// than the staleness bound.
     CancellationsUnknown,
 }
 
+/// The election state of this process.
 #[derive(Debug)]
 pub struct Election {
-    pub me: String,
+    /// This node's name in the leader's key.
+    pub node_name: String,
+    /// Random number of this process, which tells it from earlier ones of this
+    /// node.
     pub incarnation: u64,
     bounds: SafetyBounds,
     process_started: Millis,
-    /// The term this process leads, with the state service's lease.
+    /// The term this process leads, with its lease.
     leadership: Option<Leadership>,
-    /// Leader and term as last read, and when that was.
+    /// Leader and term as last read from the leader's key.
     pub observed_leader: Option<(String, u64)>,
     observed_at: Millis,
-    /// When a leader was last read there.
+    /// When the key was last seen to hold a leader.
     last_led_at: Millis,
-    /// The same as another node last said.
+    /// Leader and term as a peer last reported them.
     leader_hint: Option<(String, u64)>,
     leader_hint_at: Millis,
     promised_until: Millis,
-    /// An attempt to become leader had no answer: the lease under which it
-    /// was made. Until that is surely over, it may still succeed.
+    /// Lease of an attempt to become leader whose outcome is unknown. Until that
+    /// lease has surely ended, the attempt may still succeed.
     pub indeterminate_lease: Option<u64>,
-    /// A term whose leader said that it has stopped.
+    /// A term whose leader announced that it has stopped.
     resigned_term: Option<u64>,
     highest_term: u64,
     abstain_until: Millis,
-    /// Since when the lead could be sought; a node that is placed poorly
-    /// gives the others some time.
+    /// Since when leadership could be campaigned for, from which
+    /// [`CANDIDACY_DELAY_MS`] counts.
     vacant_since: Option<Millis>,
-    /// When it last gave up leadership for its place alone.
+    /// When this process last yielded for its failover position.
     last_yield: Option<Millis>,
-    /// Since when it leads in a poor place.
+    /// Since when this leader is in an unfavourable failover position.
     unfavourable_since: Option<Millis>,
 }
 
+/// A term that this process leads, and its authority in it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Leadership {
+    /// Revision of the leader's key; the fencing token of every write.
     pub term: u64,
+    /// The lease under the leader's key.
     pub lease: u64,
     valid_until: Millis,
-    /// Up to then no later term had begun, so that this leader knows of every
-    /// cancellation: only leaders write any, under the guard of their key.
+    /// No later term had begun by then, so that this leader knows of every
+    /// cancellation: only leaders write any, conditional on their key.
     cancellations_known_until: Millis,
-    /// When another node said, since the last renewal, that it is served.
+    /// When a peer first reported, since the last renewal, that it reaches the
+    /// key-value store.
     peer_served_at: Option<Millis>,
     basis: AuthorityBasis,
 }
 
-/// By what a leader may act.
+/// What the leader's authority rests on, and when it ends.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct Authority {
+    /// What last extended it.
+    pub basis: AuthorityBasis,
+    /// The leader may act before this time.
+    pub valid_until: Millis,
+}
+
+/// What a leader's authority rests on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum AuthorityBasis {
-    /// The state service renewed its lease.
+    /// The key-value store renewed its lease.
     LeaseRenewal,
-    /// All other nodes promised to seek nothing.
+    /// All other controllers promised not to campaign, or are excluded.
     PeerPromises,
 }
 
 impl AuthorityBasis {
+    /// Label value of metrics and log text. Dashboards depend on it.
     pub fn text(self) -> &'static str {
         match self {
             AuthorityBasis::LeaseRenewal => "renewal",
@@ -121,21 +156,79 @@
 }
 
 impl Leadership {
-    /// By what this leader may act, and until when.
-    pub fn authority(&self) -> (AuthorityBasis, Millis) {
-        (self.basis, self.valid_until)
+    /// The authority of this term, which may have ended.
+    pub fn authority(&self) -> Authority {
+        Authority {
+            basis: self.basis,
+            valid_until: self.valid_until,
+        }
     }
 
-    /// Up to when it surely knows of every cancellation.
+    /// Until when the leader surely knows of every cancellation.
     pub fn cancellations_known_until(&self) -> Millis {
         self.cancellations_known_until
     }
+
+    /// Applies complete promises that were requested at `sent`.
+    fn apply_promises(&mut self, promises: &PromiseRound, sent: Millis, max_staleness: Millis) {
+        if promises.no_later_term {
+            self.cancellations_known_until = self.cancellations_known_until.max(sent);
+        }
+        let promised_until = (sent + at_least(PROMISE_MS))
+            .min(promises.exclusions_until)
+            .min(self.cancellations_known_until + max_staleness);
+        if promised_until > self.valid_until {
+            self.valid_until = promised_until;
+            self.basis = AuthorityBasis::PeerPromises;
+        }
+    }
+}
+
+/// What the peers' answers of one round amount to.
+struct PromiseRound {
+    /// Every peer has promised or is excluded.
+    complete: bool,
+    /// Every peer's process states that it led no later term, and has run since
+    /// before the cancellations known to this leader end.
+    no_later_term: bool,
+    /// The earliest end of an exclusion that is counted.
+    exclusions_until: Millis,
+}
+
+impl PromiseRound {
+    /// `None`: a peer reaches the key-value store.
+    fn collect(
+        responses: impl IntoIterator<Item = PromiseResponse>,
+        cancellations_known_until: Millis,
+    ) -> Option<Self> {
+        let mut round = PromiseRound {
+            complete: true,
+            no_later_term: true,
+            exclusions_until: Millis::MAX,
+        };
+        for response in responses {
+            match response {
+                PromiseResponse::Granted { started_by } => {
+                    round.no_later_term &=
+                        started_by.is_some_and(|started| started < cancellations_known_until);
+                }
+                PromiseResponse::Excluded { until } => {
+                    round.no_later_term = false;
+                    round.exclusions_until = round.exclusions_until.min(until);
+                }
+                PromiseResponse::StoreReachable => return None,
+                PromiseResponse::Refused => round.complete = false,
+            }
+        }
+        Some(round)
+    }
 }
 
 impl Election {
-    pub fn new(me: &str, incarnation: u64, bounds: SafetyBounds, now: Millis) -> Self {
+    /// For a process that starts at `now` and may have granted promises before.
+    pub fn new(node_name: &str, incarnation: u64, bounds: SafetyBounds, now: Millis) -> Self {
         Election {
-            me: me.to_owned(),
+            node_name: node_name.to_owned(),
             incarnation,
             bounds,
             process_started: now,
@@ -156,18 +249,19 @@
         }
     }
 
+    /// The term this process leads, whether its authority still holds or not.
     pub fn leadership(&self) -> Option<Leadership> {
         self.leadership
     }
 
-    /// The term in which this process may act right now.
+    /// The term in which this process may act at `now`.
     pub fn authority(&self, now: Millis) -> Option<u64> {
         self.leadership
-            .filter(|l| now < l.valid_until)
-            .map(|l| l.term)
+            .filter(|leadership| now < leadership.valid_until)
+            .map(|leadership| leadership.term)
     }
 
-    /// The key was read from the state service.
+    /// Records the leader's key as read from the key-value store.
     pub fn observe_leader(&mut self, leader: Option<(String, u64)>, now: Millis) {
         self.observed_at = now;
         if let Some((_, term)) = &leader {
@@ -180,48 +274,55 @@
         self.observed_leader = leader;
     }
 
-    /// Since when nobody was seen to lead; at most since this process began.
+    /// For how long no leader was observed; at most since this process started.
     pub fn leaderless_for(&self, now: Millis) -> Millis {
         now.saturating_sub(self.last_led_at)
     }
 
-    /// Another node says who leads.
+    /// Records who leads according to a peer. A hint that is still in use gives
+    /// way only to one of the same or a later term.
     pub fn receive_leader_hint(&mut self, leader: Option<(String, u64)>, now: Millis) {
-        let newer = |a: &(String, u64), b: &Option<(String, u64)>| {
-            b.as_ref().is_none_or(|(_, term)| a.1 >= *term)
+        let Some(leader) = leader else {
+            return;
         };
-        let stale = now > self.leader_hint_at + LEADER_HINT_TTL_MS;
-        if let Some(leader) = leader.filter(|l| stale || newer(l, &self.leader_hint)) {
+        let expired = now > self.leader_hint_at + LEADER_HINT_TTL_MS;
+        let supersedes = self
+            .leader_hint
+            .as_ref()
+            .is_none_or(|(_, known_term)| leader.1 >= *known_term);
+        if expired || supersedes {
             self.leader_hint = Some(leader);
             self.leader_hint_at = now;
         }
     }
 
-    /// Who leads, to send others there: as the state service says, or, while
-    /// that can't be asked, as the other nodes do. Guards against a node that
-    /// is cut off from the state service and sends workers to any other,
-    /// though that may be a leader which can't hear them.
+    /// The leader to which others are redirected: as read from the key-value
+    /// store or, while that can't be read, as the peers report it if that is of
+    /// a later term. Without the hints, a node that is cut off from the store
+    /// would redirect workers to an old leader, which they may be unable to
+    /// reach.
     pub fn leader(&self, now: Millis) -> Option<(&str, u64)> {
-        let read = now <= self.observed_at + LEADER_HINT_TTL_MS;
-        let told = self.leader_hint.as_ref();
-        let told = told.filter(|_| !read && now <= self.leader_hint_at + LEADER_HINT_TTL_MS);
-        let latest = self
-            .observed_leader
+        let observed_lately = now <= self.observed_at + LEADER_HINT_TTL_MS;
+        let hint_is_used = !observed_lately && now <= self.leader_hint_at + LEADER_HINT_TTL_MS;
+        let hint = self.leader_hint.as_ref().filter(|_| hint_is_used);
+        self.observed_leader
             .iter()
-            .chain(told)
-            .max_by_key(|(_, term)| *term);
-        latest.map(|(name, term)| (name.as_str(), *term))
+            .chain(hint)
+            .max_by_key(|(_, term)| *term)
+            .map(|(name, term)| (name.as_str(), *term))
     }
 
-    /// With which version of the leader's key may this node try to replace
-    /// it? 0: it must not exist.
+    /// The version of the leader's key that this node may try to replace now;
+    /// 0 means that the key must not exist.
     pub fn may_campaign(&self, now: Millis) -> Option<u64> {
-        // A process that has just started may have forgotten a promise.
+        // An earlier process of this node may have granted a promise just before
+        // this one started.
+        let restart_pause_until = self.process_started + at_most(PROMISE_MS);
         if self.leadership.is_some()
             || self.indeterminate_lease.is_some()
             || now < self.promised_until
             || now < self.abstain_until
-            || now < self.process_started + at_most(PROMISE_MS)
+            || now < restart_pause_until
         {
             return None;
         }
@@ -232,27 +333,33 @@
         }
     }
 
-    /// Whether a node that may campaign leaves it to others first.
-    pub fn delays_candidacy(&mut self, now: Millis, poor_place: impl Fn() -> bool) -> bool {
-        let since = *self.vacant_since.get_or_insert(now);
-        now < since + CANDIDACY_DELAY_MS && poor_place()
+    /// Whether a node that may campaign first leaves the vacancy to others.
+    pub fn delays_candidacy(&mut self, now: Millis, unfavourable: impl Fn() -> bool) -> bool {
+        let vacant_since = *self.vacant_since.get_or_insert(now);
+        now < vacant_since + CANDIDACY_DELAY_MS && unfavourable()
     }
 
-    /// A leader that is placed poorly lets another try, once in a while: if
-    /// none does, leadership must not go to and fro for it. It waits a little
-    /// for one that is `warm`, as any other would have to hear all machines.
-    pub fn yields_leadership(&mut self, poor: bool, warm: bool, now: Millis) -> bool {
-        if !poor {
+    /// Whether a leader in an unfavourable failover position yields now. It does
+    /// so rarely, as leadership must not alternate where no other node takes it,
+    /// and prefers to wait for a warm standby: a cold successor would have to
+    /// receive a heartbeat of every machine first.
+    pub fn yields_leadership(
+        &mut self,
+        unfavourable: bool,
+        warm_standby: bool,
+        now: Millis,
+    ) -> bool {
+        if !unfavourable {
             self.unfavourable_since = None;
             return false;
         }
-        let since = *self.unfavourable_since.get_or_insert(now);
-        if !warm && now < since + WARM_STANDBY_WAIT_MS {
+        let unfavourable_since = *self.unfavourable_since.get_or_insert(now);
+        if !warm_standby && now < unfavourable_since + WARM_STANDBY_WAIT_MS {
             return false;
         }
         if self
             .last_yield
-            .is_some_and(|at| now < at + YIELD_INTERVAL_MS)
+            .is_some_and(|yielded_at| now < yielded_at + YIELD_INTERVAL_MS)
         {
             return false;
         }
@@ -261,99 +368,86 @@
         true
     }
 
-    pub fn elected(&mut self, term: u64, lease: u64, lease_asked: Millis) {
+    /// This process holds the leader's key, under a lease requested at
+    /// `lease_requested`.
+    pub fn elected(&mut self, term: u64, lease: u64, lease_requested: Millis) {
         self.highest_term = self.highest_term.max(term);
-        self.observed_leader = Some((self.me.clone(), term));
+        self.observed_leader = Some((self.node_name.clone(), term));
         self.indeterminate_lease = None;
         self.leadership = Some(Leadership {
             term,
             lease,
-            valid_until: lease_asked + at_least(LEASE_TTL_MS),
-            cancellations_known_until: lease_asked,
+            valid_until: lease_requested + at_least(LEASE_TTL_MS),
+            cancellations_known_until: lease_requested,
             peer_served_at: None,
             basis: AuthorityBasis::LeaseRenewal,
         });
     }
 
     /// A renewal of this lease, sent at `sent`, succeeded. The key stands under
-    /// it until the lease ends: it is replaced only once this process has said
-    /// that it stopped. So a renewal shows as much as a read of the key.
+    /// the lease until that ends, and is replaced before only once this process
+    /// announced that it stopped; so a renewal proves as much as a read of the
+    /// key.
     pub fn renewed(&mut self, lease: u64, sent: Millis) {
-        if let Some(l) = self.leadership.as_mut().filter(|l| l.lease == lease) {
-            self.last_led_at = self.last_led_at.max(sent);
-            l.valid_until = l.valid_until.max(sent + at_least(LEASE_TTL_MS));
-            l.cancellations_known_until = l.cancellations_known_until.max(sent);
-            l.peer_served_at = None;
-            l.basis = AuthorityBasis::LeaseRenewal;
-        }
+        let Some(leadership) = self.leadership.as_mut().filter(|held| held.lease == lease) else {
+            return;
+        };
+        self.last_led_at = self.last_led_at.max(sent);
+        leadership.valid_until = leadership.valid_until.max(sent + at_least(LEASE_TTL_MS));
+        leadership.cancellations_known_until = leadership.cancellations_known_until.max(sent);
+        leadership.peer_served_at = None;
+        leadership.basis = AuthorityBasis::LeaseRenewal;
     }
 
-    /// Whether a failed renewal, begun then, shows that this node is refused
-    /// alone. Guards against taking the end of an outage for that, which came
-    /// after the renewal and before the others looked.
-    pub fn is_refused_alone(&self, begun: Millis) -> bool {
-        let served = self.leadership.and_then(|l| l.peer_served_at);
-        served.is_some_and(|at| begun >= at)
+    /// Whether a failed renewal that began at `renewal_sent` shows that the store
+    /// fails this node alone. A renewal from before a peer reported success
+    /// doesn't: the outage may have ended in between.
+    pub fn is_refused_alone(&self, renewal_sent: Millis) -> bool {
+        self.leadership
+            .and_then(|leadership| leadership.peer_served_at)
+            .is_some_and(|served_at| renewal_sent >= served_at)
     }
 
-    /// What all other nodes answered, asked at `sent` for a promise.
+    /// Takes the answers of all peers to a request for promises, sent at `sent`.
     ///
-    /// Promises prolong an authority that is unbroken: one that has ended may
-    /// have passed to another, which ended in turn and forgot. Nor do they show
-    /// by themselves that nobody has led since; that takes the word of each
-    /// node's process that it has run since then, and has led no later term.
+    /// Promises extend an unbroken authority only: one that has ended may have
+    /// passed to another node, whose authority has ended too and which has
+    /// restarted since. Nor do promises prove by themselves that nobody else has
+    /// led meanwhile; for that, each peer's process must state that it has run
+    /// since then and has led no later term.
     pub fn extend_by_promises(
         &mut self,
         sent: Millis,
-        answers: impl IntoIterator<Item = PromiseResponse>,
+        responses: impl IntoIterator<Item = PromiseResponse>,
         now: Millis,
     ) -> PromiseOutcome {
-        let blind = self.bounds.max_staleness();
-        let Some(l) = &mut self.leadership else {
+        let max_staleness = self.bounds.max_staleness();
+        let Some(leadership) = &mut self.leadership else {
             return PromiseOutcome::NotExtended;
         };
-        let (mut all, mut evident, mut most) = (true, true, Millis::MAX);
-        for answer in answers {
-            match answer {
-                PromiseResponse::Granted { started_by } => {
-                    evident &= started_by.is_some_and(|at| at < l.cancellations_known_until)
-                }
-                PromiseResponse::Excluded { until } => {
-                    evident = false;
-                    most = most.min(until);
-                }
-                PromiseResponse::StoreReachable => {
-                    l.peer_served_at.get_or_insert(now);
-                    return PromiseOutcome::RefusedAlone;
-                }
-                PromiseResponse::Refused => all = false,
-            }
-        }
-        if now < l.valid_until && all {
-            if evident {
-                l.cancellations_known_until = l.cancellations_known_until.max(sent);
-            }
-            let promised = (sent + at_least(PROMISE_MS)).min(most);
-            let promised = promised.min(l.cancellations_known_until + blind);
-            if promised > l.valid_until {
-                l.valid_until = promised;
-                l.basis = AuthorityBasis::PeerPromises;
-            }
+        let Some(promises) = PromiseRound::collect(responses, leadership.cancellations_known_until)
+        else {
+            leadership.peer_served_at.get_or_insert(now);
+            return PromiseOutcome::RefusedAlone;
+        };
+        if now < leadership.valid_until && promises.complete {
+            leadership.apply_promises(&promises, sent, max_staleness);
         }
-        let acts = now < l.valid_until;
-        if acts && all {
+        let may_act = now < leadership.valid_until;
+        if may_act && promises.complete {
             PromiseOutcome::Extended
-        } else if !acts && now >= l.cancellations_known_until + blind {
+        } else if !may_act && now >= leadership.cancellations_known_until + max_staleness {
             PromiseOutcome::CancellationsUnknown
         } else {
             PromiseOutcome::NotExtended
         }
     }
 
-    /// When a process began that has run for so long by its own clock, as it
-    /// said at `heard` or before: not later than this.
-    pub fn process_started_by(running: Millis, heard: Millis) -> Millis {
-        heard.saturating_sub(at_least(running))
+    /// The latest time, by this clock, at which a process can have started that
+    /// had run for `uptime` by its own clock when it answered, at
+    /// `received` or before.
+    pub fn process_started_by(uptime: Millis, received: Millis) -> Millis {
+        received.saturating_sub(at_least(uptime))
     }
 
     /// How long this process has run.
@@ -361,46 +455,46 @@
         now.saturating_sub(self.process_started)
     }
 
-    /// Seeks nothing until then, so that others may.
+    /// Doesn't campaign before `until`, so that others can be elected.
     pub fn abstain(&mut self, until: Millis) {
         self.abstain_until = until;
     }
 
-    /// Stops acting under that term. Returns the lease to give back. Guards
-    /// against a cause of an earlier term that comes to light in a later one.
+    /// Stops acting in `term` and returns what is to be given back. A cause that
+    /// belongs to an earlier term has no effect.
     pub fn resign(&mut self, term: u64) -> Option<Leadership> {
-        let lead = self.leadership.take_if(|l| l.term == term)?;
+        let resigned = self.leadership.take_if(|held| held.term == term)?;
         self.observed_leader = None;
-        Some(lead)
+        Some(resigned)
     }
 
-    /// A leader asks for a promise. `state_fails`: this node's own fresh
-    /// request to the state service just failed.
+    /// A leader asks for a promise. `store_unreachable`: a request of this node
+    /// to the key-value store, made for this question, has failed.
     pub fn grant_promise(
         &mut self,
         now: Millis,
         term: u64,
-        for_ms: Millis,
-        state_fails: bool,
+        duration: Millis,
+        store_unreachable: bool,
     ) -> bool {
-        if !state_fails
+        if !store_unreachable
             || term < self.highest_term
             || self.leadership.is_some()
             || self.indeterminate_lease.is_some()
+            || duration > PROMISE_MS
         {
             return false;
         }
-        if for_ms > PROMISE_MS {
-            return false;
-        }
         self.highest_term = term;
-        self.promised_until = self.promised_until.max(now + at_most(for_ms));
+        self.promised_until = self.promised_until.max(now + at_most(duration));
         true
     }
 
+    /// The leader of `term` announced that it has stopped: its key may be
+    /// replaced.
     pub fn peer_resigned(&mut self, term: u64) {
         self.resigned_term = Some(term);
-        // Whoever said so asked for nothing further of a promise to it.
+        // A promise to that leader, or an earlier one, has served its purpose.
         if term >= self.highest_term {
             self.promised_until = 0;
         }
@@ -408,185 +502,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn bounds(cancel_s: f64) -> SafetyBounds {
-        SafetyBounds::of(&crate::protocol::settings::Workers {
-            report_s: 1.0,
-            lease_s: 10.0,
-            gang_wait_s: 1.0,
-            gang_peer_s: 1.0,
-            cancel_s,
-        })
-    }
-
-    fn new(me: &str) -> Election {
-        Election::new(me, 1, bounds(35.0), 0)
-    }
-
-    const OLD: PromiseResponse = PromiseResponse::Granted {
-        started_by: Some(0),
-    };
-    const YOUNG: PromiseResponse = PromiseResponse::Granted { started_by: None };
-
-    /// Asks each 200 ms from the last renewal on; until when it acts.
-    fn acts_until(
-        e: &mut Election,
-        from: Millis,
-        answers: impl Fn(Millis) -> [PromiseResponse; 2],
-    ) -> Millis {
-        let mut now = from;
-        while now < from + 120_000 {
-            if e.authority(now).is_none() {
-                return now;
-            }
-            e.extend_by_promises(now, answers(now), now + 10);
-            now += 200;
-        }
-        now
-    }
-
-    fn led(cancel_s: f64) -> Election {
-        let mut e = Election::new("a", 1, bounds(cancel_s), 0);
-        e.elected(5, 1, 9_000);
-        e.renewed(1, 10_000);
-        e
-    }
-
-    /// Guards against a leader that goes on while another, which none of those
-    /// who promise remembers, has told users of cancellations.
-    #[test]
-    fn without_evidence_of_all_promises_end_at_the_horizon_and_with_it_they_do_not() {
-        let blind = bounds(35.0).max_staleness();
-        let until = |answer| acts_until(&mut led(35.0), 10_000, |_| [OLD, answer]);
-        assert!(until(OLD) >= 130_000);
-        for short in [
-            YOUNG,
-            // It began right after the last renewal.
-            PromiseResponse::Granted {
-                started_by: Some(10_000),
-            },
-            PromiseResponse::Excluded { until: Millis::MAX },
-        ] {
-            let end = until(short);
-            assert!((10_000 + blind..10_200 + blind).contains(&end), "{end}");
-        }
-        // Evidence counts from when it was asked for.
-        let late = |now| [OLD, if now < 50_000 { OLD } else { YOUNG }];
-        let end = acts_until(&mut led(35.0), 10_000, late);
-        assert!((49_000 + blind..50_200 + blind).contains(&end), "{end}");
-        // Where the settings leave no time, none is given beyond the lease.
-        let end = acts_until(&mut led(14.0), 10_000, |_| [OLD, YOUNG]);
-        assert!(end <= 10_000 + LEASE_TTL_MS, "{end}");
-        let mut e = led(35.0);
-        acts_until(&mut e, 10_000, |_| [OLD, YOUNG]);
-        assert_eq!(
-            e.extend_by_promises(31_000, [OLD, OLD], 31_001),
-            PromiseOutcome::CancellationsUnknown
-        );
-        assert_eq!(e.authority(31_001), None);
-    }
-
-    /// Guards against the revival of a leader that was replaced.
-    #[test]
-    fn promises_never_bring_back_an_authority_that_has_ended() {
-        let mut e = led(35.0);
-        assert_eq!(
-            e.extend_by_promises(13_000, [OLD, PromiseResponse::Refused], 13_010),
-            PromiseOutcome::NotExtended
-        );
-        assert_eq!(e.authority(13_900), None);
-        assert_eq!(
-            e.extend_by_promises(13_900, [OLD, OLD], 13_910),
-            PromiseOutcome::NotExtended
-        );
-        assert_eq!(e.authority(13_920), None);
-        // That its lease stands does.
-        e.renewed(1, 14_000);
-        assert_eq!(e.authority(14_001), Some(5));
-        // Not that of an earlier lease, answered late.
-        let mut e = led(35.0);
-        e.resign(5);
-        e.elected(9, 2, 12_000);
-        e.renewed(1, 15_000);
-        assert_eq!(e.authority(16_000), None);
-    }
-
-    /// Guards against taking a node that promised nothing for one that did,
-    /// as its own requests succeed.
-    #[test]
-    fn a_node_that_reaches_the_state_service_promises_nothing() {
-        let mut e = led(35.0);
-        let answers = [OLD, PromiseResponse::StoreReachable];
-        assert_eq!(
-            e.extend_by_promises(13_500, answers, 13_510),
-            PromiseOutcome::RefusedAlone
-        );
-        // The renewal of that round may have come before the end of an outage.
-        assert!(!e.is_refused_alone(13_500) && e.is_refused_alone(13_510));
-        let mut over = led(35.0);
-        over.extend_by_promises(13_500, answers, 13_510);
-        over.renewed(1, 13_520);
-        assert!(!over.is_refused_alone(13_600));
-        assert_eq!(e.authority(13_900), None);
-    }
-
-    /// Guards against a process that is back within a moment and stands for
-    /// the one before it.
-    #[test]
-    fn a_process_says_how_long_it_has_run_and_a_late_answer_makes_it_younger() {
-        let e = Election::new("b", 2, bounds(35.0), 60_000);
-        assert_eq!(e.process_uptime(61_000), 1_000);
-        let begun = Election::process_started_by(1_000, 11_000);
-        assert!((10_000..10_300).contains(&begun), "{begun}");
-        assert!(Election::process_started_by(1_000, 13_000) > 12_000);
-        assert_eq!(
-            Election::process_started_by(99_000, 1_000),
-            0,
-            "before this process"
-        );
-    }
-
-    #[test]
-    fn while_the_state_service_cant_be_asked_the_others_tell_who_leads() {
-        let mut e = new("n0");
-        let of = |name: &str, term| Some((name.to_owned(), term));
-        e.observe_leader(of("n1", 5), 100);
-        e.receive_leader_hint(of("n2", 9), 200);
-        assert_eq!(e.leader(1000), Some(("n1", 5)), "it was read just now");
-        e.receive_leader_hint(of("n2", 9), 3000);
-        assert_eq!(e.leader(3000), Some(("n2", 9)));
-        // A node that lags does not take that back, nor does one that knows
-        // nothing.
-        e.receive_leader_hint(of("n1", 5), 3100);
-        e.receive_leader_hint(None, 3100);
-        assert_eq!(e.leader(3100), Some(("n2", 9)));
-        assert_eq!(e.may_campaign(9000), None, "hearsay entitles to nothing");
-        e.observe_leader(None, 4000);
-        assert_eq!(e.leader(4000), None);
-    }
-
-    /// Guards against a leader that stops for what befell it in an earlier term.
-    #[test]
-    fn only_the_term_that_is_led_can_be_given_up() {
-        let mut e = led(35.0);
-        e.resign(5);
-        e.elected(9, 2, 12_000);
-        assert_eq!(e.resign(5), None);
-        assert_eq!(e.authority(12_100), Some(9));
-        assert!(e.resign(9).is_some());
-        assert_eq!(e.authority(12_100), None);
-    }
-
-    /// Guards against counting a node's own term as time without a leader, as
-    /// it reads the key of none then.
-    #[test]
-    fn while_it_leads_itself_somebody_leads() {
-        let mut e = new("a");
-        e.elected(5, 1, 1_000);
-        e.renewed(1, 9_000);
-        e.resign(5);
-        assert_eq!(e.leaderless_for(10_000), 1_000);
-    }
-}
+mod tests;
--- a/src/control/safety_bounds.rs
+++ b/src/control/safety_bounds.rs
@@ -1,117 +1,93 @@
-//! The spans that safety rests on, each worked out in one place. Other clocks
-//! count some of them: between two machines steady clocks drift apart by up to
-//! 0.05%, so a span is taken longer or shorter by more than that.
+//! The durations that safety rests on, each derived in one place.
+//!
+//! Some of them are measured by the clock of another machine. The monotonic
+//! clocks of two machines drift apart by up to 0.05%, so such a duration is
+//! lengthened ([`at_most`]) or shortened ([`at_least`]) by more than that.
+//!
+//! Owns: the margins for clock drift and late timers, and the bounds that follow
+//! from the worker lease and the cancellation deadline of the settings. Called by
+//! the election, the exclusions, the leader and the cache of final states.
+//!
+//! Must never: read a clock or hold state; give a bound that is too long where a
+//! shorter one is the safe side, or too short where a longer one is.
 
 use crate::{protocol::settings::Workers, state::Millis};
 
-/// Timers fire late.
+/// Allowance for timers that fire late.
 const TIMER_MARGIN_MS: Millis = 150;
-/// A worker takes an answer for so long after it sent its report.
+/// The allowance for clock drift is a duration divided by this, 0.2%.
+const CLOCK_DRIFT_DIVISOR: Millis = 500;
+/// How long after it sent a heartbeat a worker accepts the response.
 pub const RESPONSE_TIMEOUT_MS: Millis = 4_000;
 
-/// A state that is not final leaves a node no later than this after its reading
-/// was begun.
+/// A job state that is not final leaves a node no later than this after the read
+/// of it began.
 pub const MAX_READING_AGE_MS: Millis = 500;
 
-/// After a node has learned of a job's end, every older answer of any node has
-/// left that node by then, and reached its user over an ordinary way.
+/// How long a node that has learned a job's terminal state withholds it: by then,
+/// every older answer of any node has left that node, and has reached its user
+/// unless the network was unusually slow.
 pub fn final_state_hold_ms() -> Millis {
     at_most(MAX_READING_AGE_MS)
 }
 
-fn slack(span: Millis) -> Millis {
-    span / 500 + TIMER_MARGIN_MS
+fn clock_margin(duration: Millis) -> Millis {
+    duration / CLOCK_DRIFT_DIVISOR + TIMER_MARGIN_MS
 }
 
-/// By then, here, a span that another clock counts is over.
-pub fn at_most(span: Millis) -> Millis {
-    span + slack(span)
+/// After this long by the local clock, a duration measured by any other clock has
+/// passed.
+pub fn at_most(duration: Millis) -> Millis {
+    duration + clock_margin(duration)
 }
 
-/// Until then, here, a span that another clock counts lasts.
-pub fn at_least(span: Millis) -> Millis {
-    span.saturating_sub(slack(span))
+/// For this long by the local clock, a duration measured by any other clock has
+/// not passed yet.
+pub fn at_least(duration: Millis) -> Millis {
+    duration.saturating_sub(clock_margin(duration))
 }
 
-/// Those that the platform's settings give.
+/// The bounds that follow from the cluster's settings.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SafetyBounds {
-    lease: Millis,
-    cancel: Millis,
+    worker_lease: Millis,
+    cancellation_deadline: Millis,
 }
 
 impl SafetyBounds {
+    /// For these settings of the workers.
     pub fn of(workers: &Workers) -> Self {
-        let millis = |s: f64| (s.max(0.0) * 1000.0) as Millis;
+        let millis = |seconds: f64| (seconds.max(0.0) * 1000.0) as Millis;
         SafetyBounds {
-            lease: millis(workers.lease_s),
-            cancel: millis(workers.cancel_s),
+            worker_lease: millis(workers.lease_s),
+            cancellation_deadline: millis(workers.cancel_s),
         }
     }
 
-    /// After a worker was last answered, its tasks are gone by then.
+    /// How long after the last response to a worker its tasks have surely ended.
     pub fn lease_expiry(&self) -> Millis {
-        at_most(self.lease)
+        at_most(self.worker_lease)
     }
 
-    /// How long a leader may answer workers, or start anything, after the last
-    /// moment at which it surely knew of every cancellation. A user may be told
-    /// of one that it does not know right after that moment; by `cancel_s`
-    /// from then the leases of all machines have run out by themselves, as
-    /// they run from when a report was sent, and an answer may be on its way
-    /// to one for 4 s. 0: not at all.
+    /// How long a leader may respond to workers, or start tasks, after the last
+    /// moment at which it surely knew of every cancellation. Right after that
+    /// moment, another leader may acknowledge a cancellation to a user. Within
+    /// `cancel_s` from then the leases of all machines must have expired, which
+    /// run from when a heartbeat was sent, while a response may be under way for
+    /// [`RESPONSE_TIMEOUT_MS`]. 0: not at all.
     pub fn max_staleness(&self) -> Millis {
-        at_least(self.cancel).saturating_sub(self.lease_expiry() + RESPONSE_TIMEOUT_MS)
+        at_least(self.cancellation_deadline)
+            .saturating_sub(self.lease_expiry() + RESPONSE_TIMEOUT_MS)
     }
 
-    /// How long a new leader may answer workers before it has read the records.
-    /// What it does not know a user may have been told up to a lease ago: a
-    /// machine that was answered later than that has been ordered to stop.
+    /// How long a new leader may respond to workers before it has loaded the
+    /// records. A cancellation that it hasn't loaded may have been acknowledged to
+    /// a user up to a worker lease ago; any machine that got a response later than
+    /// that has been commanded to stop.
     pub fn max_answering_unloaded(&self) -> Millis {
         self.max_staleness().saturating_sub(self.lease_expiry())
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn of(lease_s: f64, cancel_s: f64) -> SafetyBounds {
-        SafetyBounds::of(&Workers {
-            report_s: 1.0,
-            lease_s,
-            gang_wait_s: 1.0,
-            gang_peer_s: 1.0,
-            cancel_s,
-        })
-    }
-
-    /// Guards against a bound that leaves out a part: the machine's clock runs
-    /// slow and ours fast, and the last answer is taken as late as can be.
-    #[test]
-    fn whatever_a_blind_leader_kept_is_gone_in_time_by_any_clock() {
-        for (lease, cancel) in [(10.0, 35.0), (10.0, 40.0), (15.25, 40.25), (26.5, 56.5)] {
-            let b = of(lease, cancel);
-            let last = b.max_staleness() as f64;
-            assert!(last > 0.0);
-            let gone = last + 4_000.0 + 1_000.0 * lease * 1.0005;
-            let told_late = 1_000.0 * cancel * 0.9995;
-            assert!(gone + 100.0 < told_late, "{lease} {cancel}: {gone}");
-            // Nor is it shorter by much more than that.
-            assert!(gone + 700.0 > told_late, "{lease} {cancel}: {gone}");
-        }
-        assert_eq!(of(10.0, 14.0).max_staleness(), 0, "no time at all");
-        assert_eq!(of(26.5, 56.5).max_answering_unloaded(), 0);
-        assert!(of(10.0, 35.0).max_answering_unloaded() > 10_000);
-    }
-
-    #[test]
-    fn a_span_is_over_after_it_lasts_by_either_clock() {
-        for span in [1_300, 4_000, 26_500, 120_000] {
-            let drift = span as f64 * 0.0005;
-            assert!(at_most(span) as f64 > span as f64 + drift);
-            assert!((at_least(span) as f64) < span as f64 - drift);
-        }
-        assert_eq!(at_least(100), 0);
-    }
-}
+mod tests;
--- /dev/null
+++ b/src/control/safety_bounds/tests.rs
@@ -0,0 +1,47 @@
+use super::*;
+
+fn bounds(lease_s: f64, cancel_s: f64) -> SafetyBounds {
+    SafetyBounds::of(&Workers {
+        report_s: 1.0,
+        lease_s,
+        gang_wait_s: 1.0,
+        gang_peer_s: 1.0,
+        cancel_s,
+    })
+}
+
+/// Guards against a bound that leaves out a part: the machine's clock runs
+/// slow and the controller's fast, and the last response is accepted as late as
+/// possible.
+#[test]
+fn tasks_end_before_the_cancellation_deadline_when_the_leader_is_stale() {
+    for (lease, cancel) in [(10.0, 35.0), (10.0, 40.0), (15.25, 40.25), (26.5, 56.5)] {
+        let bounds = bounds(lease, cancel);
+        let staleness = bounds.max_staleness() as f64;
+        assert!(staleness > 0.0);
+        let tasks_ended = staleness + 4_000.0 + 1_000.0 * lease * 1.0005;
+        let deadline = 1_000.0 * cancel * 0.9995;
+        assert!(
+            tasks_ended + 100.0 < deadline,
+            "{lease} {cancel}: {tasks_ended}"
+        );
+        // Nor is it shorter by much more than that.
+        assert!(
+            tasks_ended + 700.0 > deadline,
+            "{lease} {cancel}: {tasks_ended}"
+        );
+    }
+    assert_eq!(bounds(10.0, 14.0).max_staleness(), 0, "no time at all");
+    assert_eq!(bounds(26.5, 56.5).max_answering_unloaded(), 0);
+    assert!(bounds(10.0, 35.0).max_answering_unloaded() > 10_000);
+}
+
+#[test]
+fn duration_margins_exceed_clock_drift_on_either_side() {
+    for duration in [1_300, 4_000, 26_500, 120_000] {
+        let drift = duration as f64 * 0.0005;
+        assert!(at_most(duration) as f64 > duration as f64 + drift);
+        assert!((at_least(duration) as f64) < duration as f64 - drift);
+    }
+    assert_eq!(at_least(100), 0);
+}
--- a/src/server/audit_log.rs
+++ b/src/server/audit_log.rs
@@ -102,19 +102,19 @@
         let now = self.now();
         let due = now >= orders.noted_at + ORDERS_EVERY;
         if due && orders.starts + orders.stops > 0 {
-            let right = lead.map(|lead| {
-                let (right, until) = lead.authority();
+            let basis = lead.map(|lead| {
+                let authority = lead.authority();
                 format!(
                     "term {}, by {} for {} ms more, cancellations known up to {} ms ago",
                     lead.term,
-                    right.text(),
-                    until.saturating_sub(now),
+                    authority.basis.text(),
+                    authority.valid_until.saturating_sub(now),
                     now.saturating_sub(lead.cancellations_known_until())
                 )
             });
-            let right = right.unwrap_or_else(|| "leadership has been given up since".to_owned());
+            let basis = basis.unwrap_or_else(|| "leadership has been given up since".to_owned());
             log::info!(
-                "commanded {} starts and {} stops: {right}",
+                "commanded {} starts and {} stops: {basis}",
                 orders.starts,
                 orders.stops
             );
--- a/src/server/leadership/campaign.rs
+++ b/src/server/leadership/campaign.rs
@@ -108,7 +108,7 @@
             if e.may_campaign(self.now()) != Some(version) {
                 return;
             }
-            (e.me.clone(), e.incarnation)
+            (e.node_name.clone(), e.incarnation)
         };
         self.election.borrow_mut().indeterminate_lease = Some(lease);
         let exclusion = records::exclusion_key(&node);
--- a/src/server/leadership/mod.rs
+++ b/src/server/leadership/mod.rs
@@ -73,13 +73,13 @@
         }
         self.renewals_failing.set(false);
         self.set_shares();
-        let (now, (right, until)) = (self.now(), lead.authority());
+        let (now, authority) = (self.now(), lead.authority());
         log::info!(
             "leader of term {} steps down: {}; its authority, by {}, lasts until {} ms from now",
             lead.term,
             why.text(),
-            right.text(),
-            until as i64 - now as i64
+            authority.basis.text(),
+            authority.valid_until as i64 - now as i64
         );
         self.last_step_down.set(Some((self.now(), why)));
         self.metrics.borrow().stepped_down(why.text());
--- a/src/server/leadership/renew.rs
+++ b/src/server/leadership/renew.rs
@@ -60,12 +60,12 @@
         let before = election.leadership();
         let result = f(&mut election);
         if let (Some(before), Some(after)) = (before, election.leadership()) {
-            let ((was, from), (is, until)) = (before.authority(), after.authority());
-            if until > from {
-                self.metrics.borrow().authority_extended(is);
+            let (was, is) = (before.authority(), after.authority());
+            if is.valid_until > was.valid_until {
+                self.metrics.borrow().authority_extended(is.basis);
             }
-            if was != is {
-                log::info!("term {} is extended by {}", after.term, is.text());
+            if was.basis != is.basis {
+                log::info!("term {} is extended by {}", after.term, is.basis.text());
             }
         }
         result
--- a/src/server/standby.rs
+++ b/src/server/standby.rs
@@ -119,7 +119,7 @@
             .unwrap_or_default();
         let (me, incarnation) = {
             let e = self.election.borrow();
-            (e.me.clone(), e.incarnation)
+            (e.node_name.clone(), e.incarnation)
         };
         let own = record
             .named
