--- a/src/server/client_api.rs
+++ b/src/server/client_api.rs
@@ -106,19 +106,22 @@
                     return Some(answer);
                 }
                 Next::NotLeading | Next::Over => return None,
-                Next::AskLeader => match self.leader_polls.ask(id).await {
+                Next::AskLeader => match self.polls.leader.ask(id).await {
                     Ok(told) => Event::LeaderReplied(told),
                     // Too many wait.
                     Err(e) => Event::Read(Err(e)),
                 },
-                Next::ReadState => Event::Read(self.record_polls.ask(id).await),
+                Next::ReadState => Event::Read(self.polls.records.ask(id).await),
                 Next::Forward => Event::Forwarded(match pass_on {
                     Some(pass_on) => self.pass_on(pass_on, request.forward_limit()).await,
                     None => None,
                 }),
                 Next::Versions => Event::Versions(self.upgraded().await),
                 Next::Look(ids) => Event::LookupResults(match &ids[..] {
-                    [one] => [(one.clone(), self.lookup(one).await)].into(),
+                    [one] => {
+                        let found = self.lookup(one).await.map_err(|e| e.to_string());
+                        [(one.clone(), found)].into()
+                    }
                     _ => self.lookup_all(&ids).await,
                 }),
                 Next::Write(txn, waits) => {
@@ -157,7 +160,7 @@
             read_term: None,
         });
         if leader.as_ref().is_some_and(|l| l.has_work()) {
-            let _ = self.wake.0.try_send(());
+            self.wake.notify();
         }
         result
     }
@@ -179,12 +182,7 @@
     /// for no longer than users do.
     async fn has_budget(&self, changes: f64, waits: bool) -> bool {
         for _ in 0..if waits { LOOKS } else { 1 } {
-            if self
-                .state_writes
-                .borrow_mut()
-                .take(self.now(), changes, 0.0)
-                && self.may_request(1.0)
-            {
+            if self.budgets.take_changes(self.now(), changes) && self.may_request(1.0) {
                 return true;
             }
             if waits {
--- a/src/server/cloud.rs
+++ b/src/server/cloud.rs
@@ -1,6 +1,6 @@
 //! The cloud: machine types, the list, rentals and releases.
 
-use super::Node;
+use super::{Node, signals::InFlight};
 use crate::{
     control::leader::CloudOp,
     protocol::cloud::{MachineList, MachineNames, MachineType, MachineTypes},
@@ -58,7 +58,7 @@
                 return Err(NOT_SENT.into());
             }
             let now = self.now();
-            if self.cloud_requests.borrow_mut().take(now, 1.0, 0.0) {
+            if self.budgets.take_cloud_request(now) {
                 break;
             }
             Timer::after(Duration::from_millis(100)).await;
@@ -87,7 +87,7 @@
         }
     }
 
-    pub(super) async fn list_machines(self: Rc<Self>, term: u64) {
+    pub(super) async fn list_machines(self: Rc<Self>, term: u64, _in_flight: InFlight) {
         let mut from = String::new();
         let asked = self.now();
         loop {
@@ -118,7 +118,6 @@
                 }
             }
         }
-        self.list_in_flight.set(false);
     }
 
     pub(super) async fn cloud_op(self: Rc<Self>, term: u64, op: CloudOp) {
--- a/src/server/control_loop.rs
+++ b/src/server/control_loop.rs
@@ -1,11 +1,24 @@
-//! The leader's loop: time passes, and what it wants done is begun.
+//! The control loop: advances the leader's state with time, and begins what the
+//! leader wants done.
+//!
+//! Owns: the pace of control rounds, the direct commands to workers, the lookups of
+//! dependencies and the leader's writes. Started once by the process; woken by
+//! [`Node::of_term`] when there is work.
+//!
+//! Must never: begin anything without authority, wait for a call within a round, or
+//! have two writes of the leader's records under way.
 
-use super::{Node, leadership::StepDownReason, store::STATE_TIMEOUT};
+use super::{
+    Node,
+    leadership::StepDownReason,
+    signals::{InFlight, SingleFlight},
+    store::STATE_TIMEOUT,
+};
 use crate::{
-    control::leader::{DirectDelivery, DirectDeliveryOutcome, Leader, WritePlan},
+    control::leader::{CloudOp, DirectDelivery, DirectDeliveryOutcome, Leader, Tally, WritePlan},
     control::requests::{Found, TxnResult, final_status},
     protocol::workers::Heartbeat,
-    state::{cluster::DIRECT_COMMAND_TIMEOUT_MS, rate_limit::share, records::LEADER},
+    state::{Millis, cluster::DIRECT_COMMAND_TIMEOUT_MS, rate_limit::share, records::LEADER},
     transport::{client::CallError, within},
 };
 use async_io::Timer;
@@ -15,221 +28,301 @@
     time::{Duration, Instant},
 };
 
-/// Between two looks at the clock; events wake the loop sooner, but not in a
-/// row, so that a batch of reports is one pass.
+/// Longest time between two rounds. Events wake the loop sooner, but not without
+/// the pause, so that a batch of heartbeats takes one round.
 const TICK_INTERVAL: Duration = Duration::from_millis(200);
 const MIN_TICK_PAUSE: Duration = Duration::from_millis(15);
 
-/// A round that takes so much longer than it should shows that this process
-/// stood still, or had no processor.
-const PROCESS_PAUSE_MS: u64 = 700;
+/// A round that begins this much after the last shows that the process was paused
+/// or had no processor.
+const PROCESS_PAUSE_MS: Millis = 700;
+
+/// The fewest changes, and requests, for which a write of the leader's records is
+/// begun.
+const MIN_WRITE_CHANGES: usize = 2;
+const MIN_WRITE_REQUESTS: f64 = 2.0;
+/// Requests in the budget that a reread leaves to leadership and acceptances.
+const REREAD_RESERVE_REQUESTS: f64 = 2.0;
+/// Pauses before a read is repeated, before failed dependency lookups are, and
+/// after a refused write.
+const REREAD_PAUSE: Duration = Duration::from_millis(200);
+const LOOKUP_RETRY_PAUSE: Duration = Duration::from_millis(500);
+const REFUSED_WRITE_PAUSE: Duration = Duration::from_millis(300);
+
+/// Operations of the control loop that exclude another of their kind.
+#[derive(Default)]
+pub(super) struct Operations {
+    writes: SingleFlight,
+    dependency_lookups: SingleFlight,
+    machine_lists: SingleFlight,
+}
+
+/// What one round wants done.
+struct RoundPlan {
+    term: u64,
+    direct_deliveries: Vec<DirectDelivery>,
+    cloud_ops: Vec<CloudOp>,
+    machine_list_due: bool,
+    tally: Tally,
+}
 
+/// Runs rounds for as long as the process runs; without authority they do nothing.
 pub async fn run(node: Rc<Node>) {
-    let mut last = node.now();
+    let mut last_round = node.now();
     loop {
-        let _ = within(TICK_INTERVAL, node.wake.1.recv()).await;
+        let _ = within(TICK_INTERVAL, node.wake.wait()).await;
         Timer::after(MIN_TICK_PAUSE).await;
-        let late = node.now().saturating_sub(last);
-        last = node.now();
-        if late > PROCESS_PAUSE_MS {
-            log::info!("this process was paused for {late} ms");
-            let lead = node.election.borrow().leadership();
-            if let Some(lead) = lead {
-                node.of_term(lead.term, |l, now| l.process_resumed(now));
-            }
-            // What has arrived is taken in first.
+        let since_last_round = node.now().saturating_sub(last_round);
+        last_round = node.now();
+        if since_last_round > PROCESS_PAUSE_MS {
+            node.process_resumed(since_last_round);
+            // What has arrived meanwhile is handled first.
             Timer::after(TICK_INTERVAL).await;
-            last = node.now();
+            last_round = node.now();
         }
-        let wall = node.wall_ms();
-        let upgraded = node.upgrade.is_complete();
+        node.control_round();
+    }
+}
+
+impl Node {
+    fn process_resumed(&self, paused_ms: Millis) {
+        log::info!("this process was paused for {paused_ms} ms");
+        let leadership = self.election.borrow().leadership();
+        if let Some(leadership) = leadership {
+            self.of_term(leadership.term, |leader, now| leader.process_resumed(now));
+        }
+    }
+
+    /// One round of the leader; nothing without authority.
+    fn control_round(self: &Rc<Self>) {
         let round_began = Instant::now();
-        let begun = node.acting(|l, now| {
-            l.upgraded(upgraded);
-            l.tick(now, wall);
-            (
-                l.term,
-                l.direct_deliveries(now),
-                l.cloud_ops(now, wall),
-                l.list_due(now),
-                l.take_tally(),
-            )
-        });
-        let Some((term, directs, ops, list, tally)) = begun else {
-            continue;
+        let Some(plan) = self.plan_round() else {
+            return;
         };
-        let lead = node.election.borrow().leadership();
-        node.log_commands(lead, tally.starts, tally.stops);
-        node.metrics.borrow_mut().add(tally);
-        let round = round_began.elapsed().as_secs_f64();
-        node.metrics.borrow().control_round(round);
-        node.update_standbys(term);
-        for d in directs {
-            node.executor
-                .spawn_high(node.clone().direct(term, d))
+        let term = plan.term;
+        let leadership = self.election.borrow().leadership();
+        self.log_commands(leadership, plan.tally.starts, plan.tally.stops);
+        self.metrics.borrow_mut().add(plan.tally);
+        let seconds = round_began.elapsed().as_secs_f64();
+        self.metrics.borrow().control_round(seconds);
+        self.update_standbys(term);
+        for delivery in plan.direct_deliveries {
+            self.executor
+                .spawn_high(self.clone().deliver_directly(term, delivery))
                 .detach();
         }
-        for op in ops {
-            node.executor
-                .spawn_high(node.clone().cloud_op(term, op))
+        for op in plan.cloud_ops {
+            self.executor
+                .spawn_high(self.clone().cloud_op(term, op))
                 .detach();
         }
-        if list && !node.list_in_flight.replace(true) {
-            node.executor
-                .spawn_high(node.clone().list_machines(term))
-                .detach();
+        if plan.machine_list_due {
+            self.begin_machine_list(term);
         }
-        if !node.lookup_in_flight.get() {
-            let ids = node
-                .acting(|l, _| l.dependencies_to_look_up())
-                .unwrap_or_default();
-            if !ids.is_empty() {
-                node.lookup_in_flight.set(true);
-                node.executor
-                    .spawn_high(node.clone().look_up_dependencies(term, ids))
-                    .detach();
+        self.begin_dependency_lookups(term);
+        self.begin_writes(term);
+    }
+
+    fn plan_round(&self) -> Option<RoundPlan> {
+        let wall_ms = self.wall_ms();
+        let upgraded = self.upgrade.is_complete();
+        self.acting(|leader, now| {
+            leader.upgraded(upgraded);
+            leader.tick(now, wall_ms);
+            RoundPlan {
+                term: leader.term,
+                direct_deliveries: leader.direct_deliveries(now),
+                cloud_ops: leader.cloud_ops(now, wall_ms),
+                machine_list_due: leader.list_due(now),
+                tally: leader.take_tally(),
             }
+        })
+    }
+
+    fn begin_machine_list(self: &Rc<Self>, term: u64) {
+        if let Some(in_flight) = self.in_flight.machine_lists.try_begin() {
+            self.executor
+                .spawn_high(self.clone().list_machines(term, in_flight))
+                .detach();
         }
-        if !node.write_in_flight.get() {
-            let now = node.now();
-            let kept = share::kept_for_users(node.settings.cluster.state.always().write_rps);
-            let level = node.state_writes.borrow_mut().level(now) - kept;
-            let room = (level.max(0.0) as usize).min(node.max_txn_changes.get());
-            if room >= 2 && node.state_requests.borrow_mut().level(now) >= 2.0 {
-                let plan = node.acting(|l, _| l.plan_writes(room)).flatten();
-                if let Some(plan) = plan {
-                    node.write_in_flight.set(true);
-                    node.executor
-                        .spawn_high(node.clone().apply_writes(term, plan))
-                        .detach();
-                }
-            }
+    }
+
+    fn begin_dependency_lookups(self: &Rc<Self>, term: u64) {
+        let Some(in_flight) = self.in_flight.dependency_lookups.try_begin() else {
+            return;
+        };
+        let ids = self
+            .acting(|leader, _| leader.dependencies_to_look_up())
+            .unwrap_or_default();
+        if !ids.is_empty() {
+            self.executor
+                .spawn_high(self.clone().look_up_dependencies(term, ids, in_flight))
+                .detach();
         }
     }
-}
 
-impl Node {
-    async fn direct(self: Rc<Self>, term: u64, d: DirectDelivery) {
-        let body = serde_json::to_vec(&d.commands).unwrap_or_default();
-        let limit = Duration::from_millis(DIRECT_COMMAND_TIMEOUT_MS);
-        // Decided with authority, but that may have ended since. Past this
-        // point the token's order makes a late order harmless.
-        let still = || self.acting(|l, _| l.term) == Some(term);
-        let result = match still() {
-            true => {
-                self.http
-                    .call_if(d.addr, Method::Post, "/do", Some(body), limit, still)
-                    .await
-            }
-            false => Err(CallError::NotSent("authority has ended".into())),
+    fn begin_writes(self: &Rc<Self>, term: u64) {
+        let Some(in_flight) = self.in_flight.writes.try_begin() else {
+            return;
+        };
+        let now = self.now();
+        let kept_for_users = share::kept_for_users(self.settings.cluster.state.always().write_rps);
+        let level = self.budgets.change_level(now) - kept_for_users;
+        let max_changes = (level.max(0.0) as usize).min(self.budgets.max_txn_changes());
+        if max_changes < MIN_WRITE_CHANGES || self.budgets.request_level(now) < MIN_WRITE_REQUESTS {
+            return;
+        }
+        let plan = self
+            .acting(|leader, _| leader.plan_writes(max_changes))
+            .flatten();
+        if let Some(plan) = plan {
+            self.executor
+                .spawn_high(self.clone().apply_writes(term, plan, in_flight))
+                .detach();
+        }
+    }
+
+    /// Sends commands to a worker without waiting for its heartbeat.
+    async fn deliver_directly(self: Rc<Self>, term: u64, delivery: DirectDelivery) {
+        let body = serde_json::to_vec(&delivery.commands).unwrap_or_default();
+        let timeout = Duration::from_millis(DIRECT_COMMAND_TIMEOUT_MS);
+        // Decided with authority, which may have ended since. Once the commands
+        // are sent, the fencing token makes late ones harmless.
+        let may_act = || self.acting(|leader, _| leader.term) == Some(term);
+        let result = if may_act() {
+            self.http
+                .call_if(
+                    delivery.addr,
+                    Method::Post,
+                    "/do",
+                    Some(body),
+                    timeout,
+                    may_act,
+                )
+                .await
+        } else {
+            Err(CallError::NotSent("authority has ended".into()))
         };
+        let machine = &delivery.machine;
         let outcome = match result {
-            Ok(a) => match (a.status, serde_json::from_slice::<Heartbeat>(&a.body).ok()) {
-                (200, Some(report)) => DirectDeliveryOutcome::Executed(report),
-                (409, report) => DirectDeliveryOutcome::Refused(report),
-                (400, _) => DirectDeliveryOutcome::Refused(None),
-                _ => DirectDeliveryOutcome::NoAnswer,
-            },
+            Ok(answer) => {
+                let heartbeat = serde_json::from_slice::<Heartbeat>(&answer.body).ok();
+                match (answer.status, heartbeat) {
+                    (200, Some(heartbeat)) => DirectDeliveryOutcome::Executed(heartbeat),
+                    (409, heartbeat) => DirectDeliveryOutcome::Refused(heartbeat),
+                    (400, _) => DirectDeliveryOutcome::Refused(None),
+                    _ => DirectDeliveryOutcome::NoAnswer,
+                }
+            }
             Err(CallError::NotSent(e)) => {
-                log::debug!("direct commands to {}: {e}", d.machine);
+                log::debug!("direct commands to {machine}: {e}");
                 DirectDeliveryOutcome::NotSent
             }
             Err(e @ (CallError::NoAnswer(_) | CallError::TooLong)) => {
-                log::debug!("direct commands to {}: {e}", d.machine);
+                log::debug!("direct commands to {machine}: {e}");
                 DirectDeliveryOutcome::NoAnswer
             }
         };
-        self.of_term(term, |l, now| {
-            l.direct_delivery_finished(&d.machine, d.commands.fencing_token, outcome, now);
+        let token = delivery.commands.fencing_token;
+        self.of_term(term, |leader, now| {
+            leader.direct_delivery_finished(machine, token, outcome, now);
         });
     }
 
-    /// Looks up jobs that others wait for.
-    async fn look_up_dependencies(self: Rc<Self>, term: u64, ids: Vec<String>) {
-        let mut found = self.lookup_all(&ids).await;
-        let again = self.of_term(term, |l, now| {
-            let mut again = Vec::new();
+    /// Looks up the jobs on which others depend.
+    async fn look_up_dependencies(
+        self: Rc<Self>,
+        term: u64,
+        ids: Vec<String>,
+        _in_flight: InFlight,
+    ) {
+        let mut results = self.lookup_all(&ids).await;
+        let unresolved = self.of_term(term, |leader, now| {
+            let mut unresolved = Vec::new();
             for id in ids {
-                match found.remove(&id) {
-                    Some(Ok(Found::Live(record, version))) => l.accepted(*record, version, now),
+                match results.remove(&id) {
+                    Some(Ok(Found::Live(record, version))) => {
+                        leader.accepted(*record, version, now);
+                    }
                     Some(Ok(Found::Final(record, _))) => {
-                        l.dependency_ended(&final_status(&id, &record), now);
+                        leader.dependency_ended(&final_status(&id, &record), now);
                     }
-                    Some(Ok(Found::Nothing) | Err(_)) | None => again.push(id),
+                    Some(Ok(Found::Nothing) | Err(_)) | None => unresolved.push(id),
                 }
             }
-            again
+            unresolved
         });
-        let again = again.unwrap_or_default();
-        if !again.is_empty() {
-            // They hold up their own jobs only.
-            log::info!("dependencies could not be read: {again:?}");
-            let node = self.clone();
-            let later = async move {
-                Timer::after(Duration::from_millis(500)).await;
-                node.of_term(term, |l, _| l.requeue_dependency_lookups(again));
-            };
-            self.executor.spawn_high(later).detach();
+        let unresolved = unresolved.unwrap_or_default();
+        if unresolved.is_empty() {
+            return;
         }
-        self.lookup_in_flight.set(false);
+        // Only the jobs that depend on them wait.
+        log::info!("dependencies could not be read: {unresolved:?}");
+        let node = self.clone();
+        let retry = async move {
+            Timer::after(LOOKUP_RETRY_PAUSE).await;
+            node.of_term(term, |leader, _| {
+                leader.requeue_dependency_lookups(unresolved);
+            });
+        };
+        self.executor.spawn_high(retry).detach();
     }
 
-    async fn apply_writes(self: Rc<Self>, term: u64, plan: WritePlan) {
+    /// Writes the leader's records.
+    async fn apply_writes(self: Rc<Self>, term: u64, plan: WritePlan, _in_flight: InFlight) {
         let now = self.now();
-        self.state_requests.borrow_mut().force(now, 1.0);
-        self.state_writes
-            .borrow_mut()
-            .force(now, plan.txn.writes.len() as f64);
+        let changes = plan.txn.writes.len();
+        self.budgets.charge_requests(now, 1.0);
+        self.budgets.charge_changes(now, changes as f64);
         match self.txn(&plan.txn, STATE_TIMEOUT).await {
             TxnResult::Done(revision) => {
-                self.max_txn_changes
-                    .set(self.max_txn_changes.get().saturating_mul(2));
-                self.of_term(term, |l, now| l.writes_applied(&plan, revision, now));
+                self.budgets.txn_applied();
+                self.of_term(term, |leader, now| {
+                    leader.writes_applied(&plan, revision, now);
+                });
             }
-            TxnResult::Conflict(failed) if failed.iter().any(|k| k == LEADER) => {
+            TxnResult::Conflict(failed) if failed.iter().any(|key| key == LEADER) => {
                 self.step_down(term, StepDownReason::Replaced);
             }
             refused @ (TxnResult::Refused | TxnResult::Rejected) => {
-                // Guards against sending again and again what was too much.
                 if matches!(refused, TxnResult::Rejected) {
-                    self.max_txn_changes.set((plan.txn.writes.len() / 2).max(2));
+                    self.budgets.txn_rejected(changes);
                 }
-                self.of_term(term, |l, _| l.reconciled(&plan));
-                Timer::after(Duration::from_millis(300)).await;
+                self.of_term(term, |leader, _| leader.reconciled(&plan));
+                Timer::after(REFUSED_WRITE_PAUSE).await;
             }
             TxnResult::Conflict(_) | TxnResult::Unknown => {
                 self.metrics.borrow().indeterminate_writes.inc();
-                self.of_term(term, |l, _| l.outcome_unknown(&plan));
+                self.of_term(term, |leader, _| leader.outcome_unknown(&plan));
                 self.reread(term, &plan).await;
             }
         }
-        self.write_in_flight.set(false);
     }
 
-    /// What had no answer may have been applied: look before trying again.
+    /// Reads the keys of a write whose outcome is unknown, before any of them is
+    /// written again.
     async fn reread(&self, term: u64, plan: &WritePlan) {
-        let keys = Leader::keys_to_reread(plan);
         let mut found = Vec::new();
-        for key in keys {
+        for key in Leader::keys_to_reread(plan) {
             loop {
                 if self.of_term(term, |_, _| ()).is_none() {
                     return;
                 }
-                if self.may_request(2.0)
+                if self.may_request(REREAD_RESERVE_REQUESTS)
                     && let Ok(item) = self.get(&key, STATE_TIMEOUT).await
                 {
-                    found.push((key, item.map(|i| (i.value, i.version))));
+                    found.push((key, item.map(|item| (item.value, item.version))));
                     break;
                 }
-                Timer::after(Duration::from_millis(200)).await;
+                Timer::after(REREAD_PAUSE).await;
             }
         }
-        self.of_term(term, |l, now| {
+        self.of_term(term, |leader, now| {
             for (key, item) in found {
-                l.reconcile_key(&key, item, now);
+                leader.reconcile_key(&key, item, now);
             }
-            l.reconciled(plan);
-            l.log_reconciliation(plan);
+            leader.reconciled(plan);
+            leader.log_reconciliation(plan);
         });
     }
 }
--- a/src/server/exclusions.rs
+++ b/src/server/exclusions.rs
@@ -1,153 +1,179 @@
-//! Writes and lifts the exclusions of nodes that hang, while this node leads.
+//! Carries out the steps of `control::exclusions` while this node leads.
+//!
+//! Owns: the loop that excludes unresponsive peers from elections and readmits
+//! healthy ones. Started once by the process; the leadership loop reads the
+//! resulting exclusions.
+//!
+//! Must never: carry out two steps at once, or report the result of a step to the
+//! exclusions of a later term.
 
-use super::{Node, store::STATE_TIMEOUT};
+use super::{
+    Node,
+    leases::LeaseRenewal,
+    store::{STATE_TIMEOUT, StoreError},
+};
 use crate::{
     control::{
         exclusions::{Exclusions, LEASE_TTL_MS, Step, exclusion_txn, readmission_txn},
         requests::TxnResult,
     },
-    protocol::state::{LeaseGranted, Txn},
+    protocol::state::Txn,
     state::records::{EXCLUSIONS, LEADER},
 };
 use async_io::Timer;
-use http_types::Method;
 use std::{rc::Rc, time::Duration};
 
-const PAUSE: Duration = Duration::from_millis(500);
+/// Time between two checks for a step that is due.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// Requests in the budget that the steps leave to leadership and acceptances.
+const RESERVE_REQUESTS: f64 = 2.0;
+
+/// Whether a step was carried out, so that the next may follow at once.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum StepResult {
+    Done,
+    Failed,
+}
 
+/// Carries out due steps, for as long as the process runs.
 pub async fn run(node: Rc<Node>) {
     loop {
-        Timer::after(PAUSE).await;
-        while let Some(term) = node.acting(|l, _| l.loaded().then_some(l.term)).flatten() {
-            let now = node.now();
-            let step = node
-                .exclusions
-                .borrow()
-                .next_step(&node.failure_detector.borrow(), now);
-            match step {
-                Some(step) if node.may_request(2.0) => {
-                    if !node.exclusion_step(term, step).await {
-                        break;
-                    }
-                }
-                _ => break,
+        Timer::after(CHECK_INTERVAL).await;
+        while let Some(term) = node
+            .acting(|leader, _| leader.loaded().then_some(leader.term))
+            .flatten()
+        {
+            let Some(step) = node.next_exclusion_step() else {
+                break;
+            };
+            if !node.may_request(RESERVE_REQUESTS)
+                || node.exclusion_step(term, step).await == StepResult::Failed
+            {
+                break;
             }
         }
     }
 }
 
 impl Node {
-    /// Those of earlier terms.
-    pub(super) async fn read_exclusions(&self, term: u64) -> Result<(), String> {
-        let found = self.list(EXCLUSIONS).await?;
-        let peer = |key: &str| {
+    fn next_exclusion_step(&self) -> Option<Step> {
+        let now = self.now();
+        self.exclusions
+            .borrow()
+            .next_step(&self.failure_detector.borrow(), now)
+    }
+
+    /// Reads the exclusions of earlier terms for a new leader.
+    pub(super) async fn read_exclusions(&self, term: u64) -> Result<(), StoreError> {
+        let items = self.list(EXCLUSIONS).await?;
+        let peer_of = |key: &str| {
             let name = key.trim_start_matches(EXCLUSIONS);
             self.settings.peers.iter().position(|p| p.name == name)
         };
-        let found = found.iter();
-        let found = found.filter_map(|i| Some((peer(&i.key)?, i.version)));
-        let exclusions = Exclusions::new(term, found);
+        let recorded = items
+            .iter()
+            .filter_map(|item| Some((peer_of(&item.key)?, item.version)));
+        let exclusions = Exclusions::new(term, recorded);
         self.of_term(term, |_, _| self.exclusions.replace(exclusions));
         Ok(())
     }
 
-    /// What came of a step of that term.
-    fn exclusions_of<T>(&self, term: u64, f: impl FnOnce(&mut Exclusions) -> T) -> Option<T> {
-        self.exclusions.borrow_mut().of_term(term).map(f)
+    /// Reports to the exclusions of `term`; `None` when that term is over.
+    fn exclusions_of<T>(&self, term: u64, report: impl FnOnce(&mut Exclusions) -> T) -> Option<T> {
+        self.exclusions.borrow_mut().of_term(term).map(report)
     }
 
-    /// Returns whether it was done.
-    async fn exclusion_step(&self, term: u64, step: Step) -> bool {
-        let sent = self.now();
+    async fn exclusion_step(&self, term: u64, step: Step) -> StepResult {
         match step {
-            Step::RenewLease(None) => {
-                let body = serde_json::json!({ "life_ms": LEASE_TTL_MS }).to_string();
-                let body = Some(body.into_bytes());
-                let answer = self
-                    .state(Method::Post, "/leases", body, STATE_TIMEOUT)
-                    .await;
-                let granted = answer
-                    .ok()
-                    .filter(|a| a.status == 200)
-                    .and_then(|a| serde_json::from_slice::<LeaseGranted>(&a.body).ok());
-                if let Some(LeaseGranted { lease }) = &granted {
-                    self.exclusions_of(term, |exclusions| exclusions.lease_granted(*lease, sent));
-                }
-                granted.is_some()
-            }
-            Step::RenewLease(Some(lease)) => {
-                let path = format!("/leases/{lease}/touch");
-                match self.state(Method::Post, &path, None, STATE_TIMEOUT).await {
-                    Ok(a) if a.status == 200 => {
-                        self.exclusions_of(term, |exclusions| {
-                            exclusions.lease_granted(lease, sent)
-                        });
-                        true
-                    }
-                    Ok(a) if a.status == 404 => {
-                        self.exclusions_of(term, Exclusions::lease_lost);
-                        true
-                    }
-                    _ => false,
-                }
+            Step::RenewLease(None) => self.request_exclusion_lease(term).await,
+            Step::RenewLease(Some(lease)) => self.renew_exclusion_lease(term, lease).await,
+            Step::Exclude { peer, lease } => self.exclude(term, peer, lease).await,
+            Step::Readmit { peer, version } => self.readmit(term, peer, version).await,
+            Step::EndLease(lease) => self.end_exclusion_lease(term, lease).await,
+        }
+    }
+
+    async fn request_exclusion_lease(&self, term: u64) -> StepResult {
+        let sent = self.now();
+        let Some(lease) = self.grant_lease(LEASE_TTL_MS, STATE_TIMEOUT).await else {
+            return StepResult::Failed;
+        };
+        self.exclusions_of(term, |exclusions| exclusions.lease_granted(lease, sent));
+        StepResult::Done
+    }
+
+    async fn renew_exclusion_lease(&self, term: u64, lease: u64) -> StepResult {
+        let sent = self.now();
+        match self.renew_lease(lease, STATE_TIMEOUT).await {
+            LeaseRenewal::Renewed => {
+                self.exclusions_of(term, |exclusions| exclusions.lease_granted(lease, sent));
+                StepResult::Done
             }
-            Step::Exclude { peer, lease } => {
-                let name = &self.settings.peers[peer].name;
-                let Some(again) =
-                    self.exclusions_of(term, |exclusions| exclusions.begin_exclusion(peer))
-                else {
-                    return false;
-                };
-                match self
-                    .change_exclusion(exclusion_txn(term, name, lease))
-                    .await
-                {
-                    TxnResult::Done(version) => {
-                        log::info!("{name} hangs: excluded from elections until it answers");
-                        self.exclusions_of(term, |exclusions| {
-                            exclusions.excluded(peer, version, again)
-                        });
-                        true
-                    }
-                    TxnResult::Unknown => false,
-                    _ => {
-                        self.exclusions_of(term, |exclusions| {
-                            exclusions.exclusion_failed(peer, again)
-                        });
-                        false
-                    }
-                }
+            LeaseRenewal::Expired => {
+                self.exclusions_of(term, Exclusions::lease_lost);
+                StepResult::Done
             }
-            Step::Readmit { peer, version } => {
-                let name = &self.settings.peers[peer].name;
-                self.exclusions_of(term, |exclusions| exclusions.begin_readmission(peer));
-                match self
-                    .change_exclusion(readmission_txn(term, name, version))
-                    .await
-                {
-                    TxnResult::Done(_) => {}
-                    // It is gone, or another than was counted on.
-                    TxnResult::Conflict(failed) if !failed.iter().any(|k| k == LEADER) => {}
-                    _ => return false,
-                }
-                log::info!("{name} is readmitted to elections");
-                self.exclusions_of(term, |exclusions| exclusions.readmitted(peer));
-                true
+            LeaseRenewal::Throttled | LeaseRenewal::Failed(_) => StepResult::Failed,
+        }
+    }
+
+    async fn exclude(&self, term: u64, peer: usize, lease: u64) -> StepResult {
+        let name = &self.settings.peers[peer].name;
+        let Some(repeated) =
+            self.exclusions_of(term, |exclusions| exclusions.begin_exclusion(peer))
+        else {
+            return StepResult::Failed;
+        };
+        match self
+            .change_exclusion(exclusion_txn(term, name, lease))
+            .await
+        {
+            TxnResult::Done(version) => {
+                log::info!("{name} hangs: excluded from elections until it answers");
+                self.exclusions_of(term, |exclusions| {
+                    exclusions.excluded(peer, version, repeated)
+                });
+                StepResult::Done
             }
-            Step::EndLease(lease) => {
-                self.exclusions_of(term, Exclusions::begin_lease_end);
-                let ended = self.end_lease(lease, STATE_TIMEOUT).await;
-                if ended {
-                    self.exclusions_of(term, Exclusions::lease_lost);
-                }
-                ended
+            TxnResult::Unknown => StepResult::Failed,
+            TxnResult::Conflict(_) | TxnResult::Refused | TxnResult::Rejected => {
+                self.exclusions_of(term, |exclusions| {
+                    exclusions.exclusion_failed(peer, repeated)
+                });
+                StepResult::Failed
             }
         }
     }
 
+    async fn readmit(&self, term: u64, peer: usize, version: u64) -> StepResult {
+        let name = &self.settings.peers[peer].name;
+        self.exclusions_of(term, |exclusions| exclusions.begin_readmission(peer));
+        match self
+            .change_exclusion(readmission_txn(term, name, version))
+            .await
+        {
+            TxnResult::Done(_) => {}
+            // The exclusion is gone, or has another version than was counted.
+            TxnResult::Conflict(failed) if !failed.iter().any(|key| key == LEADER) => {}
+            _ => return StepResult::Failed,
+        }
+        log::info!("{name} is readmitted to elections");
+        self.exclusions_of(term, |exclusions| exclusions.readmitted(peer));
+        StepResult::Done
+    }
+
+    async fn end_exclusion_lease(&self, term: u64, lease: u64) -> StepResult {
+        self.exclusions_of(term, Exclusions::begin_lease_end);
+        if !self.end_lease(lease, STATE_TIMEOUT).await {
+            return StepResult::Failed;
+        }
+        self.exclusions_of(term, Exclusions::lease_lost);
+        StepResult::Done
+    }
+
     async fn change_exclusion(&self, txn: Txn) -> TxnResult {
         let now = self.now();
-        self.state_writes.borrow_mut().force(now, 1.0);
+        self.budgets.charge_changes(now, 1.0);
         self.txn(&txn, STATE_TIMEOUT).await
     }
 }
--- a/src/server/heartbeats.rs
+++ b/src/server/heartbeats.rs
@@ -3,17 +3,31 @@
 
 use super::Node;
 use crate::{
-    control::failure_detector::RedirectTarget,
+    control::{failure_detector::RedirectTarget, heartbeat_relay::HeartbeatRelays},
     protocol::{
         peers::{Reply, Request},
         workers::Heartbeat,
     },
+    state::Millis,
     transport::server::{HttpResponse, JSON},
 };
-use std::{rc::Rc, time::Duration};
+use std::{
+    cell::{Cell, RefCell},
+    rc::Rc,
+    time::Duration,
+};
 
 const RELAY: Duration = Duration::from_millis(800);
 
+/// Heartbeats of workers at this node.
+#[derive(Default)]
+pub(super) struct Heartbeats {
+    /// When this node last answered one as leader.
+    pub(super) last_answered: Cell<Millis>,
+    /// Workers whose heartbeats are relayed to the leader.
+    pub(super) relays: RefCell<HeartbeatRelays>,
+}
+
 impl Node {
     pub(super) async fn handle_heartbeat(self: &Rc<Self>, body: Option<Vec<u8>>) -> HttpResponse {
         let Some(body) = body else {
@@ -41,7 +55,8 @@
             return self.redirect(target);
         };
         if !self
-            .heartbeat_relays
+            .heartbeats
+            .relays
             .borrow_mut()
             .should_relay(&report.machine, now)
         {
@@ -87,7 +102,7 @@
     /// `None`: this node doesn't lead.
     pub(super) fn answer_heartbeat(&self, report: &Heartbeat) -> Option<HttpResponse> {
         let reply = self.acting(|l, now| l.on_heartbeat(report, now))??;
-        self.last_heartbeat.set(self.now());
+        self.heartbeats.last_answered.set(self.now());
         Some(HttpResponse::json(200, &reply))
     }
 }
--- a/src/server/leadership/campaign.rs
+++ b/src/server/leadership/campaign.rs
@@ -1,178 +1,241 @@
-//! A node that does not lead: watches the leader's key, and becomes leader where
-//! nobody holds it.
+//! Campaign of a node that doesn't lead: it watches the leader's key and tries to
+//! become leader when nobody holds it.
+//!
+//! Owns: the reads of the leader's key, the attempt to write it, and the start of
+//! a new term in this process. Called by the leadership loop of the parent module.
+//!
+//! Must never: attempt to become leader while an earlier attempt may still
+//! succeed, or without a fresh check of `Election::may_campaign`.
 
-use super::{super::Node, PROBE_TIMEOUT, load_state::load};
+use super::{
+    super::{Node, store::StoreError},
+    PROBE_TIMEOUT,
+    load_state::load,
+};
 use crate::{
     control::{
         election::{CAMPAIGN_STEP_TIMEOUT_MS, LEASE_TTL_MS},
         leader::Leader,
         requests::TxnResult,
     },
-    protocol::state::{Condition, LeaseGranted, Txn, Write},
-    state::records::{self, LEADER, LeaderRecord},
+    protocol::state::{Condition, Item, Txn, Write},
+    state::{
+        Millis,
+        records::{self, LEADER, LeaderRecord},
+    },
 };
-use http_types::Method;
 use std::{rc::Rc, time::Duration};
 
-/// How long an excluded node waits before it tries again, in milliseconds.
-const EXCLUDED_PAUSE_MS: u64 = 1_000;
-/// A step of campaigning.
+/// How long an excluded node waits before it campaigns again.
+const EXCLUDED_PAUSE_MS: Millis = 1_000;
+/// How long one request of a campaign may take.
 const STEP_TIMEOUT: Duration = Duration::from_millis(CAMPAIGN_STEP_TIMEOUT_MS);
 
-impl Node {
-    async fn read_leader_key(&self) -> Result<(), String> {
-        let now = self.now();
-        self.state_requests.borrow_mut().force(now, 1.0);
-        let item = self.get(LEADER, STEP_TIMEOUT).await?;
-        let seen = item.and_then(|i| {
-            let record: LeaderRecord = serde_json::from_value(i.value).ok()?;
-            Some((record.node, i.version))
-        });
-        let changed = seen != self.election.borrow().observed_leader;
-        self.election.borrow_mut().observe_leader(seen, self.now());
-        if self.election.borrow().observed_leader.is_some() {
-            self.last_standby_record.take();
-        }
-        if changed {
-            self.heartbeat_relays.borrow_mut().clear();
-            self.set_shares();
-        }
-        Ok(())
-    }
+/// Pause of a node that waits for a vacancy it could fill, or has just tried.
+const VACANT_PAUSE: Duration = Duration::from_millis(150);
+/// Pause of a counted standby while another node leads.
+const STANDBY_PAUSE: Duration = Duration::from_millis(250);
+/// Pause of any other node while another node leads.
+const FOLLOWER_PAUSE: Duration = Duration::from_millis(500);
+/// Pause after a failed read of the leader's key, and the random part of it.
+const READ_FAILED_PAUSE_MS: u64 = 250;
+const READ_FAILED_JITTER_MS: u64 = 100;
+
+/// An attempt to become leader whose lease was granted.
+struct Attempt {
+    record: LeaderRecord,
+    /// Version of the leader's key that is replaced.
+    replaced_version: u64,
+    lease: u64,
+    /// When the lease was requested, from which it counts.
+    lease_requested: Millis,
+}
 
+impl Node {
     /// One step of a node that doesn't lead; returns when to do the next.
     pub(super) async fn campaign(self: &Rc<Self>) -> Duration {
-        let soon = Duration::from_millis(150);
-        let doubt = self.election.borrow().indeterminate_lease;
-        if let Some(lease) = doubt {
-            // End the lease of the attempt, so that it can't succeed late.
+        let indeterminate_lease = self.election.borrow().indeterminate_lease;
+        if let Some(lease) = indeterminate_lease {
+            // Once the attempt's lease has ended, it can't succeed late.
             if self.end_lease(lease, PROBE_TIMEOUT).await {
                 self.election.borrow_mut().indeterminate_lease = None;
             }
-            return soon;
+            return VACANT_PAUSE;
         }
         if let Err(e) = self.read_leader_key().await {
             log::debug!("reading the leader's key: {e}");
-            return Duration::from_millis(250 + fastrand::u64(0..100));
+            let jitter_ms = fastrand::u64(0..READ_FAILED_JITTER_MS);
+            return Duration::from_millis(READ_FAILED_PAUSE_MS + jitter_ms);
         }
-        let Some(version) = self.election.borrow().may_campaign(self.now()) else {
-            let nobody = self.election.borrow().observed_leader.is_none();
-            // A standby that counts looks more often.
-            let counts = self.replica_receiver.borrow().is_counted(self.now());
-            return match (nobody, counts) {
-                (true, _) => soon,
-                (false, true) => Duration::from_millis(250),
-                (false, false) => Duration::from_millis(500),
-            };
+        let Some(replaced_version) = self.election.borrow().may_campaign(self.now()) else {
+            return self.follower_pause();
         };
-        if self.machine_types.borrow().is_empty() {
-            return soon;
+        let machine_types_known = !self.machine_types.borrow().is_empty();
+        if machine_types_known && !self.leaves_candidacy_to_others().await {
+            self.become_leader(replaced_version).await;
+        }
+        VACANT_PAUSE
+    }
+
+    async fn read_leader_key(&self) -> Result<(), StoreError> {
+        let now = self.now();
+        self.budgets.charge_requests(now, 1.0);
+        let item = self.get(LEADER, STEP_TIMEOUT).await?;
+        let leader = item.and_then(|item| {
+            let record: LeaderRecord = serde_json::from_value(item.value).ok()?;
+            Some((record.node, item.version))
+        });
+        let exists = leader.is_some();
+        let changed = leader != self.election.borrow().observed_leader;
+        self.election
+            .borrow_mut()
+            .observe_leader(leader, self.now());
+        if exists {
+            self.standby.last_record.take();
         }
-        // Nodes that are better placed go first, and those that are warm.
+        if changed {
+            self.heartbeats.relays.borrow_mut().clear();
+            self.set_shares();
+        }
+        Ok(())
+    }
+
+    /// How long a node that may not campaign waits. A standby that is counted
+    /// reads the leader's key more often.
+    fn follower_pause(&self) -> Duration {
+        let is_vacant = self.election.borrow().observed_leader.is_none();
+        let is_counted = self
+            .standby
+            .replica_receiver
+            .borrow()
+            .is_counted(self.now());
+        match (is_vacant, is_counted) {
+            (true, _) => VACANT_PAUSE,
+            (false, true) => STANDBY_PAUSE,
+            (false, false) => FOLLOWER_PAUSE,
+        }
+    }
+
+    /// Nodes in a favourable failover position go first, and warm standbys.
+    async fn leaves_candidacy_to_others(&self) -> bool {
         let now = self.now();
-        let poor = self
+        let unfavourable = self
             .failure_detector
             .borrow()
             .unfavourable_failover_position(now);
-        let others = !poor && self.other_standbys_are_counted().await;
-        if self
-            .election
-            .borrow_mut()
-            .delays_candidacy(now, || poor || others)
-        {
-            return soon;
-        }
-        self.become_leader(version).await;
-        soon
+        let defers = unfavourable || self.other_standbys_are_counted().await;
+        self.election.borrow_mut().delays_candidacy(now, || defers)
     }
 
-    async fn become_leader(self: &Rc<Self>, version: u64) {
-        let asked = self.now();
-        self.state_requests.borrow_mut().force(asked, 2.0);
-        let body = serde_json::json!({ "life_ms": LEASE_TTL_MS })
-            .to_string()
-            .into_bytes();
-        let granted = match self
-            .state(Method::Post, "/leases", Some(body), STEP_TIMEOUT)
-            .await
-        {
-            Ok(a) if a.status == 200 => serde_json::from_slice::<LeaseGranted>(&a.body).ok(),
-            _ => None,
-        };
-        let Some(LeaseGranted { lease }) = granted else {
+    async fn become_leader(self: &Rc<Self>, replaced_version: u64) {
+        let Some(attempt) = self.prepare_attempt(replaced_version).await else {
             return;
         };
-        let (node, incarnation) = {
-            let e = self.election.borrow();
-            // A promise may have been given meanwhile.
-            if e.may_campaign(self.now()) != Some(version) {
-                return;
+        self.election.borrow_mut().indeterminate_lease = Some(attempt.lease);
+        let exclusion = records::exclusion_key(&attempt.record.node);
+        let txn = attempt.txn(&exclusion);
+        match self.txn(&txn, STEP_TIMEOUT).await {
+            TxnResult::Done(term) => self.begin_term(term, &attempt),
+            TxnResult::Unknown => {
+                // Without proof that it succeeded, the outcome stays unknown.
+                if let Ok(Some(item)) = self.get(LEADER, STEP_TIMEOUT).await
+                    && attempt.wrote(&item)
+                {
+                    self.begin_term(item.version, &attempt);
+                }
+            }
+            failed => {
+                let mut election = self.election.borrow_mut();
+                election.indeterminate_lease = None;
+                if matches!(&failed, TxnResult::Conflict(keys) if keys.contains(&exclusion)) {
+                    log::info!("excluded from elections, as this node hung");
+                    election.abstain(self.now() + EXCLUDED_PAUSE_MS);
+                }
             }
-            (e.node_name.clone(), e.incarnation)
+        }
+    }
+
+    /// Requests the lease for an attempt. `None` if there is none, or if this node
+    /// may no longer campaign.
+    async fn prepare_attempt(&self, replaced_version: u64) -> Option<Attempt> {
+        let lease_requested = self.now();
+        self.budgets.charge_requests(lease_requested, 2.0);
+        let lease = self.grant_lease(LEASE_TTL_MS, STEP_TIMEOUT).await?;
+        let election = self.election.borrow();
+        // A promise may have been granted meanwhile.
+        if election.may_campaign(self.now()) != Some(replaced_version) {
+            return None;
+        }
+        let record = LeaderRecord {
+            node: election.node_name.clone(),
+            incarnation: election.incarnation,
         };
-        self.election.borrow_mut().indeterminate_lease = Some(lease);
-        let exclusion = records::exclusion_key(&node);
-        let record = LeaderRecord { node, incarnation };
-        let txn = Txn {
+        Some(Attempt {
+            record,
+            replaced_version,
+            lease,
+            lease_requested,
+        })
+    }
+
+    fn begin_term(self: &Rc<Self>, term: u64, attempt: &Attempt) {
+        let lease = attempt.lease;
+        self.election
+            .borrow_mut()
+            .elected(term, lease, attempt.lease_requested);
+        log::info!(
+            "leading, term {term}, under lease {lease}, in place of key version {}, \
+             asked for {} ms ago",
+            attempt.replaced_version,
+            self.now() - attempt.lease_requested
+        );
+        self.set_shares();
+        let mut leader = Leader::new(
+            self.settings.clone(),
+            self.options.clone(),
+            self.machine_types.borrow().clone(),
+            term,
+            self.now(),
+        );
+        leader.final_states = self.final_states.take();
+        let replica = self
+            .standby
+            .replica_receiver
+            .borrow_mut()
+            .take_replica(term);
+        leader.inherit(attempt.record.incarnation, replica);
+        leader.set_leaderless_time(self.election.borrow().leaderless_for(self.now()));
+        self.exclusions.take();
+        *self.leader.borrow_mut() = Some(leader);
+        self.executor.spawn_high(load(self.clone(), term)).detach();
+    }
+}
+
+impl Attempt {
+    /// Replaces the leader's key, unless this node is excluded.
+    fn txn(&self, exclusion_key: &str) -> Txn {
+        Txn {
             conditions: vec![
                 Condition {
                     key: LEADER.into(),
-                    version,
+                    version: self.replaced_version,
                 },
                 Condition {
-                    key: exclusion.clone(),
+                    key: exclusion_key.to_owned(),
                     version: 0,
                 },
             ],
             writes: vec![Write::Put {
                 key: LEADER.into(),
-                value: serde_json::to_value(&record).unwrap_or_default(),
-                lease: Some(lease),
+                value: serde_json::to_value(&self.record).unwrap_or_default(),
+                lease: Some(self.lease),
             }],
-        };
-        let term = match self.txn(&txn, STEP_TIMEOUT).await {
-            TxnResult::Done(revision) => Some(revision),
-            TxnResult::Unknown => match self.get(LEADER, STEP_TIMEOUT).await {
-                Ok(Some(i))
-                    if serde_json::from_value::<LeaderRecord>(i.value.clone())
-                        .is_ok_and(|r| r == record) =>
-                {
-                    Some(i.version)
-                }
-                _ => return,
-            },
-            other => {
-                let mut election = self.election.borrow_mut();
-                election.indeterminate_lease = None;
-                if matches!(&other, TxnResult::Conflict(f) if f.contains(&exclusion)) {
-                    log::info!("excluded from elections, as this node hung");
-                    election.abstain(self.now() + EXCLUDED_PAUSE_MS);
-                }
-                return;
-            }
-        };
-        if let Some(term) = term {
-            self.election.borrow_mut().elected(term, lease, asked);
-            log::info!(
-                "leading, term {term}, under lease {lease}, in place of key version {version}, \
-                 asked for {} ms ago",
-                self.now() - asked
-            );
-            self.set_shares();
-            let mut leader = Leader::new(
-                self.settings.clone(),
-                self.options.clone(),
-                self.machine_types.borrow().clone(),
-                term,
-                self.now(),
-            );
-            leader.final_states = self.final_states.take();
-            let replica = self.replica_receiver.borrow_mut().take_replica(term);
-            leader.inherit(incarnation, replica);
-            leader.set_leaderless_time(self.election.borrow().leaderless_for(self.now()));
-            self.exclusions.take();
-            *self.leader.borrow_mut() = Some(leader);
-            self.executor.spawn_high(load(self.clone(), term)).detach();
         }
     }
+
+    /// Whether the leader's key holds what this process wrote.
+    fn wrote(&self, item: &Item) -> bool {
+        serde_json::from_value::<LeaderRecord>(item.value.clone())
+            .is_ok_and(|record| record == self.record)
+    }
 }
--- a/src/server/leadership/load_state.rs
+++ b/src/server/leadership/load_state.rs
@@ -1,6 +1,6 @@
 //! A new leader reads the records, then learns of jobs that other nodes accept.
 
-use super::super::Node;
+use super::super::{Node, store::StoreError};
 use crate::{
     control::{
         acceptance_feed::{AcceptanceFeed, Next},
@@ -47,7 +47,7 @@
         let pause = || Timer::after(Duration::from_millis(300));
         while self.of_term(term, |_, _| ()).is_some() {
             let now = self.now();
-            self.state_requests.borrow_mut().force(now, 1.0);
+            self.budgets.charge_requests(now, 1.0);
             let answer = self
                 .state(Method::Get, &notices.path(20_000), None, WATCH_TIMEOUT)
                 .await;
@@ -62,9 +62,9 @@
                     continue;
                 }
                 Next::List => match self.list_as_of(records::ACCEPTANCES).await {
-                    Ok((items, revision)) => {
-                        notices.listed(revision);
-                        items.into_iter().map(|i| i.key).collect()
+                    Ok(listing) => {
+                        notices.listed(listing.revision);
+                        listing.items.into_iter().map(|i| i.key).collect()
                     }
                     Err(_) => {
                         pause().await;
@@ -92,11 +92,11 @@
         }
     }
 
-    async fn read_records(&self, term: u64) -> Result<(), String> {
+    async fn read_records(&self, term: u64) -> Result<(), StoreError> {
         // The machine registry first: it is what the leases of workers hang on.
-        let (machines, as_of) = self.list_as_of(records::MACHINES).await?;
-        if as_of < term {
-            return Err(format!("they are of revision {as_of}, before the term"));
+        let machines = self.list_as_of(records::MACHINES).await?;
+        if machines.revision < term {
+            return Err(StoreError::BeforeTerm(machines.revision));
         }
         let jobs = self.list(records::JOBS).await?;
         let chunks = self.list(records::SEGMENTS).await?;
@@ -106,7 +106,7 @@
         self.read_exclusions(term).await?;
         self.of_term(term, |l, now| {
             l.load_standbys(standbys);
-            load_machines(l, machines, now);
+            load_machines(l, machines.items, now);
             let unreadable = load_jobs(l, jobs, &pieces, now);
             load_spec_chunks(l, &pieces, &unreadable);
             load_segments(l, chunks, &unreadable);
--- a/src/server/leadership/mod.rs
+++ b/src/server/leadership/mod.rs
@@ -1,30 +1,56 @@
-//! Leadership of this node: seeks it, keeps it, gives it up.
+//! Leadership of this node: the loop that campaigns for it, holds it, and steps
+//! down.
+//!
+//! Owns: the requests behind each transition of `control::election`, and the steps
+//! a node takes when its term ends. Its loop is started once by the process; the
+//! control loop and the standby registry call [`Node::step_down`] when they learn
+//! that another node leads.
+//!
+//! Must never: announce that a term has ended, or give back its lease, before this
+//! process has stopped acting in it.
 
 mod campaign;
 mod load_state;
 mod renew;
 
 use super::Node;
-use crate::protocol::peers::Request;
+use crate::{protocol::peers::Request, state::Millis};
 use async_executor::Task;
 use async_io::Timer;
-use std::{rc::Rc, time::Duration};
+use std::{cell::Cell, rc::Rc, time::Duration};
 
-/// For a question to all other nodes, and for a renewal.
+/// How long a request to all peers may take, and how long a renewal is waited for
+/// before the peers are asked for promises.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Why a leader stops: for the log, `status` and the figures.
+/// This node's leadership apart from the election's own state.
+#[derive(Default)]
+pub(super) struct LeadershipStatus {
+    /// While this node leads: the last renewal failed.
+    renewals_failing: Cell<bool>,
+    /// When and why this node last stepped down.
+    pub(super) last_step_down: Cell<Option<(Millis, StepDownReason)>>,
+}
+
+/// Why a leader steps down, for the log, `status` and the metrics.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum StepDownReason {
+    /// The key-value store no longer holds its lease.
     LeaseEnded,
+    /// A write failed, as another node holds the leader's key.
     Replaced,
+    /// The key-value store fails this node but serves a peer.
     RefusedAlone,
+    /// Its authority ended at the staleness bound.
     CancellationsUnknown,
+    /// Neither workers nor controllers are reachable.
     Isolated,
+    /// It yields, as its successor in the failover order is unresponsive.
     UnfavourablePosition,
 }
 
 impl StepDownReason {
+    /// Label value of metrics and log text. Dashboards depend on it.
     pub(super) fn text(self) -> &'static str {
         match self {
             StepDownReason::LeaseEnded => "its lease has ended",
@@ -40,7 +66,7 @@
         }
     }
 
-    /// Whether its key may be replaced at once: the others are told.
+    /// Whether the peers are notified, so that they may replace the key at once.
     fn is_announced(self) -> bool {
         matches!(
             self,
@@ -51,10 +77,11 @@
     }
 }
 
+/// Campaigns for leadership or holds it, for as long as the process runs.
 pub async fn run(node: Rc<Node>) {
     loop {
-        let lead = node.election.borrow().leadership();
-        let pause = match lead {
+        let leadership = node.election.borrow().leadership();
+        let pause = match leadership {
             Some(_) => node.hold_leadership().await,
             None => node.campaign().await,
         };
@@ -63,35 +90,40 @@
 }
 
 impl Node {
-    /// Stops acting under that term, then tells the others so.
-    pub(super) fn step_down(self: &Rc<Self>, term: u64, why: StepDownReason) {
-        let Some(lead) = self.election.borrow_mut().resign(term) else {
+    /// Stops acting in `term`, then gives back its lease and notifies the peers.
+    /// Without effect if this process doesn't lead that term.
+    pub(super) fn step_down(self: &Rc<Self>, term: u64, reason: StepDownReason) {
+        let Some(resigned) = self.election.borrow_mut().resign(term) else {
             return;
         };
         if let Some(leader) = self.leader.borrow_mut().take() {
             self.final_states.replace(leader.final_states);
         }
-        self.renewals_failing.set(false);
+        self.leadership.renewals_failing.set(false);
         self.set_shares();
-        let (now, authority) = (self.now(), lead.authority());
+        let (now, authority) = (self.now(), resigned.authority());
         log::info!(
             "leader of term {} steps down: {}; its authority, by {}, lasts until {} ms from now",
-            lead.term,
-            why.text(),
+            resigned.term,
+            reason.text(),
             authority.basis.text(),
             authority.valid_until as i64 - now as i64
         );
-        self.last_step_down.set(Some((self.now(), why)));
-        self.metrics.borrow().stepped_down(why.text());
-        // Nothing is done under it any more, so the key may go at once.
+        self.leadership
+            .last_step_down
+            .set(Some((self.now(), reason)));
+        self.metrics.borrow().stepped_down(reason.text());
+        // Nothing is done in this term any more, so the key need not outlast it.
         let node = self.clone();
         self.executor
             .spawn_high(async move {
-                node.end_lease(lead.lease, PROBE_TIMEOUT).await;
+                node.end_lease(resigned.lease, PROBE_TIMEOUT).await;
             })
             .detach();
-        if why.is_announced() {
-            let request = Request::Resigned { term: lead.term };
+        if reason.is_announced() {
+            let request = Request::Resigned {
+                term: resigned.term,
+            };
             self.ask_all(&request).into_iter().for_each(Task::detach);
         }
     }
--- a/src/server/leadership/renew.rs
+++ b/src/server/leadership/renew.rs
@@ -1,8 +1,16 @@
-//! A node that leads: renews its lease and, while the state service fails, asks
-//! the others for promises.
+//! A node that leads: it renews its lease and, while the key-value store fails,
+//! asks its peers for promises.
+//!
+//! Owns: the requests that extend the leader's authority, the checks that follow a
+//! renewal (isolation, failover position), and this node's answer to a leader that
+//! asks for a promise. Called by the leadership loop of the parent module and, for
+//! promises, by `server::peers`.
+//!
+//! Must never: extend authority except through `control::election`, or grant a
+//! promise on anything but a fresh request to the key-value store.
 
 use super::{
-    super::{Node, store::OVER_LIMIT},
+    super::{Node, leases::LeaseRenewal, store::StoreError},
     PROBE_TIMEOUT, StepDownReason,
 };
 use crate::{
@@ -11,54 +19,59 @@
         PromiseResponse, RENEWAL_TIMEOUT_MS,
     },
     protocol::peers::{Reply, Request},
-    state::records::LEADER,
+    state::{Millis, records::LEADER},
     transport::{client::CallError, within},
 };
 use async_executor::Task;
-use http_types::Method;
 use std::{rc::Rc, time::Duration};
 
-/// How long a node that was cut off lets the others lead, in milliseconds.
-const ABSTAIN_MS: u64 = 15_000;
-/// What the renewal may take that is tried last, once another node is served.
-const SECOND_TRY_TIMEOUT: Duration = Duration::from_millis(300);
+/// How long an isolated node abstains after it stepped down.
+const ISOLATED_ABSTAIN_MS: Millis = 15_000;
+/// How long the peers relay the heartbeats of machines that the leader misses.
+const HEARTBEAT_RELAY_MS: Millis = 15_000;
+/// How long the last renewal may take once a peer reported that it reaches the
+/// key-value store.
+const LAST_RENEWAL_TIMEOUT: Duration = Duration::from_millis(300);
 
-#[derive(Clone, Copy, PartialEq, Eq)]
-enum Touch {
-    Renewed,
-    Lost,
-    /// It answers, but all nodes together ask too much.
-    Busy,
-    Failed,
-}
+/// Pause after a renewal.
+const RENEWAL_INTERVAL: Duration = Duration::from_millis(LEASE_TTL_MS / 4);
+/// Pause after a renewal that failed, or a round of promises.
+const RETRY_PAUSE: Duration = Duration::from_millis(100);
+/// Pause after stepping down.
+const STEPPED_DOWN_PAUSE: Duration = Duration::from_millis(500);
+
+/// Without a heartbeat for this many heartbeat intervals, and this margin, the
+/// leader counts as cut off from all workers.
+const ISOLATION_INTERVALS: Millis = 3;
+const ISOLATION_MARGIN_MS: Millis = 2000;
 
 impl Node {
     /// One step of the leader; returns when to do the next.
     pub(super) async fn hold_leadership(self: &Rc<Self>) -> Duration {
-        let Some(lead) = self.election.borrow().leadership() else {
+        let Some(leadership) = self.election.borrow().leadership() else {
             return Duration::ZERO;
         };
-        // While renewals fail the others are asked at once, and each renewal is
-        // tried beside that: promises are too short to wait for it first.
-        if !self.renewals_failing.get() {
-            let mut renewal = self.renew(lead);
+        // While renewals fail, the peers are asked at once and each renewal runs
+        // beside that: a promise is too short to wait for a renewal first.
+        if !self.leadership.renewals_failing.get() {
+            let mut renewal = self.start_renewal(leadership);
             match within(PROBE_TIMEOUT, &mut renewal).await {
-                Some(Touch::Renewed) => return self.after_renewal(lead).await,
-                Some(Touch::Lost) => return Duration::ZERO,
-                Some(Touch::Busy) => return Duration::from_millis(100),
-                Some(Touch::Failed) => {}
+                Some(LeaseRenewal::Renewed) => return self.after_renewal(leadership).await,
+                Some(LeaseRenewal::Expired) => return Duration::ZERO,
+                Some(LeaseRenewal::Throttled) => return RETRY_PAUSE,
+                Some(LeaseRenewal::Failed(_)) => {}
                 None => renewal.detach(),
             }
-            self.renewals_failing.set(true);
+            self.leadership.renewals_failing.set(true);
         }
-        self.ask_promises(lead).await
+        self.ask_promises(leadership).await
     }
 
-    /// Does what may prolong the authority, and notes by which right it stands.
-    fn extend_authority<T>(&self, f: impl FnOnce(&mut Election) -> T) -> T {
+    /// Applies what may extend the authority, and records a change of its basis.
+    fn extend_authority<T>(&self, extend: impl FnOnce(&mut Election) -> T) -> T {
         let mut election = self.election.borrow_mut();
         let before = election.leadership();
-        let result = f(&mut election);
+        let result = extend(&mut election);
         if let (Some(before), Some(after)) = (before, election.leadership()) {
             let (was, is) = (before.authority(), after.authority());
             if is.valid_until > was.valid_until {
@@ -71,103 +84,125 @@
         result
     }
 
-    /// What is looked at after each renewal.
-    async fn after_renewal(self: &Rc<Self>, lead: Leadership) -> Duration {
-        self.greet_other_zones(lead.term);
-        if self.is_isolated(lead.term).await {
+    /// The checks that follow each renewal.
+    async fn after_renewal(self: &Rc<Self>, leadership: Leadership) -> Duration {
+        let term = leadership.term;
+        self.probe_other_zones(term);
+        if self.is_isolated(term).await {
             let now = self.now();
-            self.election.borrow_mut().abstain(now + ABSTAIN_MS);
-            self.step_down(lead.term, StepDownReason::Isolated);
-            return Duration::from_millis(500);
+            self.election
+                .borrow_mut()
+                .abstain(now + ISOLATED_ABSTAIN_MS);
+            self.step_down(term, StepDownReason::Isolated);
+            return STEPPED_DOWN_PAUSE;
+        }
+        if self.yields_leadership(term) {
+            self.step_down(term, StepDownReason::UnfavourablePosition);
+            return STEPPED_DOWN_PAUSE;
         }
+        RENEWAL_INTERVAL
+    }
+
+    fn yields_leadership(&self, term: u64) -> bool {
         let now = self.now();
-        let poor = self
+        let unfavourable = self
             .failure_detector
             .borrow()
             .unfavourable_failover_position(now);
-        let warm = self.of_term(lead.term, |l, now| l.warm_standbys(now) > 0);
-        let warm = warm.unwrap_or(false);
-        if self
-            .election
+        let warm_standby = self
+            .of_term(term, |leader, now| leader.warm_standbys(now) > 0)
+            .unwrap_or(false);
+        self.election
             .borrow_mut()
-            .yields_leadership(poor, warm, now)
-        {
-            self.step_down(lead.term, StepDownReason::UnfavourablePosition);
-            return Duration::from_millis(500);
-        }
-        Duration::from_millis(LEASE_TTL_MS / 4)
+            .yields_leadership(unfavourable, warm_standby, now)
     }
 
-    /// Begins a renewal. What comes of it holds whoever waits for it, also if
-    /// it comes late.
-    fn renew(self: &Rc<Self>, lead: Leadership) -> Task<Touch> {
+    /// Starts a renewal. Its result takes effect whether it is waited for or not,
+    /// also if it comes late.
+    fn start_renewal(self: &Rc<Self>, leadership: Leadership) -> Task<LeaseRenewal> {
         let node = self.clone();
         self.executor.spawn_high(async move {
             let sent = node.now();
-            let touch = node.touch(lead.lease).await;
-            let still = node.election.borrow().leadership().map(|l| l.lease);
-            if still == Some(lead.lease) {
-                match touch {
-                    Touch::Renewed => {
-                        node.extend_authority(|e| e.renewed(lead.lease, sent));
-                        node.renewals_failing.set(false);
-                    }
-                    Touch::Lost => node.step_down(lead.term, StepDownReason::LeaseEnded),
-                    Touch::Busy | Touch::Failed => {}
-                }
+            node.budgets.charge_requests(sent, 1.0);
+            let timeout = Duration::from_millis(RENEWAL_TIMEOUT_MS);
+            let renewal = node.renew_lease(leadership.lease, timeout).await;
+            if let LeaseRenewal::Failed(e) = &renewal {
+                log::debug!("renewing leadership: {e}");
             }
-            touch
+            node.apply_renewal(leadership, sent, &renewal);
+            renewal
         })
     }
 
-    /// Asks all other nodes at once.
+    fn apply_renewal(
+        self: &Rc<Self>,
+        leadership: Leadership,
+        sent: Millis,
+        renewal: &LeaseRenewal,
+    ) {
+        let held = self.election.borrow().leadership().map(|held| held.lease);
+        if held != Some(leadership.lease) {
+            return;
+        }
+        match renewal {
+            LeaseRenewal::Renewed => {
+                self.extend_authority(|election| election.renewed(leadership.lease, sent));
+                self.leadership.renewals_failing.set(false);
+            }
+            LeaseRenewal::Expired => self.step_down(leadership.term, StepDownReason::LeaseEnded),
+            LeaseRenewal::Throttled | LeaseRenewal::Failed(_) => {}
+        }
+    }
+
+    /// Sends a request to all peers at once.
     pub(super) fn ask_all(
         self: &Rc<Self>,
         request: &Request,
     ) -> Vec<Task<Result<Reply, CallError>>> {
-        self.ask_all_but(&[], request)
+        self.ask_all_except(&[], request)
     }
 
-    fn ask_all_but(
+    fn ask_all_except(
         self: &Rc<Self>,
-        but: &[usize],
+        skipped_peers: &[usize],
         request: &Request,
     ) -> Vec<Task<Result<Reply, CallError>>> {
-        let ask = |peer| {
-            let (node, request) = (self.clone(), request.clone());
-            self.executor
-                .spawn_high(async move { node.ask(peer, &request, PROBE_TIMEOUT).await })
-        };
-        let peers = 0..self.settings.peers.len();
-        peers.filter(|p| !but.contains(p)).map(ask).collect()
+        (0..self.settings.peers.len())
+            .filter(|peer| !skipped_peers.contains(peer))
+            .map(|peer| {
+                let (node, request) = (self.clone(), request.clone());
+                self.executor
+                    .spawn_high(async move { node.ask(peer, &request, PROBE_TIMEOUT).await })
+            })
+            .collect()
     }
 
-    /// Whether a zone is cut off shows in its controllers as well.
-    fn greet_other_zones(self: &Rc<Self>, term: u64) {
-        let own = &self.settings.zone;
+    /// Asks the controllers of other zones for a sign of life: whether a zone is
+    /// unreachable shows in its controllers as well as in its machines.
+    fn probe_other_zones(self: &Rc<Self>, term: u64) {
+        let own_zone = &self.settings.zone;
         let peers = self.settings.peers.iter().enumerate();
-        for (peer, p) in peers.filter(|(_, p)| p.zone != *own) {
-            let (node, zone) = (self.clone(), p.zone.clone());
-            self.executor
-                .spawn_high(async move {
-                    if node
-                        .ask(peer, &Request::greeting(), PROBE_TIMEOUT)
-                        .await
-                        .is_ok()
-                    {
-                        node.of_term(term, |l, now| l.controller_responded(&zone, now));
-                    }
-                })
-                .detach();
+        for (index, peer) in peers.filter(|(_, peer)| peer.zone != *own_zone) {
+            let (node, zone) = (self.clone(), peer.zone.clone());
+            let probe = async move {
+                let reply = node.ask(index, &Request::greeting(), PROBE_TIMEOUT).await;
+                if reply.is_ok() {
+                    node.of_term(term, |leader, now| leader.controller_responded(&zone, now));
+                }
+            };
+            self.executor.spawn_high(probe).detach();
         }
     }
 
-    /// Asks the others to relay reports of machines that fell unresponsive: the cut
-    /// may be between them and this node alone. A worker tries another node
-    /// after 5 s of its lease, so there is no time to find out first. Returns
-    /// whether neither workers nor controllers are heard.
+    /// Asks the peers to relay heartbeats of machines that have become
+    /// unresponsive, as the fault may lie between them and this node alone. A
+    /// worker tries another node after 5 s of its lease, so there is no time to
+    /// find out first. Returns whether neither workers nor controllers are
+    /// reachable.
     async fn is_isolated(self: &Rc<Self>, term: u64) -> bool {
-        let Some((machines, heard)) = self.of_term(term, |l, now| l.overdue_machines(now)) else {
+        let Some((machines, responsive)) =
+            self.of_term(term, |leader, now| leader.overdue_machines(now))
+        else {
             return false;
         };
         if machines.is_empty() {
@@ -175,127 +210,123 @@
         }
         let request = Request::Unheard {
             machines,
-            for_ms: 15_000,
+            for_ms: HEARTBEAT_RELAY_MS,
         };
-        let asks = self.ask_all(&request);
-        let mut anybody = heard > 0 || self.settings.peers.is_empty();
-        for ask in asks {
-            anybody |= ask.await.is_ok();
+        let mut reaches_anybody = responsive > 0 || self.settings.peers.is_empty();
+        for reply in self.ask_all(&request) {
+            reaches_anybody |= reply.await.is_ok();
         }
-        let report = (self.settings.cluster.workers.report_s * 1000.0) as u64;
-        let silence = self.now().saturating_sub(self.last_heartbeat.get());
-        !anybody && silence > 3 * report + 2000
+        let heartbeat_interval_ms = (self.settings.cluster.workers.report_s * 1000.0) as Millis;
+        let since_heartbeat = self
+            .now()
+            .saturating_sub(self.heartbeats.last_answered.get());
+        !reaches_anybody
+            && since_heartbeat > ISOLATION_INTERVALS * heartbeat_interval_ms + ISOLATION_MARGIN_MS
     }
 
-    async fn touch(&self, lease: u64) -> Touch {
+    /// The key-value store fails this node; the peers' answers show whether it
+    /// fails them too. A renewal runs meanwhile, as one answer may just be late.
+    async fn ask_promises(self: &Rc<Self>, leadership: Leadership) -> Duration {
+        let sent = self.now();
+        let renewal = self.start_renewal(leadership);
+        let responses = self.collect_promises(leadership.term, sent).await;
         let now = self.now();
-        self.state_requests.borrow_mut().force(now, 1.0);
-        let path = format!("/leases/{lease}/touch");
-        let limit = Duration::from_millis(RENEWAL_TIMEOUT_MS);
-        match self.state(Method::Post, &path, None, limit).await {
-            Ok(a) if a.status == 200 => Touch::Renewed,
-            Ok(a) if a.status == 404 => Touch::Lost,
-            Ok(a) if a.status == 429 => Touch::Busy,
-            Ok(a) => {
-                log::debug!("renewing leadership: status {}", a.status);
-                Touch::Failed
+        let outcome =
+            self.extend_authority(|election| election.extend_by_promises(sent, responses, now));
+        renewal.detach();
+        match outcome {
+            PromiseOutcome::Extended => {}
+            PromiseOutcome::NotExtended => log::debug!("promises are missing or came too late"),
+            PromiseOutcome::CancellationsUnknown => {
+                self.step_down(leadership.term, StepDownReason::CancellationsUnknown);
+                return STEPPED_DOWN_PAUSE;
             }
-            Err(e) => {
-                log::debug!("renewing leadership: {e}");
-                Touch::Failed
+            PromiseOutcome::RefusedAlone => {
+                if self.last_renewal_fails(leadership).await {
+                    self.step_down(leadership.term, StepDownReason::RefusedAlone);
+                    return STEPPED_DOWN_PAUSE;
+                }
             }
         }
+        RETRY_PAUSE
     }
 
-    /// The state service fails this node: does it fail the others too? It is
-    /// asked again meanwhile, as one answer may just be late.
-    async fn ask_promises(self: &Rc<Self>, lead: Leadership) -> Duration {
-        let sent = self.now();
-        let again = self.renew(lead);
+    /// Asks all peers for a promise. Excluded ones can't be elected and would only
+    /// cost a time-out.
+    async fn collect_promises(self: &Rc<Self>, term: u64, sent: Millis) -> Vec<PromiseResponse> {
         let request = Request::Promise {
-            term: lead.term,
+            term,
             leader: self.settings.name.clone(),
             for_ms: PROMISE_MS,
         };
-        // An excluded node can't seek anything, and would take a time-out.
         let (excluded, until) = {
             let exclusions = self.exclusions.borrow();
-            let peers = 0..self.settings.peers.len();
-            let excluded: Vec<usize> = peers.filter(|p| exclusions.is_excluded(*p, sent)).collect();
+            let excluded: Vec<usize> = (0..self.settings.peers.len())
+                .filter(|peer| exclusions.is_excluded(*peer, sent))
+                .collect();
             (excluded, exclusions.lease_until())
         };
-        let mut answers = vec![PromiseResponse::Excluded { until }; excluded.len()];
-        for ask in self.ask_all_but(&excluded, &request) {
-            answers.push(match ask.await {
+        let mut responses = vec![PromiseResponse::Excluded { until }; excluded.len()];
+        for reply in self.ask_all_except(&excluded, &request) {
+            responses.push(match reply.await {
                 Ok(Reply::Promise {
                     granted: true,
                     running_ms,
                     ..
                 }) => PromiseResponse::Granted {
-                    started_by: running_ms.map(|ms| Election::process_started_by(ms, self.now())),
+                    started_by: running_ms
+                        .map(|uptime| Election::process_started_by(uptime, self.now())),
                 },
                 Ok(Reply::Promise { state_ok: true, .. }) => PromiseResponse::StoreReachable,
                 _ => PromiseResponse::Refused,
             });
         }
-        let now = self.now();
-        let extended = self.extend_authority(|e| e.extend_by_promises(sent, answers, now));
-        match extended {
-            PromiseOutcome::Extended => again.detach(),
-            PromiseOutcome::NotExtended => {
-                log::debug!("promises are missing or came too late");
-                again.detach();
-            }
-            PromiseOutcome::CancellationsUnknown => {
-                again.detach();
-                self.step_down(lead.term, StepDownReason::CancellationsUnknown);
-                return Duration::from_millis(500);
-            }
-            PromiseOutcome::RefusedAlone => {
-                again.detach();
-                let begun = self.now();
-                let mut last = self.renew(lead);
-                match within(SECOND_TRY_TIMEOUT, &mut last).await {
-                    Some(Touch::Renewed | Touch::Lost | Touch::Busy) => {}
-                    failed @ (Some(Touch::Failed) | None) => {
-                        if failed.is_none() {
-                            last.detach();
-                        }
-                        if self.election.borrow().is_refused_alone(begun) {
-                            self.step_down(lead.term, StepDownReason::RefusedAlone);
-                            return Duration::from_millis(500);
-                        }
-                    }
-                }
+        responses
+    }
+
+    /// A peer reaches the key-value store: one more renewal shows whether the
+    /// store fails this node alone.
+    async fn last_renewal_fails(self: &Rc<Self>, leadership: Leadership) -> bool {
+        let sent = self.now();
+        let mut renewal = self.start_renewal(leadership);
+        match within(LAST_RENEWAL_TIMEOUT, &mut renewal).await {
+            Some(LeaseRenewal::Renewed | LeaseRenewal::Expired | LeaseRenewal::Throttled) => {
+                return false;
             }
+            Some(LeaseRenewal::Failed(_)) => {}
+            None => renewal.detach(),
         }
-        Duration::from_millis(100)
+        self.election.borrow().is_refused_alone(sent)
     }
 
-    pub(in crate::server) async fn promise(&self, term: u64, for_ms: u64) -> Reply {
-        // A fresh look: what was true a second ago says nothing.
-        let state_ok = {
-            let now = self.now();
-            self.state_requests.borrow_mut().force(now, 1.0);
-            let limit = Duration::from_millis(PROMISE_CHECK_TIMEOUT_MS);
-            match self.get(LEADER, limit).await {
-                Ok(_) => true,
-                Err(e) => {
-                    log::debug!("asked for a promise: {e}");
-                    // It answers: there is no outage.
-                    e == OVER_LIMIT
-                }
-            }
-        };
+    /// Answers a leader that asks for a promise.
+    pub(in crate::server) async fn promise(&self, term: u64, duration: Millis) -> Reply {
+        let store_answers = self.store_answers().await;
         let now = self.now();
         let granted = self
             .election
             .borrow_mut()
-            .grant_promise(now, term, for_ms, !state_ok);
+            .grant_promise(now, term, duration, !store_answers);
         Reply::Promise {
             granted,
-            state_ok,
+            state_ok: store_answers,
             running_ms: Some(self.election.borrow().process_uptime(now)),
         }
     }
+
+    /// Whether the key-value store answers this node right now. An earlier answer
+    /// proves nothing; an answer that refuses for load shows that there is no
+    /// outage.
+    async fn store_answers(&self) -> bool {
+        let now = self.now();
+        self.budgets.charge_requests(now, 1.0);
+        let timeout = Duration::from_millis(PROMISE_CHECK_TIMEOUT_MS);
+        match self.get(LEADER, timeout).await {
+            Ok(_) => true,
+            Err(e) => {
+                log::debug!("asked for a promise: {e}");
+                e == StoreError::OverLimit
+            }
+        }
+    }
 }
--- /dev/null
+++ b/src/server/leases.rs
@@ -0,0 +1,63 @@
+//! Leases of the key-value store: grant, renewal and end.
+//!
+//! Owns: the paths, bodies and status codes of the lease calls. Called by the
+//! campaign and the renewals of leadership, and by the exclusions, each of which
+//! charges the request budget itself.
+//!
+//! Must never: decide what a lost lease means, or take an error for the end of a
+//! lease.
+
+use super::{Node, store::StoreError};
+use crate::{protocol::state::LeaseGranted, state::Millis};
+use http_types::Method;
+use std::time::Duration;
+
+/// Result of an attempt to renew a lease.
+#[derive(Debug, Clone, PartialEq)]
+pub(super) enum LeaseRenewal {
+    /// The lease lives for its time to live from when the request was sent.
+    Renewed,
+    /// The lease has ended.
+    Expired,
+    /// The store answers, but all controllers together exceed its request limit.
+    Throttled,
+    /// The outcome is unknown, or the store is unavailable.
+    Failed(StoreError),
+}
+
+impl Node {
+    /// Requests a lease; `None` if the store granted none, or its answer was lost.
+    pub(super) async fn grant_lease(&self, ttl_ms: Millis, timeout: Duration) -> Option<u64> {
+        let body = serde_json::json!({ "life_ms": ttl_ms }).to_string();
+        let answer = self
+            .state(Method::Post, "/leases", Some(body.into_bytes()), timeout)
+            .await
+            .ok()?;
+        if answer.status != 200 {
+            return None;
+        }
+        let granted: LeaseGranted = serde_json::from_slice(&answer.body).ok()?;
+        Some(granted.lease)
+    }
+
+    /// Renews a lease.
+    pub(super) async fn renew_lease(&self, lease: u64, timeout: Duration) -> LeaseRenewal {
+        let path = format!("/leases/{lease}/touch");
+        match self.state(Method::Post, &path, None, timeout).await {
+            Ok(answer) => match answer.status {
+                200 => LeaseRenewal::Renewed,
+                404 => LeaseRenewal::Expired,
+                429 => LeaseRenewal::Throttled,
+                status => LeaseRenewal::Failed(StoreError::Status(status)),
+            },
+            Err(e) => LeaseRenewal::Failed(e.into()),
+        }
+    }
+
+    /// Ends a lease. Returns whether it has surely ended.
+    pub(super) async fn end_lease(&self, lease: u64, timeout: Duration) -> bool {
+        let path = format!("/leases/{lease}");
+        let answer = self.state(Method::Delete, &path, None, timeout).await;
+        answer.is_ok_and(|answer| answer.status == 404 || (200..300).contains(&answer.status))
+    }
+}
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -1,18 +1,27 @@
-//! One controller process: binds decisions to sockets and the clock. It has
-//! one thread and one executor; state is shared through `RefCell`s that are
-//! never held across an await.
+//! One controller process: binds the decisions of `control` to sockets and the
+//! clock. It has one thread and one executor.
+//!
+//! Owns: the [`Node`] that all loops share, their start, the listening sockets, and
+//! the dispatch of HTTP requests. Called by the program's `main`.
+//!
+//! Must never: hold a `RefCell` borrow across an await; act on the leader's state
+//! except through [`Node::acting`] or, for the results of what began with
+//! authority, [`Node::of_term`].
 
 mod audit_log;
+mod budgets;
 mod client_api;
 mod cloud;
 mod control_loop;
 mod exclusions;
 mod heartbeats;
 mod leadership;
+mod leases;
 mod market;
 mod metrics;
 mod peers;
 mod polls;
+mod signals;
 mod standby;
 mod status;
 mod store;
@@ -21,19 +30,11 @@
 use crate::{
     control::{
         election::Election, exclusions::Exclusions, failure_detector::FailureDetector,
-        heartbeat_relay::HeartbeatRelays, leader::Leader, polls::FinalStates,
-        safety_bounds::SafetyBounds, standby::replica::ReplicaReceiver,
+        leader::Leader, polls::FinalStates, safety_bounds::SafetyBounds,
     },
     options::Options,
     protocol::{cloud::MachineType, settings::Settings},
-    state::{
-        Millis,
-        rate_limit::{
-            TokenBucket,
-            share::{self, Role},
-        },
-        records::StandbyRecord,
-    },
+    state::{Millis, rate_limit::share::Role},
     transport::{
         client::Client,
         frames::{self, PeerClient},
@@ -42,6 +43,7 @@
     },
 };
 use anyhow::{Context, Result};
+use async_executor::Task;
 use http_types::Method;
 use std::{
     cell::{Cell, RefCell},
@@ -50,174 +52,198 @@
 };
 
 const HEARTBEAT_PATH: &str = "/agent/beat";
-/// For how many seconds' worth of requests a budget may be saved.
-const BURST_S: f64 = 0.9;
+/// Incarnations are random numbers of this many bits, which any JSON reader takes.
+const INCARNATION_BITS: u32 = 53;
+/// How long after an answer of the key-value store a node without authority is
+/// ready.
+const READY_AFTER_ANSWER_MS: Millis = 3000;
 
+/// One controller process. Each group of state has an owner in the module of its
+/// type; the rest is shared by all loops.
 pub struct Node {
     settings: Rc<Settings>,
     options: Options,
     executor: Rc<PriorityExecutor>,
-    start: Instant,
+    /// The origin of [`Node::now`].
+    started: Instant,
     http: Client,
     peers: PeerClient,
     failure_detector: RefCell<FailureDetector>,
     election: RefCell<Election>,
     exclusions: RefCell<Exclusions>,
+    leadership: leadership::LeadershipStatus,
+    /// The leader's state, while this node leads.
     leader: RefCell<Option<Leader>>,
-    /// What this node keeps as a standby.
-    replica_receiver: RefCell<ReplicaReceiver>,
-    /// The record of standbys, as read since nobody leads.
-    last_standby_record: RefCell<Option<StandbyRecord>>,
-    state_requests: RefCell<TokenBucket>,
-    state_writes: RefCell<TokenBucket>,
-    cloud_requests: RefCell<TokenBucket>,
+    standby: standby::Standby,
+    budgets: budgets::Budgets,
+    in_flight: control_loop::Operations,
     machine_types: RefCell<Vec<MachineType>>,
-    /// When the state service last answered.
+    /// When the key-value store last answered.
     state_answered_at: Cell<Option<Millis>>,
-    /// While it leads: the last renewal failed.
-    renewals_failing: Cell<bool>,
-    /// When and why it last gave up leadership.
-    last_step_down: Cell<Option<(Millis, leadership::StepDownReason)>>,
-    write_in_flight: Cell<bool>,
-    lookup_in_flight: Cell<bool>,
-    /// Changes that a transaction may hold, since one was rejected.
-    max_txn_changes: Cell<usize>,
     upgrade: upgrade::Upgrade,
-    list_in_flight: Cell<bool>,
-    /// Polls that wait for the leader, and those that wait for the records.
-    leader_polls: polls::PollQueue,
-    record_polls: polls::PollQueue,
-    /// Final states that this node has learned while it did not lead.
+    polls: polls::Polls,
+    /// Terminal states that this node has learned while it did not lead.
     final_states: RefCell<FinalStates>,
-    /// When a report was last answered.
-    last_heartbeat: Cell<Millis>,
-    heartbeat_relays: RefCell<HeartbeatRelays>,
+    heartbeats: heartbeats::Heartbeats,
     last_cluster_status: RefCell<status::LastClusterStatus>,
     metrics: RefCell<metrics::Metrics>,
     audit_log: audit_log::AuditLog,
-    wake: (async_channel::Sender<()>, async_channel::Receiver<()>),
+    /// Wakes the control loop.
+    wake: signals::WakeSignal,
+}
+
+/// How the sockets that the settings allow are divided. What is left must do for
+/// calls under way.
+struct SocketShares {
+    /// Calls of this node to workers and services.
+    calls: usize,
+    /// Connections from workers and users.
+    callers: usize,
+    /// Of the callers, those that are not workers.
+    users: usize,
+    /// Connections from other controllers.
+    controllers: usize,
 }
 
+impl SocketShares {
+    fn new(max_connections: usize) -> Self {
+        SocketShares {
+            calls: max_connections / 5,
+            callers: max_connections * 5 / 8,
+            users: max_connections / 4,
+            controllers: max_connections / 8,
+        }
+    }
+}
+
+/// Runs a controller until it can no longer listen.
 pub fn run(settings: Settings, options: Options) -> Result<()> {
     let executor = Rc::new(PriorityExecutor::default());
-    let mut limits = settings.cluster.clone();
-    limits.state = limits.state.always();
-    let sockets = limits.quota.max_connections;
-    let nodes = settings.peers.len() + 1;
-    let users = sockets / 4;
-    let names: Vec<&str> = settings.peers.iter().map(|p| p.name.as_str()).collect();
-    let failure_detector = FailureDetector::new(&settings.name, &names);
-    let node = Rc::new(Node {
-        election: RefCell::new(Election::new(
+    let shares = SocketShares::new(settings.cluster.quota.max_connections);
+    let node = Rc::new(Node::new(settings, options, executor.clone(), &shares));
+    async_io::block_on(executor.run(async {
+        node.spawn_loops();
+        node.listen(&shares).await
+    }))
+}
+
+impl Node {
+    fn new(
+        settings: Settings,
+        options: Options,
+        executor: Rc<PriorityExecutor>,
+        shares: &SocketShares,
+    ) -> Self {
+        let peer_names: Vec<&str> = settings.peers.iter().map(|p| p.name.as_str()).collect();
+        let failure_detector = FailureDetector::new(&settings.name, &peer_names);
+        let election = Election::new(
             &settings.name,
-            fastrand::u64(1..(1 << 53)),
+            fastrand::u64(1..(1 << INCARNATION_BITS)),
             SafetyBounds::of(&settings.cluster.workers),
             0,
-        )),
-        settings: Rc::new(settings),
-        options,
-        executor: executor.clone(),
-        start: Instant::now(),
-        // Of the sockets, 5/8 are for those who call and 1/8 for other
-        // controllers; what is left must also do for calls under way.
-        http: Client::new(sockets / 5),
-        peers: PeerClient::default(),
-        failure_detector: RefCell::new(failure_detector),
-        exclusions: RefCell::default(),
-        leader: RefCell::new(None),
-        replica_receiver: RefCell::default(),
-        last_standby_record: RefCell::default(),
-        state_requests: RefCell::new(TokenBucket::new(
-            limits.state.rps * share::of_requests(Role::Leaderless, nodes),
-            BURST_S,
-        )),
-        state_writes: RefCell::new(TokenBucket::new(
-            limits.state.write_rps * share::of_changes(Role::Leaderless, nodes),
-            BURST_S,
-        )),
-        cloud_requests: RefCell::new(TokenBucket::new(limits.cloud.rps * 0.8, 1.0)),
-        machine_types: RefCell::new(Vec::new()),
-        state_answered_at: Cell::new(None),
-        renewals_failing: Cell::new(false),
-        last_step_down: Cell::new(None),
-        write_in_flight: Cell::new(false),
-        lookup_in_flight: Cell::new(false),
-        max_txn_changes: Cell::new(usize::MAX),
-        upgrade: upgrade::Upgrade::default(),
-        list_in_flight: Cell::new(false),
-        leader_polls: polls::PollQueue::new(users),
-        record_polls: polls::PollQueue::new(2 * users),
-        final_states: RefCell::default(),
-        last_heartbeat: Cell::new(0),
-        heartbeat_relays: RefCell::new(HeartbeatRelays::default()),
-        last_cluster_status: RefCell::new(None),
-        metrics: RefCell::new(metrics::Metrics::new()),
-        audit_log: audit_log::AuditLog::default(),
-        wake: async_channel::bounded(1),
-    });
-    async_io::block_on(executor.run(async {
-        executor.spawn_high(leadership::run(node.clone())).detach();
-        executor
-            .spawn_high(control_loop::run(node.clone()))
-            .detach();
-        executor.spawn_high(cloud::types(node.clone())).detach();
-        executor.spawn_high(peers::watch(node.clone())).detach();
-        executor.spawn_high(exclusions::run(node.clone())).detach();
-        executor.spawn_high(upgrade::run(node.clone())).detach();
-        executor.spawn_low(polls::ask_leader(node.clone())).detach();
-        executor
-            .spawn_low(polls::ask_records(node.clone()))
-            .detach();
-        let n = node.clone();
-        let back = executor.spawn_high(frames::serve(
-            executor.clone(),
-            node.settings.peer_listen,
-            sockets / 8,
-            move |request| n.clone().peer(request),
+        );
+        Node {
+            budgets: budgets::Budgets::new(&settings),
+            settings: Rc::new(settings),
+            options,
+            executor,
+            started: Instant::now(),
+            http: Client::new(shares.calls),
+            peers: PeerClient::default(),
+            failure_detector: RefCell::new(failure_detector),
+            election: RefCell::new(election),
+            exclusions: RefCell::default(),
+            leadership: leadership::LeadershipStatus::default(),
+            leader: RefCell::new(None),
+            standby: standby::Standby::default(),
+            in_flight: control_loop::Operations::default(),
+            machine_types: RefCell::new(Vec::new()),
+            state_answered_at: Cell::new(None),
+            upgrade: upgrade::Upgrade::default(),
+            polls: polls::Polls::new(shares.users),
+            final_states: RefCell::default(),
+            heartbeats: heartbeats::Heartbeats::default(),
+            last_cluster_status: RefCell::new(None),
+            metrics: RefCell::new(metrics::Metrics::new()),
+            audit_log: audit_log::AuditLog::default(),
+            wake: signals::WakeSignal::default(),
+        }
+    }
+
+    fn spawn_loops(self: &Rc<Self>) {
+        let executor = &self.executor;
+        let high = [
+            executor.spawn_high(leadership::run(self.clone())),
+            executor.spawn_high(control_loop::run(self.clone())),
+            executor.spawn_high(cloud::types(self.clone())),
+            executor.spawn_high(peers::watch(self.clone())),
+            executor.spawn_high(exclusions::run(self.clone())),
+            executor.spawn_high(upgrade::run(self.clone())),
+        ];
+        let low = [
+            executor.spawn_low(polls::ask_leader(self.clone())),
+            executor.spawn_low(polls::ask_records(self.clone())),
+        ];
+        high.into_iter().chain(low).for_each(Task::detach);
+    }
+
+    /// Serves controllers, workers and users, until either socket fails.
+    async fn listen(self: &Rc<Self>, shares: &SocketShares) -> Result<()> {
+        let node = self.clone();
+        let controllers = self.executor.spawn_high(frames::serve(
+            self.executor.clone(),
+            self.settings.peer_listen,
+            shares.controllers,
+            move |request| node.clone().peer(request),
         ));
-        let n = node.clone();
-        // The rest is for connections to workers, peers and services.
         let limits = server::Limits {
-            connections: sockets * 5 / 8,
-            others: users,
+            connections: shares.callers,
+            others: shares.users,
             first: HEARTBEAT_PATH,
         };
-        let listen = executor.spawn_high(server::serve(
-            executor.clone(),
-            node.settings.listen,
+        let node = self.clone();
+        let callers = self.executor.spawn_high(server::serve(
+            self.executor.clone(),
+            self.settings.listen,
             limits,
-            move |request| n.clone().http(request),
+            move |request| node.clone().http(request),
         ));
         log::info!(
             "{} listens on {}, to controllers on {}",
-            node.settings.name,
-            node.settings.listen,
-            node.settings.peer_listen
+            self.settings.name,
+            self.settings.listen,
+            self.settings.peer_listen
         );
-        let back = async { back.await.context("listening for controllers (back)") };
-        let listen = async { listen.await.context("listening for users (listen)") };
-        futures_lite::future::or(back, listen).await
-    }))
+        let controllers = async {
+            controllers
+                .await
+                .context("listening for controllers (back)")
+        };
+        let callers = async { callers.await.context("listening for users (listen)") };
+        futures_lite::future::or(controllers, callers).await
+    }
 }
 
 impl Node {
+    /// Milliseconds since the process started, by the monotonic clock.
     pub fn now(&self) -> Millis {
-        self.start.elapsed().as_millis() as Millis
+        self.started.elapsed().as_millis() as Millis
     }
 
+    /// Milliseconds since the Unix epoch, for records and users only.
     fn wall_ms(&self) -> u64 {
         SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .map_or(0, |d| d.as_millis() as u64)
     }
 
-    /// Runs `f` on the leader's state if this process may act right now.
+    /// Runs `f` on the leader's state if this process has authority right now.
     fn acting<T>(&self, f: impl FnOnce(&mut Leader, Millis) -> T) -> Option<T> {
         let term = self.election.borrow().authority(self.now())?;
         self.of_term(term, f)
     }
 
-    /// What this node may ask of the state service, as it leads or not.
+    /// Adjusts the request budgets to this node's role.
     fn set_shares(&self) {
         let role = {
             let election = self.election.borrow();
@@ -227,70 +253,41 @@
                 (None, None) => Role::Leaderless,
             }
         };
-        let (now, limits) = (self.now(), self.settings.cluster.state.always());
-        let nodes = self.settings.peers.len() + 1;
-        let rate = limits.rps * share::of_requests(role, nodes);
-        self.state_requests
-            .borrow_mut()
-            .set_rate(now, rate, BURST_S);
-        let rate = limits.write_rps * share::of_changes(role, nodes);
-        self.state_writes.borrow_mut().set_rate(now, rate, BURST_S);
+        self.budgets.set_role(role, &self.settings, self.now());
     }
 
-    /// The leader's state, for results of what was begun with authority.
+    /// Runs `f` on the leader's state of `term`, whether authority still holds or
+    /// not: for the results of what began with authority.
     fn of_term<T>(&self, term: u64, f: impl FnOnce(&mut Leader, Millis) -> T) -> Option<T> {
         let now = self.now();
         let mut leader = self.leader.borrow_mut();
         let leader = leader.as_mut().filter(|l| l.term == term)?;
         let result = f(leader, now);
         if leader.has_work() {
-            let _ = self.wake.0.try_send(());
+            self.wake.notify();
         }
         Some(result)
     }
 
     async fn http(self: Rc<Self>, request: HttpRequest) -> HttpResponse {
-        let path = request.path.as_str();
-        let get = request.method == Method::Get;
-        let post = request.method == Method::Post;
-        match path {
-            "/ready" if get => return self.ready(),
-            metrics::PATH if get => return self.metrics(),
-            HEARTBEAT_PATH if post => return self.handle_heartbeat(request.body).await,
-            "/v1/jobs" if post => {}
-            "/ready" | metrics::PATH | HEARTBEAT_PATH | "/v1/jobs" => {
-                return HttpResponse::error(405, "method not allowed");
-            }
-            _ => match path.strip_prefix("/v1/jobs/") {
-                Some(rest) => match rest.strip_suffix("/abort") {
-                    Some(id) if !id.contains('/') => {
-                        if !post {
-                            return HttpResponse::error(405, "method not allowed");
-                        }
-                    }
-                    None if !rest.contains('/') && !rest.is_empty() => {
-                        if !get {
-                            return HttpResponse::error(405, "method not allowed");
-                        }
-                    }
-                    _ => return HttpResponse::error(404, "no such path"),
-                },
-                None => return HttpResponse::error(404, "no such path"),
-            },
-        }
+        let kind = match route(&request.method, &request.path) {
+            Route::Ready => return self.ready(),
+            Route::Metrics => return self.metrics(),
+            Route::Heartbeat => return self.handle_heartbeat(request.body).await,
+            Route::User(kind) => kind,
+            Route::MethodNotAllowed => return HttpResponse::error(405, "method not allowed"),
+            Route::NotFound => return HttpResponse::error(404, "no such path"),
+        };
         let Some(body) = request.body else {
             return HttpResponse::error(400, "body is incomplete or over 64 KiB");
         };
-        let kind = match (get, path) {
-            (true, _) => "poll",
-            (false, "/v1/jobs") => "submit",
-            _ => "abort",
-        };
         let began = Instant::now();
-        let answer = self.user(request.method.as_ref(), path, body).await;
+        let response = self
+            .user(request.method.as_ref(), &request.path, body)
+            .await;
         let seconds = began.elapsed().as_secs_f64();
         self.metrics.borrow().answered(kind, seconds);
-        answer
+        response
     }
 
     fn ready(&self) -> HttpResponse {
@@ -298,7 +295,7 @@
         let fresh = self
             .state_answered_at
             .get()
-            .is_some_and(|at| now < at + 3000);
+            .is_some_and(|at| now < at + READY_AFTER_ANSWER_MS);
         if fresh || self.election.borrow().authority(now).is_some() {
             HttpResponse::json(200, &serde_json::json!({ "ready": true }))
         } else {
@@ -306,3 +303,41 @@
         }
     }
 }
+
+/// Where an HTTP request is handled.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum Route {
+    Ready,
+    Metrics,
+    Heartbeat,
+    /// A user's request, with the label of its kind in the metrics.
+    User(&'static str),
+    MethodNotAllowed,
+    NotFound,
+}
+
+fn route(method: &Method, path: &str) -> Route {
+    let (allowed_method, route) = match path {
+        "/ready" => (Method::Get, Route::Ready),
+        metrics::PATH => (Method::Get, Route::Metrics),
+        HEARTBEAT_PATH => (Method::Post, Route::Heartbeat),
+        "/v1/jobs" => (Method::Post, Route::User("submit")),
+        _ => {
+            let Some(rest) = path.strip_prefix("/v1/jobs/") else {
+                return Route::NotFound;
+            };
+            match rest.strip_suffix("/abort") {
+                Some(id) if !id.contains('/') => (Method::Post, Route::User("abort")),
+                None if !rest.contains('/') && !rest.is_empty() => {
+                    (Method::Get, Route::User("poll"))
+                }
+                _ => return Route::NotFound,
+            }
+        }
+    };
+    if *method == allowed_method {
+        route
+    } else {
+        Route::MethodNotAllowed
+    }
+}
--- a/src/server/peers.rs
+++ b/src/server/peers.rs
@@ -98,7 +98,8 @@
         match request {
             Request::Unheard { machines, for_ms } => {
                 let now = self.now();
-                self.heartbeat_relays
+                self.heartbeats
+                    .relays
                     .borrow_mut()
                     .relay_requested(&machines, for_ms, now);
                 let election = self.election.borrow();
--- a/src/server/polls.rs
+++ b/src/server/polls.rs
@@ -1,6 +1,10 @@
 //! Polls that go to the leader or to the records, many at a time.
 
-use super::Node;
+use super::{
+    Node,
+    signals::WakeSignal,
+    store::{NamedRead, UnreadName},
+};
 use crate::{
     control::{
         polls::PollBatch,
@@ -13,7 +17,7 @@
     state::Millis,
     state::records::{FINALS, JOBS, StoredJob, job_key},
 };
-use async_channel::{Receiver, Sender};
+use async_channel::Sender;
 use async_io::Timer;
 use serde_json::Value;
 use std::{cell::RefCell, collections::HashMap, rc::Rc, time::Duration};
@@ -29,7 +33,25 @@
 
 pub(super) struct PollQueue {
     batch: RefCell<PollBatch<Sender<Answer>>>,
-    wake: (Sender<()>, Receiver<()>),
+    wake: WakeSignal,
+}
+
+/// Polls of users, by where they are answered.
+pub(super) struct Polls {
+    /// Those that wait for the leader.
+    pub(super) leader: PollQueue,
+    /// Those that wait for the records in the key-value store.
+    pub(super) records: PollQueue,
+}
+
+impl Polls {
+    /// For a process that serves at most this many users at once.
+    pub(super) fn new(max_users: usize) -> Self {
+        Polls {
+            leader: PollQueue::new(max_users),
+            records: PollQueue::new(2 * max_users),
+        }
+    }
 }
 
 type Round = Vec<(String, Vec<Sender<Answer>>)>;
@@ -38,14 +60,14 @@
     pub(super) fn new(most: usize) -> Self {
         PollQueue {
             batch: RefCell::new(PollBatch::new(most)),
-            wake: async_channel::bounded(1),
+            wake: WakeSignal::default(),
         }
     }
 
     /// Where too many wait already, `who` is dropped and so learns of it.
     fn add(&self, id: &str, who: Sender<Answer>) {
         self.batch.borrow_mut().add(id, who);
-        let _ = self.wake.0.try_send(());
+        self.wake.notify();
     }
 
     pub(super) async fn ask(&self, id: &str) -> Answer {
@@ -67,7 +89,7 @@
     /// Waits until something is asked.
     async fn asked(&self) {
         while self.batch.borrow().is_empty() {
-            let _ = self.wake.1.recv().await;
+            self.wake.wait().await;
         }
     }
 
@@ -85,8 +107,8 @@
 /// Asks the leader, for all who wait at once.
 pub async fn ask_leader(node: Rc<Node>) {
     loop {
-        node.leader_polls.asked().await;
-        let round = node.leader_polls.round();
+        node.polls.leader.asked().await;
+        let round = node.polls.leader.round();
         let (mut known, began) = (Vec::new(), node.now());
         if let Some(leader) = node.answering_leader() {
             let ids = round.iter().map(|(id, _)| id.clone()).collect();
@@ -118,10 +140,10 @@
 pub async fn ask_records(node: Rc<Node>) {
     let mut listed = 0;
     loop {
-        node.record_polls.asked().await;
+        node.polls.records.asked().await;
         // While requests are scarce more polls gather, for whom one list does.
         let room = node.room_to_read().await;
-        let (round, began) = (node.record_polls.round(), node.now());
+        let (round, began) = (node.polls.records.round(), node.now());
         let mut live = HashMap::new();
         // A list costs by the number of live jobs, a look-up by the request.
         let dear = round.len() * 16 < listed && 2 * round.len() < room;
@@ -137,7 +159,7 @@
                 Err(e) => {
                     let why = Err(format!("records can't be read: {e}"));
                     for (id, who) in round {
-                        node.record_polls.owe(&id);
+                        node.polls.records.owe(&id);
                         tell(who, &why);
                     }
                     continue;
@@ -148,12 +170,14 @@
         if list {
             let over = round.iter().map(|(id, _)| id.as_str());
             let over = over.filter(|id| !live.contains_key(&job_key(id)));
-            let (items, unread) = node.read_some(FINALS, over.collect()).await;
+            let NamedRead { items, unread } = node.read_some(FINALS, over.collect()).await;
             for i in items {
                 let id = i.key[FINALS.len()..].to_owned();
                 final_states.insert(id, Ok((i.value, i.version)));
             }
-            final_states.extend(unread.into_iter().map(|(id, e)| (id, Err(e))));
+            for UnreadName { name, error } in unread {
+                final_states.insert(name, Err(error.to_string()));
+            }
         }
         for (id, who) in round {
             let found = match (live.remove(&job_key(&id)), final_states.remove(&id)) {
@@ -170,8 +194,8 @@
                 (None, None) => look_up(&node, &id).await,
             };
             match &found {
-                Ok(_) => node.record_polls.paid(&id),
-                Err(_) => node.record_polls.owe(&id),
+                Ok(_) => node.polls.records.paid(&id),
+                Err(_) => node.polls.records.owe(&id),
             }
             let found = found.map_err(|e| format!("records can't be read: {e}"));
             tell(who, &found);
@@ -190,7 +214,8 @@
 /// One job by itself.
 async fn look_up(node: &Node, id: &str) -> Answer {
     let began = node.now();
-    node.lookup(id).await.map(|found| match found {
+    let found = node.lookup(id).await.map_err(|e| e.to_string())?;
+    Ok(match found {
         Found::Live(record, version) => reading(began, record.status(), version),
         Found::Final(record, version) => reading(began, final_status(id, &record), version),
         Found::Nothing => Reading::nothing(began),
@@ -209,7 +234,7 @@
 
     /// Waits, though no longer than users do, until some requests may be made.
     async fn room_to_read(&self) -> usize {
-        let room = || self.state_requests.borrow_mut().level(self.now()) as usize;
+        let room = || self.budgets.request_level(self.now()) as usize;
         for _ in 0..10 {
             if room() >= 2 * FEW {
                 break;
--- a/src/server/standby.rs
+++ b/src/server/standby.rs
@@ -1,8 +1,15 @@
 //! Keeps standbys warm while this node leads, and a copy while another does.
 
-use super::{Node, store::STATE_TIMEOUT};
+use super::{
+    Node,
+    store::{STATE_TIMEOUT, StoreError},
+};
 use crate::{
-    control::{failure_detector::PeerHealth, requests::TxnResult, standby::RegistryWriteOutcome},
+    control::{
+        failure_detector::PeerHealth,
+        requests::TxnResult,
+        standby::{RegistryWriteOutcome, replica::ReplicaReceiver},
+    },
     protocol::{
         peers::{Follow, Reply, Request},
         state::Txn,
@@ -10,11 +17,20 @@
     state::records::{LEADER, STANDBYS, StandbyRecord},
 };
 use async_io::Timer;
-use std::{rc::Rc, time::Duration};
+use std::{cell::RefCell, rc::Rc, time::Duration};
 
 /// A part that is not answered by then is taken for lost.
 const REPLICATE_TIMEOUT: Duration = Duration::from_millis(900);
 
+/// What this node keeps while another leads, to take over from it.
+#[derive(Default)]
+pub(super) struct Standby {
+    /// The replica of the leader's state, as far as it was received.
+    pub(super) replica_receiver: RefCell<ReplicaReceiver>,
+    /// The registry of standbys, as read since nobody leads.
+    pub(super) last_record: RefCell<Option<StandbyRecord>>,
+}
+
 impl Node {
     /// One look of the leader at its standbys.
     pub(super) fn update_standbys(self: &Rc<Self>, term: u64) {
@@ -64,23 +80,26 @@
         }
         let incarnation = self.election.borrow().incarnation;
         let taken = self
+            .standby
             .replica_receiver
             .borrow_mut()
             .apply_part(part, self.now());
         Reply::Followed { incarnation, taken }
     }
 
-    pub(super) async fn read_standby_record(&self) -> Result<Option<(StandbyRecord, u64)>, String> {
+    pub(super) async fn read_standby_record(
+        &self,
+    ) -> Result<Option<(StandbyRecord, u64)>, StoreError> {
         let now = self.now();
-        self.state_requests.borrow_mut().force(now, 1.0);
+        self.budgets.charge_requests(now, 1.0);
         let item = self.get(STANDBYS, STATE_TIMEOUT).await?;
         Ok(item.map(|i| (StandbyRecord::read(i.value), i.version)))
     }
 
     async fn write_standbys(self: Rc<Self>, term: u64, txn: Txn) {
         let now = self.now();
-        self.state_requests.borrow_mut().force(now, 1.0);
-        self.state_writes.borrow_mut().force(now, 1.0);
+        self.budgets.charge_requests(now, 1.0);
+        self.budgets.charge_changes(now, 1.0);
         let how = match self.txn(&txn, STATE_TIMEOUT).await {
             TxnResult::Done(version) => RegistryWriteOutcome::Done(version),
             TxnResult::Refused | TxnResult::Rejected => RegistryWriteOutcome::Refused,
@@ -105,15 +124,16 @@
     /// node leaves them a moment. Only a courtesy, so what was read may be old.
     pub(super) async fn other_standbys_are_counted(&self) -> bool {
         // Read once while nobody leads: the budget is scarce just then.
-        if self.last_standby_record.borrow().is_none() {
+        if self.standby.last_record.borrow().is_none() {
             let Ok(found) = self.read_standby_record().await else {
                 return false;
             };
             let record = found.map(|(record, _)| record).unwrap_or_default();
-            self.last_standby_record.replace(Some(record));
+            self.standby.last_record.replace(Some(record));
         }
         let record = self
-            .last_standby_record
+            .standby
+            .last_record
             .borrow()
             .clone()
             .unwrap_or_default();
--- a/src/server/status.rs
+++ b/src/server/status.rs
@@ -59,7 +59,7 @@
             picture: last.as_ref().map(|(_, p)| p.clone()),
             versions: self.versions(),
             upgraded: self.upgrade.is_complete(),
-            stopped: self.last_step_down.get().map(|(at, why)| {
+            stopped: self.leadership.last_step_down.get().map(|(at, why)| {
                 let ago = now.saturating_sub(at) as f64 / 1000.0;
                 (why.text().to_owned(), ago)
             }),
--- a/src/server/store.rs
+++ b/src/server/store.rs
@@ -1,4 +1,11 @@
-//! Calls to the state service, within its budgets.
+//! Client of the key-value store that holds all durable state.
+//!
+//! Owns: the paths, bodies and status codes of reads and transactions (leases are
+//! in `leases`), and the reads of job records built on them. Called by every loop
+//! of the process that reads or writes records.
+//!
+//! Must never: report a transaction as not applied when its outcome is unknown;
+//! report a key as absent when it could not be read.
 
 use super::Node;
 use crate::{
@@ -14,166 +21,284 @@
     transport::client::{Answer, CallError},
 };
 use http_types::Method;
-use std::time::Duration;
+use std::{fmt, time::Duration};
 
+/// How long an ordinary call to the store may take.
 pub const STATE_TIMEOUT: Duration = Duration::from_millis(1500);
+/// How long the read of one key or one short page for a user's request may take.
+const LOOKUP_TIMEOUT: Duration = Duration::from_millis(900);
+/// How long the read of one page of a complete list may take.
+const LIST_PAGE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Keys asked for in one page of a complete list.
+const LIST_PAGE_KEYS: usize = 500;
+/// How often, and at what interval, a list waits for the request budget.
+const LIST_BUDGET_ATTEMPTS: u32 = 20;
+const LIST_BUDGET_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Up to so many records are read one by one; of more, pages.
-const ONE_BY_ONE: usize = 4;
-const LOOK: Duration = Duration::from_millis(900);
+/// Up to this many records are read one by one; more are read in pages.
+const MAX_SINGLE_READS: usize = 4;
+/// Requests in the budget that lists and lookups leave to leadership and
+/// acceptances.
+const LIST_RESERVE_REQUESTS: f64 = 2.0;
+const LOOKUP_RESERVE_REQUESTS: f64 = 3.0;
+/// How much of the answer to a rejected transaction is logged.
+const MAX_LOGGED_BODY_BYTES: usize = 200;
 
-/// All nodes together ask more than the state service answers.
-pub const OVER_LIMIT: &str = "over its request limit";
+/// Why a read of the store, or a write that needs no outcome, did not succeed.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub(super) enum StoreError {
+    /// All controllers together exceed the store's request limit. The store
+    /// answers, so there is no outage.
+    OverLimit,
+    /// This node's share of the request limit is used up.
+    OverRequestBudget,
+    /// This node's share of the limit of changes is used up.
+    OverWriteBudget,
+    /// The store answered with this HTTP status.
+    Status(u16),
+    /// The call failed.
+    Call(String),
+    /// An answer or a record could not be decoded.
+    Decode(String),
+    /// A job's record could not be joined with its spec chunks.
+    IncompleteRecord {
+        /// The job's id.
+        id: String,
+        /// What was wrong.
+        reason: String,
+    },
+    /// The records were read as of a revision before this leader's term.
+    BeforeTerm(u64),
+    /// A transaction was not applied, or its outcome is unknown.
+    NotWritten,
+}
+
+impl fmt::Display for StoreError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            StoreError::OverLimit => f.write_str("over its request limit"),
+            StoreError::OverRequestBudget => f.write_str("over the request budget"),
+            StoreError::OverWriteBudget => f.write_str("over the change budget"),
+            StoreError::Status(status) => write!(f, "status {status}"),
+            StoreError::Call(reason) | StoreError::Decode(reason) => f.write_str(reason),
+            StoreError::IncompleteRecord { id, reason } => {
+                write!(f, "record of {id}: {reason}")
+            }
+            StoreError::BeforeTerm(revision) => {
+                write!(f, "they are of revision {revision}, before the term")
+            }
+            StoreError::NotWritten => f.write_str("not written"),
+        }
+    }
+}
+
+impl std::error::Error for StoreError {}
+
+impl From<CallError> for StoreError {
+    fn from(error: CallError) -> Self {
+        StoreError::Call(error.to_string())
+    }
+}
+
+impl From<serde_json::Error> for StoreError {
+    fn from(error: serde_json::Error) -> Self {
+        StoreError::Decode(error.to_string())
+    }
+}
 
-/// Names that could not be asked about, and why.
-pub type Unread = Vec<(String, String)>;
+/// A name that could not be read, and why.
+#[derive(Debug, Clone)]
+pub(super) struct UnreadName {
+    pub(super) name: String,
+    pub(super) error: StoreError,
+}
+
+/// All keys under a prefix.
+#[derive(Debug)]
+pub(super) struct Listing {
+    pub(super) items: Vec<Item>,
+    /// Revision of the first page. Later changes may be contained or not.
+    pub(super) revision: u64,
+}
+
+/// What was read of some names under a prefix.
+#[derive(Debug, Default)]
+pub(super) struct NamedRead {
+    /// Names that were read. One that has no key may be contained with version 0.
+    pub(super) items: Vec<Item>,
+    pub(super) unread: Vec<UnreadName>,
+}
 
 impl Node {
-    /// Whether an ordinary request may be made now; some are kept back for
-    /// leadership and acceptances.
+    /// Takes an ordinary request from the budget, of which `reserve` is kept back
+    /// for leadership and acceptances. Returns whether it may be made.
     pub(super) fn may_request(&self, reserve: f64) -> bool {
         let now = self.now();
-        self.state_requests.borrow_mut().take(now, 1.0, reserve)
+        self.budgets.take_request(now, reserve)
     }
 
+    /// One HTTP call to the store. The caller charges the budgets.
     pub(super) async fn state(
         &self,
         method: Method,
         path: &str,
         body: Option<Vec<u8>>,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<Answer, CallError> {
         self.metrics.borrow().state_requests.inc();
         let addr = self.settings.services.state;
-        let answer = self.http.call(addr, method, path, body, limit).await?;
+        let answer = self.http.call(addr, method, path, body, timeout).await?;
         if answer.status != 503 && answer.status != 429 {
             self.state_answered_at.set(Some(self.now()));
         }
         Ok(answer)
     }
 
-    /// Ends a lease; whether it is surely over.
-    pub(super) async fn end_lease(&self, lease: u64, limit: Duration) -> bool {
-        let path = format!("/leases/{lease}");
-        let answer = self.state(Method::Delete, &path, None, limit).await;
-        answer.is_ok_and(|a| a.status == 404 || (200..300).contains(&a.status))
-    }
-
-    /// `Err` when the read did not succeed.
-    pub(super) async fn get(&self, key: &str, limit: Duration) -> Result<Option<Item>, String> {
+    /// Reads one key; `None` if it doesn't exist.
+    pub(super) async fn get(
+        &self,
+        key: &str,
+        timeout: Duration,
+    ) -> Result<Option<Item>, StoreError> {
         let answer = self
-            .state(Method::Get, &format!("/kv/{key}"), None, limit)
-            .await
-            .map_err(|e| e.to_string())?;
+            .state(Method::Get, &format!("/kv/{key}"), None, timeout)
+            .await?;
         match answer.status {
-            200 => serde_json::from_slice(&answer.body)
-                .map(Some)
-                .map_err(|e| e.to_string()),
+            200 => Ok(Some(serde_json::from_slice(&answer.body)?)),
             404 => Ok(None),
-            429 => Err(OVER_LIMIT.into()),
-            s => Err(format!("status {s}")),
+            429 => Err(StoreError::OverLimit),
+            status => Err(StoreError::Status(status)),
         }
     }
 
-    pub(super) async fn list(&self, prefix: &str) -> Result<Vec<Item>, String> {
-        self.list_as_of(prefix).await.map(|(items, _)| items)
+    /// Reads all keys under a prefix.
+    pub(super) async fn list(&self, prefix: &str) -> Result<Vec<Item>, StoreError> {
+        Ok(self.list_as_of(prefix).await?.items)
     }
 
-    /// With the revision of the first page: later changes may be in it or not.
-    pub(super) async fn list_as_of(&self, prefix: &str) -> Result<(Vec<Item>, u64), String> {
+    /// Reads all keys under a prefix, with the revision of the first page.
+    pub(super) async fn list_as_of(&self, prefix: &str) -> Result<Listing, StoreError> {
         let mut items: Vec<Item> = Vec::new();
-        let mut revision = None;
+        let mut first_revision = None;
         loop {
-            let mut tries = 0;
-            while !self.may_request(2.0) {
-                tries += 1;
-                if tries > 20 {
-                    return Err("over the request budget".into());
-                }
-                async_io::Timer::after(Duration::from_millis(50)).await;
-            }
+            self.wait_for_list_budget().await?;
             let from = items
                 .last()
-                .map_or(String::new(), |i| format!("&from={}", i.key));
-            let path = format!("/kv?under={prefix}{from}&most=500");
+                .map_or(String::new(), |item| format!("&from={}", item.key));
+            let path = format!("/kv?under={prefix}{from}&most={LIST_PAGE_KEYS}");
             let answer = self
-                .state(Method::Get, &path, None, Duration::from_secs(3))
-                .await
-                .map_err(|e| e.to_string())?;
+                .state(Method::Get, &path, None, LIST_PAGE_TIMEOUT)
+                .await?;
             if answer.status != 200 {
-                return Err(format!("status {}", answer.status));
+                return Err(StoreError::Status(answer.status));
             }
-            let page: Page = serde_json::from_slice(&answer.body).map_err(|e| e.to_string())?;
-            let revision = *revision.get_or_insert(page.revision);
-            let empty = page.items.is_empty();
+            let page: Page = serde_json::from_slice(&answer.body)?;
+            let revision = *first_revision.get_or_insert(page.revision);
+            let is_last = !page.more || page.items.is_empty();
             items.extend(page.items);
-            if !page.more || empty {
-                return Ok((items, revision));
+            if is_last {
+                return Ok(Listing { items, revision });
             }
         }
     }
 
-    /// How these jobs stand in the records; those that are not in the answer
-    /// were never accepted. Live records are read first: a job that ends
-    /// meanwhile is found among the final ones. `Err` for one alone: its record
-    /// can't be read, which must not hold up the others.
+    async fn wait_for_list_budget(&self) -> Result<(), StoreError> {
+        let mut attempts = 0;
+        while !self.may_request(LIST_RESERVE_REQUESTS) {
+            attempts += 1;
+            if attempts > LIST_BUDGET_ATTEMPTS {
+                return Err(StoreError::OverRequestBudget);
+            }
+            async_io::Timer::after(LIST_BUDGET_INTERVAL).await;
+        }
+        Ok(())
+    }
+
+    /// Reads the records of these jobs; those that are not in the result were
+    /// never accepted. Live records are read first, so that a job which ends
+    /// meanwhile is found among the final ones. A record that can't be read is an
+    /// error for its job alone and must not hold up the others.
     pub(super) async fn lookup_all(&self, ids: &[String]) -> LookupResults {
-        let mut all = LookupResults::new();
+        let mut results = LookupResults::new();
         for prefix in [JOBS, FINALS] {
-            let left = ids.iter().filter(|id| !all.contains_key(*id));
-            let left: Vec<&str> = left.map(String::as_str).collect();
-            let (items, unread) = self.read_some(prefix, left).await;
-            all.extend(unread.into_iter().map(|(id, e)| (id, Err(e))));
-            // A key that is not there has no version.
-            for item in items.into_iter().filter(|i| i.version > 0) {
+            let remaining = ids
+                .iter()
+                .filter(|id| !results.contains_key(*id))
+                .map(String::as_str)
+                .collect();
+            let NamedRead { items, unread } = self.read_some(prefix, remaining).await;
+            for UnreadName { name, error } in unread {
+                results.insert(name, Err(error.to_string()));
+            }
+            // A key that doesn't exist has no version.
+            for item in items.into_iter().filter(|item| item.version > 0) {
                 let id = item.key[prefix.len()..].to_owned();
-                let found = match prefix {
-                    JOBS => (self.whole(&id, item.value).await)
-                        .map(|r| Found::Live(Box::new(r), item.version)),
-                    _ => serde_json::from_value(item.value)
-                        .map(|r| Found::Final(r, item.version))
-                        .map_err(|e| e.to_string()),
-                };
+                let found = self
+                    .decode_record(prefix, &id, item.value, item.version)
+                    .await;
                 if let Err(e) = &found {
                     log::error!("record {}: {e}", item.key);
                 }
-                all.insert(id, found);
+                results.insert(id, found.map_err(|e| e.to_string()));
             }
         }
-        all
+        results
+    }
+
+    /// The record of a job under [`JOBS`] or [`FINALS`].
+    async fn decode_record(
+        &self,
+        prefix: &str,
+        id: &str,
+        value: serde_json::Value,
+        version: u64,
+    ) -> Result<Found, StoreError> {
+        if prefix == JOBS {
+            let record = self.complete_record(id, value).await?;
+            Ok(Found::Live(Box::new(record), version))
+        } else {
+            Ok(Found::Final(serde_json::from_value(value)?, version))
+        }
     }
 
-    /// Those of the names that stand under the prefix: one by one if they are
-    /// few, else by pages. Beside them those that could not be asked about,
-    /// with the reason.
-    pub(super) async fn read_some(&self, prefix: &str, names: Vec<&str>) -> (Vec<Item>, Unread) {
-        let mut found = Vec::new();
-        let one_by_one = names.len() <= ONE_BY_ONE;
+    /// Reads those of the names that exist under the prefix: one by one if they
+    /// are few, else in pages.
+    pub(super) async fn read_some(&self, prefix: &str, names: Vec<&str>) -> NamedRead {
+        let mut result = NamedRead::default();
+        let one_by_one = names.len() <= MAX_SINGLE_READS;
         let mut pages = Pages::new(prefix, names);
-        while let Some((after, most)) = pages.ask() {
+        while let Some((after, max_keys)) = pages.ask() {
             let read = match pages.open().first() {
-                _ if !self.may_request(3.0) => Err("over the request budget".into()),
-                Some(name) if one_by_one => self.one(&format!("{prefix}{name}")).await,
-                _ => self.page(prefix, &after, most).await,
+                _ if !self.may_request(LOOKUP_RESERVE_REQUESTS) => {
+                    Err(StoreError::OverRequestBudget)
+                }
+                Some(name) if one_by_one => self.read_key(&format!("{prefix}{name}")).await,
+                _ => self.read_page(prefix, &after, max_keys).await,
             };
             match read {
                 Ok(page) => {
-                    let last = page.items.last().map(|i| i.key.clone());
-                    found.extend(page.items.into_iter().filter(|i| pages.wants(&i.key)));
-                    pages.read(last.as_deref(), page.more);
+                    let last_key = page.items.last().map(|item| item.key.clone());
+                    let wanted = page.items.into_iter().filter(|item| pages.wants(&item.key));
+                    result.items.extend(wanted);
+                    pages.read(last_key.as_deref(), page.more);
                 }
-                Err(e) => {
-                    let unread = pages.open().iter().map(|n| (n.to_string(), e.clone()));
-                    return (found, unread.collect());
+                Err(error) => {
+                    let unread = pages.open().iter().map(|name| UnreadName {
+                        name: name.to_string(),
+                        error: error.clone(),
+                    });
+                    result.unread.extend(unread);
+                    break;
                 }
             }
         }
-        (found, Unread::new())
+        result
     }
 
-    /// One key, as a page that ends with it.
-    async fn one(&self, key: &str) -> Result<Page, String> {
-        let item = self.get(key, LOOK).await?;
+    /// Reads one key, as a page that ends with it. A key that doesn't exist has
+    /// version 0 there.
+    async fn read_key(&self, key: &str) -> Result<Page, StoreError> {
+        let item = self.get(key, LOOKUP_TIMEOUT).await?;
         let item = item.unwrap_or_else(|| Item {
             key: key.to_owned(),
             value: serde_json::Value::Null,
@@ -186,70 +311,90 @@
         })
     }
 
-    async fn page(&self, prefix: &str, after: &str, most: usize) -> Result<Page, String> {
-        let path = format!("/kv?under={prefix}&from={after}&most={most}");
-        let answer = self.state(Method::Get, &path, None, LOOK).await;
-        let answer = answer.map_err(|e| e.to_string())?;
+    async fn read_page(
+        &self,
+        prefix: &str,
+        after: &str,
+        max_keys: usize,
+    ) -> Result<Page, StoreError> {
+        let path = format!("/kv?under={prefix}&from={after}&most={max_keys}");
+        let answer = self.state(Method::Get, &path, None, LOOKUP_TIMEOUT).await?;
         match answer.status {
-            200 => serde_json::from_slice(&answer.body).map_err(|e| e.to_string()),
-            429 => Err(OVER_LIMIT.into()),
-            s => Err(format!("status {s}")),
+            200 => Ok(serde_json::from_slice(&answer.body)?),
+            429 => Err(StoreError::OverLimit),
+            status => Err(StoreError::Status(status)),
         }
     }
 
-    pub(super) async fn txn(&self, txn: &Txn, limit: Duration) -> TxnResult {
+    /// Sends a transaction. The caller charges the budgets.
+    pub(super) async fn txn(&self, txn: &Txn, timeout: Duration) -> TxnResult {
         let changes = txn.writes.len() as u64;
         self.metrics.borrow().state_changes.inc_by(changes);
         let body = serde_json::to_vec(txn).unwrap_or_default();
-        match self.state(Method::Post, "/txn", Some(body), limit).await {
-            Ok(a) => match (a.status, serde_json::from_slice::<Revision>(&a.body)) {
-                (200, Ok(r)) => TxnResult::Done(r.revision),
-                (409, Ok(r)) => TxnResult::Conflict(r.failed),
-                (s @ (429 | 503 | 400), _) => {
-                    self.metrics.borrow().state_refused.inc();
-                    if s != 400 {
-                        return TxnResult::Refused;
-                    }
-                    log::error!(
-                        "the state service refused a transaction of {changes} changes: {}",
-                        String::from_utf8_lossy(&a.body[..a.body.len().min(200)])
-                    );
-                    TxnResult::Rejected
-                }
-                _ => TxnResult::Unknown,
-            },
+        match self.state(Method::Post, "/txn", Some(body), timeout).await {
+            Ok(answer) => self.txn_result(&answer, changes),
             Err(CallError::NotSent(_)) => TxnResult::Refused,
             Err(CallError::NoAnswer(_) | CallError::TooLong) => TxnResult::Unknown,
         }
     }
 
-    /// A job's record with its description, wherever that is kept.
-    async fn whole(&self, id: &str, value: serde_json::Value) -> Result<JobRecord, String> {
-        let stored: StoredJob = serde_json::from_value(value).map_err(|e| e.to_string())?;
+    fn txn_result(&self, answer: &Answer, changes: u64) -> TxnResult {
+        let decoded = serde_json::from_slice::<Revision>(&answer.body);
+        match (answer.status, decoded) {
+            (200, Ok(applied)) => TxnResult::Done(applied.revision),
+            (409, Ok(conflict)) => TxnResult::Conflict(conflict.failed),
+            (429 | 503, _) => {
+                self.metrics.borrow().state_refused.inc();
+                TxnResult::Refused
+            }
+            (400, _) => {
+                self.metrics.borrow().state_refused.inc();
+                let logged_bytes = answer.body.len().min(MAX_LOGGED_BODY_BYTES);
+                log::error!(
+                    "the state service refused a transaction of {changes} changes: {}",
+                    String::from_utf8_lossy(&answer.body[..logged_bytes])
+                );
+                TxnResult::Rejected
+            }
+            _ => TxnResult::Unknown,
+        }
+    }
+
+    /// Joins a job's record with its spec, which may be kept in chunks.
+    async fn complete_record(
+        &self,
+        id: &str,
+        value: serde_json::Value,
+    ) -> Result<JobRecord, StoreError> {
+        let stored: StoredJob = serde_json::from_value(value)?;
         let items = match &stored.spec_chunks {
-            Some(pieces) => self.list(&pieces.prefix(id)).await?,
+            Some(chunks) => self.list(&chunks.prefix(id)).await?,
             None => Vec::new(),
         };
-        let texts = items.iter().filter_map(|i| i.value.as_str());
-        let whole = stored.with_spec(|p| spec_chunks::join(p, texts));
-        whole.map_err(|e| format!("record of {id}: {e:#}"))
+        let texts = items.iter().filter_map(|item| item.value.as_str());
+        stored
+            .with_spec(|chunks| spec_chunks::join(chunks, texts))
+            .map_err(|e| StoreError::IncompleteRecord {
+                id: id.to_owned(),
+                reason: format!("{e:#}"),
+            })
     }
 
-    pub(super) async fn lookup(&self, id: &str) -> Result<Found, String> {
-        if !self.may_request(3.0) {
-            return Err("over the request budget".into());
+    /// Reads the record of one job, live or final.
+    pub(super) async fn lookup(&self, id: &str) -> Result<Found, StoreError> {
+        if !self.may_request(LOOKUP_RESERVE_REQUESTS) {
+            return Err(StoreError::OverRequestBudget);
         }
-        let limit = Duration::from_millis(900);
-        if let Some(item) = self.get(&job_key(id), limit).await? {
-            let record = self.whole(id, item.value).await?;
-            return Ok(Found::Live(Box::new(record), item.version));
+        if let Some(item) = self.get(&job_key(id), LOOKUP_TIMEOUT).await? {
+            return self.decode_record(JOBS, id, item.value, item.version).await;
         }
         let now = self.now();
-        self.state_requests.borrow_mut().force(now, 1.0);
-        match self.get(&final_key(id), limit).await? {
-            Some(item) => serde_json::from_value(item.value)
-                .map(|r| Found::Final(r, item.version))
-                .map_err(|e| e.to_string()),
+        self.budgets.charge_requests(now, 1.0);
+        match self.get(&final_key(id), LOOKUP_TIMEOUT).await? {
+            Some(item) => {
+                self.decode_record(FINALS, id, item.value, item.version)
+                    .await
+            }
             None => Ok(Found::Nothing),
         }
     }
--- a/src/server/upgrade.rs
+++ b/src/server/upgrade.rs
@@ -1,7 +1,10 @@
 //! Which controllers run this version. Each leaves a mark in the store when it
 //! first runs it; what older ones can't read is written only once all have.
 
-use super::{Node, store::STATE_TIMEOUT};
+use super::{
+    Node,
+    store::{STATE_TIMEOUT, StoreError},
+};
 use crate::{
     control::requests::TxnResult,
     protocol::state::{Condition, Txn, Write},
@@ -82,14 +85,14 @@
         list
     }
 
-    async fn leave_mark(&self) -> Result<(), String> {
+    async fn leave_mark(&self) -> Result<(), StoreError> {
         let key = version_key(&self.settings.name);
         let own = VersionRecord {
             format: FORMAT,
             program: env!("CARGO_PKG_VERSION").to_owned(),
         };
         if !self.may_request(2.0) {
-            return Err("over the request budget".into());
+            return Err(StoreError::OverRequestBudget);
         }
         let found = self.get(&key, STATE_TIMEOUT).await?;
         let version = found.as_ref().map_or(0, |i| i.version);
@@ -100,8 +103,8 @@
             return Ok(());
         }
         let now = self.now();
-        if !self.state_writes.borrow_mut().take(now, 1.0, 0.0) || !self.may_request(1.0) {
-            return Err("over the change budget".into());
+        if !self.budgets.take_changes(now, 1.0) || !self.may_request(1.0) {
+            return Err(StoreError::OverWriteBudget);
         }
         let txn = Txn {
             conditions: vec![Condition {
@@ -116,7 +119,7 @@
         };
         match self.txn(&txn, STATE_TIMEOUT).await {
             TxnResult::Done(_) => Ok(()),
-            _ => Err("not written".into()),
+            _ => Err(StoreError::NotWritten),
         }
     }
 
