--- a/src/control/leader/dependencies.rs
+++ b/src/control/leader/dependencies.rs
@@ -1,7 +1,18 @@
 //! Job dependencies: what durable ends of jobs mean for those that need them.
 
-use super::*;
-use crate::state::dependencies::{DependencyState, Readiness};
+use super::{Leader, millis};
+use crate::{
+    protocol::{
+        status::Reason,
+        users::{JobSpec, JobState, JobStatus, Kind},
+    },
+    state::{
+        Millis,
+        cluster::Job,
+        dependencies::{DependencyState, Readiness},
+    },
+};
+use std::collections::HashMap;
 
 /// Needs that are looked up at a time.
 const MAX_LOOKUPS: usize = 200;
--- a/src/control/leader/expiry.rs
+++ b/src/control/leader/expiry.rs
@@ -1,6 +1,13 @@
 //! What time alone brings: leases that expire, notices, tasks that must stop.
 
-use super::*;
+use super::{Leader, millis};
+use crate::{
+    protocol::users::Kind,
+    state::{
+        Millis,
+        cluster::{NONE, Phase, Registration},
+    },
+};
 
 /// So many machines that are overdue at once, if they are most of all, show
 /// that this node does not hear, not that they are gone.
--- a/src/control/leader/failover.rs
+++ b/src/control/leader/failover.rs
@@ -1,15 +1,22 @@
 //! Taking over from the leader before: by its cluster state, if this node was kept
 //! warm, and keeping others warm in turn.
 
-use super::*;
+use super::Leader;
 use crate::{
     control::standby::{
         RegistryWriteOutcome,
         failover_checks::{self, FailoverClaim},
         replica::Replica,
     },
-    protocol::peers::{Follow, MayRun, Seen},
-    state::records::StandbyRecord,
+    protocol::{
+        peers::{Follow, MayRun, Seen},
+        state::Txn,
+    },
+    state::{
+        Millis,
+        cluster::{Phase, Placement},
+        records::StandbyRecord,
+    },
 };
 
 /// What this node brought with it when it became leader.
--- a/src/control/leader/faults.rs
+++ b/src/control/leader/faults.rs
@@ -1,6 +1,10 @@
 //! Who is at fault when tasks fail, and what follows.
 
-use super::*;
+use super::Leader;
+use crate::{
+    protocol::workers::ExitReason,
+    state::{Millis, cluster::Job},
+};
 
 impl Leader {
     pub(super) fn on_task_ended(
--- a/src/control/leader/fleet_view.rs
+++ b/src/control/leader/fleet_view.rs
@@ -1,6 +1,19 @@
 //! Machines as placement sees them, and what a job asks of them.
 
-use super::*;
+use super::Leader;
+use crate::{
+    control::placement::{
+        self,
+        fleet::{MachineView, RankingId, Request},
+    },
+    options::LoadResource,
+    protocol::users::Kind,
+    state::{
+        Millis,
+        cluster::{Job, Machine},
+        resources::Resources,
+    },
+};
 
 /// Ranks of machine types a doubling of the price is apart.
 const RANKS_PER_DOUBLING: f64 = 2.0;
--- a/src/control/leader/gang_reservation.rs
+++ b/src/control/leader/gang_reservation.rs
@@ -1,7 +1,15 @@
 //! Gangs of several tasks: rooms that come free one by one are kept together
 //! until all tasks find one, and made by preemption where that is enough.
 
-use super::{victims::Preemption, *};
+use super::{
+    Leader, millis,
+    victims::{self, Preemption},
+};
+use crate::{
+    control::placement::fleet::RankingId,
+    protocol::users::Priority,
+    state::{Millis, cluster::Machine},
+};
 
 /// After this long, where no aim for starting says otherwise, other work of
 /// the same priority no longer passes a gang by taking the rooms it gathers.
--- a/src/control/leader/headroom.rs
+++ b/src/control/leader/headroom.rs
@@ -1,7 +1,18 @@
 //! Room kept for work of high priority: what arrives often, and what the loss
 //! of a machine would need.
 
-use super::*;
+use super::Leader;
+use crate::{
+    protocol::users::{JobSpec, Kind, Priority},
+    state::{
+        Millis,
+        cluster::{Assignment, Machine},
+        resources::Resources,
+    },
+};
+
+/// Over how long arrivals are counted.
+pub(super) const ARRIVAL_WINDOW_MS: Millis = 180_000;
 
 /// Jobs that take the same room.
 #[derive(Debug, PartialEq)]
--- /dev/null
+++ b/src/control/leader/heartbeats.rs
@@ -0,0 +1,94 @@
+//! Heartbeats of workers: whether one counts, what it changes, the answer.
+//!
+//! Called by the server for each heartbeat, and by `direct_commands` for the
+//! status that comes back with a direct command. It must never answer a machine
+//! whose lease could be renewed wrongly: before the records are read only for a
+//! bounded time, and never one that has been released.
+
+use super::Leader;
+use crate::{
+    control::{reconciliation, safety_bounds::SafetyBounds},
+    protocol::workers::{Command, Heartbeat, HeartbeatResponse},
+    state::Millis,
+};
+
+impl Leader {
+    /// Applies a heartbeat and returns the response; `None`: it gets none.
+    pub fn on_heartbeat(&mut self, report: &Heartbeat, now: Millis) -> Option<HeartbeatResponse> {
+        if !self.recovery.loaded {
+            // The lease must not expire while the records are being read; nor
+            // may it be renewed for long, as they hold cancellations.
+            let unread = SafetyBounds::of(&self.settings.cluster.workers).max_answering_unloaded();
+            return (now < self.recovery.elected_at + unread).then(|| HeartbeatResponse {
+                fencing_token: self.term_token(),
+                commands: Vec::new(),
+            });
+        }
+        if self.scaling.released.contains_key(&report.machine) {
+            return None;
+        }
+        let ix = self.cluster.insert_machine(
+            &report.machine,
+            &report.addr,
+            &report.type_name,
+            &report.zone,
+            report.spot,
+            now,
+        )?;
+        if !self.accepts_heartbeat(ix, report, now) {
+            return None;
+        }
+        self.apply_heartbeat(ix, report, true, now);
+        let m = self.cluster.machine_mut(ix)?;
+        let fresh = m.up && (report.incarnation, report.seq) == (m.incarnation, m.heartbeat_seq);
+        let commands = if fresh {
+            let confirmed = self.standbys.confirmed_change();
+            let commands =
+                reconciliation::commands(&mut self.cluster, ix, None, report.seq, confirmed);
+            self.count_commands(&commands);
+            commands
+        } else {
+            Vec::new()
+        };
+        Some(HeartbeatResponse {
+            fencing_token: self.fencing_token(ix),
+            commands,
+        })
+    }
+
+    pub(super) fn apply_heartbeat(&mut self, ix: u32, report: &Heartbeat, beat: bool, now: Millis) {
+        let floor = self.term_token();
+        let effects =
+            reconciliation::apply_heartbeat(&mut self.cluster, ix, report, floor, beat, now);
+        self.changed |= effects.cluster_changed;
+        self.detect_one_way_partition(ix, &effects);
+        if let Some(m) = self.cluster.machine(ix)
+            && m.last_heartbeat == now
+        {
+            self.zone_responded(m.zone, now);
+        }
+        for job_ix in effects.started_jobs {
+            if let Some(j) = self.cluster.job_mut(job_ix).filter(|j| !j.has_run) {
+                j.has_run = true;
+                let waited = (now - j.known_since) as f64 / 1000.0;
+                self.events.tally.waits.push((j.spec.class.clone(), waited));
+            }
+        }
+        for (job_ix, started) in effects.confirmed_running {
+            self.on_task_running(ix, job_ix, started, now);
+        }
+        for (job_ix, task, why) in effects.ended_tasks {
+            self.on_task_ended(ix, job_ix, task, why, now);
+        }
+    }
+
+    pub(super) fn count_commands(&mut self, commands: &[Command]) {
+        for command in commands {
+            match command {
+                Command::Start { .. } => self.events.tally.starts += 1,
+                Command::Stop { .. } => self.events.tally.stops += 1,
+                Command::Reap { .. } => {}
+            }
+        }
+    }
+}
--- a/src/control/leader/inventory.rs
+++ b/src/control/leader/inventory.rs
@@ -1,6 +1,36 @@
 //! Machines: the list, returns, and services moved off idle ones.
 
-use super::*;
+use super::{Leader, millis};
+use crate::{
+    protocol::cloud::{ListedMachine, ListedState, MachineRequest},
+    state::{
+        Millis,
+        cluster::{Machine, Phase, Registration},
+        resources::Resources,
+    },
+};
+
+/// Taken on top of twice the lag of the machine list.
+const LIST_MARGIN_MS: Millis = 1_000;
+/// For how long ahead an idle machine is kept for recent arrivals.
+const KEEP_IDLE_MS: Millis = 25_000;
+/// How long places are kept for services that move.
+const SERVICE_MOVE_MS: Millis = 5_000;
+/// A fetch that a service may be moved for. Longer ones cost more of its
+/// replica time than the machine is worth (tried without this bound).
+const SHORT_FETCH_S: f64 = 4.0;
+/// How long a worker may take to find a new leader: a report that times out
+/// and a pause.
+pub(super) const WORKER_REDIRECT_MS: Millis = 5_000;
+
+/// What is to be asked of the cloud.
+#[derive(Debug, Clone)]
+pub enum CloudOp {
+    /// Machines to be added.
+    MachineRequest(MachineRequest),
+    /// Machines to be deleted, by name.
+    Release(Vec<String>),
+}
 
 /// Names that one request to delete machines may hold.
 const MAX_RELEASED_MACHINES: usize = 100;
--- a/src/control/leader/partitions.rs
+++ b/src/control/leader/partitions.rs
@@ -2,7 +2,12 @@
 //! reports that come late or from a machine that began anew. What counts is
 //! what a machine shows to have received: a token, raised for it alone.
 
-use super::*;
+use super::Leader;
+use crate::{
+    control::reconciliation,
+    protocol::workers::Heartbeat,
+    state::{Millis, cluster::Phase},
+};
 
 /// So many reports in a row without a token of this term, each sent after the
 /// one before it was answered, show that it does not get the answers.
--- a/src/control/leader/preemption.rs
+++ b/src/control/leader/preemption.rs
@@ -1,7 +1,12 @@
 //! At the end of a pass: room made by stopping tasks, for jobs of high priority
 //! that found none. Searches that are sure to find nothing are left out.
 
-use super::{victims::GUARANTEE_S, *};
+use super::{Leader, millis, victims::GUARANTEE_S};
+use crate::{
+    protocol::users::{Kind, Priority},
+    state::{Millis, cluster::Job, resources::Resources},
+};
+use std::collections::HashMap;
 
 /// Machines on which tasks are stopped in one pass; a gang that has begun with
 /// fewer is not cut short.
--- a/src/control/leader/queue.rs
+++ b/src/control/leader/queue.rs
@@ -1,6 +1,13 @@
 //! The order of service of what waits.
 
-use super::{scheduling_cycle::is_schedulable_job, *};
+use super::{Leader, millis, scheduling_cycle::is_schedulable_job};
+use crate::{
+    protocol::{
+        settings::Objective,
+        users::{JobSpec, Kind},
+    },
+    state::{Millis, cluster::Job, resources::Resources},
+};
 
 impl Leader {
     /// Waiting jobs in the order in which they are served.
--- a/src/control/leader/quotas.rs
+++ b/src/control/leader/quotas.rs
@@ -1,6 +1,7 @@
 //! Limits of teams, counted with what may run unseen.
 
-use super::*;
+use super::Leader;
+use crate::state::{cluster::Job, resources::Resources};
 
 impl Leader {
     /// What may run unseen counts against the team's limit until every machine
--- a/src/control/leader/recovery.rs
+++ b/src/control/leader/recovery.rs
@@ -1,7 +1,11 @@
 //! How long a new leader takes until the service is whole again, phase by
 //! phase: for the log, and for the operators' figures.
 
-use super::*;
+use super::Leader;
+use crate::{
+    protocol::{status::Reason, users::Kind},
+    state::Millis,
+};
 
 /// How long workers that report take to find a new leader at most, where no
 /// node hangs.
--- a/src/control/leader/scale_out.rs
+++ b/src/control/leader/scale_out.rs
@@ -1,6 +1,60 @@
 //! Rentals: what is asked of the cloud, and how it came out.
 
-use super::*;
+use super::{Leader, millis, zone_health::ZoneHealth};
+use crate::{
+    control::provision::{self, Bin, Demand, Offer},
+    protocol::{
+        cloud::{MAX_MACHINES_PER_REQUEST, MachineRequest},
+        status::Reason,
+        users::Kind,
+    },
+    state::{
+        Millis,
+        cluster::{Job, Registration},
+        records::machine_key,
+        resources::Resources,
+    },
+};
+use std::collections::HashMap;
+
+/// How long a kind of machine that was refused is not asked for again.
+const CLOUD_REFUSAL_MS: Millis = 10_000;
+/// A machine that has been overdue for no longer than this may just be late:
+/// nothing is rented in its place.
+const LATE_HEARTBEAT_MS: Millis = 2_000;
+/// A machine costs at least a minute.
+const MIN_CHARGE_MS: Millis = 57_000;
+
+/// Machines as the cloud gives and lists them.
+pub(super) struct Scaling {
+    pub(super) next_look_at: Millis,
+    pub(super) next_list_at: Millis,
+    pub(super) refused_until: HashMap<(usize, usize, bool), Millis>,
+    /// Requests without an answer.
+    pub(super) requests_in_flight: u32,
+    /// Names given out in this term.
+    pub(super) request_count: u64,
+    /// Machines released or dropped; late reports of them mean nothing.
+    pub(super) released: HashMap<String, Millis>,
+    pub(super) zone_health: Vec<ZoneHealth>,
+    /// Most machines were overdue at once: nothing is rented in their place.
+    pub(super) no_scale_out_until: Millis,
+}
+
+impl Scaling {
+    pub(super) fn new(zone_life: Vec<ZoneHealth>) -> Self {
+        Scaling {
+            next_look_at: 0,
+            next_list_at: 0,
+            refused_until: HashMap::new(),
+            requests_in_flight: 0,
+            request_count: 0,
+            released: HashMap::new(),
+            zone_health: zone_life,
+            no_scale_out_until: 0,
+        }
+    }
+}
 
 /// Kinds of demand that are looked at in a round: arrays whose tasks differ
 /// in size are one each.
--- /dev/null
+++ b/src/control/leader/scheduling.rs
@@ -0,0 +1,60 @@
+//! What scheduling keeps between events: the order of service, the fleet as
+//! placement ranks it, recent arrivals, and an interrupted scheduling cycle.
+//!
+//! Owned by `Leader`; read and changed by the modules of scheduling (queue,
+//! scheduling cycle, fleet view, headroom, quotas). It holds no cluster state:
+//! all of it can be computed anew, and none of it is stored.
+
+use super::{headroom::Class, scheduling_cycle::SchedulingCycle};
+use crate::{
+    control::placement::{Policy, fleet::Fleet},
+    state::{Millis, resources::Resources},
+};
+use std::collections::{BTreeSet, VecDeque};
+
+/// Placement: the order of service, and when it is looked at again.
+pub(super) struct Scheduling {
+    pub(super) policy: Policy,
+    pub(super) seen_shapes: Vec<(Resources, u64)>,
+    pub(super) queue_buffer: Vec<u32>,
+    /// Recent arrivals: time, index into `classes`, tasks.
+    pub(super) arrivals: VecDeque<(Millis, usize, u32)>,
+    pub(super) classes: Vec<Class>,
+    pub(super) next_drain_at: Millis,
+    pub(super) next_cycle_at: Millis,
+    /// Attempts given out in this term.
+    pub(super) attempt_count: u64,
+    /// By team, see `count_unconfirmed_usage`; empty once all that may run is known.
+    pub(super) unconfirmed_usage: Vec<Resources>,
+    /// Machines that tasks may be placed on.
+    pub(super) fleet: Fleet,
+    /// A pass that stopped for its bound, and goes on where it stopped.
+    pub(super) interrupted_cycle: Option<SchedulingCycle>,
+    /// A pass is under way, or was interrupted.
+    pub(super) in_cycle: bool,
+    /// Machines that have gained room since it began.
+    pub(super) machines_with_gain: BTreeSet<u32>,
+    /// Steps that the pass may make before it stops.
+    pub(super) steps_left: u32,
+}
+
+impl Scheduling {
+    pub(super) fn new(policy: Policy) -> Self {
+        Scheduling {
+            fleet: Fleet::new(policy.clone()),
+            interrupted_cycle: None,
+            in_cycle: false,
+            machines_with_gain: BTreeSet::new(),
+            steps_left: 0,
+            policy,
+            seen_shapes: Vec::new(),
+            queue_buffer: Vec::new(),
+            arrivals: VecDeque::new(),
+            classes: Vec::new(),
+            next_drain_at: 0,
+            next_cycle_at: 0,
+            attempt_count: 0,
+            unconfirmed_usage: Vec::new(),
+        }
+    }
+}
--- a/src/control/leader/scheduling_cycle.rs
+++ b/src/control/leader/scheduling_cycle.rs
@@ -2,7 +2,20 @@
 //! bounded amount of work at once and goes on where it stopped, so that reports
 //! are answered in between.
 
-use super::{task_placement::Outcome, *};
+use super::{
+    Leader,
+    headroom::{ARRIVAL_WINDOW_MS, Headroom},
+    millis,
+    task_placement::Outcome,
+};
+use crate::{
+    protocol::{
+        status::Reason,
+        users::{Kind, Priority},
+    },
+    state::{Millis, cluster::Job, resources::Resources},
+};
+use std::collections::HashSet;
 
 /// Machines chosen and jobs looked at before reports are answered again: some
 /// milliseconds.
--- a/src/control/leader/status.rs
+++ b/src/control/leader/status.rs
@@ -1,10 +1,27 @@
 //! What operators are told, put together only when they ask.
 
-use super::*;
-use crate::protocol::status::{
-    Due, Explained, Failure, Fleet, Group, MOST_ROWS, Picture, Reason, TeamUse, Trouble,
+use super::{Leader, millis};
+use crate::{
+    control::placement,
+    options::LoadResource,
+    protocol::{
+        status::{
+            Due, Explained, Failure, Fleet, Group, MOST_ROWS, Picture, Reason, TeamUse, Trouble,
+        },
+        workers::ExitReason,
+    },
+    state::{Millis, cluster::Job, dependencies::Readiness, offload::OffloadState},
 };
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, HashMap, VecDeque};
+
+/// What happened, for operators and for verdicts.
+#[derive(Default)]
+pub(super) struct Events {
+    pub(super) tally: Tally,
+    pub(super) recent_failures: VecDeque<Failed>,
+    /// Jobs of which a task failed and none has run.
+    pub(super) suspects: Vec<u32>,
+}
 
 /// Failures that are remembered for operators.
 const FAILURES: usize = 20;
--- a/src/control/leader/task_placement.rs
+++ b/src/control/leader/task_placement.rs
@@ -1,7 +1,19 @@
 //! Places the tasks of one job: of an array or a service one by one, of a gang
 //! all or none.
 
-use super::*;
+use super::{Leader, MACHINE_TOKEN_BITS, headroom::Headroom};
+use crate::{
+    control::placement::{
+        self,
+        fleet::{Choice, MachineView, RankingId},
+    },
+    protocol::{status::Reason, users::Kind},
+    state::{
+        Millis,
+        cluster::{Job, Phase, Placement},
+        resources::Resources,
+    },
+};
 
 /// What came of placing a job's tasks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/src/control/leader/victims.rs
+++ b/src/control/leader/victims.rs
@@ -1,6 +1,24 @@
 //! Room made by stopping tasks: which, at what loss, and for whom.
 
-use super::*;
+use super::{Leader, millis};
+use crate::{
+    control::placement::fleet::Choice,
+    protocol::{
+        status::Reason,
+        users::{Kind, Priority},
+    },
+    state::{
+        Millis,
+        cluster::{Assignment, Job, Machine},
+        resources::Resources,
+    },
+};
+use std::collections::HashSet;
+
+/// How long room made for a job is kept for it.
+const RESERVATION_MS: Millis = 8_000;
+/// A start stopped sooner than this would not have been worth making.
+const MIN_USEFUL_RUN_MS: Millis = 30_000;
 
 /// Constant part, in core-seconds, of the work that may be lost for a start
 /// without a fetch.
--- a/src/control/leader/zone_health.rs
+++ b/src/control/leader/zone_health.rs
@@ -1,6 +1,7 @@
 //! Zones from which nothing is heard: a cut takes all that is in one.
 
-use super::*;
+use super::Leader;
+use crate::state::Millis;
 
 /// A zone that fell unresponsive gets nothing new for this long, unless something
 /// in it is heard before. Where a controller stands, the end of a cut shows
