--- a/src/control/leader/headroom.rs
+++ b/src/control/leader/headroom.rs
@@ -14,6 +14,9 @@
 /// Over how long arrivals are counted.
 pub(super) const ARRIVAL_WINDOW_MS: Millis = 180_000;
 
+/// Tasks counted on one machine at most.
+const MAX_COUNTED_TASKS: i64 = 1_000;
+
 /// Jobs that take the same room.
 #[derive(Debug, PartialEq)]
 pub(super) struct Class {
@@ -54,9 +57,15 @@
         self.types.get(type_ix).copied().unwrap_or(false) && (self.spot || !spot)
     }
 
+    /// How many of its tasks fit into so much, up to a bound for tasks that need
+    /// next to nothing.
+    pub(super) fn tasks_in(&self, free: &Resources) -> i64 {
+        free.count(&self.need).min(MAX_COUNTED_TASKS)
+    }
+
     /// How many fewer would fit with this task placed.
     pub(super) fn loss(&self, free: &Resources, need: &Resources) -> i64 {
-        free.count(&self.need).min(1000) - free.minus(*need).count(&self.need).min(1000)
+        self.tasks_in(free) - self.tasks_in(&free.minus(*need))
     }
 }
 
@@ -125,7 +134,7 @@
                 if m.schedulable() && r.covers(m.type_ix, m.spot) {
                     let mut free = m.free();
                     free += self.held_by_batches(m);
-                    r.fits += free.count(&r.need).min(1000);
+                    r.fits += r.tasks_in(&free);
                 }
             }
             // The machine that is lost has its own room, which does not count.
@@ -182,7 +191,7 @@
             let mut r = c.headroom_for(wanted);
             for (_, room) in self.scheduling.fleet.machine_views() {
                 if r.covers(room.type_ix, room.spot) {
-                    r.fits += room.free.count(&r.need).min(1000);
+                    r.fits += r.tasks_in(&room.free);
                 }
             }
             out.push(r);
--- a/src/control/leader/inventory.rs
+++ b/src/control/leader/inventory.rs
@@ -1,6 +1,11 @@
-//! Machines: the list, returns, and services moved off idle ones.
+//! Machine inventory: the cloud's machine list, scale-in, and draining machines
+//! that run nothing but a few services.
+//!
+//! The server calls it with each list it has read, and asks `cloud_ops` what to
+//! request and release. It must never release a machine whose tasks it does not
+//! know, nor one that is registered before the release is recorded.
 
-use super::{Leader, millis};
+use super::{Leader, headroom::Headroom, millis};
 use crate::{
     protocol::cloud::{ListedMachine, ListedState, MachineRequest},
     state::{
@@ -16,6 +21,18 @@
 const KEEP_IDLE_MS: Millis = 25_000;
 /// How long places are kept for services that move.
 const SERVICE_MOVE_MS: Millis = 5_000;
+/// Arrivals for which idle machines are kept.
+const IDLE_ARRIVAL_WINDOW_MS: Millis = 60_000;
+/// Beyond several times the usual boot time, for a machine that never came up.
+const BOOT_MARGIN_MS: Millis = 60_000;
+/// Beyond several times the list's lag, for a machine that is not listed.
+const UNLISTED_MARGIN_MS: Millis = 30_000;
+/// How often the machine list is read.
+const LIST_INTERVAL_MS: Millis = 4_000;
+/// How often scaling is considered.
+const SCALING_INTERVAL_MS: Millis = 1_000;
+/// How often a machine to drain is looked for.
+const DRAIN_INTERVAL_MS: Millis = 2_000;
 /// A fetch that a service may be moved for. Longer ones cost more of its
 /// replica time than the machine is worth (tried without this bound).
 const SHORT_FETCH_S: f64 = 4.0;
@@ -50,7 +67,7 @@
         let due = self.recovery.loaded && now >= self.scaling.next_list_at;
         if due {
             let telling = self.list_reliable_from();
-            self.scaling.next_list_at = now + 4000;
+            self.scaling.next_list_at = now + LIST_INTERVAL_MS;
             if !self.recovery.settled && now < telling {
                 self.scaling.next_list_at = self.scaling.next_list_at.min(telling);
             }
@@ -144,7 +161,7 @@
         if !self.recovery.loaded || now < self.scaling.next_look_at {
             return ops;
         }
-        self.scaling.next_look_at = now + 1000;
+        self.scaling.next_look_at = now + SCALING_INTERVAL_MS;
         self.cluster.record_batch_activity(now);
         self.scale_in(now);
         self.drain(now);
@@ -212,81 +229,117 @@
         (idle as f64 * t.spot_price / t.price) as Millis
     }
 
+    /// Releases machines that are not needed or of no use, and removes those that
+    /// are neither registered nor listed any more.
     pub(super) fn scale_in(&mut self, now: Millis) {
-        let idle = millis(self.options.idle_s);
-        let lapse = self.lease_expiry();
-        let lag = millis(self.settings.cluster.cloud.list_lag_s);
         // What arrives often and must start soon finds an idle machine.
         self.refresh_fleet(now);
-        let mut held = self.headroom(60_000, KEEP_IDLE_MS, now);
-        held.extend(self.spare_capacity());
+        let mut headroom = self.headroom(IDLE_ARRIVAL_WINDOW_MS, KEEP_IDLE_MS, now);
+        headroom.extend(self.spare_capacity());
         let mut gone = Vec::new();
         for ix in self.cluster.machine_range() {
-            let Some(m) = self.cluster.machine(ix) else {
+            let Some(machine) = self.cluster.machine(ix) else {
                 continue;
             };
-            if m.releasing || m.contents_unknown {
+            if machine.releasing || machine.contents_unknown {
                 continue;
             }
-            let boot = millis(self.cluster.types[m.type_ix].boot_s);
-            let empty = m.tasks.is_empty();
-            let why = if m.up && m.failures.quarantined && empty {
-                Some("tasks fail on it")
-            } else if m.up && m.draining && empty && !m.command_in_flight {
-                Some("drained")
-            } else if m.up
-                && empty
-                && self.recovery.settled
-                && now >= m.idle_since + self.idle_allowance(m, idle)
-                // Where most don't get answers, the fault is here.
-                && !(m.misses_responses() && now < self.scaling.no_scale_out_until)
-                && !m.command_in_flight
-                && held.iter().all(|r| {
-                    !r.covers(m.type_ix, m.spot)
-                        || r.fits - m.capacity.count(&r.need).min(1000) >= r.wanted
-                })
-            {
-                for r in held.iter_mut().filter(|r| r.covers(m.type_ix, m.spot)) {
-                    r.fits -= m.capacity.count(&r.need).min(1000);
-                }
-                Some("idle")
-            } else if !m.up
-                && m.incarnation == 0
-                && m.registration == Registration::Absent
-                && now > m.state_since + 4 * boot + 60_000
-            {
-                Some("never came up")
-            } else if !m.up
-                // One of the machine registry that was never heard in this term is as
-                // unresponsive: left there, each new leader would wait for it.
-                && (m.incarnation > 0 || m.registration == Registration::Present)
-                && now > m.state_since + lapse
-            {
-                Some("silent")
-            } else {
-                None
+            let reason = match machine.up {
+                true => self.reason_to_release_up(machine, &mut headroom, now),
+                false => self.reason_to_release_down(machine, now),
             };
-            if let Some(why) = why {
-                self.release(ix, why, now);
-            } else if !m.up
-                && m.registration == Registration::Absent
-                && now > m.last_listed + 30_000 + 4 * lag
-                && now > m.state_since + 30_000 + 4 * lag
-            {
+            if let Some(reason) = reason {
+                self.release(ix, reason, now);
+            } else if self.is_gone(machine, now) {
                 gone.push(ix);
             }
         }
         for ix in gone {
-            // Names don't recur: what still comes of one that ran is late.
-            if let Some(m) = self
-                .cluster
-                .machine(ix)
-                .filter(|m| m.latest_heartbeat.0 > 0)
-            {
-                self.scaling.released.insert(m.name.clone(), now);
-            }
-            self.cluster.remove_machine(ix);
+            self.remove_gone_machine(ix, now);
+        }
+    }
+
+    /// Why a machine that is up is to be released. An idle one no longer counts
+    /// for the headroom.
+    fn reason_to_release_up(
+        &self,
+        machine: &Machine,
+        headroom: &mut [Headroom],
+        now: Millis,
+    ) -> Option<&'static str> {
+        if !machine.tasks.is_empty() {
+            return None;
+        }
+        if machine.failures.quarantined {
+            return Some("tasks fail on it");
+        }
+        if machine.draining && !machine.command_in_flight {
+            return Some("drained");
+        }
+        if !self.is_idle_too_long(machine, now) {
+            return None;
+        }
+        let covering = |entry: &&mut Headroom| entry.covers(machine.type_ix, machine.spot);
+        let needed = headroom.iter().any(|entry| {
+            entry.covers(machine.type_ix, machine.spot)
+                && entry.fits - entry.tasks_in(&machine.capacity) < entry.wanted
+        });
+        if needed {
+            return None;
+        }
+        for entry in headroom.iter_mut().filter(covering) {
+            entry.fits -= entry.tasks_in(&machine.capacity);
+        }
+        Some("idle")
+    }
+
+    /// An empty machine has been idle for longer than it is kept for.
+    fn is_idle_too_long(&self, machine: &Machine, now: Millis) -> bool {
+        let idle_ms = millis(self.options.idle_s);
+        self.recovery.settled
+            && now >= machine.idle_since + self.idle_allowance(machine, idle_ms)
+            // Where most machines get no responses, the fault is here.
+            && !(machine.misses_responses() && now < self.scaling.no_scale_out_until)
+            && !machine.command_in_flight
+    }
+
+    /// Why a machine that is not up is to be released.
+    fn reason_to_release_down(&self, machine: &Machine, now: Millis) -> Option<&'static str> {
+        let boot_ms = millis(self.cluster.types[machine.type_ix].boot_s);
+        let registered = machine.registration == Registration::Present;
+        let has_run = machine.incarnation > 0;
+        if !has_run
+            && machine.registration == Registration::Absent
+            && now > machine.state_since + 4 * boot_ms + BOOT_MARGIN_MS
+        {
+            return Some("never came up");
+        }
+        // A registered one that sent no heartbeat in this term is as
+        // unresponsive: left there, each new leader would wait for it.
+        let unresponsive = now > machine.state_since + self.lease_expiry();
+        ((has_run || registered) && unresponsive).then_some("silent")
+    }
+
+    /// Neither registered nor listed for so long that the cloud has deleted it.
+    fn is_gone(&self, machine: &Machine, now: Millis) -> bool {
+        let list_lag_ms = millis(self.settings.cluster.cloud.list_lag_s);
+        let unlisted_ms = UNLISTED_MARGIN_MS + 4 * list_lag_ms;
+        !machine.up
+            && machine.registration == Registration::Absent
+            && now > machine.last_listed + unlisted_ms
+            && now > machine.state_since + unlisted_ms
+    }
+
+    fn remove_gone_machine(&mut self, ix: u32, now: Millis) {
+        // Names are never used again: a heartbeat of one that ran is late.
+        if let Some(machine) = self
+            .cluster
+            .machine(ix)
+            .filter(|machine| machine.latest_heartbeat.0 > 0)
+        {
+            self.scaling.released.insert(machine.name.clone(), now);
         }
+        self.cluster.remove_machine(ix);
     }
 
     /// A machine that holds nothing but a few services, which find room on
@@ -295,7 +348,7 @@
         if !self.recovery.settled || now < self.scheduling.next_drain_at {
             return;
         }
-        self.scheduling.next_drain_at = now + 2000;
+        self.scheduling.next_drain_at = now + DRAIN_INTERVAL_MS;
         let idle = millis(self.options.idle_s);
         let mut order: Vec<u32> = Vec::new();
         for (ix, m) in self.cluster.indexed_machines() {
