--- a/src/control/leader/queue/tests.rs
+++ b/src/control/leader/queue/tests.rs
@@ -1,9 +1,9 @@
-//! Stories of the order of service.
+//! Tests of the order of service.
 
 use super::*;
 
 #[test]
-fn a_batch_past_its_deadline_lets_others_pass_until_its_last_aim_is_near() {
+fn late_batch_yields_until_its_last_objective_is_near() {
     let spec = JobSpec::parse(
         br#"{"ref":"j-000001","job_family":"c","owner_crew":"t","run_shape":"array",
             "urgency":"normal","pieces":3,"cores":1.0,"accelerators":0.0,"memory_gb":1.0,
@@ -22,7 +22,7 @@
     assert_eq!(band(0, &aims), 1);
     assert_eq!(band(90, &aims), 2);
     assert_eq!(band(110, &aims), 0);
-    // Without a later aim it still does not wait for ever.
+    // Without a later objective it still does not wait for ever.
     assert_eq!(band(110, &[]), 2);
     assert_eq!(band(280, &[]), 0);
 }
--- a/src/control/placement/mod.rs
+++ b/src/control/placement/mod.rs
@@ -1,9 +1,14 @@
-//! Which machine a task goes to: Lazy machines first, and among them the one
-//! left least fragmented; then Busy ones. `Policy` and the costs are here; the
-//! choice is made from rankings that `fleet` keeps.
+//! Placement: which machine a task goes to. Lightly loaded (lazy) machines come
+//! first, and among them the one left least fragmented; then busy ones.
+//!
+//! `Policy` and the cost functions are here; `fleet` keeps the machines and
+//! their rankings and makes the choice. Called by the leader's scheduling; it
+//! knows no jobs and must not depend on their number.
 
+mod change_log;
 pub mod fleet;
 pub mod free_counts;
+mod ranking;
 
 use crate::{
     options::{LoadResource, Shape},
@@ -13,8 +18,9 @@
 /// What the order of machines depends on beside the machines.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Policy {
-    /// A machine with a lower load is Lazy.
+    /// A machine with a lower load is lazy, others are busy.
     pub threshold: f64,
+    /// The resource that counts as load.
     pub load: LoadResource,
     /// Common shapes of tasks that fragmentation is averaged over.
     pub shapes: Vec<Resources>,
--- a/src/control/provision.rs
+++ b/src/control/provision.rs
@@ -1,16 +1,24 @@
-//! How many machines of which kind: waiting work against what is there, on
-//! its way, and worth its price.
+//! Planning of new machines: how many of which kind, given the demand of waiting
+//! jobs, the capacity that exists or is coming, and the price list.
+//!
+//! Pure functions, called by the leader's scale-out; nothing is kept between
+//! calls. They must never plan a machine where capacity that is coming will do.
 
 use crate::state::resources::Resources;
+use std::collections::HashMap;
 
-/// Work that waits: equal tasks of one job.
+/// Equal tasks that wait for capacity.
 #[derive(Debug, Clone)]
 pub struct Demand {
+    /// What one task needs.
     pub need: Resources,
     /// How many must run at once to be in time.
     pub count: i64,
+    /// Allowed machine types, by index.
     pub types: Vec<bool>,
+    /// The only zone allowed, if there is one.
     pub zone: Option<usize>,
+    /// Whether spot machines are allowed.
     pub spot: bool,
     /// Tasks that one zone may take, if the job is to be spread.
     pub per_zone: Option<i64>,
@@ -18,189 +26,215 @@
     pub refused: bool,
 }
 
-/// Room that is there or on its way.
+/// A machine that exists, boots or is planned, with what is free on it.
 #[derive(Debug, Clone)]
 pub struct Bin {
+    /// Index of its type.
     pub type_ix: usize,
+    /// Index of its zone.
     pub zone: usize,
+    /// Whether it is a spot machine.
     pub spot: bool,
+    /// What is not taken yet.
     pub free: Resources,
 }
 
-/// What the cloud offers.
+/// A kind of machine on the price list.
 #[derive(Debug, Clone)]
 pub struct Offer {
+    /// Index of its type.
     pub type_ix: usize,
+    /// Index of its zone.
     pub zone: usize,
+    /// Whether it is a spot machine.
     pub spot: bool,
+    /// What one machine offers.
     pub capacity: Resources,
+    /// Its price, as on the price list.
     pub price: f64,
     /// Refused lately.
     pub refused: bool,
 }
 
+/// Machines of one kind to be requested.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PlannedMachines {
+    /// Index of its type.
     pub type_ix: usize,
+    /// Index of its zone.
     pub zone: usize,
+    /// Whether it is a spot machine.
     pub spot: bool,
+    /// How many.
     pub count: u32,
 }
 
-/// New machines that batches are given in a round: work past that waits for
-/// the next, as some of it will have found room by then.
+/// New machines for batches in a round: what is left waits for the next, as some
+/// of it will have found capacity by then.
 pub const BATCH_NEW: usize = 12;
-/// A round is at most so many calls' worth of machines, as bounds are needed;
-/// the next follows within a second or two.
+/// New machines in a round: a few requests' worth. The next round follows within
+/// a second or two.
 pub const MAX_NEW: usize = 4 * crate::protocol::cloud::MAX_MACHINES_PER_REQUEST as usize;
 
+/// Plans at most `max_new` machines for the demands, in their order: what fits
+/// into `bins` needs none. Afterwards `bins` holds what is left, in the new
+/// machines too, and `refused` of a demand says that some of it found no offer.
 pub fn plan(
     demands: &mut [Demand],
     bins: &mut Vec<Bin>,
     offers: &[Offer],
-    most: usize,
+    max_new: usize,
 ) -> Vec<PlannedMachines> {
-    let mut bought: Vec<PlannedMachines> = Vec::new();
-    let mut new = 0;
-    for d in demands.iter_mut() {
-        let allowed = |type_ix: usize, zone: usize, spot: bool| {
-            d.types.get(type_ix).copied().unwrap_or(false)
-                && d.zone.is_none_or(|z| z == zone)
-                && (d.spot || !spot)
-        };
-        let mut left = d.count;
-        let mut per_zone = std::collections::HashMap::new();
-        for b in bins.iter_mut() {
-            if left == 0 || !allowed(b.type_ix, b.zone, b.spot) {
-                continue;
-            }
-            let used: &mut i64 = per_zone.entry(b.zone).or_insert(0);
-            let cap = d.per_zone.map_or(i64::MAX, |n| n - *used);
-            let n = b.free.count(&d.need).min(left).min(cap).max(0);
-            b.free -= d.need.scaled(n);
-            *used += n;
-            left -= n;
-        }
-        while left > 0 && new < most {
-            // The least price for each task it would take.
-            let best = offers
-                .iter()
-                .filter(|o| !o.refused && allowed(o.type_ix, o.zone, o.spot))
-                .filter_map(|o| {
-                    let used = per_zone.get(&o.zone).copied().unwrap_or(0);
-                    let cap = d.per_zone.map_or(i64::MAX, |n| n - used);
-                    let fit = o.capacity.count(&d.need).min(left).min(cap);
-                    (fit > 0).then(|| (o.price / fit as f64, used, fit, o))
-                })
-                .min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
-            let Some((_, _, fit, offer)) = best else {
-                d.refused = true;
+    let mut planned: Vec<PlannedMachines> = Vec::new();
+    let mut new_machines = 0;
+    for demand in demands.iter_mut() {
+        let mut by_zone = TasksByZone::default();
+        let mut left = demand.fill_bins(bins, &mut by_zone);
+        while left > 0 && new_machines < max_new {
+            let Some(best) = demand.best_offer(offers, left, &by_zone) else {
+                demand.refused = true;
                 break;
             };
-            new += 1;
-            left -= fit;
-            *per_zone.entry(offer.zone).or_insert(0) += fit;
+            new_machines += 1;
+            left -= best.tasks;
+            by_zone.add(best.offer.zone, best.tasks);
             bins.push(Bin {
-                type_ix: offer.type_ix,
-                zone: offer.zone,
-                spot: offer.spot,
-                free: offer.capacity.minus(d.need.scaled(fit)),
+                type_ix: best.offer.type_ix,
+                zone: best.offer.zone,
+                spot: best.offer.spot,
+                free: best.offer.capacity.minus(demand.need.scaled(best.tasks)),
             });
-            match bought.iter_mut().find(|p| {
-                p.type_ix == offer.type_ix && p.zone == offer.zone && p.spot == offer.spot
-            }) {
-                Some(p) => p.count += 1,
-                None => bought.push(PlannedMachines {
-                    type_ix: offer.type_ix,
-                    zone: offer.zone,
-                    spot: offer.spot,
-                    count: 1,
-                }),
+            add_machine(&mut planned, best.offer);
+        }
+    }
+    planned
+}
+
+/// Tasks of one demand that each zone has been given.
+#[derive(Default)]
+struct TasksByZone(HashMap<usize, i64>);
+
+impl TasksByZone {
+    fn count(&self, zone: usize) -> i64 {
+        self.0.get(&zone).copied().unwrap_or(0)
+    }
+
+    fn add(&mut self, zone: usize, tasks: i64) {
+        *self.0.entry(zone).or_insert(0) += tasks;
+    }
+}
+
+/// An offer, and how many tasks of the demand its machine would take.
+struct RankedOffer<'a> {
+    offer: &'a Offer,
+    tasks: i64,
+    price_per_task: f64,
+    /// Tasks that its zone has been given already.
+    in_zone: i64,
+}
+
+impl Demand {
+    fn allows(&self, type_ix: usize, zone: usize, spot: bool) -> bool {
+        self.types.get(type_ix).copied().unwrap_or(false)
+            && self.zone.is_none_or(|only| only == zone)
+            && (self.spot || !spot)
+    }
+
+    /// How many more tasks the zone may be given.
+    fn zone_allowance(&self, zone: usize, by_zone: &TasksByZone) -> i64 {
+        self.per_zone
+            .map_or(i64::MAX, |most| most - by_zone.count(zone))
+    }
+
+    /// Takes capacity that exists or is coming; returns how many tasks found
+    /// none.
+    fn fill_bins(&self, bins: &mut [Bin], by_zone: &mut TasksByZone) -> i64 {
+        let mut left = self.count;
+        for bin in bins.iter_mut() {
+            if left == 0 || !self.allows(bin.type_ix, bin.zone, bin.spot) {
+                continue;
             }
+            let allowance = self.zone_allowance(bin.zone, by_zone);
+            let tasks = bin.free.count(&self.need).min(left).min(allowance).max(0);
+            bin.free -= self.need.scaled(tasks);
+            by_zone.add(bin.zone, tasks);
+            left -= tasks;
         }
+        left
+    }
+
+    /// The offer of the least price for each task that it would take; of equal
+    /// ones, that of the zone with the fewest tasks.
+    fn best_offer<'a>(
+        &self,
+        offers: &'a [Offer],
+        left: i64,
+        by_zone: &TasksByZone,
+    ) -> Option<RankedOffer<'a>> {
+        offers
+            .iter()
+            .filter(|offer| !offer.refused && self.allows(offer.type_ix, offer.zone, offer.spot))
+            .filter_map(|offer| {
+                let allowance = self.zone_allowance(offer.zone, by_zone);
+                let tasks = offer.capacity.count(&self.need).min(left).min(allowance);
+                (tasks > 0).then(|| RankedOffer {
+                    offer,
+                    tasks,
+                    price_per_task: offer.price / tasks as f64,
+                    in_zone: by_zone.count(offer.zone),
+                })
+            })
+            .min_by(|a, b| {
+                a.price_per_task
+                    .total_cmp(&b.price_per_task)
+                    .then(a.in_zone.cmp(&b.in_zone))
+            })
+    }
+}
+
+/// Adds one machine of the offer's kind.
+fn add_machine(planned: &mut Vec<PlannedMachines>, offer: &Offer) {
+    let same_kind = |machines: &&mut PlannedMachines| {
+        machines.type_ix == offer.type_ix
+            && machines.zone == offer.zone
+            && machines.spot == offer.spot
+    };
+    match planned.iter_mut().find(same_kind) {
+        Some(machines) => machines.count += 1,
+        None => planned.push(PlannedMachines {
+            type_ix: offer.type_ix,
+            zone: offer.zone,
+            spot: offer.spot,
+            count: 1,
+        }),
     }
-    bought
 }
 
 /// Time over which a batch without a deadline, or past hope of its own, is
 /// to be worked off.
 const UNHURRIED_S: f64 = 240.0;
+/// How much longer than its estimate a task is allowed for.
+const ESTIMATE_MARGIN: f64 = 1.3;
+/// Time for fetching a task's image.
+const FETCH_MARGIN_S: f64 = 5.0;
+/// Of its estimate, what a task takes at the least.
+const SHORTEST_RUN: f64 = 0.7;
 
 /// How many tasks of a batch must run at once to be done in time, given the
-/// time that is left once a new machine is up. (Counting turns on the machines
-/// that are up was tried: it rents less, and too late when estimates are low.)
+/// time that is left once a new machine is up. (Counting rounds on the machines
+/// that are up was tried: it requests fewer machines, and too late when estimates
+/// are low.)
 pub fn parallel(waiting: i64, live: i64, estimate_s: f64, time_left_s: Option<f64>) -> i64 {
     // Estimates are often wrong by half; a fetch comes on top.
-    let each = estimate_s.max(1.0) * 1.3 + 5.0;
+    let task_s = estimate_s.max(1.0) * ESTIMATE_MARGIN + FETCH_MARGIN_S;
     // A machine that would come too late is not worth hurrying for.
-    let time = time_left_s
-        .filter(|left| *left > estimate_s * 0.7)
+    let time_s = time_left_s
+        .filter(|left_s| *left_s > estimate_s * SHORTEST_RUN)
         .unwrap_or(UNHURRIED_S);
-    let rounds = (time / each).floor().max(1.0);
+    let rounds = (time_s / task_s).floor().max(1.0);
     let at_once = ((waiting + live) as f64 / rounds).ceil() as i64;
     (at_once - live).clamp(0, waiting)
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn offer(type_ix: usize, spot: bool, cpus: f64, price: f64) -> Offer {
-        Offer {
-            type_ix,
-            zone: 0,
-            spot,
-            capacity: Resources::offer(cpus, 0.0, cpus * 4.0),
-            price,
-            refused: false,
-        }
-    }
-
-    fn demand(count: i64) -> Demand {
-        Demand {
-            need: Resources::need(4.0, 0.0, 8.0),
-            count,
-            types: vec![true, true],
-            zone: None,
-            spot: true,
-            per_zone: None,
-            refused: false,
-        }
-    }
-
-    #[test]
-    fn room_on_its_way_is_used_before_anything_is_rented() {
-        let mut bins = vec![Bin {
-            type_ix: 0,
-            zone: 0,
-            spot: false,
-            free: Resources::offer(8.0, 0.0, 32.0),
-        }];
-        let offers = [offer(0, false, 8.0, 0.33), offer(0, true, 8.0, 0.11)];
-        assert_eq!(
-            plan(&mut [demand(2)], &mut bins.clone(), &offers, 12),
-            vec![]
-        );
-        let got = plan(&mut [demand(5)], &mut bins, &offers, 12);
-        assert_eq!(got.len(), 1);
-        assert!(got[0].spot && got[0].count == 2);
-    }
-
-    #[test]
-    fn a_refused_kind_is_passed_over() {
-        let mut offers = [offer(0, false, 8.0, 0.33), offer(0, true, 8.0, 0.11)];
-        offers[1].refused = true;
-        let got = plan(&mut [demand(1)], &mut vec![], &offers, 12);
-        assert!(!got[0].spot);
-    }
-
-    #[test]
-    fn a_batch_with_time_rents_for_fewer_at_once() {
-        assert_eq!(parallel(20, 0, 30.0, Some(30.0)), 20);
-        assert_eq!(parallel(20, 0, 30.0, Some(200.0)), 5);
-        assert_eq!(parallel(20, 6, 30.0, Some(200.0)), 1);
-        assert_eq!(parallel(3, 10, 30.0, Some(400.0)), 0);
-        // Too late for a machine that would have to boot first.
-        assert_eq!(parallel(20, 0, 30.0, Some(5.0)), 4);
-    }
-}
+mod tests;
