--- a/src/control/admission.rs
+++ b/src/control/admission.rs
@@ -1,4 +1,7 @@
-//! Whether a job can run at all.
+//! Admission: whether a job could ever run on this cluster.
+//!
+//! A pure function, called by the request handlers for each submission. It must never
+//! reject a job because of what is free at the moment.
 
 use crate::{
     protocol::{
--- a/src/control/leader/dependencies.rs
+++ b/src/control/leader/dependencies.rs
@@ -1,4 +1,9 @@
-//! Job dependencies: what durable ends of jobs mean for those that need them.
+//! Job dependencies: links jobs to those they depend on, and releases or cancels them
+//! when a dependency reaches its final state.
+//!
+//! Owns no state; the graph is `Leader::dependencies`. Called when a job becomes known,
+//! from `tick`, and by the server for dependencies that only the records know. A job
+//! must never become ready before the end of every dependency is durable.
 
 use super::{Leader, millis};
 use crate::{
@@ -14,11 +19,11 @@
 };
 use std::collections::HashMap;
 
-/// Needs that are looked up at a time.
+/// Dependencies looked up in the records at a time.
 const MAX_LOOKUPS: usize = 200;
 
 impl Leader {
-    /// How a job stands that another names.
+    /// The state of a job that another depends on.
     fn dependency_state(&self, id: &str) -> DependencyState {
         let Some(ix) = self.cluster.job_index(id) else {
             return match self.final_states.get(id).map(|s| s.state) {
@@ -37,7 +42,7 @@
         }
     }
 
-    /// A job came to be known.
+    /// A job became known: links it to its dependencies and dependents.
     pub(super) fn link(&mut self, ix: u32) {
         let Some(j) = self.cluster.job(ix) else {
             return;
@@ -60,7 +65,8 @@
         }
     }
 
-    /// Lets go what became ready and cancels what can't become so any more.
+    /// Applies changes of the graph: jobs that became ready, and jobs to cancel as they
+    /// never can.
     pub(super) fn apply_dependency_changes(&mut self, now: Millis) {
         let (changed, lost) = self.dependencies.take_changes();
         for ix in changed {
@@ -79,8 +85,8 @@
             }
             self.changed = true;
             if was == Readiness::Blocked {
-                // Its last need ended in this term, so that nobody can have
-                // started it before. Other times count from now.
+                // Its last dependency ended in this term, so no earlier leader can have
+                // started it. Its other times count from now.
                 j.accepted_this_term = true;
                 j.queued_since_ms = wall;
             }
@@ -100,7 +106,7 @@
         }
     }
 
-    /// Jobs named by others of which the records are to be asked.
+    /// Dependencies whose final state has to be read from the records.
     pub fn dependencies_to_look_up(&mut self) -> Vec<String> {
         match self.recovery.loaded {
             true => self.dependencies.take_lookups(MAX_LOOKUPS),
@@ -108,12 +114,12 @@
         }
     }
 
-    /// They could not be read.
+    /// The records could not be read: these lookups are queued again.
     pub fn requeue_dependency_lookups(&mut self, ids: Vec<String>) {
         self.dependencies.requeue_lookups(ids);
     }
 
-    /// A job that was sought has this final state.
+    /// A dependency that was looked up has this final state.
     pub fn dependency_ended(&mut self, status: &JobStatus, now: Millis) {
         self.remember_final_state(status, now);
         let need = match status.state {
@@ -124,8 +130,8 @@
         self.changed = true;
     }
 
-    /// Of the jobs that a submission names, those of which only the records
-    /// can tell whether they were accepted. `Err`: one is a service.
+    /// Dependencies of a submission of which only the records show whether they were
+    /// accepted. `Err`: one is a service.
     pub fn unknown_dependencies(&self, spec: &JobSpec) -> Result<Vec<String>, String> {
         let mut unknown = Vec::new();
         for id in &spec.dependencies {
@@ -143,7 +149,8 @@
         Ok(unknown)
     }
 
-    /// Until when jobs with dependencies have to be done, by the time of day.
+    /// By job, until when it has to be done for the jobs that depend on it, in wall-
+    /// clock milliseconds.
     pub(super) fn inherited_deadlines(&self) -> HashMap<u32, u64> {
         self.dependencies.due_by(|ix| {
             self.cluster.job(ix).map_or((None, 0), |j| {
@@ -153,7 +160,7 @@
         })
     }
 
-    /// Jobs that it waits for, with how each stands.
+    /// Unfinished dependencies with a text on each, and how many there are in all.
     pub(super) fn unfinished_dependencies(
         &self,
         ix: u32,
--- a/src/control/leader/expiry.rs
+++ b/src/control/leader/expiry.rs
@@ -1,4 +1,8 @@
-//! What time alone brings: leases that expire, notices, tasks that must stop.
+//! What time alone brings: lease expiry, reclaim notices, and stops of tasks that may
+//! not go on.
+//!
+//! Called from `tick`. It must never take missed heartbeats for a failed machine where
+//! this process paused, nor take its tasks for gone before its lease has expired.
 
 use super::{Leader, millis};
 use crate::{
@@ -9,23 +13,24 @@
     },
 };
 
-/// So many machines that are overdue at once, if they are most of all, show
-/// that this node does not hear, not that they are gone.
+/// So many overdue machines at once, if they are most of all, show that this node
+/// receives nothing, not that they failed.
 const MIN_OVERDUE_MACHINES: usize = 3;
-/// Until others have found their way to it.
+/// For how long nothing is requested in their place: they may find their way to this
+/// leader.
 const NO_SCALE_OUT_MS: Millis = 5_000;
 
 impl Leader {
-    /// This process stood still, or could not keep up, until now. What came
-    /// meanwhile still waits to be read: nobody is judged unresponsive before that.
+    /// This process paused, or could not keep up, until now. What arrived meanwhile is
+    /// still to be read, so no machine is taken for unresponsive before that.
     ///
-    /// That a lease has expired is another matter: nothing was answered while
-    /// the process stood still, so it has.
+    /// Lease expiry is another matter: nothing was answered during the pause, so leases
+    /// did expire.
     pub fn process_resumed(&mut self, now: Millis) {
         self.recovery.resumed_at = now;
     }
 
-    /// Machines whose reports are overdue, and how many others there are.
+    /// Machines whose heartbeats are overdue, and how many others are up.
     pub fn overdue_machines(&self, now: Millis) -> (Vec<String>, usize) {
         let report = millis(self.settings.cluster.workers.report_s);
         let mut heard = 0;
@@ -83,7 +88,7 @@
             );
             m.up = false;
             m.contents_unknown = false;
-            // Also one of which only reports came that were no news.
+            // Also for one whose heartbeats were all out of date.
             m.min_incarnation = m.incarnation.max(m.latest_heartbeat.0) + 1;
             m.state_since = now;
             self.cluster.clear_machine(ix);
@@ -99,8 +104,8 @@
         self.update_zone_health(&silent, overdue, now);
     }
 
-    /// A machine is to be taken away: tasks that can save do so now, as the
-    /// notice may be half as long as it says. The others may yet complete.
+    /// The cloud reclaims a machine: tasks with checkpoints save now, as the notice may
+    /// be half as long as it says. The others may yet complete.
     pub(super) fn checkpoint_before_reclaim(&mut self) {
         for ix in self.cluster.machine_range() {
             let Some(m) = self.cluster.machine(ix).filter(|m| m.reclaim_at.is_some()) else {
@@ -124,7 +129,7 @@
         }
     }
 
-    /// Tasks of cancelled jobs, and what is left of gangs that lost a task.
+    /// Stops tasks of cancelled jobs, and the rest of gangs that lost a task.
     pub(super) fn stop_cancelled_and_broken_gangs(&mut self) {
         let mut stop = Vec::new();
         for (ix, job) in self.cluster.jobs.iter().enumerate() {
@@ -155,7 +160,7 @@
             let Some(m) = self.cluster.machine(ix) else {
                 continue;
             };
-            // Never sent, not even indeterminate: simply not launched.
+            // Never sent, and of no unknown outcome: simply not launched.
             for at in (0..m.tasks.len()).rev() {
                 let drop = self.cluster.machine(ix).is_some_and(|m| {
                     let a = &m.tasks[at];
--- a/src/control/leader/failover.rs
+++ b/src/control/leader/failover.rs
@@ -1,5 +1,9 @@
-//! Taking over from the leader before: by its cluster state, if this node was kept
-//! warm, and keeping others warm in turn.
+//! Failover: taking over from the previous leader by a standby's replica, and keeping
+//! standbys warm in turn.
+//!
+//! Owns `Failover`. The server hands over what this node replicated, and carries the
+//! replication stream. A replica must never be used unless all failover checks pass, and
+//! never against a machine's own heartbeat.
 
 use super::Leader;
 use crate::{
@@ -19,17 +23,17 @@
     },
 };
 
-/// What this node brought with it when it became leader.
+/// What this node had when it became leader.
 #[derive(Default)]
 pub(super) struct Failover {
-    /// Its process, and the copy it kept.
+    /// Its incarnation, and its replica.
     inherited: Option<(u64, Option<Replica>)>,
     record: Option<StandbyRecord>,
-    /// It knows at least all that may run, heard or not.
+    /// All that may run is known, confirmed by a heartbeat or not.
     pub(super) warm: bool,
     /// Why it is not.
     cold_reason: Option<&'static str>,
-    /// Starts may go that had to wait for a confirmation.
+    /// Starts may be sent that waited for a confirmation.
     pub(super) starts_released: bool,
 }
 
@@ -44,23 +48,25 @@
 }
 
 impl Leader {
-    /// This node's process, and the copy that it kept as a standby.
+    /// Hands over the incarnation of this node, and the replica that it kept as a
+    /// standby.
     pub fn inherit(&mut self, incarnation: u64, replica: Option<Replica>) {
         self.recovery.failover.inherited = Some((incarnation, replica));
     }
 
-    /// Who was named, as read in this term.
+    /// The standby record, as read in this term.
     pub fn load_standbys(&mut self, found: Option<(StandbyRecord, u64)>) {
         self.recovery.failover.record = found.as_ref().map(|(r, _)| r.clone());
         self.standbys.loaded(found);
     }
 
+    /// Whether this leader took over warm.
     pub fn is_warm(&self) -> bool {
         self.recovery.failover.warm
     }
 
-    /// No task of the job is on a machine that has not been heard yet: what
-    /// state it is in there is not known.
+    /// No task of the job is on a machine that is not confirmed yet, where its state is
+    /// not known.
     pub(super) fn hears_all_tasks_of(&self, job_ix: u32) -> bool {
         if self.recovery.settled || !self.recovery.failover.warm {
             return self.recovery.settled;
@@ -73,7 +79,8 @@
         })
     }
 
-    /// The first thing done with authority once the records are read.
+    /// Fails over, warm or cold: the first step with authority once the records are
+    /// read.
     pub(super) fn fail_over(&mut self, now: Millis) {
         self.recovery.failover.starts_released = false;
         let Some((incarnation, replica)) = self.recovery.failover.inherited.take() else {
@@ -106,9 +113,9 @@
         }
     }
 
-    /// Puts into the cluster state what may be on machines that were not heard yet,
-    /// and what has completed. Those heard have said themselves what they hold.
-    /// Returns how many tasks on how many machines.
+    /// Adds to the cluster state what may run on unconfirmed machines, and what has
+    /// completed. Confirmed machines have reported their tasks themselves. Returns how
+    /// many tasks on how many machines.
     fn restore_from_replica(&mut self, replica: &Replica, now: Millis) -> (usize, usize) {
         let all = replica.latest_first();
         // Guards against doing once more what ended before the old leader
@@ -130,8 +137,8 @@
         (held, unheard.count())
     }
 
-    /// What is not in the machine registry any more, or is noted to be empty, is surely
-    /// gone, and so is all of a job that has no record.
+    /// A machine that is not in the registry, or is recorded as empty, runs nothing any
+    /// more; the same holds for a job without a record.
     fn restore_task(&mut self, machine: &str, job: &str, may_run: MayRun, now: Millis) -> bool {
         let MayRun(task, attempt, _, seen) = may_run;
         let (Some(ix), Some(job_ix)) = (
@@ -157,7 +164,7 @@
                     .assign_duplicate(job_ix, task, ix, attempt, phase, now);
                 return true;
             }
-            // Put there later than here: it was gone from here.
+            // Placed there later than here, so it was gone from here by then.
             Placement::On(_) => return false,
         }
         j.has_run = true;
@@ -174,7 +181,7 @@
         true
     }
 
-    /// Looks who is to be kept warm; returns the write that is due for that.
+    /// Selects the standbys; returns the write of their record that is due.
     pub fn update_standbys(&mut self, answers: impl Fn(usize) -> bool, now: Millis) -> Option<Txn> {
         if !self.recovery.loaded {
             return None;
@@ -184,26 +191,29 @@
             .step(&mut self.cluster, complete, answers, now)
     }
 
-    /// How the write of the record of standbys came out.
+    /// Applies the outcome of the write of the standby record.
     pub fn standbys_written(&mut self, how: RegistryWriteOutcome, now: Millis) {
         self.recovery.failover.starts_released |= self.standbys.written(how, now);
     }
 
+    /// How many standbys are warm.
     pub fn warm_standbys(&self, now: Millis) -> usize {
         let all = self.standbys.status(now);
         all.iter().filter(|s| s.warm).count()
     }
 
+    /// Indices of the peers.
     pub fn standby_peers(&self) -> std::ops::Range<usize> {
         self.standbys.peers()
     }
 
-    /// What a peer is to be told next.
+    /// The next part of the replication stream to a peer.
     pub fn next_replication_part(&mut self, peer: usize, now: Millis) -> Option<Follow> {
         self.standbys.next(peer, &mut self.cluster, now)
     }
 
-    /// Who answered, and whether it was taken in; `None`: no answer.
+    /// Applies the answer to a part: the incarnation, and whether it applied the part;
+    /// `None`: no answer.
     pub fn replication_answered(&mut self, peer: usize, answer: Option<(u64, bool)>, now: Millis) {
         self.recovery.failover.starts_released |=
             self.standbys.answered(peer, answer, &self.cluster, now);
--- a/src/control/leader/faults.rs
+++ b/src/control/leader/faults.rs
@@ -1,4 +1,8 @@
-//! Who is at fault when tasks fail, and what follows.
+//! Fault attribution: whether the job or the machine is at fault when tasks fail, and
+//! what follows: retry delay, suspicion, quarantine.
+//!
+//! Called with the ends and starts of tasks that heartbeats report, and from `tick`.
+//! Failures of a suspected job must never count against a machine.
 
 use super::Leader;
 use crate::{
@@ -25,7 +29,7 @@
                 job.failures.delay_retry(now);
                 let (id, proven) = (job.id.clone(), job.failures.has_succeeded);
                 let suspected = job.failures.suspected;
-                // The word of a suspected job is worth nothing.
+                // Failures of a suspected job prove nothing.
                 if let Some(m) = self.cluster.machine_mut(machine).filter(|_| !suspected) {
                     m.failures.record_failure(&id, proven, 1, now);
                 }
--- a/src/control/leader/fleet_view.rs
+++ b/src/control/leader/fleet_view.rs
@@ -1,4 +1,8 @@
-//! Machines as placement sees them, and what a job asks of them.
+//! The fleet as placement sees it: brings machine views up to date, and states what a
+//! job asks of a machine.
+//!
+//! Called before every decision that ranks machines. While a scheduling cycle is under
+//! way it must never offer capacity that became free after the cycle began.
 
 use super::Leader;
 use crate::{
@@ -32,10 +36,9 @@
 }
 
 impl Leader {
-    /// Takes in what has changed on machines since the last call. What they
-    /// gain while a pass is under way is offered from the next one on. Guards
-    /// against room that goes to whoever is next in a pass that was
-    /// interrupted, past earlier jobs that had found none.
+    /// Applies changes of machines since the last call. Capacity that becomes free
+    /// during a cycle is offered from the next one on. Guards against giving it to
+    /// whoever is next in an interrupted cycle, ahead of earlier jobs that found none.
     pub(super) fn refresh_fleet(&mut self, now: Millis) {
         let planning = &mut self.scheduling;
         planning.fleet.set_policy(&planning.policy);
@@ -51,7 +54,7 @@
         planning.fleet.advance(now);
     }
 
-    /// The pass is over: what machines have gained meanwhile counts.
+    /// The cycle is over: capacity that became free meanwhile counts.
     pub(super) fn end_cycle(&mut self) {
         self.scheduling.in_cycle = false;
         self.scheduling.fleet.release_withheld();
@@ -60,7 +63,7 @@
         }
     }
 
-    /// Machines with room for a task of the job, ranked as things stand.
+    /// Machines with capacity for a task of the job, ranked, up to date.
     pub(super) fn ranking_for(&mut self, job_ix: u32, now: Millis) -> Option<RankingId> {
         self.refresh_fleet(now);
         let request = self.request_of(self.cluster.job(job_ix)?, now);
@@ -85,7 +88,7 @@
         }
     }
 
-    /// Seconds left to the nearest aim for starting that can still be met.
+    /// Seconds left to the nearest objective for starting that can still be met.
     pub(super) fn time_to_aim(&self, job: &Job, now: Millis) -> Option<f64> {
         let age = (now - job.known_since) as f64 / 1000.0;
         let team = self.cluster.teams.get(job.team);
--- a/src/control/leader/gang_reservation.rs
+++ b/src/control/leader/gang_reservation.rs
@@ -1,5 +1,8 @@
-//! Gangs of several tasks: rooms that come free one by one are kept together
-//! until all tasks find one, and made by preemption where that is enough.
+//! Gang reservation: capacity that becomes free bit by bit is withheld for a gang until
+//! all of its tasks fit, and made by preemption where that is enough.
+//!
+//! Called by the scheduling cycle and by preemption. A reservation must never outlast
+//! the cycle, or its time limit, and never start a part of a gang.
 
 use super::{
     Leader, millis,
@@ -11,8 +14,8 @@
     state::{Millis, cluster::Machine},
 };
 
-/// After this long, where no aim for starting says otherwise, other work of
-/// the same priority no longer passes a gang by taking the rooms it gathers.
+/// After this long, where no objective for starting says otherwise, other work of the
+/// same priority no longer takes capacity ahead of a gang.
 const PATIENCE: Millis = 60_000;
 
 impl Leader {
@@ -33,7 +36,7 @@
             .collect()
     }
 
-    /// Whether the gang waits for nothing but room.
+    /// Whether the gang waits for nothing but capacity.
     pub(super) fn wants_room(&self, job_ix: u32) -> bool {
         self.cluster.job(job_ix).is_some_and(|j| {
             (j.live_count == 0 || self.gang_to_complete(job_ix).is_some())
@@ -87,8 +90,8 @@
         }
     }
 
-    /// Machines of a zone, or of any, with room for tasks of the gang, and for
-    /// how many.
+    /// Machines of a zone, or of any, with capacity for tasks of the gang, and for how
+    /// many.
     fn candidates_for_gang(
         &self,
         job_ix: u32,
@@ -112,8 +115,8 @@
         with_room.collect()
     }
 
-    /// Rooms for all missing tasks of a gang in one zone, on machines that
-    /// `there` admits, where the least work is lost.
+    /// Preemptions for all missing tasks of a gang in one zone, on machines that `there`
+    /// admits, where the least work is lost.
     pub(super) fn gang_candidates(
         &self,
         job_ix: u32,
@@ -155,9 +158,9 @@
         best
     }
 
-    /// Where some of a gang's tasks would have to fetch for longer than the
-    /// aim for starting allows, rooms with the image for all of them may be
-    /// the lesser loss. Returns whether the gang is to wait for such rooms.
+    /// Where some of a gang's tasks would fetch for longer than the objective for
+    /// starting allows, preemption on machines with the image for all of them may be the
+    /// lesser loss. Returns whether the gang is to wait for that.
     pub(super) fn reserve_gang_where_image_is(
         &mut self,
         job_ix: u32,
--- a/src/control/leader/headroom.rs
+++ b/src/control/leader/headroom.rs
@@ -1,5 +1,8 @@
-//! Room kept for work of high priority: what arrives often, and what the loss
-//! of a machine would need.
+//! Headroom: capacity kept free for work of high priority, by what arrived lately and by
+//! what the loss of a machine would need.
+//!
+//! Owns `Class` and `Headroom`. Called by the scheduling cycle, scale-in and scale-out.
+//! It only counts: it places and reserves nothing.
 
 use super::Leader;
 use crate::{
@@ -17,7 +20,7 @@
 /// Tasks counted on one machine at most.
 const MAX_COUNTED_TASKS: i64 = 1_000;
 
-/// Jobs that take the same room.
+/// Jobs whose tasks ask for the same capacity.
 #[derive(Debug, PartialEq)]
 pub(super) struct Class {
     pub(super) kind: Kind,
@@ -27,7 +30,7 @@
     pub(super) spot: bool,
 }
 
-/// Room kept free of work of lower priority.
+/// Capacity kept free of work of lower priority.
 pub(super) struct Headroom {
     pub(super) priority: Priority,
     pub(super) need: Resources,
@@ -39,7 +42,7 @@
 }
 
 impl Class {
-    /// Room for so many of its tasks, none of it found yet.
+    /// Headroom for so many of its tasks, none of it found yet.
     fn headroom_for(&self, wanted: i64) -> Headroom {
         Headroom {
             priority: self.priority,
@@ -96,8 +99,8 @@
         }
     }
 
-    /// Room that services need in reserve: what the machine with most of them
-    /// holds, so that it may be lost. Batches may use that room meanwhile.
+    /// Spare capacity for services: for as many as run on the machine with most of them,
+    /// so that it may be lost. Batches may use that capacity meanwhile.
     pub(super) fn spare_capacity(&self) -> Vec<Headroom> {
         let mut out = Vec::new();
         for c in self
@@ -137,7 +140,7 @@
                     r.fits += r.tasks_in(&free);
                 }
             }
-            // The machine that is lost has its own room, which does not count.
+            // The machine that is lost has capacity of its own, which does not count.
             r.wanted = most;
             if most > 0 {
                 out.push(r);
@@ -160,8 +163,8 @@
         held
     }
 
-    /// Room to keep for work of high priority that is expected within `ahead`,
-    /// going by what arrived lately, `over` how long.
+    /// Headroom for work of high priority that is expected within `ahead`, by what
+    /// arrived during the last `over`.
     pub(super) fn headroom(&mut self, over: Millis, ahead: Millis, now: Millis) -> Vec<Headroom> {
         while self
             .scheduling
--- a/src/control/leader/heartbeats.rs
+++ b/src/control/leader/heartbeats.rs
@@ -16,8 +16,8 @@
     /// Applies a heartbeat and returns the response; `None`: it gets none.
     pub fn on_heartbeat(&mut self, report: &Heartbeat, now: Millis) -> Option<HeartbeatResponse> {
         if !self.recovery.loaded {
-            // The lease must not expire while the records are being read; nor
-            // may it be renewed for long, as they hold cancellations.
+            // Leases must not expire while the records are being read; nor may they be
+            // renewed for long, as the records hold cancellations.
             let unread = SafetyBounds::of(&self.settings.cluster.workers).max_answering_unloaded();
             return (now < self.recovery.elected_at + unread).then(|| HeartbeatResponse {
                 fencing_token: self.term_token(),
--- a/src/control/leader/inventory.rs
+++ b/src/control/leader/inventory.rs
@@ -1,9 +1,9 @@
-//! Machine inventory: the cloud's machine list, scale-in, and draining machines
-//! that run nothing but a few services.
+//! Machine inventory: the cloud's machine list, scale-in, and draining machines that run
+//! nothing but a few services.
 //!
-//! The server calls it with each list it has read, and asks `cloud_ops` what to
-//! request and release. It must never release a machine whose tasks it does not
-//! know, nor one that is registered before the release is recorded.
+//! The server calls it with each list it has read, and asks `cloud_ops` what to request
+//! and release. It must never scale in a machine whose tasks it does not know, nor
+//! request the deletion of a registered one before its release is recorded.
 
 use super::{Leader, headroom::Headroom, millis};
 use crate::{
@@ -15,11 +15,11 @@
     },
 };
 
-/// Taken on top of twice the lag of the machine list.
+/// Added to twice the lag of the machine list.
 const LIST_MARGIN_MS: Millis = 1_000;
 /// For how long ahead an idle machine is kept for recent arrivals.
 const KEEP_IDLE_MS: Millis = 25_000;
-/// How long places are kept for services that move.
+/// How long capacity is kept for services that move.
 const SERVICE_MOVE_MS: Millis = 5_000;
 /// Arrivals for which idle machines are kept.
 const IDLE_ARRIVAL_WINDOW_MS: Millis = 60_000;
@@ -36,8 +36,8 @@
 /// A fetch that a service may be moved for. Longer ones cost more of its
 /// replica time than the machine is worth (tried without this bound).
 const SHORT_FETCH_S: f64 = 4.0;
-/// How long a worker may take to find a new leader: a report that times out
-/// and a pause.
+/// How long a worker may take to find a new leader: a heartbeat that times out and a
+/// pause.
 pub(super) const WORKER_REDIRECT_MS: Millis = 5_000;
 
 /// What is to be asked of the cloud.
@@ -62,7 +62,7 @@
 }
 
 impl Leader {
-    /// When the machine list is due, it is taken as asked for.
+    /// Whether the machine list is due; if so, it is taken as requested now.
     pub fn list_due(&mut self, now: Millis) -> bool {
         let due = self.recovery.loaded && now >= self.scaling.next_list_at;
         if due {
@@ -75,17 +75,17 @@
         due
     }
 
-    /// A list asked for from then on shows the machines as they were after this
-    /// term began.
+    /// A list requested from then on shows the machines as they were after this term
+    /// began.
     fn list_reliable_from(&self) -> Millis {
         let lag = millis(self.settings.cluster.cloud.list_lag_s);
         self.recovery.elected_at + 2 * lag + LIST_MARGIN_MS
     }
 
-    /// The whole list was read, from `asked` on. What stood in the machine registry when
-    /// this term began was up, so it had been or would be listed until it is
-    /// gone: a list that describes a later time and lacks it shows that it is.
-    /// Guards against a lease of waiting for machines that were taken away.
+    /// The whole list was read, requested at `asked`. What was in the machine registry
+    /// when this term began was up, so it has been or would be listed until it is
+    /// deleted: a list of a later time that lacks it shows that it is. Guards against
+    /// waiting for the leases of machines that were reclaimed.
     pub fn full_list_received(&mut self, asked: Millis, now: Millis) {
         if self.recovery.settled || asked < self.list_reliable_from() {
             return;
@@ -100,7 +100,7 @@
                 m.contents_unknown = false;
                 m.state_since = now;
             }
-            // What an earlier leader had there.
+            // What an earlier leader placed there.
             self.cluster.clear_machine(*ix);
         }
         if !gone.is_empty() {
@@ -110,6 +110,7 @@
         }
     }
 
+    /// Applies a page of the machine list.
     pub fn machines_listed(&mut self, list: &[ListedMachine], now: Millis) {
         for l in list {
             if self.scaling.released.contains_key(&l.id) {
@@ -156,6 +157,7 @@
         }
     }
 
+    /// What to ask of the cloud now.
     pub fn cloud_ops(&mut self, now: Millis, wall_ms: u64) -> Vec<CloudOp> {
         let mut ops = Vec::new();
         if !self.recovery.loaded || now < self.scaling.next_look_at {
@@ -181,7 +183,7 @@
         ops
     }
 
-    /// Machines to be deleted now, marked as asked for.
+    /// Machines to be deleted now, marked as requested.
     fn take_due_releases(&mut self) -> Vec<String> {
         let due = |m: &Machine| {
             m.releasing
@@ -203,8 +205,8 @@
         names
     }
 
-    /// Every machine is known, or those that can report have had the time to.
-    /// Guards against a lease during which nothing is rented, as a few
+    /// Every machine is confirmed, or those that can send a heartbeat have had the time
+    /// to. Guards against waiting for a lease before anything is requested, as a few
     /// machines are unresponsive when a new leader begins.
     fn knows_enough_to_scale(&self, now: Millis) -> bool {
         self.recovery.settled || !self.workers_may_be_redirecting(now)
@@ -220,7 +222,7 @@
         self.cluster.types[m.type_ix].price_of(m.spot)
     }
 
-    /// A dear machine is kept idle for less long than a cheap one of its type.
+    /// An expensive machine is kept idle for less long than a cheap one of its type.
     pub(super) fn idle_allowance(&self, m: &Machine, idle: Millis) -> Millis {
         let t = &self.cluster.types[m.type_ix];
         if m.spot || t.price <= t.spot_price {
@@ -342,8 +344,8 @@
         self.cluster.remove_machine(ix);
     }
 
-    /// A machine that holds nothing but a few services, which find room on
-    /// machines that are kept anyway, is emptied and returned.
+    /// Drains a machine that runs nothing but a few services, if these fit on machines
+    /// that are kept anyway.
     pub(super) fn drain(&mut self, now: Millis) {
         if !self.recovery.settled || now < self.scheduling.next_drain_at {
             return;
@@ -379,8 +381,8 @@
         let targets = self.move_targets();
         for ix in order {
             if let Some(targets) = self.can_empty(ix, &targets, now) {
-                // Without this, batch tasks took the places with the image
-                // while the services stopped, and those had to fetch.
+                // Otherwise batch tasks take the capacity with the image while the
+                // services stop, and these have to fetch.
                 for to in targets {
                     if let Some(m) = self.cluster.machine_mut(to) {
                         m.closed_to_batches_until = now + SERVICE_MOVE_MS;
--- a/src/control/leader/partitions.rs
+++ b/src/control/leader/partitions.rs
@@ -1,6 +1,9 @@
-//! Machines whose reports arrive while answers and orders don't reach them, and
-//! reports that come late or from a machine that began anew. What counts is
-//! what a machine shows to have received: a token, raised for it alone.
+//! One-way partitions and restarted agents: machines whose heartbeats arrive while
+//! responses and commands do not reach them, and heartbeats that are late or of a new
+//! incarnation.
+//!
+//! Called for each heartbeat. What counts is the token that a machine acknowledges,
+//! raised for it alone.
 
 use super::Leader;
 use crate::{
@@ -9,33 +12,33 @@
     state::{Millis, cluster::Phase},
 };
 
-/// So many reports in a row without a token of this term, each sent after the
-/// one before it was answered, show that it does not get the answers.
+/// So many heartbeats in a row without a token of this term, each sent after the one
+/// before it was answered, show that the machine does not receive the responses.
 const MAX_UNACKNOWLEDGED_HEARTBEATS: u32 = 2;
 
-/// Reports of one that began anew come at least as often, sent back once.
+/// Heartbeats of a restarted agent come at least as often, one of them redirected.
 const RESTART_HEARTBEAT_WINDOW_MS: Millis = 8_000;
 
 impl Leader {
-    /// Looks at a report before anything is made of it. `false`: it gets no
-    /// answer, so that the machine's lease surely ends and a new leader need
-    /// not wait for ever to hear of it.
+    /// Checks a heartbeat before it is applied. `false`: it gets no response, so that
+    /// the lease surely expires and a new leader need not wait for ever for the machine.
     pub(super) fn accepts_heartbeat(&mut self, ix: u32, report: &Heartbeat, now: Millis) -> bool {
         let (floor, token) = (self.term_token(), self.fencing_token(ix));
-        // By then the lease of one that got no answer in this term is over, so
-        // nothing is lost. Guards against a leader that is too slow for a
-        // while, and would give up machines that hear it well.
+        // By then the lease of a machine without a response in this term has expired, so
+        // nothing is lost. Guards against a leader that is too slow for a while, and
+        // would give up machines that receive its responses.
         let over = self.recovery.elected_at + self.lease_expiry();
         let Some(m) = self.cluster.machine_mut(ix) else {
             return false;
         };
         let this = (report.incarnation, report.seq);
-        // Of one that was heard, what has not seen this term is of before it.
+        // From a confirmed machine, a heartbeat that has not seen this term is an old
+        // one.
         let least = if m.up { floor } else { 0 };
         if this <= m.latest_heartbeat || report.acknowledged_token < least.max(m.min_token) {
-            // A late copy changes nothing, and an answer to it would be counted
-            // as a lease. Two in order may be of a machine that began anew and
-            // counts from one again: that shows by a token raised for it.
+            // A late heartbeat changes nothing, and a response to it would be counted as
+            // a lease. Two in order may be of a restarted agent that counts from one
+            // again: a token raised for it shows that.
             let in_order = m.last_stale_heartbeat.0 != (0, 0)
                 && this > m.last_stale_heartbeat.0
                 && now < m.last_stale_heartbeat.1 + RESTART_HEARTBEAT_WINDOW_MS;
@@ -76,13 +79,13 @@
         }
     }
 
-    /// After a report was taken in.
+    /// Called after a heartbeat was applied.
     pub(super) fn detect_one_way_partition(
         &mut self,
         ix: u32,
         effects: &reconciliation::HeartbeatEffects,
     ) {
-        // Had its lease ended for lack of reports, it would not count as up.
+        // Had its lease expired for lack of heartbeats, it would not count as up.
         let lost = effects.lost_commands > 0 || effects.new_incarnation;
         let Some(m) = self.cluster.machine_mut(ix) else {
             return;
--- a/src/control/leader/preemption.rs
+++ b/src/control/leader/preemption.rs
@@ -1,5 +1,8 @@
-//! At the end of a pass: room made by stopping tasks, for jobs of high priority
-//! that found none. Searches that are sure to find nothing are left out.
+//! Preemption at the end of a scheduling cycle: capacity for jobs of high priority that
+//! found none, by stopping tasks. Searches that are certain to fail are skipped.
+//!
+//! Called by the scheduling cycle alone. It must never preempt on more than a few
+//! machines a cycle, nor while too many machines are unconfirmed.
 
 use super::{Leader, millis, victims::GUARANTEE_S};
 use crate::{
@@ -8,14 +11,14 @@
 };
 use std::collections::HashMap;
 
-/// Machines on which tasks are stopped in one pass; a gang that has begun with
-/// fewer is not cut short.
+/// Machines on which tasks are preempted in one cycle; a gang that was begun with fewer
+/// is not cut short.
 const MAX_PREEMPTED_MACHINES: usize = 3;
 
-/// All that the outcome of a search hangs on, as far as it may find nothing.
+/// All that the outcome of a failed search depends on.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct SearchKey {
-    /// All tasks at once: rooms without a task to stop count too.
+    /// All tasks at once: capacity that is free already counts too.
     gang: bool,
     need: Resources,
     types: Vec<bool>,
@@ -26,21 +29,21 @@
     guaranteed: Option<Guaranteed>,
 }
 
-/// What a search for a job within its team's guarantee hangs on besides.
+/// What a search for a job within its guarantee depends on besides.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Guaranteed {
     team: usize,
-    /// Only room with this image counts yet.
+    /// Only machines with this image count yet.
     image: Option<u32>,
 }
 
-/// Searches of one pass that found nothing, and for how few tasks.
+/// Searches of one cycle that found nothing, and the fewest tasks each was for.
 #[derive(Debug, Default)]
 struct FailedSearches(HashMap<SearchKey, i64>);
 
 impl FailedSearches {
-    /// A search for as many tasks or more finds nothing either: meanwhile rooms
-    /// can only have become fewer.
+    /// A search for as many tasks or more finds nothing either: meanwhile capacity can
+    /// only have become less.
     fn covers(&self, key: &SearchKey, tasks: i64) -> bool {
         self.0.get(key).is_some_and(|least| tasks >= *least)
     }
@@ -52,8 +55,8 @@
 }
 
 impl Leader {
-    /// Stops tasks of lower priority where a job of high priority finds no
-    /// room, and keeps the room for it.
+    /// Preempts tasks of lower priority where a job of high priority found no capacity,
+    /// and reserves what becomes free for it.
     pub(super) fn preempt_for_waiting(&mut self, wanting: &[u32], now: Millis) {
         let holding = self.jobs_with_reservations(now);
         let mut failed_searches = FailedSearches::default();
@@ -81,7 +84,7 @@
                 continue;
             }
             if j.spec.single_zone && j.spec.tasks > 1 {
-                // Not planned for here: such a job waits for room.
+                // Not planned for here: such a job waits for capacity.
                 continue;
             }
             let holds = holding.contains(&job_ix);
@@ -107,7 +110,7 @@
         }
     }
 
-    /// Room for tasks one by one. Returns on how many machines it is begun.
+    /// Preempts for tasks one by one. Returns on how many machines.
     fn preempt_for_tasks(
         &mut self,
         job_ix: u32,
@@ -159,8 +162,8 @@
         held.map(|m| m.capacity.count(need)).sum()
     }
 
-    /// Stops tasks of lower priority for all missing tasks of a gang at once,
-    /// and holds the rooms. Returns on how many machines tasks were stopped.
+    /// Preempts for all missing tasks of a gang at once, and reserves the capacity.
+    /// Returns on how many machines tasks were stopped.
     fn preempt_for_gang(
         &mut self,
         job_ix: u32,
--- a/src/control/leader/queue.rs
+++ b/src/control/leader/queue.rs
@@ -1,4 +1,8 @@
-//! The order of service of what waits.
+//! The order of service of waiting jobs: suspicion, starvation, priority, deadline,
+//! arrival.
+//!
+//! Called by the scheduling cycle and by scale-out. It must never let a job wait for
+//! ever behind later ones.
 
 use super::{Leader, millis, scheduling_cycle::is_schedulable_job};
 use crate::{
@@ -36,14 +40,15 @@
         order
     }
 
-    /// Nothing of the job has run for so long that it goes ahead of all others
-    /// now. Guards against large jobs that whatever is smaller, later or of
-    /// higher priority passes for as long as that keeps coming.
+    /// Nothing of the job has run for so long that it goes ahead of all others now.
+    /// Guards against starvation of large jobs by a stream of smaller, later or more
+    /// urgent ones.
     pub(super) fn is_starving(&self, j: &Job) -> bool {
         if !self.waited_long(j) || j.has_run || j.completed_count > 0 || j.live_count > 0 {
             return false;
         }
-        // Guests begin where one room is enough: more would cost others theirs.
+        // Best-effort gangs begin only where one machine is enough: more would cost
+        // others theirs.
         j.spec.kind != Kind::Gang || j.spec.tasks == 1 || !self.is_best_effort(j)
     }
 
@@ -53,13 +58,13 @@
         bound > 0 && waited >= bound
     }
 
-    /// All that runs of the job is what it began with. Guards against a
-    /// beginning that is stopped at once for what it went ahead of.
+    /// All that runs of the job is its start after starvation. Guards against preempting
+    /// that at once for what it went ahead of.
     pub(super) fn has_only_starvation_start(&self, j: &Job) -> bool {
         j.live_count <= 1 && j.completed_count == 0 && self.waited_long(j)
     }
 
-    /// Neither its team nor its class is promised anything.
+    /// Neither its team has a guarantee nor its class an objective.
     fn is_best_effort(&self, j: &Job) -> bool {
         let promised = |t: &crate::protocol::settings::Team| t.cpus > 0.0 || t.gpus > 0.0;
         let class = Some(j.spec.class.as_str());
@@ -69,14 +74,14 @@
     }
 }
 
-/// A batch with a deadline lets those pass that came up to so many times later
-/// as the whole fleet would take for what is left of it.
+/// A batch with a deadline yields to jobs that arrived up to so many times later as the
+/// whole fleet would take for the rest of it.
 const YIELD_FACTOR: f64 = 40.0;
 
-/// For how long after its arrival a batch lets smaller ones pass, in
-/// milliseconds. Guards against a burst that makes all batches late by the same
-/// time, where most would keep their deadline if the few large ones waited; it
-/// ends by itself, so none waits for ever.
+/// For how long after its arrival a batch yields to smaller ones, in milliseconds.
+/// Guards against a burst that makes all batches late by the same time, where most would
+/// keep their deadline if the few large ones waited; it is bounded, so none waits for
+/// ever.
 fn yield_time_ms(j: &Job, fleet: &Resources) -> u64 {
     if j.spec.kind != Kind::Array || j.spec.deadline_s.is_none() {
         return 0;
@@ -89,9 +94,9 @@
     (YIELD_FACTOR * 1000.0 * left / all.max(each).max(1) as f64) as u64
 }
 
-/// Within a priority, jobs are served in arrival order, but those that have
-/// missed their deadline let the others pass, until a later aim for them (or
-/// three times the deadline) draws near.
+/// Within a priority, jobs are served in arrival order, but those that have missed their
+/// deadline yield to the others, until a later objective for them (or three times the
+/// deadline) draws near.
 fn deadline_band(spec: &JobSpec, objectives: &[Objective], age_ms: u64) -> u8 {
     let Some(due) = spec.deadline_s else {
         return 1;
--- a/src/control/leader/quotas.rs
+++ b/src/control/leader/quotas.rs
@@ -1,11 +1,14 @@
-//! Limits of teams, counted with what may run unseen.
+//! Quotas of teams, counted with what may run unconfirmed.
+//!
+//! Called wherever a task may be started or a machine requested for one. Usage must
+//! never be underestimated: what may still run counts.
 
 use super::Leader;
 use crate::state::{cluster::Job, resources::Resources};
 
 impl Leader {
-    /// What may run unseen counts against the team's limit until every machine
-    /// has been heard: all that waits of jobs older than this term.
+    /// What may run unconfirmed counts against the limit of its team until every machine
+    /// is confirmed: all that waits of jobs older than this term.
     pub(super) fn count_unconfirmed_usage(&mut self) {
         self.scheduling.unconfirmed_usage.clear();
         if self.recovery.knows_all_tasks() {
@@ -23,9 +26,9 @@
         }
     }
 
-    /// Whether all tasks of the job that are, or may be, on a machine are
-    /// known: it is younger than the term, or no machine that has neither been
-    /// heard nor expired is of a kind that the job allows.
+    /// Whether all tasks of the job that are, or may be, on a machine are known: it is
+    /// younger than the term, or no unconfirmed machine is of a kind that the job
+    /// allows.
     pub(super) fn job_settled(&self, job: &Job) -> bool {
         self.recovery.knows_all_tasks()
             || job.accepted_this_term
--- a/src/control/leader/recovery.rs
+++ b/src/control/leader/recovery.rs
@@ -1,5 +1,9 @@
-//! How long a new leader takes until the service is whole again, phase by
-//! phase: for the log, and for the operators' figures.
+//! Recovery after an election: how far this leader has come, and how long each phase
+//! took, for the log and for metrics.
+//!
+//! Owns `Recovery`. Read by all that may only act once the records are read or every
+//! machine is confirmed; changed by loading, expiry and failover. A phase is never left
+//! before its condition holds.
 
 use super::Leader;
 use crate::{
@@ -7,18 +11,17 @@
     state::Millis,
 };
 
-/// How long workers that report take to find a new leader at most, where no
-/// node hangs.
+/// How long workers take to find a new leader at most, where no node is unresponsive.
 const FIRST: Millis = 1_500;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Phase {
     /// Reads jobs and machine registry.
     Loading,
-    /// Waits to hear every machine, or for its lease to expire, unless it knows
-    /// what may run there.
+    /// Waits for a heartbeat of every machine, or for its lease to expire, unless what
+    /// may run there is known.
     Settling,
-    /// Works off what waited meanwhile and may not wait: services and gangs.
+    /// Starts what waited meanwhile and is urgent: services and gangs.
     Starting,
     Whole,
 }
@@ -42,21 +45,21 @@
     }
 }
 
-/// How far this leader has come since it became leader, and what it may go by
-/// until it has heard every machine.
+/// How far this leader has recovered, and what it may rely on until every machine is
+/// confirmed.
 pub(super) struct Recovery {
     pub(super) elected_at: Millis,
     /// Jobs and machine registry have been read.
     pub(super) loaded: bool,
-    /// Every machine was heard, or its lease must have expired.
+    /// Every machine is confirmed by a heartbeat, or its lease has expired.
     pub(super) settled: bool,
-    /// When this process last went on after it had stood still.
+    /// When this process last resumed after a pause.
     pub(super) resumed_at: Millis,
     pub(super) failover: super::failover::Failover,
-    /// Machines that were heard, and those that were not yet.
+    /// Machines that are up, and those that are not confirmed yet.
     pub(super) responsive_machines: usize,
     pub(super) unconfirmed_machines: usize,
-    /// By when a worker that can report has reported.
+    /// By when a worker that can send a heartbeat has sent one.
     pub(super) heartbeats_due_by: Millis,
     phase: Phase,
     since: Millis,
@@ -78,23 +81,22 @@
         }
     }
 
-    /// Enough machines were heard to judge that there is no room. Guards
-    /// against stopping tasks for work that has room on a machine which is
-    /// heard a second later.
+    /// Enough machines are confirmed to judge that capacity is short. Guards against
+    /// preempting for work that fits on a machine confirmed a second later.
     pub(super) fn heard_from_most(&self, now: Millis) -> bool {
         self.settled
             || 10 * self.unconfirmed_machines <= self.responsive_machines
             || now >= self.heartbeats_due_by
     }
 
-    /// All that may run is in the cluster state, heard or not.
+    /// All that may run is in the cluster state, confirmed or not.
     pub(super) fn knows_all_tasks(&self) -> bool {
         self.settled || self.failover.warm
     }
 }
 
 impl Leader {
-    /// For how long nobody was seen to lead before this term.
+    /// For how long no leader was observed before this term.
     pub fn set_leaderless_time(&mut self, ms: Millis) {
         self.record_phase_duration("leaderless", ms);
     }
@@ -126,8 +128,8 @@
         }
     }
 
-    /// Services or gangs from before it settled wait for room that they may
-    /// have. Batches do not count: they may wait for minutes on any day.
+    /// Services or gangs from before it settled wait for capacity that they may use.
+    /// Batches do not count: they may wait for minutes on any day.
     fn has_urgent_starts(&self) -> bool {
         let since = self.recovery.since;
         self.cluster.jobs.iter().flatten().any(|j| {
--- a/src/control/leader/scale_out.rs
+++ b/src/control/leader/scale_out.rs
@@ -1,9 +1,10 @@
-//! Scale-out: which machines to request from the cloud, and what the answers to
-//! requests and releases change.
+//! Scale-out: which machines to request from the cloud, and what the answers to requests
+//! and releases change.
 //!
-//! It owns `Scaling`. `inventory` calls `plan_scale_out` once nothing is in
-//! flight; the server reports each answer. It must never count a request without
-//! an answer as refused: its machines, if any, show in the machine list.
+//! Owns `Scaling`. `inventory` calls `plan_scale_out` while no request is in flight; the
+//! server reports each answer. A request without an answer counts as refused for a
+//! while, and its machines, if any, show in the machine list; nothing may assume that
+//! there are none.
 
 use super::{Leader, millis, zone_health::ZoneHealth};
 use crate::{
--- a/src/control/leader/scheduling.rs
+++ b/src/control/leader/scheduling.rs
@@ -1,9 +1,9 @@
-//! What scheduling keeps between events: the order of service, the fleet as
-//! placement ranks it, recent arrivals, and an interrupted scheduling cycle.
+//! What scheduling keeps between events: the fleet as placement ranks it, recent
+//! arrivals, and an interrupted scheduling cycle.
 //!
-//! Owned by `Leader`; read and changed by the modules of scheduling (queue,
-//! scheduling cycle, fleet view, headroom, quotas). It holds no cluster state:
-//! all of it can be computed anew, and none of it is stored.
+//! Owned by `Leader`; read and changed by the modules of scheduling (queue, scheduling
+//! cycle, fleet view, headroom, quotas). It holds no cluster state, and none of it is
+//! stored.
 
 use super::{headroom::Class, scheduling_cycle::SchedulingCycle};
 use crate::{
@@ -12,7 +12,7 @@
 };
 use std::collections::{BTreeSet, VecDeque};
 
-/// Placement: the order of service, and when it is looked at again.
+/// State of scheduling between events.
 pub(super) struct Scheduling {
     pub(super) policy: Policy,
     pub(super) seen_shapes: Vec<(Resources, u64)>,
@@ -28,13 +28,13 @@
     pub(super) unconfirmed_usage: Vec<Resources>,
     /// Machines that tasks may be placed on.
     pub(super) fleet: Fleet,
-    /// A pass that stopped for its bound, and goes on where it stopped.
+    /// A cycle that has made its steps, and resumes where it stopped.
     pub(super) interrupted_cycle: Option<SchedulingCycle>,
-    /// A pass is under way, or was interrupted.
+    /// A cycle is under way, or was interrupted.
     pub(super) in_cycle: bool,
-    /// Machines that have gained room since it began.
+    /// Machines with capacity that became free since it began.
     pub(super) machines_with_gain: BTreeSet<u32>,
-    /// Steps that the pass may make before it stops.
+    /// Steps that the cycle may make before it is interrupted.
     pub(super) steps_left: u32,
 }
 
--- a/src/control/leader/scheduling_cycle.rs
+++ b/src/control/leader/scheduling_cycle.rs
@@ -1,6 +1,9 @@
-//! A pass of placement over all that waits, in the order of service. It does a
-//! bounded amount of work at once and goes on where it stopped, so that reports
-//! are answered in between.
+//! The scheduling cycle: tries every waiting job in the order of service. It does a
+//! bounded number of steps at once and resumes where it stopped, so that heartbeats are
+//! answered in between.
+//!
+//! Owns `SchedulingCycle`. Called from `tick`. It must never serve a job out of order
+//! because it was interrupted.
 
 use super::{
     Leader,
@@ -17,18 +20,18 @@
 };
 use std::collections::HashSet;
 
-/// Machines chosen and jobs looked at before reports are answered again: some
+/// Steps (machines chosen and jobs tried) before heartbeats are answered again: some
 /// milliseconds.
 const MAX_CYCLE_STEPS: u32 = 1_000;
 
-/// A job by its index, and what tells it from a later one with that index.
+/// A job by its index, with the generation that tells it from a later one there.
 #[derive(Debug, Clone, Copy)]
 struct Waiting {
     job: u32,
     serial: u64,
 }
 
-/// What tasks ask of machines, for jobs that find none with room.
+/// What tasks ask of machines, for jobs that find no capacity.
 #[derive(Debug, PartialEq)]
 struct Shape {
     need: Resources,
@@ -37,19 +40,19 @@
     spot: bool,
 }
 
-/// A pass that has begun.
+/// A cycle that has begun.
 pub(super) struct SchedulingCycle {
     order: Vec<Waiting>,
     next: usize,
     headroom: Vec<Headroom>,
-    /// Jobs for which room is held.
+    /// Jobs with a reservation.
     jobs_with_reservations: HashSet<u32>,
-    /// Jobs that found no room.
+    /// Jobs that found no capacity.
     unplaced_jobs: Vec<u32>,
-    /// Shapes that found no room in this pass; the rest of the queue needn't
-    /// be tried for them.
+    /// Shapes that found no capacity in this cycle; the rest of the queue need not be
+    /// tried for them.
     full_shapes: Vec<Shape>,
-    /// Gangs that wait for room, and the priority they have.
+    /// Gangs that wait for capacity, and their priority.
     waiting_gangs: Vec<u32>,
     waiting_gangs_priority: Priority,
     /// The job at hand may start one task under its team's limit.
@@ -57,7 +60,7 @@
 }
 
 impl Leader {
-    /// Begins a pass, or goes on with the one that was interrupted.
+    /// Begins a cycle, or resumes the interrupted one.
     pub(super) fn schedule(&mut self, now: Millis) {
         self.count_unconfirmed_usage();
         self.scheduling.steps_left = MAX_CYCLE_STEPS;
@@ -76,7 +79,7 @@
             }
             cycle.next += 1;
         }
-        // What machines have gained is offered to nobody yet.
+        // Capacity that became free meanwhile is offered to nobody yet.
         self.refresh_fleet(now);
         if self.recovery.heard_from_most(now) {
             self.preempt_for_waiting(&cycle.unplaced_jobs, now);
@@ -84,7 +87,7 @@
         self.end_cycle();
     }
 
-    /// Counts a step; `false` once the pass has made as many as it may.
+    /// Counts a step; `false` once the cycle has made as many as it may at once.
     pub(super) fn take_step(&mut self) -> bool {
         let left = self.scheduling.steps_left.checked_sub(1);
         self.scheduling.steps_left = left.unwrap_or(0);
@@ -124,7 +127,7 @@
         })
     }
 
-    /// Places what it can of one job; `false`: the pass was interrupted.
+    /// Places what it can of one job; `false`: the cycle was interrupted.
     fn place_job(&mut self, job_ix: u32, cycle: &mut SchedulingCycle, now: Millis) -> bool {
         let Some(job) = self.cluster.job(job_ix) else {
             return true;
@@ -152,14 +155,14 @@
             }
         }
         let held = cycle.jobs_with_reservations.contains(&job_ix);
-        // No room in the open; room may be held or made for it still.
+        // No free capacity; some may be reserved or preempted for it still.
         if cycle.full_shapes.contains(&shape) && !held {
             self.set_reason(job_ix, Reason::NoRoom);
             cycle.unplaced_jobs.push(job_ix);
             return true;
         }
         if suspected {
-            // Into room that is free; nothing is made or kept for it.
+            // Only where capacity is free: nothing is preempted or reserved for it.
             if let Some(ranking) = self.ranking_for(job_ix, now) {
                 self.place_try(job_ix, ranking, &mut cycle.headroom, now);
             }
@@ -192,7 +195,7 @@
         })
     }
 
-    /// Places what it can of a job for which there may be room.
+    /// Places what it can of a job for which there may be capacity.
     fn place_tasks(&mut self, job_ix: u32, cycle: &mut SchedulingCycle, now: Millis) -> Outcome {
         let Some(job) = self.cluster.job(job_ix) else {
             return Outcome::Placed;
@@ -216,7 +219,7 @@
         }
         // One task is a beginning; the rest takes its turn.
         let outcome = self.place_some(job_ix, 1, ranking, headroom, now);
-        // Guards against a pass at every event while it finds no room.
+        // Guards against a cycle at every event while it finds no capacity.
         if self.cluster.job(job_ix).is_some_and(|j| j.live_count > 0) {
             self.changed = true;
             return Outcome::Placed;
@@ -224,7 +227,7 @@
         outcome
     }
 
-    /// Keeps what a gang finds for it, or notes that the shape has no room.
+    /// Reserves what a gang finds, or records that the shape has no capacity.
     fn record_no_capacity(
         &mut self,
         job_ix: u32,
@@ -250,7 +253,7 @@
         }
     }
 
-    /// Notes why the rest of a job found no place in this pass.
+    /// Records why the rest of a job was not placed in this cycle.
     fn record_pending_reason(&mut self, job_ix: u32, held: bool) {
         let Some(j) = self.cluster.job(job_ix) else {
             return;
--- a/src/control/leader/status.rs
+++ b/src/control/leader/status.rs
@@ -1,4 +1,8 @@
-//! What operators are told, put together only when they ask.
+//! Status for operators and figures for metrics, computed only when asked for.
+//!
+//! Owns `Events` and `Tally`. Called by the request handlers and the metrics loop.
+//! Answers must fit a frame, so names are clipped and rows limited. It must never change
+//! a decision.
 
 use super::{Leader, millis};
 use crate::{
@@ -14,7 +18,7 @@
 };
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// What happened, for operators and for verdicts.
+/// Events of this term, for operators and for fault attribution.
 #[derive(Default)]
 pub(super) struct Events {
     pub(super) tally: Tally,
@@ -23,28 +27,33 @@
     pub(super) suspects: Vec<u32>,
 }
 
-/// Failures that are remembered for operators.
+/// Recent failures kept for operators.
 const FAILURES: usize = 20;
-/// Jobs that one waits for which are named one by one.
+/// Unfinished dependencies that are listed one by one.
 const NEEDS: usize = 20;
-/// A machine that boots for so many times the usual is named.
+/// A machine that boots for so many times its usual boot time is listed.
 const SLOW_BOOT: u64 = 3;
 
-/// What happened since it was last taken, for metrics.
+/// Counts since they were last taken, for metrics.
 #[derive(Debug, Default)]
 pub struct Tally {
+    /// Tasks that failed.
     pub failed: u64,
+    /// Tasks stopped for other work.
     pub preempted: u64,
+    /// Machines that the cloud added.
     pub rented: u64,
+    /// Machines that the cloud deleted.
     pub released: u64,
     /// Class, and seconds from acceptance to a task's first run.
     pub waits: Vec<(String, f64)>,
-    /// Phases of a recovery that are over, and their seconds.
+    /// Finished phases of the recovery, and their seconds.
     pub phases: Vec<(&'static str, f64)>,
     /// How this leader took over: `warm`, or why not.
     pub took_over: Option<&'static str>,
-    /// Tasks that machines were ordered to start, and to stop.
+    /// Start commands sent.
     pub starts: u64,
+    /// Stop commands sent.
     pub stops: u64,
 }
 
@@ -83,6 +92,7 @@
             .push_back((now, task, machine, why));
     }
 
+    /// The counts since the last call.
     pub fn take_tally(&mut self) -> Tally {
         std::mem::take(&mut self.events.tally)
     }
@@ -97,8 +107,8 @@
         }
     }
 
-    /// Seconds until it has to be done: for its own deadline, or for that of a
-    /// job that needs it, whichever is sooner.
+    /// Seconds until it has to be done: by its own deadline, or by that of a job that
+    /// depends on it, whichever is sooner.
     fn left_s(&self, ix: u32, job: &Job, in_chains: &HashMap<u32, u64>) -> Option<f64> {
         let own = job.spec.deadline_s.map(|d| d - self.age_s(job));
         let chain = in_chains.get(&ix);
@@ -122,6 +132,7 @@
         self.wall_ms.saturating_sub(job.accepted_at_ms) as f64 / 1000.0
     }
 
+    /// The status of the cluster, for `status`.
     pub fn picture(&self, now: Millis) -> Picture {
         let mut picture = Picture {
             term: self.term,
@@ -184,8 +195,8 @@
                 Some(Due::AtRisk) => g.at_risk_jobs += 1,
                 _ => {}
             }
-            // What is offloaded waits as well, for its market, and what needs
-            // others for those.
+            // What is offloaded waits as well, for its market, and what is blocked waits
+            // for its dependencies.
             let waiting = match j.offload.is_local() && j.readiness == Readiness::Ready {
                 true => j.waiting_count(),
                 false => j.spec.tasks - j.completed_count,
@@ -324,7 +335,7 @@
         })
     }
 
-    /// `None`: not a live job.
+    /// The state of one job, for `explain`. `None`: not a live job.
     pub fn explain(&self, id: &str, now: Millis) -> Option<Explained> {
         let ix = self.cluster.job_index(id)?;
         let j = self.cluster.job(ix)?;
--- a/src/control/leader/task_placement.rs
+++ b/src/control/leader/task_placement.rs
@@ -1,5 +1,9 @@
-//! Places the tasks of one job: of an array or a service one by one, of a gang
-//! all or none.
+//! Placement of one job's tasks: of an array or a service one by one, of a gang all or
+//! none.
+//!
+//! Called by the scheduling cycle. It must never start a task beyond the team's quota,
+//! the headroom of higher priorities, or on a machine that may still run an older
+//! attempt of it.
 
 use super::{Leader, MACHINE_TOKEN_BITS, headroom::Headroom};
 use crate::{
@@ -15,14 +19,14 @@
     },
 };
 
-/// What came of placing a job's tasks.
+/// The outcome of placing the tasks of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Outcome {
     /// Nothing waits any more.
     Placed,
-    /// The rest finds no room, or may not start now.
+    /// The rest finds no capacity, or may not start now.
     Left,
-    /// The pass has done as much as it may at once.
+    /// The cycle has made as many steps as it may at once.
     Interrupted,
 }
 
@@ -212,7 +216,7 @@
         attempt
     }
 
-    /// All tasks of a gang in one pass, or none. Returns whether it was placed.
+    /// Places all tasks of a gang in one cycle, or none. Returns whether it was placed.
     pub(super) fn place_gang(
         &mut self,
         job_ix: u32,
@@ -287,7 +291,7 @@
         (chosen.len() == missing.len()).then_some(chosen)
     }
 
-    /// Whether the gang is to wait for room where its image is.
+    /// Whether the gang is to wait for capacity where its image is.
     fn gang_waits_for_image(
         &mut self,
         job_ix: u32,
@@ -335,7 +339,7 @@
                 m.images.contains(&j.image),
             );
         }
-        // The room made for it is used; the rest of the machine is open again.
+        // Its reservation is used; the rest of the machine is open again.
         if let Some(m) = self.cluster.machine_mut(machine)
             && m.reserved_for.is_some_and(|(of, _)| of == job_ix)
         {
--- a/src/control/leader/victims.rs
+++ b/src/control/leader/victims.rs
@@ -1,4 +1,8 @@
-//! Room made by stopping tasks: which, at what loss, and for whom.
+//! Victims of preemption: which tasks to stop for a job, at what loss of work, and the
+//! reservation of what becomes free.
+//!
+//! Called by preemption, gang reservation and placement. It must never stop a service,
+//! nor a task that is stopping already.
 
 use super::{Leader, millis};
 use crate::{
@@ -15,7 +19,7 @@
 };
 use std::collections::HashSet;
 
-/// How long room made for a job is kept for it.
+/// How long capacity is reserved for a job after a preemption.
 const RESERVATION_MS: Millis = 8_000;
 /// A start stopped sooner than this would not have been worth making.
 const MIN_USEFUL_RUN_MS: Millis = 30_000;
@@ -26,7 +30,8 @@
 /// The same for a service, which users miss while it fetches.
 const WORTH_SERVICE: f64 = 600.0;
 
-/// After this long a team does not wait for what others hold beyond theirs.
+/// After this long a team does not wait for what other teams use beyond their
+/// guarantees.
 pub(super) const GUARANTEE_S: f64 = 20.0;
 
 /// Core-seconds for which a task's share of a machine is idle while its image
@@ -35,7 +40,7 @@
     job.spec.image_gb / gb_per_s * job.spec.cpus.max(4.0 * job.spec.gpus)
 }
 
-/// Room that stopping some tasks would make.
+/// Capacity that stopping some tasks would free.
 pub(super) struct Preemption {
     pub(super) machine: u32,
     pub(super) victims: Vec<usize>,
@@ -55,20 +60,20 @@
 }
 
 impl Leader {
-    /// Jobs for which room is held, or being made.
+    /// Jobs with a reservation.
     pub(super) fn jobs_with_reservations(&self, now: Millis) -> HashSet<u32> {
         let held = self.cluster.each_machine().filter_map(|m| m.reserved_for);
         let held = held.filter(|(_, until)| now < *until);
         held.map(|(job, _)| job).collect()
     }
 
-    /// Room is held for the job, or being made.
+    /// The job has a reservation.
     pub(super) fn has_reservation(&self, job_ix: u32, now: Millis) -> bool {
         let held = |m: &Machine| m.is_reserved_for(job_ix, now);
         self.cluster.each_machine().any(held)
     }
 
-    /// The machine on which the least work is lost by making room for a task.
+    /// The machine on which the least work is lost by preempting for a task.
     pub(super) fn cheapest_preemption(
         &self,
         job_ix: u32,
@@ -84,7 +89,7 @@
             .min_by_key(|r| (r.fetch, r.lost))
     }
 
-    /// Room for a task on one machine, at the least loss there.
+    /// The preemption for a task on one machine, at the least loss there.
     pub(super) fn preemption_on(
         &self,
         ix: u32,
@@ -107,14 +112,14 @@
         let search = Search {
             job,
             priority,
-            // Room without the image can't meet the aim any more.
+            // A machine without the image can't meet the objective any more.
             beyond_guarantees: guaranteed
                 && (!fetch || now >= job.known_since + millis(GUARANTEE_S)),
             now,
         };
         let tasks = m.tasks.iter().enumerate();
         let victims = tasks.filter_map(|(at, a)| Some((self.loss_of(a, &search)?, at)));
-        // Most machines can't make the room: found without a list.
+        // Most machines can not free enough: found without a list.
         let mut most = m.free();
         for (_, at) in victims.clone() {
             most += m.tasks[at].need;
@@ -172,10 +177,10 @@
         Some(ms as i64 * a.need.cpus.max(1) / 1_000_000 * tasks)
     }
 
-    /// Where the best place means a fetch that misses the aim for starting,
-    /// room on a machine that caches the image may be the lesser loss: the
-    /// fetch leaves the task's share idle for as long. Returns whether the
-    /// task is to wait for such room.
+    /// Where the best machine means a fetch that misses the objective for starting,
+    /// preemption on a machine that caches the image may be the lesser loss: the fetch
+    /// leaves the task's share idle for as long. Returns whether the task is to wait for
+    /// that.
     pub(super) fn reserve_where_image_is(
         &mut self,
         job_ix: u32,
@@ -194,9 +199,9 @@
             return false;
         }
         let held = |m: &Machine| m.is_reserved_for(job_ix, now);
-        // The room that was made for it is here. Guards against a service
-        // that waited until the hold was over, as rooms without its image
-        // looked like rooms still to come.
+        // The reservation is on this machine. Guards against a service that waited until
+        // its reservation expired, as machines without its image looked like capacity
+        // still to come.
         if self.cluster.machine(at.machine).is_some_and(held) {
             return false;
         }
@@ -242,8 +247,8 @@
         }
     }
 
-    /// Tells a task to stop, with the time it needs to save; a gang is told
-    /// as a whole, or the save would fail.
+    /// Stops a task, with the time it needs for a checkpoint; a gang is stopped as a
+    /// whole, or the checkpoint would fail.
     pub(super) fn stop_gracefully(&mut self, machine: u32, at: usize) {
         let Some(a) = self.cluster.machine(machine).and_then(|m| m.tasks.get(at)) else {
             return;
--- a/src/control/leader/zone_health.rs
+++ b/src/control/leader/zone_health.rs
@@ -1,11 +1,15 @@
-//! Zones from which nothing is heard: a cut takes all that is in one.
+//! Zone health: zones that no heartbeat comes from, as a network partition takes all
+//! that is in one.
+//!
+//! Owns `ZoneHealth`. Updated by heartbeats and lease expiry; read by scale-out. The
+//! zone of this node itself is never taken for unreachable.
 
 use super::Leader;
 use crate::state::Millis;
 
-/// A zone that fell unresponsive gets nothing new for this long, unless something
-/// in it is heard before. Where a controller stands, the end of a cut shows
-/// in that; elsewhere only a new machine can tell.
+/// An unreachable zone gets nothing new for this long, unless something in it responds
+/// before. In a zone with a controller the end of a partition shows in that; elsewhere
+/// only a new machine can show it.
 const UNREACHABLE_ZONE_MS: Millis = 60_000;
 const UNREACHABLE_WATCHED_ZONE_MS: Millis = 300_000;
 /// So many machines must be unresponsive at once to speak for their zone.
@@ -13,13 +17,13 @@
 
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ZoneHealth {
-    /// When a worker or a controller in it was last heard.
+    /// When a worker or a controller in it last responded.
     last_heartbeat: Millis,
     unreachable_until: Millis,
 }
 
 impl ZoneHealth {
-    /// A new leader gives each zone the benefit of the doubt.
+    /// A new leader takes every zone for reachable.
     pub(super) fn since(now: Millis) -> Self {
         ZoneHealth {
             last_heartbeat: now,
@@ -29,7 +33,7 @@
 }
 
 impl Leader {
-    /// A worker or a controller in the zone was heard.
+    /// A worker or a controller in the zone responded.
     pub(super) fn zone_responded(&mut self, zone: usize, now: Millis) {
         if self.scaling.zone_health.len() <= zone {
             self.scaling
@@ -46,8 +50,8 @@
         }
     }
 
-    /// Several machines of a zone are unresponsive, nothing else in it is heard,
-    /// and this node does not stand there itself: it is cut off.
+    /// Several machines of a zone are unresponsive, nothing else in it responds, and
+    /// this node is in another one: it is unreachable.
     pub(super) fn update_zone_health(&mut self, silent: &[u32], overdue: Millis, now: Millis) {
         let home = self.cluster.zones.find(&self.settings.zone);
         for (zone, n) in silent.iter().enumerate() {
@@ -72,9 +76,9 @@
         }
     }
 
-    /// Guards against renting, at the users' cost, machines that can't be
-    /// reached: with one zone cut off its capacity is all that is left, and
-    /// was rented whole.
+    /// Guards against requesting, at the users' cost, machines that can not be reached:
+    /// with one zone partitioned off its capacity is all that is left to request, and
+    /// all of it was.
     pub(super) fn is_zone_unreachable(&self, zone: usize, now: Millis) -> bool {
         self.scaling
             .zone_health
--- a/src/control/standby/failover_checks.rs
+++ b/src/control/standby/failover_checks.rs
@@ -1,38 +1,47 @@
-//! What a new leader checks before its first decision. Each answer in turn
-//! must be yes; any no takes the cold way, on which nothing older than the
-//! term is placed before every machine was heard or its lease has expired.
+//! What a new leader checks before its first decision. Each check in turn must pass; any
+//! failure means a cold failover, in which nothing older than the term is placed before
+//! every machine is confirmed or its lease has expired.
+//!
+//! Called once by the leader's failover. A pure function of the claim; it must never
+//! pass a replica that may lack something that runs.
 
 use super::replica::Replica;
 use crate::state::records::StandbyRecord;
 
-/// The checks, in order. The one for authority, and the one that the process
-/// did not stand still, are made with each decision: without authority nothing
-/// is decided, and after standing still it has to be renewed first. The one
-/// for the records is made when they are read.
+/// The checks, in order. Authority, and that the process did not pause, are checked with
+/// each decision: without authority nothing is decided, and after a pause it has to be
+/// renewed first. The records are checked when they are read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Check {
-    /// Somebody is named.
+    /// A standby is named.
     Named,
-    /// This node is, in this incarnation.
+    /// This node is named, in this incarnation.
     Me,
-    /// It has a copy that was told whole.
+    /// It has a complete replica.
     Whole,
-    /// Of the term of the record, or of one since that started nothing.
+    /// The replica is of the term of the record, or of a later one that started nothing.
     Term,
+    /// All checks passed.
     Passed,
 }
 
-/// Why a new leader takes the cold way.
+/// Why a failover is cold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum ColdReason {
+    /// The record names no standby.
     NobodyNamed,
+    /// The record names other nodes.
     NotNamed,
+    /// This node is named in an earlier incarnation.
     BeganAnew,
+    /// It has no complete replica.
     NoCopy,
+    /// Its replica is of an earlier term than the record.
     OldCopy,
 }
 
 impl ColdReason {
+    /// The text for operators and metrics.
     pub fn text(self) -> &'static str {
         match self {
             ColdReason::NobodyNamed => "no standby was named",
@@ -44,12 +53,15 @@
     }
 }
 
-/// What the checks go by.
+/// What the checks are made on.
 pub struct FailoverClaim<'a> {
+    /// Name of this node.
     pub me: &'a str,
+    /// Its incarnation.
     pub incarnation: u64,
     /// As read in this term: since then nobody else can have changed it.
     pub record: Option<&'a StandbyRecord>,
+    /// Its complete replica, if it has one.
     pub replica: Option<&'a Replica>,
 }
 
@@ -76,7 +88,7 @@
     }
 }
 
-/// Whether the node may go by its copy.
+/// Whether the node may use its replica.
 pub fn check_failover(claim: &FailoverClaim) -> Result<(), ColdReason> {
     let mut check = Check::Named;
     while check != Check::Passed {
--- a/src/control/standby/mod.rs
+++ b/src/control/standby/mod.rs
@@ -1,13 +1,14 @@
-//! Standbys that are warm: nodes that know what may run on machines, so that
-//! one of them can decide at once when it takes over.
+//! Standbys: nodes that replicate what may run on machines, so that one of them can
+//! decide at once when it takes over.
 //!
-//! The leader tells them its cluster state and each change of it (`stream`), they keep
-//! a copy (`replica`), a record says who counts (`registry`), and a start waits until
-//! all who count have confirmed the change that it is of. A new leader checks
-//! that it was one of them before it goes by its copy (`checks`).
+//! The leader replicates its cluster state and each change of it (`replication_stream`);
+//! a standby keeps a replica (`replica`); a record says who counts (`registry`); and a
+//! start waits until all who count have acknowledged its change. A new leader checks
+//! that it was one of them before it uses its replica (`failover_checks`).
 //!
-//! What holds at all times: *whoever the record names knows at least all that
-//! may run.* `docs/design.md` has the argument.
+//! Called by the leader on one side and by the server on the other. The invariant:
+//! *whoever the record names knows at least all that may run.* `docs/design.md` has the
+//! argument.
 
 pub mod failover_checks;
 mod registry;
@@ -26,25 +27,26 @@
 use replication_stream::ReplicationStream;
 use std::collections::BTreeSet;
 
-/// A standby that owes a confirmation for so long is struck.
+/// A standby that has not acknowledged for so long is demoted.
 const CONFIRM_TIMEOUT_MS: Millis = 400;
-/// How long a new leader leaves the record of the one before it as it is, so
-/// that those named there still count, if its own standbys are not warm yet.
+/// How long a new leader leaves the record of the previous one as it is, so that those
+/// named there still count, while its own standbys are not warm yet.
 const HANDOVER_GRACE_MS: Millis = 1_000;
-/// How long one that was struck is left alone, the first time; it doubles.
+/// How long a demoted standby is left alone, the first time; it doubles.
 const DEMOTION_PAUSE_MS: Millis = 2_000;
 const MAX_DEMOTION_PAUSE_MS: Millis = 32_000;
 
-/// What standbys are told of: what is, or may be, on machines.
+/// What is replicated: what runs, or may run, on machines.
 pub trait ReplicatedState {
-    /// Changes so far, and the latest of which a start was sent.
+    /// Changes so far.
     fn changes(&self) -> u64;
+    /// The latest change of which a start was sent.
     fn sent(&self) -> u64;
+    /// What runs, or may run, on the machine.
     fn tasks_on(&self, machine: &str) -> MachineHolds;
-    /// Machines that hold anything.
+    /// Machines on which anything runs or may run.
     fn occupied_machines(&self) -> BTreeSet<String>;
-    /// Machines that changed since this was last called; the first call begins
-    /// to note them.
+    /// Machines that changed since the last call; the first call begins to record them.
     fn take_changed_machines(&mut self) -> BTreeSet<String>;
 }
 
@@ -66,33 +68,34 @@
     }
 }
 
-/// How a write of the record came out.
+/// Outcome of a write of the standby record.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RegistryWriteOutcome {
+    /// Executed; the record has this version.
     Done(u64),
     /// Surely not executed.
     Refused,
-    /// Conflicts, or had no answer, and this is what stands now.
+    /// It conflicted, or its outcome was unknown; this is what was read since.
     Reread(Option<(StandbyRecord, u64)>),
 }
 
-/// The leader's side: who is kept warm, and what may be started.
+/// The leader's side: who is kept warm, and which starts may be sent.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Standbys {
     term: u64,
     max_warm: usize,
     streams: Vec<ReplicationStream>,
     registry: StandbyRegistry,
-    /// Since when the cluster state holds all that may run, and its changes are noted.
+    /// Since when the cluster state holds all that may run, and its changes are
+    /// recorded.
     replicating_since: Option<Millis>,
     /// Something is to be started.
     starts_wanted: bool,
 }
 
 impl Standbys {
-    /// `peers`: names of the other controllers, and whether each is in another
-    /// zone than this one.
-    /// `most`: so many are kept warm.
+    /// `peers`: names of the other controllers, and whether each is in another zone than
+    /// this one. `most`: so many are kept warm.
     pub fn new(term: u64, most: usize, peers: impl IntoIterator<Item = (String, bool)>) -> Self {
         let streams = peers
             .into_iter()
@@ -130,12 +133,12 @@
         self.starts_wanted = true;
     }
 
-    /// Looks who is to be kept warm, and returns the write of the record that
-    /// is due, if any: one at a time. `complete`: the cluster state holds all that
-    /// may run. `answers`: by peer.
+    /// Selects the standbys, and returns the write of the record that is due, if any:
+    /// one at a time. `complete`: the cluster state holds all that may run. `answers`:
+    /// by peer.
     ///
-    /// Who is entered must know all that was started so far, and counts from
-    /// here on: nothing may be started between the look and the plan.
+    /// Who is entered must know all that was started so far, and counts from here on:
+    /// nothing may be started between the selection and the plan.
     pub fn step(
         &mut self,
         state: &mut impl ReplicatedState,
@@ -186,7 +189,7 @@
                 keep.push(p);
             }
         }
-        // Elsewhere first: what ends the leader may take its zone.
+        // Those in other zones first: what ends the leader may take its zone.
         let mut others: Vec<usize> = (0..self.streams.len())
             .filter(|p| !keep.contains(p) && answers(*p) && !self.streams[*p].is_demoted(now))
             .collect();
@@ -219,7 +222,7 @@
         }
     }
 
-    /// Hands what changed to all that are kept warm.
+    /// Passes changed machines to all active streams.
     fn distribute_changes(&mut self, state: &mut impl ReplicatedState) {
         let touched = state.take_changed_machines();
         if touched.is_empty() {
@@ -230,12 +233,12 @@
         }
     }
 
+    /// Indices of the peers.
     pub fn peers(&self) -> std::ops::Range<usize> {
         0..self.streams.len()
     }
 
-    /// What is to be sent to a peer next, if anything. One part is on its way
-    /// at a time.
+    /// The next part to send to a peer, if any. One is in flight at a time.
     pub fn next(
         &mut self,
         peer: usize,
@@ -253,8 +256,8 @@
         f.next(self.term, named, probes, state, now)
     }
 
-    /// How the part came out: who answered, and whether it was taken in.
-    /// Returns whether starts may go that could not before.
+    /// Applies the answer to a part: the incarnation, and whether it applied the part.
+    /// Returns whether more starts may be sent now.
     pub fn answered(
         &mut self,
         peer: usize,
@@ -269,14 +272,15 @@
         self.confirmed_change() > before
     }
 
-    /// How the write of the record came out. Returns whether starts may go
-    /// that could not before.
+    /// Applies the outcome of the write of the record. Returns whether more starts may
+    /// be sent now.
     pub fn written(&mut self, how: RegistryWriteOutcome, now: Millis) -> bool {
         let before = self.confirmed_change();
         self.registry.write_finished(how, now);
         self.confirmed_change() > before
     }
 
+    /// The state of each peer, for operators.
     pub fn status(&self, now: Millis) -> Vec<StandbyStatus> {
         let counted: Vec<&(String, u64)> = self.registry.counted_standbys(self.term).collect();
         let named = |f: &ReplicationStream| counted.iter().any(|(n, _)| *n == f.name);
--- a/src/control/standby/registry.rs
+++ b/src/control/standby/registry.rs
@@ -1,4 +1,8 @@
-//! The record of who counts as a standby, and what of it may be written.
+//! The standby registry: the record of who counts as a standby, and which write of it
+//! may be made.
+//!
+//! Owned by `Standbys`. While the outcome of a write is unknown, whoever it names counts
+//! too.
 
 use super::RegistryWriteOutcome;
 use crate::{
--- a/src/control/standby/replica.rs
+++ b/src/control/standby/replica.rs
@@ -1,5 +1,8 @@
-//! The standby's side: a copy of what the leader says is, or may be, on
-//! machines.
+//! The standby's side: receives the replication stream and keeps a replica of what runs,
+//! or may run, on machines.
+//!
+//! Called by the server with each part from a peer, and once this node leads. A replica
+//! must never replace a complete one before it is complete itself, and never have a gap.
 
 use crate::{
     protocol::peers::{Follow, MayRun},
@@ -7,38 +10,40 @@
 };
 use std::collections::BTreeMap;
 
-/// Machines that a copy holds at most: what a leader tells beyond that is
-/// refused, and the node is not warm.
+/// Machines in a replica at most: a part beyond that is refused, and the node is not
+/// warm.
 const MAX_MACHINES: usize = 50_000;
 
-/// What one machine holds, by job.
+/// What runs, or may run, on one machine, by job.
 pub type Held = Vec<(String, Vec<MayRun>)>;
 
-/// Knowing more than runs is harmless, knowing less is not.
+/// What runs, or may run, on machines. More than runs is harmless, less is not.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct Replica {
-    /// Of whose cluster state.
+    /// The term of the leader that it was received from.
     pub term: u64,
+    /// By machine.
     pub machines: BTreeMap<String, Held>,
 }
 
+/// The receiving end of the replication stream.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct ReplicaReceiver {
     /// The latest stream that was begun, as term and number.
     stream: (u64, u64),
     next_part: u64,
-    /// What this node may go by, should a record name it.
+    /// What this node may use, should a record name it.
     complete: Option<Replica>,
-    /// What a new stream has told so far. The old copy holds until that is
-    /// whole: nothing is started meanwhile that it lacks.
+    /// What a new stream has sent so far. The old replica stays until that is complete:
+    /// nothing is started meanwhile that it lacks.
     building: Option<Replica>,
     counted: bool,
     last_part_at: Millis,
 }
 
 impl ReplicaReceiver {
-    /// Returns whether the part was taken in. One that came late, twice, or
-    /// after a gap is not, and the leader begins anew.
+    /// Returns whether the part was applied. One that came late, twice, or after a gap
+    /// is not, and the leader restarts the stream.
     pub fn apply_part(&mut self, part: Follow, now: Millis) -> bool {
         let stream = (part.term, part.stream);
         if part.part == 0 {
@@ -74,8 +79,8 @@
         true
     }
 
-    /// The node has become leader in `term`: the copy is its to use, and no
-    /// earlier leader's word is taken any more.
+    /// The node has become leader in `term`: it takes the replica, and no part of an
+    /// earlier leader is applied any more.
     pub fn take_replica(&mut self, term: u64) -> Option<Replica> {
         let whole = self.complete.take();
         *self = ReplicaReceiver {
@@ -85,19 +90,21 @@
         whole
     }
 
+    /// The complete replica, if there is one.
     pub fn replica(&self) -> Option<&Replica> {
         self.complete.as_ref()
     }
 
-    /// The leader counted on this node a moment ago.
+    /// The leader counted this node as a standby a moment ago.
     pub fn is_counted(&self, now: Millis) -> bool {
         self.counted && now < self.last_part_at + 10_000
     }
 }
 
 impl Replica {
-    /// Tasks by the change that put them there, the latest first: of two
-    /// places of a task the later holds, as it was gone from the other by then.
+    /// Machine, job and task, by the change that placed the task, the latest first: of
+    /// two places of a task the later one is valid, as it was gone from the other by
+    /// then.
     pub fn latest_first(&self) -> Vec<(&str, &str, MayRun)> {
         let mut all: Vec<(&str, &str, MayRun)> = Vec::new();
         for (machine, jobs) in &self.machines {
@@ -109,6 +116,7 @@
         all
     }
 
+    /// Whether this attempt of a task is listed on the machine.
     pub fn holds(&self, machine: &str, job: &str, task: u32, attempt: u64) -> bool {
         self.machines
             .get(machine)
--- a/src/control/standby/replication_stream.rs
+++ b/src/control/standby/replication_stream.rs
@@ -1,4 +1,7 @@
-//! What one peer is told, and how far it has confirmed that.
+//! The replication stream to one peer, and how far the peer has acknowledged it.
+//!
+//! Owned by `Standbys`, one for each peer. It must never count a change as acknowledged
+//! before the whole round that holds it is, in the same incarnation.
 
 use super::{CONFIRM_TIMEOUT_MS, DEMOTION_PAUSE_MS, MAX_DEMOTION_PAUSE_MS, ReplicatedState};
 use crate::{
@@ -13,14 +16,15 @@
 /// Bytes of machines in a part, estimated from above; the rest of a frame is
 /// left for what one machine may exceed that by.
 const PART_BYTES: usize = MAX_FRAME / 2;
-/// Told that nothing has changed, a standby that began anew shows itself.
+/// Interval of empty parts when nothing has changed: they show whether a standby was
+/// restarted.
 const KEEP_ALIVE_MS: Millis = 1_000;
-/// Between two questions whether a peer knows of standbys at all.
+/// Between two probes whether a peer knows of standbys at all.
 const PROBE_INTERVAL_MS: Millis = 2_000;
 /// After a part that had no answer.
 const RETRY_DELAY_MS: Millis = 200;
 
-/// Why a standby is struck.
+/// Why a standby is demoted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) enum Demotion {
     Silent,
@@ -38,7 +42,7 @@
     }
 }
 
-/// All that changed up to some moment, told in one or more parts.
+/// All that changed up to some moment, sent in one or more parts.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Round {
     up_to_change: u64,
@@ -59,9 +63,9 @@
     round: Option<Round>,
     /// Changed since the round began.
     changed_machines: BTreeSet<String>,
-    /// Its copy holds all changes up to this one.
+    /// Its replica holds all changes up to this one.
     acknowledged: Option<u64>,
-    /// The part that is on its way, by stream and number.
+    /// The part in flight, by stream and number.
     in_flight: Option<(u64, u64)>,
     sent_at: Millis,
     retry_at: Millis,
@@ -69,7 +73,7 @@
     warm_since: Option<Millis>,
     demoted_until: Millis,
     demotions: u32,
-    /// Why it was last struck.
+    /// Why it was last demoted.
     last_demotion: Option<Demotion>,
 }
 
@@ -126,7 +130,7 @@
         Some((self.name.clone(), self.incarnation?))
     }
 
-    /// Why the peer, named in that incarnation, is to be struck, if it is.
+    /// Why the peer, named in that incarnation, is to be demoted, if it is.
     pub(super) fn demotion_due(&self, named: u64, answers: bool, now: Millis) -> Option<Demotion> {
         if !answers {
             return Some(Demotion::Silent);
@@ -140,13 +144,13 @@
         late.then_some(Demotion::Late)
     }
 
-    /// It is to be struck, and left alone for a while.
+    /// Demotes it, and leaves it alone for a while.
     pub(super) fn demote(&mut self, why: Demotion, now: Millis) {
         if self.is_demoted(now) {
             return;
         }
         log::info!("standby {} is demoted: it {}", self.name, why.text());
-        // One that began anew is as good as any other.
+        // A restarted one is as good as any other.
         let pause = match why {
             Demotion::BeganAnew => 0,
             Demotion::Silent | Demotion::Late => {
@@ -160,8 +164,8 @@
         self.warm_since = None;
     }
 
-    /// A stream from the beginning. What its copy holds it goes on to hold
-    /// until the new one is whole.
+    /// Restarts the stream. What the replica holds stays valid until the new one is
+    /// complete.
     pub(super) fn restart(&mut self, state: &impl ReplicatedState) {
         self.active = true;
         self.stream += 1;
