--- a/src/control/leader/faults.rs
+++ b/src/control/leader/faults.rs
@@ -1,6 +1,14 @@
-//! Who is at fault when tasks fail, and what follows.
+//! Fault attribution: whether the job or the machine is at fault when tasks fail, and
+//! what follows: retry delay, suspicion, quarantine.
+//!
+//! Called with the ends and starts of tasks that heartbeats report, and from `tick`.
+//! Failures of a suspected job must never count against a machine.
 
-use super::*;
+use super::Leader;
+use crate::{
+    protocol::workers::ExitReason,
+    state::{Millis, cluster::Job},
+};
 
 impl Leader {
     pub(super) fn on_task_ended(
@@ -21,7 +29,7 @@
                 job.failures.delay_retry(now);
                 let (id, proven) = (job.id.clone(), job.failures.has_succeeded);
                 let suspected = job.failures.suspected;
-                // The word of a suspected job is worth nothing.
+                // Failures of a suspected job prove nothing.
                 if let Some(m) = self.cluster.machine_mut(machine).filter(|_| !suspected) {
                     m.failures.record_failure(&id, proven, 1, now);
                 }
--- a/src/control/leader/headroom.rs
+++ b/src/control/leader/headroom.rs
@@ -1,9 +1,26 @@
-//! Room kept for work of high priority: what arrives often, and what the loss
-//! of a machine would need.
+//! Headroom: capacity kept free for work of high priority, by what arrived lately and by
+//! what the loss of a machine would need.
+//!
+//! Owns `Class` and `Headroom`. Called by the scheduling cycle, scale-in and scale-out.
+//! It only counts: it places and reserves nothing.
 
-use super::*;
+use super::Leader;
+use crate::{
+    protocol::users::{JobSpec, Kind, Priority},
+    state::{
+        Millis,
+        cluster::{Assignment, Machine},
+        resources::Resources,
+    },
+};
 
-/// Jobs that take the same room.
+/// Over how long arrivals are counted.
+pub(super) const ARRIVAL_WINDOW_MS: Millis = 180_000;
+
+/// Tasks counted on one machine at most.
+const MAX_COUNTED_TASKS: i64 = 1_000;
+
+/// Jobs whose tasks ask for the same capacity.
 #[derive(Debug, PartialEq)]
 pub(super) struct Class {
     pub(super) kind: Kind,
@@ -13,7 +30,7 @@
     pub(super) spot: bool,
 }
 
-/// Room kept free of work of lower priority.
+/// Capacity kept free of work of lower priority.
 pub(super) struct Headroom {
     pub(super) priority: Priority,
     pub(super) need: Resources,
@@ -25,7 +42,7 @@
 }
 
 impl Class {
-    /// Room for so many of its tasks, none of it found yet.
+    /// Headroom for so many of its tasks, none of it found yet.
     fn headroom_for(&self, wanted: i64) -> Headroom {
         Headroom {
             priority: self.priority,
@@ -43,9 +60,15 @@
         self.types.get(type_ix).copied().unwrap_or(false) && (self.spot || !spot)
     }
 
+    /// How many of its tasks fit into so much, up to a bound for tasks that need
+    /// next to nothing.
+    pub(super) fn tasks_in(&self, free: &Resources) -> i64 {
+        free.count(&self.need).min(MAX_COUNTED_TASKS)
+    }
+
     /// How many fewer would fit with this task placed.
     pub(super) fn loss(&self, free: &Resources, need: &Resources) -> i64 {
-        free.count(&self.need).min(1000) - free.minus(*need).count(&self.need).min(1000)
+        self.tasks_in(free) - self.tasks_in(&free.minus(*need))
     }
 }
 
@@ -76,8 +99,8 @@
         }
     }
 
-    /// Room that services need in reserve: what the machine with most of them
-    /// holds, so that it may be lost. Batches may use that room meanwhile.
+    /// Spare capacity for services: for as many as run on the machine with most of them,
+    /// so that it may be lost. Batches may use that capacity meanwhile.
     pub(super) fn spare_capacity(&self) -> Vec<Headroom> {
         let mut out = Vec::new();
         for c in self
@@ -114,10 +137,10 @@
                 if m.schedulable() && r.covers(m.type_ix, m.spot) {
                     let mut free = m.free();
                     free += self.held_by_batches(m);
-                    r.fits += free.count(&r.need).min(1000);
+                    r.fits += r.tasks_in(&free);
                 }
             }
-            // The machine that is lost has its own room, which does not count.
+            // The machine that is lost has capacity of its own, which does not count.
             r.wanted = most;
             if most > 0 {
                 out.push(r);
@@ -140,8 +163,8 @@
         held
     }
 
-    /// Room to keep for work of high priority that is expected within `ahead`,
-    /// going by what arrived lately, `over` how long.
+    /// Headroom for work of high priority that is expected within `ahead`, by what
+    /// arrived during the last `over`.
     pub(super) fn headroom(&mut self, over: Millis, ahead: Millis, now: Millis) -> Vec<Headroom> {
         while self
             .scheduling
@@ -171,7 +194,7 @@
             let mut r = c.headroom_for(wanted);
             for (_, room) in self.scheduling.fleet.machine_views() {
                 if r.covers(room.type_ix, room.spot) {
-                    r.fits += room.free.count(&r.need).min(1000);
+                    r.fits += r.tasks_in(&room.free);
                 }
             }
             out.push(r);
