--- a/tests/failover.rs
+++ b/tests/failover.rs
@@ -7,7 +7,7 @@
 //!
 //! Bounds are raised by hand, see `docs/results.md`:
 //!
-//!     BOUNDS=starts,ends,losses,strikes,rounds cargo test --release --test takeover -- --nocapture
+//!     BOUNDS=starts,ends,losses,strikes,rounds cargo test --release --test failover -- --nocapture
 
 use pathwinch::{
     control::standby::{
--- a/tests/leader_changes.rs
+++ b/tests/leader_changes.rs
@@ -1,5 +1,5 @@
-//! What falls into the seconds in which one controller's work changes hands:
-//! limits, cancellations, old reports, machines that can't be asked, new ones.
+//! Events within the seconds of a failover: quotas, cancellations, stale
+//! heartbeats, unreachable machines, new ones.
 
 mod simulation;
 
@@ -7,7 +7,7 @@
     control::requests::Answer,
     protocol::users::{JobState, Kind, Priority},
 };
-use simulation::{Ask, CANCEL, Cut, LEASE, Net, Side, World, job};
+use simulation::{CANCEL, Cut, CutScope, LEASE, Net, Simulation, UserRequest, job};
 
 fn id(n: u32) -> String {
     format!("j-{n:06}")
@@ -15,10 +15,11 @@
 
 /// Both teams at their limits, with more of each waiting: `t` runs four tasks
 /// and `u` two, on four machines with room for eight.
-fn at_limits(seed: u64, nodes: usize, standbys: bool) -> World {
-    let mut w = World::sized(seed, 4, 0.0, nodes).limited(&[("t", 16.0), ("u", 8.0)]);
-    (w.run_ms, w.desk.way, w.standbys) = (600_000, 20, standbys);
-    w.until(10_000, "a leader", |w| w.leader().is_some());
+fn at_limits(seed: u64, nodes: usize, standbys: bool) -> Simulation {
+    let mut w =
+        Simulation::with_nodes(seed, 4, 0.0, nodes).with_team_limits(&[("t", 16.0), ("u", 8.0)]);
+    (w.run_ms, w.traffic.max_latency_ms, w.standbys) = (600_000, 20, standbys);
+    w.run_until(10_000, "a leader", |w| w.leader().is_some());
     for n in 1..=10 {
         let mut j = job(n, Kind::Array, 2);
         if n > 5 {
@@ -26,13 +27,13 @@
         }
         w.submit(j);
     }
-    w.until(20_000, "at the limits", |w| w.running("j-") == 6);
+    w.run_until(20_000, "at the limits", |w| w.running("j-") == 6);
     w.run(3_000);
     w
 }
 
 /// Jobs that run, with the machine of a task of each.
-fn running_on(w: &World) -> Vec<(usize, String)> {
+fn running_on(w: &Simulation) -> Vec<(usize, String)> {
     let on = w.workers.iter().enumerate();
     let on = on.flat_map(|(m, worker)| worker.tasks.iter().map(move |t| (m, &t.name[..8])));
     on.map(|(m, id)| (m, id.to_owned())).collect()
@@ -50,16 +51,16 @@
 
 const CHANGES: [Change; 5] = [OnPurpose, Ends, EndsAndIsBack, Refused, StandsStill];
 
-fn change(w: &mut World, how: Change) {
+fn change(w: &mut Simulation, how: Change) {
     let Some(leader) = w.leader() else { return };
     match how {
-        OnPurpose => w.hand_over(leader),
+        OnPurpose => w.transfer_leadership(leader),
         Ends => w.crash(leader, 20_000),
         EndsAndIsBack => w.crash(leader, 100),
         Refused => {
-            w.store.refuses.insert(leader);
+            w.store.refused_nodes.insert(leader);
         }
-        StandsStill => w.stand_still(leader, 8_000),
+        StandsStill => w.pause_process(leader, 8_000),
     }
 }
 
@@ -70,14 +71,20 @@
 #[test]
 fn quota_holds_when_cancelled_tasks_are_unreachable() {
     let (mut withdrawn, mut unasked) = (0, 0);
-    let ways = [Net::Hold, Net::Lose, Net::Deaf, Net::Mute, Net::Up];
+    let ways = [
+        Net::Hold,
+        Net::Lose,
+        Net::SendOnly,
+        Net::DirectCommandsOnly,
+        Net::Up,
+    ];
     for (k, how) in (0..50u64).map(|k| (k, CHANGES[(k / 5) as usize % 5])) {
         let mut w = at_limits(1_000 + k, [3, 7][(k % 2) as usize], k % 3 != 0);
         let victims = running_on(&w);
         let silent = [victims[0].0, victims[victims.len() - 1].0];
         for m in silent {
             match ways[(k % 5) as usize] {
-                Net::Up => w.hang(m, 14_000),
+                Net::Up => w.pause_machine(m, 14_000),
                 net => w.workers[m].net = net,
             }
         }
@@ -86,7 +93,7 @@
         for (m, id) in &victims {
             if silent.contains(m) {
                 let i = w.rng.usize(..w.nodes.len());
-                w.ask(0, i, Ask::Withdraw(id.clone()));
+                w.request_later(0, i, UserRequest::Cancel(id.clone()));
             }
         }
         // Before that is recorded, or after.
@@ -99,16 +106,16 @@
         change(&mut w, how);
         w.run(CANCEL + 10_000);
         let told = |n: &u32| {
-            w.told
+            w.answered
                 .get(&id(*n))
                 .is_some_and(|t| t.0 == JobState::Cancelled)
         };
         withdrawn += (1..=10).filter(told).count();
-        w.store.refuses.clear();
-        silent.into_iter().for_each(|m| w.heal(m));
-        (w.calm, w.run_ms) = (true, 3_000);
+        w.store.refused_nodes.clear();
+        silent.into_iter().for_each(|m| w.restore_network(m));
+        (w.fault_free, w.run_ms) = (true, 3_000);
         for n in 1..=10 {
-            w.until(240_000, &format!("{k} {how:?}: {n}"), |w| {
+            w.run_until(240_000, &format!("{k} {how:?}: {n}"), |w| {
                 let ended = w.done(&id(n));
                 if !ended {
                     for worker in &mut w.workers {
@@ -122,9 +129,9 @@
                 ended
             });
         }
-        assert!(w.broken.is_empty(), "{k} {how:?}: {:?}", w.broken);
+        assert!(w.violations.is_empty(), "{k} {how:?}: {:?}", w.violations);
     }
-    // The meeting: tasks stood on machines that could not be asked, and users
+    // The combination: tasks stood on machines that could not be asked, and users
     // were told that their jobs are cancelled.
     assert!(unasked >= 90 && withdrawn >= 50, "{unasked}, {withdrawn}");
 }
@@ -137,10 +144,10 @@
     let (mut met, mut late) = ([0; 5], 0);
     for seed in 0..60u64 {
         let nodes = [3, 7][(seed % 2) as usize];
-        let mut w = World::sized(2_000 + seed, 6, 0.0, nodes);
-        (w.run_ms, w.desk.way, w.write_ms) = (600_000, 30, 150);
-        w.store.slow = [0, 300][(seed / 3 % 2) as usize];
-        w.until(10_000, "a leader", |w| w.leader().is_some());
+        let mut w = Simulation::with_nodes(2_000 + seed, 6, 0.0, nodes);
+        (w.run_ms, w.traffic.max_latency_ms, w.write_latency_ms) = (600_000, 30, 150);
+        w.store.delay_ms = [0, 300][(seed / 3 % 2) as usize];
+        w.run_until(10_000, "a leader", |w| w.leader().is_some());
         for n in 1..=6 {
             w.submit(job(
                 n,
@@ -148,41 +155,45 @@
                 2,
             ));
         }
-        w.until(20_000, "running", |w| w.running("j-") == 12);
+        w.run_until(20_000, "running", |w| w.running("j-") == 12);
         w.run(3_000);
         let asked: Vec<usize> = (1..=6)
             .flat_map(|n| {
                 let (at, i) = (w.rng.u64(0..9_000), w.rng.usize(..nodes));
                 [
-                    w.ask(at, i, Ask::Withdraw(id(n))),
-                    w.ask(at + 700, (i + 1) % nodes, Ask::Withdraw(id(n))),
+                    w.request_later(at, i, UserRequest::Cancel(id(n))),
+                    w.request_later(at + 700, (i + 1) % nodes, UserRequest::Cancel(id(n))),
                 ]
             })
             .collect();
         for n in 1..=6 {
             for at in 0..60 {
                 let i = w.rng.usize(..nodes);
-                w.ask(at * 200, i, Ask::Poll(id(n)));
+                w.request_later(at * 200, i, UserRequest::Poll(id(n)));
             }
         }
         w.run(2_500);
         let how = CHANGES[seed as usize % 5];
         change(&mut w, how);
         w.run(11_000);
-        w.store.refuses.clear();
-        w.store.slow = 0;
-        let given = |n: &usize| w.desk.history[*n].answer.as_ref();
+        w.store.refused_nodes.clear();
+        w.store.delay_ms = 0;
+        let given = |n: &usize| w.traffic.history[*n].answer.as_ref();
         let confirmed = |n: &&usize| matches!(given(n), Some((_, Answer::State(..))));
         met[seed as usize % 5] += asked.iter().filter(confirmed).count();
-        late += w.started_after;
+        late += w.started_after_cancellation;
         w.run(CANCEL);
         for n in 1..=6 {
-            if w.told.contains_key(&format!("{}!", id(n))) {
+            if w.answered.contains_key(&format!("{}!", id(n))) {
                 assert_eq!(w.running(&id(n)), 0, "seed {seed} {how:?}");
-                w.until(20_000, "over", |w| w.done(&id(n)));
+                w.run_until(20_000, "over", |w| w.done(&id(n)));
             }
         }
-        assert!(w.broken.is_empty(), "seed {seed} {how:?}: {:?}", w.broken);
+        assert!(
+            w.violations.is_empty(),
+            "seed {seed} {how:?}: {:?}",
+            w.violations
+        );
     }
     assert!(met.iter().all(|m| *m > 10), "{met:?}");
     assert_eq!(late, 0, "starts after a confirmed withdrawal");
@@ -196,24 +207,24 @@
     let mut told = 0;
     for seed in 0..30u64 {
         let nodes = [3, 7][(seed % 2) as usize];
-        let mut w = World::sized(3_000 + seed, 4, 0.0, nodes);
-        (w.run_ms, w.desk.way, w.write_ms) = (600_000, 30, 100);
-        w.until(10_000, "a leader", |w| w.leader().is_some());
+        let mut w = Simulation::with_nodes(3_000 + seed, 4, 0.0, nodes);
+        (w.run_ms, w.traffic.max_latency_ms, w.write_latency_ms) = (600_000, 30, 100);
+        w.run_until(10_000, "a leader", |w| w.leader().is_some());
         for n in 1..=4 {
             w.submit(job(n, Kind::Array, 2));
         }
-        w.until(20_000, "running", |w| w.running("j-") == 8);
+        w.run_until(20_000, "running", |w| w.running("j-") == 8);
         w.run(3_000);
         let leader = w.leader().unwrap();
         for n in 1..=4 {
             for i in 0..nodes {
                 let at = w.rng.u64(0..1_500);
-                w.ask(at, i, Ask::Withdraw(id(n)));
+                w.request_later(at, i, UserRequest::Cancel(id(n)));
             }
         }
-        w.store.refuses.insert(leader);
+        w.store.refused_nodes.insert(leader);
         w.run([300, 1_000, 1_000, 2_500][seed as usize % 4]);
-        w.store.down = true;
+        w.store.unavailable = true;
         if seed % 3 == 0 {
             // Whoever might follow ends, and is back with no memory.
             (0..nodes)
@@ -221,15 +232,15 @@
                 .for_each(|i| w.crash(i, 150));
         }
         w.run(CANCEL + 15_000);
-        let confirmed = (1..=4).filter(|n| w.told.contains_key(&format!("{}!", id(*n))));
+        let confirmed = (1..=4).filter(|n| w.answered.contains_key(&format!("{}!", id(*n))));
         told += confirmed.count();
-        assert!(w.broken.is_empty(), "seed {seed}: {:?}", w.broken);
-        w.store.down = false;
-        w.store.refuses.clear();
-        w.until(30_000, "a leader again", |w| w.leader().is_some());
-        (w.calm, w.run_ms) = (true, 3_000);
+        assert!(w.violations.is_empty(), "seed {seed}: {:?}", w.violations);
+        w.store.unavailable = false;
+        w.store.refused_nodes.clear();
+        w.run_until(30_000, "a leader again", |w| w.leader().is_some());
+        (w.fault_free, w.run_ms) = (true, 3_000);
         w.run(60_000);
-        assert!(w.broken.is_empty(), "seed {seed}: {:?}", w.broken);
+        assert!(w.violations.is_empty(), "seed {seed}: {:?}", w.violations);
     }
     assert!(told > 30, "{told}");
 }
@@ -242,9 +253,9 @@
 fn rapid_failovers_and_leaderless_spells_break_no_invariant() {
     for seed in 0..16u64 {
         let nodes = [3, 7][(seed % 2) as usize];
-        let mut w = World::sized(4_000 + seed, 5, 0.0, nodes);
-        (w.run_ms, w.desk.way, w.write_ms) = (25_000, 20, 100);
-        w.until(10_000, "a leader", |w| w.leader().is_some());
+        let mut w = Simulation::with_nodes(4_000 + seed, 5, 0.0, nodes);
+        (w.run_ms, w.traffic.max_latency_ms, w.write_latency_ms) = (25_000, 20, 100);
+        w.run_until(10_000, "a leader", |w| w.leader().is_some());
         for n in 1..=5 {
             w.submit(job(
                 n,
@@ -258,36 +269,36 @@
             let away = w.rng.u64(LEASE + 1_000..3 * LEASE);
             (0..nodes).for_each(|i| w.crash(i, away));
             w.run(away + 1_000);
-            assert!(w.lapsed > 0, "the meeting: leases ran out");
+            assert!(w.expired_tasks > 0, "the meeting: leases ran out");
         } else {
             for k in 0..12 {
                 // Inside an outage too.
-                w.store.down = seed % 4 == 2 && (4..7).contains(&k);
+                w.store.unavailable = seed % 4 == 2 && (4..7).contains(&k);
                 match (seed % 4 == 1, w.leader()) {
-                    (true, Some(i)) => w.hand_over(i),
+                    (true, Some(i)) => w.transfer_leadership(i),
                     (false, Some(i)) => w.crash(i, [100, 700, 6_000][k % 3]),
                     (_, None) => {}
                 }
                 let step = if seed % 4 == 1 { 1_000 } else { 10_000 };
                 w.run(step);
             }
-            w.store.down = false;
+            w.store.unavailable = false;
             w.run(8_000);
             let least = if seed % 4 == 2 { 6 } else { 10 };
             assert!(w.terms >= terms + least, "{} terms", w.terms - terms);
         }
-        w.until(40_000, "a leader", |w| w.leader().is_some());
-        (w.calm, w.run_ms) = (true, 3_000);
+        w.run_until(40_000, "a leader", |w| w.leader().is_some());
+        (w.fault_free, w.run_ms) = (true, 3_000);
         for n in [2, 4] {
-            w.until(120_000, &format!("seed {seed}: {n}"), |w| w.done(&id(n)));
+            w.run_until(120_000, &format!("seed {seed}: {n}"), |w| w.done(&id(n)));
         }
-        w.until(60_000, "the services serve", |w| w.running(&id(1)) == 3);
+        w.run_until(60_000, "the services serve", |w| w.running(&id(1)) == 3);
         for n in 1..=5 {
             for i in 0..nodes {
                 assert!(w.poll(i, &id(n)).is_some(), "seed {seed}: {n} at {i}");
             }
         }
-        assert!(w.broken.is_empty(), "seed {seed}: {:?}", w.broken);
+        assert!(w.violations.is_empty(), "seed {seed}: {:?}", w.violations);
     }
 }
 
@@ -299,9 +310,9 @@
     let mut copied = 0;
     for seed in 0..40u64 {
         let nodes = [3, 7][(seed % 2) as usize];
-        let mut w = World::sized(5_000 + seed, 5, 0.0, nodes);
-        (w.run_ms, w.standbys, w.keep_copies) = (4_000, seed % 3 != 0, true);
-        w.until(10_000, "a leader", |w| w.leader().is_some());
+        let mut w = Simulation::with_nodes(5_000 + seed, 5, 0.0, nodes);
+        (w.run_ms, w.standbys, w.keep_for_next_leader) = (4_000, seed % 3 != 0, true);
+        w.run_until(10_000, "a leader", |w| w.leader().is_some());
         let mut n = 0;
         for k in 0..5u64 {
             for _ in 0..3 {
@@ -317,7 +328,7 @@
             match (seed + k) % 4 {
                 0 => w.restart_machine(m),
                 1 => w.workers[m].net = Net::Lose,
-                2 => w.hang(m, LEASE + 2_000),
+                2 => w.pause_machine(m, LEASE + 2_000),
                 _ => {}
             }
             w.cancel(&id(n));
@@ -325,21 +336,21 @@
             w.run(ms);
             change(&mut w, CHANGES[(seed + k) as usize % 5]);
             w.run(6_000);
-            w.heal(m);
-            w.store.refuses.clear();
+            w.restore_network(m);
+            w.store.refused_nodes.clear();
             w.run(8_000);
         }
-        w.keep_copies = false;
-        w.until(30_000, "a leader", |w| w.leader().is_some());
-        copied += w.copied;
-        w.calm = true;
+        w.keep_for_next_leader = false;
+        w.run_until(30_000, "a leader", |w| w.leader().is_some());
+        copied += w.replayed;
+        w.fault_free = true;
         for n in 1..=n {
             if w.specs[&id(n)].kind == Kind::Service {
                 w.cancel(&id(n));
             }
-            w.until(120_000, &format!("seed {seed}: {n}"), |w| w.done(&id(n)));
+            w.run_until(120_000, &format!("seed {seed}: {n}"), |w| w.done(&id(n)));
         }
-        assert!(w.broken.is_empty(), "seed {seed}: {:?}", w.broken);
+        assert!(w.violations.is_empty(), "seed {seed}: {:?}", w.violations);
     }
     assert!(copied > 500, "{copied}");
 }
@@ -352,39 +363,39 @@
     let (mut started, mut lost) = (0, 0);
     for seed in 0..40u64 {
         let nodes = [3, 7][(seed % 2) as usize];
-        let mut w = World::sized(6_000 + seed, 1, 0.0, nodes);
-        (w.rents, w.boot_ms, w.run_ms, w.fetch_ms) = (true, 1_000, 60_000, 100);
+        let mut w = Simulation::with_nodes(6_000 + seed, 1, 0.0, nodes);
+        (w.cloud_grants, w.boot_ms, w.run_ms, w.fetch_ms) = (true, 1_000, 60_000, 100);
         w.standbys = seed % 3 != 0;
-        w.until(10_000, "a leader", |w| w.leader().is_some());
+        w.run_until(10_000, "a leader", |w| w.leader().is_some());
         for n in 1..=6 {
             w.submit(job(n, Kind::Array, 3));
         }
         match seed % 2 {
-            0 => w.store.late = (0..8).map(|k| 2_000 + k * 1_100).collect(),
+            0 => w.store.late_writes = (0..8).map(|k| 2_000 + k * 1_100).collect(),
             _ => w.store.lost_answers = 60,
         }
         let some = w.rng.u64(2_500..7_000);
         w.run(some);
-        started += w.story.len();
+        started += w.start_log.len();
         let leader = w.leader().unwrap_or(0);
         w.crash(leader, [100, 20_000][(seed / 2 % 2) as usize]);
         // Some of the new ones can't be asked.
         let new = w.workers.len();
         for m in (1..new).filter(|m| m % 3 != 0) {
-            w.workers[m].net = [Net::Hold, Net::Mute, Net::Lose][(seed % 3) as usize];
+            w.workers[m].net = [Net::Hold, Net::DirectCommandsOnly, Net::Lose][(seed % 3) as usize];
             lost += 1;
         }
         w.run(12_000);
-        w.store.late.clear();
+        w.store.late_writes.clear();
         w.store.lost_answers = 0;
         w.run(LEASE + 8_000);
-        (0..w.workers.len()).for_each(|m| w.heal(m));
-        w.until(30_000, "a leader", |w| w.leader().is_some());
-        (w.calm, w.run_ms) = (true, 3_000);
+        (0..w.workers.len()).for_each(|m| w.restore_network(m));
+        w.run_until(30_000, "a leader", |w| w.leader().is_some());
+        (w.fault_free, w.run_ms) = (true, 3_000);
         for n in 1..=6 {
-            w.until(200_000, &format!("seed {seed}: {n}"), |w| w.done(&id(n)));
+            w.run_until(200_000, &format!("seed {seed}: {n}"), |w| w.done(&id(n)));
         }
-        assert!(w.broken.is_empty(), "seed {seed}: {:?}", w.broken);
+        assert!(w.violations.is_empty(), "seed {seed}: {:?}", w.violations);
     }
     assert!(
         started > 40 && lost > 40,
@@ -398,38 +409,42 @@
 #[test]
 fn machine_without_received_heartbeats_gets_no_new_tasks() {
     for (seed, how) in (0..20u64).map(|s| (s, CHANGES[s as usize % 5])) {
-        let mut w = World::sized(7_000 + seed, 4, 0.0, 3);
+        let mut w = Simulation::with_nodes(7_000 + seed, 4, 0.0, 3);
         w.run_ms = 600_000;
-        w.until(10_000, "a leader", |w| w.leader().is_some());
+        w.run_until(10_000, "a leader", |w| w.leader().is_some());
         w.submit(job(1, Kind::Service, 4));
-        w.until(20_000, "serving", |w| w.running(&id(1)) == 4);
+        w.run_until(20_000, "serving", |w| w.running(&id(1)) == 4);
         w.run(3_000);
         let m = running_on(&w)[0].0;
-        w.workers[m].net = Net::Mute;
-        let (muted, starts) = (w.now, w.story.len());
+        w.workers[m].net = Net::DirectCommandsOnly;
+        let (muted, starts) = (w.now, w.start_log.len());
         if seed % 4 > 0 {
             w.run(2_000);
             change(&mut w, how);
         }
-        w.until(LEASE + 16_000, "all elsewhere", |w| {
-            w.workers[m].session > 1 && w.running(&id(1)) == 4
+        w.run_until(LEASE + 16_000, "all elsewhere", |w| {
+            w.workers[m].incarnation > 1 && w.running(&id(1)) == 4
         });
         let again = |s: &(u64, usize, String)| s.1 == m && s.0 > muted + LEASE;
         assert!(
-            !w.story[starts..].iter().any(again),
+            !w.start_log[starts..].iter().any(again),
             "begun there once more"
         );
-        w.store.refuses.clear();
+        w.store.refused_nodes.clear();
         w.run(10_000);
         assert!(
-            !w.story[starts..].iter().any(again),
+            !w.start_log[starts..].iter().any(again),
             "begun there once more"
         );
-        w.heal(m);
-        (w.calm, w.run_ms) = (true, 3_000);
+        w.restore_network(m);
+        (w.fault_free, w.run_ms) = (true, 3_000);
         w.submit(job(2, Kind::Array, 4));
-        w.until(90_000, "of use again", |w| w.done(&id(2)));
-        assert!(w.broken.is_empty(), "seed {seed} {how:?}: {:?}", w.broken);
+        w.run_until(90_000, "of use again", |w| w.done(&id(2)));
+        assert!(
+            w.violations.is_empty(),
+            "seed {seed} {how:?}: {:?}",
+            w.violations
+        );
     }
 }
 
@@ -440,11 +455,11 @@
     let mut led_inside = 0;
     for seed in 0..24u64 {
         let nodes = [3, 7][(seed % 2) as usize];
-        let mut w = World::sized(8_000 + seed, 6, 0.0, nodes);
-        (w.run_ms, w.desk.way, w.rents) = (20_000, 20, true);
+        let mut w = Simulation::with_nodes(8_000 + seed, 6, 0.0, nodes);
+        (w.run_ms, w.traffic.max_latency_ms, w.cloud_grants) = (20_000, 20, true);
         let inside = [0, nodes - 1][(seed / 2 % 2) as usize];
-        w.in_b.insert(inside);
-        w.until(10_000, "a leader", |w| w.leader().is_some());
+        w.zone_b_nodes.insert(inside);
+        w.run_until(10_000, "a leader", |w| w.leader().is_some());
         let mut bound = job(1, Kind::Array, 6);
         bound.zone = Some("b".into());
         w.submit(bound);
@@ -457,27 +472,27 @@
         w.run(8_000);
         led_inside += u32::from(w.leader() == Some(inside));
         let zone: Vec<usize> = (0..6).filter(|m| w.workers[*m].zone == "b").collect();
-        w.cut(inside, Side::State, Cut::Hold);
+        w.partition(inside, CutScope::State, Cut::Hold);
         (0..nodes)
             .filter(|i| *i != inside)
-            .for_each(|i| w.cut(inside, Side::Node(i), Cut::Hold));
+            .for_each(|i| w.partition(inside, CutScope::Node(i), Cut::Hold));
         // Its workers reach it, and it alone.
         (0..nodes)
             .filter(|i| *i != inside)
-            .for_each(|i| w.cut_worker_off(i, &zone));
+            .for_each(|i| w.partition_from_workers(i, &zone));
         let ms = w.rng.u64(LEASE + 2_000..3 * LEASE);
         w.run(ms);
         if seed % 3 == 0 {
-            zone.iter().for_each(|m| w.die(*m));
+            zone.iter().for_each(|m| w.kill_machine(*m));
         }
-        (0..nodes).for_each(|i| w.join(i));
-        w.until(40_000, "a leader", |w| w.leader().is_some());
-        (w.calm, w.run_ms) = (true, 3_000);
-        w.until(60_000, "serves", |w| w.running(&id(2)) == 3);
+        (0..nodes).for_each(|i| w.end_partitions(i));
+        w.run_until(40_000, "a leader", |w| w.leader().is_some());
+        (w.fault_free, w.run_ms) = (true, 3_000);
+        w.run_until(60_000, "serves", |w| w.running(&id(2)) == 3);
         for n in [1, 3] {
-            w.until(120_000, &format!("seed {seed}: {n}"), |w| w.done(&id(n)));
+            w.run_until(120_000, &format!("seed {seed}: {n}"), |w| w.done(&id(n)));
         }
-        assert!(w.broken.is_empty(), "seed {seed}: {:?}", w.broken);
+        assert!(w.violations.is_empty(), "seed {seed}: {:?}", w.violations);
     }
     assert!((4..20).contains(&led_inside), "{led_inside}");
 }
@@ -487,14 +502,14 @@
 #[test]
 fn overload_over_slow_links_starves_no_class() {
     for seed in 0..6u64 {
-        let mut w = World::sized(9_000 + seed, 5, 0.0, 3);
-        (w.run_ms, w.desk.way) = (4_000, 20);
-        w.until(10_000, "a leader", |w| w.leader().is_some());
+        let mut w = Simulation::with_nodes(9_000 + seed, 5, 0.0, 3);
+        (w.run_ms, w.traffic.max_latency_ms) = (4_000, 20);
+        w.run_until(10_000, "a leader", |w| w.leader().is_some());
         for m in 0..5 {
             let ms = w.rng.u64(100..1_800);
             w.slow_links.insert(m, ms);
             if m % 2 == 0 {
-                w.slow_do.insert(m, ms * 2);
+                w.direct_command_delay.insert(m, ms * 2);
             }
         }
         let mut n = 0;
@@ -507,12 +522,12 @@
             w.run(800);
         }
         let begun = w.now;
-        w.calm = true;
+        w.fault_free = true;
         for m in 1..=n {
-            w.until(240_000, &format!("seed {seed}: {m}"), |w| w.done(&id(m)));
+            w.run_until(240_000, &format!("seed {seed}: {m}"), |w| w.done(&id(m)));
         }
         assert!(w.now < begun + 240_000, "seed {seed}");
-        assert!(w.broken.is_empty(), "seed {seed}: {:?}", w.broken);
+        assert!(w.violations.is_empty(), "seed {seed}: {:?}", w.violations);
     }
 }
 
@@ -525,16 +540,16 @@
 fn restarted_agent_with_higher_sequence_keeps_own_lease() {
     let mut met = 0;
     for seed in 0..40u64 {
-        let mut w = World::sized(9_500 + seed, 4, 0.0, 3);
+        let mut w = Simulation::with_nodes(9_500 + seed, 4, 0.0, 3);
         (w.run_ms, w.standbys) = (600_000, false);
-        w.until(10_000, "a leader", |w| w.leader().is_some());
+        w.run_until(10_000, "a leader", |w| w.leader().is_some());
         for n in 1..=8 {
             w.submit(job(n, Kind::Array, 1));
         }
-        w.until(10_000, "all full", |w| w.running("j-") == 8);
+        w.run_until(10_000, "all full", |w| w.running("j-") == 8);
         w.run(3_000);
         let leader = w.leader().unwrap();
-        (0..3).for_each(|j| w.cut(leader, Side::Node(j), Cut::Hold));
+        (0..3).for_each(|j| w.partition(leader, CutScope::Node(j), Cut::Hold));
         let on = running_on(&w);
         let (m, first) = on[0].clone();
         let elsewhere = on.iter().find(|(o, _)| *o != m).unwrap().1.clone();
@@ -543,18 +558,18 @@
         w.restart_machine(m);
         let some = w.rng.u64(5_500..9_000);
         w.run(some);
-        let before = w.story.len();
+        let before = w.start_log.len();
         // What comes of it shows that all is gone there, and one starts anew.
         w.cancel(&first);
         w.run(400);
         // Now there is room elsewhere too.
         w.cancel(&elsewhere);
         w.run(6_000);
-        met += u32::from(w.story[before..].iter().any(|s| s.1 == m));
-        assert!(w.broken.is_empty(), "seed {seed}: {:?}", w.broken);
-        (0..3).for_each(|i| w.join(i));
+        met += u32::from(w.start_log[before..].iter().any(|s| s.1 == m));
+        assert!(w.violations.is_empty(), "seed {seed}: {:?}", w.violations);
+        (0..3).for_each(|i| w.end_partitions(i));
         w.run(10_000);
-        assert!(w.broken.is_empty(), "seed {seed}: {:?}", w.broken);
+        assert!(w.violations.is_empty(), "seed {seed}: {:?}", w.violations);
     }
     assert!(
         met >= 20,
--- a/tests/offload.rs
+++ b/tests/offload.rs
@@ -13,17 +13,17 @@
     state::{offload::OffloadTarget, records::award_key},
 };
 use serde_json::json;
-use simulation::{World, job};
+use simulation::{Simulation, job};
 
 const ID: &str = "j-000001";
 
 /// An installation whose team may run two tasks: a job holds them, and an
 /// array of four waits.
-fn waiting() -> World {
-    let mut w = World::led(5, 3, 8.0);
+fn waiting() -> Simulation {
+    let mut w = Simulation::with_leader(5, 3, 8.0);
     w.run_ms = 600_000;
     w.submit(job(2, Kind::Array, 2));
-    w.until(30_000, "the limit is used up", |w| {
+    w.run_until(30_000, "the limit is used up", |w| {
         w.running("j-000002") == 2
     });
     w.submit(job(1, Kind::Array, 4));
@@ -32,13 +32,13 @@
     w
 }
 
-fn leader(w: &mut World) -> &mut Leader {
+fn leader(w: &mut Simulation) -> &mut Leader {
     let i = w.leader().expect("a node leads");
     w.nodes[i].leader.as_mut().expect("it leads")
 }
 
 /// A broker writes an award's record, or its end; returns the version.
-fn record(w: &mut World, end: bool) -> u64 {
+fn record(w: &mut Simulation, end: bool) -> u64 {
     w.store.revision += 1;
     let version = w.store.revision;
     let value = (json!({ "end": end }), version);
@@ -53,7 +53,7 @@
     }
 }
 
-fn lend(w: &mut World, award: u64, version: u64) -> Marked {
+fn offload(w: &mut Simulation, award: u64, version: u64) -> Marked {
     for _ in 0..100 {
         let marked = leader(w).lend(ID, lent(award), version);
         if marked != Marked::NotYet {
@@ -64,14 +64,14 @@
     Marked::NotYet
 }
 
-fn take_back(w: &mut World, award: u64, done: &[(u32, u32)]) {
-    w.until(5_000, "it is taken back", |w| {
+fn take_back(w: &mut Simulation, award: u64, done: &[(u32, u32)]) {
+    w.run_until(5_000, "it is taken back", |w| {
         leader(w).take_back(ID, award, done)
     });
 }
 
 /// Room is made here for everything.
-fn make_room(w: &mut World) {
+fn free_capacity(w: &mut Simulation) {
     w.cancel("j-000002");
     w.run(30_000);
 }
@@ -80,38 +80,42 @@
 fn offloaded_job_never_starts_locally_after_failover() {
     let mut w = waiting();
     let version = record(&mut w, false);
-    assert_eq!(lend(&mut w, 7, version), Marked::Yes);
-    assert_eq!(lend(&mut w, 7, version), Marked::Yes, "to be repeated");
-    assert_eq!(lend(&mut w, 8, version), Marked::No, "one award at a time");
+    assert_eq!(offload(&mut w, 7, version), Marked::Yes);
+    assert_eq!(offload(&mut w, 7, version), Marked::Yes, "to be repeated");
+    assert_eq!(
+        offload(&mut w, 8, version),
+        Marked::No,
+        "one award at a time"
+    );
     let told = leader(&mut w).explain(ID, 0).unwrap();
     assert_eq!(told.reason, Some(Reason::Lent));
     assert!(told.verdict.unwrap().contains("north"));
     let now = w.now;
     assert_eq!(leader(&mut w).picture(now).lent, [("north".to_owned(), 1)]);
-    make_room(&mut w);
+    free_capacity(&mut w);
     assert_eq!(w.running(ID), 0);
     let old = w.leader().unwrap();
     w.crash(old, 3_000);
-    w.until(10_000, "another leads", |w| {
+    w.run_until(10_000, "another leads", |w| {
         w.leader().is_some_and(|l| l != old)
     });
     w.run(30_000);
     assert_eq!((w.running(ID), w.poll(0, ID)), (0, Some(JobState::Queued)));
     // Two came back done; the others run here.
     take_back(&mut w, 7, &[(1, 2)]);
-    w.until(30_000, "the rest runs", |w| w.running(ID) == 2);
+    w.run_until(30_000, "the rest runs", |w| w.running(ID) == 2);
     take_back(&mut w, 7, &[(0, 3)]);
     assert_eq!(w.running(ID), 2, "a second return says nothing new");
-    w.sound();
+    w.assert_no_violations();
 }
 
 #[test]
 fn offloaded_job_returned_done_is_final() {
     let mut w = waiting();
     let version = record(&mut w, false);
-    assert_eq!(lend(&mut w, 7, version), Marked::Yes);
+    assert_eq!(offload(&mut w, 7, version), Marked::Yes);
     take_back(&mut w, 7, &[(0, 3)]);
-    w.until(5_000, "done", |w| w.poll(0, ID) == Some(JobState::Done));
+    w.run_until(5_000, "done", |w| w.poll(0, ID) == Some(JobState::Done));
     take_back(&mut w, 7, &[]);
     assert_eq!(w.poll(1, ID), Some(JobState::Done));
 }
@@ -123,9 +127,9 @@
     let mut w = waiting();
     let version = record(&mut w, false);
     record(&mut w, true);
-    assert_eq!(lend(&mut w, 7, version), Marked::No);
-    make_room(&mut w);
-    w.until(30_000, "it runs here", |w| w.running(ID) > 0);
+    assert_eq!(offload(&mut w, 7, version), Marked::No);
+    free_capacity(&mut w);
+    w.run_until(30_000, "it runs here", |w| w.running(ID) > 0);
 }
 
 /// The write of a mark has no answer and is applied seconds later, while its
@@ -135,21 +139,21 @@
     for ends in [false, true] {
         let mut w = waiting();
         let version = record(&mut w, false);
-        w.store.late = vec![4_000];
+        w.store.late_writes = vec![4_000];
         leader(&mut w).lend(ID, lent(7), version);
         if ends {
             w.run(200);
             record(&mut w, true);
         }
-        make_room(&mut w);
+        free_capacity(&mut w);
         if ends {
-            w.until(40_000, "it runs here", |w| w.running(ID) > 0);
+            w.run_until(40_000, "it runs here", |w| w.running(ID) > 0);
             assert!(leader(&mut w).take_back(ID, 7, &[]));
         } else {
-            assert_eq!(lend(&mut w, 7, version), Marked::Yes);
+            assert_eq!(offload(&mut w, 7, version), Marked::Yes);
             assert_eq!(w.running(ID), 0);
         }
-        w.sound();
+        w.assert_no_violations();
     }
 }
 
@@ -163,7 +167,7 @@
     assert_eq!(l.lend("j-000009", lent(9), version), Marked::No);
     let names: Vec<String> = l.lendable(10).into_iter().map(|j| j.spec.id).collect();
     assert_eq!(names, [ID]);
-    assert_eq!(lend(&mut w, 7, version), Marked::Yes);
+    assert_eq!(offload(&mut w, 7, version), Marked::Yes);
     let out = [(ID.to_owned(), 7)];
     assert!(leader(&mut w).lendable(10).is_empty());
     assert!(leader(&mut w).not_needed(&out).is_empty());
@@ -173,7 +177,7 @@
     assert_eq!(w.poll(0, ID), Some(JobState::Cancelled));
     take_back(&mut w, 7, &[(0, 3)]);
     assert_eq!(w.poll(0, ID), Some(JobState::Cancelled), "it stays so");
-    w.sound();
+    w.assert_no_violations();
 }
 
 /// Guards against marks that are set one at a time, which took 50 ms each, and
--- a/tests/read_monotonicity.rs
+++ b/tests/read_monotonicity.rs
@@ -1,48 +1,49 @@
-//! A job's told state goes back: each way in which that was found to happen.
+//! Read monotonicity: each way in which a job's reported state was found to go
+//! back.
 
 mod simulation;
 
 use pathwinch::protocol::users::{JobState, Kind};
-use simulation::{Ask, Cut, Side, World, job};
+use simulation::{Cut, CutScope, Simulation, UserRequest, job};
 
 const ID: &str = "j-000001";
 
 /// Leads on until that node does.
-fn lead(w: &mut World, node: usize) {
+fn make_leader(w: &mut Simulation, node: usize) {
     for _ in 0..20 {
         match w.leader() {
             Some(leader) if leader == node => return,
-            Some(leader) => w.hand_over(leader),
+            Some(leader) => w.transfer_leadership(leader),
             None => {}
         }
-        w.until(5_000, "a leader", |w| w.leader().is_some());
+        w.run_until(5_000, "a leader", |w| w.leader().is_some());
     }
     panic!("node {node} never led");
 }
 
 /// No node calls it anything but done any more, nor does its task start again.
-fn only_done(w: &mut World, seed: u64) {
+fn assert_stays_done(w: &mut Simulation, seed: u64) {
     for _ in 0..100 {
         for i in 0..3 {
             let told = w.poll(i, ID);
             let right = told.is_none_or(|state| state == JobState::Done);
-            assert!(right, "{seed}: {told:?} at {i}: {:?}", w.broken);
+            assert!(right, "{seed}: {told:?} at {i}: {:?}", w.violations);
         }
         w.step();
     }
     assert_eq!(w.starts, 1, "{seed}: its task started again");
-    assert!(w.broken.is_empty(), "{seed}: {:?}", w.broken);
+    assert!(w.violations.is_empty(), "{seed}: {:?}", w.violations);
 }
 
 /// The answer to that look comes at a node that leads by now. Returns whether
 /// it was still to come; nobody asks about the job before it is there.
-fn slow_answer_comes(w: &mut World, seed: u64, asked: usize) -> bool {
-    let is_there = move |w: &mut World| w.desk.history[asked].answer.is_some();
+fn slow_answer_comes(w: &mut Simulation, seed: u64, asked: usize) -> bool {
+    let is_there = move |w: &mut Simulation| w.traffic.history[asked].answer.is_some();
     if is_there(w) {
         return false;
     }
-    w.until(6_000, "the slow answer", is_there);
-    only_done(w, seed);
+    w.run_until(6_000, "the slow answer", is_there);
+    assert_stays_done(w, seed);
     true
 }
 
@@ -55,36 +56,40 @@
 fn record_read_in_earlier_term_is_discarded() {
     let mut met = 0;
     for seed in 0..12 {
-        let mut w = World::sized(seed, 4, 0.0, 3);
-        (w.run_ms, w.fetch_ms, w.desk.way) = (300, 50, 1);
-        w.until(10_000, "a leader", |w| w.leader().is_some());
+        let mut w = Simulation::with_nodes(seed, 4, 0.0, 3);
+        (w.run_ms, w.fetch_ms, w.traffic.max_latency_ms) = (300, 50, 1);
+        w.run_until(10_000, "a leader", |w| w.leader().is_some());
         w.run(12_000);
         let first = w.leader().expect("somebody leads");
         let other = (first + 1) % 3;
         // The other node can't reach the leader, which learns of it late.
-        w.cut(first, Side::State, Cut::Reset);
-        w.cut(other, Side::Node(first), Cut::Reset);
+        w.partition(first, CutScope::State, Cut::Reset);
+        w.partition(other, CutScope::Node(first), Cut::Reset);
         let spec = job(1, Kind::Array, 1);
         w.specs.insert(ID.into(), spec.clone());
-        w.ask(0, other, Ask::submit(&spec));
+        w.request_later(0, other, UserRequest::submit(&spec));
         w.step();
-        w.join(first);
-        w.join(other);
-        w.desk.slow_answers = 4_000;
+        w.end_partitions(first);
+        w.end_partitions(other);
+        w.traffic.read_delay_ms = 4_000;
         let body = format!(r#"{{"ref":"{ID}","pieces":"many"}}"#);
-        let asked = w.ask(0, first, Ask::Odd(ID.into(), body.into_bytes()));
+        let asked = w.request_later(
+            0,
+            first,
+            UserRequest::Malformed(ID.into(), body.into_bytes()),
+        );
         w.step();
-        w.desk.slow_answers = 0;
+        w.traffic.read_delay_ms = 0;
         if w.leader() != Some(first) {
             continue;
         }
-        w.hand_over(first);
-        w.until(5_000, "the next leader", |w| w.leader().is_some());
-        w.until(3_000, "its end", |w| {
+        w.transfer_leadership(first);
+        w.run_until(5_000, "the next leader", |w| w.leader().is_some());
+        w.run_until(3_000, "its end", |w| {
             let leader = w.leader();
             leader.is_some_and(|i| w.poll(i, ID) == Some(JobState::Done))
         });
-        lead(&mut w, first);
+        make_leader(&mut w, first);
         met += u32::from(slow_answer_comes(&mut w, seed, asked));
     }
     assert!(met >= 3, "{met}");
@@ -97,24 +102,28 @@
 fn record_read_before_election_is_discarded() {
     let mut met = 0;
     for seed in 20..32 {
-        let mut w = World::sized(seed, 4, 0.0, 3);
-        (w.run_ms, w.fetch_ms, w.desk.way) = (900, 50, 1);
-        w.until(10_000, "a leader", |w| w.leader().is_some());
+        let mut w = Simulation::with_nodes(seed, 4, 0.0, 3);
+        (w.run_ms, w.fetch_ms, w.traffic.max_latency_ms) = (900, 50, 1);
+        w.run_until(10_000, "a leader", |w| w.leader().is_some());
         w.run(12_000);
         let first = w.leader().expect("somebody leads");
         let next = (first + 1) % 3;
         w.submit(job(1, Kind::Array, 1));
-        w.cut(next, Side::Node(first), Cut::Reset);
-        w.desk.slow_answers = 3_500;
+        w.partition(next, CutScope::Node(first), Cut::Reset);
+        w.traffic.read_delay_ms = 3_500;
         let body = format!(r#"{{"ref":"{ID}","pieces":"many"}}"#);
-        let asked = w.ask(0, next, Ask::Odd(ID.into(), body.into_bytes()));
+        let asked = w.request_later(
+            0,
+            next,
+            UserRequest::Malformed(ID.into(), body.into_bytes()),
+        );
         w.step();
-        w.desk.slow_answers = 0;
-        w.until(3_000, "its end", |w| {
+        w.traffic.read_delay_ms = 0;
+        w.run_until(3_000, "its end", |w| {
             w.poll(first, ID) == Some(JobState::Done)
         });
-        w.join(next);
-        lead(&mut w, next);
+        w.end_partitions(next);
+        make_leader(&mut w, next);
         met += u32::from(slow_answer_comes(&mut w, seed, asked));
     }
     assert!(met >= 3, "{met}");
@@ -124,8 +133,8 @@
 /// is told. Guards against a cluster state that outweighs the end.
 #[test]
 fn remembered_final_state_overrides_cluster_state() {
-    let mut w = World::sized(1, 2, 0.0, 3);
-    w.until(10_000, "a leader", |w| w.leader().is_some());
+    let mut w = Simulation::with_nodes(1, 2, 0.0, 3);
+    w.run_until(10_000, "a leader", |w| w.leader().is_some());
     w.submit(job(1, Kind::Array, 1));
     let leader = w.leader().expect("somebody leads");
     let led = w.nodes[leader].leader.as_mut().expect("it leads");
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -14,7 +14,7 @@
     },
     state::{Millis, records::JobRecord},
 };
-use simulation::{Ask, LEASE, Net, World, job};
+use simulation::{LEASE, Net, Simulation, UserRequest, job};
 use std::rc::Rc;
 
 fn types() -> Vec<MachineType> {
@@ -34,22 +34,22 @@
 
 fn load_machines(l: &mut Leader, machines: u32) {
     for n in 0..machines {
-        l.load_machine(&format!("i-{n:06}"), simulation::roster_record(), 3, 0);
+        l.load_machine(&format!("i-{n:06}"), simulation::machine_record(), 3, 0);
     }
 }
 
 /// An installation with a leader, whose tasks run for so long.
-fn led(seed: u64, machines: usize, limit: f64, run_ms: Millis) -> World {
-    let mut w = World::led(seed, machines, limit);
+fn with_leader(seed: u64, machines: usize, limit: f64, run_ms: Millis) -> Simulation {
+    let mut w = Simulation::with_leader(seed, machines, limit);
     w.run_ms = run_ms;
     w
 }
 
 /// The leader ends, and another leads.
-fn change_leader(w: &mut World) {
+fn change_leader(w: &mut Simulation) {
     let old = w.leader().unwrap();
     w.crash(old, 3_000);
-    w.until(10_000, "another leads", |w| {
+    w.run_until(10_000, "another leads", |w| {
         w.leader().is_some_and(|l| l != old)
     });
 }
@@ -94,7 +94,7 @@
 }
 
 /// Guards against a lease without any rental after each change of leadership
-/// beside a unresponsive machine; and against renting, before the others could
+/// beside an unresponsive machine; and against renting, before the others could
 /// report, for all that runs.
 #[test]
 fn new_leader_scales_out_only_for_unplaced_tasks() {
@@ -122,20 +122,20 @@
 /// arrival order, the small one would wait for 40 tasks of 10 s on two places.
 #[test]
 fn small_batch_meets_deadline_beside_large_one() {
-    let mut w = led(41, 1, 0.0, 10_000);
+    let mut w = with_leader(41, 1, 0.0, 10_000);
     w.submit(due(job(1, Kind::Array, 40)));
     w.run(1_000);
     w.submit(due(job(2, Kind::Array, 2)));
-    w.until(45_000, "the small one done", |w| w.done("j-000002"));
+    w.run_until(45_000, "the small one done", |w| w.done("j-000002"));
     assert!(!w.done("j-000001"));
     // Only batches that say when they are due let others pass.
     w.submit(job(3, Kind::Array, 20));
     w.run(1_000);
     w.submit(job(4, Kind::Array, 1));
-    w.until(700_000, "the large one done", |w| w.done("j-000001"));
-    w.until(400_000, "all done", |w| w.done("j-000003"));
-    w.until(60_000, "the last done", |w| w.done("j-000004"));
-    w.sound();
+    w.run_until(700_000, "the large one done", |w| w.done("j-000001"));
+    w.run_until(400_000, "all done", |w| w.done("j-000003"));
+    w.run_until(60_000, "the last done", |w| w.done("j-000004"));
+    w.assert_no_violations();
 }
 
 /// Guards against a lease of waiting, at each change of leadership, for
@@ -143,9 +143,9 @@
 #[test]
 fn new_leader_skips_machines_with_recorded_lease_expiry() {
     for seed in 50..58 {
-        let mut w = led(seed, 4, 0.0, 600_000);
+        let mut w = with_leader(seed, 4, 0.0, 600_000);
         w.submit(job(1, Kind::Service, 6));
-        w.until(20_000, "running", |w| w.running("j-000001") == 6);
+        w.run_until(20_000, "running", |w| w.running("j-000001") == 6);
         w.workers[0].net = Net::Lose;
         w.run(LEASE + 3_000);
         // Lapsed, but not so long ago that it would be returned.
@@ -159,23 +159,23 @@
         // another change: now there is something on it to wait for.
         w.workers[0].net = Net::Up;
         w.submit(job(3, Kind::Service, 8));
-        w.until(20_000, "used again", |w| !w.workers[0].tasks.is_empty());
+        w.run_until(20_000, "used again", |w| !w.workers[0].tasks.is_empty());
         w.workers[0].net = Net::Lose;
         change_leader(&mut w);
         w.run(2_500);
         let i = w.leader().unwrap();
         assert!(!w.nodes[i].leader.as_ref().unwrap().settled());
         w.run(30_000);
-        w.sound();
+        w.assert_no_violations();
     }
 }
 
 /// Two machines, of which the first has been unresponsive for longer than its lease,
 /// and a service for which one is not enough.
-fn with_a_silent_machine(seed: u64, before_lapse: impl Fn(&mut World)) -> World {
-    let mut w = led(seed, 2, 0.0, 600_000);
+fn with_unresponsive_machine(seed: u64, before_lapse: impl Fn(&mut Simulation)) -> Simulation {
+    let mut w = with_leader(seed, 2, 0.0, 600_000);
     w.submit(job(1, Kind::Service, 4));
-    w.until(20_000, "running", |w| w.running("j-000001") == 4);
+    w.run_until(20_000, "running", |w| w.running("j-000001") == 4);
     w.workers[0].net = Net::Lose;
     w.run(LEASE - 1_000);
     before_lapse(&mut w);
@@ -187,14 +187,14 @@
 /// nothing runs there: the next leader would not wait for it.
 #[test]
 fn machine_recorded_empty_is_unused_until_record_cleared() {
-    let mut w = with_a_silent_machine(60, |_| {});
-    w.store.down = true;
+    let mut w = with_unresponsive_machine(60, |_| {});
+    w.store.unavailable = true;
     w.workers[0].net = Net::Up;
     w.run(4_000);
     assert!(w.workers[0].tasks.is_empty(), "nothing can be written");
-    w.store.down = false;
-    w.until(10_000, "used again", |w| !w.workers[0].tasks.is_empty());
-    w.sound();
+    w.store.unavailable = false;
+    w.run_until(10_000, "used again", |w| !w.workers[0].tasks.is_empty());
+    w.assert_no_violations();
 }
 
 /// The same where the note had no answer and is applied later, before or after
@@ -202,28 +202,28 @@
 #[test]
 fn late_lease_expiry_record_never_marks_used_machine() {
     for late in [300, 2_000, 6_000, 9_000, 14_000] {
-        let mut w = with_a_silent_machine(61, |w| w.store.late.push(late));
+        let mut w = with_unresponsive_machine(61, |w| w.store.late_writes.push(late));
         w.workers[0].net = Net::Up;
-        w.until(40_000, "used again", |w| !w.workers[0].tasks.is_empty());
+        w.run_until(40_000, "used again", |w| !w.workers[0].tasks.is_empty());
         w.run(8_000);
         w.workers[0].net = Net::Lose;
         let old = w.leader().unwrap();
         w.crash(old, 3_000);
         w.run(25_000);
-        w.sound();
+        w.assert_no_violations();
     }
 }
 
 /// Guards against a recovery that operators cannot see: each phase is told
-/// once, in order, and a unresponsive machine shows in the one that waits for it.
+/// once, in order, and an unresponsive machine shows in the one that waits for it.
 #[test]
 fn recovery_phases_are_reported_once_in_order() {
-    let mut w = led(62, 4, 0.0, 600_000);
+    let mut w = with_leader(62, 4, 0.0, 600_000);
     w.submit(job(1, Kind::Service, 6));
-    w.until(20_000, "running", |w| w.running("j-000001") == 6);
+    w.run_until(20_000, "running", |w| w.running("j-000001") == 6);
     let busy = w.workers.iter().position(|m| !m.tasks.is_empty()).unwrap();
     w.workers[busy].net = Net::Lose;
-    w.go_cold();
+    w.drop_standbys();
     change_leader(&mut w);
     let i = w.leader().unwrap();
     w.run(LEASE + 6_000);
@@ -237,7 +237,7 @@
         "{phases:?}"
     );
     assert!(phases[2].1 < 2.0, "{phases:?}");
-    w.sound();
+    w.assert_no_violations();
 }
 
 /// Guards against a lease of waiting for a machine that the cloud has taken
@@ -246,9 +246,9 @@
 #[test]
 fn new_leader_skips_machine_absent_from_fresh_list() {
     for still_listed in [false, true] {
-        let mut w = led(63, 3, 0.0, 600_000);
+        let mut w = with_leader(63, 3, 0.0, 600_000);
         w.submit(job(1, Kind::Service, 6));
-        w.until(20_000, "running", |w| w.running("j-000001") == 6);
+        w.run_until(20_000, "running", |w| w.running("j-000001") == 6);
         w.workers[1].alive = false;
         change_leader(&mut w);
         let (i, began) = (w.leader().unwrap(), w.now);
@@ -274,7 +274,7 @@
         l.tick(now, now);
         assert_eq!(l.settled(), !still_listed);
         w.run(30_000);
-        w.sound();
+        w.assert_no_violations();
     }
 }
 
@@ -282,18 +282,18 @@
 #[test]
 fn unresponsive_third_returns_with_tasks_after_full_crash() {
     for seed in 64..68 {
-        let mut w = led(seed, 9, 0.0, 600_000);
+        let mut w = with_leader(seed, 9, 0.0, 600_000);
         w.submit(job(1, Kind::Service, 18));
-        w.until(30_000, "running", |w| w.running("j-000001") == 18);
+        w.run_until(30_000, "running", |w| w.running("j-000001") == 18);
         let starts = w.starts;
         (0..3).for_each(|m| w.workers[m].net = Net::Hold);
         (0..3).for_each(|i| w.crash(i, 2_000));
         w.run(5_500);
-        (0..3).for_each(|m| w.heal(m));
+        (0..3).for_each(|m| w.restore_network(m));
         w.run(30_000);
         assert_eq!(w.running("j-000001"), 18, "seed {seed}");
         assert_eq!(w.starts, starts, "seed {seed}: nothing was started anew");
-        w.sound();
+        w.assert_no_violations();
     }
 }
 
@@ -302,9 +302,9 @@
 #[test]
 fn machines_returning_beside_replacements_break_no_invariant() {
     for (seed, net) in [(68, Net::Hold), (69, Net::Lose), (70, Net::Hold)] {
-        let mut w = led(seed, 9, 48.0, 600_000);
+        let mut w = with_leader(seed, 9, 48.0, 600_000);
         w.submit(job(1, Kind::Service, 12));
-        w.until(30_000, "running", |w| w.running("j-000001") == 12);
+        w.run_until(30_000, "running", |w| w.running("j-000001") == 12);
         let lost: Vec<usize> = (0..9)
             .filter(|m| !w.workers[*m].tasks.is_empty())
             .take(3)
@@ -314,15 +314,15 @@
         let old = w.leader().unwrap();
         w.crash(old, 3_000);
         w.run(LEASE + 12_000);
-        let there = |w: &World| {
+        let there = |w: &Simulation| {
             let others = (0..9).filter(|m| !lost.contains(m));
             others.map(|m| w.workers[m].tasks.len()).sum::<usize>()
         };
         assert_eq!(there(&w), 12, "seed {seed}: all run elsewhere");
-        lost.iter().for_each(|m| w.heal(*m));
+        lost.iter().for_each(|m| w.restore_network(*m));
         w.run(20_000);
         assert_eq!(w.running("j-000001"), 12);
-        w.sound();
+        w.assert_no_violations();
     }
 }
 
@@ -330,7 +330,7 @@
 /// room is theirs when its work comes, one vast array and a flood of tiny jobs.
 #[test]
 fn offloaded_jobs_are_preempted_for_guaranteed_team() {
-    let mut w = led(71, 4, 0.0, 20_000);
+    let mut w = with_leader(71, 4, 0.0, 20_000);
     let guest = |n, tasks| {
         let mut j = job(n, Kind::Array, tasks);
         j.team = "guests".into();
@@ -344,16 +344,16 @@
     let mut service = job(100, Kind::Service, 2);
     service.priority = Priority::Production;
     w.submit(service);
-    w.until(3_000, "the service", |w| w.running("j-000100") == 2);
+    w.run_until(3_000, "the service", |w| w.running("j-000100") == 2);
     // Normal work within a guarantee waits a while for others' to end.
     let mut batch = job(101, Kind::Array, 2);
     batch.team = "u".into();
     w.submit(batch);
-    w.until(60_000, "the batch", |w| w.done("j-000101"));
+    w.run_until(60_000, "the batch", |w| w.done("j-000101"));
     assert_eq!(w.running("j-000100"), 2);
     w.run(100_000);
     assert!(w.starts > 40, "guests go on in what is left");
-    w.sound();
+    w.assert_no_violations();
 }
 
 /// Guards against a pass over the fleet for each first report.
@@ -397,47 +397,47 @@
 #[test]
 fn successor_crash_while_loading_loses_nothing() {
     for seed in 72..76 {
-        let mut w = led(seed, 6, 0.0, 600_000);
+        let mut w = with_leader(seed, 6, 0.0, 600_000);
         w.submit(job(1, Kind::Service, 10));
-        w.until(30_000, "running", |w| w.running("j-000001") == 10);
+        w.run_until(30_000, "running", |w| w.running("j-000001") == 10);
         let starts = w.starts;
         w.load_ms = 2_500;
         let first = w.leader().unwrap();
         w.crash(first, 20_000);
-        let loading = |w: &World| {
+        let loading = |w: &Simulation| {
             let mut others = (0..3).filter(|i| *i != first);
             others.find(|i| w.nodes[*i].leader.as_ref().is_some_and(|l| !l.loaded()))
         };
-        w.until(8_000, "a second loads", |w| loading(w).is_some());
+        w.run_until(8_000, "a second loads", |w| loading(w).is_some());
         let second = loading(&w).unwrap();
         w.run(1_500);
         assert!(!w.nodes[second].leader.as_ref().unwrap().loaded());
         w.crash(second, 20_000);
-        w.until(8_000, "a third leads", |w| {
+        w.run_until(8_000, "a third leads", |w| {
             w.leader().is_some_and(|l| l != first && l != second)
         });
         w.run(15_000);
         assert_eq!(w.running("j-000001"), 10, "seed {seed}");
         assert_eq!(w.starts, starts, "seed {seed}: nothing was started anew");
-        w.sound();
+        w.assert_no_violations();
     }
 }
 
 /// Guards against an estimate beyond all measure, in a record of an earlier
 /// version: what is added to the time of arrival for it must not pass the end
-/// of time. (At the door it is refused, as the world now asks there.)
+/// of time. (At the door it is refused, as the settings now ask there.)
 #[test]
 fn absurd_estimate_in_record_blocks_no_job() {
-    let mut w = led(76, 1, 0.0, 5_000);
+    let mut w = with_leader(76, 1, 0.0, 5_000);
     let mut absurd = due(job(1, Kind::Array, 6));
     absurd.estimate_s = 1e300;
     let body = serde_json::to_vec(&absurd).unwrap();
     let leader = w.leader().unwrap();
-    let refused = w.at_once(leader, Ask::Odd(absurd.id.clone(), body));
+    let refused = w.request_now(leader, UserRequest::Malformed(absurd.id.clone(), body));
     assert!(matches!(refused, Some(Answer::Refused(400, why)) if why.contains("expected_s")));
-    w.accepted_before(absurd);
+    w.accept_by_earlier_version(absurd);
     w.run(500);
     w.submit(due(job(2, Kind::Array, 2)));
-    w.until(60_000, "both", |w| w.done("j-000001") && w.done("j-000002"));
-    w.sound();
+    w.run_until(60_000, "both", |w| w.done("j-000001") && w.done("j-000002"));
+    w.assert_no_violations();
 }
--- a/tests/request_consistency.rs
+++ b/tests/request_consistency.rs
@@ -1,6 +1,6 @@
-//! What users are told, at every node: questions in flight, by the steps that
-//! the nodes take, and a history of which no answer may be older than one that
-//! came before its question was sent.
+//! Consistency of the answers to users, at every node: requests in flight, through
+//! the steps that the nodes take, and a history in which no answer may be older
+//! than one that came before its request was sent.
 
 mod simulation;
 
@@ -8,17 +8,22 @@
     control::requests::Answer,
     protocol::users::{JobSpec, JobState, Kind},
 };
-use simulation::{Ask, Cut, Side, World, job};
+use simulation::{Cut, CutScope, Simulation, UserRequest, job};
 
 fn id(n: u32) -> String {
     format!("j-{n:06}")
 }
 
 /// In flight everywhere: relays, reads and writes take a drawn time.
-fn in_flight(seed: u64, machines: usize, nodes: usize) -> World {
-    let mut w = World::sized(seed, machines, 0.0, nodes);
-    w.until(10_000, "a leader", |w| w.leader().is_some());
-    (w.desk.way, w.write_ms, w.run_ms, w.fetch_ms) = (20, 150, 1_500, 100);
+fn with_request_latency(seed: u64, machines: usize, nodes: usize) -> Simulation {
+    let mut w = Simulation::with_nodes(seed, machines, 0.0, nodes);
+    w.run_until(10_000, "a leader", |w| w.leader().is_some());
+    (
+        w.traffic.max_latency_ms,
+        w.write_latency_ms,
+        w.run_ms,
+        w.fetch_ms,
+    ) = (20, 150, 1_500, 100);
     w
 }
 
@@ -59,20 +64,20 @@
     }
 
     /// Asks at all nodes, within milliseconds.
-    fn look(&mut self, w: &mut World, spec: &JobSpec) {
+    fn ask_all_nodes(&mut self, w: &mut Simulation, spec: &JobSpec) {
         for i in 0..w.nodes.len() {
             for ask in [
-                Ask::Poll(spec.id.clone()),
-                Ask::submit(spec),
-                Ask::Poll(spec.id.clone()),
+                UserRequest::Poll(spec.id.clone()),
+                UserRequest::submit(spec),
+                UserRequest::Poll(spec.id.clone()),
             ] {
                 let after = w.rng.u64(0..60);
-                self.looks.push(w.ask(after, i, ask));
+                self.looks.push(w.request_later(after, i, ask));
             }
         }
     }
 
-    fn pass(&mut self, w: &mut World) {
+    fn advance(&mut self, w: &mut Simulation) {
         for n in 0..self.all.len() {
             let c = &mut self.all[n];
             if c.over.is_some() {
@@ -82,16 +87,16 @@
                 if w.now >= c.next {
                     let id = c.spec.id.clone();
                     let ask = match (c.accepted, c.withdraws) {
-                        (false, _) => Ask::submit(&c.spec),
-                        (true, true) => Ask::Withdraw(id),
-                        (true, false) => Ask::Poll(id),
+                        (false, _) => UserRequest::submit(&c.spec),
+                        (true, true) => UserRequest::Cancel(id),
+                        (true, false) => UserRequest::Poll(id),
                     };
                     let i = w.rng.usize(..w.nodes.len());
-                    c.open = Some(w.ask(0, i, ask));
+                    c.open = Some(w.request_later(0, i, ask));
                 }
                 continue;
             };
-            let asked = &w.desk.history[open];
+            let asked = &w.traffic.history[open];
             let told = match &asked.answer {
                 Some((_, Answer::State(_, s))) => Some(s.state),
                 None if w.now < asked.sent + 5_000 => continue,
@@ -105,16 +110,16 @@
                 c.next = w.now;
             }
             c.over = state.is_final().then_some(state);
-            let first = matches!(w.desk.history[open].ask, Ask::Submit(_));
+            let first = matches!(w.traffic.history[open].ask, UserRequest::Submit(_));
             if !self.quiet && (first || state.is_final()) {
                 let spec = c.spec.clone();
-                self.look(w, &spec);
+                self.ask_all_nodes(w, &spec);
             }
         }
     }
 
     /// So long, with a new job now and then.
-    fn run(&mut self, w: &mut World, ms: u64, jobs: u32) {
+    fn run(&mut self, w: &mut Simulation, ms: u64, jobs: u32) {
         let (begun, first) = (w.now, self.all.len() as u32);
         while w.now < begun + ms {
             let due = (w.now - begun) * u64::from(jobs) / ms;
@@ -124,24 +129,24 @@
                 let withdraws = kind == Kind::Service || w.rng.u8(..4) == 0;
                 self.add(job(n, kind, 1 + n % 3), withdraws);
             }
-            self.pass(w);
+            self.advance(w);
             w.step();
         }
     }
 
     /// Until each has heard how its job ended, and each node says the same.
-    fn see_out(&mut self, w: &mut World, what: &str) {
+    fn run_to_completion(&mut self, w: &mut Simulation, what: &str) {
         let end = w.now + 180_000;
         while !self.are_done() {
-            self.pass(w);
+            self.advance(w);
             w.step();
             if w.now >= end {
                 let left = self.all.iter().filter(|c| c.over.is_none());
-                let last = |c: &Client| c.open.map(|n| w.desk.history[n].answer.clone());
+                let last = |c: &Client| c.open.map(|n| w.traffic.history[n].answer.clone());
                 let left: Vec<_> = left
                     .map(|c| (&c.spec.id, c.spec.kind, c.accepted, c.withdraws, last(c)))
                     .collect();
-                panic!("{what}: {left:?} are not over; {:?}", w.broken);
+                panic!("{what}: {left:?} are not over; {:?}", w.violations);
             }
         }
         w.run(6_000);
@@ -155,23 +160,24 @@
                 );
             }
         }
-        assert!(w.broken.is_empty(), "{what}: {:?}", w.broken);
+        assert!(w.violations.is_empty(), "{what}: {:?}", w.violations);
     }
 
-    fn answered(&self, w: &World) -> usize {
-        let given = |n: &&usize| matches!(w.desk.history[**n].answer, Some((_, Answer::State(..))));
+    fn answered(&self, w: &Simulation) -> usize {
+        let given =
+            |n: &&usize| matches!(w.traffic.history[**n].answer, Some((_, Answer::State(..))));
         self.looks.iter().filter(given).count()
     }
 }
 
 /// What befalls the controllers, in turn.
-fn befall(w: &mut World, k: u32) {
+fn inject_controller_fault(w: &mut Simulation, k: u32) {
     let Some(leader) = w.leader() else { return };
     match k % 5 {
-        0 => w.hand_over(leader),
+        0 => w.transfer_leadership(leader),
         1 => w.crash(leader, 150),
-        2 => w.stand_still(leader, 2_500),
-        3 => w.cut(leader, Side::State, Cut::Reset),
+        2 => w.pause_process(leader, 2_500),
+        3 => w.partition(leader, CutScope::State, Cut::Reset),
         _ => w.crash(leader, 6_000),
     }
 }
@@ -183,20 +189,20 @@
 fn answers_are_monotonic_across_nodes() {
     let mut close = 0;
     for (seed, nodes) in (0..6).flat_map(|s| [(s, 3), (s, 7)]) {
-        let mut w = in_flight(200 + seed, 6, nodes);
+        let mut w = with_request_latency(200 + seed, 6, nodes);
         let mut users = Clients::default();
         for k in 0..4 {
             users.run(&mut w, 3_000, 6);
             if seed > 1 {
-                befall(&mut w, k + seed as u32);
+                inject_controller_fault(&mut w, k + seed as u32);
                 users.run(&mut w, 8_000, 6);
-                (0..nodes).for_each(|i| w.join(i));
+                (0..nodes).for_each(|i| w.end_partitions(i));
             }
         }
-        users.see_out(&mut w, &format!("seed {seed}, {nodes} nodes"));
+        users.run_to_completion(&mut w, &format!("seed {seed}, {nodes} nodes"));
         close += users.answered(&w);
     }
-    // The meeting: thousands of questions right after something was told.
+    // The combination: thousands of requests right after an answer.
     assert!(close > 4_000, "{close}");
 }
 
@@ -208,17 +214,17 @@
 fn indeterminate_write_holds_for_every_reader() {
     let mut met = std::collections::BTreeMap::new();
     for (seed, nodes) in (0..8).flat_map(|s| [(s, 3), (s, 7)]) {
-        let mut w = in_flight(300 + seed, 6, nodes);
+        let mut w = with_request_latency(300 + seed, 6, nodes);
         let mut users = Clients::default();
         w.store.lost_answers = 35;
         for k in 0..4 {
             users.run(&mut w, 5_000, 6);
-            befall(&mut w, k + seed as u32);
+            inject_controller_fault(&mut w, k + seed as u32);
             users.run(&mut w, 8_000, 4);
-            (0..nodes).for_each(|i| w.join(i));
+            (0..nodes).for_each(|i| w.end_partitions(i));
         }
         w.store.lost_answers = 0;
-        users.see_out(&mut w, &format!("seed {seed}, {nodes} nodes"));
+        users.run_to_completion(&mut w, &format!("seed {seed}, {nodes} nodes"));
         for (kind, n) in &w.store.unanswered {
             *met.entry(kind.clone()).or_insert(0) += n;
         }
@@ -229,40 +235,40 @@
 }
 
 /// A cancellation, polls and repeated submissions meet the end of the last task,
-/// with no other trouble. Guards against an end that is told and then undone,
+/// with no other fault. Guards against an end that is told and then undone,
 /// either way, and against dependents that go with a job which was done.
 #[test]
 fn requests_racing_completion_get_one_outcome() {
     let (mut done, mut withdrawn) = (0, 0);
     for seed in 0..60 {
-        let mut w = in_flight(400 + seed, 4, 3);
+        let mut w = with_request_latency(400 + seed, 4, 3);
         let kind = [Kind::Array, Kind::Gang][seed as usize % 2];
         let first = job(1, kind, 1 + seed as u32 % 3);
         w.submit(first.clone());
         let mut after = job(2, Kind::Array, 1);
         after.dependencies = vec![id(1)];
         w.submit(after);
-        w.until(20_000, "near its end", |w| {
-            w.running(&id(1)) > 0 && w.last_end(&id(1)).is_some_and(|at| at < w.now + 150)
+        w.run_until(20_000, "near its end", |w| {
+            w.running(&id(1)) > 0 && w.last_task_end(&id(1)).is_some_and(|at| at < w.now + 150)
         });
-        let by = w.last_end(&id(1)).unwrap() - w.now;
+        let by = w.last_task_end(&id(1)).unwrap() - w.now;
         let asked = w.rng.u64(by.saturating_sub(60)..by + 250);
         let node = w.rng.usize(..3);
-        let ticket = w.ask(asked, node, Ask::Withdraw(id(1)));
+        let ticket = w.request_later(asked, node, UserRequest::Cancel(id(1)));
         for i in 0..3 {
             for _ in 0..8 {
                 let at = w.rng.u64(0..by + 600);
-                w.ask(at, i, Ask::Poll(id(1)));
+                w.request_later(at, i, UserRequest::Poll(id(1)));
                 let at = w.rng.u64(0..by + 600);
-                w.ask(at, i, Ask::submit(&first));
+                w.request_later(at, i, UserRequest::submit(&first));
                 let at = w.rng.u64(0..by + 600);
-                w.ask(at, i, Ask::Poll(id(2)));
+                w.request_later(at, i, UserRequest::Poll(id(2)));
             }
         }
         w.run(3_000);
-        w.until(20_000, "over", |w| w.done(&id(1)) && w.done(&id(2)));
+        w.run_until(20_000, "over", |w| w.done(&id(1)) && w.done(&id(2)));
         w.run(1_000);
-        let told = match &w.desk.history[ticket].answer {
+        let told = match &w.traffic.history[ticket].answer {
             Some((_, Answer::State(200, status))) => status.state,
             other => panic!("seed {seed}: {other:?}"),
         };
@@ -273,9 +279,9 @@
         }
         done += u32::from(told == JobState::Done);
         withdrawn += u32::from(told == JobState::Cancelled);
-        assert!(w.broken.is_empty(), "seed {seed}: {:?}", w.broken);
+        assert!(w.violations.is_empty(), "seed {seed}: {:?}", w.violations);
     }
-    // The meeting: it went either way, so they crossed.
+    // The combination: it went either way, so they crossed.
     assert!(
         done > 5 && withdrawn > 5,
         "{done} done, {withdrawn} withdrawn"
@@ -338,16 +344,16 @@
 #[test]
 fn invalid_requests_are_rejected_unless_job_is_known() {
     for led in [true, false] {
-        let mut w = in_flight(500, 4, 3);
+        let mut w = with_request_latency(500, 4, 3);
         w.submit(job(1, Kind::Array, 1));
         w.submit(job(2, Kind::Service, 1));
-        w.until(20_000, "over", |w| w.done(&id(1)));
+        w.run_until(20_000, "over", |w| w.done(&id(1)));
         w.run(1_000);
         if !led {
             // Nobody may lead, and the records can be read.
             let leader = w.leader().unwrap();
             w.crash(leader, 600_000);
-            w.until(9_000, "nobody leads", |w| {
+            w.run_until(9_000, "nobody leads", |w| {
                 (0..3).filter(|i| *i != leader).for_each(|i| {
                     let until = w.now + 60_000;
                     w.nodes[i].election.abstain(until);
@@ -357,9 +363,9 @@
         }
         let nodes: Vec<usize> = (0..3).filter(|i| w.nodes[*i].alive).collect();
         for (field, body, status) in odd_bodies(7) {
-            w.unfit(&id(7));
+            w.mark_infeasible(&id(7));
             for &i in &nodes {
-                match w.at_once(i, Ask::Odd(id(7), body.clone())) {
+                match w.request_now(i, UserRequest::Malformed(id(7), body.clone())) {
                     Some(Answer::Refused(s, why)) => {
                         assert_eq!(s, status, "{field}: {why}");
                         assert!(
@@ -375,7 +381,7 @@
         for (n, state) in [(1, JobState::Done), (2, JobState::Queued)] {
             for (field, body, _) in odd_bodies(n).into_iter().filter(|(f, ..)| f != "ref") {
                 for &i in &nodes {
-                    match w.at_once(i, Ask::Odd(id(n), body.clone())) {
+                    match w.request_now(i, UserRequest::Malformed(id(n), body.clone())) {
                         Some(Answer::State(200, s)) => {
                             assert_eq!(s.state.is_final(), state.is_final(), "{field}");
                         }
@@ -386,22 +392,22 @@
         }
         // Withdrawing what is done changes nothing; what nobody knows is 404.
         for &i in &nodes {
-            let answer = w.at_once(i, Ask::Withdraw(id(1)));
+            let answer = w.request_now(i, UserRequest::Cancel(id(1)));
             let done = matches!(&answer, Some(Answer::State(200, s)) if s.state == JobState::Done);
             let later = !led && matches!(answer, Some(Answer::Later(_)));
             assert!(done || later, "{answer:?} at {i}, led: {led}");
-            let polled = w.at_once(i, Ask::Poll(id(8)));
+            let polled = w.request_now(i, UserRequest::Poll(id(8)));
             let unknown = matches!(polled, Some(Answer::Refused(404, _)));
             assert!(unknown, "{polled:?} at {i}, led: {led}");
         }
         assert!(!w.store.kv.contains_key("j/j-000007"));
-        w.sound();
+        w.assert_no_violations();
         // While the machine types aren't known, nothing is said of what fits.
-        w.no_types = true;
+        w.types_unknown = true;
         for &i in &nodes {
             for n in [9, 2] {
                 let spec = job(n, Kind::Array, 1);
-                let answer = w.at_once(i, Ask::submit(&spec));
+                let answer = w.request_now(i, UserRequest::submit(&spec));
                 match n {
                     2 if led => assert!(matches!(answer, Some(Answer::State(200, _)))),
                     9 => assert!(matches!(answer, Some(Answer::Later(_))), "{answer:?}"),
@@ -409,7 +415,7 @@
                 }
             }
         }
-        w.sound();
+        w.assert_no_violations();
     }
 }
 
@@ -418,8 +424,8 @@
 /// written once too often for each: ends would be told later and later.
 #[test]
 fn one_task_jobs_stay_within_smallest_write_rate() {
-    let mut w = in_flight(600, 24, 3);
-    w.limit_changes(15.0);
+    let mut w = with_request_latency(600, 24, 3);
+    w.limit_write_rate(15.0);
     w.run_ms = 2_000;
     let mut users = Clients {
         quiet: true,
@@ -433,7 +439,7 @@
             let n = users.all.len() as u32 + 1;
             users.add(job(n, Kind::Array, 1), n.is_multiple_of(4));
         }
-        users.pass(&mut w);
+        users.advance(&mut w);
         w.step();
         // Ends are told in time: what has run but is not told yet stays little.
         let late = w.finished.len() - w.finished.iter().filter(|t| w.done(&t[..8])).count();
@@ -441,7 +447,7 @@
     }
     let jobs = users.all.len() as u32;
     let changes = f64::from(w.store.changes) / f64::from(jobs);
-    users.see_out(&mut w, "one-task jobs");
+    users.run_to_completion(&mut w, "one-task jobs");
     assert!(jobs >= 595, "{jobs}");
     let withdrawn = users
         .all
@@ -454,7 +460,7 @@
     assert!(changes <= 3.3, "{changes} changes a job");
     assert!(worst < 40, "{worst} ends wait for their record");
     assert_eq!(
-        (w.terms, w.lapsed),
+        (w.terms, w.expired_tasks),
         (1, 0),
         "reports and renewals don't wait"
     );
@@ -464,25 +470,25 @@
 /// 15 changes a second a burst of cancellations would hold up all else.
 #[test]
 fn cancellation_before_start_costs_two_writes() {
-    let mut w = in_flight(610, 1, 3);
+    let mut w = with_request_latency(610, 1, 3);
     w.run_ms = 600_000;
     for n in 1..=32 {
         w.submit(job(n, Kind::Array, 1));
     }
-    w.until(10_000, "full", |w| w.running("j-") == 2);
+    w.run_until(10_000, "full", |w| w.running("j-") == 2);
     w.run(5_000);
     let before = w.store.changes;
     let waiting: Vec<u32> = (1..=32).filter(|n| w.running(&id(*n)) == 0).collect();
     for n in &waiting {
-        w.ask(0, 0, Ask::Withdraw(id(*n)));
+        w.request_later(0, 0, UserRequest::Cancel(id(*n)));
     }
     w.run(5_000);
     assert_eq!((waiting.len(), w.store.changes - before), (30, 60));
     for n in &waiting {
         assert_eq!(w.poll(1, &id(*n)), Some(JobState::Cancelled));
     }
-    assert_eq!(w.started_after, 0);
-    w.sound();
+    assert_eq!(w.started_after_cancellation, 0);
+    w.assert_no_violations();
 }
 
 /// The acceptance is carried out, its answer is lost, and the user only asks
@@ -491,22 +497,22 @@
 #[test]
 fn job_known_only_from_records_runs() {
     for nodes in [3, 7] {
-        let mut w = in_flight(620, 2, nodes);
+        let mut w = with_request_latency(620, 2, nodes);
         w.store.lost_answers = 100;
         let leader = w.leader().unwrap();
-        let submitted = w.ask(0, leader, Ask::submit(&job(1, Kind::Array, 2)));
+        let submitted = w.request_later(0, leader, UserRequest::submit(&job(1, Kind::Array, 2)));
         w.run(200);
         w.store.lost_answers = 0;
         let other = (leader + 1) % nodes;
-        w.until(3_000, "read", |w| {
+        w.run_until(3_000, "read", |w| {
             w.poll(other, &id(1)) == Some(JobState::Queued)
         });
-        w.until(20_000, "run", |w| w.done(&id(1)));
+        w.run_until(20_000, "run", |w| w.done(&id(1)));
         assert!(!matches!(
-            w.desk.history[submitted].answer,
+            w.traffic.history[submitted].answer,
             Some((_, Answer::State(..)))
         ));
-        w.sound();
+        w.assert_no_violations();
     }
 }
 
@@ -514,18 +520,18 @@
 /// would not know whose they are.
 #[test]
 fn cancelled_job_is_final_once_no_task_runs() {
-    let mut w = in_flight(630, 1, 3);
+    let mut w = with_request_latency(630, 1, 3);
     w.run_ms = 600_000;
     w.submit(job(1, Kind::Array, 1));
-    w.until(10_000, "running", |w| w.running(&id(1)) == 1);
+    w.run_until(10_000, "running", |w| w.running(&id(1)) == 1);
     w.run(2_000);
     w.workers[0].net = simulation::Net::Lose;
     w.cancel(&id(1));
     w.run(3_000);
     assert_eq!((w.running(&id(1)), w.done(&id(1))), (1, false));
-    w.until(15_000, "its lease over", |w| w.done(&id(1)));
+    w.run_until(15_000, "its lease over", |w| w.done(&id(1)));
     assert_eq!(w.running(&id(1)), 0);
-    w.sound();
+    w.assert_no_violations();
 }
 
 /// Questions at all nodes overlap, over slow ways. Guards against an unfinished
@@ -535,16 +541,16 @@
 fn overlapping_polls_never_go_backwards() {
     let mut close = 0;
     for (seed, nodes) in (0..6).flat_map(|s| [(s, 3), (s, 7)]) {
-        let mut w = in_flight(900 + seed, 6, nodes);
-        w.desk.way = 100;
+        let mut w = with_request_latency(900 + seed, 6, nodes);
+        w.traffic.max_latency_ms = 100;
         let mut users = Clients::default();
         for k in 0..4 {
             users.run(&mut w, 3_000, 6);
-            befall(&mut w, k + seed as u32);
+            inject_controller_fault(&mut w, k + seed as u32);
             users.run(&mut w, 8_000, 6);
-            (0..nodes).for_each(|i| w.join(i));
+            (0..nodes).for_each(|i| w.end_partitions(i));
         }
-        users.see_out(&mut w, &format!("seed {seed}, {nodes} nodes"));
+        users.run_to_completion(&mut w, &format!("seed {seed}, {nodes} nodes"));
         close += users.answered(&w);
     }
     assert!(close > 4_000, "{close}");
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Short stories about failures, each against a whole installation in memory.
+//! Short scenarios of failures, each against a simulated cluster.
 
 mod simulation;
 
@@ -9,17 +9,17 @@
     users::{JobSpec, JobState, Kind, Priority},
     workers::TaskState,
 };
-use simulation::{Cut, LEASE, Net, Side, World, job};
+use simulation::{Cut, CutScope, LEASE, Net, Simulation, job};
 
-fn quiet(seed: u64, machines: usize, limit: f64) -> World {
-    World::led(seed, machines, limit)
+fn idle_cluster(seed: u64, machines: usize, limit: f64) -> Simulation {
+    Simulation::with_leader(seed, machines, limit)
 }
 
 /// An installation on which a service, j-000001, runs so many tasks.
-fn serving(seed: u64, machines: usize, tasks: u32) -> World {
-    let mut w = quiet(seed, machines, 0.0);
+fn cluster_with_service(seed: u64, machines: usize, tasks: u32) -> Simulation {
+    let mut w = idle_cluster(seed, machines, 0.0);
     w.submit(job(1, Kind::Service, tasks));
-    w.until(20_000, "running", |w| {
+    w.run_until(20_000, "running", |w| {
         w.running("j-000001") == tasks as usize
     });
     w
@@ -27,9 +27,9 @@
 
 #[test]
 fn batch_stays_done_after_full_restart() {
-    let mut w = quiet(1, 3, 0.0);
+    let mut w = idle_cluster(1, 3, 0.0);
     w.submit(job(1, Kind::Array, 9));
-    w.until(60_000, "done", |w| w.done("j-000001"));
+    w.run_until(60_000, "done", |w| w.done("j-000001"));
     for i in 0..3 {
         assert_eq!(w.poll(i, "j-000001"), Some(JobState::Done));
     }
@@ -37,43 +37,43 @@
     for i in 0..3 {
         w.crash(i, 3_000);
     }
-    w.until(30_000, "a leader again", |w| w.leader().is_some());
+    w.run_until(30_000, "a leader again", |w| w.leader().is_some());
     w.run(5_000);
     assert_eq!(w.poll(0, "j-000001"), Some(JobState::Done));
     assert_eq!(w.starts, 9);
-    w.sound();
+    w.assert_no_violations();
 }
 
 #[test]
 fn new_leader_awaits_lease_expiry_before_replacing_tasks() {
-    let mut w = serving(2, 3, 4);
+    let mut w = cluster_with_service(2, 3, 4);
     let old = w.leader().unwrap();
     let silent = w.workers.iter().position(|m| !m.tasks.is_empty()).unwrap();
     w.workers[silent].net = Net::Lose;
     w.crash(old, 3_000);
-    w.until(40_000, "running elsewhere", |w| {
+    w.run_until(40_000, "running elsewhere", |w| {
         w.running("j-000001") == 4 && w.workers[silent].tasks.is_empty()
     });
-    w.sound();
+    w.assert_no_violations();
 }
 
 #[test]
 fn checker_detects_leader_that_skips_lease_wait() {
-    let mut w = quiet(2, 3, 0.0);
-    w.sabotage = true;
+    let mut w = idle_cluster(2, 3, 0.0);
+    w.skip_lease_wait = true;
     w.submit(job(1, Kind::Service, 4));
-    w.until(20_000, "running", |w| w.running("j-000001") == 4);
+    w.run_until(20_000, "running", |w| w.running("j-000001") == 4);
     let old = w.leader().unwrap();
     let silent = w.workers.iter().position(|m| !m.tasks.is_empty()).unwrap();
     w.workers[silent].net = Net::Lose;
     w.crash(old, 3_000);
     w.run(20_000);
-    assert!(w.broken.iter().any(|b| b.starts_with("ran_twice")));
+    assert!(w.violations.iter().any(|b| b.starts_with("ran_twice")));
 }
 
 #[test]
 fn delayed_heartbeats_are_ignored() {
-    let mut w = serving(3, 3, 2);
+    let mut w = cluster_with_service(3, 3, 2);
     let cut = w.workers.iter().position(|m| !m.tasks.is_empty()).unwrap();
     // Its reports are held, its tasks are killed by the lease and run
     // elsewhere; then the old reports arrive and still list them.
@@ -82,95 +82,95 @@
     let old = w.leader().unwrap();
     w.crash(old, 3_000);
     w.run(10_000);
-    w.heal(cut);
+    w.restore_network(cut);
     w.run(20_000);
     assert_eq!(w.running("j-000001"), 2);
-    w.sound();
+    w.assert_no_violations();
 }
 
 #[test]
 fn late_direct_command_starts_no_task_twice() {
     for delay in [1_000, 2_500, 6_000, 30_000] {
-        let mut w = quiet(4, 2, 0.0);
-        w.slow_do.insert(0, delay);
-        w.slow_do.insert(1, delay);
+        let mut w = idle_cluster(4, 2, 0.0);
+        w.direct_command_delay.insert(0, delay);
+        w.direct_command_delay.insert(1, delay);
         for n in 1..6 {
             w.submit(job(n, Kind::Array, 4));
         }
-        w.until(120_000, "all done", |w| {
+        w.run_until(120_000, "all done", |w| {
             (1..6).all(|n| w.done(&format!("j-{n:06}")))
         });
         w.run(40_000);
-        w.sound();
+        w.assert_no_violations();
     }
 }
 
 #[test]
 fn store_outage_beyond_lease_stops_no_task() {
-    let mut w = serving(5, 3, 4);
-    let sessions: Vec<u64> = w.workers.iter().map(|m| m.session).collect();
-    w.store.down = true;
+    let mut w = cluster_with_service(5, 3, 4);
+    let sessions: Vec<u64> = w.workers.iter().map(|m| m.incarnation).collect();
+    w.store.unavailable = true;
     w.run(25_000);
-    w.store.down = false;
+    w.store.unavailable = false;
     w.run(10_000);
-    let after: Vec<u64> = w.workers.iter().map(|m| m.session).collect();
+    let after: Vec<u64> = w.workers.iter().map(|m| m.incarnation).collect();
     assert_eq!(sessions, after, "leases lapsed during the outage");
     assert_eq!(w.running("j-000001"), 4);
-    w.sound();
+    w.assert_no_violations();
 }
 
 #[test]
 fn outage_with_node_down_breaks_no_invariant() {
-    let mut w = serving(6, 3, 4);
+    let mut w = cluster_with_service(6, 3, 4);
     let leader = w.leader().unwrap();
     w.crash((leader + 1) % 3, 60_000);
-    w.store.down = true;
+    w.store.unavailable = true;
     w.run(20_000);
-    w.store.down = false;
-    w.until(30_000, "running again", |w| w.running("j-000001") == 4);
-    w.sound();
+    w.store.unavailable = false;
+    w.run_until(30_000, "running again", |w| w.running("j-000001") == 4);
+    w.assert_no_violations();
 }
 
 #[test]
 fn leader_refused_by_store_yields_at_once() {
-    let mut w = serving(7, 3, 4);
+    let mut w = cluster_with_service(7, 3, 4);
     let old = w.leader().unwrap();
-    w.store.refuses.insert(old);
-    w.until(1_500, "another leads", |w| {
+    w.store.refused_nodes.insert(old);
+    w.run_until(1_500, "another leads", |w| {
         w.leader().is_some_and(|l| l != old)
     });
     w.run(15_000);
     assert_eq!(w.running("j-000001"), 4);
     assert_eq!(w.starts, 4);
-    w.sound();
+    w.assert_no_violations();
 }
 
 #[test]
 fn tasks_survive_crash_of_all_controllers() {
-    let mut w = serving(8, 3, 4);
+    let mut w = cluster_with_service(8, 3, 4);
     for i in 0..3 {
         w.crash(i, 6_000);
     }
     w.run(30_000);
     assert_eq!(w.running("j-000001"), 4);
     assert_eq!(w.starts, 4, "a worker's lease lapsed");
-    w.sound();
+    w.assert_no_violations();
 }
 
 #[test]
 fn late_transaction_undoes_no_completion() {
     for delay in [500, 1_400, 3_000, 20_000] {
-        let mut w = quiet(9, 3, 0.0);
+        let mut w = idle_cluster(9, 3, 0.0);
         w.submit(job(1, Kind::Array, 8));
         for _ in 0..40 {
-            w.store.late.push(delay);
+            w.store.late_writes.push(delay);
             w.run(400);
         }
-        w.store.late.clear();
-        w.until(90_000, &format!("done, {delay} ms"), |w| w.done("j-000001"));
+        w.store.late_writes.clear();
+        w.run_until(90_000, &format!("done, {delay} ms"), |w| w.done("j-000001"));
         w.run(25_000);
         assert_eq!(w.poll(0, "j-000001"), Some(JobState::Done));
-        w.sound();
+        w.assert_no_violations();
     }
 }
 
@@ -178,14 +178,14 @@
 fn racing_cancellation_and_completion_agree() {
     let mut cancelled = 0;
     for seed in 0..12 {
-        let mut w = quiet(100 + seed, 3, 0.0);
+        let mut w = idle_cluster(100 + seed, 3, 0.0);
         w.submit(job(1, Kind::Array, 2));
         w.run(5_000 + seed * 250);
         if seed % 2 == 0 {
-            w.store.late.push(900);
+            w.store.late_writes.push(900);
         }
         w.cancel("j-000001");
-        let first = w.told["j-000001"].0;
+        let first = w.answered["j-000001"].0;
         cancelled += u32::from(first == JobState::Cancelled);
         for _ in 0..40 {
             for i in 0..3 {
@@ -193,7 +193,7 @@
             }
             w.run(1_000);
         }
-        w.sound();
+        w.assert_no_violations();
     }
     assert!(
         (1..12).contains(&cancelled),
@@ -203,21 +203,21 @@
 
 #[test]
 fn cancelled_job_stops_in_time_despite_delayed_launch() {
-    let mut w = quiet(10, 2, 0.0);
+    let mut w = idle_cluster(10, 2, 0.0);
     w.run(2_000);
-    w.slow_do.insert(0, 20_000);
-    w.slow_do.insert(1, 20_000);
+    w.direct_command_delay.insert(0, 20_000);
+    w.direct_command_delay.insert(1, 20_000);
     w.submit(job(1, Kind::Service, 2));
     w.run(200);
     w.cancel("j-000001");
     w.run(60_000);
     assert_eq!(w.running("j-000001"), 0);
-    w.sound();
+    w.assert_no_violations();
 }
 
 #[test]
 fn team_quota_holds_across_failover() {
-    let mut w = quiet(11, 6, 16.0);
+    let mut w = idle_cluster(11, 6, 16.0);
     for n in 1..8 {
         w.submit(job(n, Kind::Array, 3));
     }
@@ -229,38 +229,38 @@
         let cut = round % 6;
         w.workers[cut].net = Net::Hold;
         w.run(14_000);
-        w.heal(cut);
+        w.restore_network(cut);
     }
-    w.until(120_000, "all done", |w| {
+    w.run_until(120_000, "all done", |w| {
         (1..8).all(|n| w.done(&format!("j-{n:06}")))
     });
-    w.sound();
+    w.assert_no_violations();
 }
 
 #[test]
 fn new_job_starts_beside_unresponsive_machine_within_quota() {
     for (limit, starts_early) in [(16.0, true), (12.0, false)] {
-        let mut w = quiet(15, 3, limit);
+        let mut w = idle_cluster(15, 3, limit);
         w.submit(job(1, Kind::Service, 2));
-        w.until(20_000, "running", |w| w.running("j-000001") == 2);
+        w.run_until(20_000, "running", |w| w.running("j-000001") == 2);
         let old = w.leader().unwrap();
         let silent = w.workers.iter().position(|m| !m.tasks.is_empty()).unwrap();
         w.workers[silent].net = Net::Hold;
         w.crash(old, 30_000);
-        w.until(10_000, "another leads", |w| {
+        w.run_until(10_000, "another leads", |w| {
             w.leader().is_some_and(|l| l != old)
         });
         w.submit(job(2, Kind::Service, 2));
         w.run(3_000);
         assert_eq!(w.running("j-000002") == 2, starts_early, "limit {limit}");
         w.run(30_000);
-        w.sound();
+        w.assert_no_violations();
     }
 }
 
 #[test]
 fn unresponsive_spot_machine_blocks_no_on_demand_job() {
-    let mut w = quiet(20, 3, 0.0);
+    let mut w = idle_cluster(20, 3, 0.0);
     let spot = w.workers.len();
     w.add_worker("a", true, 0);
     w.run(3_000);
@@ -270,7 +270,7 @@
     batch.spot = true;
     w.submit(service);
     w.submit(batch);
-    w.until(20_000, "running", |w| {
+    w.run_until(20_000, "running", |w| {
         w.running("j-000001") == 4 && w.running("j-000002") == 4
     });
     // The spot machine falls unresponsive and another dies with the leader.
@@ -280,11 +280,11 @@
         .position(|m| m.tasks.iter().any(|t| t.name.starts_with("j-000001")))
         .unwrap();
     w.workers[spot].net = Net::Hold;
-    w.workers[dies].session += 1;
+    w.workers[dies].incarnation += 1;
     w.workers[dies].tasks.clear();
     let old = w.leader().unwrap();
     w.crash(old, 30_000);
-    w.until(10_000, "another leads", |w| {
+    w.run_until(10_000, "another leads", |w| {
         w.leader().is_some_and(|l| l != old)
     });
     w.run(3_000);
@@ -292,20 +292,20 @@
     assert!(!w.nodes[i].leader.as_ref().unwrap().settled());
     assert_eq!(w.running("j-000001"), 4, "placed again at once");
     w.run(20_000);
-    w.heal(spot);
+    w.restore_network(spot);
     w.run(10_000);
-    w.sound();
+    w.assert_no_violations();
 }
 
 #[test]
 fn vanished_machine_is_awaited_by_one_leader_only() {
-    let mut w = quiet(16, 3, 0.0);
+    let mut w = idle_cluster(16, 3, 0.0);
     w.run(2_000);
     w.workers[1].alive = false;
     for round in 0..2 {
         let old = w.leader().unwrap();
         w.crash(old, 3_000);
-        w.until(10_000, "another leads", |w| {
+        w.run_until(10_000, "another leads", |w| {
             w.leader().is_some_and(|l| l != old)
         });
         w.run(4_000);
@@ -314,39 +314,39 @@
         assert_eq!(settled, round == 1, "round {round}");
         w.run(30_000);
     }
-    w.sound();
+    w.assert_no_violations();
 }
 
 #[test]
 fn reservation_ends_when_preempting_service_starts() {
-    let mut w = quiet(17, 1, 0.0);
+    let mut w = idle_cluster(17, 1, 0.0);
     w.run_ms = 20_000;
     w.submit(job(1, Kind::Array, 6));
-    w.until(10_000, "the batch runs", |w| w.running("j-000001") == 2);
+    w.run_until(10_000, "the batch runs", |w| w.running("j-000001") == 2);
     let mut service = job(2, Kind::Service, 1);
     service.priority = Priority::Production;
     w.submit(service);
-    w.until(3_000, "the service runs", |w| w.running("j-000002") == 1);
+    w.run_until(3_000, "the service runs", |w| w.running("j-000002") == 1);
     assert_eq!(w.running("j-000001"), 1, "one task made room, not both");
     let i = w.leader().unwrap();
     let model = &w.nodes[i].leader.as_ref().unwrap().cluster;
     assert!(model.each_machine().all(|m| m.reserved_for.is_none()));
-    w.sound();
+    w.assert_no_violations();
 }
 
 #[test]
 fn team_below_guarantee_preempts_team_above_its_own() {
-    let mut w = quiet(18, 2, 0.0);
+    let mut w = idle_cluster(18, 2, 0.0);
     w.run_ms = 600_000;
     w.submit(job(1, Kind::Array, 6));
-    w.until(10_000, "the first team holds all", |w| {
+    w.run_until(10_000, "the first team holds all", |w| {
         w.running("j-000001") == 4
     });
     w.run(30_000);
     let mut own = job(2, Kind::Array, 2);
     own.team = "u".into();
     w.submit(own);
-    w.until(20_000, "the second team runs", |w| {
+    w.run_until(20_000, "the second team runs", |w| {
         w.running("j-000002") == 2
     });
     assert_eq!(w.running("j-000001"), 2, "the first keeps its guarantee");
@@ -356,19 +356,19 @@
     w.submit(more);
     w.run(60_000);
     assert_eq!(w.running("j-000003"), 0);
-    w.sound();
+    w.assert_no_violations();
 }
 
 #[test]
 fn zone_constraints_hold_while_old_tasks_linger() {
-    let mut w = quiet(12, 8, 0.0);
+    let mut w = idle_cluster(12, 8, 0.0);
     let mut spread = job(1, Kind::Service, 4);
     spread.spread = true;
     let mut together = job(2, Kind::Service, 3);
     together.single_zone = true;
     w.submit(spread);
     w.submit(together);
-    w.until(30_000, "running", |w| {
+    w.run_until(30_000, "running", |w| {
         w.running("j-000001") == 4 && w.running("j-000002") == 3
     });
     for cut in 0..8 {
@@ -380,20 +380,20 @@
             w.crash(l, 3_000);
         }
         w.run(9_000);
-        w.heal(cut);
+        w.restore_network(cut);
     }
-    w.until(40_000, "running again", |w| {
+    w.run_until(40_000, "running again", |w| {
         w.running("j-000001") == 4 && w.running("j-000002") == 3
     });
-    w.sound();
+    w.assert_no_violations();
 }
 
 #[test]
 fn gang_restarts_only_after_old_tasks_are_gone() {
-    let mut w = quiet(13, 4, 0.0);
+    let mut w = idle_cluster(13, 4, 0.0);
     w.run_ms = 60_000;
     w.submit(job(1, Kind::Gang, 6));
-    w.until(20_000, "running", |w| w.running("j-000001") == 6);
+    w.run_until(20_000, "running", |w| w.running("j-000001") == 6);
     let lost = w.workers.iter().position(|m| !m.tasks.is_empty()).unwrap();
     w.workers[lost].net = Net::Lose;
     w.run(30_000);
@@ -404,20 +404,20 @@
         .map(|t| t.attempt)
         .collect();
     assert!(attempts.len() <= 1, "two attempts at once: {attempts:?}");
-    w.sound();
+    w.assert_no_violations();
 }
 
 #[test]
 fn lost_service_restarts_by_preemption_without_cached_image() {
-    let mut w = quiet(19, 3, 0.0);
+    let mut w = idle_cluster(19, 3, 0.0);
     w.run_ms = 120_000;
     let mut service = job(1, Kind::Service, 2);
     service.priority = Priority::Production;
     service.image = "own".into();
     w.submit(service);
-    w.until(20_000, "up", |w| w.running("j-000001") == 2);
+    w.run_until(20_000, "up", |w| w.running("j-000001") == 2);
     w.submit(job(2, Kind::Array, 20));
-    w.until(20_000, "full", |w| w.running("j-000002") == 4);
+    w.run_until(20_000, "full", |w| w.running("j-000002") == 4);
     let lost: Vec<usize> = (0..3)
         .filter(|i| {
             let mut tasks = w.workers[*i].tasks.iter();
@@ -428,19 +428,19 @@
         w.workers[i].net = Net::Lose;
     }
     // Its lease has to expire; a fetch and two reports come on top.
-    w.until(LEASE + 4_000, "up again elsewhere", |w| {
+    w.run_until(LEASE + 4_000, "up again elsewhere", |w| {
         let there = w.workers.iter().filter(|m| m.net == Net::Up);
         let tasks = there.flat_map(|m| &m.tasks);
         let up = tasks.filter(|t| t.name.starts_with("j-000001"));
         up.filter(|t| t.state == TaskState::Running).count() == 2
     });
-    w.sound();
+    w.assert_no_violations();
 }
 
 #[test]
 fn scale_out_skips_unreachable_zone_until_it_responds() {
-    let mut w = quiet(20, 8, 0.0);
-    w.rents = true;
+    let mut w = idle_cluster(20, 8, 0.0);
+    w.cloud_grants = true;
     w.run_ms = 60_000;
     let mut batch = job(1, Kind::Array, 60);
     batch.zone = Some("b".into());
@@ -457,23 +457,23 @@
     let (i, now) = (w.leader().unwrap(), w.now);
     let leader = w.nodes[i].leader.as_mut().unwrap();
     leader.controller_responded("b", now);
-    w.until(10_000, "rented again", |w| w.workers.len() > 8);
-    w.sound();
+    w.run_until(10_000, "rented again", |w| w.workers.len() > 8);
+    w.assert_no_violations();
 }
 
 #[test]
 fn machine_quarantine_survives_failover() {
-    let mut w = quiet(25, 2, 0.0);
+    let mut w = idle_cluster(25, 2, 0.0);
     // A service on each machine, so that none is empty and goes back.
     let mut service = job(1, Kind::Service, 2);
     service.spread = true;
     w.submit(service);
-    w.until(20_000, "up", |w| w.running("j-000001") == 2);
-    w.workers[0].sick = true;
+    w.run_until(20_000, "up", |w| w.running("j-000001") == 2);
+    w.workers[0].fails_tasks = true;
     for n in 2..6 {
         w.submit(job(n, Kind::Array, 2));
     }
-    w.until(60_000, "set aside", |w| {
+    w.run_until(60_000, "set aside", |w| {
         let machines = w.store.kv.range("m/".to_owned()..);
         let mut machines = machines.take_while(|(k, _)| k.starts_with("m/"));
         machines.any(|(_, (v, _))| v["q"] == true)
@@ -484,11 +484,11 @@
     for n in 6..9 {
         w.submit(job(n, Kind::Array, 2));
     }
-    w.until(120_000, "all done on the other", |w| {
+    w.run_until(120_000, "all done on the other", |w| {
         (2..9).all(|n| w.done(&format!("j-{n:06}")))
     });
     assert_eq!(w.failed, failed, "tasks were started there again");
-    w.sound();
+    w.assert_no_violations();
 }
 
 /// A gang of whole machines in one zone.
@@ -502,7 +502,7 @@
 
 #[test]
 fn gang_reservation_collects_machines_as_they_boot() {
-    let mut w = quiet(17, 0, 0.0);
+    let mut w = idle_cluster(17, 0, 0.0);
     for _ in 0..3 {
         w.add_worker("a", false, 0);
     }
@@ -515,31 +515,31 @@
     w.run(10_000);
     assert_eq!(w.running("j-000002"), 0, "the machines are the gang's");
     w.add_worker("a", false, 0);
-    w.until(10_000, "the gang runs", |w| w.running("j-000001") == 4);
-    w.sound();
+    w.run_until(10_000, "the gang runs", |w| w.running("j-000001") == 4);
+    w.assert_no_violations();
 }
 
 #[test]
 fn gang_preempts_lower_priority_batches_at_once() {
-    let mut w = quiet(18, 8, 0.0);
+    let mut w = idle_cluster(18, 8, 0.0);
     w.run_ms = 20_000;
     w.submit(job(1, Kind::Array, 200));
-    w.until(10_000, "full", |w| w.running("j-000001") == 16);
+    w.run_until(10_000, "full", |w| w.running("j-000001") == 16);
     w.submit(whole_machines(2, 4));
-    w.until(8_000, "the gang runs", |w| w.running("j-000002") == 4);
-    w.sound();
+    w.run_until(8_000, "the gang runs", |w| w.running("j-000002") == 4);
+    w.assert_no_violations();
 }
 
 #[test]
 fn gang_replaces_task_lost_before_start() {
-    let mut w = quiet(19, 4, 0.0);
+    let mut w = idle_cluster(19, 4, 0.0);
     w.run_ms = 60_000;
     w.fetch_ms = 25_000;
     w.submit(job(1, Kind::Gang, 6));
     w.run(3_000);
     let lost = w.workers.iter().position(|m| !m.tasks.is_empty()).unwrap();
     w.workers[lost].net = Net::Lose;
-    w.until(60_000, "running whole", |w| w.running("j-000001") == 6);
+    w.run_until(60_000, "running whole", |w| w.running("j-000001") == 6);
     let attempts: std::collections::BTreeSet<u64> = w
         .workers
         .iter()
@@ -548,12 +548,12 @@
         .collect();
     assert_eq!(attempts.len(), 1, "the others waited on");
     assert_eq!(w.starts, 6);
-    w.sound();
+    w.assert_no_violations();
 }
 
 #[test]
 fn hundred_thousand_task_job_survives_failover() {
-    let mut w = quiet(14, 4, 0.0);
+    let mut w = idle_cluster(14, 4, 0.0);
     let mut big = job(1, Kind::Array, 100_000);
     big.estimate_s = 1.0;
     w.run_ms = 50;
@@ -573,20 +573,20 @@
     };
     assert!(before > 20);
     w.crash(old, 3_000);
-    w.until(30_000, "a leader again", |w| w.leader().is_some());
+    w.run_until(30_000, "a leader again", |w| w.leader().is_some());
     let new = w.leader().unwrap();
     let l = w.nodes[new].leader.as_ref().unwrap();
     let after = l.status("j-000001").unwrap().done;
     assert!(after + 20 >= before, "{after} after {before}");
     assert!(w.store.kv.contains_key("c/j-000001/12"));
-    w.sound();
+    w.assert_no_violations();
 }
 
 #[test]
 fn random_faults_break_no_invariant() {
     for seed in 0..std::env::var("SEEDS").map_or(25, |n| n.parse().unwrap()) {
-        let mut w = quiet(1000 + seed, 6, 48.0);
-        w.rents = true;
+        let mut w = idle_cluster(1000 + seed, 6, 48.0);
+        w.cloud_grants = true;
         let mut n = 0;
         for _ in 0..60 {
             n += 1;
@@ -607,25 +607,25 @@
                     let i = w.rng.usize(..w.workers.len());
                     w.workers[i].net = if w.rng.bool() { Net::Hold } else { Net::Lose };
                 }
-                4 => (0..w.workers.len()).for_each(|i| w.heal(i)),
-                5 => w.store.late.push(w.rng.u64(100..20_000)),
+                4 => (0..w.workers.len()).for_each(|i| w.restore_network(i)),
+                5 => w.store.late_writes.push(w.rng.u64(100..20_000)),
                 6 => {
                     let i = w.rng.usize(..w.workers.len());
                     let delay = w.rng.u64(50..15_000);
-                    w.slow_do.insert(i, delay);
+                    w.direct_command_delay.insert(i, delay);
                 }
                 7 => {
                     let i = w.rng.usize(..3);
-                    w.store.refuses.insert(i);
+                    w.store.refused_nodes.insert(i);
                     let ms = w.rng.u64(1_000..9_000);
                     w.run(ms);
-                    w.store.refuses.clear();
+                    w.store.refused_nodes.clear();
                 }
                 8 => {
-                    w.store.down = true;
+                    w.store.unavailable = true;
                     let ms = w.rng.u64(1_000..15_000);
                     w.run(ms);
-                    w.store.down = false;
+                    w.store.unavailable = false;
                 }
                 _ => {
                     let id = format!("j-{:06}", w.rng.u32(1..=n));
@@ -642,17 +642,17 @@
                 w.poll(i, &id);
             }
         }
-        assert!(w.broken.is_empty(), "seed {seed}: {:?}", w.broken);
+        assert!(w.violations.is_empty(), "seed {seed}: {:?}", w.violations);
         assert!(w.starts > 50);
     }
 }
 
-/// A day on which controllers stand still at any moment, fall unresponsive, are cut
-/// off in part and crash, several at once, under jobs of all kinds.
-fn hard_day(seed: u64, nodes: usize) -> World {
-    let mut w = World::sized(seed, 6, 48.0, nodes);
-    w.until(10_000, "a leader", |w| w.leader().is_some());
-    w.rents = true;
+/// Controllers pause at any moment, become unresponsive, are partly partitioned
+/// and crash, several at once, under jobs of all kinds.
+fn run_controller_faults(seed: u64, nodes: usize) -> Simulation {
+    let mut w = Simulation::with_nodes(seed, 6, 48.0, nodes);
+    w.run_until(10_000, "a leader", |w| w.leader().is_some());
+    w.cloud_grants = true;
     let mut n = 0;
     for _ in 0..50 {
         n += 1;
@@ -672,14 +672,14 @@
         match w.rng.u8(..12) {
             0..4 => {
                 let ms = [500, 3_000, 5_000, 12_000, 20_000][w.rng.usize(..5)];
-                w.stand_still(i, ms);
+                w.pause_process(i, ms);
             }
-            4 => w.cut(i, Side::All, Cut::Hold),
-            5 => w.cut(i, Side::State, how),
-            6 => w.cut(i, Side::Workers, how),
+            4 => w.partition(i, CutScope::All, Cut::Hold),
+            5 => w.partition(i, CutScope::State, how),
+            6 => w.partition(i, CutScope::Workers, how),
             7 => {
                 let j = w.rng.usize(..nodes);
-                w.cut(i, Side::Node(j), how);
+                w.partition(i, CutScope::Node(j), how);
             }
             8 => w.crash(i, 3_000),
             9 => {
@@ -689,13 +689,13 @@
             10 => {
                 let m = w.rng.usize(..w.workers.len());
                 let delay = w.rng.u64(50..15_000);
-                w.slow_do.insert(m, delay);
+                w.direct_command_delay.insert(m, delay);
             }
             _ => {
-                w.store.down = true;
+                w.store.unavailable = true;
                 let ms = w.rng.u64(1_000..9_000);
                 w.run(ms);
-                w.store.down = false;
+                w.store.unavailable = false;
             }
         }
         let ms = w.rng.u64(200..8_000);
@@ -705,15 +705,15 @@
         let none_left = (0..nodes).filter(able).count() < 2;
         for i in 0..nodes {
             if none_left || w.rng.u8(..4) == 0 {
-                w.join(i);
+                w.end_partitions(i);
             }
         }
         if w.rng.u8(..4) == 0 {
-            (0..w.workers.len()).for_each(|m| w.heal(m));
+            (0..w.workers.len()).for_each(|m| w.restore_network(m));
         }
         if n > 6 {
             if w.rng.bool() {
-                (0..nodes).for_each(|i| w.join(i));
+                (0..nodes).for_each(|i| w.end_partitions(i));
             }
             w.cancel(&format!("j-{:06}", n - 6));
         }
@@ -729,8 +729,12 @@
 fn random_controller_faults_break_no_invariant() {
     for seed in 0..std::env::var("SEEDS").map_or(12, |n| n.parse().unwrap()) {
         for nodes in [3, 7] {
-            let w = hard_day(2000 + seed, nodes);
-            assert!(w.broken.is_empty(), "seed {seed}, {nodes}: {:?}", w.broken);
+            let w = run_controller_faults(2000 + seed, nodes);
+            assert!(
+                w.violations.is_empty(),
+                "seed {seed}, {nodes}: {:?}",
+                w.violations
+            );
             assert!(w.starts > 40);
         }
     }
@@ -740,10 +744,10 @@
 /// node is down when the state service goes, and all crash as it comes back.
 #[test]
 fn large_cluster_recovers_from_outage_and_full_crash() {
-    let mut w = World::sized(21, 400, 0.0, 7);
+    let mut w = Simulation::with_nodes(21, 400, 0.0, 7);
     w.fetch_ms = 1_000;
     w.run_ms = 15_000;
-    w.until(10_000, "a leader", |w| w.leader().is_some());
+    w.run_until(10_000, "a leader", |w| w.leader().is_some());
     w.submit(job(1, Kind::Array, 500));
     for n in 2..6 {
         w.submit(whole_machines(n, 8));
@@ -754,36 +758,36 @@
         service.spread = true;
         w.submit(service);
     }
-    w.until(20_000, "all run", |w| {
+    w.run_until(20_000, "all run", |w| {
         (2..6).all(|n| w.running(&format!("j-{n:06}")) == 8)
             && (6..16).all(|n| w.running(&format!("j-{n:06}")) == 12)
     });
     let leader = w.leader().unwrap();
     w.crash((leader + 1) % 7, 3_000);
-    w.store.down = true;
+    w.store.unavailable = true;
     w.run(9_000);
     for i in 0..7 {
         w.crash(i, 3_000);
     }
     w.run(500);
-    w.store.down = false;
-    w.until(60_000, "all batches and gangs done", |w| {
+    w.store.unavailable = false;
+    w.run_until(60_000, "all batches and gangs done", |w| {
         (1..6).all(|n| w.done(&format!("j-{n:06}")))
     });
-    w.until(30_000, "services up", |w| {
+    w.run_until(30_000, "services up", |w| {
         (6..16).all(|n| w.running(&format!("j-{n:06}")) == 12)
     });
-    w.sound();
+    w.assert_no_violations();
 }
 
-fn reason(w: &mut World, id: &str) -> Option<Reason> {
+fn reason(w: &mut Simulation, id: &str) -> Option<Reason> {
     let i = w.leader()?;
     w.nodes[i].leader.as_ref()?.explain(id, w.now)?.reason
 }
 
 #[test]
 fn explain_reports_why_task_waits() {
-    let mut w = quiet(22, 2, 40.0);
+    let mut w = idle_cluster(22, 2, 40.0);
     w.run_ms = 600_000;
     w.run(3_000);
     w.submit(job(1, Kind::Array, 3));
@@ -800,7 +804,7 @@
     let mut service = job(4, Kind::Service, 1);
     service.team = "u".into();
     w.submit(service);
-    w.until(15_000, "refused machines", |w| {
+    w.run_until(15_000, "refused machines", |w| {
         reason(w, "j-000004") == Some(Reason::CloudRefuses)
     });
     w.run(5_000);
@@ -812,38 +816,38 @@
     let group = picture.groups.iter().find(|g| g.team == "u").unwrap();
     assert_eq!((group.waiting, group.late_jobs), (2, 1));
     assert_eq!(picture.fleet.iter().map(|f| f.up).sum::<u32>(), 2);
-    w.sound();
+    w.assert_no_violations();
 }
 
 #[test]
 fn explain_reports_team_limit_and_settling_leader() {
-    let mut w = quiet(23, 4, 8.0);
+    let mut w = idle_cluster(23, 4, 8.0);
     w.run_ms = 600_000;
     w.submit(job(1, Kind::Array, 5));
-    w.until(10_000, "two run", |w| w.running("j-000001") == 2);
+    w.run_until(10_000, "two run", |w| w.running("j-000001") == 2);
     assert_eq!(reason(&mut w, "j-000001"), Some(Reason::TeamLimit));
     let old = w.leader().unwrap();
     let silent = w.workers.iter().position(|m| m.tasks.is_empty()).unwrap();
     w.workers[silent].net = Net::Lose;
-    w.go_cold();
+    w.drop_standbys();
     w.crash(old, 3_000);
-    w.until(10_000, "a new leader", |w| {
+    w.run_until(10_000, "a new leader", |w| {
         w.leader().is_some_and(|i| i != old)
     });
     w.run(2_000);
     assert_eq!(reason(&mut w, "j-000001"), Some(Reason::Settling));
-    w.sound();
+    w.assert_no_violations();
 }
 
 /// Machines looked at while 50 reports without news come in, and per machine
 /// while a full fleet is passed over with many kinds of jobs waiting.
-fn work_done(machines: usize) -> (u64, f64) {
-    let mut w = quiet(24, machines, 0.0);
+fn inspections(machines: usize) -> (u64, f64) {
+    let mut w = idle_cluster(24, machines, 0.0);
     w.run_ms = 600_000;
     w.run(3_000);
     w.submit(job(1, Kind::Array, 2 * machines as u32));
     let all = 2 * machines;
-    w.until(20_000, "full", |w| w.running("j-000001") == all);
+    w.run_until(20_000, "full", |w| w.running("j-000001") == all);
     for n in 2..62 {
         // Each of a size of its own, so that none speaks for another.
         let mut waits = job(n, Kind::Array, 3);
@@ -852,7 +856,7 @@
     }
     w.run(3_000);
     let (i, now) = (w.leader().unwrap(), w.now);
-    let report = w.report_of(0);
+    let report = w.heartbeat_of(0);
     let l = w.nodes[i].leader.as_mut().unwrap();
     let before = l.cluster.inspections();
     for n in 1..=50 {
@@ -876,7 +880,7 @@
 
 #[test]
 fn heartbeat_and_cycle_cost_is_independent_of_fleet() {
-    let (small, large) = (work_done(20), work_done(200));
+    let (small, large) = (inspections(20), inspections(200));
     assert_eq!(small.0, large.0, "a report touches its machine alone");
     // A pass looks at each machine a few times, however many jobs wait.
     assert!(large.1 < 20.0, "{} looks at each machine", large.1);
--- a/tests/simulation/check.rs
+++ b/tests/simulation/check.rs
@@ -1,8 +1,10 @@
-//! The rules, asserted at every step.
+//! The checker of invariants: tasks on machines, quotas, cancellations, and jobs
+//! that wait beside capacity. It looks at machines and records only, never at a
+//! leader's own state, and reports into `Simulation::violations`.
 
 use super::*;
 
-impl World {
+impl Simulation {
     fn on_machines(&self) -> impl Iterator<Item = (usize, &Task)> {
         let now = self.now;
         self.workers.iter().enumerate().flat_map(move |(i, w)| {
@@ -13,10 +15,12 @@
         })
     }
 
+    /// A task starts on worker `w`: not while it runs elsewhere, within the job's
+    /// placement constraints, and after its dependencies.
     pub(super) fn check_start(&mut self, w: usize, name: &str) {
         let id = name.rsplit_once('/').unwrap().0;
         let spec = self.specs[id].clone();
-        self.started_after += u32::from(self.told.contains_key(&format!("{id}!")));
+        self.started_after_cancellation += u32::from(self.answered.contains_key(&format!("{id}!")));
         let mut found = Vec::new();
         let mut zones: BTreeMap<&str, u32> = BTreeMap::new();
         for (i, t) in self.on_machines() {
@@ -37,7 +41,7 @@
             found.push(format!("wrong_place: {name} on a spot machine"));
         }
         for need in &spec.dependencies {
-            // A report is not enough: whoever leads next must know of it.
+            // A heartbeat is not enough: the next leader must know of it.
             let done = self.store.kv.get(&records::final_key(need));
             if done.is_none_or(|(v, _)| v["s"] != "done") {
                 found.push(format!(
@@ -45,18 +49,18 @@
                 ));
             }
         }
-        self.broken.extend(found);
+        self.violations.extend(found);
     }
 
-    /// When a user was first told that the job, or one that it needs directly
-    /// or not, is cancelled.
+    /// When a user was first answered that the job, or a direct or indirect
+    /// dependency of it, is cancelled.
     pub(super) fn cancelled_before(&self, id: &str) -> Option<Millis> {
-        let mut first = self.told.get(&format!("{id}!")).map(|t| t.1);
+        let mut first = self.answered.get(&format!("{id}!")).map(|t| t.1);
         let (mut all, mut seen) = (vec![id.to_owned()], BTreeSet::new());
         while let Some(id) = all.pop() {
             for need in self.specs.get(&id).map_or(&[][..], |s| &s.dependencies) {
                 if seen.insert(need.clone()) {
-                    let at = self.told.get(&format!("{need}!")).map(|t| t.1);
+                    let at = self.answered.get(&format!("{need}!")).map(|t| t.1);
                     first = first.into_iter().chain(at).min();
                     all.push(need.clone());
                 }
@@ -65,17 +69,18 @@
         first
     }
 
-    pub(super) fn check_told(&mut self, id: &str, state: JobState) {
+    /// An answer given now agrees with the cancellations so far.
+    pub(super) fn check_cancellation_answer(&mut self, id: &str, state: JobState) {
         // Of one that was submitted later, the time counts from then.
         let since = self.submitted.get(id).copied().unwrap_or(0);
         let (now, cancelled) = (self.now, self.cancelled_before(id).map(|at| at.max(since)));
         match (state, cancelled) {
             (JobState::Queued | JobState::Running, Some(at)) if now > at + CANCEL => {
-                self.broken
+                self.violations
                     .push(format!("orphaned: {id} is called {state:?}"));
             }
             (JobState::Cancelled, None) if !self.asked_to_cancel(id) => {
-                self.broken
+                self.violations
                     .push(format!("went_back: nobody cancelled {id}"));
             }
             _ => {}
@@ -98,6 +103,7 @@
         false
     }
 
+    /// What holds at every step.
     pub(super) fn check(&mut self) {
         let now = self.now;
         let mut found = Vec::new();
@@ -114,26 +120,26 @@
         }
         for (i, t) in self.on_machines() {
             let id = t.name.rsplit_once('/').unwrap().0;
-            if let Some((_, at)) = self.told.get(&format!("{id}!"))
+            if let Some((_, at)) = self.answered.get(&format!("{id}!"))
                 && now > at + CANCEL
             {
                 found.push(format!("ran_cancelled: {} on {i}", t.name));
             }
         }
-        self.broken.extend(found);
-        match self.calm {
-            true if now.is_multiple_of(1_000) => self.check_room(),
+        self.violations.extend(found);
+        match self.fault_free {
+            true if now.is_multiple_of(1_000) => self.check_waiting_jobs(),
             true => {}
             false => {
-                self.beside_room.clear();
-                self.desk.excuse();
+                self.waiting_since.clear();
+                self.traffic.excuse_missing_answers();
             }
         }
     }
 
-    /// While nothing is amiss, no task that may start waits for 90 s beside a
-    /// machine with room, its team under its limit.
-    fn check_room(&mut self) {
+    /// While there is no fault, no task that may start waits for 90 s beside a
+    /// machine with capacity for it, its team under its limit.
+    fn check_waiting_jobs(&mut self) {
         let now = self.now;
         let on: BTreeSet<&str> = (self.workers.iter().filter(|w| w.alive))
             .flat_map(|w| w.tasks.iter().map(|t| t.name.as_str()))
@@ -142,7 +148,7 @@
             let live = w.tasks.iter().filter(|t| t.state != TaskState::Exited);
             live.count()
         };
-        let up = |w: &&Worker| w.alive && now >= w.boots && w.net == Net::Up && !w.sick;
+        let up = |w: &&Worker| w.alive && now >= w.boots_at && w.net == Net::Up && !w.fails_tasks;
         let room: Vec<&Worker> = (self.workers.iter().filter(up))
             .filter(|w| used(w) < 2)
             .collect();
@@ -179,11 +185,12 @@
                 waiting.insert(id.clone());
             }
         }
-        self.beside_room.retain(|id, _| waiting.contains(id));
+        self.waiting_since.retain(|id, _| waiting.contains(id));
         for id in waiting {
-            let since = *self.beside_room.entry(id.clone()).or_insert(now);
+            let since = *self.waiting_since.entry(id.clone()).or_insert(now);
             if now > since + 90_000 {
-                self.broken.push(format!("{id} waits beside room for 90 s"));
+                self.violations
+                    .push(format!("{id} waits beside room for 90 s"));
             }
         }
     }
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -1,7 +1,24 @@
-//! A whole installation in memory, written from the protocol: users, state
-//! service, cloud, workers and controllers, with a network that can lose,
-//! hold, refuse and delay, and controllers that crash, fall unresponsive or stand
-//! still. A checker asserts the rules at every step.
+//! Deterministic simulation of a whole cluster in one thread, in steps of
+//! `STEP` milliseconds of simulated time, with one seeded random generator.
+//!
+//! Simulated here, written from the protocol: users (`users`), the state
+//! service (`store`), the cloud and the network (`nodes`, `net`), and the
+//! machines' agents (`workers`). Of the controllers the decisions are the
+//! program's own (`control` and `state` of the library); `nodes` and
+//! `standbys` stand in for the I/O loops of `server` around them.
+//!
+//! Faults: messages that are lost, held, refused, delayed or duplicated;
+//! transactions without an answer or applied late; controllers that crash,
+//! pause or are partitioned; machines that pause, restart or fail.
+//!
+//! Not simulated: sockets, framing, TLS, threads, disks and clocks that drift
+//! apart. The testbed runs of `scale_run` cover real processes.
+//!
+//! The invariants are checked at every step, whatever the test asserts:
+//! `check` looks at tasks on machines, quotas and cancellations, `standbys` at
+//! what registered standbys know, `users` at the answers that users get. What
+//! they find collects in `Simulation::violations`, which each test asserts to
+//! be empty.
 #![allow(dead_code)]
 
 mod check;
@@ -12,11 +29,11 @@
 mod users;
 mod workers;
 
-pub use net::{Cut, EndLease, Link, Net, Side};
+pub use net::{Cut, CutScope, Endpoint, Link, Net};
 pub use store::Store;
-// Not by every file of stories.
+// Not used by every test file.
 #[allow(unused_imports)]
-pub use users::Ask;
+pub use users::UserRequest;
 
 use fastrand::Rng;
 use net::Msg;
@@ -60,12 +77,14 @@
     collections::{BTreeMap, BTreeSet, HashMap},
     rc::Rc,
 };
-use users::Desk;
+use users::UserTraffic;
 
 pub const STEP: Millis = 50;
 pub const LEASE: Millis = 10_000;
 pub const CANCEL: Millis = 35_000;
 
+/// Settings of a cluster with two zones and three teams; `cpus_max` is the limit
+/// of team `t`.
 pub fn settings(cpus_max: f64) -> Settings {
     Settings::parse(
         &serde_json::json!({
@@ -87,6 +106,7 @@
     .unwrap()
 }
 
+/// The one machine type on offer: room for two tasks of `job`.
 pub fn types() -> Vec<MachineType> {
     vec![MachineType {
         name: "m8".into(),
@@ -102,14 +122,14 @@
     }]
 }
 
-/// Allowed types of a description that is over 6 KiB, and under 8.
+/// Allowed machine types that make a spec larger than 6 KiB and smaller than 8.
 pub fn many_types() -> Vec<String> {
     let names = (0..40).map(|k| format!("kind-{k:02}-{}", "x".repeat(150)));
     names.chain(["m8".to_owned()]).collect()
 }
 
-/// A machine of the machine registry on which something may run.
-pub fn roster_record() -> MachineRecord {
+/// Registry record of a machine on which tasks may run.
+pub fn machine_record() -> MachineRecord {
     MachineRecord {
         addr: "127.0.0.1:9".into(),
         type_name: "m8".into(),
@@ -122,6 +142,7 @@
     }
 }
 
+/// A job `j-<n>` of team `t` whose tasks take half a machine each.
 pub fn job(n: u32, kind: Kind, tasks: u32) -> JobSpec {
     JobSpec {
         id: format!("j-{n:06}"),
@@ -151,34 +172,34 @@
 pub struct Node {
     pub alive: bool,
     pub back_at: Millis,
-    /// Stands still until then.
-    pub still_until: Millis,
+    /// The process is paused until then.
+    pub paused_until: Millis,
     pub election: Election,
     pub leader: Option<Leader>,
     pub follower: ReplicaReceiver,
-    /// Parts that are on their way to each node, by stream and number.
-    telling: Vec<Option<(u64, u64)>>,
-    /// A write of the record of standbys without an answer, to be read back.
-    record_open: Option<Millis>,
-    /// Where it stands in the notices, while it leads.
-    notices: Option<AcceptanceFeed>,
-    /// Its records are read by then.
-    loads_at: Millis,
+    /// Replication parts that await an answer of each node, by stream and number.
+    parts_in_flight: Vec<Option<(u64, u64)>>,
+    /// A write of the standby registry had no answer: it is reread then.
+    registry_reread_at: Option<Millis>,
+    /// Its position in the feed of jobs that followers accepted, while it leads.
+    acceptance_feed: Option<AcceptanceFeed>,
+    /// A new leader has read the records by then.
+    records_read_at: Millis,
     pub failure_detector: FailureDetector,
     pub exclusions: Exclusions,
-    bar_at: Millis,
-    relays: HeartbeatRelays,
-    finals: FinalStates,
-    next: Millis,
-    greet_at: Millis,
-    last_beat: Millis,
+    next_exclusion_step: Millis,
+    heartbeat_relays: HeartbeatRelays,
+    final_states: FinalStates,
+    next_election_step: Millis,
+    next_relay_request: Millis,
+    last_heartbeat: Millis,
     flush_at: Millis,
-    /// A plan whose transaction is carried out, and its answer comes then.
+    /// A write plan whose transaction is applied, and when its answer comes.
     flushing: Option<(Millis, WritePlan, TxnResult)>,
-    /// A plan whose transaction had no answer, to be read back then.
-    unclear: Option<(Millis, WritePlan)>,
-    /// Since when questions to peers are open.
-    asked: Vec<Option<Millis>>,
+    /// A write plan whose transaction had no answer, and when it is reread.
+    indeterminate: Option<(Millis, WritePlan)>,
+    /// Since when a probe of each peer has no answer.
+    probes_open_since: Vec<Option<Millis>>,
 }
 
 #[derive(Clone, Debug)]
@@ -186,7 +207,7 @@
     pub name: String,
     pub attempt: u64,
     pub state: TaskState,
-    pub why: Option<ExitReason>,
+    pub exit_reason: Option<ExitReason>,
     pub until: Millis,
 }
 
@@ -196,23 +217,23 @@
     pub spot: bool,
     pub alive: bool,
     pub net: Net,
-    pub session: u64,
+    pub incarnation: u64,
     pub seq: u64,
     pub token: u64,
     pub tasks: Vec<Task>,
-    last_ok: Millis,
-    next: Millis,
+    lease_renewed_at: Millis,
+    next_election_step: Millis,
     sent: Millis,
-    dirty: bool,
+    report_due: bool,
     target: usize,
     /// Every task that starts on it fails.
-    pub sick: bool,
-    flight: Option<(u64, Millis)>,
-    boots: Millis,
-    hangs_until: Millis,
+    pub fails_tasks: bool,
+    heartbeat_in_flight: Option<(u64, Millis)>,
+    boots_at: Millis,
+    paused_until: Millis,
 }
 
-pub struct World {
+pub struct Simulation {
     pub now: Millis,
     pub rng: Rng,
     pub settings: Rc<Settings>,
@@ -224,106 +245,108 @@
     cancelling: BTreeSet<String>,
     /// When jobs were accepted.
     submitted: HashMap<String, Millis>,
-    pub told: HashMap<String, (JobState, Millis)>,
-    wire: Vec<(Millis, Msg)>,
+    pub answered: HashMap<String, (JobState, Millis)>,
+    in_transit: Vec<(Millis, Msg)>,
     held: Vec<Msg>,
-    cuts: Vec<(usize, Side, Cut)>,
-    /// What this node sends now leaves it only then: it stands still between
-    /// its last check and the wire.
-    stalls: Option<(usize, Millis)>,
-    /// The answer to what a leader writes comes at most so much later.
-    pub write_ms: Millis,
+    cuts: Vec<(usize, CutScope, Cut)>,
+    /// What this node sends now leaves it only then: the process is paused between
+    /// its last check and the network.
+    paused_sender: Option<(usize, Millis)>,
+    /// Longest latency of the answer to a leader's write.
+    pub write_latency_ms: Millis,
     /// How long a new leader takes to read the records.
     pub load_ms: Millis,
-    /// Workers, and their reports, that a node passed on.
+    /// Heartbeats that a node relayed, by worker and sequence number.
     relaying: BTreeSet<(usize, u64)>,
     late_ops: Vec<(Millis, usize, u64, CloudOp)>,
-    /// Of a hundred reports so many come again, seconds to half a minute late.
-    pub copies: u32,
-    /// Some reports are kept for the next leader, and those that are.
-    pub keep_copies: bool,
-    kept: Vec<(usize, Heartbeat)>,
-    /// Kept reports that came to a new leader.
-    pub copied: u32,
-    /// Extra delay of all between a worker and the controllers.
+    /// Percentage of heartbeats that are delivered once more, up to 30 s late.
+    pub duplicate_percent: u32,
+    /// Some heartbeats are kept and replayed to the next leader.
+    pub keep_for_next_leader: bool,
+    kept_heartbeats: Vec<(usize, Heartbeat)>,
+    /// Kept heartbeats that were replayed to a new leader.
+    pub replayed: u32,
+    /// Extra delay of all messages between a worker and the controllers.
     pub slow_links: HashMap<usize, Millis>,
-    /// How long a rented machine takes until it is up.
+    /// How long a machine that the cloud grants takes to boot.
     pub boot_ms: Millis,
-    /// Since when each job waits beside room, while nothing is amiss.
-    beside_room: HashMap<String, Millis>,
-    pub calm: bool,
-    /// Direct orders that are open: node, term, machine, token.
+    /// Since when each job has waited beside capacity that fits it.
+    waiting_since: HashMap<String, Millis>,
+    pub fault_free: bool,
+    /// Direct commands without an answer: node, term, machine, token.
     directs: BTreeSet<(usize, u64, String, u64)>,
     /// Extra delay of direct commands to a worker.
-    pub slow_do: HashMap<usize, Millis>,
-    pub broken: Vec<String>,
+    pub direct_command_delay: HashMap<usize, Millis>,
+    pub violations: Vec<String>,
     pub starts: u32,
     /// Tasks that failed on sick machines, or of faulty jobs.
     pub failed: u32,
     /// Jobs submitted with a mistake: their tasks fail wherever they start.
     pub faulty: BTreeSet<String>,
-    /// Tasks killed as their worker's lease had expired.
-    pub lapsed: usize,
+    /// Tasks killed by lease expiry at their worker.
+    pub expired_tasks: usize,
     /// Machines returned to the cloud.
     pub returned: Vec<String>,
     /// Machines asked of the cloud.
-    pub asked_for: u32,
+    pub machines_requested: u32,
     /// How often a node became leader.
     pub terms: u32,
     pub finished: BTreeSet<String>,
     pub run_ms: Millis,
     pub fetch_ms: Millis,
-    /// For the checker's own test: lets a new leader skip what it must wait
-    /// for.
-    pub sabotage: bool,
-    pub rents: bool,
-    /// The option.
+    /// Fault injection for the checker's own test: a new leader does not wait
+    /// for leases that may still run.
+    pub skip_lease_wait: bool,
+    pub cloud_grants: bool,
+    /// The option of this name: the bound on the wait of large jobs.
     pub begin_s: f64,
-    /// What started, where and when.
-    pub story: Vec<(Millis, usize, String)>,
+    /// Every task start: when, on which worker, which task.
+    pub start_log: Vec<(Millis, usize, String)>,
     /// Not every node is known to run this version.
-    pub mixed: bool,
+    pub mixed_versions: bool,
     /// Nodes keep standbys warm.
     pub standbys: bool,
-    /// Of a hundred parts told to standbys so many are lost, and as many
-    /// arrive twice.
-    pub lossy: u32,
+    /// Percentage of replication parts that are lost, and of those that arrive
+    /// twice.
+    pub replication_loss_percent: u32,
     /// Answers to renewals that are on their way: when, to whom, of which
     /// lease, sent when.
     renewals: Vec<(Millis, usize, u64, Millis)>,
-    /// Leaders that stopped as they could not show that they know of all
+    /// Leaders that stepped down as they could not show that they know of all
     /// cancellations.
-    pub blind: u32,
-    /// Nodes of a version that knows of no standbys, nor of evidence beside a
-    /// promise.
-    pub old: BTreeSet<usize>,
-    /// Takeovers that were warm.
-    pub warm: u32,
-    /// For the checker's own test: a standby loses what it is told of a
-    /// machine, but confirms it.
-    pub forgetful: bool,
-    /// Requests of users that are under way, and what was said to them.
-    pub desk: Desk,
-    /// What nodes may still change, where that is limited, and how much a
-    /// second.
+    pub uninformed_step_downs: u32,
+    /// Nodes of a version without standbys and without evidence beside promises.
+    pub old_version_nodes: BTreeSet<usize>,
+    /// Failovers to a warm standby.
+    pub warm_failovers: u32,
+    /// Fault injection for the checker's own test: a standby acknowledges an
+    /// update of a machine, and loses it.
+    pub replica_loses_updates: bool,
+    /// Users' requests in flight, and the answers that were given.
+    pub traffic: UserTraffic,
+    /// Remaining write budget of each node, where writes are limited, and the
+    /// writes a second.
     budgets: Vec<TokenBucket>,
-    change_rate: f64,
-    /// Tasks that started after a user was told that their job is cancelled.
-    pub started_after: u32,
+    write_rate: f64,
+    /// Tasks that started after a user had been answered that their job is
+    /// cancelled.
+    pub started_after_cancellation: u32,
     /// Nodes in the second zone.
-    pub in_b: BTreeSet<usize>,
+    pub zone_b_nodes: BTreeSet<usize>,
     /// The machine types are not known yet.
-    pub no_types: bool,
+    pub types_unknown: bool,
 }
 
-impl World {
-    pub fn new(seed: u64, machines: usize, cpus_max: f64) -> World {
-        Self::sized(seed, machines, cpus_max, 3)
+impl Simulation {
+    /// The same with three controllers.
+    pub fn new(seed: u64, machines: usize, cpus_max: f64) -> Simulation {
+        Self::with_nodes(seed, machines, cpus_max, 3)
     }
 
-    pub fn sized(seed: u64, machines: usize, cpus_max: f64, nodes: usize) -> World {
+    /// A cluster of `nodes` controllers before its first election.
+    pub fn with_nodes(seed: u64, machines: usize, cpus_max: f64, nodes: usize) -> Simulation {
         let settings = Rc::new(settings(cpus_max));
-        let mut w = World {
+        let mut w = Simulation {
             now: 10_000,
             rng: Rng::with_seed(seed),
             settings,
@@ -333,57 +356,57 @@
             specs: HashMap::new(),
             cancelling: BTreeSet::new(),
             submitted: HashMap::new(),
-            told: HashMap::new(),
-            wire: Vec::new(),
+            answered: HashMap::new(),
+            in_transit: Vec::new(),
             held: Vec::new(),
             cuts: Vec::new(),
-            stalls: None,
-            write_ms: 0,
+            paused_sender: None,
+            write_latency_ms: 0,
             load_ms: 0,
             relaying: BTreeSet::new(),
             late_ops: Vec::new(),
-            copies: 0,
-            keep_copies: false,
-            kept: Vec::new(),
-            copied: 0,
+            duplicate_percent: 0,
+            keep_for_next_leader: false,
+            kept_heartbeats: Vec::new(),
+            replayed: 0,
             slow_links: HashMap::new(),
             boot_ms: 5_000,
-            beside_room: HashMap::new(),
-            calm: false,
+            waiting_since: HashMap::new(),
+            fault_free: false,
             directs: BTreeSet::new(),
-            slow_do: HashMap::new(),
-            broken: Vec::new(),
+            direct_command_delay: HashMap::new(),
+            violations: Vec::new(),
             starts: 0,
             failed: 0,
             faulty: BTreeSet::new(),
-            lapsed: 0,
+            expired_tasks: 0,
             returned: Vec::new(),
-            asked_for: 0,
+            machines_requested: 0,
             terms: 0,
             finished: BTreeSet::new(),
             run_ms: 6_000,
             fetch_ms: 300,
-            sabotage: false,
-            rents: false,
+            skip_lease_wait: false,
+            cloud_grants: false,
             begin_s: Options::default().begin_s,
-            story: Vec::new(),
-            mixed: false,
+            start_log: Vec::new(),
+            mixed_versions: false,
             standbys: true,
-            lossy: 0,
+            replication_loss_percent: 0,
             renewals: Vec::new(),
-            blind: 0,
-            old: BTreeSet::new(),
-            warm: 0,
-            forgetful: false,
-            desk: Desk::default(),
+            uninformed_step_downs: 0,
+            old_version_nodes: BTreeSet::new(),
+            warm_failovers: 0,
+            replica_loses_updates: false,
+            traffic: UserTraffic::default(),
             budgets: Vec::new(),
-            change_rate: 0.0,
-            started_after: 0,
-            in_b: BTreeSet::new(),
-            no_types: false,
+            write_rate: 0.0,
+            started_after_cancellation: 0,
+            zone_b_nodes: BTreeSet::new(),
+            types_unknown: false,
         };
         for i in 0..nodes {
-            let node = w.fresh(i, nodes);
+            let node = w.started_node(i, nodes);
             w.nodes.push(node);
         }
         for i in 0..machines {
@@ -393,7 +416,7 @@
     }
 
     /// Teams have limits of their own, from the beginning.
-    pub fn limited(mut self, limits: &[(&str, f64)]) -> World {
+    pub fn with_team_limits(mut self, limits: &[(&str, f64)]) -> Simulation {
         let mut settings = (*self.settings).clone();
         for team in &mut settings.cluster.teams {
             if let Some((_, most)) = limits.iter().find(|(name, _)| *name == team.name) {
@@ -404,13 +427,13 @@
         self
     }
 
-    fn fresh(&mut self, i: usize, nodes: usize) -> Node {
+    fn started_node(&mut self, i: usize, nodes: usize) -> Node {
         let names: Vec<String> = (0..nodes).map(|j| format!("n{j}")).collect();
         let peers: Vec<&str> = peers_of(i, nodes).map(|j| names[j].as_str()).collect();
         Node {
             alive: true,
             back_at: 0,
-            still_until: 0,
+            paused_until: 0,
             election: Election::new(
                 &names[i],
                 self.rng.u64(1..1 << 50),
@@ -419,25 +442,26 @@
             ),
             leader: None,
             follower: ReplicaReceiver::default(),
-            telling: vec![None; nodes],
-            record_open: None,
-            notices: None,
-            loads_at: 0,
+            parts_in_flight: vec![None; nodes],
+            registry_reread_at: None,
+            acceptance_feed: None,
+            records_read_at: 0,
             failure_detector: FailureDetector::new(&names[i], &peers),
             exclusions: Exclusions::default(),
-            bar_at: 0,
-            relays: HeartbeatRelays::default(),
-            finals: FinalStates::default(),
-            next: self.now,
-            greet_at: 0,
-            last_beat: 0,
+            next_exclusion_step: 0,
+            heartbeat_relays: HeartbeatRelays::default(),
+            final_states: FinalStates::default(),
+            next_election_step: self.now,
+            next_relay_request: 0,
+            last_heartbeat: 0,
             flush_at: 0,
             flushing: None,
-            unclear: None,
-            asked: vec![None; nodes],
+            indeterminate: None,
+            probes_open_since: vec![None; nodes],
         }
     }
 
+    /// Adds a machine that is up after `boot`; returns its name.
     pub fn add_worker(&mut self, zone: &str, spot: bool, boot: Millis) -> String {
         let name = format!("i-{:06}", self.workers.len());
         self.workers.push(Worker {
@@ -446,29 +470,33 @@
             spot,
             alive: true,
             net: Net::Up,
-            session: 1,
+            incarnation: 1,
             seq: 0,
             token: 0,
             tasks: Vec::new(),
-            last_ok: self.now + boot,
-            next: self.now + boot,
+            lease_renewed_at: self.now + boot,
+            next_election_step: self.now + boot,
             sent: 0,
-            dirty: false,
+            report_due: false,
             target: 0,
-            sick: false,
-            flight: None,
-            boots: self.now + boot,
-            hangs_until: 0,
+            fails_tasks: false,
+            heartbeat_in_flight: None,
+            boots_at: self.now + boot,
+            paused_until: 0,
         });
         name
     }
 
-    /// All nodes are in the first zone but for those that a story puts into the
-    /// other.
+    /// All nodes are in zone `a` but for those in `zone_b_nodes`.
     fn zone_of(&self, i: usize) -> &'static str {
-        if self.in_b.contains(&i) { "b" } else { "a" }
+        if self.zone_b_nodes.contains(&i) {
+            "b"
+        } else {
+            "a"
+        }
     }
 
+    /// The node that may act as leader and has read the records.
     pub fn leader(&mut self) -> Option<usize> {
         let now = self.now;
         (0..self.nodes.len()).find(|i| {
@@ -479,8 +507,8 @@
         })
     }
 
-    /// The state service will have lower limits, as the settings say.
-    pub fn warn(&mut self) {
+    /// The settings announce lower limits of the state service.
+    pub fn announce_lower_limits(&mut self) {
         let mut settings = (*self.settings).clone();
         settings.cluster.state.next = Some(NextLimits {
             value_kb: Some(2.0),
@@ -491,18 +519,19 @@
         self.settings = Rc::new(settings);
     }
 
-    /// It has them.
-    pub fn lower(&mut self) {
+    /// The lower limits that were announced take effect.
+    pub fn apply_lower_limits(&mut self) {
         (self.store.txn_ops, self.store.value) = (4, 2048);
     }
 
-    /// One that has a leader.
-    pub fn led(seed: u64, machines: usize, limit: f64) -> World {
-        let mut w = World::new(seed, machines, limit);
-        w.until(10_000, "a leader", |w| w.leader().is_some());
+    /// A cluster of three nodes that has elected a leader.
+    pub fn with_leader(seed: u64, machines: usize, limit: f64) -> Simulation {
+        let mut w = Simulation::new(seed, machines, limit);
+        w.run_until(10_000, "a leader", |w| w.leader().is_some());
         w
     }
 
+    /// How many tasks of the job run, on all machines.
     pub fn running(&self, id: &str) -> usize {
         self.workers
             .iter()
@@ -511,12 +540,14 @@
             .count()
     }
 
+    /// Whether the job's final record is written.
     pub fn done(&self, id: &str) -> bool {
         self.store.kv.contains_key(&records::final_key(id))
     }
 
     // ---- time ----
 
+    /// Runs for `ms`.
     pub fn run(&mut self, ms: Millis) {
         let end = self.now + ms;
         while self.now < end {
@@ -524,8 +555,9 @@
         }
     }
 
-    /// Runs until it holds, at most so long.
-    pub fn until(&mut self, ms: Millis, what: &str, f: impl Fn(&mut World) -> bool) {
+    /// Runs until `f` holds, for at most `ms`; else panics with the leader's
+    /// state, `what` naming the condition.
+    pub fn run_until(&mut self, ms: Millis, what: &str, f: impl Fn(&mut Simulation) -> bool) {
         let end = self.now + ms;
         while self.now < end {
             if f(self) {
@@ -565,41 +597,48 @@
                     m.tasks
                 );
             }
-            eprintln!("unclear {}", self.nodes[i].unclear.is_some());
+            eprintln!("unclear {}", self.nodes[i].indeterminate.is_some());
         } else {
             eprintln!("nobody leads");
         }
         panic!(
             "did not come about in {ms} ms: {what}; broken: {:?}",
-            self.broken
+            self.violations
         );
     }
 
-    pub fn sound(&self) {
-        assert!(self.broken.is_empty(), "rules broken: {:?}", self.broken);
+    /// Panics if the checkers found a violation so far.
+    pub fn assert_no_violations(&self) {
+        assert!(
+            self.violations.is_empty(),
+            "rules broken: {:?}",
+            self.violations
+        );
     }
 
+    /// One step of time: the store, the cloud, the network, users' requests, the
+    /// nodes, the workers, and then the checks.
     pub fn step(&mut self) {
         self.now += STEP;
         let now = self.now;
-        self.store.pass_time(now);
-        self.cloud_time();
+        self.store.advance(now);
+        self.step_cloud();
         let due: Vec<(Millis, Msg)>;
-        (due, self.wire) = std::mem::take(&mut self.wire)
+        (due, self.in_transit) = std::mem::take(&mut self.in_transit)
             .into_iter()
             .partition(|(at, _)| *at <= now);
         for (_, msg) in due {
             self.deliver(msg);
         }
-        self.desk_time();
+        self.step_requests();
         for i in 0..self.nodes.len() {
-            self.node_time(i);
+            self.step_node(i);
         }
         for i in 0..self.workers.len() {
-            self.worker_time(i);
+            self.step_worker(i);
         }
         self.check();
-        self.check_copies();
+        self.check_replicas();
     }
 }
 
--- a/tests/simulation/net.rs
+++ b/tests/simulation/net.rs
@@ -1,32 +1,33 @@
-//! The network: who reaches whom, and what is on its way.
+//! The network: faults of links and processes, who reaches whom, and the
+//! messages in transit.
 
 use super::*;
 
-/// A machine's network.
+/// State of a machine's network.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum Net {
     Up,
-    /// Nothing arrives; what was sent is delivered when the cut ends.
+    /// Messages are held, and delivered when the network is restored.
     Hold,
-    /// Nothing arrives, ever.
+    /// Messages are lost.
     Lose,
-    /// Its reports arrive; answers and commands don't.
-    Deaf,
+    /// One-way partition: its heartbeats arrive; answers and commands don't.
+    SendOnly,
     /// It can open no connection to a controller; direct commands arrive, and
     /// their answers.
-    Mute,
+    DirectCommandsOnly,
 }
 
-/// How a controller is cut off: packets are held, or refused.
+/// How a controller is partitioned: packets are held, or refused.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum Cut {
     Hold,
     Reset,
 }
 
-/// From what a controller is cut off.
+/// What a controller is partitioned from.
 #[derive(Clone, Copy, PartialEq, Debug)]
-pub enum Side {
+pub enum CutScope {
     State,
     Workers,
     Worker(usize),
@@ -36,7 +37,7 @@
 }
 
 #[derive(Clone, Copy, PartialEq, Debug)]
-pub enum EndLease {
+pub enum Endpoint {
     State,
     Worker(usize),
     Node(usize),
@@ -51,60 +52,65 @@
 
 #[derive(Clone)]
 pub(super) enum Msg {
-    Beat(usize, usize, Heartbeat, Millis),
-    /// A report that comes once more: nobody waits for the answer.
-    Replica(usize, usize, Heartbeat),
-    /// Passed on by the first node to the second.
-    Relay(usize, usize, usize, Heartbeat, Millis),
-    Reply(usize, usize, Option<HeartbeatResponse>, u64, u64, Millis),
-    Do(usize, usize, u64, DirectCommands),
-    Done(usize, u64, String, u64, Option<(bool, Heartbeat)>),
-    /// The first node tells the second, its standby.
-    Tell(usize, usize, Follow),
+    Heartbeat(usize, usize, Heartbeat, Millis),
+    /// A heartbeat delivered once more: nobody waits for the answer.
+    DuplicateHeartbeat(usize, usize, Heartbeat),
+    /// Relayed by the first node to the second.
+    RelayedHeartbeat(usize, usize, usize, Heartbeat, Millis),
+    HeartbeatReply(usize, usize, Option<HeartbeatResponse>, u64, u64, Millis),
+    DirectCommand(usize, usize, u64, DirectCommands),
+    DirectCommandEnded(usize, u64, String, u64, Option<(bool, Heartbeat)>),
+    /// From the first node, the leader, to the second, its standby.
+    ReplicationPart(usize, usize, Follow),
     /// The second node's answer to the first, which led that term, about that
     /// part: who it is, and whether it was taken in.
-    LeaderReplied(usize, usize, u64, (u64, u64), Option<(u64, bool)>),
+    ReplicationAnswer(usize, usize, u64, (u64, u64), Option<(u64, bool)>),
 }
 
 impl Msg {
     fn ends(&self) -> Option<(usize, usize)> {
         match self {
-            Msg::Beat(i, w, ..)
-            | Msg::Replica(i, w, ..)
-            | Msg::Reply(w, i, ..)
-            | Msg::Do(i, w, ..) => Some((*i, *w)),
-            Msg::Relay(..) | Msg::Done(..) | Msg::Tell(..) | Msg::LeaderReplied(..) => None,
+            Msg::Heartbeat(i, w, ..)
+            | Msg::DuplicateHeartbeat(i, w, ..)
+            | Msg::HeartbeatReply(w, i, ..)
+            | Msg::DirectCommand(i, w, ..) => Some((*i, *w)),
+            Msg::RelayedHeartbeat(..)
+            | Msg::DirectCommandEnded(..)
+            | Msg::ReplicationPart(..)
+            | Msg::ReplicationAnswer(..) => None,
         }
     }
 }
 
-impl World {
-    // ---- troubles ----
+impl Simulation {
+    // ---- faults ----
 
+    /// Node `i` crashes with its memory, and restarts after `back`.
     pub fn crash(&mut self, i: usize, back: Millis) {
         let n = &mut self.nodes[i];
         n.alive = false;
         n.flushing = None;
         n.leader = None;
         n.back_at = self.now + back;
-        n.unclear = None;
-        n.record_open = None;
-        self.desk.forget_node(i);
+        n.indeterminate = None;
+        n.registry_reread_at = None;
+        self.traffic.forget_node(i);
     }
 
     /// Nothing passes between the node and these machines.
-    pub fn cut_worker_off(&mut self, i: usize, machines: &[usize]) {
+    pub fn partition_from_workers(&mut self, i: usize, machines: &[usize]) {
         for m in machines {
-            self.cuts.push((i, Side::Worker(*m), Cut::Hold));
+            self.cuts.push((i, CutScope::Worker(*m), Cut::Hold));
         }
     }
 
-    pub fn cut(&mut self, i: usize, side: Side, how: Cut) {
+    /// Partitions node `i` from `side` until `end_partitions`.
+    pub fn partition(&mut self, i: usize, side: CutScope, how: Cut) {
         self.cuts.push((i, side, how));
     }
 
-    /// All cuts of a node end; what was held arrives.
-    pub fn join(&mut self, i: usize) {
+    /// All partitions of a node end; held messages arrive.
+    pub fn end_partitions(&mut self, i: usize) {
         self.cuts.retain(|(n, ..)| *n != i);
         for (at, node, _) in self.store.held.iter_mut() {
             if *node == i && *at == Millis::MAX {
@@ -119,89 +125,94 @@
         self.release_held();
     }
 
-    /// The node goes on computing for a moment, but nothing of what comes out
-    /// leaves it before `ms` have passed; meanwhile it takes in nothing and
-    /// its clock runs on.
-    pub fn stand_still(&mut self, i: usize, ms: Millis) {
-        if !self.nodes[i].alive || self.nodes[i].still_until > self.now {
+    /// Pauses a node's process between its last check and the network: it takes
+    /// one more step, whose messages leave it after `ms`; meanwhile it takes in
+    /// nothing and its clock runs on.
+    pub fn pause_process(&mut self, i: usize, ms: Millis) {
+        if !self.nodes[i].alive || self.nodes[i].paused_until > self.now {
             return;
         }
         let until = self.now + ms;
-        self.stalls = Some((i, until));
-        self.node_time(i);
-        self.stalls = None;
-        self.nodes[i].still_until = until;
+        self.paused_sender = Some((i, until));
+        self.step_node(i);
+        self.paused_sender = None;
+        self.nodes[i].paused_until = until;
     }
 
-    /// A machine is back at once under its name, with nothing on it. What was
-    /// on its way to it came over connections that are gone.
+    /// The agent of a machine restarts at once under its name, without tasks.
+    /// Messages in transit to it are lost with their connections.
     pub fn restart_machine(&mut self, w: usize) {
         let now = self.now;
         let to_it = |m: &Msg| match m {
-            Msg::Do(_, to, ..) | Msg::Reply(to, ..) => *to == w,
+            Msg::DirectCommand(_, to, ..) | Msg::HeartbeatReply(to, ..) => *to == w,
             _ => false,
         };
-        self.wire.retain(|(_, m)| !to_it(m));
+        self.in_transit.retain(|(_, m)| !to_it(m));
         self.held.retain(|m| !to_it(m));
         let worker = &mut self.workers[w];
         worker.tasks.clear();
-        (worker.session, worker.seq, worker.token) = (1, 0, 0);
-        (worker.flight, worker.last_ok, worker.next) = (None, now, now + 200);
+        (worker.incarnation, worker.seq, worker.token) = (1, 0, 0);
+        (
+            worker.heartbeat_in_flight,
+            worker.lease_renewed_at,
+            worker.next_election_step,
+        ) = (None, now, now + 200);
     }
 
-    /// So late that it says nothing any more, a copy of a report comes to some
-    /// node.
-    pub(super) fn copy(&mut self, w: usize, report: &Heartbeat) {
-        if self.keep_copies {
+    /// Delivers a heartbeat once more, late and to any node, as far as the run
+    /// asks for duplicates.
+    pub(super) fn duplicate_heartbeat(&mut self, w: usize, report: &Heartbeat) {
+        if self.keep_for_next_leader {
             // Of each machine two, none of them soon after the other.
             let of = |r: &&(usize, Heartbeat)| r.0 == w;
-            if self.kept.iter().filter(of).count() < 2 && self.rng.u8(..3) == 0 {
-                self.kept.push((w, report.clone()));
+            if self.kept_heartbeats.iter().filter(of).count() < 2 && self.rng.u8(..3) == 0 {
+                self.kept_heartbeats.push((w, report.clone()));
             }
         }
-        if self.copies == 0 || self.rng.u32(..100) >= self.copies {
+        if self.duplicate_percent == 0 || self.rng.u32(..100) >= self.duplicate_percent {
             return;
         }
         let (i, late) = (
             self.rng.usize(..self.nodes.len()),
             self.rng.u64(500..30_000),
         );
-        let copy = Msg::Replica(i, w, report.clone());
-        self.wire.push((self.now + late, copy));
+        let copy = Msg::DuplicateHeartbeat(i, w, report.clone());
+        self.in_transit.push((self.now + late, copy));
     }
 
-    /// What was kept reaches every controller just as a leader begins, and once
-    /// more after it has acted.
-    pub(super) fn deliver_kept(&mut self) {
-        for (w, report) in std::mem::take(&mut self.kept) {
-            self.copied += 1;
+    /// The heartbeats kept reach every controller as a leader is elected, and
+    /// once more after it has acted.
+    pub(super) fn replay_kept_heartbeats(&mut self) {
+        for (w, report) in std::mem::take(&mut self.kept_heartbeats) {
+            self.replayed += 1;
             for i in 0..self.nodes.len() {
                 for late in [self.rng.u64(0..400), self.rng.u64(2_000..12_000)] {
-                    let copy = Msg::Replica(i, w, report.clone());
-                    self.wire.push((self.now + late, copy));
+                    let copy = Msg::DuplicateHeartbeat(i, w, report.clone());
+                    self.in_transit.push((self.now + late, copy));
                 }
             }
         }
     }
 
-    /// The machine stands still for so long: what comes to it waits at its door.
-    pub fn hang(&mut self, w: usize, ms: Millis) {
-        self.workers[w].hangs_until = self.now + ms;
+    /// Pauses a machine for `ms`: messages to it wait.
+    pub fn pause_machine(&mut self, w: usize, ms: Millis) {
+        self.workers[w].paused_until = self.now + ms;
     }
 
-    /// It goes on.
-    pub fn wake(&mut self, w: usize) {
-        let hangs = &mut self.workers[w].hangs_until;
+    /// A paused machine resumes.
+    pub fn resume_machine(&mut self, w: usize) {
+        let hangs = &mut self.workers[w].paused_until;
         *hangs = (*hangs).min(self.now);
     }
 
-    /// It stops with all that is on it.
-    pub fn die(&mut self, w: usize) {
+    /// The machine is lost with its tasks.
+    pub fn kill_machine(&mut self, w: usize) {
         self.workers[w].alive = false;
         self.workers[w].tasks.clear();
     }
 
-    pub fn heal(&mut self, w: usize) {
+    /// Restores a machine's network; held messages arrive.
+    pub fn restore_network(&mut self, w: usize) {
         self.workers[w].net = Net::Up;
         self.release_held();
     }
@@ -210,27 +221,28 @@
         for m in std::mem::take(&mut self.held) {
             match m.ends() {
                 Some((i, w)) => self.send(i, w, 5, m),
-                None => self.wire.push((self.now + 5, m)),
+                None => self.in_transit.push((self.now + 5, m)),
             }
         }
     }
 
     // ---- who reaches whom ----
 
-    pub fn link(&self, i: usize, other: EndLease) -> Link {
-        let hits = |n: usize, side: Side, other: EndLease| match (side, other) {
-            (Side::All, _)
-            | (Side::State, EndLease::State)
-            | (Side::Workers, EndLease::Worker(_)) => n == i,
-            (Side::Node(a), EndLease::Node(b)) => n == i && a == b,
-            (Side::Worker(a), EndLease::Worker(b)) => n == i && a == b,
+    /// State of the link between node `i` and another endpoint.
+    pub fn link(&self, i: usize, other: Endpoint) -> Link {
+        let hits = |n: usize, side: CutScope, other: Endpoint| match (side, other) {
+            (CutScope::All, _)
+            | (CutScope::State, Endpoint::State)
+            | (CutScope::Workers, Endpoint::Worker(_)) => n == i,
+            (CutScope::Node(a), Endpoint::Node(b)) => n == i && a == b,
+            (CutScope::Worker(a), Endpoint::Worker(b)) => n == i && a == b,
             _ => false,
         };
         let mut link = Link::Up;
         for (n, side, how) in &self.cuts {
             let own = hits(*n, *side, other);
-            let theirs =
-                other == EndLease::Node(*n) && (*side == Side::All || *side == Side::Node(i));
+            let theirs = other == Endpoint::Node(*n)
+                && (*side == CutScope::All || *side == CutScope::Node(i));
             if own || theirs {
                 match how {
                     Cut::Hold => return Link::Hold,
@@ -241,44 +253,49 @@
         link
     }
 
-    /// It runs, and users, health checks and others reach it.
+    /// The node runs, and users and peers reach it.
     pub fn reaches(&self, i: usize) -> bool {
-        self.nodes[i].alive && self.nodes[i].still_until <= self.now && self.is_cut_off(i).is_none()
+        self.nodes[i].alive
+            && self.nodes[i].paused_until <= self.now
+            && self.is_cut_off(i).is_none()
     }
 
-    /// From everything.
+    /// Whether a node is partitioned from everything, and how.
     pub fn is_cut_off(&self, i: usize) -> Option<Cut> {
-        let of = |(n, side, _): &&(usize, Side, Cut)| *n == i && *side == Side::All;
+        let of = |(n, side, _): &&(usize, CutScope, Cut)| *n == i && *side == CutScope::All;
         self.cuts.iter().find(of).map(|(_, _, how)| *how)
     }
 
+    /// Whether the state service answers node `i`.
     pub fn reaches_state(&self, i: usize) -> bool {
-        !self.store.refuses(i) && self.link(i, EndLease::State) == Link::Up
+        !self.store.refuses(i) && self.link(i, Endpoint::State) == Link::Up
     }
 
-    /// How a question of one node to another ends at once, if it does.
+    /// How a request of node `i` to node `j` ends at once, if it does.
     pub(super) fn contact(&self, i: usize, j: usize) -> Option<PeerHealth> {
-        match self.link(i, EndLease::Node(j)) {
+        match self.link(i, Endpoint::Node(j)) {
             Link::Hold => None,
             Link::Reset => Some(PeerHealth::Refusing),
             Link::Up if !self.nodes[j].alive => Some(PeerHealth::Refusing),
-            Link::Up if self.nodes[j].still_until > self.now => None,
+            Link::Up if self.nodes[j].paused_until > self.now => None,
             Link::Up => Some(PeerHealth::Healthy),
         }
     }
 
-    // ---- what is on its way ----
+    // ---- messages in transit ----
 
     pub(super) fn send(&mut self, i: usize, w: usize, delay: Millis, msg: Msg) {
-        let from_node = matches!(msg, Msg::Reply(..) | Msg::Do(..));
-        let stalled = self.stalls.filter(|(n, _)| *n == i && from_node);
+        let from_node = matches!(msg, Msg::HeartbeatReply(..) | Msg::DirectCommand(..));
+        let stalled = self.paused_sender.filter(|(n, _)| *n == i && from_node);
         let slow = self.slow_links.get(&w).copied().unwrap_or(0);
         let at = stalled.map_or(self.now, |(_, until)| until) + delay + slow;
-        match (self.workers[w].net, self.link(i, EndLease::Worker(w))) {
-            (Net::Up, Link::Up) => self.wire.push((at, msg)),
-            (Net::Deaf, Link::Up) if !from_node => self.wire.push((at, msg)),
-            (Net::Mute, Link::Up) if matches!(msg, Msg::Do(..)) => self.wire.push((at, msg)),
-            (Net::Lose | Net::Deaf | Net::Mute, _) | (_, Link::Reset) => {}
+        match (self.workers[w].net, self.link(i, Endpoint::Worker(w))) {
+            (Net::Up, Link::Up) => self.in_transit.push((at, msg)),
+            (Net::SendOnly, Link::Up) if !from_node => self.in_transit.push((at, msg)),
+            (Net::DirectCommandsOnly, Link::Up) if matches!(msg, Msg::DirectCommand(..)) => {
+                self.in_transit.push((at, msg))
+            }
+            (Net::Lose | Net::SendOnly | Net::DirectCommandsOnly, _) | (_, Link::Reset) => {}
             _ => self.held.push(msg),
         }
     }
@@ -290,56 +307,67 @@
         // No answer within two seconds, unless one comes.
         self.directs
             .insert((i, term, d.machine.clone(), d.commands.fencing_token));
-        let lost = Msg::Done(i, term, d.machine.clone(), d.commands.fencing_token, None);
-        self.wire.push((self.now + DIRECT_COMMAND_TIMEOUT_MS, lost));
-        let delay = self.slow_do.get(&w).copied().unwrap_or(5);
-        self.send(i, w, delay, Msg::Do(i, w, term, d.commands));
+        let lost =
+            Msg::DirectCommandEnded(i, term, d.machine.clone(), d.commands.fencing_token, None);
+        self.in_transit
+            .push((self.now + DIRECT_COMMAND_TIMEOUT_MS, lost));
+        let delay = self.direct_command_delay.get(&w).copied().unwrap_or(5);
+        self.send(i, w, delay, Msg::DirectCommand(i, w, term, d.commands));
     }
 
     pub(super) fn deliver(&mut self, msg: Msg) {
         let now = self.now;
-        // What comes to a node that stands still waits at its door.
+        // Messages to a paused node wait.
         let to = match &msg {
-            Msg::Beat(i, ..) | Msg::Replica(i, ..) | Msg::Relay(_, i, ..) | Msg::Done(i, ..) => {
-                Some(*i)
-            }
-            Msg::Tell(_, j, _) => Some(*j),
-            Msg::LeaderReplied(i, ..) => Some(*i),
-            Msg::Reply(..) | Msg::Do(..) => None,
+            Msg::Heartbeat(i, ..)
+            | Msg::DuplicateHeartbeat(i, ..)
+            | Msg::RelayedHeartbeat(_, i, ..)
+            | Msg::DirectCommandEnded(i, ..) => Some(*i),
+            Msg::ReplicationPart(_, j, _) => Some(*j),
+            Msg::ReplicationAnswer(i, ..) => Some(*i),
+            Msg::HeartbeatReply(..) | Msg::DirectCommand(..) => None,
         };
-        if let Some(i) = to.filter(|i| self.nodes[*i].still_until > now) {
+        if let Some(i) = to.filter(|i| self.nodes[*i].paused_until > now) {
             let some = self.rng.u64(0..3) * STEP;
-            let at = self.nodes[i].still_until + some;
-            self.wire.push((at, msg));
+            let at = self.nodes[i].paused_until + some;
+            self.in_transit.push((at, msg));
             return;
         }
-        if let Msg::Reply(w, ..) | Msg::Do(_, w, ..) = &msg
-            && self.workers[*w].hangs_until > now
+        if let Msg::HeartbeatReply(w, ..) | Msg::DirectCommand(_, w, ..) = &msg
+            && self.workers[*w].paused_until > now
         {
-            let at = self.workers[*w].hangs_until;
-            self.wire.push((at, msg));
+            let at = self.workers[*w].paused_until;
+            self.in_transit.push((at, msg));
             return;
         }
         match msg {
-            Msg::Tell(i, j, part) => self.told(i, j, part),
-            Msg::LeaderReplied(i, j, term, part, answer) => {
-                self.confirmed(i, j, term, part, answer)
+            Msg::ReplicationPart(i, j, part) => self.receive_replication_part(i, j, part),
+            Msg::ReplicationAnswer(i, j, term, part, answer) => {
+                self.receive_replication_answer(i, j, term, part, answer)
             }
-            Msg::Beat(i, w, report, sent) => self.beat(i, w, report, sent),
-            Msg::Replica(i, _, report) => {
+            Msg::Heartbeat(i, w, report, sent) => self.receive_heartbeat(i, w, report, sent),
+            Msg::DuplicateHeartbeat(i, _, report) => {
                 self.answer(i, &report);
             }
-            Msg::Relay(via, i, w, report, sent) => {
+            Msg::RelayedHeartbeat(via, i, w, report, sent) => {
                 let reply = self.answer(i, &report);
-                if reply.is_some() && self.link(via, EndLease::Node(i)) == Link::Up {
+                if reply.is_some() && self.link(via, Endpoint::Node(i)) == Link::Up {
                     let (session, seq) = (report.incarnation, report.seq);
-                    self.send(via, w, 5, Msg::Reply(w, via, reply, session, seq, sent));
+                    self.send(
+                        via,
+                        w,
+                        5,
+                        Msg::HeartbeatReply(w, via, reply, session, seq, sent),
+                    );
                 }
             }
-            Msg::Reply(w, i, reply, session, seq, sent) => {
+            Msg::HeartbeatReply(w, i, reply, session, seq, sent) => {
                 let nodes = self.nodes.len();
                 let worker = &self.workers[w];
-                if worker.flight != Some((seq, sent)) || now > sent + 4000 || !worker.alive {
+                if worker.heartbeat_in_flight != Some((seq, sent))
+                    || now > sent + 4000
+                    || !worker.alive
+                {
                     return;
                 }
                 let Some(reply) = reply else {
@@ -358,43 +386,50 @@
                         RedirectTarget::Any => ((i + 1) % nodes, 1000),
                     };
                     let worker = &mut self.workers[w];
-                    worker.flight = None;
+                    worker.heartbeat_in_flight = None;
                     worker.target = target;
-                    worker.next = now + pause;
+                    worker.next_election_step = now + pause;
                     worker.sent = now.max(500) + pause - 500;
                     return;
                 };
                 let worker = &mut self.workers[w];
-                worker.flight = None;
-                if session != worker.session || reply.fencing_token < worker.token {
+                worker.heartbeat_in_flight = None;
+                if session != worker.incarnation || reply.fencing_token < worker.token {
                     return;
                 }
                 if reply.fencing_token > worker.token {
                     worker.token = reply.fencing_token;
-                    worker.dirty = true;
+                    worker.report_due = true;
                 }
-                worker.last_ok = sent;
+                worker.lease_renewed_at = sent;
                 self.execute(w, reply.commands);
             }
-            Msg::Do(i, w, term, order) => {
+            Msg::DirectCommand(i, w, term, order) => {
                 let worker = &mut self.workers[w];
                 if !worker.alive {
                     return;
                 }
-                let ok = order.fencing_token >= worker.token && order.incarnation == worker.session;
+                let ok =
+                    order.fencing_token >= worker.token && order.incarnation == worker.incarnation;
                 if ok {
                     worker.token = order.fencing_token;
                     self.execute(w, order.commands);
                 }
-                let report = self.report(w);
+                let report = self.next_heartbeat(w);
                 let name = report.machine.clone();
-                let answers = matches!(self.workers[w].net, Net::Up | Net::Mute);
-                if answers && self.link(i, EndLease::Worker(w)) == Link::Up {
-                    let done = Msg::Done(i, term, name, order.fencing_token, Some((ok, report)));
-                    self.wire.push((now + 5, done));
+                let answers = matches!(self.workers[w].net, Net::Up | Net::DirectCommandsOnly);
+                if answers && self.link(i, Endpoint::Worker(w)) == Link::Up {
+                    let done = Msg::DirectCommandEnded(
+                        i,
+                        term,
+                        name,
+                        order.fencing_token,
+                        Some((ok, report)),
+                    );
+                    self.in_transit.push((now + 5, done));
                 }
             }
-            Msg::Done(i, term, name, token, answer) => {
+            Msg::DirectCommandEnded(i, term, name, token, answer) => {
                 // Answered, or given up, only once.
                 if !self.directs.remove(&(i, term, name.clone(), token)) {
                     return;
@@ -428,11 +463,11 @@
         }
         node.election.authority(now)?;
         let reply = node.leader.as_mut()?.on_heartbeat(report, now)?;
-        node.last_beat = now;
+        node.last_heartbeat = now;
         Some(reply)
     }
 
-    fn beat(&mut self, i: usize, w: usize, report: Heartbeat, sent: Millis) {
+    fn receive_heartbeat(&mut self, i: usize, w: usize, report: Heartbeat, sent: Millis) {
         if !self.nodes[i].alive {
             return;
         }
@@ -447,16 +482,24 @@
                     .redirect_target(Some(leader), now),
                 RedirectTarget::Leader(_)
             )
-            && self.nodes[i].relays.should_relay(&report.machine, now)
+            && self.nodes[i]
+                .heartbeat_relays
+                .should_relay(&report.machine, now)
             && let Some(l) = peers_of(i, self.nodes.len()).nth(leader)
             && self.contact(i, l) != Some(PeerHealth::Refusing)
         {
-            self.wire.push((now + 5, Msg::Relay(i, l, w, report, sent)));
-            let late = Msg::Reply(w, i, None, session, seq, sent);
+            self.in_transit
+                .push((now + 5, Msg::RelayedHeartbeat(i, l, w, report, sent)));
+            let late = Msg::HeartbeatReply(w, i, None, session, seq, sent);
             self.relaying.insert((w, seq));
-            self.wire.push((now + 800, late));
+            self.in_transit.push((now + 800, late));
             return;
         }
-        self.send(i, w, 5, Msg::Reply(w, i, reply, session, seq, sent));
+        self.send(
+            i,
+            w,
+            5,
+            Msg::HeartbeatReply(w, i, reply, session, seq, sent),
+        );
     }
 }
--- a/tests/simulation/nodes.rs
+++ b/tests/simulation/nodes.rs
@@ -1,22 +1,24 @@
-//! What a controller does as time passes: the loops of `node`, in steps.
+//! Controllers: the I/O loops of `server`, as steps of simulated time around the
+//! program's own decisions. One step each for loading the records, election,
+//! exclusions, probes of peers, writes, and operations at the cloud.
 
 use super::*;
 
-impl World {
-    pub(super) fn node_time(&mut self, i: usize) {
+impl Simulation {
+    pub(super) fn step_node(&mut self, i: usize) {
         let now = self.now;
         let nodes = self.nodes.len();
         if !self.nodes[i].alive {
             if self.nodes[i].back_at <= now {
-                self.nodes[i] = self.fresh(i, nodes);
+                self.nodes[i] = self.started_node(i, nodes);
             }
             return;
         }
-        if self.nodes[i].still_until > now {
+        if self.nodes[i].paused_until > now {
             return;
         }
-        if self.nodes[i].still_until > 0 {
-            self.nodes[i].still_until = 0;
+        if self.nodes[i].paused_until > 0 {
+            self.nodes[i].paused_until = 0;
             if let Some(l) = self.nodes[i].leader.as_mut() {
                 l.process_resumed(now);
             }
@@ -29,54 +31,54 @@
             self.nodes[i].election.renewed(lease, sent);
         }
         self.ping(i);
-        if now >= self.nodes[i].next {
-            self.elect(i);
+        if now >= self.nodes[i].next_election_step {
+            self.step_election(i);
         }
         if self.nodes[i].election.authority(now).is_none() {
             return;
         }
-        self.greet(i);
+        self.request_missing_heartbeats(i);
         self.step_exclusions(i);
         let reaches_state = self.reaches_state(i);
-        let stalled = self.stalls.is_some_and(|(n, _)| n == i);
+        let stalled = self.paused_sender.is_some_and(|(n, _)| n == i);
         let node = &mut self.nodes[i];
         let Some(l) = node.leader.as_mut() else {
             return;
         };
-        let loads = !l.loaded() && reaches_state && !stalled && now >= node.loads_at;
+        let loads = !l.loaded() && reaches_state && !stalled && now >= node.records_read_at;
         if loads {
             let standbys = self.store.kv.get(records::STANDBYS);
             l.load_standbys(
                 standbys.map(|(v, r)| (serde_json::from_value(v.clone()).unwrap(), *r)),
             );
-            for (k, v, r) in self.store.under(records::MACHINES) {
+            for (k, v, r) in self.store.list(records::MACHINES) {
                 let record: MachineRecord = serde_json::from_value(v).unwrap();
                 l.load_machine(k.trim_start_matches(records::MACHINES), record, r, now);
             }
-            for (k, v, r) in self.store.under(records::JOBS) {
-                l.load_job(self.store.whole(&k[2..], v), r, now);
+            for (k, v, r) in self.store.list(records::JOBS) {
+                l.load_job(self.store.job_record(&k[2..], v), r, now);
             }
-            let found = self.store.under(SPEC_CHUNKS);
+            let found = self.store.list(SPEC_CHUNKS);
             l.load_spec_chunks(found.into_iter().map(|(k, _, r)| (k, r)).collect());
-            for (k, v, _) in self.store.under(records::SEGMENTS) {
+            for (k, v, _) in self.store.list(records::SEGMENTS) {
                 let (id, c) = k[2..].rsplit_once('/').unwrap();
                 l.load_segment(id, c.parse().unwrap(), v.as_str().unwrap());
             }
-            // Those from before the term are told of by the jobs.
-            for (key, _, version) in self.store.under(records::ACCEPTANCES) {
+            // Jobs accepted before the term were loaded with their records.
+            for (key, _, version) in self.store.list(records::ACCEPTANCES) {
                 if version <= l.term {
                     l.acceptance_handled(key);
                 }
             }
-            node.notices = Some(AcceptanceFeed::new(l.term));
+            node.acceptance_feed = Some(AcceptanceFeed::new(l.term));
             l.finish_loading(now);
-            if self.sabotage {
+            if self.skip_lease_wait {
                 for m in l.cluster.each_machine_mut() {
                     m.contents_unknown = false;
                 }
             }
         }
-        l.upgraded(!self.mixed);
+        l.upgraded(!self.mixed_versions);
         l.tick(now, now);
         if reaches_state && !stalled {
             for id in l.dependencies_to_look_up() {
@@ -84,7 +86,7 @@
                 let over = self.store.kv.get(&records::final_key(&id));
                 match (live, over) {
                     (Some((v, r)), _) => {
-                        l.accepted(self.store.whole(&id, v.clone()), *r, now);
+                        l.accepted(self.store.job_record(&id, v.clone()), *r, now);
                     }
                     (None, Some((v, _))) => {
                         let record: FinalRecord = serde_json::from_value(v.clone()).unwrap();
@@ -96,44 +98,44 @@
         }
         if reaches_state
             && !stalled
-            && let Some(notices) = node.notices.as_mut()
-            && let Some(body) = self.store.noticed(notices.from())
+            && let Some(notices) = node.acceptance_feed.as_mut()
+            && let Some(body) = self.store.feed_since(notices.from())
             && let acceptance_feed::Next::Look(keys) = notices.answered(200, &body)
         {
             for key in keys {
                 let id = key.trim_start_matches(records::ACCEPTANCES).to_owned();
                 if let Some((v, r)) = self.store.kv.get(&records::job_key(&id)) {
-                    l.accepted(self.store.whole(&id, v.clone()), *r, now);
+                    l.accepted(self.store.job_record(&id, v.clone()), *r, now);
                 }
                 l.acceptance_handled(key);
             }
         }
         let term = l.term;
-        self.warm += u32::from(loads && l.is_warm());
+        self.warm_failovers += u32::from(loads && l.is_warm());
         let directs = l.direct_deliveries(now);
         let ops = l.cloud_ops(now, now);
         for d in directs {
             self.send_direct(i, term, d);
         }
         for op in ops {
-            let stalls = self.stalls.filter(|(n, _)| *n == i);
+            let stalls = self.paused_sender.filter(|(n, _)| *n == i);
             match (stalls, self.is_cut_off(i)) {
-                // Checked, and carried out after standing still.
+                // Checked, and executed after the pause.
                 (Some((_, until)), _) => self.late_ops.push((until, i, term, op)),
-                // Carried out when the cut ends.
+                // Executed when the partition ends.
                 (None, Some(_)) => self.late_ops.push((Millis::MAX, i, term, op)),
                 (None, None) => self.cloud(i, term, op),
             }
         }
         if self.standbys {
-            self.keep_standbys(i);
+            self.step_standbys(i);
         }
         if self.nodes[i].leader.is_some() {
             self.flush(i);
         }
     }
 
-    pub(super) fn cloud_time(&mut self) {
+    pub(super) fn step_cloud(&mut self) {
         let (due, later) = std::mem::take(&mut self.late_ops)
             .into_iter()
             .partition(|(at, ..)| *at <= self.now);
@@ -147,8 +149,8 @@
         let now = self.now;
         match op {
             CloudOp::MachineRequest(r) => {
-                self.asked_for += r.count;
-                let names: Vec<String> = if self.rents {
+                self.machines_requested += r.count;
+                let names: Vec<String> = if self.cloud_grants {
                     (0..r.count.min(4))
                         .map(|_| self.add_worker(&r.zone, r.spot, self.boot_ms))
                         .collect()
@@ -177,15 +179,15 @@
     fn flush(&mut self, i: usize) {
         let now = self.now;
         let reaches = self.reaches_state(i);
-        let stalled = self.stalls.filter(|(n, _)| *n == i);
+        let stalled = self.paused_sender.filter(|(n, _)| *n == i);
         let node = &mut self.nodes[i];
         let l = node.leader.as_mut().unwrap();
-        if let Some((at, plan)) = node.unclear.take() {
+        if let Some((at, plan)) = node.indeterminate.take() {
             if now >= at {
                 l.outcome_unknown(&plan);
             }
             if now < at || !reaches || stalled.is_some() {
-                node.unclear = Some((at, plan));
+                node.indeterminate = Some((at, plan));
                 return;
             }
             for key in Leader::keys_to_reread(&plan) {
@@ -204,7 +206,7 @@
             return;
         }
         node.flush_at = now + 100;
-        let room = self.room(i);
+        let room = self.write_budget(i);
         let l = self.nodes[i].leader.as_mut().unwrap();
         let Some(plan) = (room >= 2).then(|| l.plan_writes(room)).flatten() else {
             return;
@@ -213,13 +215,13 @@
             budget.force(now, plan.txn.writes.len() as f64);
         }
         let result = self.transact(i, &plan.txn);
-        match self.rng.u64(0..=self.write_ms) {
-            _ if self.write_ms == 0 => self.flushed(i, plan, result),
+        match self.rng.u64(0..=self.write_latency_ms) {
+            _ if self.write_latency_ms == 0 => self.flushed(i, plan, result),
             later => self.nodes[i].flushing = Some((now + later, plan, result)),
         }
     }
 
-    /// What came of a leader's transaction.
+    /// Applies the outcome of a leader's transaction.
     fn flushed(&mut self, i: usize, plan: WritePlan, result: TxnResult) {
         let now = self.now;
         let node = &mut self.nodes[i];
@@ -231,9 +233,9 @@
             }
             TxnResult::Conflict(_) => {
                 l.outcome_unknown(&plan);
-                node.unclear = Some((now, plan));
+                node.indeterminate = Some((now, plan));
             }
-            TxnResult::Unknown => node.unclear = Some((now + 1500, plan)),
+            TxnResult::Unknown => node.indeterminate = Some((now + 1500, plan)),
             TxnResult::Refused | TxnResult::Rejected => l.reconciled(&plan),
         }
     }
@@ -247,13 +249,13 @@
             return;
         };
         if let Some(l) = node.leader.take() {
-            node.finals = l.final_states;
+            node.final_states = l.final_states;
         }
         // What it began is of no concern to a later term of the same node.
-        node.unclear = None;
-        node.notices = None;
+        node.indeterminate = None;
+        node.acceptance_feed = None;
         node.flushing = None;
-        node.record_open = None;
+        node.registry_reread_at = None;
         if self.reaches_state(i) {
             self.store.end_lease(lead.lease);
         }
@@ -264,26 +266,26 @@
         }
     }
 
-    /// Gives up the lead on purpose.
-    pub fn hand_over(&mut self, i: usize) {
+    /// The leader yields on purpose, as for a restart.
+    pub fn transfer_leadership(&mut self, i: usize) {
         if self.nodes[i].election.leadership().is_some() {
             self.nodes[i].election.abstain(self.now + 1_500);
             self.resign(i, true);
         }
     }
 
-    fn elect(&mut self, i: usize) {
+    fn step_election(&mut self, i: usize) {
         let now = self.now;
         let nodes = self.nodes.len();
         let reaches = self.reaches_state(i);
-        let stalled = self.stalls.filter(|(n, _)| *n == i);
-        self.nodes[i].next = now + 200;
+        let stalled = self.paused_sender.filter(|(n, _)| *n == i);
+        self.nodes[i].next_election_step = now + 200;
         if let Some(lead) = self.nodes[i].election.leadership() {
             if stalled.is_some() {
                 return;
             }
-            let slow = self.store.slow;
-            if reaches && !self.store.touch(lead.lease, now) {
+            let slow = self.store.delay_ms;
+            if reaches && !self.store.renew_lease(lead.lease, now) {
                 self.resign(i, false);
                 return;
             }
@@ -303,7 +305,7 @@
                 }
                 return;
             }
-            // Ask the others.
+            // Extend by promises of the peers.
             let answers: Vec<PromiseResponse> = peers_of(i, nodes)
                 .enumerate()
                 .map(|(p, j)| self.ask_promise(i, p, j, lead.term))
@@ -315,14 +317,14 @@
                     }
                 }
                 PromiseOutcome::CancellationsUnknown => {
-                    self.blind += 1;
+                    self.uninformed_step_downs += 1;
                     self.resign(i, true);
                 }
                 PromiseOutcome::Extended | PromiseOutcome::NotExtended => {}
             }
             return;
         }
-        if !reaches || self.store.slow > CAMPAIGN_STEP_TIMEOUT_MS {
+        if !reaches || self.store.delay_ms > CAMPAIGN_STEP_TIMEOUT_MS {
             return;
         }
         if let Some(lease) = self.nodes[i].election.indeterminate_lease {
@@ -336,10 +338,10 @@
             let name = v["n"].as_str().unwrap().to_owned();
             (name, *r)
         });
-        let named = self.others_are_named(i);
+        let named = self.others_are_registered(i);
         let node = &mut self.nodes[i];
         if node.election.observed_leader != seen {
-            node.relays.clear();
+            node.heartbeat_relays.clear();
         }
         node.election.observe_leader(seen, now);
         let Some(version) = node.election.may_campaign(now) else {
@@ -351,7 +353,7 @@
         }) {
             return;
         }
-        let lease = self.store.grant(now, LEASE_TTL_MS);
+        let lease = self.store.grant_lease(now, LEASE_TTL_MS);
         let incarnation = self.nodes[i].election.incarnation;
         let value = serde_json::json!({"n": format!("n{i}"), "i": incarnation});
         let txn = Txn {
@@ -385,7 +387,7 @@
             _ => return self.nodes[i].election.indeterminate_lease = None,
         };
         self.terms += 1;
-        self.deliver_kept();
+        self.replay_kept_heartbeats();
         self.nodes[i].election.elected(term, lease, now);
         let mut settings = (*self.settings).clone();
         settings.name = format!("n{i}");
@@ -404,7 +406,7 @@
             Rc::new(settings),
             Options {
                 // Where nothing can be rented, nothing is returned.
-                idle_s: if self.rents { 20.0 } else { 36_000.0 },
+                idle_s: if self.cloud_grants { 20.0 } else { 36_000.0 },
                 begin_s: self.begin_s,
                 ..Options::default()
             },
@@ -413,12 +415,12 @@
             now,
         );
         let node = &mut self.nodes[i];
-        leader.final_states = std::mem::take(&mut node.finals);
+        leader.final_states = std::mem::take(&mut node.final_states);
         let copy = node.follower.take_replica(term);
         leader.inherit(node.election.incarnation, copy);
         node.leader = Some(leader);
-        node.loads_at = now + self.load_ms;
-        let found = self.store.under(records::EXCLUSIONS);
+        node.records_read_at = now + self.load_ms;
+        let found = self.store.list(records::EXCLUSIONS);
         let found = found
             .iter()
             .map(|(k, _, r)| (k[3..].parse::<usize>().unwrap(), *r));
@@ -437,11 +439,11 @@
             let until = exclusions.lease_until();
             return PromiseResponse::Excluded { until };
         }
-        let fails = !self.reaches_state(j) || self.store.slow > PROMISE_CHECK_TIMEOUT_MS;
+        let fails = !self.reaches_state(j) || self.store.delay_ms > PROMISE_CHECK_TIMEOUT_MS;
         if self.contact(i, j) != Some(PeerHealth::Healthy) {
             return PromiseResponse::Refused;
         }
-        let old = self.old.contains(&j);
+        let old = self.old_version_nodes.contains(&j);
         let election = &mut self.nodes[j].election;
         match election.grant_promise(now, term, PROMISE_MS, fails) {
             true => PromiseResponse::Granted {
@@ -453,13 +455,13 @@
         }
     }
 
-    /// Bars nodes that hang, and lifts the exclusions of those that answer.
+    /// Excludes unresponsive nodes, and readmits those that answer.
     fn step_exclusions(&mut self, i: usize) {
         let now = self.now;
-        if now < self.nodes[i].bar_at || self.stalls.is_some() {
+        if now < self.nodes[i].next_exclusion_step || self.paused_sender.is_some() {
             return;
         }
-        self.nodes[i].bar_at = now + 500;
+        self.nodes[i].next_exclusion_step = now + 500;
         let node = &self.nodes[i];
         let (Some(lead), Some(step)) = (
             node.election.leadership(),
@@ -467,18 +469,18 @@
         ) else {
             return;
         };
-        let link = self.link(i, EndLease::State);
+        let link = self.link(i, Endpoint::State);
         let reaches = self.reaches_state(i);
         let name = |p: usize| format!("n{}", peers_of(i, self.nodes.len()).nth(p).unwrap());
         let (peer, exclusion, txn) = match step {
             Step::RenewLease(lease) => {
                 if reaches {
-                    let renewed = lease.filter(|l| self.store.touch(*l, now));
+                    let renewed = lease.filter(|l| self.store.renew_lease(*l, now));
                     match (lease, renewed) {
                         (Some(_), None) => self.nodes[i].exclusions.lease_lost(),
                         (_, Some(lease)) => self.nodes[i].exclusions.lease_granted(lease, now),
                         (None, None) => {
-                            let lease = self.store.grant(now, exclusions::LEASE_TTL_MS);
+                            let lease = self.store.grant_lease(now, exclusions::LEASE_TTL_MS);
                             self.nodes[i].exclusions.lease_granted(lease, now);
                         }
                     }
@@ -510,7 +512,11 @@
         // No answer, and it is carried out late.
         let late = match link {
             Link::Hold => Some(Millis::MAX),
-            _ => self.store.late_bars.pop().map(|delay| now + delay),
+            _ => self
+                .store
+                .late_exclusion_writes
+                .pop()
+                .map(|delay| now + delay),
         };
         if let Some(at) = late {
             self.store.held.push((at, i, txn));
@@ -526,21 +532,23 @@
         }
     }
 
-    /// Learns which other nodes answer.
+    /// Probes the other nodes for the failure detector.
     fn ping(&mut self, i: usize) {
         let now = self.now;
         for (p, j) in peers_of(i, self.nodes.len()).enumerate() {
             let contact = self.contact(i, j);
             let node = &mut self.nodes[i];
-            if node.asked[j].is_none() && node.failure_detector.probe_due(p, 300, now) {
+            if node.probes_open_since[j].is_none() && node.failure_detector.probe_due(p, 300, now) {
                 node.failure_detector.request_sent(p, now);
-                node.asked[j] = Some(now);
+                node.probes_open_since[j] = Some(now);
             }
-            let Some(since) = node.asked[j] else { continue };
+            let Some(since) = node.probes_open_since[j] else {
+                continue;
+            };
             let timed_out = now >= since + 600;
             if let Some(how) = contact.or(timed_out.then_some(PeerHealth::Unresponsive)) {
                 node.failure_detector.request_ended(p, how, now);
-                node.asked[j] = None;
+                node.probes_open_since[j] = None;
                 if how == PeerHealth::Healthy {
                     let view = self.nodes[j].election.leader(now);
                     let view = view.map(|(name, term)| (name.to_owned(), term));
@@ -550,14 +558,14 @@
         }
     }
 
-    /// Each second the leader has the reports relayed of machines that it
-    /// does not hear, and hands over if it hears nobody at all.
-    fn greet(&mut self, i: usize) {
+    /// Each second the leader asks its peers to relay heartbeats of machines that
+    /// miss theirs, and yields if it receives none at all.
+    fn request_missing_heartbeats(&mut self, i: usize) {
         let now = self.now;
-        if now < self.nodes[i].greet_at {
+        if now < self.nodes[i].next_relay_request {
             return;
         }
-        self.nodes[i].greet_at = now + 1000;
+        self.nodes[i].next_relay_request = now + 1000;
         for j in peers_of(i, self.nodes.len()) {
             let zone = self.zone_of(j);
             if zone != self.zone_of(i) && self.contact(i, j) == Some(PeerHealth::Healthy) {
@@ -578,10 +586,12 @@
         for j in peers_of(i, self.nodes.len()) {
             if self.contact(i, j) == Some(PeerHealth::Healthy) {
                 anybody = true;
-                self.nodes[j].relays.relay_requested(&machines, 15_000, now);
+                self.nodes[j]
+                    .heartbeat_relays
+                    .relay_requested(&machines, 15_000, now);
             }
         }
-        if !anybody && now > self.nodes[i].last_beat + 5000 {
+        if !anybody && now > self.nodes[i].last_heartbeat + 5000 {
             self.nodes[i].election.abstain(now + 15_000);
             self.resign(i, false);
         }
--- a/tests/simulation/standbys.rs
+++ b/tests/simulation/standbys.rs
@@ -1,24 +1,24 @@
-//! What nodes do to keep standbys warm, and the checker of what holds: whoever
-//! the record names knows at least all that is on machines.
+//! Replication to standbys as the leader's loop does it, and the checker of its
+//! invariant: a registered standby knows at least all tasks on machines.
 
 use super::*;
 use pathwinch::{protocol::workers::parse_task_name, state::records::StandbyRecord};
 
-impl World {
-    fn record_of_standbys(&self) -> Option<(StandbyRecord, u64)> {
+impl Simulation {
+    fn standby_registry(&self) -> Option<(StandbyRecord, u64)> {
         let (v, r) = self.store.kv.get(records::STANDBYS)?;
         Some((serde_json::from_value(v.clone()).unwrap(), *r))
     }
 
-    /// From now on nobody is a standby: the next leader takes over cold.
-    pub fn go_cold(&mut self) {
+    /// Ends the use of standbys: the next failover is cold.
+    pub fn drop_standbys(&mut self) {
         self.standbys = false;
         self.store.kv.remove(records::STANDBYS);
     }
 
-    /// The nodes that the record names, as they are now.
-    pub fn named(&self) -> Vec<usize> {
-        let Some((record, _)) = self.record_of_standbys() else {
+    /// The nodes that the standby registry names, as far as that incarnation runs.
+    pub fn registered_standbys(&self) -> Vec<usize> {
+        let Some((record, _)) = self.standby_registry() else {
             return Vec::new();
         };
         let named = record.named.iter();
@@ -30,20 +30,20 @@
         named.filter_map(node).collect()
     }
 
-    pub(super) fn others_are_named(&self, i: usize) -> bool {
-        let named = self.named();
+    pub(super) fn others_are_registered(&self, i: usize) -> bool {
+        let named = self.registered_standbys();
         let there = |j: &usize| self.contact(i, *j) == Some(PeerHealth::Healthy);
         !named.contains(&i) && named.iter().any(there)
     }
 
-    pub(super) fn keep_standbys(&mut self, i: usize) {
+    pub(super) fn step_standbys(&mut self, i: usize) {
         let now = self.now;
         let answers: Vec<bool> = peers_of(i, self.nodes.len())
             .map(|j| self.contact(i, j) == Some(PeerHealth::Healthy))
             .collect();
         let reaches = self.reaches_state(i);
-        let found = self.record_of_standbys();
-        let held = match (self.stalls, self.link(i, EndLease::State)) {
+        let found = self.standby_registry();
+        let held = match (self.paused_sender, self.link(i, Endpoint::State)) {
             (Some((n, until)), _) if n == i => Some(until),
             (_, Link::Hold) => Some(Millis::MAX),
             _ => None,
@@ -52,14 +52,14 @@
         let Some(l) = node.leader.as_mut() else {
             return;
         };
-        if node.record_open.is_some_and(|at| now >= at) && reaches && held.is_none() {
-            node.record_open = None;
+        if node.registry_reread_at.is_some_and(|at| now >= at) && reaches && held.is_none() {
+            node.registry_reread_at = None;
             l.standbys_written(RegistryWriteOutcome::Reread(found), now);
         }
         if let Some(txn) = l.update_standbys(|p| answers[p], now) {
             let late = match held {
                 Some(_) => None,
-                None => self.store.late_record.pop(),
+                None => self.store.late_registry_writes.pop(),
             };
             let result = match late {
                 Some(delay) => {
@@ -68,11 +68,11 @@
                 }
                 None => self.transact(i, &txn),
             };
-            let found = self.record_of_standbys();
+            let found = self.standby_registry();
             let node = &mut self.nodes[i];
             let l = node.leader.as_mut().unwrap();
             match result {
-                TxnResult::Unknown => node.record_open = Some(now + 1500),
+                TxnResult::Unknown => node.registry_reread_at = Some(now + 1500),
                 TxnResult::Refused | TxnResult::Rejected => {
                     l.standbys_written(RegistryWriteOutcome::Refused, now);
                 }
@@ -89,16 +89,16 @@
             }
         }
         for p in 0..answers.len() {
-            self.tell_standby(i, p);
+            self.replicate_to_standby(i, p);
         }
     }
 
-    fn tell_peer(&self, i: usize, p: usize) -> usize {
+    fn peer_node(&self, i: usize, p: usize) -> usize {
         peers_of(i, self.nodes.len()).nth(p).unwrap()
     }
 
-    fn tell_standby(&mut self, i: usize, p: usize) {
-        let (now, j) = (self.now, self.tell_peer(i, p));
+    fn replicate_to_standby(&mut self, i: usize, p: usize) {
+        let (now, j) = (self.now, self.peer_node(i, p));
         let Some(l) = self.nodes[i].leader.as_mut() else {
             return;
         };
@@ -107,48 +107,49 @@
             return;
         };
         let id = (part.stream, part.part);
-        self.nodes[i].telling[j] = Some(id);
-        let stalled = self.stalls.filter(|(n, _)| *n == i);
+        self.nodes[i].parts_in_flight[j] = Some(id);
+        let stalled = self.paused_sender.filter(|(n, _)| *n == i);
         let at = stalled.map_or(now, |(_, until)| until) + 5;
-        let lost = Msg::LeaderReplied(i, j, term, id, None);
+        let lost = Msg::ReplicationAnswer(i, j, term, id, None);
         match self.contact(i, j) {
-            _ if self.old.contains(&j) => self.wire.push((at, lost)),
-            Some(PeerHealth::Refusing) => self.wire.push((at, lost)),
+            _ if self.old_version_nodes.contains(&j) => self.in_transit.push((at, lost)),
+            Some(PeerHealth::Refusing) => self.in_transit.push((at, lost)),
             how => {
-                self.wire.push((now + 900, lost));
-                let tell = Msg::Tell(i, j, part);
+                self.in_transit.push((now + 900, lost));
+                let tell = Msg::ReplicationPart(i, j, part);
                 let luck = self.rng.u32(0..100);
-                if self.link(i, EndLease::Node(j)) == Link::Hold {
+                if self.link(i, Endpoint::Node(j)) == Link::Hold {
                     self.held.push(tell);
-                } else if how.is_none() || luck >= self.lossy {
-                    if luck >= 100 - self.lossy {
-                        self.wire.push((at + self.rng.u64(0..60_000), tell.clone()));
+                } else if how.is_none() || luck >= self.replication_loss_percent {
+                    if luck >= 100 - self.replication_loss_percent {
+                        self.in_transit
+                            .push((at + self.rng.u64(0..60_000), tell.clone()));
                     }
-                    self.wire.push((at, tell));
+                    self.in_transit.push((at, tell));
                 }
             }
         }
     }
 
-    pub(super) fn told(&mut self, i: usize, j: usize, mut part: Follow) {
+    pub(super) fn receive_replication_part(&mut self, i: usize, j: usize, mut part: Follow) {
         let now = self.now;
         if !self.nodes[j].alive || self.nodes[j].election.leadership().is_some() {
             return;
         }
-        if self.forgetful {
+        if self.replica_loses_updates {
             part.machines.pop();
         }
         let (term, id) = (part.term, (part.stream, part.part));
         let node = &mut self.nodes[j];
         let taken = node.follower.apply_part(part, now);
         let answer = Some((node.election.incarnation, taken));
-        if self.link(i, EndLease::Node(j)) == Link::Up {
-            self.wire
-                .push((now + 5, Msg::LeaderReplied(i, j, term, id, answer)));
+        if self.link(i, Endpoint::Node(j)) == Link::Up {
+            self.in_transit
+                .push((now + 5, Msg::ReplicationAnswer(i, j, term, id, answer)));
         }
     }
 
-    pub(super) fn confirmed(
+    pub(super) fn receive_replication_answer(
         &mut self,
         i: usize,
         j: usize,
@@ -163,17 +164,17 @@
             return;
         };
         // Answered already, or given up.
-        if !node.alive || node.telling[j] != Some(part) {
+        if !node.alive || node.parts_in_flight[j] != Some(part) {
             return;
         }
-        node.telling[j] = None;
+        node.parts_in_flight[j] = None;
         l.replication_answered(p, answer, now);
-        self.tell_standby(i, p);
+        self.replicate_to_standby(i, p);
     }
 
-    /// Whoever is named knows at least what is on machines, and so does a
-    /// leader that took over by its copy.
-    pub(super) fn check_copies(&mut self) {
+    /// A registered standby knows at least the tasks on machines, and so does a
+    /// leader that took over by its replica.
+    pub(super) fn check_replicas(&mut self) {
         let mut found = Vec::new();
         // The tasks of a gang complete together, though here one by one: once
         // that is recorded, nobody need know of the rest.
@@ -186,8 +187,8 @@
                 .map(|t| (t.name.clone(), t.attempt))
                 .collect::<Vec<_>>()
         };
-        let term = self.record_of_standbys().map_or(0, |(r, _)| r.term);
-        for j in self.named() {
+        let term = self.standby_registry().map_or(0, |(r, _)| r.term);
+        for j in self.registered_standbys() {
             if self.nodes[j].election.leadership().is_some() {
                 continue;
             }
@@ -228,6 +229,6 @@
                 }
             }
         }
-        self.broken.extend(found);
+        self.violations.extend(found);
     }
 }
