--- a/tests/simulation/store.rs
+++ b/tests/simulation/store.rs
@@ -1,4 +1,6 @@
-//! The state service.
+//! The state service: a versioned key-value store with leases, limits and
+//! transactions on conditions. Its own consensus is not simulated: it answers,
+//! is slow, or is unavailable as a whole or for single nodes.
 
 use pathwinch::{
     protocol::state::{Txn, Write},
@@ -17,33 +19,33 @@
     pub value: usize,
     pub revision: u64,
     pub kv: BTreeMap<String, (Value, u64)>,
-    pub down: bool,
-    /// It answers so much later.
-    pub slow: Millis,
-    /// Nodes that alone are refused.
-    pub refuses: BTreeSet<usize>,
+    pub unavailable: bool,
+    /// Extra latency of every answer.
+    pub delay_ms: Millis,
+    /// Nodes whose requests it refuses.
+    pub refused_nodes: BTreeSet<usize>,
     lease: u64,
     /// Until when, and the life.
     leases: BTreeMap<u64, (Millis, Millis)>,
     /// Keys under a lease.
     attached: BTreeMap<String, u64>,
-    /// Answers of the next transactions are lost, and they are applied so
-    /// much later.
-    pub late: Vec<Millis>,
-    /// Of a hundred transactions so many are carried out at once, and only
-    /// their answers are lost.
+    /// Delays of the next transactions: each is applied so much later, and has
+    /// no answer.
+    pub late_writes: Vec<Millis>,
+    /// Percentage of transactions that are applied at once without an answer.
     pub lost_answers: u32,
-    /// How many were, by what they wrote.
+    /// How many had none, by the kind of key.
     pub unanswered: BTreeMap<String, u32>,
-    /// Notices that were written, with the revisions.
-    pub notices: Vec<(u64, String)>,
+    /// Entries of the acceptance feed, with their revisions.
+    pub acceptance_feed: Vec<(u64, String)>,
     /// Puts and deletes so far.
     pub changes: u32,
-    /// The same for writes of the record of standbys.
-    pub late_record: Vec<Millis>,
-    /// The same for exclusions, and for lifting them.
-    pub late_bars: Vec<Millis>,
-    /// To be applied then, each by a node; `Millis::MAX`: when it is healed.
+    /// `late_writes` for the standby registry.
+    pub late_registry_writes: Vec<Millis>,
+    /// `late_writes` for exclusions and readmissions.
+    pub late_exclusion_writes: Vec<Millis>,
+    /// Transactions to apply later, with their node; `Millis::MAX`: when its
+    /// partition ends.
     pub held: Vec<(Millis, usize, Txn)>,
 }
 
@@ -54,25 +56,27 @@
             value: 8192,
             revision: 0,
             kv: BTreeMap::new(),
-            down: false,
-            slow: 0,
-            refuses: BTreeSet::new(),
+            unavailable: false,
+            delay_ms: 0,
+            refused_nodes: BTreeSet::new(),
             lease: 0,
             leases: BTreeMap::new(),
             attached: BTreeMap::new(),
-            late: Vec::new(),
+            late_writes: Vec::new(),
             lost_answers: 0,
             unanswered: BTreeMap::new(),
-            notices: Vec::new(),
+            acceptance_feed: Vec::new(),
             changes: 0,
-            late_record: Vec::new(),
-            late_bars: Vec::new(),
+            late_registry_writes: Vec::new(),
+            late_exclusion_writes: Vec::new(),
             held: Vec::new(),
         }
     }
 }
 
 impl Store {
+    /// Applies a transaction; `Err`: the keys whose conditions failed. Panics
+    /// where it is over a limit of the service.
     pub fn apply(&mut self, txn: &Txn) -> Result<u64, Vec<String>> {
         let ops = self.txn_ops;
         assert!(
@@ -109,7 +113,7 @@
                     assert!(value.to_string().len() <= self.value, "value_kb: {key}");
                     self.kv.insert(key.clone(), (value.clone(), self.revision));
                     if key.starts_with(ACCEPTANCES) {
-                        self.notices.push((self.revision, key.clone()));
+                        self.acceptance_feed.push((self.revision, key.clone()));
                     }
                 }
                 Write::Delete { key } => {
@@ -121,9 +125,9 @@
         Ok(self.revision)
     }
 
-    /// What the watch answers that begins there; `None`: nothing has changed.
-    pub fn noticed(&self, from: u64) -> Option<Vec<u8>> {
-        let since = self.notices.iter().filter(|(r, _)| *r > from);
+    /// The answer to a watch from a revision; `None`: nothing has changed.
+    pub fn feed_since(&self, from: u64) -> Option<Vec<u8>> {
+        let since = self.acceptance_feed.iter().filter(|(r, _)| *r > from);
         let log: Vec<Value> = since
             .map(|(r, k)| serde_json::json!({"set": k, "data": true, "key_rev": r}))
             .collect();
@@ -131,8 +135,8 @@
         (!log.is_empty()).then(|| body.to_string().into_bytes())
     }
 
-    /// A job's record with its description.
-    pub fn whole(&self, id: &str, value: Value) -> JobRecord {
+    /// A job's record joined with its spec chunks.
+    pub fn job_record(&self, id: &str, value: Value) -> JobRecord {
         let stored: StoredJob = serde_json::from_value(value).unwrap();
         let whole = stored.with_spec(|p| {
             let texts = p.keys(id).filter_map(|k| self.kv.get(&k)?.0.as_str());
@@ -142,10 +146,10 @@
     }
 
     pub fn refuses(&self, node: usize) -> bool {
-        self.down || self.refuses.contains(&node)
+        self.unavailable || self.refused_nodes.contains(&node)
     }
 
-    pub fn under(&self, prefix: &str) -> Vec<(String, Value, u64)> {
+    pub fn list(&self, prefix: &str) -> Vec<(String, Value, u64)> {
         self.kv
             .range(prefix.to_owned()..)
             .take_while(|(k, _)| k.starts_with(prefix))
@@ -155,15 +159,15 @@
 }
 
 impl Store {
-    pub fn pass_time(&mut self, now: Millis) {
+    pub fn advance(&mut self, now: Millis) {
         for (at, node, txn) in std::mem::take(&mut self.held) {
-            if at <= now && !self.down {
+            if at <= now && !self.unavailable {
                 let _ = self.apply(&txn);
             } else {
                 self.held.push((at, node, txn));
             }
         }
-        if self.down {
+        if self.unavailable {
             // After an outage all leases have their full time again.
             for (until, life) in self.leases.values_mut() {
                 *until = now + *life;
@@ -173,14 +177,14 @@
         self.drop_keys();
     }
 
-    pub fn grant(&mut self, now: Millis, life: Millis) -> u64 {
+    pub fn grant_lease(&mut self, now: Millis, life: Millis) -> u64 {
         self.lease += 1;
         self.leases.insert(self.lease, (now + life, life));
         self.lease
     }
 
-    /// Whether there was such a lease.
-    pub fn touch(&mut self, lease: u64, now: Millis) -> bool {
+    /// Whether the lease existed, and so was renewed.
+    pub fn renew_lease(&mut self, lease: u64, now: Millis) -> bool {
         let found = self.leases.get_mut(&lease);
         found.is_some_and(|(until, life)| {
             *until = now + *life;
--- a/tests/simulation/users.rs
+++ b/tests/simulation/users.rs
@@ -1,6 +1,7 @@
-//! Users, by the steps that the nodes take themselves: what is asked at once,
-//! what is under way for a drawn time, and the history of questions and
-//! answers.
+//! Users' requests, through the program's own steps (`control::requests`): those
+//! answered at once, those in flight for a drawn time, and the checker of the
+//! answers: no answer is older than one given before it, no accepted job is
+//! forgotten, and no job is done before all its tasks are.
 
 use super::*;
 use pathwinch::{
@@ -11,168 +12,174 @@
     state::rate_limit::share::{self, Role},
 };
 
-/// What a user asks.
+/// A request of a user.
 #[derive(Clone, Debug)]
-pub enum Ask {
+pub enum UserRequest {
     Poll(String),
     Submit(Box<JobSpec>),
-    /// Of this job, with a body that is not as it should be.
-    Odd(String, Vec<u8>),
-    Withdraw(String),
+    /// A submission of this job with a malformed body.
+    Malformed(String, Vec<u8>),
+    Cancel(String),
 }
 
-impl Ask {
-    pub fn submit(spec: &JobSpec) -> Ask {
-        Ask::Submit(Box::new(spec.clone()))
+impl UserRequest {
+    pub fn submit(spec: &JobSpec) -> UserRequest {
+        UserRequest::Submit(Box::new(spec.clone()))
     }
 
     fn id(&self) -> &str {
         match self {
-            Ask::Poll(id) | Ask::Withdraw(id) | Ask::Odd(id, _) => id,
-            Ask::Submit(spec) => &spec.id,
+            UserRequest::Poll(id) | UserRequest::Cancel(id) | UserRequest::Malformed(id, _) => id,
+            UserRequest::Submit(spec) => &spec.id,
         }
     }
 
     fn request(&self, forwarded: bool) -> Request {
         match self {
-            Ask::Poll(id) => Request::poll(id),
-            Ask::Withdraw(id) => Request::cancel(id, forwarded),
-            Ask::Odd(_, body) => Request::submit(body, forwarded),
-            Ask::Submit(spec) => Request::submit(&serde_json::to_vec(spec).unwrap(), forwarded),
+            UserRequest::Poll(id) => Request::poll(id),
+            UserRequest::Cancel(id) => Request::cancel(id, forwarded),
+            UserRequest::Malformed(_, body) => Request::submit(body, forwarded),
+            UserRequest::Submit(spec) => {
+                Request::submit(&serde_json::to_vec(spec).unwrap(), forwarded)
+            }
         }
     }
 
     /// How long its user waits.
     fn patience(&self) -> Millis {
         match self {
-            Ask::Poll(_) => 2_000,
+            UserRequest::Poll(_) => 2_000,
             _ => 5_000,
         }
     }
 }
 
-/// A question, when it was sent, and when its answer came.
-pub struct Asked {
-    pub ask: Ask,
+/// A request, when it was sent, and its answer.
+pub struct SentRequest {
+    pub ask: UserRequest,
     pub node: usize,
     pub sent: Millis,
     pub answer: Option<(Millis, Answer)>,
     order: u64,
 }
 
-/// What comes of a request in flight at its time.
+/// What happens next to a request in flight.
 #[derive(Debug)]
-enum Comes {
+enum NextEvent {
     /// Its user sends it.
     Sent,
     Event(Event),
-    /// At the leader, or the state service; asked then.
+    /// It reaches the leader, or the state service; asked then.
     AtLeader(usize, Millis),
     ReadState(Millis),
     Look(Vec<String>),
     Write(Txn),
-    Passed(usize),
+    AtForwardTarget(usize),
     /// The answer, at the user or at the node that passed the request on.
     Answer(Option<Answer>),
 }
 
-/// Who waits for the answer.
+/// Who awaits the answer.
 #[derive(Clone, Copy, PartialEq, Debug)]
-enum For {
+enum Recipient {
     User(usize),
-    Flight(u64),
+    InFlight(u64),
     Nobody,
 }
 
-struct Flight {
+struct InFlight {
     serial: u64,
     node: usize,
     process: u64,
-    who: For,
-    ask: Ask,
+    recipient: Recipient,
+    ask: UserRequest,
     request: Request,
     due: Millis,
-    comes: Comes,
+    next_event: NextEvent,
 }
 
-/// What any node has told of a job, by the order of all questions and answers.
+/// What nodes have answered about a job, by the order of all requests and answers.
 #[derive(Default)]
-struct Said {
+struct AnsweredState {
     /// By that order, and when.
     accepted: Option<(u64, Millis)>,
-    over: Option<JobState>,
+    final_state: Option<JobState>,
 }
 
 #[derive(Default)]
-pub struct Desk {
-    flights: Vec<Flight>,
-    pub history: Vec<Asked>,
-    said: HashMap<String, Said>,
+pub struct UserTraffic {
+    in_flight: Vec<InFlight>,
+    pub history: Vec<SentRequest>,
+    answered_states: HashMap<String, AnsweredState>,
     order: u64,
-    /// Since when no question about a job had an answer.
+    /// Since when no request about a job had an answer.
     unanswered: HashMap<String, Millis>,
     /// Refusals of jobs that another node had just called accepted, to a question
     /// that had been sent before that.
     pub refusals_overtaken: u32,
     /// Jobs that were submitted with bodies that can't be accepted.
-    pub unfit: BTreeSet<String>,
-    /// The longest way between two nodes, or to the state service and back.
-    pub way: Millis,
-    /// The state service's answers to looks at records come so much later.
-    pub slow_answers: Millis,
+    pub infeasible: BTreeSet<String>,
+    /// Longest latency between two nodes, or to the state service and back.
+    pub max_latency_ms: Millis,
+    /// Extra latency of the state service's answers to reads of records.
+    pub read_delay_ms: Millis,
 }
 
-impl Desk {
+impl UserTraffic {
     fn next(&mut self) -> u64 {
         self.order += 1;
         self.order
     }
 
     pub fn forget_node(&mut self, i: usize) {
-        self.flights
-            .retain(|f| f.node != i || matches!(f.comes, Comes::Sent));
+        self.in_flight
+            .retain(|f| f.node != i || matches!(f.next_event, NextEvent::Sent));
     }
 
-    /// What is amiss excuses missing answers.
-    pub fn excuse(&mut self) {
+    /// A fault excuses missing answers.
+    pub fn excuse_missing_answers(&mut self) {
         self.unanswered.clear();
     }
 }
 
-impl World {
+impl Simulation {
     // ---- what nodes know and do ----
 
     fn view<T>(&mut self, i: usize, now: Millis, f: impl FnOnce(&mut NodeView) -> T) -> T {
-        let types = if self.no_types { Vec::new() } else { types() };
+        let types = if self.types_unknown {
+            Vec::new()
+        } else {
+            types()
+        };
         let node = &mut self.nodes[i];
         let term = node.election.authority(now);
         f(&mut NodeView {
             may_act: term.is_some() && node.leader.as_ref().map(|l| l.term) == term,
             leader: node.leader.as_mut(),
-            final_states: &mut node.finals,
+            final_states: &mut node.final_states,
             settings: &self.settings,
             types: &types,
-            upgraded: !self.mixed,
+            upgraded: !self.mixed_versions,
             now,
             wall_ms: now,
             read_term: None,
         })
     }
 
-    fn look_up(&self, id: &str) -> Found {
+    fn read_record(&self, id: &str) -> Found {
         let live = self.store.kv.get(&records::job_key(id));
         let over = self.store.kv.get(&records::final_key(id));
         match (live, over) {
-            (Some((v, r)), _) => Found::Live(Box::new(self.store.whole(id, v.clone())), *r),
+            (Some((v, r)), _) => Found::Live(Box::new(self.store.job_record(id, v.clone())), *r),
             (None, Some((v, r))) => Found::Final(serde_json::from_value(v.clone()).unwrap(), *r),
             (None, None) => Found::Nothing,
         }
     }
 
-    fn look(&self, i: usize, ids: &[String]) -> LookupResults {
+    fn read_records(&self, i: usize, ids: &[String]) -> LookupResults {
         let reaches = self.reaches_state(i);
         let one = |id: &String| match reaches {
-            true => Ok(self.look_up(id)),
+            true => Ok(self.read_record(id)),
             false => Err("status 503".to_owned()),
         };
         ids.iter().map(|id| (id.clone(), one(id))).collect()
@@ -182,7 +189,7 @@
         if !self.reaches_state(i) {
             return Err("status 503".into());
         }
-        let (status, version) = match self.look_up(id) {
+        let (status, version) = match self.read_record(id) {
             Found::Live(record, version) => (Some(record.status()), Some(version)),
             Found::Final(record, version) => (Some(final_status(id, &record)), Some(version)),
             Found::Nothing => (None, None),
@@ -194,11 +201,11 @@
         })
     }
 
-    /// Carries out a node's transaction, or holds it, or loses its answer, as
-    /// the troubles have it. What the node learns in the end.
+    /// Applies a node's transaction, holds it, or loses its answer, as the faults
+    /// have it; returns the outcome that the node sees.
     pub(super) fn transact(&mut self, i: usize, txn: &Txn) -> TxnResult {
-        let stalled = self.stalls.filter(|(n, _)| *n == i);
-        let late = match (stalled, self.link(i, EndLease::State)) {
+        let stalled = self.paused_sender.filter(|(n, _)| *n == i);
+        let late = match (stalled, self.link(i, Endpoint::State)) {
             (Some((_, until)), _) => Some(until),
             (None, Link::Hold) => Some(Millis::MAX),
             _ => None,
@@ -219,7 +226,7 @@
             let _ = self.store.apply(txn);
             return TxnResult::Unknown;
         }
-        if let Some(delay) = self.store.late.pop() {
+        if let Some(delay) = self.store.late_writes.pop() {
             self.store.held.push((self.now + delay, i, txn.clone()));
             return TxnResult::Unknown;
         }
@@ -229,9 +236,9 @@
         }
     }
 
-    /// The state service takes so many changes a second.
-    pub fn limit_changes(&mut self, rate: f64) {
-        self.change_rate = rate;
+    /// Limits the writes a second that the state service takes.
+    pub fn limit_write_rate(&mut self, rate: f64) {
+        self.write_rate = rate;
         let budget = || TokenBucket::new(rate * share::of_changes(Role::Leads, 3), 1.0);
         self.budgets = self.nodes.iter().map(|_| budget()).collect();
     }
@@ -241,27 +248,27 @@
         budget.is_none_or(|b| b.take(now, txn.writes.len() as f64, 0.0))
     }
 
-    /// Changes that a leader's bookkeeping may make now.
-    pub(super) fn room(&mut self, i: usize) -> usize {
-        let (now, kept) = (self.now, share::kept_for_users(self.change_rate));
+    /// Writes that a leader's bookkeeping may make now.
+    pub(super) fn write_budget(&mut self, i: usize) -> usize {
+        let (now, kept) = (self.now, share::kept_for_users(self.write_rate));
         let level = self.budgets.get_mut(i).map(|b| b.level(now) - kept);
         level.map_or(12, |l| l.max(0.0) as usize)
     }
 
-    /// The leader that node `i` would ask, if it answers.
-    fn leader_for(&self, i: usize, now: Millis) -> Option<usize> {
+    /// The leader to which node `i` forwards, if it answers.
+    fn forward_target(&self, i: usize, now: Millis) -> Option<usize> {
         let (name, _) = self.nodes[i].election.leader(now)?;
         let l: usize = name[1..].parse().ok()?;
-        (l != i && self.reaches(l) && self.link(i, EndLease::Node(l)) == Link::Up).then_some(l)
+        (l != i && self.reaches(l) && self.link(i, Endpoint::Node(l)) == Link::Up).then_some(l)
     }
 
     // ---- at once ----
 
-    /// Does all that the request asks for at this moment. `Err`: it waits.
-    fn through(
+    /// Takes all steps of the request at this moment. `Err`: it has to wait.
+    fn complete_now(
         &mut self,
         i: usize,
-        ask: &Ask,
+        ask: &UserRequest,
         request: &mut Request,
     ) -> Result<Option<Answer>, ()> {
         let mut now = self.now;
@@ -278,132 +285,140 @@
                 }
                 Next::Wait(_) => return Err(()),
                 Next::AskLeader => {
-                    let status = self.leader_for(i, now).and_then(|l| {
+                    let status = self.forward_target(i, now).and_then(|l| {
                         let ids = [ask.id().to_owned()];
                         let known = self.view(l, now, |view| polled(view, &ids))?.pop()?;
                         known.map(|k| status_of(&ids[0], k))
                     });
-                    told(now, status)
+                    leader_replied(now, status)
                 }
                 Next::ReadState => Event::Read(self.read_state(i, ask.id(), now)),
-                Next::Versions => Event::Versions(!self.mixed),
-                Next::Look(ids) => Event::LookupResults(self.look(i, &ids)),
+                Next::Versions => Event::Versions(!self.mixed_versions),
+                Next::Look(ids) => Event::LookupResults(self.read_records(i, &ids)),
                 Next::Write(txn, _) => Event::Wrote(self.transact(i, &txn)),
                 Next::Forward => {
-                    let leader = self.leader_for(i, now);
-                    let passed = leader.map(|l| self.through(l, ask, &mut ask.request(true)));
+                    let leader = self.forward_target(i, now);
+                    let passed = leader.map(|l| self.complete_now(l, ask, &mut ask.request(true)));
                     Event::Forwarded(passed.transpose()?.flatten())
                 }
             };
         }
     }
 
-    /// Asks a node and has the answer at once, if it need not be waited for.
-    pub fn at_once(&mut self, i: usize, ask: Ask) -> Option<Answer> {
+    /// Sends a request and returns its answer, if it need not wait.
+    pub fn request_now(&mut self, i: usize, ask: UserRequest) -> Option<Answer> {
         if !self.reaches(i) {
-            self.no_answer(ask.id());
+            self.check_missing_answer(ask.id());
             return None;
         }
-        let sent = self.desk.next();
+        let sent = self.traffic.next();
         let answer = self
-            .through(i, &ask, &mut ask.request(false))
+            .complete_now(i, &ask, &mut ask.request(false))
             .ok()
             .flatten();
         let Some(answer) = answer else {
-            self.no_answer(ask.id());
+            self.check_missing_answer(ask.id());
             return None;
         };
-        self.given(&ask, sent, &answer);
+        self.check_answer(&ask, sent, &answer);
         Some(answer)
     }
 
     // ---- in flight ----
 
-    /// A user sends it in so long; the answer comes, if one does, as time
-    /// passes.
-    pub fn ask(&mut self, after: Millis, i: usize, ask: Ask) -> usize {
-        if let Ask::Withdraw(id) = &ask {
+    /// A user sends the request after a delay; returns its index in `history`,
+    /// where the answer appears as time passes.
+    pub fn request_later(&mut self, after: Millis, i: usize, ask: UserRequest) -> usize {
+        if let UserRequest::Cancel(id) = &ask {
             self.cancelling.insert(id.clone());
         }
-        if let Ask::Submit(spec) = &ask {
+        if let UserRequest::Submit(spec) = &ask {
             let known = self.specs.entry(spec.id.clone());
             known.or_insert_with(|| (**spec).clone());
         }
         let sent = self.now + after;
-        self.desk.history.push(Asked {
+        self.traffic.history.push(SentRequest {
             ask: ask.clone(),
             node: i,
             sent,
             answer: None,
             order: 0,
         });
-        let n = self.desk.history.len() - 1;
-        self.fly(i, ask, false, For::User(n), sent, Comes::Sent);
+        let n = self.traffic.history.len() - 1;
+        self.launch(i, ask, false, Recipient::User(n), sent, NextEvent::Sent);
         n
     }
 
-    fn fly(&mut self, i: usize, ask: Ask, forwarded: bool, who: For, due: Millis, comes: Comes) {
-        let serial = self.desk.next();
-        self.desk.flights.push(Flight {
+    fn launch(
+        &mut self,
+        i: usize,
+        ask: UserRequest,
+        forwarded: bool,
+        who: Recipient,
+        due: Millis,
+        comes: NextEvent,
+    ) {
+        let serial = self.traffic.next();
+        self.traffic.in_flight.push(InFlight {
             serial,
             node: i,
             process: self.nodes[i].election.incarnation,
-            who,
+            recipient: who,
             request: ask.request(forwarded),
             ask,
             due,
-            comes,
+            next_event: comes,
         });
     }
 
-    fn way(&mut self) -> Millis {
-        let most = self.desk.way;
+    fn draw_latency(&mut self) -> Millis {
+        let most = self.traffic.max_latency_ms;
         1 + self.rng.u64(0..=most)
     }
 
-    /// All that happens to requests until then.
-    pub(super) fn desk_time(&mut self) {
+    /// All events of requests in flight that are due.
+    pub(super) fn step_requests(&mut self) {
         loop {
-            let flights = self.desk.flights.iter().enumerate();
+            let flights = self.traffic.in_flight.iter().enumerate();
             let first = flights.min_by_key(|(_, f)| (f.due, f.serial));
             let Some(at) = first.filter(|(_, f)| f.due <= self.now).map(|(at, _)| at) else {
                 return;
             };
-            let flight = self.desk.flights.swap_remove(at);
-            self.goes_on(flight);
+            let flight = self.traffic.in_flight.swap_remove(at);
+            self.advance(flight);
         }
     }
 
-    fn goes_on(&mut self, mut f: Flight) {
+    fn advance(&mut self, mut f: InFlight) {
         let (i, now) = (f.node, f.due);
-        if let (Comes::Sent, For::User(n)) = (&f.comes, f.who) {
-            self.desk.history[n].order = self.desk.next();
+        if let (NextEvent::Sent, Recipient::User(n)) = (&f.next_event, f.recipient) {
+            self.traffic.history[n].order = self.traffic.next();
             if !self.reaches(i) {
                 return;
             }
             f.process = self.nodes[i].election.incarnation;
-            f.due = now + self.way();
-            f.comes = Comes::Event(Event::Begin);
-            return self.desk.flights.push(f);
+            f.due = now + self.draw_latency();
+            f.next_event = NextEvent::Event(Event::Begin);
+            return self.traffic.in_flight.push(f);
         }
         let node = &self.nodes[i];
         if !node.alive || node.election.incarnation != f.process {
             return;
         }
-        // What comes to a node that stands still waits at its door.
-        if node.still_until > now && matches!(f.comes, Comes::Event(_)) {
-            f.due = node.still_until + self.rng.u64(0..20);
-            self.desk.flights.push(f);
+        // Messages to a paused node wait.
+        if node.paused_until > now && matches!(f.next_event, NextEvent::Event(_)) {
+            f.due = node.paused_until + self.rng.u64(0..20);
+            self.traffic.in_flight.push(f);
             return;
         }
-        let slow = self.store.slow;
-        let (soon, next) = match std::mem::replace(&mut f.comes, Comes::Answer(None)) {
-            Comes::Event(event) => {
+        let slow = self.store.delay_ms;
+        let (soon, next) = match std::mem::replace(&mut f.next_event, NextEvent::Answer(None)) {
+            NextEvent::Event(event) => {
                 let next = self.view(i, now, |view| f.request.step(event, view));
-                self.asks_for(&mut f, next)
+                self.schedule(&mut f, next)
             }
-            Comes::AtLeader(l, began) => {
-                let answers = self.reaches(l) && self.link(i, EndLease::Node(l)) == Link::Up;
+            NextEvent::AtLeader(l, began) => {
+                let answers = self.reaches(l) && self.link(i, Endpoint::Node(l)) == Link::Up;
                 let ids = [f.ask.id().to_owned()];
                 let known = match answers {
                     true => self.view(l, now, |view| polled(view, &ids)),
@@ -411,112 +426,127 @@
                 };
                 let known = known.and_then(|mut k| k.pop()?);
                 let status = known.map(|k| status_of(&ids[0], k));
-                let after = if answers { self.way() } else { 500 };
-                (after, Comes::Event(told(began, status)))
+                let after = if answers { self.draw_latency() } else { 500 };
+                (after, NextEvent::Event(leader_replied(began, status)))
             }
-            Comes::ReadState(began) => {
+            NextEvent::ReadState(began) => {
                 let read = self.read_state(i, f.ask.id(), began);
-                (self.way(), Comes::Event(Event::Read(read)))
+                (self.draw_latency(), NextEvent::Event(Event::Read(read)))
             }
-            Comes::Look(ids) => {
-                let looked = self.look(i, &ids);
-                let after = self.way() + self.desk.slow_answers;
-                (after, Comes::Event(Event::LookupResults(looked)))
+            NextEvent::Look(ids) => {
+                let looked = self.read_records(i, &ids);
+                let after = self.draw_latency() + self.traffic.read_delay_ms;
+                (after, NextEvent::Event(Event::LookupResults(looked)))
             }
-            Comes::Write(txn) => {
+            NextEvent::Write(txn) => {
                 let wrote = self.transact(i, &txn);
                 let after = match wrote {
                     TxnResult::Unknown => 2_000,
-                    _ => self.way(),
+                    _ => self.draw_latency(),
                 };
-                (after, Comes::Event(Event::Wrote(wrote)))
+                (after, NextEvent::Event(Event::Wrote(wrote)))
             }
-            Comes::Passed(l) => {
-                let there = self.reaches(l) && self.link(i, EndLease::Node(l)) == Link::Up;
+            NextEvent::AtForwardTarget(l) => {
+                let there = self.reaches(l) && self.link(i, Endpoint::Node(l)) == Link::Up;
                 if there {
-                    let begin = Comes::Event(Event::Begin);
-                    self.fly(l, f.ask.clone(), true, For::Flight(f.serial), now, begin);
+                    let begin = NextEvent::Event(Event::Begin);
+                    self.launch(
+                        l,
+                        f.ask.clone(),
+                        true,
+                        Recipient::InFlight(f.serial),
+                        now,
+                        begin,
+                    );
                 }
                 let after = if there { f.request.forward_limit() } else { 0 };
-                (after, Comes::Event(Event::Forwarded(None)))
+                (after, NextEvent::Event(Event::Forwarded(None)))
             }
-            Comes::Sent => return,
-            Comes::Answer(answer) => return self.arrives(f, answer),
+            NextEvent::Sent => return,
+            NextEvent::Answer(answer) => return self.deliver_answer(f, answer),
         };
-        let reads = matches!(next, Comes::ReadState(_) | Comes::Look(_) | Comes::Write(_));
+        let reads = matches!(
+            next,
+            NextEvent::ReadState(_) | NextEvent::Look(_) | NextEvent::Write(_)
+        );
         f.due = now + soon + if reads { slow } else { 0 };
-        f.comes = next;
-        self.desk.flights.push(f);
+        f.next_event = next;
+        self.traffic.in_flight.push(f);
     }
 
-    /// What a step asks for, and when it is there.
-    fn asks_for(&mut self, f: &mut Flight, next: Next) -> (Millis, Comes) {
-        let way = self.way();
-        let leader = self.leader_for(f.node, f.due);
+    /// The event that a step asks for, and after which delay it comes.
+    fn schedule(&mut self, f: &mut InFlight, next: Next) -> (Millis, NextEvent) {
+        let way = self.draw_latency();
+        let leader = self.forward_target(f.node, f.due);
         match next {
             Next::Answer(answer) => {
                 if let Some(left) = f.request.unfinished_work() {
-                    let serial = self.desk.next();
-                    self.desk.flights.push(Flight {
+                    let serial = self.traffic.next();
+                    self.traffic.in_flight.push(InFlight {
                         serial,
                         node: f.node,
                         process: f.process,
-                        who: For::Nobody,
+                        recipient: Recipient::Nobody,
                         ask: f.ask.clone(),
                         request: left,
                         due: f.due,
-                        comes: Comes::Event(Event::Begin),
+                        next_event: NextEvent::Event(Event::Begin),
                     });
                 }
-                (way, Comes::Answer(Some(answer)))
+                (way, NextEvent::Answer(Some(answer)))
             }
-            Next::NotLeading | Next::Over => (way, Comes::Answer(None)),
-            Next::Wait(ms) => (ms, Comes::Event(Event::Waited)),
+            Next::NotLeading | Next::Over => (way, NextEvent::Answer(None)),
+            Next::Wait(ms) => (ms, NextEvent::Event(Event::Waited)),
             Next::AskLeader => match leader {
-                Some(l) => (way, Comes::AtLeader(l, f.due)),
-                None => (0, Comes::Event(told(f.due, None))),
+                Some(l) => (way, NextEvent::AtLeader(l, f.due)),
+                None => (0, NextEvent::Event(leader_replied(f.due, None))),
             },
             Next::Forward => match leader {
-                Some(l) => (way, Comes::Passed(l)),
-                None => (0, Comes::Event(Event::Forwarded(None))),
+                Some(l) => (way, NextEvent::AtForwardTarget(l)),
+                None => (0, NextEvent::Event(Event::Forwarded(None))),
             },
-            Next::ReadState => (way, Comes::ReadState(f.due)),
-            Next::Look(ids) => (way, Comes::Look(ids)),
-            Next::Versions => (way, Comes::Event(Event::Versions(!self.mixed))),
+            Next::ReadState => (way, NextEvent::ReadState(f.due)),
+            Next::Look(ids) => (way, NextEvent::Look(ids)),
+            Next::Versions => (way, NextEvent::Event(Event::Versions(!self.mixed_versions))),
             Next::Write(txn, _) => match self.has_budget(f.node, f.due, &txn) {
-                true => (way, Comes::Write(txn)),
-                false => (0, Comes::Event(Event::OverBudget)),
+                true => (way, NextEvent::Write(txn)),
+                false => (0, NextEvent::Event(Event::OverBudget)),
             },
         }
     }
 
-    fn arrives(&mut self, f: Flight, answer: Option<Answer>) {
-        match f.who {
-            For::Nobody => {}
-            For::Flight(serial) => {
-                let asker = self.desk.flights.iter_mut().find(|o| o.serial == serial);
-                let waits =
-                    |o: &&mut Flight| matches!(o.comes, Comes::Event(Event::Forwarded(None)));
+    fn deliver_answer(&mut self, f: InFlight, answer: Option<Answer>) {
+        match f.recipient {
+            Recipient::Nobody => {}
+            Recipient::InFlight(serial) => {
+                let asker = self
+                    .traffic
+                    .in_flight
+                    .iter_mut()
+                    .find(|o| o.serial == serial);
+                let waits = |o: &&mut InFlight| {
+                    matches!(o.next_event, NextEvent::Event(Event::Forwarded(None)))
+                };
                 if let Some(asker) = asker.filter(waits) {
                     asker.due = f.due;
-                    asker.comes = Comes::Event(Event::Forwarded(answer));
+                    asker.next_event = NextEvent::Event(Event::Forwarded(answer));
                 }
             }
-            For::User(n) => {
-                let asked = &self.desk.history[n];
+            Recipient::User(n) => {
+                let asked = &self.traffic.history[n];
                 let late = f.due > asked.sent + asked.ask.patience();
                 let Some(answer) = answer.filter(|_| !late && self.reaches(f.node)) else {
                     return;
                 };
                 let order = asked.order;
-                self.given(&f.ask, order, &answer);
-                self.desk.history[n].answer = Some((f.due, answer));
+                self.check_answer(&f.ask, order, &answer);
+                self.traffic.history[n].answer = Some((f.due, answer));
             }
         }
     }
 
     /// When the last of the job's tasks that run now will end.
-    pub fn last_end(&self, id: &str) -> Option<Millis> {
+    pub fn last_task_end(&self, id: &str) -> Option<Millis> {
         let prefix = format!("{id}/");
         let tasks = self.workers.iter().flat_map(|m| &m.tasks);
         let of = tasks.filter(|t| t.name.starts_with(&prefix));
@@ -526,87 +556,103 @@
         ends.max()
     }
 
-    /// A job that nobody may accept.
-    pub fn unfit(&mut self, id: &str) {
-        self.desk.unfit.insert(id.to_owned());
+    /// Marks a job that no node may accept.
+    pub fn mark_infeasible(&mut self, id: &str) {
+        self.traffic.infeasible.insert(id.to_owned());
     }
 
-    // ---- what was told ----
+    // ---- the answers given ----
 
-    /// A user has this answer to a question sent then.
-    fn given(&mut self, ask: &Ask, sent: u64, answer: &Answer) {
+    /// Checks an answer that a user got to a request sent at `sent`.
+    fn check_answer(&mut self, ask: &UserRequest, sent: u64, answer: &Answer) {
         let id = ask.id().to_owned();
         match answer {
             Answer::State(_, status) => {
-                if self.desk.unfit.contains(&id) {
-                    self.broken
+                if self.traffic.infeasible.contains(&id) {
+                    self.violations
                         .push(format!("invented: {id} can't be accepted"));
                 }
                 self.submitted.entry(id.clone()).or_insert(self.now);
-                self.tell(&id, status.state);
+                self.check_state_answer(&id, status.state);
             }
             Answer::Refused(status, why) => {
                 // A submission that is refused was never known.
                 // One may cross the acceptance, within the bound for answers.
-                let known = self.desk.said.get(&id).and_then(|s| s.accepted);
+                let known = self
+                    .traffic
+                    .answered_states
+                    .get(&id)
+                    .and_then(|s| s.accepted);
                 let late = self
                     .now
-                    .saturating_sub(MAX_READING_AGE_MS + self.desk.way + 2 * STEP);
+                    .saturating_sub(MAX_READING_AGE_MS + self.traffic.max_latency_ms + 2 * STEP);
                 match known.is_some_and(|(order, at)| order < sent || at < late) {
-                    true => self.broken.push(format!("forgotten: {id}: {status} {why}")),
-                    false => self.desk.refusals_overtaken += u32::from(known.is_some()),
+                    true => self
+                        .violations
+                        .push(format!("forgotten: {id}: {status} {why}")),
+                    false => self.traffic.refusals_overtaken += u32::from(known.is_some()),
                 }
                 if why.is_empty() || why.contains('\n') {
-                    self.broken
+                    self.violations
                         .push(format!("{id}: {status} without a line of why"));
                 }
             }
-            Answer::Later(_) => return self.no_answer(&id),
+            Answer::Later(_) => return self.check_missing_answer(&id),
         }
-        self.desk.unanswered.remove(&id);
+        self.traffic.unanswered.remove(&id);
     }
 
-    /// Once troubles are over, none goes 75 s without an answered question.
-    fn no_answer(&mut self, id: &str) {
-        if !self.calm {
+    /// Without faults no job goes 75 s without an answered request.
+    fn check_missing_answer(&mut self, id: &str) {
+        if !self.fault_free {
             return;
         }
         let now = self.now;
-        let since = *self.desk.unanswered.entry(id.to_owned()).or_insert(now);
-        let known = self.desk.said.get(id).is_some_and(|s| s.accepted.is_some());
+        let since = *self.traffic.unanswered.entry(id.to_owned()).or_insert(now);
+        let known = self
+            .traffic
+            .answered_states
+            .get(id)
+            .is_some_and(|s| s.accepted.is_some());
         if known && now > since + 75_000 {
-            self.broken.push(format!("forgotten: {id}, for 75 s"));
+            self.violations.push(format!("forgotten: {id}, for 75 s"));
         }
     }
 
-    /// A user was told so. No answer may be older than one that was given
-    /// before it, by whatever node, also where the two questions overlapped.
-    fn tell(&mut self, id: &str, state: JobState) {
-        let (order, now) = (self.desk.next(), self.now);
-        let said = self.desk.said.entry(id.to_owned()).or_default();
+    /// Read monotonicity: no answer may be older than one given before it, by
+    /// whatever node, also where the two requests overlapped.
+    fn check_state_answer(&mut self, id: &str, state: JobState) {
+        let (order, now) = (self.traffic.next(), self.now);
+        let said = self
+            .traffic
+            .answered_states
+            .entry(id.to_owned())
+            .or_default();
         said.accepted.get_or_insert((order, now));
-        if let Some(over) = said.over.filter(|over| *over != state) {
+        if let Some(over) = said.final_state.filter(|over| *over != state) {
             let what = format!("went_back: {id} {over:?} to {state:?}");
-            self.broken.push(what);
+            self.violations.push(what);
         } else if state.is_final() {
-            said.over = Some(state);
+            said.final_state = Some(state);
         }
-        self.check_told(id, state);
+        self.check_cancellation_answer(id, state);
         if state == JobState::Done {
             let spec = &self.specs[id];
             let missing = (0..spec.tasks).any(|t| !self.finished.contains(&format!("{id}/{t}")));
             if missing && spec.kind != Kind::Gang {
-                self.broken.push(format!("not_done: {id}"));
+                self.violations.push(format!("not_done: {id}"));
             }
         }
         let now = self.now;
-        self.told
+        self.answered
             .entry(id.to_owned())
             .and_modify(|t| t.0 = state)
             .or_insert((state, now));
         if state == JobState::Cancelled {
             // The time of the first such answer counts.
-            self.told.entry(format!("{id}!")).or_insert((state, now));
+            self.answered
+                .entry(format!("{id}!"))
+                .or_insert((state, now));
         }
     }
 
@@ -617,7 +663,7 @@
             if let Some(i) = self.leader()
                 && self.reaches_state(i)
                 && self.reaches(i)
-                && let Some(Answer::State(..)) = self.at_once(i, Ask::submit(&spec))
+                && let Some(Answer::State(..)) = self.request_now(i, UserRequest::submit(&spec))
             {
                 return;
             }
@@ -626,8 +672,8 @@
         panic!("never accepted: {}", spec.id);
     }
 
-    /// An earlier version accepted it, with bounds of its own.
-    pub fn accepted_before(&mut self, spec: JobSpec) {
+    /// Accepts a job as an earlier version did, with limits of its own.
+    pub fn accept_by_earlier_version(&mut self, spec: JobSpec) {
         let i = self.leader().expect("somebody leads");
         let l = self.nodes[i].leader.as_mut().unwrap();
         let (txn, record) = l.acceptance(&spec, None, self.now);
@@ -637,12 +683,12 @@
         self.specs.insert(spec.id.clone(), spec);
     }
 
-    /// Asks a node; `None`: it gave no answer.
+    /// Polls at a node; `None`: it gave no answer.
     pub fn poll(&mut self, i: usize, id: &str) -> Option<JobState> {
-        match self.at_once(i, Ask::Poll(id.to_owned()))? {
+        match self.request_now(i, UserRequest::Poll(id.to_owned()))? {
             Answer::State(_, status) => Some(status.state),
             Answer::Refused(..) => {
-                self.broken.push(format!("forgotten: {id}"));
+                self.violations.push(format!("forgotten: {id}"));
                 None
             }
             Answer::Later(_) => None,
@@ -654,30 +700,31 @@
         self.cancelling.insert(id.to_owned());
         for _ in 0..600 {
             if let Some(i) = self.leader().filter(|i| self.reaches(*i))
-                && let Some(Answer::State(..)) = self.at_once(i, Ask::Withdraw(id.to_owned()))
+                && let Some(Answer::State(..)) =
+                    self.request_now(i, UserRequest::Cancel(id.to_owned()))
             {
                 return;
             }
             self.step();
         }
-        self.until(0, &format!("{id} withdrawn"), |_| false);
+        self.run_until(0, &format!("{id} withdrawn"), |_| false);
     }
 
     /// A user asks to cancel the job, and waits for the answer.
-    pub fn asks_to_cancel(&mut self, id: &str) {
+    pub fn request_cancellation(&mut self, id: &str) {
         self.cancelling.insert(id.to_owned());
         let leader = self.leader().expect("somebody leads");
         self.nodes[leader].leader.as_mut().unwrap().cancel(id);
     }
 
-    /// A user was told so, by whomever.
-    pub fn told_cancelled(&mut self, id: &str) {
+    /// Takes it that a user was answered that the job is cancelled.
+    pub fn answer_cancelled(&mut self, id: &str) {
         self.cancelling.insert(id.to_owned());
-        self.tell(id, JobState::Cancelled);
+        self.check_state_answer(id, JobState::Cancelled);
     }
 }
 
-fn told(began: Millis, status: Option<JobStatus>) -> Event {
+fn leader_replied(began: Millis, status: Option<JobStatus>) -> Event {
     Event::LeaderReplied(Reading {
         started_at: began,
         status,
--- a/tests/simulation/workers.rs
+++ b/tests/simulation/workers.rs
@@ -1,16 +1,15 @@
-//! Workers: what they report, carry out and run.
+//! The machines' agents: heartbeats, execution of commands, and tasks.
 
 use super::*;
 
 impl Worker {
-    /// It hangs, or has not looked at its lease since, and that is over: what it
-    /// lists never goes on.
+    /// It was paused past its lease: the tasks that it lists never resume.
     pub(super) fn is_lost(&self, now: Millis) -> bool {
-        self.hangs_until > 0 && now > self.last_ok + LEASE
+        self.paused_until > 0 && now > self.lease_renewed_at + LEASE
     }
 }
 
-impl World {
+impl Simulation {
     /// The token that the leader would give the machine now.
     pub fn leader_token(&mut self, w: usize) -> u64 {
         let i = self.leader().expect("somebody leads");
@@ -22,12 +21,12 @@
         (l.term << 20) | fence
     }
 
-    /// A report as the worker would send it now.
-    pub fn report_of(&mut self, w: usize) -> Heartbeat {
-        self.report(w)
+    /// The heartbeat that the worker would send now.
+    pub fn heartbeat_of(&mut self, w: usize) -> Heartbeat {
+        self.next_heartbeat(w)
     }
 
-    pub(super) fn report(&mut self, w: usize) -> Heartbeat {
+    pub(super) fn next_heartbeat(&mut self, w: usize) -> Heartbeat {
         let worker = &mut self.workers[w];
         worker.seq += 1;
         Heartbeat {
@@ -36,7 +35,7 @@
             type_name: "m8".into(),
             zone: worker.zone.clone(),
             spot: worker.spot,
-            incarnation: worker.session,
+            incarnation: worker.incarnation,
             seq: worker.seq,
             acknowledged_token: worker.token,
             reclaim_in_s: None,
@@ -47,7 +46,7 @@
                     task: t.name.clone(),
                     attempt: t.attempt,
                     state: t.state,
-                    exit_reason: t.why,
+                    exit_reason: t.exit_reason,
                     checkpointed: false,
                 })
                 .collect(),
@@ -59,7 +58,7 @@
         let fetch_ms = self.fetch_ms;
         for c in commands {
             let worker = &mut self.workers[w];
-            worker.dirty = true;
+            worker.report_due = true;
             match c {
                 Command::Start { task, attempt } => {
                     if worker
@@ -96,7 +95,7 @@
                         } else {
                             TaskState::Fetching
                         },
-                        why,
+                        exit_reason: why,
                         until: now + fetch_ms,
                     });
                 }
@@ -108,16 +107,19 @@
                     {
                         if t.state != TaskState::Exited {
                             t.state = TaskState::Exited;
-                            t.why = Some(ExitReason::Stopped);
+                            t.exit_reason = Some(ExitReason::Stopped);
                         }
                     }
                 }
                 Command::Reap { task, attempt } => {
                     let done = worker.tasks.iter().any(|t| {
-                        t.name == task && t.attempt == attempt && t.why == Some(ExitReason::Done)
+                        t.name == task
+                            && t.attempt == attempt
+                            && t.exit_reason == Some(ExitReason::Done)
                     });
                     if done && !self.recorded(&task) {
-                        self.broken.push(format!("reaped before recorded: {task}"));
+                        self.violations
+                            .push(format!("reaped before recorded: {task}"));
                     }
                     self.workers[w].tasks.retain(|t| {
                         !(t.name == task && t.attempt == attempt && t.state == TaskState::Exited)
@@ -139,48 +141,48 @@
         let record: StoredJob = serde_json::from_value(v.clone()).unwrap();
         let mut bits = TaskBitmap::with_len(self.specs[id].tasks);
         bits.load(0, &record.completed);
-        for (k, v, _) in self.store.under(&format!("c/{id}/")) {
+        for (k, v, _) in self.store.list(&format!("c/{id}/")) {
             let c = k.rsplit_once('/').unwrap().1.parse().unwrap();
             bits.load(c, v.as_str().unwrap());
         }
         record.cancelled || bits.get(n)
     }
 
-    pub(super) fn worker_time(&mut self, w: usize) {
+    pub(super) fn step_worker(&mut self, w: usize) {
         let now = self.now;
         let run_ms = self.run_ms;
         let nodes = self.nodes.len();
         let mut started = Vec::new();
         let worker = &mut self.workers[w];
-        if !worker.alive || now < worker.boots || now < worker.hangs_until {
+        if !worker.alive || now < worker.boots_at || now < worker.paused_until {
             return;
         }
-        if std::mem::take(&mut worker.hangs_until) > 0 {
+        if std::mem::take(&mut worker.paused_until) > 0 {
             // Its tasks stood still as well.
             let lost = now - worker.sent.min(now);
             let running = |t: &&mut Task| t.state == TaskState::Running;
             let tasks = worker.tasks.iter_mut().filter(running);
             tasks.for_each(|t| t.until = t.until.saturating_add(lost));
         }
-        if now > worker.last_ok + LEASE {
-            worker.session += 1;
-            worker.last_ok = now;
-            self.lapsed += worker
+        if now > worker.lease_renewed_at + LEASE {
+            worker.incarnation += 1;
+            worker.lease_renewed_at = now;
+            self.expired_tasks += worker
                 .tasks
                 .iter()
                 .filter(|t| t.state != TaskState::Exited)
                 .count();
             worker.tasks.clear();
-            worker.dirty = true;
+            worker.report_due = true;
         }
         for t in worker.tasks.iter_mut().filter(|t| now >= t.until) {
             let spec = &self.specs[t.name.rsplit_once('/').unwrap().0];
             match t.state {
-                TaskState::Fetching if worker.sick || self.faulty.contains(&spec.id) => {
+                TaskState::Fetching if worker.fails_tasks || self.faulty.contains(&spec.id) => {
                     t.state = TaskState::Exited;
-                    t.why = Some(ExitReason::Error);
+                    t.exit_reason = Some(ExitReason::Error);
                     self.failed += 1;
-                    worker.dirty = true;
+                    worker.report_due = true;
                 }
                 TaskState::Fetching => {
                     t.state = TaskState::Running;
@@ -190,45 +192,45 @@
                         now + run_ms
                     };
                     started.push(t.name.clone());
-                    worker.dirty = true;
+                    worker.report_due = true;
                 }
                 TaskState::Running => {
                     t.state = TaskState::Exited;
-                    t.why = Some(ExitReason::Done);
+                    t.exit_reason = Some(ExitReason::Done);
                     self.finished.insert(t.name.clone());
-                    worker.dirty = true;
+                    worker.report_due = true;
                 }
                 _ => {}
             }
         }
-        if let Some((_, sent)) = worker.flight
+        if let Some((_, sent)) = worker.heartbeat_in_flight
             && now > sent + 4000
         {
-            worker.flight = None;
+            worker.heartbeat_in_flight = None;
             worker.target = (worker.target + 1) % nodes;
-            worker.next = now + 1000;
+            worker.next_election_step = now + 1000;
         }
-        if worker.flight.is_none()
-            && (now >= worker.next || (worker.dirty && now >= worker.sent + 500))
+        if worker.heartbeat_in_flight.is_none()
+            && (now >= worker.next_election_step || (worker.report_due && now >= worker.sent + 500))
         {
-            worker.next = now + 1000;
+            worker.next_election_step = now + 1000;
             worker.sent = now;
-            worker.dirty = false;
+            worker.report_due = false;
             let target = worker.target;
-            let refused = self.link(target, EndLease::Worker(w)) == Link::Reset
-                || self.workers[w].net == Net::Mute;
+            let refused = self.link(target, Endpoint::Worker(w)) == Link::Reset
+                || self.workers[w].net == Net::DirectCommandsOnly;
             if self.nodes[target].alive && !refused {
-                let report = self.report(w);
-                self.workers[w].flight = Some((report.seq, now));
-                self.copy(w, &report);
-                self.send(target, w, 5, Msg::Beat(target, w, report, now));
+                let report = self.next_heartbeat(w);
+                self.workers[w].heartbeat_in_flight = Some((report.seq, now));
+                self.duplicate_heartbeat(w, &report);
+                self.send(target, w, 5, Msg::Heartbeat(target, w, report, now));
             } else {
                 self.workers[w].target = (target + 1) % nodes;
             }
         }
         for name in started {
             self.starts += 1;
-            self.story.push((now, w, name.clone()));
+            self.start_log.push((now, w, name.clone()));
             self.check_start(w, &name);
         }
     }
--- a/tests/standby.rs
+++ b/tests/standby.rs
@@ -1,6 +1,6 @@
-//! Stories of leaders that end while machines are unresponsive, and of the standbys
-//! that take over: whoever is named knows at least all that may run, which the
-//! world's checker asserts at every step, and decides at once.
+//! Scenarios of leaders that crash while machines are unresponsive, and of the
+//! standbys that take over: a registered standby knows at least all that may run,
+//! which the simulation's checker asserts at every step, and decides at once.
 
 mod simulation;
 
@@ -13,35 +13,35 @@
     },
     state::records::StandbyRecord,
 };
-use simulation::{Cut, LEASE, Net, STEP, Side, World, job};
+use simulation::{Cut, CutScope, LEASE, Net, STEP, Simulation, job};
 use std::{collections::BTreeSet, rc::Rc};
 
 /// A leader with warm standbys, and a service of two replicas a machine on all
 /// but one of the machines.
-fn warm(seed: u64, machines: usize, nodes: usize) -> World {
-    let mut w = World::sized(seed, machines, 0.0, nodes);
+fn cluster_with_warm_standbys(seed: u64, machines: usize, nodes: usize) -> Simulation {
+    let mut w = Simulation::with_nodes(seed, machines, 0.0, nodes);
     w.run_ms = 600_000;
-    w.until(10_000, "standbys", |w| named(w) == 2);
+    w.run_until(10_000, "standbys", |w| registered_count(w) == 2);
     let tasks = 2 * (machines as u32 - 1);
     w.submit(job(1, Kind::Service, tasks));
-    w.until(20_000, "the service", |w| {
+    w.run_until(20_000, "the service", |w| {
         w.running("j-000001") == tasks as usize
     });
     w
 }
 
-/// Machines with room.
-fn free(w: &World) -> Vec<usize> {
+/// Machines with free capacity.
+fn machines_with_capacity(w: &Simulation) -> Vec<usize> {
     let room = |m: &usize| w.workers[*m].tasks.len() < 2;
     (0..w.workers.len()).filter(room).collect()
 }
 
-fn named(w: &World) -> usize {
-    w.named().len()
+fn registered_count(w: &Simulation) -> usize {
+    w.registered_standbys().len()
 }
 
-fn another_leads(w: &mut World, old: usize) -> usize {
-    w.until(10_000, "another leads", |w| {
+fn await_other_leader(w: &mut Simulation, old: usize) -> usize {
+    w.run_until(10_000, "another leads", |w| {
         w.leader().is_some_and(|l| l != old)
     });
     w.leader().unwrap()
@@ -52,30 +52,30 @@
 #[test]
 fn only_tasks_on_unresponsive_third_wait_after_failover() {
     for seed in 0..6 {
-        let mut w = warm(seed, 9, 3);
+        let mut w = cluster_with_warm_standbys(seed, 9, 3);
         // It finds no room yet.
         w.submit(job(2, Kind::Array, 4));
-        w.until(20_000, "two of it", |w| w.running("j-000002") == 2);
+        w.run_until(20_000, "two of it", |w| w.running("j-000002") == 2);
         let starts = w.starts;
         (0..3).for_each(|m| w.workers[m].net = Net::Hold);
         w.run(1_000);
         let old = w.leader().unwrap();
         w.crash(old, 20_000);
-        let new = another_leads(&mut w, old);
+        let new = await_other_leader(&mut w, old);
         let began = w.now;
         (0..2).for_each(|_| drop(w.add_worker("a", false, 0)));
-        w.until(4_000, "what waited", |w| w.running("j-000002") >= 4);
+        w.run_until(4_000, "what waited", |w| w.running("j-000002") >= 4);
         w.submit(job(3, Kind::Service, 2));
-        w.until(6_000, "what comes", |w| w.running("j-000003") == 2);
+        w.run_until(6_000, "what comes", |w| w.running("j-000003") == 2);
         let l = w.nodes[new].leader.as_ref().unwrap();
         assert!(!l.settled() && l.is_warm(), "seed {seed}");
         // Back within their leases: nothing of theirs was started elsewhere.
         assert!(w.now < began + 8_000);
-        (0..3).for_each(|m| w.heal(m));
+        (0..3).for_each(|m| w.restore_network(m));
         w.run(LEASE + 5_000);
         assert_eq!(w.running("j-000001"), 16, "seed {seed}");
         assert_eq!(w.starts, starts + 4, "seed {seed}");
-        w.sound();
+        w.assert_no_violations();
     }
 }
 
@@ -83,19 +83,19 @@
 /// have expired, and once only.
 #[test]
 fn tasks_on_unresponsive_machines_move_after_lease_expiry() {
-    let mut w = warm(10, 9, 3);
+    let mut w = cluster_with_warm_standbys(10, 9, 3);
     (0..3).for_each(|m| w.workers[m].net = Net::Lose);
     let old = w.leader().unwrap();
     w.crash(old, 20_000);
-    another_leads(&mut w, old);
-    let there = |w: &World| (3..9).map(|m| w.workers[m].tasks.len()).sum::<usize>();
+    await_other_leader(&mut w, old);
+    let there = |w: &Simulation| (3..9).map(|m| w.workers[m].tasks.len()).sum::<usize>();
     let before = there(&w);
     w.run(LEASE - 1_500);
     assert_eq!(there(&w), before, "they may run yet");
     (0..3).for_each(|_| drop(w.add_worker("a", false, 0)));
     w.run(6_000);
     assert_eq!(w.running("j-000001"), 16);
-    w.sound();
+    w.assert_no_violations();
 }
 
 /// The leader ends at every step between a decision and the worker's answer:
@@ -105,22 +105,26 @@
 fn leader_crash_at_any_start_step_breaks_nothing() {
     for net in [Net::Lose, Net::Hold, Net::Up] {
         for steps in 0..30 {
-            let mut w = warm(20 + steps, 4, 3);
+            let mut w = cluster_with_warm_standbys(20 + steps, 4, 3);
             let terms = w.terms;
-            let free = free(&w);
+            let free = machines_with_capacity(&w);
             w.submit(job(2, Kind::Array, 2));
             w.run(steps * STEP);
             free.iter().for_each(|m| w.workers[*m].net = net);
             let old = w.leader().unwrap();
             w.crash(old, 20_000);
-            another_leads(&mut w, old);
-            assert_eq!((w.terms, w.warm), (terms + 1, 1), "{net:?} {steps}");
+            await_other_leader(&mut w, old);
+            assert_eq!(
+                (w.terms, w.warm_failovers),
+                (terms + 1, 1),
+                "{net:?} {steps}"
+            );
             w.run(3_000);
-            free.iter().for_each(|m| w.heal(*m));
+            free.iter().for_each(|m| w.restore_network(*m));
             w.run(LEASE + 12_000);
             assert_eq!(w.running("j-000001"), 6, "{net:?} {steps}");
             assert_eq!(w.running("j-000002"), 2, "{net:?} {steps}");
-            w.sound();
+            w.assert_no_violations();
         }
     }
 }
@@ -130,20 +134,21 @@
 #[test]
 fn late_start_command_is_safe_under_new_leader() {
     for delay in [1_000, 4_500, 6_000, 9_000, 15_000, 60_000] {
-        let mut w = warm(50, 4, 3);
-        let free = free(&w);
-        w.slow_do.extend(free.iter().map(|m| (*m, delay)));
+        let mut w = cluster_with_warm_standbys(50, 4, 3);
+        let free = machines_with_capacity(&w);
+        w.direct_command_delay
+            .extend(free.iter().map(|m| (*m, delay)));
         w.submit(job(2, Kind::Array, 2));
         w.run(400);
         let old = w.leader().unwrap();
         free.iter().for_each(|m| w.workers[*m].net = Net::Hold);
         w.crash(old, 20_000);
-        another_leads(&mut w, old);
+        await_other_leader(&mut w, old);
         w.run(2_000);
-        free.iter().for_each(|m| w.heal(*m));
+        free.iter().for_each(|m| w.restore_network(*m));
         w.run(90_000);
         assert_eq!(w.running("j-000002"), 2, "{delay}");
-        w.sound();
+        w.assert_no_violations();
     }
 }
 
@@ -151,20 +156,20 @@
 /// its lease.
 #[test]
 fn failover_is_cold_when_all_standbys_crash() {
-    let mut w = warm(60, 6, 7);
-    let (old, standbys) = (w.leader().unwrap(), w.named());
+    let mut w = cluster_with_warm_standbys(60, 6, 7);
+    let (old, standbys) = (w.leader().unwrap(), w.registered_standbys());
     w.workers[0].net = Net::Hold;
     let terms = w.terms;
     w.crash(old, 20_000);
     standbys.iter().for_each(|i| w.crash(*i, 20_000));
-    let new = another_leads(&mut w, old);
+    let new = await_other_leader(&mut w, old);
     assert!(!standbys.contains(&new));
-    assert_eq!((w.terms, w.warm), (terms + 1, 0));
+    assert_eq!((w.terms, w.warm_failovers), (terms + 1, 0));
     w.run(4_000);
-    w.heal(0);
+    w.restore_network(0);
     w.run(LEASE);
     assert_eq!(w.running("j-000001"), 10);
-    w.sound();
+    w.assert_no_violations();
 }
 
 /// A standby that takes over and ends before it has started anything leaves
@@ -172,22 +177,22 @@
 #[test]
 fn second_standby_is_warm_when_first_crashes() {
     for steps in 0..12 {
-        let mut w = warm(70 + steps, 6, 7);
+        let mut w = cluster_with_warm_standbys(70 + steps, 6, 7);
         let terms = w.terms;
         w.workers[0].net = Net::Hold;
         let first = w.leader().unwrap();
         w.crash(first, 40_000);
-        let second = another_leads(&mut w, first);
+        let second = await_other_leader(&mut w, first);
         w.run(steps * STEP);
         w.crash(second, 40_000);
-        w.until(10_000, "a third leads", |w| {
+        w.run_until(10_000, "a third leads", |w| {
             w.leader().is_some_and(|l| l != first && l != second)
         });
-        assert_eq!((w.terms, w.warm), (terms + 2, 2), "{steps}");
-        w.heal(0);
+        assert_eq!((w.terms, w.warm_failovers), (terms + 2, 2), "{steps}");
+        w.restore_network(0);
         w.run(LEASE + 5_000);
         assert_eq!(w.running("j-000001"), 10);
-        w.sound();
+        w.assert_no_violations();
     }
 }
 
@@ -195,50 +200,50 @@
 /// not go by its copy.
 #[test]
 fn demoted_standby_takes_over_cold() {
-    let mut w = warm(90, 4, 3);
+    let mut w = cluster_with_warm_standbys(90, 4, 3);
     let old = w.leader().unwrap();
-    let (cut, other) = (w.named()[0], w.named()[1]);
-    w.cut(old, Side::Node(cut), Cut::Reset);
-    w.until(3_000, "struck", |w| w.named() == [other]);
-    let free = free(&w);
+    let (cut, other) = (w.registered_standbys()[0], w.registered_standbys()[1]);
+    w.partition(old, CutScope::Node(cut), Cut::Reset);
+    w.run_until(3_000, "struck", |w| w.registered_standbys() == [other]);
+    let free = machines_with_capacity(&w);
     w.submit(job(2, Kind::Array, 2));
-    w.until(5_000, "running", |w| w.running("j-000002") == 2);
+    w.run_until(5_000, "running", |w| w.running("j-000002") == 2);
     free.iter().for_each(|m| w.workers[*m].net = Net::Hold);
     // The one that knows ends as well.
     w.crash(old, 20_000);
     w.crash(other, 20_000);
-    assert_eq!(another_leads(&mut w, old), cut);
-    assert_eq!(w.warm, 0);
+    assert_eq!(await_other_leader(&mut w, old), cut);
+    assert_eq!(w.warm_failovers, 0);
     w.run(5_000);
-    free.iter().for_each(|m| w.heal(*m));
+    free.iter().for_each(|m| w.restore_network(*m));
     w.run(LEASE);
     assert_eq!(w.running("j-000002"), 2);
-    w.sound();
+    w.assert_no_violations();
 }
 
 /// A standby that hangs holds up starts for well under a second; one that
 /// can't reach the state service stays, but another leads.
 #[test]
 fn hanging_standby_delays_starts_briefly() {
-    let mut w = warm(100, 5, 3);
-    let hung = w.named()[0];
-    w.stand_still(hung, 30_000);
+    let mut w = cluster_with_warm_standbys(100, 5, 3);
+    let hung = w.registered_standbys()[0];
+    w.pause_process(hung, 30_000);
     w.submit(job(2, Kind::Array, 2));
     let asked = w.now;
-    w.until(3_000, "running", |w| w.running("j-000002") == 2);
+    w.run_until(3_000, "running", |w| w.running("j-000002") == 2);
     assert!(w.now <= asked + 2_000, "{}", w.now - asked);
-    w.sound();
+    w.assert_no_violations();
 
-    let mut w = warm(101, 5, 3);
-    let (old, alone) = (w.leader().unwrap(), w.named()[0]);
-    w.store.refuses.insert(alone);
+    let mut w = cluster_with_warm_standbys(101, 5, 3);
+    let (old, alone) = (w.leader().unwrap(), w.registered_standbys()[0]);
+    w.store.refused_nodes.insert(alone);
     w.workers[0].net = Net::Hold;
     w.crash(old, 20_000);
-    let new = another_leads(&mut w, old);
-    assert!(new != alone && w.warm == 1);
-    w.heal(0);
+    let new = await_other_leader(&mut w, old);
+    assert!(new != alone && w.warm_failovers == 1);
+    w.restore_network(0);
     w.run(LEASE);
-    w.sound();
+    w.assert_no_violations();
 }
 
 /// A standby that begins anew under its old name knows nothing, though the
@@ -246,24 +251,24 @@
 #[test]
 fn restarted_standby_is_not_treated_as_registered() {
     for pause in [0, 100, 300, 1_000] {
-        let mut w = warm(110, 4, 3);
-        let (old, again) = (w.leader().unwrap(), w.named()[0]);
-        let other = w.named()[1];
+        let mut w = cluster_with_warm_standbys(110, 4, 3);
+        let (old, again) = (w.leader().unwrap(), w.registered_standbys()[0]);
+        let other = w.registered_standbys()[1];
         w.workers[0].net = Net::Hold;
         // The record can't be written, so it goes on naming both.
-        w.store.down = true;
+        w.store.unavailable = true;
         w.crash(again, 50);
         w.run(100 + pause);
         w.crash(old, 20_000);
         w.crash(other, 20_000);
-        w.store.down = false;
-        assert_eq!(another_leads(&mut w, old), again);
-        assert_eq!(w.warm, 0, "{pause}");
+        w.store.unavailable = false;
+        assert_eq!(await_other_leader(&mut w, old), again);
+        assert_eq!(w.warm_failovers, 0, "{pause}");
         w.run(1_000);
-        w.heal(0);
+        w.restore_network(0);
         w.run(LEASE + 5_000);
         assert_eq!(w.running("j-000001"), 6);
-        w.sound();
+        w.assert_no_violations();
     }
 }
 
@@ -271,12 +276,12 @@
 /// not confirm is not started, and is once it can be.
 #[test]
 fn starts_wait_for_lost_standby_during_outage() {
-    let mut w = warm(120, 5, 3);
-    let standby = w.named()[0];
+    let mut w = cluster_with_warm_standbys(120, 5, 3);
+    let standby = w.registered_standbys()[0];
     w.submit(job(2, Kind::Array, 1));
-    w.until(5_000, "running", |w| w.running("j-000002") == 1);
+    w.run_until(5_000, "running", |w| w.running("j-000002") == 1);
     w.run(1_000);
-    w.store.down = true;
+    w.store.unavailable = true;
     w.crash(standby, 60_000);
     // Its record was written before: only its start is left.
     let leader = w.leader().unwrap();
@@ -285,15 +290,15 @@
     let now = w.now;
     let l = w.nodes[leader].leader.as_mut().unwrap();
     let (txn, record) = l.acceptance(&spec, None, now);
-    w.store.down = false;
+    w.store.unavailable = false;
     let version = w.store.apply(&txn).unwrap();
-    w.store.down = true;
+    w.store.unavailable = true;
     l.accepted(record, version, now);
     w.run(2_000);
     assert_eq!(w.running("j-000003"), 0, "one who counts does not know");
-    w.store.down = false;
-    w.until(10_000, "started", |w| w.running("j-000003") == 1);
-    w.sound();
+    w.store.unavailable = false;
+    w.run_until(10_000, "started", |w| w.running("j-000003") == 1);
+    w.assert_no_violations();
 }
 
 /// Writes of the record that are applied late, or lost, count from when they
@@ -301,17 +306,17 @@
 #[test]
 fn late_registry_write_registers_no_uninformed_standby() {
     for late in [200, 1_000, 1_600, 3_000, 8_000] {
-        let mut w = warm(130, 5, 3);
-        let standby = w.named()[0];
-        w.store.late_record.push(late);
+        let mut w = cluster_with_warm_standbys(130, 5, 3);
+        let standby = w.registered_standbys()[0];
+        w.store.late_registry_writes.push(late);
         w.crash(standby, 1_000);
         w.submit(job(2, Kind::Array, 2));
         w.run(4_000);
-        w.store.late_record.push(late);
+        w.store.late_registry_writes.push(late);
         w.run(12_000);
         assert_eq!(w.running("j-000002"), 2, "{late}");
-        assert_eq!(named(&w), 2, "{late}");
-        w.sound();
+        assert_eq!(registered_count(&w), 2, "{late}");
+        w.assert_no_violations();
     }
 }
 
@@ -319,95 +324,95 @@
 #[test]
 fn every_failover_is_warm_in_rolling_restart() {
     for (seed, nodes) in [(140, 3), (141, 7)] {
-        let mut w = warm(seed, 6, nodes);
+        let mut w = cluster_with_warm_standbys(seed, 6, nodes);
         let terms = w.terms;
         for i in 0..nodes {
             w.workers[i % 6].net = Net::Hold;
             w.crash(i, 3_000);
             w.run(10_000);
-            w.heal(i % 6);
+            w.restore_network(i % 6);
         }
         assert!(w.terms > terms);
-        assert_eq!(w.warm, w.terms - terms, "{nodes} nodes");
+        assert_eq!(w.warm_failovers, w.terms - terms, "{nodes} nodes");
         w.run(LEASE);
         assert_eq!(w.running("j-000001"), 10);
-        w.sound();
+        w.assert_no_violations();
     }
 }
 
 /// A leader that hands over on purpose: the one that follows is warm.
 #[test]
 fn refused_leader_hands_over_to_warm_standby() {
-    let mut w = warm(150, 6, 7);
+    let mut w = cluster_with_warm_standbys(150, 6, 7);
     let (old, terms) = (w.leader().unwrap(), w.terms);
     w.workers[0].net = Net::Hold;
-    w.store.refuses.insert(old);
-    another_leads(&mut w, old);
-    assert_eq!((w.terms, w.warm), (terms + 1, 1));
-    w.store.refuses.clear();
-    w.heal(0);
+    w.store.refused_nodes.insert(old);
+    await_other_leader(&mut w, old);
+    assert_eq!((w.terms, w.warm_failovers), (terms + 1, 1));
+    w.store.refused_nodes.clear();
+    w.restore_network(0);
     w.run(LEASE);
-    w.sound();
+    w.assert_no_violations();
 }
 
 /// A leader whose place is poor, as the node that workers try next hangs, gives
 /// the lead to one that came back only once that is warm.
 #[test]
 fn unfavourably_placed_leader_yields_only_to_warm_standby() {
-    let mut w = warm(155, 6, 3);
+    let mut w = cluster_with_warm_standbys(155, 6, 3);
     let (old, terms) = (w.leader().unwrap(), w.terms);
     let (next, hangs) = ((old + 1) % 3, (old + 2) % 3);
-    w.stand_still(hangs, 40_000);
+    w.pause_process(hangs, 40_000);
     w.workers[0].net = Net::Hold;
     w.crash(old, 6_000);
     // Back, it can't be told anything for a while.
-    w.old.insert(old);
-    assert_eq!(another_leads(&mut w, old), next);
+    w.old_version_nodes.insert(old);
+    assert_eq!(await_other_leader(&mut w, old), next);
     w.run(3_000);
     assert_eq!(w.leader(), Some(next));
-    w.old.clear();
-    w.until(12_000, "it is back and leads", |w| w.leader() == Some(old));
-    assert_eq!((w.terms, w.warm), (terms + 2, 2));
-    w.heal(0);
+    w.old_version_nodes.clear();
+    w.run_until(12_000, "it is back and leads", |w| w.leader() == Some(old));
+    assert_eq!((w.terms, w.warm_failovers), (terms + 2, 2));
+    w.restore_network(0);
     w.run(LEASE);
     assert_eq!(w.running("j-000001"), 10);
-    w.sound();
+    w.assert_no_violations();
 }
 
 /// A task that completed before its leader could record it is not run again by
 /// a leader that decides before it hears the machine.
 #[test]
 fn unrecorded_completion_is_not_rerun_after_failover() {
-    let mut w = warm(160, 4, 3);
+    let mut w = cluster_with_warm_standbys(160, 4, 3);
     w.run_ms = 3_000;
     w.submit(job(2, Kind::Array, 2));
-    w.until(8_000, "running", |w| w.running("j-000002") == 2);
+    w.run_until(8_000, "running", |w| w.running("j-000002") == 2);
     let (old, starts) = (w.leader().unwrap(), w.starts);
     let on = w.workers.iter().position(|m| {
         let of = |t: &simulation::Task| t.name.starts_with("j-000002");
         m.tasks.iter().any(of)
     });
     // Told to the leader, and not recorded.
-    w.until(6_000, "ended", |w| w.finished.len() == 2);
-    w.store.down = true;
+    w.run_until(6_000, "ended", |w| w.finished.len() == 2);
+    w.store.unavailable = true;
     w.run(600);
     w.workers[on.unwrap()].net = Net::Hold;
     w.crash(old, 20_000);
-    w.store.down = false;
-    another_leads(&mut w, old);
-    w.until(5_000, "recorded", |w| w.done("j-000002"));
+    w.store.unavailable = false;
+    await_other_leader(&mut w, old);
+    w.run_until(5_000, "recorded", |w| w.done("j-000002"));
     assert_eq!(w.starts, starts);
-    w.heal(on.unwrap());
+    w.restore_network(on.unwrap());
     w.run(LEASE);
-    w.sound();
+    w.assert_no_violations();
 }
 
-/// A job cancelled as the leader ends, while its tasks are on a unresponsive
+/// A job cancelled as the leader ends, while its tasks are on an unresponsive
 /// machine: it is over only when they are gone.
 #[test]
 fn cancellation_during_failover_ends_after_tasks_stop() {
     for heals in [false, true] {
-        let mut w = warm(170, 6, 3);
+        let mut w = cluster_with_warm_standbys(170, 6, 3);
         let old = w.leader().unwrap();
         (0..2).for_each(|m| w.workers[m].net = Net::Hold);
         w.crash(old, 20_000);
@@ -417,13 +422,13 @@
         let new = w.leader().unwrap();
         assert_eq!(w.poll(new, "j-000001"), Some(JobState::Cancelled));
         if heals {
-            (0..2).for_each(|m| w.heal(m));
+            (0..2).for_each(|m| w.restore_network(m));
         }
-        w.until(LEASE + 8_000, "over", |w| w.done("j-000001"));
-        (0..2).for_each(|m| w.heal(m));
+        w.run_until(LEASE + 8_000, "over", |w| w.done("j-000001"));
+        (0..2).for_each(|m| w.restore_network(m));
         w.run(10_000);
         assert_eq!(w.running("j-000001"), 0);
-        w.sound();
+        w.assert_no_violations();
     }
 }
 
@@ -431,9 +436,9 @@
 #[test]
 fn constraints_count_tasks_on_unresponsive_machines() {
     for seed in 180..184 {
-        let mut w = World::sized(seed, 8, 48.0, 3);
+        let mut w = Simulation::with_nodes(seed, 8, 48.0, 3);
         w.run_ms = 600_000;
-        w.until(10_000, "standbys", |w| named(w) == 2);
+        w.run_until(10_000, "standbys", |w| registered_count(w) == 2);
         let mut spread = job(1, Kind::Service, 4);
         spread.spread = true;
         w.submit(spread);
@@ -442,21 +447,21 @@
         w.submit(gang);
         w.submit(job(3, Kind::Array, 40));
         // The team's limit is reached: 48 CPUs at 4 a task.
-        w.until(30_000, "the limit", |w| {
+        w.run_until(30_000, "the limit", |w| {
             let all = w.running("j-000001") + w.running("j-000002") + w.running("j-000003");
             all == 12
         });
         (0..8).step_by(2).for_each(|m| w.workers[m].net = Net::Hold);
         let old = w.leader().unwrap();
         w.crash(old, 20_000);
-        another_leads(&mut w, old);
+        await_other_leader(&mut w, old);
         w.run(6_000);
-        assert_eq!(w.warm, 1);
+        assert_eq!(w.warm_failovers, 1);
         // Nothing that belongs to the unresponsive ones is run elsewhere.
-        (0..8).for_each(|m| w.heal(m));
+        (0..8).for_each(|m| w.restore_network(m));
         w.run(6_000);
         assert_eq!(w.running("j-000002"), 3, "seed {seed}: the gang ran on");
-        w.sound();
+        w.assert_no_violations();
     }
 }
 
@@ -464,41 +469,41 @@
 /// trace: nobody is named before all are seen to know.
 #[test]
 fn no_standby_is_registered_beside_old_controller() {
-    let mut w = World::sized(190, 4, 0.0, 3);
-    w.old.insert(2);
-    w.until(10_000, "a leader", |w| w.leader().is_some());
+    let mut w = Simulation::with_nodes(190, 4, 0.0, 3);
+    w.old_version_nodes.insert(2);
+    w.run_until(10_000, "a leader", |w| w.leader().is_some());
     w.submit(job(1, Kind::Service, 4));
-    w.until(10_000, "runs all the same", |w| w.running("j-000001") == 4);
+    w.run_until(10_000, "runs all the same", |w| w.running("j-000001") == 4);
     w.run(5_000);
-    assert_eq!(named(&w), 0);
-    w.old.clear();
-    w.until(5_000, "named", |w| named(w) == 2);
+    assert_eq!(registered_count(&w), 0);
+    w.old_version_nodes.clear();
+    w.run_until(5_000, "named", |w| registered_count(w) == 2);
     // From then on that is on record: a node that is down hinders nobody.
-    let (old, other) = (w.leader().unwrap(), w.named()[0]);
+    let (old, other) = (w.leader().unwrap(), w.registered_standbys()[0]);
     w.crash(other, 600_000);
     w.run(1_000);
     w.crash(old, 10_000);
-    another_leads(&mut w, old);
-    w.until(20_000, "named", |w| named(w) == 1);
-    w.sound();
+    await_other_leader(&mut w, old);
+    w.run_until(20_000, "named", |w| registered_count(w) == 1);
+    w.assert_no_violations();
 }
 
 /// The invariant's checker, and the rules', find a standby that confirms what
 /// it does not keep.
 #[test]
 fn checker_detects_standby_that_loses_updates() {
-    let mut w = World::sized(200, 4, 0.0, 3);
+    let mut w = Simulation::with_nodes(200, 4, 0.0, 3);
     w.run_ms = 600_000;
-    w.until(10_000, "standbys", |w| named(w) == 2);
-    w.forgetful = true;
+    w.run_until(10_000, "standbys", |w| registered_count(w) == 2);
+    w.replica_loses_updates = true;
     w.submit(job(1, Kind::Service, 2));
     w.run(5_000);
-    assert!(!w.broken.is_empty());
+    assert!(!w.violations.is_empty());
 }
 
 /// A new leader that goes by what it was told of those machines, and has read
 /// the records.
-fn taking_over(machines: u32, holds: Vec<MachineHolds>, spec: JobSpec) -> Leader {
+fn warm_leader(machines: u32, holds: Vec<MachineHolds>, spec: JobSpec) -> Leader {
     let mut follower = ReplicaReceiver::default();
     let part = Follow {
         term: 5,
@@ -519,7 +524,7 @@
     };
     l.load_standbys(Some((record, 6)));
     for n in 0..machines {
-        l.load_machine(&machine(n), simulation::roster_record(), 3, 0);
+        l.load_machine(&machine(n), simulation::machine_record(), 3, 0);
     }
     let (_, record) = l.acceptance(&spec, None, 0);
     l.load_job(record, 4, 0);
@@ -539,7 +544,7 @@
 }
 
 /// The machine reports that it has seen this term, and has no tasks.
-fn reports_empty(l: &mut Leader, n: u32, now: u64) {
+fn heartbeat_without_tasks(l: &mut Leader, n: u32, now: u64) {
     let report = serde_json::json!({
         "post": machine(n), "addr": "127.0.0.1:9", "rig": "m8", "hall": "a",
         "lendback": false, "tenure": 1, "tick": 5, "baton": 9u64 << 20,
@@ -559,7 +564,7 @@
 fn replica_keeps_later_of_two_placements() {
     let at = |change| std::iter::once(MayRun(0, change, change, Seen::Sent));
     let told = vec![holds(0, at(3)), holds(1, at(8)), holds(2, at(5))];
-    let mut l = taking_over(3, told, job(1, Kind::Service, 1));
+    let mut l = warm_leader(3, told, job(1, Kind::Service, 1));
     l.tick(50, 50);
     assert_eq!(tasks_on(&l, 1), [(0, 8)]);
     assert!(tasks_on(&l, 0).is_empty() && tasks_on(&l, 2).is_empty());
@@ -569,16 +574,16 @@
 #[test]
 fn heartbeat_overrides_replica() {
     let told = vec![holds(0, (0..2).map(|t| MayRun(t, 1, 1, Seen::Running)))];
-    let mut l = taking_over(2, told.clone(), job(1, Kind::Service, 2));
-    reports_empty(&mut l, 0, 20);
+    let mut l = warm_leader(2, told.clone(), job(1, Kind::Service, 2));
+    heartbeat_without_tasks(&mut l, 0, 20);
     l.tick(50, 50);
     let of_then = |l: &Leader| tasks_on(l, 0).iter().any(|(_, attempt)| *attempt == 1);
     assert!(l.is_warm() && !of_then(&l));
     // The same where it is heard a moment later.
-    let mut l = taking_over(2, told, job(1, Kind::Service, 2));
+    let mut l = warm_leader(2, told, job(1, Kind::Service, 2));
     l.tick(50, 50);
     assert!(of_then(&l));
-    reports_empty(&mut l, 0, 60);
+    heartbeat_without_tasks(&mut l, 0, 60);
     assert!(!of_then(&l));
 }
 
@@ -587,8 +592,8 @@
 #[test]
 fn incomplete_gang_is_untouched_until_all_heartbeats_arrive() {
     let told = vec![holds(0, (0..2).map(|t| MayRun(t, 1, 1, Seen::Sent)))];
-    let mut l = taking_over(2, told, job(1, Kind::Gang, 3));
-    reports_empty(&mut l, 1, 20);
+    let mut l = warm_leader(2, told, job(1, Kind::Gang, 3));
+    heartbeat_without_tasks(&mut l, 1, 20);
     l.tick(50, 50);
     l.tick(5_000, 5_000);
     assert!(tasks_on(&l, 1).is_empty());
@@ -606,7 +611,7 @@
         let told = (0..machines).map(|n| holds(n, tasks(n))).collect();
         let mut spec = job(1, Kind::Service, 8 * machines);
         spec.priority = Priority::Production;
-        let mut l = taking_over(machines, told, spec);
+        let mut l = warm_leader(machines, told, spec);
         let before = l.cluster.inspections();
         l.tick(50, 50);
         assert!(l.is_warm() && !l.settled());
@@ -625,20 +630,20 @@
     let seeds = std::env::var("SEEDS").map_or(24, |n| n.parse().unwrap());
     let (mut terms, mut warm) = (0, 0);
     for seed in 0..seeds {
-        let w = night(3_000 + seed, if seed % 3 == 2 { 7 } else { 3 });
-        assert!(w.broken.is_empty(), "seed {seed}: {:?}", w.broken);
+        let w = random_leader_changes(3_000 + seed, if seed % 3 == 2 { 7 } else { 3 });
+        assert!(w.violations.is_empty(), "seed {seed}: {:?}", w.violations);
         assert!(w.starts > 30, "seed {seed}: {}", w.starts);
-        (terms, warm) = (terms + w.terms, warm + w.warm);
+        (terms, warm) = (terms + w.terms, warm + w.warm_failovers);
     }
     println!("{seeds} nights, {terms} terms, {warm} warm");
     assert!(warm * 3 > terms, "{warm} of {terms} warm");
 }
 
-fn night(seed: u64, nodes: usize) -> World {
-    let mut w = World::sized(seed, 8, 56.0, nodes);
-    w.lossy = 8;
-    w.rents = true;
-    w.until(10_000, "a leader", |w| w.leader().is_some());
+fn random_leader_changes(seed: u64, nodes: usize) -> Simulation {
+    let mut w = Simulation::with_nodes(seed, 8, 56.0, nodes);
+    w.replication_loss_percent = 8;
+    w.cloud_grants = true;
+    w.run_until(10_000, "a leader", |w| w.leader().is_some());
     let mut down: BTreeSet<usize> = BTreeSet::new();
     for n in 1..40 {
         let kind = [Kind::Array, Kind::Service, Kind::Gang][w.rng.usize(..3)];
@@ -650,7 +655,7 @@
         let pause = w.rng.u64(0..20) * STEP;
         w.run(pause);
         let leader = w.leader();
-        let standby = w.named().first().copied();
+        let standby = w.registered_standbys().first().copied();
         let some = w.rng.usize(..nodes);
         match w.rng.u8(..11) {
             0..3 => {
@@ -671,50 +676,50 @@
             5 => {
                 let who = if w.rng.bool() { leader } else { standby };
                 let ms = [300, 1_000, 5_000, 12_000][w.rng.usize(..4)];
-                who.into_iter().for_each(|i| w.stand_still(i, ms));
+                who.into_iter().for_each(|i| w.pause_process(i, ms));
             }
             6 => {
                 if let (Some(i), Some(j)) = (leader, standby) {
                     let how = if w.rng.bool() { Cut::Hold } else { Cut::Reset };
-                    w.cut(i, Side::Node(j), how);
+                    w.partition(i, CutScope::Node(j), how);
                     down.insert(i);
                 }
             }
             7 => {
                 let late = w.rng.u64(100..9_000);
-                w.store.late_record.push(late);
-                w.store.late.push(late);
+                w.store.late_registry_writes.push(late);
+                w.store.late_writes.push(late);
             }
             8 => {
                 let m = w.rng.usize(..w.workers.len());
                 let delay = w.rng.u64(50..15_000);
-                w.slow_do.insert(m, delay);
+                w.direct_command_delay.insert(m, delay);
             }
             9 => {
-                w.store.down = true;
+                w.store.unavailable = true;
                 let ms = w.rng.u64(500..6_000);
                 if w.rng.bool() {
                     standby.into_iter().for_each(|i| w.crash(i, 3_000));
                 }
                 w.run(ms);
-                w.store.down = false;
+                w.store.unavailable = false;
             }
             _ => {
-                w.cut(some, Side::State, Cut::Hold);
+                w.partition(some, CutScope::State, Cut::Hold);
                 down.insert(some);
             }
         }
         let ms = w.rng.u64(100..7_000);
         w.run(ms);
         if w.rng.bool() {
-            down.iter().for_each(|i| w.join(*i));
+            down.iter().for_each(|i| w.end_partitions(*i));
             down.clear();
         }
         if w.rng.u8(..3) == 0 {
-            (0..w.workers.len()).for_each(|m| w.heal(m));
+            (0..w.workers.len()).for_each(|m| w.restore_network(m));
         }
         if n > 6 {
-            down.iter().for_each(|i| w.join(*i));
+            down.iter().for_each(|i| w.end_partitions(*i));
             down.clear();
             w.cancel(&format!("j-{:06}", n - 6));
         }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -11,19 +11,19 @@
         spec_chunks::SPEC_CHUNKS,
     },
 };
-use simulation::{World, job};
+use simulation::{Simulation, job};
 
 /// An installation whose state service will have lower limits.
-fn warned(seed: u64, machines: usize) -> World {
-    led(seed, machines, false)
+fn with_announced_limits(seed: u64, machines: usize) -> Simulation {
+    with_leader(seed, machines, false)
 }
 
 /// `mixed`: not all controllers run this version yet.
-fn led(seed: u64, machines: usize, mixed: bool) -> World {
-    let mut w = World::new(seed, machines, 0.0);
-    w.mixed = mixed;
-    w.warn();
-    w.until(10_000, "a leader", |w| w.leader().is_some());
+fn with_leader(seed: u64, machines: usize, mixed: bool) -> Simulation {
+    let mut w = Simulation::new(seed, machines, 0.0);
+    w.mixed_versions = mixed;
+    w.announce_lower_limits();
+    w.run_until(10_000, "a leader", |w| w.leader().is_some());
     w
 }
 
@@ -38,7 +38,7 @@
     format!("j-{n:06}")
 }
 
-fn crash_leader(w: &mut World, back: u64) {
+fn crash_leader(w: &mut Simulation, back: u64) {
     if let Some(leader) = w.leader() {
         w.crash(leader, back);
     }
@@ -48,54 +48,54 @@
 #[test]
 fn legacy_long_records_remain_usable_under_lower_limits() {
     for seed in 0..8 {
-        let mut w = led(10 + seed, 2, true);
+        let mut w = with_leader(10 + seed, 2, true);
         w.submit(long(1, 30));
         w.submit(long(2, 200));
         w.submit(long(3, 4));
-        w.until(30_000, "progress", |w| w.running(&id(1)) > 0);
+        w.run_until(30_000, "progress", |w| w.running(&id(1)) > 0);
         let kept = &w.store.kv[&records::job_key(&id(1))].0;
         assert!(kept.to_string().len() > 2048 && kept.get("d").is_some());
         assert!(
-            w.store.under(SPEC_CHUNKS).is_empty(),
+            w.store.list(SPEC_CHUNKS).is_empty(),
             "not before all can read them"
         );
-        w.mixed = false;
-        w.lower();
+        w.mixed_versions = false;
+        w.apply_lower_limits();
         w.cancel(&id(2));
         // Whoever leads ends between any two steps of what follows.
         for _ in 0..6 {
             w.run(100 + 130 * seed);
             crash_leader(&mut w, 300);
-            w.until(30_000, "a leader", |w| w.leader().is_some());
+            w.run_until(30_000, "a leader", |w| w.leader().is_some());
         }
-        w.until(200_000, "all over", |w| (1..=3).all(|n| w.done(&id(n))));
+        w.run_until(200_000, "all over", |w| (1..=3).all(|n| w.done(&id(n))));
         w.run(10_000);
         let leader = w.leader().unwrap();
         assert_eq!(w.poll(leader, &id(1)), Some(JobState::Done));
         assert_eq!(w.poll(leader, &id(2)), Some(JobState::Cancelled));
         // Nothing is left behind.
-        assert!(w.store.under(SPEC_CHUNKS).is_empty(), "seed {seed}");
-        assert!(w.store.under(records::JOBS).is_empty());
-        w.sound();
+        assert!(w.store.list(SPEC_CHUNKS).is_empty(), "seed {seed}");
+        assert!(w.store.list(records::JOBS).is_empty());
+        w.assert_no_violations();
     }
 }
 
 #[test]
 fn long_spec_survives_failover_under_either_limit() {
-    let mut w = warned(30, 3);
+    let mut w = with_announced_limits(30, 3);
     w.submit(long(1, 12));
-    assert!(w.store.under(SPEC_CHUNKS).len() > 2);
-    w.lower();
+    assert!(w.store.list(SPEC_CHUNKS).len() > 2);
+    w.apply_lower_limits();
     w.submit(long(2, 12));
     crash_leader(&mut w, 500);
-    w.until(120_000, "both done", |w| w.done(&id(1)) && w.done(&id(2)));
-    w.sound();
+    w.run_until(120_000, "both done", |w| w.done(&id(1)) && w.done(&id(2)));
+    w.assert_no_violations();
 }
 
 #[test]
 fn five_thousand_dependencies_span_several_values() {
-    let mut w = warned(31, 2);
-    w.lower();
+    let mut w = with_announced_limits(31, 2);
+    w.apply_lower_limits();
     w.submit(job(9_000, Kind::Array, 3));
     // All over long ago, but for one.
     for n in 1..5_000 {
@@ -114,69 +114,69 @@
     assert!(serde_json::to_vec(&spec).unwrap().len() < 65_536);
     w.submit(spec);
     crash_leader(&mut w, 500);
-    w.until(60_000, "the need done", |w| w.done(&id(9_000)));
-    w.until(30_000, "done", |w| w.done(&id(9_001)));
-    w.sound();
+    w.run_until(60_000, "the need done", |w| w.done(&id(9_000)));
+    w.run_until(30_000, "done", |w| w.done(&id(9_001)));
+    w.assert_no_violations();
 }
 
 /// Pieces of a submission that was given up, or whose leader ended half way.
 #[test]
 fn only_unreferenced_spec_chunks_are_cleared() {
-    let mut w = warned(32, 2);
+    let mut w = with_announced_limits(32, 2);
     let spec = long(1, 6);
     let i = w.leader().unwrap();
     let l = w.nodes[i].leader.as_mut().unwrap();
     let (_, first) = l.pieces_first(&spec).unwrap().unwrap();
     let half = first[0].clone();
     w.store.apply(&half).unwrap();
-    let left = w.store.under(SPEC_CHUNKS).len();
+    let left = w.store.list(SPEC_CHUNKS).len();
     assert!(left > 0);
     crash_leader(&mut w, 500);
-    w.until(20_000, "a leader", |w| w.leader().is_some());
+    w.run_until(20_000, "a leader", |w| w.leader().is_some());
     // The try again writes the same pieces while the clearing is under way.
     w.submit(spec);
-    w.until(60_000, "done", |w| w.done(&id(1)));
+    w.run_until(60_000, "done", |w| w.done(&id(1)));
     // What the old leader sent late fails at its guard.
     assert!(w.store.apply(&half).is_err());
     w.run(5_000);
-    assert!(w.store.under(SPEC_CHUNKS).is_empty());
-    w.sound();
+    assert!(w.store.list(SPEC_CHUNKS).is_empty());
+    w.assert_no_violations();
 }
 
 #[test]
 fn hundred_jobs_update_when_limits_drop_during_outage() {
-    let mut w = warned(33, 6);
+    let mut w = with_announced_limits(33, 6);
     for n in 1..=100 {
         w.submit(job(n, Kind::Array, 1 + n % 3));
     }
     w.run(3_000);
-    w.store.down = true;
+    w.store.unavailable = true;
     w.run(1_500);
-    w.lower();
+    w.apply_lower_limits();
     w.run(1_500);
-    w.store.down = false;
+    w.store.unavailable = false;
     for n in (1..=100).step_by(7) {
         w.cancel(&id(n));
     }
-    w.until(300_000, "all over", |w| (1..=100).all(|n| w.done(&id(n))));
-    w.sound();
+    w.run_until(300_000, "all over", |w| (1..=100).all(|n| w.done(&id(n))));
+    w.assert_no_violations();
 }
 
 /// Guards against a list of images that outgrows its machine's record.
 #[test]
 fn machine_record_keeps_most_recent_images() {
-    let mut w = warned(34, 1);
-    w.lower();
+    let mut w = with_announced_limits(34, 1);
+    w.apply_lower_limits();
     for n in 1..=30 {
         let mut spec = job(n, Kind::Array, 1);
         spec.image = format!("{}-{n}", "i".repeat(150));
         spec.image_gb = 0.1;
         w.submit(spec);
     }
-    w.until(300_000, "all over", |w| (1..=30).all(|n| w.done(&id(n))));
+    w.run_until(300_000, "all over", |w| (1..=30).all(|n| w.done(&id(n))));
     w.run(20_000);
-    let kept = w.store.under(records::MACHINES);
+    let kept = w.store.list(records::MACHINES);
     let images = kept[0].1["i"].as_array().map_or(0, Vec::len);
     assert!((5..30).contains(&images), "{images}");
-    w.sound();
+    w.assert_no_violations();
 }
