--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -241,7 +241,7 @@
         seconds: f64,
         status: &pathwinch_protocol::status::Status,
     ) -> Vec<RoleRow> {
-        let standbys = status.picture.iter().flat_map(|p| &p.standbys);
+        let standbys = status.cluster.iter().flat_map(|p| &p.standbys);
         let warm: Vec<&str> = standbys
             .filter(|s| s.warm)
             .map(|s| s.node.as_str())
--- a/crates/market/src/broker/mod.rs
+++ b/crates/market/src/broker/mod.rs
@@ -98,7 +98,7 @@
     /// The record is durable; the leader is asked to mark the job.
     Marking { asked: Option<Millis> },
     /// The job is marked; nothing was sent to the market.
-    Marked,
+    OffloadMark,
     /// It is, or may be, at the market, or on its way there.
     Awarded {
         /// A call is under way.
--- a/crates/market/src/broker/settle.rs
+++ b/crates/market/src/broker/settle.rs
@@ -37,7 +37,7 @@
                     version,
                 });
             }
-            Phase::Marked => self.send(job, now),
+            Phase::OffloadMark => self.send(job, now),
             Phase::Returning { end, asked } => {
                 *asked = Some(now);
                 let effect = Effect::Return {
@@ -61,7 +61,7 @@
         }
         match marked {
             Some(true) => {
-                lent.phase = Phase::Marked;
+                lent.phase = Phase::OffloadMark;
                 self.ready.insert(job.to_owned());
             }
             // An earlier request may still be on its way: the end that is
@@ -283,7 +283,7 @@
         match &self.phase {
             Phase::Marking { asked } => due(asked) || self.recall,
             Phase::Returning { asked, .. } => due(asked),
-            Phase::Marked => true,
+            Phase::OffloadMark => true,
             _ => false,
         }
     }
--- a/crates/market/src/serve/home.rs
+++ b/crates/market/src/serve/home.rs
@@ -6,7 +6,7 @@
     wire::Slot,
 };
 use pathwinch_protocol::{
-    market::Lendable,
+    market::OffloadCandidate,
     peers::{Reply, Request},
     settings::Settings,
     users,
@@ -53,7 +53,7 @@
     }
 }
 
-pub fn waiting(l: Lendable) -> Waiting {
+pub fn waiting(l: OffloadCandidate) -> Waiting {
     let s = l.spec;
     Waiting {
         job: s.id,
--- a/crates/market/src/serve/mod.rs
+++ b/crates/market/src/serve/mod.rs
@@ -17,7 +17,7 @@
 use async_io::Timer;
 use home::Home;
 use pathwinch_protocol::{
-    market::Marked,
+    market::OffloadMark,
     peers::{Reply, Request},
     settings::Settings,
 };
@@ -188,8 +188,10 @@
             let b = acting.broker.borrow();
             b.lent().map(|(j, l)| (j.to_owned(), l.award)).collect()
         };
-        let request = Request::Lendable { lent };
-        if let Some(Reply::Lendable { jobs, recall }) = acting.server.home.ask(&request).await {
+        let request = Request::OffloadCandidates { lent };
+        if let Some(Reply::OffloadCandidates { jobs, recall }) =
+            acting.server.home.ask(&request).await
+        {
             for job in recall {
                 acting.tell_broker(Event::Recall(job));
             }
@@ -280,28 +282,28 @@
                     lent.map(|(_, l)| b.markets[l.market].name.clone())
                 };
                 let Some(market) = market else { return };
-                let request = Request::Lend {
+                let request = Request::Offload {
                     id: job.clone(),
                     award,
                     market,
                     version,
                 };
                 let marked = match server.home.ask(&request).await {
-                    Some(Reply::Lent(Marked::Yes)) => Some(true),
-                    Some(Reply::Lent(Marked::No)) => Some(false),
+                    Some(Reply::OffloadMark(OffloadMark::Yes)) => Some(true),
+                    Some(Reply::OffloadMark(OffloadMark::No)) => Some(false),
                     _ => None,
                 };
                 self.tell_broker(Event::Lent { job, award, marked });
             }
             Effect::Return { job, award, end } => {
-                let request = Request::TakeBack {
+                let request = Request::EndOffload {
                     id: job.clone(),
                     award,
                     done: end.done.0,
                 };
                 let taken = matches!(
                     server.home.ask(&request).await,
-                    Some(Reply::TakenBack(true))
+                    Some(Reply::OffloadEnded(true))
                 );
                 self.tell_broker(Event::Returned { job, award, taken });
             }
--- a/crates/protocol/src/market.rs
+++ b/crates/protocol/src/market.rs
@@ -8,11 +8,11 @@
 /// Under that, one record for each job that is, or may be, offloaded.
 pub const AWARDS: &str = "market/award/";
 /// Jobs in one answer, so that it fits a frame.
-pub const MOST_LENDABLE: usize = 100;
+pub const MAX_OFFLOAD_CANDIDATES: usize = 100;
 
 /// A waiting job that could be offloaded.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Lendable {
+pub struct OffloadCandidate {
     /// The job, without its dependencies: all of them are done.
     pub spec: JobSpec,
     /// Finished tasks, as sorted ranges with both ends.
@@ -31,7 +31,7 @@
 
 /// Whether a job is marked as offloaded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Marked {
+pub enum OffloadMark {
     /// Its record says that it is offloaded to this award.
     Yes,
     /// It is not, and will not be for this award.
--- a/crates/protocol/src/peers.rs
+++ b/crates/protocol/src/peers.rs
@@ -1,7 +1,7 @@
 //! Messages between controllers: CBOR in length-prefixed frames.
 
 use super::{
-    market::{Lendable, Marked},
+    market::{OffloadCandidate, OffloadMark},
     status::{Explanation, Status},
     users::JobState,
 };
@@ -50,14 +50,16 @@
     },
     /// Is anybody there? The leader has not heard these machines for a
     /// while: their reports are to be relayed for `for_ms` if they come.
-    Unheard {
+    #[serde(rename = "Unheard")]
+    RelayHeartbeats {
         /// Names of the machines; none for a mere probe.
         machines: Vec<String>,
         /// For how many milliseconds.
         for_ms: u64,
     },
     /// The leader's cluster state, or what changed of it, for a standby to keep.
-    Follow(Follow),
+    #[serde(rename = "Follow")]
+    Replicate(ReplicationPart),
     /// The leader of `term` has stopped acting, its key may be replaced.
     Resigned {
         /// The term that is over.
@@ -76,13 +78,15 @@
     },
     /// A broker asks the leader what could be offloaded, and which of the jobs that
     /// it has out (with their awards) are not needed any more.
-    Lendable {
+    #[serde(rename = "Lendable")]
+    OffloadCandidates {
         /// Ids of offloaded jobs, each with its award.
         lent: Vec<(String, u64)>,
     },
     /// The job is to be marked as offloaded, if the award's record has this
     /// version.
-    Lend {
+    #[serde(rename = "Lend")]
+    Offload {
         /// The job.
         id: String,
         /// The award.
@@ -93,7 +97,8 @@
         version: u64,
     },
     /// The award is over: these tasks are done, the mark is to be lifted.
-    TakeBack {
+    #[serde(rename = "TakeBack")]
+    EndOffload {
         /// The job.
         id: String,
         /// The award that has ended.
@@ -106,7 +111,7 @@
 /// One part of a stream in which the leader of a term tells a standby what is,
 /// or may be, on machines.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Follow {
+pub struct ReplicationPart {
     /// The leader's term.
     pub term: u64,
     /// Later streams replace earlier ones; each begins with everything.
@@ -115,27 +120,29 @@
     pub part: u64,
     /// With this part the copy holds all that the leader's cluster state held when
     /// the round began that the part ends.
-    pub whole: bool,
+    #[serde(rename = "whole")]
+    pub complete: bool,
     /// The leader counts on this standby, as far as it knows.
-    pub named: bool,
+    #[serde(rename = "named")]
+    pub counted: bool,
     /// Machines of which the content is told, each whole.
-    pub machines: Vec<MachineHolds>,
+    pub machines: Vec<MachineTasks>,
 }
 
 /// All that is, or may be, on a machine.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct MachineHolds {
+pub struct MachineTasks {
     /// The machine's name.
     #[serde(rename = "m")]
     pub machine: String,
     /// By job.
     #[serde(rename = "j")]
-    pub jobs: Vec<(String, Vec<MayRun>)>,
+    pub jobs: Vec<(String, Vec<ReplicatedTask>)>,
 }
 
 /// A task that is, or may be, on a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct MayRun(
+pub struct ReplicatedTask(
     /// Its number in the job.
     pub u32,
     /// The attempt.
@@ -144,13 +151,13 @@
     /// later change holds, as nothing is placed again before it is gone.
     pub u64,
     /// How it was last seen.
-    pub Seen,
+    pub ReplicatedPhase,
 );
 
-/// See `Seen`.
+/// See `ReplicatedPhase`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(into = "u8", try_from = "u8")]
-pub enum Seen {
+pub enum ReplicatedPhase {
     /// It may be there, or come to be there.
     Sent,
     /// Running, as last reported.
@@ -159,20 +166,20 @@
     Done,
 }
 
-impl From<Seen> for u8 {
-    fn from(seen: Seen) -> u8 {
+impl From<ReplicatedPhase> for u8 {
+    fn from(seen: ReplicatedPhase) -> u8 {
         seen as u8
     }
 }
 
-impl TryFrom<u8> for Seen {
+impl TryFrom<u8> for ReplicatedPhase {
     type Error = String;
 
     fn try_from(n: u8) -> Result<Self, String> {
         match n {
-            0 => Ok(Seen::Sent),
-            1 => Ok(Seen::Running),
-            2 => Ok(Seen::Done),
+            0 => Ok(ReplicatedPhase::Sent),
+            1 => Ok(ReplicatedPhase::Running),
+            2 => Ok(ReplicatedPhase::Done),
             _ => Err(format!("no such state of a task: {n}")),
         }
     }
@@ -181,7 +188,7 @@
 impl Request {
     /// Asks nothing but an answer.
     pub fn greeting() -> Self {
-        Request::Unheard {
+        Request::RelayHeartbeats {
             machines: Vec::new(),
             for_ms: 0,
         }
@@ -205,11 +212,13 @@
     Polled(Vec<Option<(JobState, u32, u32)>>),
     /// Who keeps the copy, and whether the part was taken in. If not, the
     /// stream has to begin anew.
-    Followed {
+    #[serde(rename = "Followed")]
+    Replicated {
         /// Of the standby's process.
         incarnation: u64,
         /// The part was applied.
-        taken: bool,
+        #[serde(rename = "taken")]
+        applied: bool,
     },
     /// Not the leader.
     NotLeader,
@@ -228,7 +237,8 @@
     /// Nothing more to say.
     Ok,
     /// Name and term of the leader, as far as this node knows.
-    Greeted {
+    #[serde(rename = "Greeted")]
+    LeaderHint {
         /// `None`: it knows of none.
         leader: Option<(String, u64)>,
     },
@@ -237,14 +247,17 @@
     /// To `Explain`.
     Explained(Explanation),
     /// To `Lendable`.
-    Lendable {
+    #[serde(rename = "Lendable")]
+    OffloadCandidates {
         /// Jobs that could be offloaded.
-        jobs: Vec<Lendable>,
+        jobs: Vec<OffloadCandidate>,
         /// Offloaded jobs that are to be called back.
         recall: Vec<String>,
     },
     /// To `Lend`.
-    Lent(Marked),
+    #[serde(rename = "Lent")]
+    OffloadMark(OffloadMark),
     /// Whether that is durable.
-    TakenBack(bool),
+    #[serde(rename = "TakenBack")]
+    OffloadEnded(bool),
 }
--- a/crates/protocol/src/status.rs
+++ b/crates/protocol/src/status.rs
@@ -9,7 +9,7 @@
 /// Why a task is not running. Set by the code that decided so.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Reason {
+pub enum PendingReason {
     /// Not looked at yet.
     New,
     /// The team may not use more at once.
@@ -37,22 +37,22 @@
     NeedsOthers,
 }
 
-impl Reason {
+impl PendingReason {
     /// As operators read it.
     pub fn text(self) -> &'static str {
         match self {
-            Reason::New => "not looked at yet",
-            Reason::TeamLimit => "team limit",
-            Reason::NoRoom => "no machine has room",
-            Reason::MachineBooting => "machine booting",
-            Reason::CloudRefuses => "cloud refuses machines",
-            Reason::GangIncomplete => "gang incomplete",
-            Reason::RoomBeingMade => "room being made",
-            Reason::OldAttempt => "old attempt not surely gone",
-            Reason::Settling => "controller settling",
-            Reason::FailsEverywhere => "job fails everywhere",
-            Reason::Lent => "lent to a neighbouring market",
-            Reason::NeedsOthers => "other jobs to be done first",
+            PendingReason::New => "not looked at yet",
+            PendingReason::TeamLimit => "team limit",
+            PendingReason::NoRoom => "no machine has room",
+            PendingReason::MachineBooting => "machine booting",
+            PendingReason::CloudRefuses => "cloud refuses machines",
+            PendingReason::GangIncomplete => "gang incomplete",
+            PendingReason::RoomBeingMade => "room being made",
+            PendingReason::OldAttempt => "old attempt not surely gone",
+            PendingReason::Settling => "controller settling",
+            PendingReason::FailsEverywhere => "job fails everywhere",
+            PendingReason::Lent => "lent to a neighbouring market",
+            PendingReason::NeedsOthers => "other jobs to be done first",
         }
     }
 }
@@ -71,7 +71,7 @@
 
 /// Jobs of one class and team.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Group {
+pub struct JobGroup {
     /// The class.
     pub class: String,
     /// The team.
@@ -83,7 +83,7 @@
     /// Age of the job that waits longest, in seconds.
     pub oldest_wait_s: f64,
     /// Waiting tasks by reason.
-    pub reasons: Vec<(Reason, u32)>,
+    pub reasons: Vec<(PendingReason, u32)>,
     /// Jobs past their deadline.
     pub late_jobs: u32,
     /// Jobs that are going to miss it.
@@ -92,7 +92,7 @@
 
 /// What a team uses of its quota.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct TeamUse {
+pub struct TeamUsage {
     /// The team.
     pub name: String,
     /// CPUs in use.
@@ -111,7 +111,7 @@
 
 /// Machines of one type, zone and kind.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Fleet {
+pub struct MachineGroup {
     /// The type.
     pub type_name: String,
     /// The zone.
@@ -130,7 +130,7 @@
 
 /// A machine that is not in order.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Trouble {
+pub struct MachineProblem {
     /// The machine.
     pub machine: String,
     /// What is the matter.
@@ -139,7 +139,7 @@
 
 /// A task that failed lately.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Failure {
+pub struct TaskFailure {
     /// The task.
     pub task: String,
     /// Where it failed.
@@ -167,7 +167,7 @@
 
 /// The leader's view of the cluster.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Picture {
+pub struct ClusterStatus {
     /// The leader's term.
     pub term: u64,
     /// For how many seconds it has led.
@@ -177,15 +177,15 @@
     /// Unfinished jobs.
     pub jobs: u32,
     /// Jobs by class and team.
-    pub groups: Vec<Group>,
+    pub groups: Vec<JobGroup>,
     /// Quotas and their use.
-    pub teams: Vec<TeamUse>,
+    pub teams: Vec<TeamUsage>,
     /// Machines by kind.
-    pub fleet: Vec<Fleet>,
+    pub fleet: Vec<MachineGroup>,
     /// Machines that are not in order.
-    pub troubles: Vec<Trouble>,
+    pub troubles: Vec<MachineProblem>,
     /// Tasks that failed lately, the latest first.
-    pub failures: Vec<Failure>,
+    pub failures: Vec<TaskFailure>,
     /// Jobs with each neighbouring market, or on their way.
     #[serde(default)]
     pub lent: Vec<(String, u32)>,
@@ -207,7 +207,8 @@
     /// How old the cluster state is.
     pub age_s: f64,
     /// What the leader last said.
-    pub picture: Option<Picture>,
+    #[serde(rename = "picture")]
+    pub cluster: Option<ClusterStatus>,
     /// Controllers with the versions that they were seen to run; none: from
     /// before versions were told.
     #[serde(default)]
@@ -222,7 +223,7 @@
 
 /// One unfinished job.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Explained {
+pub struct JobExplanation {
     /// The job's id.
     pub id: String,
     /// Its class.
@@ -242,7 +243,7 @@
     /// Seconds since its acceptance.
     pub age_s: f64,
     /// Why tasks of it wait.
-    pub reason: Option<Reason>,
+    pub reason: Option<PendingReason>,
     /// What is held against it, if anything.
     #[serde(default)]
     pub verdict: Option<String>,
@@ -268,7 +269,7 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Explanation {
     /// It is unfinished.
-    Job(Box<Explained>),
+    Job(Box<JobExplanation>),
     /// Over: its final state and finished tasks.
     Over {
         /// Its final state.
@@ -334,7 +335,7 @@
     pub fn text(&self) -> String {
         let leader = self.leader.as_deref().unwrap_or("nobody");
         let mut out = format!("asked {}; {leader} leads", self.node);
-        let Some(p) = &self.picture else {
+        let Some(p) = &self.cluster else {
             out.push_str("; nothing more is known here\n");
             self.put_stopped(&mut out);
             self.put_versions(&mut out);
@@ -423,7 +424,7 @@
     }
 }
 
-impl Explained {
+impl JobExplanation {
     /// As operators read it.
     pub fn text(&self) -> String {
         let mut out = format!(
--- a/examples/limits/main.rs
+++ b/examples/limits/main.rs
@@ -22,7 +22,7 @@
     options::Options,
     protocol::{
         cloud::MachineType,
-        peers::{Follow, Request},
+        peers::{ReplicationPart, Request},
         settings::Settings,
         users::{JobSpec, JobState, JobStatus},
         workers::Heartbeat,
@@ -64,14 +64,14 @@
 }
 
 /// What a standby is told of these machines, as part `part` of its stream.
-fn tell(l: &Leader, part: u64, machines: impl Iterator<Item = usize>) -> Follow {
+fn tell(l: &Leader, part: u64, machines: impl Iterator<Item = usize>) -> ReplicationPart {
     let held = machines.map(|n| l.cluster.tasks_on(&format!("i-{n:06}")));
-    Follow {
+    ReplicationPart {
         term: 1,
         stream: 1,
         part,
-        whole: true,
-        named: true,
+        complete: true,
+        counted: true,
         machines: held.collect(),
     }
 }
@@ -177,9 +177,9 @@
             let (mut follower, mut bytes) = (ReplicaReceiver::default(), 0);
             for n in 0..count {
                 let part = tell(&l, n as u64, std::iter::once(n % size));
-                let frame = frames::encode(Request::Follow(part))?;
+                let frame = frames::encode(Request::Replicate(part))?;
                 bytes += frame.len();
-                let Request::Follow(part) = frames::decode(&frame[4..])? else {
+                let Request::Replicate(part) = frames::decode(&frame[4..])? else {
                     bail!("not what was sent");
                 };
                 anyhow::ensure!(follower.apply_part(part, 0), "not taken in");
@@ -192,7 +192,7 @@
             let all = tell(&told, 0, 0..size);
             println!(
                 "{} bytes",
-                frames::encode(Request::Follow(all.clone())).map_or(0, |f| f.len())
+                frames::encode(Request::Replicate(all.clone())).map_or(0, |f| f.len())
             );
             anyhow::ensure!(follower.apply_part(all, 0), "not taken in");
             let replica: Replica = follower.take_replica(2).context("no replica")?;
--- a/src/control/leader/dependencies.rs
+++ b/src/control/leader/dependencies.rs
@@ -8,7 +8,7 @@
 use super::{Leader, millis};
 use crate::{
     protocol::{
-        status::Reason,
+        status::PendingReason,
         users::{JobSpec, JobState, JobStatus, Kind},
     },
     state::{
@@ -91,7 +91,7 @@
                 j.queued_since_ms = wall;
             }
             j.known_since = now;
-            j.reason = Reason::New;
+            j.reason = PendingReason::New;
             log::debug!("job {} is ready: all its dependencies are done", j.id);
             self.record_arrival(ix, now);
         }
--- a/src/control/leader/failover.rs
+++ b/src/control/leader/failover.rs
@@ -13,7 +13,7 @@
         replica::Replica,
     },
     protocol::{
-        peers::{Follow, MayRun, Seen},
+        peers::{ReplicatedPhase, ReplicatedTask, ReplicationPart},
         state::Txn,
     },
     state::{
@@ -120,7 +120,9 @@
         let all = replica.latest_first();
         // Guards against doing once more what ended before the old leader
         // could record it.
-        for (_, job, MayRun(task, ..)) in all.iter().filter(|(.., t)| t.3 == Seen::Done) {
+        for (_, job, ReplicatedTask(task, ..)) in
+            all.iter().filter(|(.., t)| t.3 == ReplicatedPhase::Done)
+        {
             let job = self
                 .cluster
                 .job_index(job)
@@ -130,7 +132,10 @@
             }
         }
         let mut held = 0;
-        for (machine, job, may_run) in all.into_iter().filter(|(.., t)| t.3 != Seen::Done) {
+        for (machine, job, may_run) in all
+            .into_iter()
+            .filter(|(.., t)| t.3 != ReplicatedPhase::Done)
+        {
             held += usize::from(self.restore_task(machine, job, may_run, now));
         }
         let unheard = self.cluster.each_machine().filter(|m| m.contents_unknown);
@@ -139,8 +144,14 @@
 
     /// A machine that is not in the registry, or is recorded as empty, runs nothing any
     /// more; the same holds for a job without a record.
-    fn restore_task(&mut self, machine: &str, job: &str, may_run: MayRun, now: Millis) -> bool {
-        let MayRun(task, attempt, _, seen) = may_run;
+    fn restore_task(
+        &mut self,
+        machine: &str,
+        job: &str,
+        may_run: ReplicatedTask,
+        now: Millis,
+    ) -> bool {
+        let ReplicatedTask(task, attempt, _, seen) = may_run;
         let (Some(ix), Some(job_ix)) = (
             self.cluster.machine_index(machine),
             self.cluster.job_index(job),
@@ -152,7 +163,7 @@
             return false;
         };
         let phase = match seen {
-            Seen::Running => Phase::Running,
+            ReplicatedPhase::Running => Phase::Running,
             _ => Phase::Sent,
         };
         match j.placement(task) {
@@ -208,7 +219,7 @@
     }
 
     /// The next part of the replication stream to a peer.
-    pub fn next_replication_part(&mut self, peer: usize, now: Millis) -> Option<Follow> {
+    pub fn next_replication_part(&mut self, peer: usize, now: Millis) -> Option<ReplicationPart> {
         self.standbys.next(peer, &mut self.cluster, now)
     }
 
--- a/src/control/leader/loading.rs
+++ b/src/control/leader/loading.rs
@@ -6,7 +6,7 @@
 
 use super::Leader;
 use crate::{
-    protocol::status::Reason,
+    protocol::status::PendingReason,
     state::{
         Millis,
         cluster::{NewJob, NewMachine, Registration},
@@ -42,7 +42,7 @@
             }
             if !away.is_local() && j.record_version == version {
                 j.offload = away;
-                j.reason = Reason::Lent;
+                j.reason = PendingReason::Lent;
             }
             if suspected && !j.failures.has_succeeded && !j.failures.suspected {
                 j.failures = JobFailures::inherited_suspicion(now);
--- a/src/control/leader/offload.rs
+++ b/src/control/leader/offload.rs
@@ -12,9 +12,9 @@
 };
 use crate::{
     protocol::{
-        market::{Lendable, Marked},
+        market::{OffloadCandidate, OffloadMark},
         state::{Condition, Write},
-        status::Reason,
+        status::PendingReason,
         users::{JobSpec, Kind},
     },
     state::{
@@ -41,7 +41,7 @@
 impl Leader {
     /// Waiting jobs that the market client may choose from, longest waiting
     /// first, at most `max_offers`.
-    pub fn lendable(&self, max_offers: usize) -> Vec<Lendable> {
+    pub fn lendable(&self, max_offers: usize) -> Vec<OffloadCandidate> {
         // Only when it is settled, so that no job may run on a machine that has
         // sent no heartbeat.
         if !self.recovery.settled {
@@ -65,14 +65,14 @@
         offers
     }
 
-    fn offer(&self, job: &Job) -> Lendable {
+    fn offer(&self, job: &Job) -> OffloadCandidate {
         let waited_ms = self.wall_ms.saturating_sub(job.accepted_at_ms);
         let left_ms = job
             .spec
             .deadline_s
             .map(|deadline_s| (deadline_s * 1000.0) as i64 - waited_ms as i64);
-        let machine_coming = job.supply_reason == Some(Reason::MachineBooting);
-        Lendable {
+        let machine_coming = job.supply_reason == Some(PendingReason::MachineBooting);
+        OffloadCandidate {
             waited_ms,
             left_ms,
             here_ms: machine_coming.then(|| millis(job.spec.estimate_s)),
@@ -145,21 +145,21 @@
 
     /// Asks for the target to be recorded, or whether it is. `version`: of the
     /// award's record, which the write is on condition of.
-    pub fn lend(&mut self, id: &str, target: OffloadTarget, version: u64) -> Marked {
+    pub fn lend(&mut self, id: &str, target: OffloadTarget, version: u64) -> OffloadMark {
         let Some(ix) = self.cluster.job_index(id) else {
-            return Marked::No;
+            return OffloadMark::No;
         };
         let Some(job) = self.cluster.job(ix) else {
-            return Marked::No;
+            return OffloadMark::No;
         };
         match &job.offload {
-            OffloadState::Offloaded(known) if *known == target => return Marked::Yes,
+            OffloadState::Offloaded(known) if *known == target => return OffloadMark::Yes,
             OffloadState::Offloading { target: known, .. } if *known == target => {
-                return Marked::NotYet;
+                return OffloadMark::NotYet;
             }
             OffloadState::Local => {}
             OffloadState::Refused(award) if *award != target.award => {}
-            _ => return Marked::No,
+            _ => return OffloadMark::No,
         }
         let may_leave = job.live_count == 0
             && job.waiting_count() > 0
@@ -169,15 +169,15 @@
             && job.spec.kind != Kind::Service
             && self.job_settled(job);
         if !may_leave {
-            return Marked::No;
+            return OffloadMark::No;
         }
         if let Some(job) = self.cluster.job_mut(ix) {
             job.offload = OffloadState::Offloading { target, version };
-            job.reason = Reason::Lent;
+            job.reason = PendingReason::Lent;
             self.write_queue.offload_changes.push(ix);
             self.changed = true;
         }
-        Marked::NotYet
+        OffloadMark::NotYet
     }
 
     /// Takes over the complete tasks, as ranges, of a job that comes back, and
@@ -198,7 +198,7 @@
                 let target = target.clone();
                 mark_completed_ranges(job, completed);
                 job.offload = OffloadState::Returning(target);
-                job.reason = Reason::New;
+                job.reason = PendingReason::New;
                 self.write_queue.offload_changes.push(ix);
                 self.changed = true;
                 false
@@ -305,7 +305,7 @@
             && version != found
         {
             job.offload.mark_refused();
-            job.reason = Reason::New;
+            job.reason = PendingReason::New;
         }
     }
 }
@@ -320,12 +320,12 @@
         && !job.failures.suspected
         && matches!(
             job.reason,
-            Reason::NoRoom | Reason::TeamLimit | Reason::GangIncomplete
+            PendingReason::NoRoom | PendingReason::TeamLimit | PendingReason::GangIncomplete
         )
 }
 
 /// About what an offer takes in a frame.
-fn offer_bytes(offer: &Lendable) -> usize {
+fn offer_bytes(offer: &OffloadCandidate) -> usize {
     let spec = &offer.spec;
     let types = spec.types.iter().flatten();
     let names = types
--- a/src/control/leader/recovery.rs
+++ b/src/control/leader/recovery.rs
@@ -7,7 +7,7 @@
 
 use super::Leader;
 use crate::{
-    protocol::{status::Reason, users::Kind},
+    protocol::{status::PendingReason, users::Kind},
     state::Millis,
 };
 
@@ -138,7 +138,10 @@
                 && j.known_since <= since
                 && !j.cancelled
                 && !j.cancel_requested
-                && !matches!(j.reason, Reason::TeamLimit | Reason::FailsEverywhere)
+                && !matches!(
+                    j.reason,
+                    PendingReason::TeamLimit | PendingReason::FailsEverywhere
+                )
         })
     }
 }
--- a/src/control/leader/scale_out.rs
+++ b/src/control/leader/scale_out.rs
@@ -11,7 +11,7 @@
     control::provision::{self, Bin, Demand, Offer, PlannedMachines},
     protocol::{
         cloud::{MAX_MACHINES_PER_REQUEST, MachineRequest},
-        status::Reason,
+        status::PendingReason,
         users::Kind,
     },
     state::{
@@ -366,8 +366,8 @@
                     job_demand
                         .demand
                         .map(|index| match demand.demands[index].refused {
-                            true => Reason::CloudRefuses,
-                            false => Reason::MachineBooting,
+                            true => PendingReason::CloudRefuses,
+                            false => PendingReason::MachineBooting,
                         });
             }
         }
--- a/src/control/leader/scheduling_cycle.rs
+++ b/src/control/leader/scheduling_cycle.rs
@@ -13,7 +13,7 @@
 };
 use crate::{
     protocol::{
-        status::Reason,
+        status::PendingReason,
         users::{Kind, Priority},
     },
     state::{Millis, cluster::Job, resources::Resources},
@@ -99,7 +99,7 @@
         let order = self.queue(now);
         if self.scheduling.fleet.is_empty() {
             for ix in &order {
-                self.set_reason(*ix, Reason::NoRoom);
+                self.set_reason(*ix, PendingReason::NoRoom);
             }
             self.scheduling.queue_buffer = order;
             return None;
@@ -135,12 +135,12 @@
         // One try at a time.
         let tried = job.failures.suspected && job.live_count > 0;
         if job.backoff_until > now || job.failures.is_backing_off(now) || tried {
-            self.set_reason(job_ix, Reason::FailsEverywhere);
+            self.set_reason(job_ix, PendingReason::FailsEverywhere);
             return true;
         }
         let suspected = job.failures.suspected;
         if !self.job_settled(job) {
-            self.set_reason(job_ix, Reason::Settling);
+            self.set_reason(job_ix, PendingReason::Settling);
             return true;
         }
         let shape = Shape {
@@ -157,7 +157,7 @@
         let held = cycle.jobs_with_reservations.contains(&job_ix);
         // No free capacity; some may be reserved or preempted for it still.
         if cycle.full_shapes.contains(&shape) && !held {
-            self.set_reason(job_ix, Reason::NoRoom);
+            self.set_reason(job_ix, PendingReason::NoRoom);
             cycle.unplaced_jobs.push(job_ix);
             return true;
         }
@@ -261,15 +261,15 @@
         let gang = j.spec.kind == Kind::Gang;
         let at_once = if gang { j.waiting_count() } else { 1 };
         let reason = if gang && j.live_count > 0 && self.gang_to_complete(job_ix).is_none() {
-            Reason::OldAttempt
+            PendingReason::OldAttempt
         } else if !self.within_limit(j.team, &j.need, i64::from(at_once)) {
-            Reason::TeamLimit
+            PendingReason::TeamLimit
         } else if held {
-            Reason::RoomBeingMade
+            PendingReason::RoomBeingMade
         } else if gang && j.spec.tasks > 1 {
-            Reason::GangIncomplete
+            PendingReason::GangIncomplete
         } else {
-            Reason::NoRoom
+            PendingReason::NoRoom
         };
         self.set_reason(job_ix, reason);
     }
--- a/src/control/leader/status.rs
+++ b/src/control/leader/status.rs
@@ -10,7 +10,8 @@
     options::LoadResource,
     protocol::{
         status::{
-            Due, Explained, Failure, Fleet, Group, MOST_ROWS, Picture, Reason, TeamUse, Trouble,
+            ClusterStatus, Due, JobExplanation, JobGroup, MOST_ROWS, MachineGroup, MachineProblem,
+            PendingReason, TaskFailure, TeamUsage,
         },
         workers::ExitReason,
     },
@@ -70,7 +71,7 @@
 }
 
 impl Leader {
-    pub(super) fn set_reason(&mut self, job_ix: u32, reason: Reason) {
+    pub(super) fn set_reason(&mut self, job_ix: u32, reason: PendingReason) {
         if let Some(j) = self.cluster.job_mut(job_ix) {
             j.reason = reason;
         }
@@ -97,12 +98,12 @@
         std::mem::take(&mut self.events.tally)
     }
 
-    fn reason_of(&self, job: &Job) -> Reason {
+    fn reason_of(&self, job: &Job) -> PendingReason {
         if job.readiness != Readiness::Ready {
-            return Reason::NeedsOthers;
+            return PendingReason::NeedsOthers;
         }
         match (job.reason, job.supply_reason) {
-            (Reason::NoRoom, Some(supply)) => supply,
+            (PendingReason::NoRoom, Some(supply)) => supply,
             (reason, _) => reason,
         }
     }
@@ -133,8 +134,8 @@
     }
 
     /// The status of the cluster, for `status`.
-    pub fn picture(&self, now: Millis) -> Picture {
-        let mut picture = Picture {
+    pub fn picture(&self, now: Millis) -> ClusterStatus {
+        let mut picture = ClusterStatus {
             term: self.term,
             since_s: (now - self.recovery.elected_at) as f64 / 1000.0,
             settled: self.recovery.settled,
@@ -148,17 +149,17 @@
                 .recent_failures
                 .iter()
                 .rev()
-                .map(|(at, task, machine, why)| Failure {
+                .map(|(at, task, machine, why)| TaskFailure {
                     task: task.clone(),
                     machine: machine.clone(),
                     why: why.to_string(),
                     ago_s: (now - at) as f64 / 1000.0,
                 })
                 .collect(),
-            ..Picture::default()
+            ..ClusterStatus::default()
         };
         for (t, used) in self.cluster.teams.iter().zip(&self.cluster.team_usage) {
-            picture.teams.push(TeamUse {
+            picture.teams.push(TeamUsage {
                 name: clipped(&t.name),
                 cpus: units(used.cpus),
                 gpus: units(used.gpus),
@@ -170,7 +171,7 @@
         }
         // Those that use most, where not all can be shown.
         picture.teams.sort_by(|a, b| {
-            let used = |t: &TeamUse| t.cpus + t.gpus;
+            let used = |t: &TeamUsage| t.cpus + t.gpus;
             used(b).total_cmp(&used(a))
         });
         picture.teams.truncate(MOST_ROWS);
@@ -178,16 +179,16 @@
         picture
     }
 
-    fn groups(&self) -> Vec<Group> {
-        let mut groups: HashMap<(&str, &str), Group> = HashMap::new();
+    fn groups(&self) -> Vec<JobGroup> {
+        let mut groups: HashMap<(&str, &str), JobGroup> = HashMap::new();
         let in_chains = self.inherited_deadlines();
         let jobs = self.cluster.jobs.iter().enumerate();
         for (ix, j) in jobs.filter_map(|(ix, j)| Some((ix as u32, j.as_ref()?))) {
             let key = (j.spec.class.as_str(), j.spec.team.as_str());
-            let g = groups.entry(key).or_insert_with(|| Group {
+            let g = groups.entry(key).or_insert_with(|| JobGroup {
                 class: clipped(&j.spec.class),
                 team: clipped(&j.spec.team),
-                ..Group::default()
+                ..JobGroup::default()
             });
             g.running += j.running_count;
             match self.due_of(j, self.left_s(ix, j, &in_chains)) {
@@ -212,27 +213,27 @@
                 None => g.reasons.push((reason, waiting)),
             }
         }
-        let mut groups: Vec<Group> = groups.into_values().collect();
+        let mut groups: Vec<JobGroup> = groups.into_values().collect();
         groups.sort_by(|a, b| {
-            let key = |g: &Group| (g.class.clone(), g.team.clone());
+            let key = |g: &JobGroup| (g.class.clone(), g.team.clone());
             b.waiting.cmp(&a.waiting).then(key(a).cmp(&key(b)))
         });
         groups.truncate(MOST_ROWS);
         groups
     }
 
-    fn fleet(&self, picture: &mut Picture, now: Millis) {
-        let mut kinds: Vec<((usize, usize, bool), Fleet, f64)> = Vec::new();
+    fn fleet(&self, picture: &mut ClusterStatus, now: Millis) {
+        let mut kinds: Vec<((usize, usize, bool), MachineGroup, f64)> = Vec::new();
         for m in self.cluster.each_machine() {
             let key = (m.type_ix, m.zone, m.spot);
             let at = match kinds.iter().position(|(k, ..)| *k == key) {
                 Some(at) => at,
                 None => {
-                    let fleet = Fleet {
+                    let fleet = MachineGroup {
                         type_name: clipped(&self.cluster.types[m.type_ix].name),
                         zone: clipped(self.cluster.zones.name(m.zone)),
                         spot: m.spot,
-                        ..Fleet::default()
+                        ..MachineGroup::default()
                     };
                     kinds.push((key, fleet, 0.0));
                     kinds.len() - 1
@@ -268,7 +269,7 @@
                 continue;
             };
             if picture.troubles.len() < MOST_ROWS {
-                picture.troubles.push(Trouble {
+                picture.troubles.push(MachineProblem {
                     machine: clipped(&m.name),
                     why: why.to_owned(),
                 });
@@ -336,7 +337,7 @@
     }
 
     /// The state of one job, for `explain`. `None`: not a live job.
-    pub fn explain(&self, id: &str, now: Millis) -> Option<Explained> {
+    pub fn explain(&self, id: &str, now: Millis) -> Option<JobExplanation> {
         let ix = self.cluster.job_index(id)?;
         let j = self.cluster.job(ix)?;
         let waiting = j.waiting_count();
@@ -355,7 +356,7 @@
                 (a.task, clipped(&m.name), phase)
             })
         });
-        Some(Explained {
+        Some(JobExplanation {
             id: id.to_owned(),
             class: clipped(&j.spec.class),
             team: clipped(&j.spec.team),
--- a/src/control/leader/task_placement.rs
+++ b/src/control/leader/task_placement.rs
@@ -11,7 +11,7 @@
         self,
         fleet::{Choice, MachineView, RankingId},
     },
-    protocol::{status::Reason, users::Kind},
+    protocol::{status::PendingReason, users::Kind},
     state::{
         Millis,
         cluster::{Job, Phase, Placement},
@@ -129,7 +129,7 @@
         headroom: &mut [Headroom],
         now: Millis,
     ) {
-        self.set_reason(job_ix, Reason::FailsEverywhere);
+        self.set_reason(job_ix, PendingReason::FailsEverywhere);
         let gang = self.cluster.job(job_ix).map(|j| j.spec.kind == Kind::Gang);
         match gang {
             Some(true) => {
--- a/src/control/leader/victims.rs
+++ b/src/control/leader/victims.rs
@@ -8,7 +8,7 @@
 use crate::{
     control::placement::fleet::Choice,
     protocol::{
-        status::Reason,
+        status::PendingReason,
         users::{Kind, Priority},
     },
     state::{
@@ -228,7 +228,7 @@
 
     pub(super) fn preempt(&mut self, job_ix: u32, room: Preemption, now: Millis) {
         let id = self.cluster.job(job_ix).map(|j| j.id.clone());
-        self.set_reason(job_ix, Reason::RoomBeingMade);
+        self.set_reason(job_ix, PendingReason::RoomBeingMade);
         self.events.tally.preempted += room.victims.len() as u64;
         let Some(m) = self.cluster.machine_mut(room.machine) else {
             return;
--- a/src/control/standby/mod.rs
+++ b/src/control/standby/mod.rs
@@ -17,7 +17,7 @@
 
 use crate::{
     protocol::{
-        peers::{Follow, MachineHolds},
+        peers::{MachineTasks, ReplicationPart},
         state::Txn,
         status::StandbyStatus,
     },
@@ -43,7 +43,7 @@
     /// The latest change of which a start was sent.
     fn sent(&self) -> u64;
     /// What runs, or may run, on the machine.
-    fn tasks_on(&self, machine: &str) -> MachineHolds;
+    fn tasks_on(&self, machine: &str) -> MachineTasks;
     /// Machines on which anything runs or may run.
     fn occupied_machines(&self) -> BTreeSet<String>;
     /// Machines that changed since the last call; the first call begins to record them.
@@ -57,7 +57,7 @@
     fn sent(&self) -> u64 {
         self.latest_sent_change
     }
-    fn tasks_on(&self, machine: &str) -> MachineHolds {
+    fn tasks_on(&self, machine: &str) -> MachineTasks {
         ClusterState::tasks_on(self, machine)
     }
     fn occupied_machines(&self) -> BTreeSet<String> {
@@ -244,7 +244,7 @@
         peer: usize,
         state: &mut impl ReplicatedState,
         now: Millis,
-    ) -> Option<Follow> {
+    ) -> Option<ReplicationPart> {
         self.replicating_since?;
         self.distribute_changes(state);
         let probes = !self.registry.known_to_all();
--- a/src/control/standby/replica.rs
+++ b/src/control/standby/replica.rs
@@ -5,7 +5,7 @@
 //! must never replace a complete one before it is complete itself, and never have a gap.
 
 use crate::{
-    protocol::peers::{Follow, MayRun},
+    protocol::peers::{ReplicatedTask, ReplicationPart},
     state::Millis,
 };
 use std::collections::BTreeMap;
@@ -15,7 +15,7 @@
 const MAX_MACHINES: usize = 50_000;
 
 /// What runs, or may run, on one machine, by job.
-pub type Held = Vec<(String, Vec<MayRun>)>;
+pub type Held = Vec<(String, Vec<ReplicatedTask>)>;
 
 /// What runs, or may run, on machines. More than runs is harmless, less is not.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
@@ -44,7 +44,7 @@
 impl ReplicaReceiver {
     /// Returns whether the part was applied. One that came late, twice, or after a gap
     /// is not, and the leader restarts the stream.
-    pub fn apply_part(&mut self, part: Follow, now: Millis) -> bool {
+    pub fn apply_part(&mut self, part: ReplicationPart, now: Millis) -> bool {
         let stream = (part.term, part.stream);
         if part.part == 0 {
             if stream <= self.stream {
@@ -70,11 +70,11 @@
                 false => replica.machines.insert(m.machine, m.jobs),
             };
         }
-        if part.whole && self.building.is_some() {
+        if part.complete && self.building.is_some() {
             self.complete = self.building.take();
         }
         self.next_part = part.part + 1;
-        self.counted = part.named;
+        self.counted = part.counted;
         self.last_part_at = now;
         true
     }
@@ -105,8 +105,8 @@
     /// Machine, job and task, by the change that placed the task, the latest first: of
     /// two places of a task the later one is valid, as it was gone from the other by
     /// then.
-    pub fn latest_first(&self) -> Vec<(&str, &str, MayRun)> {
-        let mut all: Vec<(&str, &str, MayRun)> = Vec::new();
+    pub fn latest_first(&self) -> Vec<(&str, &str, ReplicatedTask)> {
+        let mut all: Vec<(&str, &str, ReplicatedTask)> = Vec::new();
         for (machine, jobs) in &self.machines {
             for (job, tasks) in jobs {
                 all.extend(tasks.iter().map(|t| (machine.as_str(), job.as_str(), *t)));
--- a/src/control/standby/replica/tests.rs
+++ b/src/control/standby/replica/tests.rs
@@ -1,18 +1,21 @@
 //! Tests of receiving a replica.
 
 use super::*;
-use crate::protocol::peers::{MachineHolds, Seen};
+use crate::protocol::peers::{MachineTasks, ReplicatedPhase};
 
-fn part(stream: u64, part: u64, whole: bool, machine: &str, task: u32) -> Follow {
-    Follow {
+fn part(stream: u64, part: u64, whole: bool, machine: &str, task: u32) -> ReplicationPart {
+    ReplicationPart {
         term: 5,
         stream,
         part,
-        whole,
-        named: true,
-        machines: vec![MachineHolds {
+        complete: whole,
+        counted: true,
+        machines: vec![MachineTasks {
             machine: machine.into(),
-            jobs: vec![("j".into(), vec![MayRun(task, 1, 1, Seen::Running)])],
+            jobs: vec![(
+                "j".into(),
+                vec![ReplicatedTask(task, 1, 1, ReplicatedPhase::Running)],
+            )],
         }],
     }
 }
--- a/src/control/standby/replication_stream.rs
+++ b/src/control/standby/replication_stream.rs
@@ -6,7 +6,7 @@
 use super::{CONFIRM_TIMEOUT_MS, DEMOTION_PAUSE_MS, MAX_DEMOTION_PAUSE_MS, ReplicatedState};
 use crate::{
     protocol::{
-        peers::{Follow, MAX_FRAME, MachineHolds},
+        peers::{MAX_FRAME, MachineTasks, ReplicationPart},
         status::StandbyStatus,
     },
     state::Millis,
@@ -197,7 +197,7 @@
         probes: bool,
         state: &impl ReplicatedState,
         now: Millis,
-    ) -> Option<Follow> {
+    ) -> Option<ReplicationPart> {
         if self.in_flight.is_some() || now < self.retry_at {
             return None;
         }
@@ -229,27 +229,27 @@
         self.in_flight = Some((self.stream, self.part));
         self.sent_at = now;
         self.unacknowledged_since.get_or_insert(now);
-        Some(Follow {
+        Some(ReplicationPart {
             term,
             stream: self.stream,
             part: self.part,
-            whole,
-            named,
+            complete: whole,
+            counted: named,
             machines,
         })
     }
 
     /// An empty beginning, only to see whether it is understood.
-    fn probe(&mut self, term: u64, now: Millis) -> Follow {
+    fn probe(&mut self, term: u64, now: Millis) -> ReplicationPart {
         self.stream += 1;
         self.in_flight = Some((self.stream, 0));
         self.sent_at = now;
-        Follow {
+        ReplicationPart {
             term,
             stream: self.stream,
             part: 0,
-            whole: false,
-            named: false,
+            complete: false,
+            counted: false,
             machines: Vec::new(),
         }
     }
@@ -319,7 +319,7 @@
 }
 
 /// What it takes in a frame at most.
-fn size(m: &MachineHolds) -> usize {
+fn size(m: &MachineTasks) -> usize {
     let jobs = m.jobs.iter();
     let jobs: usize = jobs
         .map(|(id, tasks)| id.len() + 8 + 26 * tasks.len())
--- a/src/server/heartbeats.rs
+++ b/src/server/heartbeats.rs
@@ -50,7 +50,7 @@
                 .borrow_mut()
                 .redirect_target(self.leader_peer(), now),
         };
-        log::debug!("report of {}: {target:?}", report.machine);
+        log::debug!("heartbeat of {}: {target:?}", report.machine);
         let RedirectTarget::Leader(leader) = target else {
             return self.redirect(target);
         };
--- a/src/server/leadership/renew.rs
+++ b/src/server/leadership/renew.rs
@@ -208,7 +208,7 @@
         if machines.is_empty() {
             return false;
         }
-        let request = Request::Unheard {
+        let request = Request::RelayHeartbeats {
             machines,
             for_ms: HEARTBEAT_RELAY_MS,
         };
--- a/src/server/market.rs
+++ b/src/server/market.rs
@@ -3,7 +3,7 @@
 use super::Node;
 use crate::{
     protocol::{
-        market::{MOST_LENDABLE, Marked},
+        market::{MAX_OFFLOAD_CANDIDATES, OffloadMark},
         peers::Reply,
     },
     state::offload::OffloadTarget,
@@ -18,8 +18,8 @@
 impl Node {
     pub(super) fn lendable(&self, lent: &[(String, u64)]) -> Reply {
         self.acting(|l, _| {
-            l.loaded().then(|| Reply::Lendable {
-                jobs: l.lendable(MOST_LENDABLE),
+            l.loaded().then(|| Reply::OffloadCandidates {
+                jobs: l.lendable(MAX_OFFLOAD_CANDIDATES),
                 recall: l.not_needed(lent),
             })
         })
@@ -46,12 +46,12 @@
                     return None;
                 }
                 let marked = l.lend(id, lent.clone(), version);
-                Some((marked, marked != Marked::NotYet))
+                Some((marked, marked != OffloadMark::NotYet))
             })
             .flatten()
         };
         let marked = self.decided(ask).await;
-        marked.map_or(Reply::NotLeader, Reply::Lent)
+        marked.map_or(Reply::NotLeader, Reply::OffloadMark)
     }
 
     pub(super) async fn take_back(&self, id: &str, award: u64, done: &[(u32, u32)]) -> Reply {
@@ -66,6 +66,6 @@
             .flatten()
         };
         let taken = self.decided(ask).await;
-        taken.map_or(Reply::NotLeader, Reply::TakenBack)
+        taken.map_or(Reply::NotLeader, Reply::OffloadEnded)
     }
 }
--- a/src/server/peers.rs
+++ b/src/server/peers.rs
@@ -85,7 +85,7 @@
         self.failure_detector
             .borrow_mut()
             .request_ended(peer, how, self.now());
-        if let Ok(Reply::Greeted { leader }) = &answer {
+        if let Ok(Reply::LeaderHint { leader }) = &answer {
             let leader = leader.clone();
             self.election
                 .borrow_mut()
@@ -96,7 +96,7 @@
 
     pub(super) async fn peer(self: Rc<Self>, request: Request) -> Reply {
         match request {
-            Request::Unheard { machines, for_ms } => {
+            Request::RelayHeartbeats { machines, for_ms } => {
                 let now = self.now();
                 self.heartbeats
                     .relays
@@ -104,7 +104,7 @@
                     .relay_requested(&machines, for_ms, now);
                 let election = self.election.borrow();
                 let leader = election.leader(now).map(|(n, t)| (n.to_owned(), t));
-                Reply::Greeted { leader }
+                Reply::LeaderHint { leader }
             }
             Request::Forward { path, body, .. } if path == HEARTBEAT_PATH => {
                 let answer = serde_json::from_slice(&body)
@@ -129,7 +129,7 @@
                     None => Reply::NotLeader,
                 }
             }
-            Request::Follow(part) => self.receive_replication_part(part),
+            Request::Replicate(part) => self.receive_replication_part(part),
             Request::Polls { ids } => self.answer_polls(&ids),
             Request::Promise { term, for_ms, .. } => self.promise(term, for_ms).await,
             Request::Status => Reply::Status(Box::new(self.status().await)),
@@ -137,8 +137,8 @@
             Request::Explain { id, forwarded } => {
                 Reply::Explained(self.explain(&id, !forwarded).await)
             }
-            Request::Lendable { lent } => self.lendable(&lent),
-            Request::Lend {
+            Request::OffloadCandidates { lent } => self.lendable(&lent),
+            Request::Offload {
                 id,
                 award,
                 market,
@@ -147,7 +147,7 @@
                 self.lend(&id, OffloadTarget { award, market }, version)
                     .await
             }
-            Request::TakeBack { id, award, done } => self.take_back(&id, award, &done).await,
+            Request::EndOffload { id, award, done } => self.take_back(&id, award, &done).await,
             Request::Resigned { term } => {
                 self.election.borrow_mut().peer_resigned(term);
                 Reply::Ok
--- a/src/server/standby.rs
+++ b/src/server/standby.rs
@@ -11,7 +11,7 @@
         standby::{RegistryWriteOutcome, replica::ReplicaReceiver},
     },
     protocol::{
-        peers::{Follow, Reply, Request},
+        peers::{ReplicationPart, Reply, Request},
         state::Txn,
     },
     state::records::{LEADER, STANDBYS, StandbyRecord},
@@ -55,14 +55,17 @@
     }
 
     /// Sends a part, and what is to follow it.
-    async fn send_replication_part(self: Rc<Self>, term: u64, peer: usize, part: Follow) {
+    async fn send_replication_part(self: Rc<Self>, term: u64, peer: usize, part: ReplicationPart) {
         let mut next = Some(part);
         while let Some(part) = next.take() {
             let reply = self
-                .ask(peer, &Request::Follow(part), REPLICATE_TIMEOUT)
+                .ask(peer, &Request::Replicate(part), REPLICATE_TIMEOUT)
                 .await;
             let answer = match reply {
-                Ok(Reply::Followed { incarnation, taken }) => Some((incarnation, taken)),
+                Ok(Reply::Replicated {
+                    incarnation,
+                    applied: taken,
+                }) => Some((incarnation, taken)),
                 _ => None,
             };
             let went_on = self.of_term(term, |l, now| {
@@ -74,7 +77,7 @@
     }
 
     /// What a leader tells this node, as its standby.
-    pub(super) fn receive_replication_part(&self, part: Follow) -> Reply {
+    pub(super) fn receive_replication_part(&self, part: ReplicationPart) -> Reply {
         if self.election.borrow().leadership().is_some() {
             return Reply::NotLeader;
         }
@@ -84,7 +87,10 @@
             .replica_receiver
             .borrow_mut()
             .apply_part(part, self.now());
-        Reply::Followed { incarnation, taken }
+        Reply::Replicated {
+            incarnation,
+            applied: taken,
+        }
     }
 
     pub(super) async fn read_standby_record(
--- a/src/server/status.rs
+++ b/src/server/status.rs
@@ -6,7 +6,7 @@
     control::requests::Found,
     protocol::{
         peers::{Reply, Request},
-        status::{Explanation, Picture, Status},
+        status::{ClusterStatus, Explanation, Status},
     },
     state::Millis,
 };
@@ -17,7 +17,7 @@
 const FRESH: Millis = 500;
 
 /// The cluster state last put together or fetched, and when.
-pub(super) type LastClusterStatus = Option<(Millis, Picture)>;
+pub(super) type LastClusterStatus = Option<(Millis, ClusterStatus)>;
 
 impl Node {
     pub(super) async fn status(&self) -> Status {
@@ -35,7 +35,7 @@
             }
         } else if let Some(leader) = self.leader_peer()
             && let Ok(Reply::Status(answer)) = self.ask(leader, &Request::LeaderStatus, ASK).await
-            && let Some(picture) = answer.picture
+            && let Some(picture) = answer.cluster
         {
             let age = (answer.age_s.max(0.0) * 1000.0) as Millis;
             *self.last_cluster_status.borrow_mut() = Some((now.saturating_sub(age), picture));
@@ -56,7 +56,7 @@
             age_s: last
                 .as_ref()
                 .map_or(0.0, |(at, _)| now.saturating_sub(*at) as f64 / 1000.0),
-            picture: last.as_ref().map(|(_, p)| p.clone()),
+            cluster: last.as_ref().map(|(_, p)| p.clone()),
             versions: self.versions(),
             upgraded: self.upgrade.is_complete(),
             stopped: self.leadership.last_step_down.get().map(|(at, why)| {
--- a/src/state/cluster/job.rs
+++ b/src/state/cluster/job.rs
@@ -9,7 +9,7 @@
 use crate::{
     protocol::{
         state::Condition,
-        status::Reason,
+        status::PendingReason,
         users::{JobSpec, JobState, JobStatus, Kind, Priority},
     },
     state::{
@@ -121,9 +121,9 @@
     /// Unlike its index, never used for another job of this leader.
     pub generation: u64,
     /// Why waiting tasks don't run, as the scheduler last decided.
-    pub reason: Reason,
+    pub reason: PendingReason,
     /// The same by scale-out: machines requested, or none to be had.
-    pub supply_reason: Option<Reason>,
+    pub supply_reason: Option<PendingReason>,
     /// Whether it runs here or in another cluster.
     pub offload: OffloadState,
     /// Chunks that hold its spec, if its record does not.
@@ -176,7 +176,7 @@
             failures: JobFailures::default(),
             has_run: false,
             generation,
-            reason: Reason::New,
+            reason: PendingReason::New,
             supply_reason: None,
             offload: OffloadState::Local,
             spec_chunks: None,
--- a/src/state/cluster/replication.rs
+++ b/src/state/cluster/replication.rs
@@ -5,7 +5,7 @@
 
 use super::{ClusterState, Phase};
 use crate::protocol::{
-    peers::{MachineHolds, MayRun, Seen},
+    peers::{MachineTasks, ReplicatedPhase, ReplicatedTask},
     workers::ExitReason,
 };
 use std::collections::BTreeSet;
@@ -18,16 +18,16 @@
     }
 
     /// What a standby receives of a machine: its tasks, grouped by job.
-    pub fn tasks_on(&self, name: &str) -> MachineHolds {
+    pub fn tasks_on(&self, name: &str) -> MachineTasks {
         let machine = self.machine_index(name).and_then(|ix| self.machine(ix));
-        let mut jobs: Vec<(String, Vec<MayRun>)> = Vec::new();
+        let mut jobs: Vec<(String, Vec<ReplicatedTask>)> = Vec::new();
         let mut job_indices: Vec<u32> = Vec::new();
         for assignment in machine.map_or(&[][..], |m| &m.tasks) {
             let seen = match assignment.phase {
-                Phase::Running => Seen::Running,
-                Phase::Ended(ExitReason::Done) => Seen::Done,
+                Phase::Running => ReplicatedPhase::Running,
+                Phase::Ended(ExitReason::Done) => ReplicatedPhase::Done,
                 Phase::Ended(_) => continue,
-                _ => Seen::Sent,
+                _ => ReplicatedPhase::Sent,
             };
             let Some(job) = self.job(assignment.job) else {
                 continue;
@@ -38,14 +38,14 @@
                 jobs.push((job.id.clone(), Vec::new()));
                 jobs.len() - 1
             });
-            jobs[at].1.push(MayRun(
+            jobs[at].1.push(ReplicatedTask(
                 assignment.task,
                 assignment.attempt,
                 assignment.change_number,
                 seen,
             ));
         }
-        MachineHolds {
+        MachineTasks {
             machine: name.to_owned(),
             jobs,
         }
--- a/tests/compatibility/operators.rs
+++ b/tests/compatibility/operators.rs
@@ -11,8 +11,8 @@
             StateLimits, Team, Workers,
         },
         status::{
-            Due, Explained, Explanation, Failure, Fleet, Group, MOST_ROWS, Picture, Reason,
-            StandbyStatus, Status, TeamUse, Trouble,
+            ClusterStatus, Due, Explanation, JobExplanation, JobGroup, MOST_ROWS, MachineGroup,
+            MachineProblem, PendingReason, StandbyStatus, Status, TaskFailure, TeamUsage,
         },
         users::{JobState, JobStatus},
         workers::ExitReason,
@@ -646,23 +646,23 @@
 #[test]
 fn reasons_are_named_as_they_were() {
     let reasons = [
-        (Reason::New, "new"),
-        (Reason::TeamLimit, "team_limit"),
-        (Reason::NoRoom, "no_room"),
-        (Reason::MachineBooting, "machine_booting"),
-        (Reason::CloudRefuses, "cloud_refuses"),
-        (Reason::GangIncomplete, "gang_incomplete"),
-        (Reason::RoomBeingMade, "room_being_made"),
-        (Reason::OldAttempt, "old_attempt"),
-        (Reason::Settling, "settling"),
-        (Reason::FailsEverywhere, "fails_everywhere"),
-        (Reason::Lent, "lent"),
-        (Reason::NeedsOthers, "needs_others"),
+        (PendingReason::New, "new"),
+        (PendingReason::TeamLimit, "team_limit"),
+        (PendingReason::NoRoom, "no_room"),
+        (PendingReason::MachineBooting, "machine_booting"),
+        (PendingReason::CloudRefuses, "cloud_refuses"),
+        (PendingReason::GangIncomplete, "gang_incomplete"),
+        (PendingReason::RoomBeingMade, "room_being_made"),
+        (PendingReason::OldAttempt, "old_attempt"),
+        (PendingReason::Settling, "settling"),
+        (PendingReason::FailsEverywhere, "fails_everywhere"),
+        (PendingReason::Lent, "lent"),
+        (PendingReason::NeedsOthers, "needs_others"),
     ];
     for (reason, name) in reasons {
         assert_eq!(serde_json::to_value(reason).unwrap(), name);
         assert_eq!(
-            serde_json::from_value::<Reason>(json!(name)).unwrap(),
+            serde_json::from_value::<PendingReason>(json!(name)).unwrap(),
             reason
         );
     }
@@ -680,23 +680,23 @@
     }
 }
 
-fn full_picture() -> Picture {
-    Picture {
+fn full_picture() -> ClusterStatus {
+    ClusterStatus {
         term: 41,
         since_s: 1.5,
         settled: true,
         jobs: 2,
-        groups: vec![Group {
+        groups: vec![JobGroup {
             class: "train".into(),
             team: "vision".into(),
             waiting: 3,
             running: 4,
             oldest_wait_s: 5.5,
-            reasons: vec![(Reason::NoRoom, 6), (Reason::Lent, 7)],
+            reasons: vec![(PendingReason::NoRoom, 6), (PendingReason::Lent, 7)],
             late_jobs: 8,
             at_risk_jobs: 9,
         }],
-        teams: vec![TeamUse {
+        teams: vec![TeamUsage {
             name: "graphics".into(),
             cpus: 10.5,
             gpus: 11.5,
@@ -705,7 +705,7 @@
             cpus_max: 14.5,
             gpus_max: 15.5,
         }],
-        fleet: vec![Fleet {
+        fleet: vec![MachineGroup {
             type_name: "g8".into(),
             zone: "north".into(),
             spot: true,
@@ -714,11 +714,11 @@
             leaving: 18,
             load: 0.19,
         }],
-        troubles: vec![Trouble {
+        troubles: vec![MachineProblem {
             machine: "i-0001".into(),
             why: "silent".into(),
         }],
-        failures: vec![Failure {
+        failures: vec![TaskFailure {
             task: "j-000412/3".into(),
             machine: "i-0002".into(),
             why: "crashed".into(),
@@ -744,7 +744,7 @@
         node: "winch-3".into(),
         leader: Some("winch-1".into()),
         age_s: 24.5,
-        picture: Some(full_picture()),
+        cluster: Some(full_picture()),
         versions: vec![
             ("winch-1".into(), Some("0.1.0".into())),
             ("winch-2".into(), None),
@@ -759,7 +759,7 @@
     is_pinned(ANSWERS, "status/full", &full_status());
     is_pinned(ANSWERS, "status/minimal", &Status::default());
     let bare = Status {
-        picture: Some(Picture::default()),
+        cluster: Some(ClusterStatus::default()),
         ..Status::default()
     };
     is_pinned(ANSWERS, "status/bare", &bare);
@@ -768,8 +768,8 @@
     assert_eq!(MOST_ROWS, 100);
 }
 
-fn full_explained() -> Explained {
-    Explained {
+fn full_explained() -> JobExplanation {
+    JobExplanation {
         id: "j-000412".into(),
         class: "train".into(),
         team: "vision".into(),
@@ -779,7 +779,7 @@
         running: 3,
         waiting: 4,
         age_s: 5.5,
-        reason: Some(Reason::TeamLimit),
+        reason: Some(PendingReason::TeamLimit),
         verdict: Some("suspected".into()),
         due: Some(Due::AtRisk),
         deadline_s: Some(6.5),
@@ -790,8 +790,8 @@
     }
 }
 
-fn minimal_explained() -> Explained {
-    Explained {
+fn minimal_explained() -> JobExplanation {
+    JobExplanation {
         reason: None,
         verdict: None,
         due: None,
--- a/tests/compatibility/wire.rs
+++ b/tests/compatibility/wire.rs
@@ -7,12 +7,15 @@
         ListedMachine, ListedState, MAX_MACHINES_PER_REQUEST, MachineList, MachineNames,
         MachineRequest, MachineType, MachineTypes,
     },
-    market::{AWARDS, Lendable, MOST_LENDABLE, Marked, PREFIX},
-    peers::{Follow, Frame, MAX_FRAME, MachineHolds, MayRun, Reply, Request, Seen, VERSION},
+    market::{AWARDS, MAX_OFFLOAD_CANDIDATES, OffloadCandidate, OffloadMark, PREFIX},
+    peers::{
+        Frame, MAX_FRAME, MachineTasks, ReplicatedPhase, ReplicatedTask, ReplicationPart, Reply,
+        Request, VERSION,
+    },
     state::{Condition, Event, Item, LeaseGranted, Page, Revision, Txn, Watched, Write},
     status::{
-        Due, Explained, Explanation, Failure, Fleet, Group, MOST_ROWS, Picture, Reason,
-        StandbyStatus, Status, TeamUse, Trouble,
+        ClusterStatus, Due, Explanation, JobExplanation, JobGroup, MOST_ROWS, MachineGroup,
+        MachineProblem, PendingReason, StandbyStatus, Status, TaskFailure, TeamUsage,
     },
     users::{JobSpec, JobState, JobStatus, Kind, MAX_TASKS, Priority},
     workers::{
@@ -210,7 +213,7 @@
     assert_eq!(MAX_FRAME, 98_304);
     assert_eq!(PREFIX, "market/");
     assert_eq!(AWARDS, "market/award/");
-    assert_eq!(MOST_LENDABLE, 100);
+    assert_eq!(MAX_OFFLOAD_CANDIDATES, 100);
     assert_eq!(MAX_TASKS, 100_000);
     assert_eq!(MAX_MACHINES_PER_REQUEST, 50);
     assert_eq!(MOST_ROWS, 100);
@@ -732,29 +735,29 @@
     pins.end();
 }
 
-fn follow(machines: Vec<MachineHolds>) -> Follow {
-    Follow {
+fn follow(machines: Vec<MachineTasks>) -> ReplicationPart {
+    ReplicationPart {
         term: 71,
         stream: 72,
         part: 73,
-        whole: true,
-        named: false,
+        complete: true,
+        counted: false,
         machines,
     }
 }
 
-fn holds() -> Vec<MachineHolds> {
+fn holds() -> Vec<MachineTasks> {
     let runs = vec![
-        MayRun(3, 4, 5, Seen::Sent),
-        MayRun(6, 7, 8, Seen::Running),
-        MayRun(99_999, u64::MAX, 9, Seen::Done),
+        ReplicatedTask(3, 4, 5, ReplicatedPhase::Sent),
+        ReplicatedTask(6, 7, 8, ReplicatedPhase::Running),
+        ReplicatedTask(99_999, u64::MAX, 9, ReplicatedPhase::Done),
     ];
     vec![
-        MachineHolds {
+        MachineTasks {
             machine: "i-000231".into(),
             jobs: vec![("j-000412".into(), runs), ("j-000413".into(), Vec::new())],
         },
-        MachineHolds {
+        MachineTasks {
             machine: "i-000232".into(),
             jobs: Vec::new(),
         },
@@ -790,14 +793,17 @@
         ),
         (
             "request.unheard",
-            Request::Unheard {
+            Request::RelayHeartbeats {
                 machines: strings(&["i-000231", "i-000232"]),
                 for_ms: 1300,
             },
         ),
         ("request.greeting", Request::greeting()),
-        ("request.follow", Request::Follow(follow(holds()))),
-        ("request.follow_empty", Request::Follow(follow(Vec::new()))),
+        ("request.follow", Request::Replicate(follow(holds()))),
+        (
+            "request.follow_empty",
+            Request::Replicate(follow(Vec::new())),
+        ),
         ("request.resigned", Request::Resigned { term: 14 }),
         ("request.status", Request::Status),
         ("request.leader_status", Request::LeaderStatus),
@@ -808,14 +814,14 @@
                 forwarded: true,
             },
         ),
-        ("request.lendable", Request::Lendable { lent }),
+        ("request.lendable", Request::OffloadCandidates { lent }),
         (
             "request.lendable_empty",
-            Request::Lendable { lent: Vec::new() },
+            Request::OffloadCandidates { lent: Vec::new() },
         ),
         (
             "request.lend",
-            Request::Lend {
+            Request::Offload {
                 id: "j-000412".into(),
                 award: 21,
                 market: "north".into(),
@@ -824,7 +830,7 @@
         ),
         (
             "request.take_back",
-            Request::TakeBack {
+            Request::EndOffload {
                 id: "j-000412".into(),
                 award: 23,
                 done: vec![(0, 3), (5, 5)],
@@ -838,16 +844,23 @@
 
 #[test]
 fn what_a_standby_is_told_reads_no_other_state_of_a_task() {
-    for (n, seen) in [(0, Seen::Sent), (1, Seen::Running), (2, Seen::Done)] {
+    for (n, seen) in [
+        (0, ReplicatedPhase::Sent),
+        (1, ReplicatedPhase::Running),
+        (2, ReplicatedPhase::Done),
+    ] {
         assert_eq!(u8::from(seen), n);
-        assert_eq!(Seen::try_from(n), Ok(seen));
+        assert_eq!(ReplicatedPhase::try_from(n), Ok(seen));
     }
-    assert_eq!(Seen::try_from(3), Err("no such state of a task: 3".into()));
+    assert_eq!(
+        ReplicatedPhase::try_from(3),
+        Err("no such state of a task: 3".into())
+    );
 }
 
-fn lendable() -> Vec<Lendable> {
+fn lendable() -> Vec<OffloadCandidate> {
     vec![
-        Lendable {
+        OffloadCandidate {
             spec: full_spec(),
             done: vec![(0, 3), (7, 7)],
             waited_ms: 31,
@@ -856,7 +869,7 @@
             rent: 34,
             kept: true,
         },
-        Lendable {
+        OffloadCandidate {
             spec: minimal_spec(),
             done: Vec::new(),
             waited_ms: 35,
@@ -868,28 +881,28 @@
     ]
 }
 
-const REASONS: [Reason; 12] = [
-    Reason::New,
-    Reason::TeamLimit,
-    Reason::NoRoom,
-    Reason::MachineBooting,
-    Reason::CloudRefuses,
-    Reason::GangIncomplete,
-    Reason::RoomBeingMade,
-    Reason::OldAttempt,
-    Reason::Settling,
-    Reason::FailsEverywhere,
-    Reason::Lent,
-    Reason::NeedsOthers,
+const REASONS: [PendingReason; 12] = [
+    PendingReason::New,
+    PendingReason::TeamLimit,
+    PendingReason::NoRoom,
+    PendingReason::MachineBooting,
+    PendingReason::CloudRefuses,
+    PendingReason::GangIncomplete,
+    PendingReason::RoomBeingMade,
+    PendingReason::OldAttempt,
+    PendingReason::Settling,
+    PendingReason::FailsEverywhere,
+    PendingReason::Lent,
+    PendingReason::NeedsOthers,
 ];
 
-fn picture() -> Picture {
-    Picture {
+fn picture() -> ClusterStatus {
+    ClusterStatus {
         term: 51,
         since_s: 52.5,
         settled: true,
         jobs: 53,
-        groups: vec![Group {
+        groups: vec![JobGroup {
             class: "train".into(),
             team: "vision".into(),
             waiting: 54,
@@ -899,7 +912,7 @@
             late_jobs: 57,
             at_risk_jobs: 58,
         }],
-        teams: vec![TeamUse {
+        teams: vec![TeamUsage {
             name: "speech".into(),
             cpus: 1.5,
             gpus: 2.5,
@@ -908,7 +921,7 @@
             cpus_max: 5.5,
             gpus_max: 6.5,
         }],
-        fleet: vec![Fleet {
+        fleet: vec![MachineGroup {
             type_name: "g8".into(),
             zone: "a".into(),
             spot: true,
@@ -917,11 +930,11 @@
             leaving: 63,
             load: 0.75,
         }],
-        troubles: vec![Trouble {
+        troubles: vec![MachineProblem {
             machine: "i-000231".into(),
             why: "silent".into(),
         }],
-        failures: vec![Failure {
+        failures: vec![TaskFailure {
             task: "j-000412/3".into(),
             machine: "i-000232".into(),
             why: "error".into(),
@@ -939,12 +952,12 @@
     }
 }
 
-fn status(picture: Option<Picture>) -> Status {
+fn status(picture: Option<ClusterStatus>) -> Status {
     Status {
         node: "winchpost-1".into(),
         leader: Some("winchpost-2".into()),
         age_s: 41.5,
-        picture,
+        cluster: picture,
         versions: vec![
             ("winchpost-1".into(), Some("0.1.0".into())),
             ("winchpost-2".into(), None),
@@ -954,8 +967,8 @@
     }
 }
 
-fn explained(due: Due) -> Explained {
-    Explained {
+fn explained(due: Due) -> JobExplanation {
+    JobExplanation {
         id: "j-000412".into(),
         class: "train".into(),
         team: "vision".into(),
@@ -965,7 +978,7 @@
         running: 83,
         waiting: 84,
         age_s: 85.5,
-        reason: Some(Reason::TeamLimit),
+        reason: Some(PendingReason::TeamLimit),
         verdict: Some("held back".into()),
         due: Some(due),
         deadline_s: Some(86.5),
@@ -976,8 +989,8 @@
     }
 }
 
-fn explained_bare() -> Explained {
-    Explained {
+fn explained_bare() -> JobExplanation {
+    JobExplanation {
         reason: None,
         verdict: None,
         due: None,
@@ -990,7 +1003,7 @@
     }
 }
 
-fn job(explained: Explained) -> Reply {
+fn job(explained: JobExplanation) -> Reply {
     Reply::Explained(Explanation::Job(Box::new(explained)))
 }
 
@@ -1037,9 +1050,9 @@
         ("reply.polled_empty", Reply::Polled(Vec::new())),
         (
             "reply.followed",
-            Reply::Followed {
+            Reply::Replicated {
                 incarnation: u64::MAX,
-                taken: true,
+                applied: true,
             },
         ),
         ("reply.not_leader", Reply::NotLeader),
@@ -1048,11 +1061,11 @@
         ("reply.ok", Reply::Ok),
         (
             "reply.greeted",
-            Reply::Greeted {
+            Reply::LeaderHint {
                 leader: Some(("winchpost-2".into(), 15)),
             },
         ),
-        ("reply.greeted_none", Reply::Greeted { leader: None }),
+        ("reply.greeted_none", Reply::LeaderHint { leader: None }),
         (
             "reply.status",
             Reply::Status(Box::new(status(Some(picture())))),
@@ -1073,23 +1086,26 @@
         ),
         (
             "reply.lendable",
-            Reply::Lendable {
+            Reply::OffloadCandidates {
                 jobs: lendable(),
                 recall: strings(&["j-000414", "j-000415"]),
             },
         ),
         (
             "reply.lendable_empty",
-            Reply::Lendable {
+            Reply::OffloadCandidates {
                 jobs: Vec::new(),
                 recall: Vec::new(),
             },
         ),
-        ("reply.lent_yes", Reply::Lent(Marked::Yes)),
-        ("reply.lent_no", Reply::Lent(Marked::No)),
-        ("reply.lent_not_yet", Reply::Lent(Marked::NotYet)),
-        ("reply.taken_back", Reply::TakenBack(true)),
-        ("reply.not_taken_back", Reply::TakenBack(false)),
+        ("reply.lent_yes", Reply::OffloadMark(OffloadMark::Yes)),
+        ("reply.lent_no", Reply::OffloadMark(OffloadMark::No)),
+        (
+            "reply.lent_not_yet",
+            Reply::OffloadMark(OffloadMark::NotYet),
+        ),
+        ("reply.taken_back", Reply::OffloadEnded(true)),
+        ("reply.not_taken_back", Reply::OffloadEnded(false)),
     ] {
         pins.frame(name, reply);
     }
@@ -1101,7 +1117,7 @@
     let mut pins = Pins::of(FRAMES, "reply.");
     pins.frame_without("reply.promise", &["running_ms"], promise(true, false, None));
     let old = Status {
-        picture: Some(Picture {
+        cluster: Some(ClusterStatus {
             lent: Vec::new(),
             standbys: Vec::new(),
             took_over: String::new(),
@@ -1124,7 +1140,7 @@
         ],
         Reply::Status(Box::new(old)),
     );
-    let old = Explained {
+    let old = JobExplanation {
         verdict: None,
         left_s: None,
         needs: Vec::new(),
--- a/tests/dependencies.rs
+++ b/tests/dependencies.rs
@@ -220,7 +220,7 @@
 /// its first job has no deadline.
 #[test]
 fn status_reports_late_dependents_at_first_job() {
-    use pathwinch::protocol::status::{Due, Reason};
+    use pathwinch::protocol::status::{Due, PendingReason};
     let mut w = Simulation::with_leader(9, 1, 0.0);
     w.run_ms = 40_000;
     w.submit(job(1, Kind::Array, 2));
@@ -238,7 +238,7 @@
     // Ten seconds each are left for the two after it.
     assert!(first.left_s.is_some_and(|s| (3.0..5.0).contains(&s)));
     let second = explain(&mut w, 2);
-    assert_eq!(second.reason, Some(Reason::NeedsOthers));
+    assert_eq!(second.reason, Some(PendingReason::NeedsOthers));
     assert_eq!(
         (second.needs_all, second.needs[0].0.as_str()),
         (1, "j-000001")
--- a/tests/failover.rs
+++ b/tests/failover.rs
@@ -16,7 +16,7 @@
         replica::{Replica, ReplicaReceiver},
     },
     protocol::{
-        peers::{Follow, MachineHolds, MayRun, Seen},
+        peers::{MachineTasks, ReplicatedPhase, ReplicatedTask, ReplicationPart},
         state::{Txn, Write},
     },
     state::{
@@ -60,13 +60,13 @@
     fn sent(&self) -> u64 {
         self.sent
     }
-    fn tasks_on(&self, machine: &str) -> MachineHolds {
+    fn tasks_on(&self, machine: &str) -> MachineTasks {
         let held = |(task, (attempt, change, _)): (&u32, &(u64, u64, bool))| {
-            MayRun(*task, *attempt, *change, Seen::Sent)
+            ReplicatedTask(*task, *attempt, *change, ReplicatedPhase::Sent)
         };
-        let tasks: Vec<MayRun> = self.tasks.iter().map(held).collect();
+        let tasks: Vec<ReplicatedTask> = self.tasks.iter().map(held).collect();
         let jobs = (!tasks.is_empty()).then(|| (JOB.to_owned(), tasks));
-        MachineHolds {
+        MachineTasks {
             machine: machine.to_owned(),
             jobs: jobs.into_iter().collect(),
         }
@@ -333,7 +333,7 @@
         };
         if failover_checks::check_failover(&claim).is_ok() {
             let copy = l.copy.take().unwrap_or_default();
-            for (_, _, MayRun(task, attempt, ..)) in copy.latest_first() {
+            for (_, _, ReplicatedTask(task, attempt, ..)) in copy.latest_first() {
                 l.picture.put(task, attempt, true);
             }
             l.complete = true;
@@ -492,7 +492,7 @@
 }
 
 impl LeaderReplied {
-    fn of(f: Follow) -> LeaderReplied {
+    fn of(f: ReplicationPart) -> LeaderReplied {
         let holds = f.machines.first().map(|m| {
             let tasks = m.jobs.iter().flat_map(|(_, tasks)| tasks);
             tasks.map(|t| (t.0, t.1, t.2)).collect()
@@ -500,29 +500,29 @@
         LeaderReplied {
             term: f.term,
             id: (f.stream, f.part),
-            whole: f.whole,
+            whole: f.complete,
             holds,
         }
     }
 
-    fn part(self) -> Follow {
+    fn part(self) -> ReplicationPart {
         let machines = self.holds.map(|tasks| {
-            let tasks: Vec<MayRun> = tasks
+            let tasks: Vec<ReplicatedTask> = tasks
                 .into_iter()
-                .map(|(t, a, c)| MayRun(t, a, c, Seen::Sent))
+                .map(|(t, a, c)| ReplicatedTask(t, a, c, ReplicatedPhase::Sent))
                 .collect();
             let jobs = (!tasks.is_empty()).then(|| (JOB.to_owned(), tasks));
-            MachineHolds {
+            MachineTasks {
                 machine: MACHINE.to_owned(),
                 jobs: jobs.into_iter().collect(),
             }
         });
-        Follow {
+        ReplicationPart {
             term: self.term,
             stream: self.id.0,
             part: self.id.1,
-            whole: self.whole,
-            named: true,
+            complete: self.whole,
+            counted: true,
             machines: machines.into_iter().collect(),
         }
     }
--- a/tests/input.rs
+++ b/tests/input.rs
@@ -231,30 +231,30 @@
 fn largest_status_fits_one_frame() {
     let name = "n".repeat(60);
     let rows = || std::iter::repeat_n((), status::MOST_ROWS);
-    let picture = status::Picture {
+    let picture = status::ClusterStatus {
         groups: rows()
-            .map(|_| status::Group {
+            .map(|_| status::JobGroup {
                 class: name.clone(),
                 team: name.clone(),
-                reasons: vec![(status::Reason::CloudRefuses, u32::MAX); 10],
+                reasons: vec![(status::PendingReason::CloudRefuses, u32::MAX); 10],
                 ..Default::default()
             })
             .collect(),
         teams: rows()
-            .map(|_| status::TeamUse {
+            .map(|_| status::TeamUsage {
                 name: name.clone(),
                 ..Default::default()
             })
             .collect(),
         fleet: rows()
-            .map(|_| status::Fleet {
+            .map(|_| status::MachineGroup {
                 type_name: name.clone(),
                 zone: name.clone(),
                 ..Default::default()
             })
             .collect(),
         troubles: rows()
-            .map(|_| status::Trouble {
+            .map(|_| status::MachineProblem {
                 machine: name.clone(),
                 why: name.clone(),
             })
@@ -262,7 +262,7 @@
         ..Default::default()
     };
     let status = status::Status {
-        picture: Some(picture),
+        cluster: Some(picture),
         ..Default::default()
     };
     frames::encode(Reply::Status(Box::new(status))).unwrap();
--- a/tests/offload.rs
+++ b/tests/offload.rs
@@ -6,8 +6,8 @@
 use pathwinch::{
     control::leader::Leader,
     protocol::{
-        market::Marked,
-        status::Reason,
+        market::OffloadMark,
+        status::PendingReason,
         users::{JobState, Kind},
     },
     state::{offload::OffloadTarget, records::award_key},
@@ -53,15 +53,15 @@
     }
 }
 
-fn offload(w: &mut Simulation, award: u64, version: u64) -> Marked {
+fn offload(w: &mut Simulation, award: u64, version: u64) -> OffloadMark {
     for _ in 0..100 {
         let marked = leader(w).lend(ID, lent(award), version);
-        if marked != Marked::NotYet {
+        if marked != OffloadMark::NotYet {
             return marked;
         }
         w.run(50);
     }
-    Marked::NotYet
+    OffloadMark::NotYet
 }
 
 fn take_back(w: &mut Simulation, award: u64, done: &[(u32, u32)]) {
@@ -80,15 +80,19 @@
 fn offloaded_job_never_starts_locally_after_failover() {
     let mut w = waiting();
     let version = record(&mut w, false);
-    assert_eq!(offload(&mut w, 7, version), Marked::Yes);
-    assert_eq!(offload(&mut w, 7, version), Marked::Yes, "to be repeated");
+    assert_eq!(offload(&mut w, 7, version), OffloadMark::Yes);
+    assert_eq!(
+        offload(&mut w, 7, version),
+        OffloadMark::Yes,
+        "to be repeated"
+    );
     assert_eq!(
         offload(&mut w, 8, version),
-        Marked::No,
+        OffloadMark::No,
         "one award at a time"
     );
     let told = leader(&mut w).explain(ID, 0).unwrap();
-    assert_eq!(told.reason, Some(Reason::Lent));
+    assert_eq!(told.reason, Some(PendingReason::Lent));
     assert!(told.verdict.unwrap().contains("north"));
     let now = w.now;
     assert_eq!(leader(&mut w).picture(now).lent, [("north".to_owned(), 1)]);
@@ -113,7 +117,7 @@
 fn offloaded_job_returned_done_is_final() {
     let mut w = waiting();
     let version = record(&mut w, false);
-    assert_eq!(offload(&mut w, 7, version), Marked::Yes);
+    assert_eq!(offload(&mut w, 7, version), OffloadMark::Yes);
     take_back(&mut w, 7, &[(0, 3)]);
     w.run_until(5_000, "done", |w| w.poll(0, ID) == Some(JobState::Done));
     take_back(&mut w, 7, &[]);
@@ -127,7 +131,7 @@
     let mut w = waiting();
     let version = record(&mut w, false);
     record(&mut w, true);
-    assert_eq!(offload(&mut w, 7, version), Marked::No);
+    assert_eq!(offload(&mut w, 7, version), OffloadMark::No);
     free_capacity(&mut w);
     w.run_until(30_000, "it runs here", |w| w.running(ID) > 0);
 }
@@ -150,7 +154,7 @@
             w.run_until(40_000, "it runs here", |w| w.running(ID) > 0);
             assert!(leader(&mut w).take_back(ID, 7, &[]));
         } else {
-            assert_eq!(offload(&mut w, 7, version), Marked::Yes);
+            assert_eq!(offload(&mut w, 7, version), OffloadMark::Yes);
             assert_eq!(w.running(ID), 0);
         }
         w.assert_no_violations();
@@ -163,11 +167,11 @@
     let version = record(&mut w, false);
     let i = w.leader().unwrap();
     let l = w.nodes[i].leader.as_mut().unwrap();
-    assert_eq!(l.lend("j-000002", lent(9), version), Marked::No);
-    assert_eq!(l.lend("j-000009", lent(9), version), Marked::No);
+    assert_eq!(l.lend("j-000002", lent(9), version), OffloadMark::No);
+    assert_eq!(l.lend("j-000009", lent(9), version), OffloadMark::No);
     let names: Vec<String> = l.lendable(10).into_iter().map(|j| j.spec.id).collect();
     assert_eq!(names, [ID]);
-    assert_eq!(offload(&mut w, 7, version), Marked::Yes);
+    assert_eq!(offload(&mut w, 7, version), OffloadMark::Yes);
     let out = [(ID.to_owned(), 7)];
     assert!(leader(&mut w).lendable(10).is_empty());
     assert!(leader(&mut w).not_needed(&out).is_empty());
@@ -200,12 +204,12 @@
         leader(&mut w).lend(id, lent(7), version);
     }
     w.run(2_000);
-    let said: Vec<Marked> = ids
+    let said: Vec<OffloadMark> = ids
         .iter()
         .map(|id| leader(&mut w).lend(id, lent(7), version))
         .collect();
-    let mut wanted = [Marked::Yes; 6];
-    wanted[2] = Marked::No;
+    let mut wanted = [OffloadMark::Yes; 6];
+    wanted[2] = OffloadMark::No;
     assert_eq!(said, wanted);
     assert!(
         w.store.revision <= before + 3,
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -5,7 +5,7 @@
 use pathwinch::control::leader::WritePlan;
 use pathwinch::protocol::{
     state::Txn,
-    status::Reason,
+    status::PendingReason,
     users::{JobSpec, JobState, Kind, Priority},
     workers::TaskState,
 };
@@ -780,7 +780,7 @@
     w.assert_no_violations();
 }
 
-fn reason(w: &mut Simulation, id: &str) -> Option<Reason> {
+fn reason(w: &mut Simulation, id: &str) -> Option<PendingReason> {
     let i = w.leader()?;
     w.nodes[i].leader.as_ref()?.explain(id, w.now)?.reason
 }
@@ -795,7 +795,10 @@
     w.submit(whole_machines(2, 2));
     w.run(3_000);
     assert_eq!(reason(&mut w, "j-000001"), None, "all its tasks run");
-    assert_eq!(reason(&mut w, "j-000002"), Some(Reason::GangIncomplete));
+    assert_eq!(
+        reason(&mut w, "j-000002"),
+        Some(PendingReason::GangIncomplete)
+    );
     let mut late = job(3, Kind::Array, 2);
     late.team = "u".into();
     late.deadline_s = Some(5.0);
@@ -805,11 +808,11 @@
     service.team = "u".into();
     w.submit(service);
     w.run_until(15_000, "refused machines", |w| {
-        reason(w, "j-000004") == Some(Reason::CloudRefuses)
+        reason(w, "j-000004") == Some(PendingReason::CloudRefuses)
     });
     w.run(5_000);
     // One of the batch runs, and nothing is rented for the other any more.
-    assert_eq!(reason(&mut w, "j-000003"), Some(Reason::NoRoom));
+    assert_eq!(reason(&mut w, "j-000003"), Some(PendingReason::NoRoom));
     let i = w.leader().unwrap();
     let now = w.now;
     let picture = w.nodes[i].leader.as_ref().unwrap().picture(now);
@@ -825,7 +828,7 @@
     w.run_ms = 600_000;
     w.submit(job(1, Kind::Array, 5));
     w.run_until(10_000, "two run", |w| w.running("j-000001") == 2);
-    assert_eq!(reason(&mut w, "j-000001"), Some(Reason::TeamLimit));
+    assert_eq!(reason(&mut w, "j-000001"), Some(PendingReason::TeamLimit));
     let old = w.leader().unwrap();
     let silent = w.workers.iter().position(|m| m.tasks.is_empty()).unwrap();
     w.workers[silent].net = Net::Lose;
@@ -835,7 +838,7 @@
         w.leader().is_some_and(|i| i != old)
     });
     w.run(2_000);
-    assert_eq!(reason(&mut w, "j-000001"), Some(Reason::Settling));
+    assert_eq!(reason(&mut w, "j-000001"), Some(PendingReason::Settling));
     w.assert_no_violations();
 }
 
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -56,7 +56,7 @@
     options::Options,
     protocol::{
         cloud::MachineType,
-        peers::Follow,
+        peers::ReplicationPart,
         settings::{NextLimits, Peer, Settings},
         state::{Condition, Txn, Write},
         users::{JobSpec, JobState, JobStatus, Kind, Priority},
--- a/tests/simulation/net.rs
+++ b/tests/simulation/net.rs
@@ -61,7 +61,7 @@
     DirectCommand(usize, usize, u64, DirectCommands),
     DirectCommandEnded(usize, u64, String, u64, Option<(bool, Heartbeat)>),
     /// From the first node, the leader, to the second, its standby.
-    ReplicationPart(usize, usize, Follow),
+    ReplicationPart(usize, usize, ReplicationPart),
     /// The second node's answer to the first, which led that term, about that
     /// part: who it is, and whether it was taken in.
     ReplicationAnswer(usize, usize, u64, (u64, u64), Option<(u64, bool)>),
--- a/tests/simulation/standbys.rs
+++ b/tests/simulation/standbys.rs
@@ -131,7 +131,12 @@
         }
     }
 
-    pub(super) fn receive_replication_part(&mut self, i: usize, j: usize, mut part: Follow) {
+    pub(super) fn receive_replication_part(
+        &mut self,
+        i: usize,
+        j: usize,
+        mut part: ReplicationPart,
+    ) {
         let now = self.now;
         if !self.nodes[j].alive || self.nodes[j].election.leadership().is_some() {
             return;
--- a/tests/standby.rs
+++ b/tests/standby.rs
@@ -8,7 +8,7 @@
     control::{leader::Leader, standby::replica::ReplicaReceiver},
     options::Options,
     protocol::{
-        peers::{Follow, MachineHolds, MayRun, Seen},
+        peers::{MachineTasks, ReplicatedPhase, ReplicatedTask, ReplicationPart},
         users::{JobSpec, JobState, Kind, Priority},
     },
     state::records::StandbyRecord,
@@ -503,14 +503,14 @@
 
 /// A new leader that goes by what it was told of those machines, and has read
 /// the records.
-fn warm_leader(machines: u32, holds: Vec<MachineHolds>, spec: JobSpec) -> Leader {
+fn warm_leader(machines: u32, holds: Vec<MachineTasks>, spec: JobSpec) -> Leader {
     let mut follower = ReplicaReceiver::default();
-    let part = Follow {
+    let part = ReplicationPart {
         term: 5,
         stream: 1,
         part: 0,
-        whole: true,
-        named: true,
+        complete: true,
+        counted: true,
         machines: holds,
     };
     assert!(follower.apply_part(part, 0));
@@ -536,8 +536,8 @@
     format!("i-{n:06}")
 }
 
-fn holds(n: u32, tasks: impl Iterator<Item = MayRun>) -> MachineHolds {
-    MachineHolds {
+fn holds(n: u32, tasks: impl Iterator<Item = ReplicatedTask>) -> MachineTasks {
+    MachineTasks {
         machine: machine(n),
         jobs: vec![("j-000001".into(), tasks.collect())],
     }
@@ -562,7 +562,7 @@
 /// A copy may hold a task twice, as it was told of the later place first.
 #[test]
 fn replica_keeps_later_of_two_placements() {
-    let at = |change| std::iter::once(MayRun(0, change, change, Seen::Sent));
+    let at = |change| std::iter::once(ReplicatedTask(0, change, change, ReplicatedPhase::Sent));
     let told = vec![holds(0, at(3)), holds(1, at(8)), holds(2, at(5))];
     let mut l = warm_leader(3, told, job(1, Kind::Service, 1));
     l.tick(50, 50);
@@ -573,7 +573,10 @@
 /// What a machine says of itself in this term goes before any copy.
 #[test]
 fn heartbeat_overrides_replica() {
-    let told = vec![holds(0, (0..2).map(|t| MayRun(t, 1, 1, Seen::Running)))];
+    let told = vec![holds(
+        0,
+        (0..2).map(|t| ReplicatedTask(t, 1, 1, ReplicatedPhase::Running)),
+    )];
     let mut l = warm_leader(2, told.clone(), job(1, Kind::Service, 2));
     heartbeat_without_tasks(&mut l, 0, 20);
     l.tick(50, 50);
@@ -591,7 +594,10 @@
 /// neither completed nor stopped until then.
 #[test]
 fn incomplete_gang_is_untouched_until_all_heartbeats_arrive() {
-    let told = vec![holds(0, (0..2).map(|t| MayRun(t, 1, 1, Seen::Sent)))];
+    let told = vec![holds(
+        0,
+        (0..2).map(|t| ReplicatedTask(t, 1, 1, ReplicatedPhase::Sent)),
+    )];
     let mut l = warm_leader(2, told, job(1, Kind::Gang, 3));
     heartbeat_without_tasks(&mut l, 1, 20);
     l.tick(50, 50);
@@ -606,8 +612,10 @@
 #[test]
 fn warm_failover_costs_few_inspections_per_machine() {
     let looks = |machines: u32| {
-        let tasks =
-            |n: u32| (8 * n..8 * n + 8).map(|t| MayRun(t, 1, 1 + u64::from(t), Seen::Running));
+        let tasks = |n: u32| {
+            (8 * n..8 * n + 8)
+                .map(|t| ReplicatedTask(t, 1, 1 + u64::from(t), ReplicatedPhase::Running))
+        };
         let told = (0..machines).map(|n| holds(n, tasks(n))).collect();
         let mut spec = job(1, Kind::Service, 8 * machines);
         spec.priority = Priority::Production;
