--- a/src/state/bounded_cache.rs
+++ b/src/state/bounded_cache.rs
@@ -1,6 +1,7 @@
 //! A bounded map that keeps the entries inserted last.
 //!
-//! Owns its entries only. Used for final states, which users ask for again.
+//! Owns its entries only. Used for final states, which users ask for
+//! again, and by the audit log.
 //! Must never hold more than its bound, nor be relied upon to hold an entry.
 
 use std::{borrow::Borrow, collections::HashMap, hash::Hash};
--- a/src/state/cluster/machine.rs
+++ b/src/state/cluster/machine.rs
@@ -178,7 +178,8 @@
     pub min_incarnation: u64,
     /// The highest fencing token that it has shown.
     pub acknowledged_token: u64,
-    /// Counts the fencing tokens given to it within this term.
+    /// How often its fencing token was raised within the term: the low bits of
+    /// the token.
     pub token_epoch: u64,
     /// A one-way partition is suspected, as heartbeats arrive but responses
     /// don't seem to: until a heartbeat shows this token, nothing new is placed
@@ -230,7 +231,8 @@
     pub release_requested: bool,
     /// Steady-clock time at which it is to be taken away.
     pub reclaim_at: Option<Millis>,
-    /// When it came up, or was first known.
+    /// When it was first known, its lease expired, its registered contents were
+    /// found gone, or its release was decided, whichever was last.
     pub state_since: Millis,
     /// Since when nothing runs on it.
     pub idle_since: Millis,
--- a/src/state/records.rs
+++ b/src/state/records.rs
@@ -20,7 +20,7 @@
 //! | segment of the completion bitmap | `c/<job>/<segment>` | a string of base 64 |
 //! | spec chunk | `p/<job>/<hash>/<number>` | a string of base 64 |
 //! | feed of accepted jobs | `n/<job>` | `true` |
-//! | exclusion from elections | `x/<node>` | of `control/` |
+//! | exclusion from elections | `x/<node>` | only its version counts |
 
 use super::{offload::OffloadTarget, spec_chunks::SpecChunks};
 use crate::protocol::{
