--- a/src/control/acceptance_feed/tests.rs
+++ b/src/control/acceptance_feed/tests.rs
@@ -1,18 +1,18 @@
 use super::*;
 
 #[test]
-fn a_place_that_is_too_old_moves_to_the_revision_of_an_empty_list() {
-    let mut n = AcceptanceFeed::new(7);
-    let told = br#"{"ledger_rev":9,"log":[{"set":"n/j-000001","key_rev":8},{"drop":"n/x"}]}"#;
+fn position_moves_to_the_list_revision_when_it_is_too_old_and_the_list_is_empty() {
+    let mut feed = AcceptanceFeed::new(7);
+    let body = br#"{"ledger_rev":9,"log":[{"set":"n/j-000001","key_rev":8},{"drop":"n/x"}]}"#;
     assert_eq!(
-        n.answered(200, told),
+        feed.answered(200, body),
         Next::Look(vec!["n/j-000001".to_owned()])
     );
-    assert_eq!(n.answered(410, b"{}"), Next::List);
-    n.listed(20_000);
-    assert!(n.path(5).ends_with("from=20000&wait_ms=5"));
-    // An answer that can't be read, like one that is none, is no news.
-    assert_eq!(n.answered(200, b"<"), Next::Pause);
-    assert_eq!(n.answered(503, b""), Next::Pause);
-    assert!(n.path(5).contains("from=20000&"));
+    assert_eq!(feed.answered(410, b"{}"), Next::List);
+    feed.listed(20_000);
+    assert!(feed.path(5).ends_with("from=20000&wait_ms=5"));
+    // An answer that can't be decoded, or isn't one, moves nothing.
+    assert_eq!(feed.answered(200, b"<"), Next::Pause);
+    assert_eq!(feed.answered(503, b""), Next::Pause);
+    assert!(feed.path(5).contains("from=20000&"));
 }
--- /dev/null
+++ b/src/control/final_states.rs
@@ -0,0 +1,90 @@
+//! Cache of the terminal states of jobs, which never change.
+//!
+//! Owns: the most recently learned terminal states, and from when on each may be
+//! reported. Called by the leader, by the steps of users' requests and by the
+//! simulation in `tests/`.
+//!
+//! Must never: keep a state that isn't terminal, or let one become visible while an
+//! older answer of another node may still be under way to its user.
+
+use super::safety_bounds::final_state_hold_ms;
+use crate::{
+    protocol::users::{JobState, JobStatus},
+    state::{Millis, bounded_cache::Recent},
+};
+
+/// The most recently learned terminal states.
+#[derive(Debug)]
+pub struct FinalStates {
+    by_job: Recent<Box<str>, FinalState>,
+}
+
+#[derive(Debug, Clone, Copy)]
+struct FinalState {
+    state: JobState,
+    done: u32,
+    /// It may be reported from then on.
+    visible_from: Millis,
+}
+
+/// Most jobs whose terminal state is kept.
+const MAX_FINAL_STATES: usize = 20_000;
+
+impl Default for FinalStates {
+    fn default() -> Self {
+        FinalStates {
+            by_job: Recent::new(MAX_FINAL_STATES),
+        }
+    }
+}
+
+impl FinalStates {
+    /// Keeps the state if it is terminal. If it is known already, the earlier of
+    /// both times of visibility counts.
+    pub fn insert(&mut self, status: &JobStatus, visible_from: Millis) {
+        let id = status.id.as_str();
+        let known = self.by_job.get(id).copied();
+        let visible_sooner = known.is_none_or(|known| visible_from < known.visible_from);
+        if !status.state.is_final() || self.by_job.is_young(id) && !visible_sooner {
+            return;
+        }
+        let learned = FinalState {
+            state: status.state,
+            done: status.done,
+            visible_from,
+        };
+        let kept = known.map_or(learned, |known| FinalState {
+            visible_from: known.visible_from.min(visible_from),
+            ..known
+        });
+        self.by_job.insert(id.into(), kept);
+    }
+
+    /// The terminal state of the job, if it is known.
+    pub fn get(&self, id: &str) -> Option<JobStatus> {
+        let known = self.by_job.get(id)?;
+        Some(JobStatus {
+            id: id.to_owned(),
+            state: known.state,
+            done: known.done,
+            running: 0,
+        })
+    }
+
+    /// Learns the state now, unless it is known already. It may be reported once
+    /// older answers have reached their users.
+    pub fn learn(&mut self, status: &JobStatus, now: Millis) {
+        self.insert(status, now + final_state_hold_ms());
+    }
+
+    /// Learns the state and returns for how long it must still be withheld; 0 for one
+    /// that isn't terminal.
+    pub fn hold_time(&mut self, status: &JobStatus, now: Millis) -> Millis {
+        self.learn(status, now);
+        let known = self.by_job.get(status.id.as_str());
+        known.map_or(0, |known| known.visible_from.saturating_sub(now))
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/src/control/key_pages.rs
+++ b/src/control/key_pages.rs
@@ -1,19 +1,41 @@
-//! Which pages of a prefix to read for some names under it: as few as it takes,
-//! each beginning just before the next name that is still open.
+//! Which pages of a prefix to read for some names under it: as few as possible,
+//! each beginning just before the next unread name.
+//!
+//! Owns: the position in the prefix and the names that are still unread. Called by
+//! the key-value store's client, `server::store`.
+//!
+//! Must never: count a name as read which no page has covered.
 
-/// Names in a page.
-const PAGE: usize = 500;
+/// Most keys requested in a page.
+const MAX_PAGE_KEYS: usize = 500;
+/// Keys requested in a page for each unread name, and beside that, as other keys
+/// may stand between them.
+const PAGE_KEYS_PER_NAME: usize = 2;
+const EXTRA_PAGE_KEYS: usize = 10;
 
+/// A page to read.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct PageRequest {
+    /// The page begins after this key.
+    pub after: String,
+    /// Most keys in the page.
+    pub max_keys: usize,
+}
+
+/// The state of a read of some names under a prefix.
 #[derive(Debug)]
 pub struct Pages<'a> {
     prefix: &'a str,
     /// Sorted.
     names: Vec<&'a str>,
+    /// Index of the first unread name.
     next: usize,
+    /// The last key that was read.
     after: String,
 }
 
 impl<'a> Pages<'a> {
+    /// For these names under the prefix, in any order.
     pub fn new(prefix: &'a str, mut names: Vec<&'a str>) -> Self {
         names.sort_unstable();
         names.dedup();
@@ -25,34 +47,37 @@
         }
     }
 
-    /// Names of which nothing is known yet.
-    pub fn open(&self) -> &[&'a str] {
+    /// Names that are still unread.
+    pub fn unread(&self) -> &[&'a str] {
         &self.names[self.next..]
     }
 
-    /// After which key to read on, and how many; `None`: all is known.
-    pub fn ask(&self) -> Option<(String, usize)> {
-        let name = self.open().first()?;
-        // The key without its last character comes before it.
+    /// The page to read next; `None` when all names are read.
+    pub fn next_page(&self) -> Option<PageRequest> {
+        let name = self.unread().first()?;
+        // A key without its last character sorts before the key.
         let key = format!("{}{name}", self.prefix);
-        let cut = key.char_indices().last().map_or(0, |(at, _)| at);
-        let after = self.after.as_str().max(&key[..cut]);
-        let most = (2 * self.open().len() + 10).min(PAGE);
-        Some((after.to_owned(), most))
+        let last_char = key.char_indices().last().map_or(0, |(index, _)| index);
+        let after = self.after.as_str().max(&key[..last_char]);
+        let max_keys = PAGE_KEYS_PER_NAME * self.unread().len() + EXTRA_PAGE_KEYS;
+        Some(PageRequest {
+            after: after.to_owned(),
+            max_keys: max_keys.min(MAX_PAGE_KEYS),
+        })
     }
 
-    /// Whether the key is of one that is open.
+    /// Whether the key belongs to an unread name.
     pub fn wants(&self, key: &str) -> bool {
         let name = key.strip_prefix(self.prefix);
-        name.is_some_and(|n| self.open().binary_search(&n).is_ok())
+        name.is_some_and(|name| self.unread().binary_search(&name).is_ok())
     }
 
-    /// The page that was asked for has been read, up to this key.
-    pub fn read(&mut self, last: Option<&str>, more: bool) {
-        let last = last.filter(|_| more);
-        match last.and_then(|key| Some((key, key.strip_prefix(self.prefix)?))) {
+    /// The requested page was read, up to `last_key`. `more`: other keys follow it.
+    pub fn page_read(&mut self, last_key: Option<&str>, more: bool) {
+        let last_key = last_key.filter(|_| more);
+        match last_key.and_then(|key| Some((key, key.strip_prefix(self.prefix)?))) {
             Some((key, name)) => {
-                self.next += self.open().partition_point(|n| *n <= name);
+                self.next += self.unread().partition_point(|unread| *unread <= name);
                 self.after = key.to_owned();
             }
             None => self.next = self.names.len(),
@@ -61,45 +86,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use std::collections::BTreeSet;
-
-    #[test]
-    fn whatever_stands_is_found_in_few_pages() {
-        let mut rng = fastrand::Rng::with_seed(1);
-        for round in 0..200 {
-            // Ids of six to eight digits, dense in places.
-            let mut any = || format!("j-{:0w$}", rng.u32(0..3_000), w = rng.usize(6..9));
-            let stored: BTreeSet<String> = (0..2_000).map(|_| format!("f/{}", any())).collect();
-            let asked: Vec<String> = (0..1 + round * 4).map(|_| any()).collect();
-            let mut p = Pages::new("f/", asked.iter().map(String::as_str).collect());
-            let (mut found, mut pages) = (BTreeSet::new(), 0);
-            while let Some((after, most)) = p.ask() {
-                pages += 1;
-                let mut page: Vec<&String> = stored
-                    .iter()
-                    .filter(|k| **k > after)
-                    .take(most + 1)
-                    .collect();
-                let more = page.len() > most;
-                page.truncate(most);
-                found.extend(
-                    page.iter()
-                        .filter(|k| p.wants(k))
-                        .map(|k| k[2..].to_owned()),
-                );
-                p.read(page.last().map(|k| k.as_str()), more);
-            }
-            let expected: BTreeSet<String> =
-                (asked.iter().filter(|a| stored.contains(&format!("f/{a}"))))
-                    .cloned()
-                    .collect();
-            assert_eq!(found, expected, "round {round}");
-            let distinct = asked.iter().collect::<BTreeSet<_>>().len();
-            assert!(pages <= distinct, "round {round}: {pages} pages");
-            // 800 of some thousands are not 800 requests.
-            assert!(round < 199 || pages < 40, "{pages} pages");
-        }
-    }
-}
+mod tests;
--- a/src/server/audit_log.rs
+++ b/src/server/audit_log.rs
@@ -1,6 +1,11 @@
-//! What an inquiry into an incident needs: who acted under which term and by
-//! which right, what answers to users rested on, what was ordered. Lines at
-//! info, bounded in number, beside metrics that count all of it.
+//! Audit log, for inquiries into incidents: who acted in which term and on which
+//! basis, what answers to users were based on, what was commanded. Its lines are at
+//! level info and bounded in number; metrics count all of it.
+//!
+//! Owns: the bound on the lines, and what was logged last. Called by the steps of
+//! users' requests and by the control loop.
+//!
+//! Must never: delay or fail what it reports.
 
 use super::Node;
 use crate::{
@@ -13,26 +18,28 @@
 };
 use std::cell::{Cell, RefCell};
 
-/// Lines about answers to users: so many a second, and at once.
+/// Lines on answers to users, per second.
 const LINES_PER_S: f64 = 20.0;
+/// Seconds' worth of these lines that may come at once.
 const BURST_S: f64 = 10.0;
-/// Jobs of which it is remembered what this node told last.
+/// Jobs whose last reported state is remembered.
 const MAX_REMEMBERED_ANSWERS: usize = 4_000;
-/// Between two lines on what was ordered.
-const ORDERS_EVERY: Millis = 1_000;
+/// Shortest time between two lines on commands.
+const COMMANDS_INTERVAL_MS: Millis = 1_000;
 
+/// The state behind the bounds of the log.
 pub(super) struct AuditLog {
     lines: RefCell<TokenBucket>,
     last_answers: RefCell<Recent<Box<str>, JobState>>,
-    orders: Cell<CommandCounts>,
+    commands: Cell<CommandCounts>,
 }
 
-/// Starts and stops that were ordered since the last line on them.
+/// Starts and stops that were commanded since the last line on them.
 #[derive(Debug, Clone, Copy, Default)]
 struct CommandCounts {
     starts: u64,
     stops: u64,
-    noted_at: Millis,
+    logged_at: Millis,
 }
 
 impl Default for AuditLog {
@@ -40,25 +47,25 @@
         AuditLog {
             lines: RefCell::new(TokenBucket::new(LINES_PER_S, BURST_S)),
             last_answers: RefCell::new(Recent::new(MAX_REMEMBERED_ANSWERS)),
-            orders: Cell::default(),
+            commands: Cell::default(),
         }
     }
 }
 
 impl AuditLog {
-    /// Whether this is news of the job from this node.
+    /// Whether this node last logged another state of the job, or none.
     fn is_news(&self, id: &str, state: JobState) -> bool {
-        let mut told = self.last_answers.borrow_mut();
-        if told.get(id) == Some(&state) {
+        let mut last_answers = self.last_answers.borrow_mut();
+        if last_answers.get(id) == Some(&state) {
             return false;
         }
-        told.insert(id.into(), state);
+        last_answers.insert(id.into(), state);
         true
     }
 }
 
 impl Node {
-    /// A line within the bound; what is left out is counted.
+    /// Logs a line if the bound allows it; lines that are left out are counted.
     fn log_bounded(&self, line: impl FnOnce() -> String) {
         let fits = (self.audit_log.lines.borrow_mut()).take(self.now(), 1.0, 0.0);
         match fits {
@@ -69,7 +76,7 @@
         }
     }
 
-    /// A user is about to be told so of the job.
+    /// Records an answer that is about to be sent to a user.
     pub(super) fn log_answer(&self, id: &str, answer: &Answer, basis: Provenance) {
         let Answer::State(_, status) = answer else {
             return;
@@ -94,14 +101,14 @@
         });
     }
 
-    /// Starts and stops that were ordered, with what entitled this node to.
+    /// Records commands to workers, with the basis of this node's authority.
     pub(super) fn log_commands(&self, lead: Option<Leadership>, starts: u64, stops: u64) {
-        let mut orders = self.audit_log.orders.get();
-        orders.starts += starts;
-        orders.stops += stops;
+        let mut commands = self.audit_log.commands.get();
+        commands.starts += starts;
+        commands.stops += stops;
         let now = self.now();
-        let due = now >= orders.noted_at + ORDERS_EVERY;
-        if due && orders.starts + orders.stops > 0 {
+        let due = now >= commands.logged_at + COMMANDS_INTERVAL_MS;
+        if due && commands.starts + commands.stops > 0 {
             let basis = lead.map(|lead| {
                 let authority = lead.authority();
                 format!(
@@ -115,14 +122,14 @@
             let basis = basis.unwrap_or_else(|| "leadership has been given up since".to_owned());
             log::info!(
                 "commanded {} starts and {} stops: {basis}",
-                orders.starts,
-                orders.stops
+                commands.starts,
+                commands.stops
             );
-            orders = CommandCounts {
-                noted_at: now,
+            commands = CommandCounts {
+                logged_at: now,
                 ..CommandCounts::default()
             };
         }
-        self.audit_log.orders.set(orders);
+        self.audit_log.commands.set(commands);
     }
 }
--- a/src/server/client_api.rs
+++ b/src/server/client_api.rs
@@ -1,8 +1,15 @@
-//! Submissions, polls and cancellations: does what their steps ask for.
+//! Submissions, polls and cancellations of users: carries out the steps that
+//! `control::requests` asks for.
+//!
+//! Owns: the translation between HTTP and these requests, and the I/O of their
+//! steps. Called by the HTTP dispatch and, for requests that other nodes forward, by
+//! `server::peers`.
+//!
+//! Must never: decide an answer; that is up to `control::requests`.
 
 use super::Node;
 use crate::{
-    control::requests::{Answer, Event, Next, NodeView, Request as Asked},
+    control::requests::{Answer, Event, Next, NodeView, Request as UserRequest},
     protocol::peers::{Reply, Request},
     state::Millis,
     transport::server::HttpResponse,
@@ -10,26 +17,32 @@
 use async_io::Timer;
 use std::{rc::Rc, time::Duration};
 
-/// For a write that a user waits for.
-const WRITE: Duration = Duration::from_millis(2_000);
-/// Looks at the budget of changes, where a write may wait for it.
-const LOOKS: u32 = 20;
-const PAUSE: Duration = Duration::from_millis(50);
+/// How long a write that a user waits for may take.
+const WRITE_TIMEOUT: Duration = Duration::from_millis(2_000);
+/// How often, and at what interval, a write that may wait checks the budget of
+/// changes.
+const BUDGET_CHECKS: u32 = 20;
+const BUDGET_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The job's id in a path, and whether it is to be cancelled.
-fn target(path: &str) -> Option<(&str, bool)> {
+/// What a path below `/v1/jobs/` names.
+enum Target<'a> {
+    Job(&'a str),
+    Cancellation(&'a str),
+}
+
+fn target(path: &str) -> Option<Target<'_>> {
     let rest = path.strip_prefix("/v1/jobs/")?;
-    match rest.strip_suffix("/abort") {
-        Some(id) => Some((id, true)),
-        None => Some((rest, false)),
-    }
+    Some(match rest.strip_suffix("/abort") {
+        Some(id) => Target::Cancellation(id),
+        None => Target::Job(rest),
+    })
 }
 
-fn asked(method: &str, path: &str, body: &[u8], forwarded: bool) -> Option<Asked> {
+fn parse_request(method: &str, path: &str, body: &[u8], forwarded: bool) -> Option<UserRequest> {
     match (method, target(path)) {
-        ("GET", Some((id, false))) if !forwarded => Some(Asked::poll(id)),
-        ("POST", None) => Some(Asked::submit(body, forwarded)),
-        ("POST", Some((id, true))) => Some(Asked::cancel(id, forwarded)),
+        ("GET", Some(Target::Job(id))) if !forwarded => Some(UserRequest::poll(id)),
+        ("POST", None) => Some(UserRequest::submit(body, forwarded)),
+        ("POST", Some(Target::Cancellation(id))) => Some(UserRequest::cancel(id, forwarded)),
         _ => None,
     }
 }
@@ -37,12 +50,13 @@
 fn response(answer: &Answer) -> HttpResponse {
     match answer {
         Answer::State(code, status) => HttpResponse::json(*code, status),
-        Answer::Refused(code, why) => HttpResponse::error(*code, why),
-        Answer::Later(why) => HttpResponse::later(why),
+        Answer::Refused(code, reason) => HttpResponse::error(*code, reason),
+        Answer::Later(reason) => HttpResponse::later(reason),
     }
 }
 
 impl Node {
+    /// Answers a user's request.
     pub(super) async fn user(
         self: &Rc<Self>,
         method: &str,
@@ -54,7 +68,7 @@
             .unwrap_or_else(|| HttpResponse::later("no leader can be reached"))
     }
 
-    /// Passed on by another node. `None`: this node doesn't lead.
+    /// Answers a request that another node forwards. `None`: this node doesn't lead.
     pub(super) async fn handle_as_leader(
         self: &Rc<Self>,
         method: &str,
@@ -71,32 +85,35 @@
         body: Vec<u8>,
         forwarded: bool,
     ) -> Option<HttpResponse> {
-        let Some(mut request) = asked(method, path, &body, forwarded) else {
+        let Some(mut request) = parse_request(method, path, &body, forwarded) else {
             return Some(HttpResponse::error(404, "no such path"));
         };
-        let pass_on = Request::Forward {
+        let forwarded_request = Request::Forward {
             method: method.to_owned(),
             path: path.to_owned(),
             body,
         };
         let id = request.id().unwrap_or_default().to_owned();
-        let answer = self.see_through(&mut request, &id, Some(&pass_on)).await;
-        if let Some(mut left) = request.unfinished_work() {
+        let answer = self
+            .carry_out(&mut request, &id, Some(&forwarded_request))
+            .await;
+        if let Some(mut remaining) = request.unfinished_work() {
             let node = self.clone();
             let settle = async move {
-                node.see_through(&mut left, "", None).await;
+                node.carry_out(&mut remaining, "", None).await;
             };
             self.executor.spawn_high(settle).detach();
         }
         answer.map(|a| response(&a))
     }
 
-    /// Does what the steps of a request ask for, until it is over.
-    async fn see_through(
+    /// Carries out the steps of a request until it is answered. `forwarded_request`:
+    /// how it is forwarded to the leader, if that may be done.
+    async fn carry_out(
         self: &Rc<Self>,
-        request: &mut Asked,
+        request: &mut UserRequest,
         id: &str,
-        pass_on: Option<&Request>,
+        forwarded_request: Option<&Request>,
     ) -> Option<Answer> {
         let mut event = Event::Begin;
         loop {
@@ -107,13 +124,13 @@
                 }
                 Next::NotLeading | Next::Over => return None,
                 Next::AskLeader => match self.polls.leader.ask(id).await {
-                    Ok(told) => Event::LeaderReplied(told),
+                    Ok(reading) => Event::LeaderReplied(reading),
                     // Too many wait.
                     Err(e) => Event::Read(Err(e)),
                 },
                 Next::ReadState => Event::Read(self.polls.records.ask(id).await),
-                Next::Forward => Event::Forwarded(match pass_on {
-                    Some(pass_on) => self.pass_on(pass_on, request.forward_limit()).await,
+                Next::Forward => Event::Forwarded(match forwarded_request {
+                    Some(forwarded) => self.forward(forwarded, request.forward_limit()).await,
                     None => None,
                 }),
                 Next::Versions => Event::Versions(self.upgraded().await),
@@ -127,7 +144,7 @@
                 Next::Write(txn, waits) => {
                     let changes = txn.writes.len() as f64;
                     match self.has_budget(changes, waits).await {
-                        true => Event::Wrote(self.txn(&txn, WRITE).await),
+                        true => Event::Wrote(self.txn(&txn, WRITE_TIMEOUT).await),
                         false => Event::OverBudget,
                     }
                 }
@@ -139,17 +156,17 @@
         }
     }
 
-    fn step(&self, request: &mut Asked, event: Event) -> Next {
+    fn step(&self, request: &mut UserRequest, event: Event) -> Next {
         self.view(|view| request.step(event, view))
     }
 
-    /// What this node knows now of what users ask.
+    /// Runs `f` on what this node knows now for users' requests.
     pub(super) fn view<T>(&self, f: impl FnOnce(&mut NodeView) -> T) -> T {
         let (now, wall_ms) = (self.now(), self.wall_ms());
         let term = self.election.borrow().authority(now);
         let mut leader = self.leader.borrow_mut();
         let result = f(&mut NodeView {
-            may_act: term.is_some() && leader.as_ref().map(|l| l.term) == term,
+            may_act: term.is_some() && leader.as_ref().map(|leader| leader.term) == term,
             leader: leader.as_mut(),
             final_states: &mut self.final_states.borrow_mut(),
             settings: &self.settings,
@@ -159,16 +176,16 @@
             wall_ms,
             read_term: None,
         });
-        if leader.as_ref().is_some_and(|l| l.has_work()) {
+        if leader.as_ref().is_some_and(|leader| leader.has_work()) {
             self.wake.notify();
         }
         result
     }
 
-    async fn pass_on(self: &Rc<Self>, request: &Request, limit: Millis) -> Option<Answer> {
+    async fn forward(self: &Rc<Self>, request: &Request, timeout_ms: Millis) -> Option<Answer> {
         let leader = self.answering_leader()?;
-        let limit = Duration::from_millis(limit);
-        match self.ask(leader, request, limit).await {
+        let timeout = Duration::from_millis(timeout_ms);
+        match self.ask(leader, request, timeout).await {
             Ok(Reply::Forwarded { status, body, .. }) => Some(Answer::relayed(status, &body)),
             Ok(_) => None,
             Err(e) => {
@@ -178,15 +195,15 @@
         }
     }
 
-    /// Takes so many changes and a request from the budgets, waiting for them
-    /// for no longer than users do.
+    /// Takes these changes and a request from the budgets. With `waits` it waits for
+    /// them, though no longer than users do.
     async fn has_budget(&self, changes: f64, waits: bool) -> bool {
-        for _ in 0..if waits { LOOKS } else { 1 } {
+        for _ in 0..if waits { BUDGET_CHECKS } else { 1 } {
             if self.budgets.take_changes(self.now(), changes) && self.may_request(1.0) {
                 return true;
             }
             if waits {
-                Timer::after(PAUSE).await;
+                Timer::after(BUDGET_CHECK_INTERVAL).await;
             }
         }
         false
--- a/src/server/heartbeats.rs
+++ b/src/server/heartbeats.rs
@@ -1,5 +1,11 @@
-//! Reports of workers: answered by the leader, and relayed to it for workers
+//! Heartbeats of workers: answered by the leader, and relayed to it for workers
 //! that can't reach it themselves.
+//!
+//! Owns: when this node last answered a heartbeat, and which workers it relays.
+//! Called by the HTTP dispatch and, for relayed heartbeats, by `server::peers`.
+//!
+//! Must never: answer a heartbeat without authority, or redirect a worker to an
+//! unresponsive node.
 
 use super::Node;
 use crate::{
@@ -17,7 +23,8 @@
     time::Duration,
 };
 
-const RELAY: Duration = Duration::from_millis(800);
+/// How long the leader may take to answer a relayed heartbeat.
+const RELAY_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// Heartbeats of workers at this node.
 #[derive(Default)]
@@ -29,28 +36,30 @@
 }
 
 impl Node {
+    /// Answers a heartbeat, relays it, or redirects the worker.
     pub(super) async fn handle_heartbeat(self: &Rc<Self>, body: Option<Vec<u8>>) -> HttpResponse {
         let Some(body) = body else {
             return HttpResponse::error(400, "body is incomplete or over 64 KiB");
         };
-        let report: Heartbeat = match serde_json::from_slice(&body) {
-            Ok(r) => r,
+        let heartbeat: Heartbeat = match serde_json::from_slice(&body) {
+            Ok(heartbeat) => heartbeat,
             Err(e) => return HttpResponse::error(400, &e.to_string()),
         };
-        if let Some(answer) = self.answer_heartbeat(&report) {
+        if let Some(answer) = self.answer_heartbeat(&heartbeat) {
             return answer;
         }
         let now = self.now();
         let leads = self.election.borrow().leadership().is_some();
         let target = match leads {
-            // It may not act just now: they are back soonest by themselves.
+            // Its authority has ended for the moment: workers return soonest if they
+            // choose the next controller themselves.
             true => RedirectTarget::Any,
             false => self
                 .failure_detector
                 .borrow_mut()
                 .redirect_target(self.leader_peer(), now),
         };
-        log::debug!("report of {}: {target:?}", report.machine);
+        log::debug!("report of {}: {target:?}", heartbeat.machine);
         let RedirectTarget::Leader(leader) = target else {
             return self.redirect(target);
         };
@@ -58,17 +67,17 @@
             .heartbeats
             .relays
             .borrow_mut()
-            .should_relay(&report.machine, now)
+            .should_relay(&heartbeat.machine, now)
         {
             return self.redirect(target);
         }
-        // The leader's network to the workers may be cut while ours is not.
+        // The leader may be unreachable for this worker alone.
         let request = Request::Forward {
             method: "POST".into(),
             path: super::HEARTBEAT_PATH.into(),
             body,
         };
-        match self.ask(leader, &request, RELAY).await {
+        match self.ask(leader, &request, RELAY_TIMEOUT).await {
             Ok(Reply::Forwarded {
                 status: 200, body, ..
             }) => HttpResponse {
@@ -77,7 +86,7 @@
                 content: JSON,
                 body,
             },
-            // Not to whichever it tries next: that may be a unresponsive node.
+            // Not to whichever controller it tries next, which may be unresponsive.
             _ => {
                 let other = self
                     .failure_detector
@@ -88,20 +97,20 @@
         }
     }
 
-    /// Sends a worker to another node.
-    fn redirect(&self, to: RedirectTarget) -> HttpResponse {
-        match to {
-            RedirectTarget::Leader(p) | RedirectTarget::Healthy(p) => {
-                let name = &self.settings.peers[p].name;
+    /// Redirects a worker to another node.
+    fn redirect(&self, target: RedirectTarget) -> HttpResponse {
+        match target {
+            RedirectTarget::Leader(peer) | RedirectTarget::Healthy(peer) => {
+                let name = &self.settings.peers[peer].name;
                 HttpResponse::json(421, &serde_json::json!({ "foreman": name }))
             }
             RedirectTarget::Any => HttpResponse::json(421, &serde_json::json!({})),
         }
     }
 
-    /// `None`: this node doesn't lead.
-    pub(super) fn answer_heartbeat(&self, report: &Heartbeat) -> Option<HttpResponse> {
-        let reply = self.acting(|l, now| l.on_heartbeat(report, now))??;
+    /// Answers a heartbeat as leader. `None`: this node may not act.
+    pub(super) fn answer_heartbeat(&self, heartbeat: &Heartbeat) -> Option<HttpResponse> {
+        let reply = self.acting(|leader, now| leader.on_heartbeat(heartbeat, now))??;
         self.heartbeats.last_answered.set(self.now());
         Some(HttpResponse::json(200, &reply))
     }
--- a/src/server/leadership/load_state.rs
+++ b/src/server/leadership/load_state.rs
@@ -1,4 +1,11 @@
-//! A new leader reads the records, then learns of jobs that other nodes accept.
+//! Loads the records for a new term, then follows the feed of jobs that other nodes
+//! accept.
+//!
+//! Owns: the order in which the records are read, and the loop over the feed. Started
+//! by the campaign when a term begins; ends with the term.
+//!
+//! Must never: finish loading from records that are older than the term, or remove
+//! a feed entry whose job has not been looked up.
 
 use super::super::{Node, store::StoreError};
 use crate::{
@@ -22,135 +29,160 @@
     time::Duration,
 };
 
-/// A watch waits for 20 s.
+/// How long the store is asked to wait for new entries of the feed.
+const WATCH_WAIT_MS: Millis = 20_000;
+/// How long a watch may take, more than the store waits.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(25);
+/// Pause after a failed watch, and after a failed read.
+const WATCH_RETRY_PAUSE: Duration = Duration::from_millis(300);
+const READ_RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// Reads the records of a new term.
+/// Loads the records of a new term and follows the feed, until the term ends.
 pub(super) async fn load(node: Rc<Node>, term: u64) {
     loop {
-        if node.election.borrow().leadership().map(|l| l.term) != Some(term) {
+        let led_term = node.election.borrow().leadership().map(|held| held.term);
+        if led_term != Some(term) {
             return;
         }
         match node.read_records(term).await {
             Ok(()) => break,
             Err(e) => log::info!("reading the records: {e}"),
         }
-        Timer::after(Duration::from_millis(200)).await;
+        Timer::after(READ_RETRY_PAUSE).await;
     }
     node.watch_acceptances(term).await;
 }
 
 impl Node {
-    /// Learns of jobs that other nodes accepted.
+    fn leads_term(&self, term: u64) -> bool {
+        self.of_term(term, |_, _| ()).is_some()
+    }
+
+    /// Learns of jobs that other nodes accepted, until the term ends.
     async fn watch_acceptances(&self, term: u64) {
-        let mut notices = AcceptanceFeed::new(term);
-        let pause = || Timer::after(Duration::from_millis(300));
-        while self.of_term(term, |_, _| ()).is_some() {
-            let now = self.now();
-            self.budgets.charge_requests(now, 1.0);
-            let answer = self
-                .state(Method::Get, &notices.path(20_000), None, WATCH_TIMEOUT)
-                .await;
-            let next = match &answer {
-                Ok(a) => notices.answered(a.status, &a.body),
-                Err(_) => Next::Pause,
-            };
-            let keys = match next {
-                Next::Look(keys) => keys,
-                Next::Pause => {
-                    pause().await;
-                    continue;
-                }
-                Next::List => match self.list_as_of(records::ACCEPTANCES).await {
-                    Ok(listing) => {
-                        notices.listed(listing.revision);
-                        listing.items.into_iter().map(|i| i.key).collect()
-                    }
-                    Err(_) => {
-                        pause().await;
-                        continue;
-                    }
-                },
+        let mut feed = AcceptanceFeed::new(term);
+        while self.leads_term(term) {
+            let Some(keys) = self.next_feed_entries(&mut feed).await else {
+                Timer::after(WATCH_RETRY_PAUSE).await;
+                continue;
             };
             for key in keys {
-                let id = key.trim_start_matches(records::ACCEPTANCES).to_owned();
-                loop {
-                    match self.lookup(&id).await {
-                        Ok(Found::Live(record, version)) => {
-                            self.of_term(term, |l, now| l.accepted(*record, version, now));
-                            break;
-                        }
-                        Ok(_) => break,
-                        Err(_) => Timer::after(Duration::from_millis(200)).await,
-                    };
-                    if self.of_term(term, |_, _| ()).is_none() {
-                        return;
-                    }
+                let id = key.trim_start_matches(records::ACCEPTANCES);
+                if !self.accept_from_feed(term, id).await {
+                    return;
+                }
+                self.of_term(term, |leader, _| leader.acceptance_handled(key));
+            }
+        }
+    }
+
+    /// Waits for entries of the feed. `None`: they can't be read now.
+    async fn next_feed_entries(&self, feed: &mut AcceptanceFeed) -> Option<Vec<String>> {
+        let now = self.now();
+        self.budgets.charge_requests(now, 1.0);
+        let answer = self
+            .state(Method::Get, &feed.path(WATCH_WAIT_MS), None, WATCH_TIMEOUT)
+            .await
+            .ok()?;
+        match feed.answered(answer.status, &answer.body) {
+            Next::Look(keys) => Some(keys),
+            Next::Pause => None,
+            Next::List => {
+                let listing = self.list_as_of(records::ACCEPTANCES).await.ok()?;
+                feed.listed(listing.revision);
+                Some(listing.items.into_iter().map(|item| item.key).collect())
+            }
+        }
+    }
+
+    /// Looks up a job of the feed until that succeeds. Returns whether the term still
+    /// lasts.
+    async fn accept_from_feed(&self, term: u64, id: &str) -> bool {
+        loop {
+            match self.lookup(id).await {
+                Ok(Found::Live(record, version)) => {
+                    self.of_term(term, |leader, now| leader.accepted(*record, version, now));
+                    return true;
                 }
-                self.of_term(term, |l, _| l.acceptance_handled(key));
+                Ok(_) => return true,
+                Err(_) => Timer::after(READ_RETRY_PAUSE).await,
+            };
+            if !self.leads_term(term) {
+                return false;
             }
         }
     }
 
+    /// Reads all records and loads them into the leader's state.
     async fn read_records(&self, term: u64) -> Result<(), StoreError> {
-        // The machine registry first: it is what the leases of workers hang on.
+        // The machine registry first: the leases of workers depend on it.
         let machines = self.list_as_of(records::MACHINES).await?;
         if machines.revision < term {
             return Err(StoreError::BeforeTerm(machines.revision));
         }
         let jobs = self.list(records::JOBS).await?;
-        let chunks = self.list(records::SEGMENTS).await?;
-        let pieces = self.list(spec_chunks::SPEC_CHUNKS).await?;
-        let notices = self.list(records::ACCEPTANCES).await?;
+        let segments = self.list(records::SEGMENTS).await?;
+        let chunks = self.list(spec_chunks::SPEC_CHUNKS).await?;
+        let feed_entries = self.list(records::ACCEPTANCES).await?;
         let standbys = self.read_standby_record().await?;
         self.read_exclusions(term).await?;
-        self.of_term(term, |l, now| {
-            l.load_standbys(standbys);
-            load_machines(l, machines.items, now);
-            let unreadable = load_jobs(l, jobs, &pieces, now);
-            load_spec_chunks(l, &pieces, &unreadable);
-            load_segments(l, chunks, &unreadable);
-            // What they tell of is among the jobs, unless it came after those
-            // were read; then the watch tells of it again.
-            for notice in notices.into_iter().filter(|n| n.version <= term) {
-                l.acceptance_handled(notice.key);
+        self.of_term(term, |leader, now| {
+            leader.load_standbys(standbys);
+            load_machines(leader, machines.items, now);
+            let unreadable = load_jobs(leader, jobs, &chunks, now);
+            load_spec_chunks(leader, &chunks, &unreadable);
+            load_segments(leader, segments, &unreadable);
+            // The jobs of these entries are loaded, unless they were accepted after
+            // the jobs were read; the watch reports those again.
+            for entry in feed_entries
+                .into_iter()
+                .filter(|entry| entry.version <= term)
+            {
+                leader.acceptance_handled(entry.key);
             }
-            l.finish_loading(now);
+            leader.finish_loading(now);
         });
         Ok(())
     }
 }
 
-fn load_machines(l: &mut Leader, machines: Vec<Item>, now: Millis) {
+fn load_machines(leader: &mut Leader, machines: Vec<Item>, now: Millis) {
     for item in machines {
         let name = item.key.trim_start_matches(records::MACHINES).to_owned();
         match serde_json::from_value::<MachineRecord>(item.value) {
-            Ok(record) => l.load_machine(&name, record, item.version, now),
+            Ok(record) => leader.load_machine(&name, record, item.version, now),
             Err(e) => log::error!("record {}: {e}", item.key),
         }
     }
 }
 
-/// Returns the jobs whose records can't be read. Polls of those are answered
-/// 503, and the next leader tries again; what else is kept of them must stay.
-fn load_jobs(l: &mut Leader, jobs: Vec<Item>, pieces: &[Item], now: Millis) -> HashSet<String> {
-    let text: BTreeMap<&str, &str> = pieces
+/// Returns the jobs whose records can't be read. Polls of those are answered with
+/// 503, and the next leader tries again; what else is stored of them must stay.
+fn load_jobs(
+    leader: &mut Leader,
+    jobs: Vec<Item>,
+    chunks: &[Item],
+    now: Millis,
+) -> HashSet<String> {
+    let chunk_texts: BTreeMap<&str, &str> = chunks
         .iter()
-        .filter_map(|i| Some((i.key.as_str(), i.value.as_str()?)))
+        .filter_map(|item| Some((item.key.as_str(), item.value.as_str()?)))
         .collect();
     let mut unreadable = HashSet::new();
     for item in jobs {
         let id = item.key.trim_start_matches(records::JOBS);
         let stored = serde_json::from_value::<StoredJob>(item.value);
-        let whole = stored.map_err(anyhow::Error::from).and_then(|s| {
-            s.with_spec(|p| {
-                let values = p.keys(id).filter_map(|k| text.get(k.as_str()).copied());
-                spec_chunks::join(p, values)
+        let complete = stored.map_err(anyhow::Error::from).and_then(|stored| {
+            stored.with_spec(|chunks| {
+                let texts = chunks
+                    .keys(id)
+                    .filter_map(|key| chunk_texts.get(key.as_str()).copied());
+                spec_chunks::join(chunks, texts)
             })
         });
-        match whole {
+        match complete {
             Ok(record) => {
-                l.load_job(record, item.version, now);
+                leader.load_job(record, item.version, now);
             }
             Err(e) => {
                 log::error!("record {}: {e:#}", item.key);
@@ -161,25 +193,26 @@
     unreadable
 }
 
-fn load_spec_chunks(l: &mut Leader, pieces: &[Item], unreadable: &HashSet<String>) {
-    let cleared = pieces.iter().filter(|i| {
-        let id = spec_chunks::SpecChunks::job_of(&i.key);
+fn load_spec_chunks(leader: &mut Leader, chunks: &[Item], unreadable: &HashSet<String>) {
+    let of_readable_jobs = chunks.iter().filter(|item| {
+        let id = spec_chunks::SpecChunks::job_of(&item.key);
         id.is_none_or(|id| !unreadable.contains(id))
     });
-    l.load_spec_chunks(cleared.map(|i| (i.key.clone(), i.version)).collect());
+    let versions = of_readable_jobs.map(|item| (item.key.clone(), item.version));
+    leader.load_spec_chunks(versions.collect());
 }
 
-fn load_segments(l: &mut Leader, chunks: Vec<Item>, unreadable: &HashSet<String>) {
-    for item in chunks {
+fn load_segments(leader: &mut Leader, segments: Vec<Item>, unreadable: &HashSet<String>) {
+    for item in segments {
         let name = item.key.strip_prefix(records::SEGMENTS);
-        let Some((id, chunk)) = name.and_then(|k| k.rsplit_once('/')) else {
+        let Some((id, index)) = name.and_then(|name| name.rsplit_once('/')) else {
             continue;
         };
         if unreadable.contains(id) {
             continue;
         }
-        if let (Ok(chunk), Some(text)) = (chunk.parse(), item.value.as_str()) {
-            l.load_segment(id, chunk, text);
+        if let (Ok(index), Some(text)) = (index.parse(), item.value.as_str()) {
+            leader.load_segment(id, index, text);
         }
     }
 }
--- a/src/server/peers.rs
+++ b/src/server/peers.rs
@@ -1,5 +1,10 @@
-//! The other controllers: what they ask, what is asked of them, and which of
-//! them answer.
+//! Requests from and to the other controllers.
+//!
+//! Owns: the probes of the failure detector, and the dispatch of what other
+//! controllers request. Called by every module that asks a peer.
+//!
+//! Must never: send a request to a peer without reporting its start and its result
+//! to the failure detector.
 
 use super::{HEARTBEAT_PATH, Node};
 use crate::{
@@ -12,38 +17,44 @@
 use async_io::Timer;
 use std::{rc::Rc, time::Duration};
 
-/// Between two looks at which nodes are to be asked whether they answer.
-const LOOK: Duration = Duration::from_millis(100);
-/// Between two questions only to learn whether a node answers.
-const EVERY: Millis = 300;
-/// The same for the leader, who asks all nodes.
-const LEADER_EVERY: Millis = 700;
+/// Time between two checks for probes that are due.
+const PROBE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Time between two probes of a peer.
+const PROBE_INTERVAL_MS: Millis = 300;
+/// The same for the leader, which probes all peers.
+const LEADER_PROBE_INTERVAL_MS: Millis = 700;
 
-/// Keeps up to date which nodes answer, as far as that matters now.
+/// Probes the peers whose health matters now, for as long as the process runs.
 pub async fn watch(node: Rc<Node>) {
     loop {
-        Timer::after(LOOK).await;
+        Timer::after(PROBE_CHECK_INTERVAL).await;
         let now = node.now();
         let due: Vec<usize> = {
             let failure_detector = node.failure_detector.borrow();
             let leads = node.election.borrow().leadership().is_some();
-            // One that answers is enough for the others: the leader.
+            // A follower with a healthy leader probes only that.
             let leader = node.leader_peer().filter(|_| !leads);
-            let enough = leader.filter(|p| failure_detector.is_healthy(*p, now));
-            let every = if leads { LEADER_EVERY } else { EVERY };
+            let healthy_leader = leader.filter(|peer| failure_detector.is_healthy(*peer, now));
+            let interval = if leads {
+                LEADER_PROBE_INTERVAL_MS
+            } else {
+                PROBE_INTERVAL_MS
+            };
             (0..node.settings.peers.len())
-                .filter(|p| {
-                    enough.is_none_or(|one| one == *p) && failure_detector.probe_due(*p, every, now)
+                .filter(|peer| {
+                    healthy_leader.is_none_or(|leader| leader == *peer)
+                        && failure_detector.probe_due(*peer, interval, now)
                 })
                 .collect()
         };
         for peer in due {
-            let n = node.clone();
-            let ask = async move {
-                let limit = Duration::from_millis(2 * RESPONSE_PATIENCE_MS);
-                let _ = n.ask(peer, &Request::greeting(), limit).await;
+            let prober = node.clone();
+            let probe = async move {
+                let timeout = Duration::from_millis(2 * RESPONSE_PATIENCE_MS);
+                // The result goes to the failure detector.
+                let _ = prober.ask(peer, &Request::greeting(), timeout).await;
             };
-            node.executor.spawn_high(ask).detach();
+            node.executor.spawn_high(probe).detach();
         }
     }
 }
@@ -56,6 +67,7 @@
         self.settings.peers.iter().position(|p| p.name == name)
     }
 
+    /// How the peer responds.
     pub(super) fn peer_health(&self, peer: usize) -> PeerHealth {
         self.failure_detector.borrow().health(peer, self.now())
     }
@@ -63,28 +75,29 @@
     /// The leader, if it is another node and answers.
     pub(super) fn answering_leader(&self) -> Option<usize> {
         self.leader_peer()
-            .filter(|p| self.peer_health(*p) == PeerHealth::Healthy)
+            .filter(|peer| self.peer_health(*peer) == PeerHealth::Healthy)
     }
 
+    /// Sends a request to a peer.
     pub(super) async fn ask(
         &self,
         peer: usize,
         request: &Request,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<Reply, CallError> {
         let addr = self.settings.peers[peer].addr;
         self.failure_detector
             .borrow_mut()
             .request_sent(peer, self.now());
-        let answer = self.peers.call(addr, request, limit).await;
-        let how = match &answer {
+        let answer = self.peers.call(addr, request, timeout).await;
+        let health = match &answer {
             Ok(_) => PeerHealth::Healthy,
             Err(CallError::TooLong) => PeerHealth::Unresponsive,
             Err(_) => PeerHealth::Refusing,
         };
         self.failure_detector
             .borrow_mut()
-            .request_ended(peer, how, self.now());
+            .request_ended(peer, health, self.now());
         if let Ok(Reply::Greeted { leader }) = &answer {
             let leader = leader.clone();
             self.election
@@ -94,6 +107,7 @@
         answer
     }
 
+    /// Answers a request of another controller.
     pub(super) async fn peer(self: Rc<Self>, request: Request) -> Reply {
         match request {
             Request::Unheard { machines, for_ms } => {
@@ -103,28 +117,30 @@
                     .borrow_mut()
                     .relay_requested(&machines, for_ms, now);
                 let election = self.election.borrow();
-                let leader = election.leader(now).map(|(n, t)| (n.to_owned(), t));
+                let leader = election
+                    .leader(now)
+                    .map(|(name, term)| (name.to_owned(), term));
                 Reply::Greeted { leader }
             }
             Request::Forward { path, body, .. } if path == HEARTBEAT_PATH => {
                 let answer = serde_json::from_slice(&body)
                     .ok()
-                    .and_then(|report| self.answer_heartbeat(&report));
+                    .and_then(|heartbeat| self.answer_heartbeat(&heartbeat));
                 match answer {
-                    Some(r) => Reply::Forwarded {
-                        status: r.status,
+                    Some(response) => Reply::Forwarded {
+                        status: response.status,
                         retry_after_s: None,
-                        body: r.body,
+                        body: response.body,
                     },
                     None => Reply::NotLeader,
                 }
             }
             Request::Forward { method, path, body } => {
                 match self.handle_as_leader(&method, &path, body).await {
-                    Some(r) => Reply::Forwarded {
-                        status: r.status,
-                        retry_after_s: r.retry_after_s,
-                        body: r.body,
+                    Some(response) => Reply::Forwarded {
+                        status: response.status,
+                        retry_after_s: response.retry_after_s,
+                        body: response.body,
                     },
                     None => Reply::NotLeader,
                 }
--- a/src/server/polls.rs
+++ b/src/server/polls.rs
@@ -1,9 +1,15 @@
-//! Polls that go to the leader or to the records, many at a time.
+//! Polls that are answered by the leader or from the records, in rounds.
+//!
+//! Owns: the two queues of waiting polls and the loops that answer them. Called by
+//! the steps of users' requests (`server::client_api`) and, for polls that other
+//! nodes forward, by `server::peers`.
+//!
+//! Must never: answer a poll from a read that began before the poll arrived.
 
 use super::{
     Node,
     signals::WakeSignal,
-    store::{NamedRead, UnreadName},
+    store::{NamedRead, StoreError, UnreadName},
 };
 use crate::{
     control::{
@@ -22,15 +28,25 @@
 use serde_json::Value;
 use std::{cell::RefCell, collections::HashMap, rc::Rc, time::Duration};
 
-const FORWARD: Duration = Duration::from_millis(500);
-/// Jobs asked about in one frame, and in one look at the records.
-const MOST: usize = 500;
-/// Up to so many jobs are read one by one; of more, all live ones are listed.
-const FEW: usize = 4;
+/// How long the leader may take to answer a round of polls.
+const LEADER_POLL_TIMEOUT: Duration = Duration::from_millis(500);
+/// Most jobs in a round.
+const MAX_ROUND_JOBS: usize = 500;
+/// Up to this many jobs are looked up one by one; for more, all live ones are
+/// listed.
+const MAX_SINGLE_LOOKUPS: usize = 4;
+/// Lookups are preferred to a list of more than this many live jobs for each.
+const LIST_COST_DIVISOR: usize = 16;
+/// Requests that a lookup may take.
+const LOOKUP_REQUESTS: usize = 2;
+/// How often, and at what interval, a round waits for the request budget.
+const BUDGET_CHECKS: u32 = 10;
+const BUDGET_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What a poll comes to.
+/// What a poll read, or why it could not be answered.
 pub(super) type Answer = Result<Reading, String>;
 
+/// Polls that wait for the same source of answers.
 pub(super) struct PollQueue {
     batch: RefCell<PollBatch<Sender<Answer>>>,
     wake: WakeSignal,
@@ -57,70 +73,76 @@
 type Round = Vec<(String, Vec<Sender<Answer>>)>;
 
 impl PollQueue {
-    pub(super) fn new(most: usize) -> Self {
+    pub(super) fn new(max_waiters: usize) -> Self {
         PollQueue {
-            batch: RefCell::new(PollBatch::new(most)),
+            batch: RefCell::new(PollBatch::new(max_waiters)),
             wake: WakeSignal::default(),
         }
     }
 
-    /// Where too many wait already, `who` is dropped and so learns of it.
-    fn add(&self, id: &str, who: Sender<Answer>) {
-        self.batch.borrow_mut().add(id, who);
+    /// Where too many wait already, the waiter is dropped, which closes its channel.
+    fn add(&self, id: &str, waiter: Sender<Answer>) {
+        self.batch.borrow_mut().add(id, waiter);
         self.wake.notify();
     }
 
+    /// Waits for the answer to a poll of the job.
     pub(super) async fn ask(&self, id: &str) -> Answer {
-        let (tx, rx) = async_channel::bounded(1);
-        self.add(id, tx);
-        let answer = rx.recv().await;
+        let (waiter, receiver) = async_channel::bounded(1);
+        self.add(id, waiter);
+        let answer = receiver.recv().await;
         answer.unwrap_or_else(|_| Err("too many polls at once".into()))
     }
 
-    /// No answer could be given about it.
-    fn owe(&self, id: &str) {
+    /// The polls of this job got no answer.
+    fn mark_shed(&self, id: &str) {
         self.batch.borrow_mut().mark_shed(id);
     }
 
-    fn paid(&self, id: &str) {
+    /// The polls of this job were answered.
+    fn mark_answered(&self, id: &str) {
         self.batch.borrow_mut().mark_answered(id);
     }
 
-    /// Waits until something is asked.
-    async fn asked(&self) {
+    /// Waits until there are polls.
+    async fn wait_for_polls(&self) {
         while self.batch.borrow().is_empty() {
             self.wake.wait().await;
         }
     }
 
-    fn round(&self) -> Round {
-        self.batch.borrow_mut().take_round(MOST)
+    fn take_round(&self) -> Round {
+        self.batch.borrow_mut().take_round(MAX_ROUND_JOBS)
     }
 }
 
-fn tell(who: Vec<Sender<Answer>>, answer: &Answer) {
-    for w in who {
-        let _ = w.try_send(answer.clone());
+fn send_answer(waiters: Vec<Sender<Answer>>, answer: &Answer) {
+    for waiter in waiters {
+        // The user may have gone meanwhile.
+        let _ = waiter.try_send(answer.clone());
     }
 }
 
-/// Asks the leader, for all who wait at once.
+/// Answers the polls that wait for the leader, a round at a time.
 pub async fn ask_leader(node: Rc<Node>) {
     loop {
-        node.polls.leader.asked().await;
-        let round = node.polls.leader.round();
-        let (mut known, began) = (Vec::new(), node.now());
+        node.polls.leader.wait_for_polls().await;
+        let round = node.polls.leader.take_round();
+        let (mut statuses, began) = (Vec::new(), node.now());
         if let Some(leader) = node.answering_leader() {
             let ids = round.iter().map(|(id, _)| id.clone()).collect();
-            match node.ask(leader, &Request::Polls { ids }, FORWARD).await {
-                Ok(Reply::Polled(answers)) => known = answers,
+            match node
+                .ask(leader, &Request::Polls { ids }, LEADER_POLL_TIMEOUT)
+                .await
+            {
+                Ok(Reply::Polled(answers)) => statuses = answers,
                 Ok(_) => {}
                 Err(e) => log::debug!("asking the leader: {e}"),
             }
         }
-        known.resize(round.len(), None);
-        for ((id, who), known) in round.into_iter().zip(known) {
-            let told = known.map(|(state, done, running)| JobStatus {
+        statuses.resize(round.len(), None);
+        for ((id, waiters), status) in round.into_iter().zip(statuses) {
+            let status = status.map(|(state, done, running)| JobStatus {
                 id,
                 state,
                 done,
@@ -128,77 +150,76 @@
             });
             let reading = Reading {
                 started_at: began,
-                status: told,
+                status,
                 version: None,
             };
-            tell(who, &Ok(reading));
+            send_answer(waiters, &Ok(reading));
         }
     }
 }
 
-/// Reads the records, for all who wait at once.
+/// Answers the polls that wait for the records, a round at a time.
 pub async fn ask_records(node: Rc<Node>) {
-    let mut listed = 0;
+    // Live jobs in the last list.
+    let mut listed_jobs = 0;
     loop {
-        node.polls.records.asked().await;
-        // While requests are scarce more polls gather, for whom one list does.
-        let room = node.room_to_read().await;
-        let (round, began) = (node.polls.records.round(), node.now());
-        let mut live = HashMap::new();
-        // A list costs by the number of live jobs, a look-up by the request.
-        let dear = round.len() * 16 < listed && 2 * round.len() < room;
-        let list = round.len() > FEW && !dear;
-        if list {
-            match node.list(JOBS).await {
-                Ok(items) => {
-                    listed = items.len();
-                    for i in items {
-                        live.insert(i.key, (i.value, i.version));
-                    }
-                }
-                Err(e) => {
-                    let why = Err(format!("records can't be read: {e}"));
-                    for (id, who) in round {
-                        node.polls.records.owe(&id);
-                        tell(who, &why);
-                    }
-                    continue;
-                }
+        node.polls.records.wait_for_polls().await;
+        // While requests are scarce more polls arrive, which share one list.
+        let budget = node.wait_for_read_budget().await;
+        let (round, began) = (node.polls.records.take_round(), node.now());
+        // A list costs by the number of live jobs, lookups by the number of polls.
+        let lookups_are_cheaper =
+            round.len() * LIST_COST_DIVISOR < listed_jobs && LOOKUP_REQUESTS * round.len() < budget;
+        if round.len() <= MAX_SINGLE_LOOKUPS || lookups_are_cheaper {
+            for (id, waiters) in round {
+                let answer = look_up(&node, &id).await;
+                node.answer_from_records(&id, waiters, answer);
             }
+            continue;
         }
-        let mut final_states = HashMap::new();
-        if list {
-            let over = round.iter().map(|(id, _)| id.as_str());
-            let over = over.filter(|id| !live.contains_key(&job_key(id)));
-            let NamedRead { items, unread } = node.read_some(FINALS, over.collect()).await;
-            for i in items {
-                let id = i.key[FINALS.len()..].to_owned();
-                final_states.insert(id, Ok((i.value, i.version)));
+        match node.read_round(&round).await {
+            Ok(mut records) => {
+                listed_jobs = records.listed_jobs;
+                for (id, waiters) in round {
+                    let answer = records.take_answer(&id, began);
+                    node.answer_from_records(&id, waiters, answer);
+                }
             }
-            for UnreadName { name, error } in unread {
-                final_states.insert(name, Err(error.to_string()));
+            Err(e) => {
+                for (id, waiters) in round {
+                    node.answer_from_records(&id, waiters, Err(e.to_string()));
+                }
             }
         }
-        for (id, who) in round {
-            let found = match (live.remove(&job_key(&id)), final_states.remove(&id)) {
-                (Some((value, version)), _) => serde_json::from_value::<StoredJob>(value)
-                    .map(|r| reading(began, r.status(&id), version))
-                    .map_err(|e| e.to_string()),
-                // A key that was read one by one and is not there.
-                (None, Some(Ok((Value::Null, _)))) => Ok(Reading::nothing(began)),
-                (None, Some(Ok((value, version)))) => serde_json::from_value(value)
-                    .map(|r| reading(began, final_status(&id, &r), version))
-                    .map_err(|e| e.to_string()),
-                (None, Some(Err(e))) => Err(e),
-                (None, None) if list => Ok(Reading::nothing(began)),
-                (None, None) => look_up(&node, &id).await,
-            };
-            match &found {
-                Ok(_) => node.polls.records.paid(&id),
-                Err(_) => node.polls.records.owe(&id),
-            }
-            let found = found.map_err(|e| format!("records can't be read: {e}"));
-            tell(who, &found);
+    }
+}
+
+/// The records that the jobs of a round were looked for in.
+struct RoundRecords {
+    /// How many live jobs were listed.
+    listed_jobs: usize,
+    /// Value and version of each live record, by its key.
+    live: HashMap<String, (Value, u64)>,
+    /// Value and version of each final record, by the job's id; an error for a job
+    /// whose record could not be read.
+    terminal: HashMap<String, Result<(Value, u64), StoreError>>,
+}
+
+impl RoundRecords {
+    /// The answer to polls of a job of the round.
+    fn take_answer(&mut self, id: &str, began: Millis) -> Answer {
+        if let Some((value, version)) = self.live.remove(&job_key(id)) {
+            return serde_json::from_value::<StoredJob>(value)
+                .map(|record| reading(began, record.status(id), version))
+                .map_err(|e| e.to_string());
+        }
+        match self.terminal.remove(id) {
+            // A key that was read by itself and doesn't exist.
+            Some(Ok((Value::Null, _))) | None => Ok(Reading::nothing(began)),
+            Some(Ok((value, version))) => serde_json::from_value(value)
+                .map(|record| reading(began, final_status(id, &record), version))
+                .map_err(|e| e.to_string()),
+            Some(Err(e)) => Err(e.to_string()),
         }
     }
 }
@@ -211,7 +232,7 @@
     }
 }
 
-/// One job by itself.
+/// Looks up one job by itself.
 async fn look_up(node: &Node, id: &str) -> Answer {
     let began = node.now();
     let found = node.lookup(id).await.map_err(|e| e.to_string())?;
@@ -223,24 +244,64 @@
 }
 
 impl Node {
-    /// Polls at other nodes.
+    /// Answers polls that another node forwards.
     pub(super) fn answer_polls(&self, ids: &[String]) -> Reply {
-        let ids = &ids[..ids.len().min(MOST)];
+        let ids = &ids[..ids.len().min(MAX_ROUND_JOBS)];
         match self.view(|view| polled(view, ids)) {
             Some(answers) => Reply::Polled(answers),
             None => Reply::NotLeader,
         }
     }
 
+    /// Reads the records of a round: all live ones, and the final ones of the jobs
+    /// that are not live.
+    async fn read_round(&self, round: &Round) -> Result<RoundRecords, StoreError> {
+        let items = self.list(JOBS).await?;
+        let listed_jobs = items.len();
+        let live: HashMap<_, _> = items
+            .into_iter()
+            .map(|item| (item.key, (item.value, item.version)))
+            .collect();
+        let not_live = round
+            .iter()
+            .map(|(id, _)| id.as_str())
+            .filter(|id| !live.contains_key(&job_key(id)))
+            .collect();
+        let NamedRead { items, unread } = self.read_some(FINALS, not_live).await;
+        let mut terminal = HashMap::new();
+        for item in items {
+            let id = item.key[FINALS.len()..].to_owned();
+            terminal.insert(id, Ok((item.value, item.version)));
+        }
+        for UnreadName { name, error } in unread {
+            terminal.insert(name, Err(error));
+        }
+        Ok(RoundRecords {
+            listed_jobs,
+            live,
+            terminal,
+        })
+    }
+
+    fn answer_from_records(&self, id: &str, waiters: Vec<Sender<Answer>>, answer: Answer) {
+        match &answer {
+            Ok(_) => self.polls.records.mark_answered(id),
+            Err(_) => self.polls.records.mark_shed(id),
+        }
+        let answer = answer.map_err(|e| format!("records can't be read: {e}"));
+        send_answer(waiters, &answer);
+    }
+
     /// Waits, though no longer than users do, until some requests may be made.
-    async fn room_to_read(&self) -> usize {
-        let room = || self.budgets.request_level(self.now()) as usize;
-        for _ in 0..10 {
-            if room() >= 2 * FEW {
+    /// Returns how many.
+    async fn wait_for_read_budget(&self) -> usize {
+        let level = || self.budgets.request_level(self.now()) as usize;
+        for _ in 0..BUDGET_CHECKS {
+            if level() >= LOOKUP_REQUESTS * MAX_SINGLE_LOOKUPS {
                 break;
             }
-            Timer::after(Duration::from_millis(50)).await;
+            Timer::after(BUDGET_CHECK_INTERVAL).await;
         }
-        room()
+        level()
     }
 }
--- a/src/server/standby.rs
+++ b/src/server/standby.rs
@@ -1,4 +1,10 @@
-//! Keeps standbys warm while this node leads, and a copy while another does.
+//! Replication to the standbys while this node leads, and the replica it keeps while
+//! another does.
+//!
+//! Owns: the requests of the replication stream and the writes of the standby
+//! registry. Called by the control loop, by the campaign and by `server::peers`.
+//!
+//! Must never: accept a part of the stream while this node leads.
 
 use super::{
     Node,
@@ -19,8 +25,10 @@
 use async_io::Timer;
 use std::{cell::RefCell, rc::Rc, time::Duration};
 
-/// A part that is not answered by then is taken for lost.
+/// A part of the stream that is not answered by then counts as lost.
 const REPLICATE_TIMEOUT: Duration = Duration::from_millis(900);
+/// Pause before a failed read of the standby registry is repeated.
+const REREAD_PAUSE: Duration = Duration::from_millis(200);
 
 /// What this node keeps while another leads, to take over from it.
 #[derive(Default)]
@@ -32,29 +40,30 @@
 }
 
 impl Node {
-    /// One look of the leader at its standbys.
+    /// One round of the leader: updates the standby registry and goes on with the
+    /// replication to each standby.
     pub(super) fn update_standbys(self: &Rc<Self>, term: u64) {
         let now = self.now();
-        let due = self.acting(|l, now| {
+        let due = self.acting(|leader, now| {
             let failure_detector = self.failure_detector.borrow();
-            l.update_standbys(|p| failure_detector.is_healthy(p, now), now)
+            leader.update_standbys(|peer| failure_detector.is_healthy(peer, now), now)
         });
         if let Some(txn) = due.flatten() {
             self.executor
                 .spawn_high(self.clone().write_standbys(term, txn))
                 .detach();
         }
-        let peers = self.of_term(term, |l, _| l.standby_peers());
+        let peers = self.of_term(term, |leader, _| leader.standby_peers());
         for peer in peers.unwrap_or_default() {
-            let part = self.of_term(term, |l, _| l.next_replication_part(peer, now));
+            let part = self.of_term(term, |leader, _| leader.next_replication_part(peer, now));
             if let Some(part) = part.flatten() {
-                let told = self.clone().send_replication_part(term, peer, part);
-                self.executor.spawn_high(told).detach();
+                let sending = self.clone().send_replication_part(term, peer, part);
+                self.executor.spawn_high(sending).detach();
             }
         }
     }
 
-    /// Sends a part, and what is to follow it.
+    /// Sends a part of the stream, and each part that follows its answer.
     async fn send_replication_part(self: Rc<Self>, term: u64, peer: usize, part: Follow) {
         let mut next = Some(part);
         while let Some(part) = next.take() {
@@ -65,15 +74,15 @@
                 Ok(Reply::Followed { incarnation, taken }) => Some((incarnation, taken)),
                 _ => None,
             };
-            let went_on = self.of_term(term, |l, now| {
-                l.replication_answered(peer, answer, now);
-                l.next_replication_part(peer, now)
+            let following = self.of_term(term, |leader, now| {
+                leader.replication_answered(peer, answer, now);
+                leader.next_replication_part(peer, now)
             });
-            next = went_on.flatten();
+            next = following.flatten();
         }
     }
 
-    /// What a leader tells this node, as its standby.
+    /// Takes a part of the stream from the leader, as its standby.
     pub(super) fn receive_replication_part(&self, part: Follow) -> Reply {
         if self.election.borrow().leadership().is_some() {
             return Reply::NotLeader;
@@ -87,23 +96,24 @@
         Reply::Followed { incarnation, taken }
     }
 
+    /// Reads the standby registry, with its version.
     pub(super) async fn read_standby_record(
         &self,
     ) -> Result<Option<(StandbyRecord, u64)>, StoreError> {
         let now = self.now();
         self.budgets.charge_requests(now, 1.0);
         let item = self.get(STANDBYS, STATE_TIMEOUT).await?;
-        Ok(item.map(|i| (StandbyRecord::read(i.value), i.version)))
+        Ok(item.map(|item| (StandbyRecord::read(item.value), item.version)))
     }
 
     async fn write_standbys(self: Rc<Self>, term: u64, txn: Txn) {
         let now = self.now();
         self.budgets.charge_requests(now, 1.0);
         self.budgets.charge_changes(now, 1.0);
-        let how = match self.txn(&txn, STATE_TIMEOUT).await {
+        let outcome = match self.txn(&txn, STATE_TIMEOUT).await {
             TxnResult::Done(version) => RegistryWriteOutcome::Done(version),
             TxnResult::Refused | TxnResult::Rejected => RegistryWriteOutcome::Refused,
-            TxnResult::Conflict(failed) if failed.iter().any(|k| k == LEADER) => {
+            TxnResult::Conflict(failed) if failed.iter().any(|key| key == LEADER) => {
                 self.step_down(term, super::leadership::StepDownReason::Replaced);
                 return;
             }
@@ -113,17 +123,17 @@
                 }
                 match self.read_standby_record().await {
                     Ok(found) => break RegistryWriteOutcome::Reread(found),
-                    Err(_) => Timer::after(Duration::from_millis(200)).await,
+                    Err(_) => Timer::after(REREAD_PAUSE).await,
                 };
             },
         };
-        self.of_term(term, |l, now| l.standbys_written(how, now));
+        self.of_term(term, |leader, now| leader.standbys_written(outcome, now));
     }
 
-    /// Somebody else is named to take over, and may be there to do it: this
-    /// node leaves them a moment. Only a courtesy, so what was read may be old.
+    /// Whether another node is in the standby registry and healthy, and this one
+    /// isn't registered. It only delays a candidacy, so the registry may be old.
     pub(super) async fn other_standbys_are_counted(&self) -> bool {
-        // Read once while nobody leads: the budget is scarce just then.
+        // Read once while nobody leads, as the request budget is scarce then.
         if self.standby.last_record.borrow().is_none() {
             let Ok(found) = self.read_standby_record().await else {
                 return false;
@@ -137,19 +147,17 @@
             .borrow()
             .clone()
             .unwrap_or_default();
-        let (me, incarnation) = {
-            let e = self.election.borrow();
-            (e.node_name.clone(), e.incarnation)
+        let is_registered = {
+            let election = self.election.borrow();
+            record.named.iter().any(|(name, incarnation)| {
+                *name == election.node_name && *incarnation == election.incarnation
+            })
         };
-        let own = record
-            .named
-            .iter()
-            .any(|(n, i)| *n == me && *i == incarnation);
-        let there = |name: &String| {
+        let is_healthy_peer = |name: &String| {
             let peers = &self.settings.peers;
-            let peer = peers.iter().position(|p| p.name == *name);
-            peer.is_some_and(|p| self.peer_health(p) == PeerHealth::Healthy)
+            let peer = peers.iter().position(|peer| peer.name == *name);
+            peer.is_some_and(|peer| self.peer_health(peer) == PeerHealth::Healthy)
         };
-        !own && record.named.iter().any(|(n, _)| there(n))
+        !is_registered && record.named.iter().any(|(name, _)| is_healthy_peer(name))
     }
 }
--- a/src/server/status.rs
+++ b/src/server/status.rs
@@ -1,5 +1,10 @@
-//! Operators' questions: answered by the leader, and by the others as it last
-//! answered them, with the age of that.
+//! Status requests of operators: answered by the leader, and by the other nodes with
+//! the leader's last answer and its age.
+//!
+//! Owns: the cluster status last built or fetched. Called by `server::peers`, through
+//! which the command line asks.
+//!
+//! Must never: build a status more often than it may, or hide the age of one.
 
 use super::Node;
 use crate::{
@@ -12,14 +17,16 @@
 };
 use std::{rc::Rc, time::Duration};
 
-const ASK: Duration = Duration::from_millis(800);
-/// A cluster state is put together at most this often, however many ask.
-const FRESH: Millis = 500;
+/// How long the leader may take to answer.
+const LEADER_STATUS_TIMEOUT: Duration = Duration::from_millis(800);
+/// A cluster status is built at most this often, however many ask.
+const MIN_REBUILD_INTERVAL_MS: Millis = 500;
 
-/// The cluster state last put together or fetched, and when.
+/// The cluster status last built or fetched, and when.
 pub(super) type LastClusterStatus = Option<(Millis, Picture)>;
 
 impl Node {
+    /// The status of this node and of the cluster, as far as it is known here.
     pub(super) async fn status(&self) -> Status {
         let now = self.now();
         if self.acting(|l, _| l.loaded()) == Some(true) {
@@ -29,12 +36,15 @@
                 .borrow()
                 .as_ref()
                 .map(|(at, p)| (*at, p.term));
-            let fresh = last.is_some_and(|(at, of)| now < at + FRESH && Some(of) == term);
+            let fresh =
+                last.is_some_and(|(at, of)| now < at + MIN_REBUILD_INTERVAL_MS && Some(of) == term);
             if !fresh && let Some(picture) = self.acting(|l, now| l.picture(now)) {
                 *self.last_cluster_status.borrow_mut() = Some((now, picture));
             }
         } else if let Some(leader) = self.leader_peer()
-            && let Ok(Reply::Status(answer)) = self.ask(leader, &Request::LeaderStatus, ASK).await
+            && let Ok(Reply::Status(answer)) = self
+                .ask(leader, &Request::LeaderStatus, LEADER_STATUS_TIMEOUT)
+                .await
             && let Some(picture) = answer.picture
         {
             let age = (answer.age_s.max(0.0) * 1000.0) as Millis;
@@ -66,7 +76,7 @@
         }
     }
 
-    /// What this node alone can say: asked by another that does not lead.
+    /// Answers the status request of a node that doesn't lead.
     pub(super) async fn leader_status(&self) -> Reply {
         match self.acting(|l, _| l.loaded()) {
             Some(true) => Reply::Status(Box::new(self.status().await)),
@@ -74,6 +84,7 @@
         }
     }
 
+    /// Explains why a job is in its state. `forward`: the leader may be asked.
     pub(super) async fn explain(self: &Rc<Self>, id: &str, forward: bool) -> Explanation {
         if self.acting(|l, _| l.loaded()) == Some(true) {
             if let Some(job) = self.acting(|l, now| l.explain(id, now)).flatten() {
@@ -88,7 +99,7 @@
                         id: id.to_owned(),
                         forwarded: true,
                     },
-                    ASK,
+                    LEADER_STATUS_TIMEOUT,
                 )
                 .await
         {
--- a/src/server/store.rs
+++ b/src/server/store.rs
@@ -10,7 +10,7 @@
 use super::Node;
 use crate::{
     control::{
-        key_pages::Pages,
+        key_pages::{PageRequest, Pages},
         requests::{Found, LookupResults, TxnResult},
     },
     protocol::state::{Item, Page, Revision, Txn},
@@ -267,8 +267,8 @@
         let mut result = NamedRead::default();
         let one_by_one = names.len() <= MAX_SINGLE_READS;
         let mut pages = Pages::new(prefix, names);
-        while let Some((after, max_keys)) = pages.ask() {
-            let read = match pages.open().first() {
+        while let Some(PageRequest { after, max_keys }) = pages.next_page() {
+            let read = match pages.unread().first() {
                 _ if !self.may_request(LOOKUP_RESERVE_REQUESTS) => {
                     Err(StoreError::OverRequestBudget)
                 }
@@ -280,10 +280,10 @@
                     let last_key = page.items.last().map(|item| item.key.clone());
                     let wanted = page.items.into_iter().filter(|item| pages.wants(&item.key));
                     result.items.extend(wanted);
-                    pages.read(last_key.as_deref(), page.more);
+                    pages.page_read(last_key.as_deref(), page.more);
                 }
                 Err(error) => {
-                    let unread = pages.open().iter().map(|name| UnreadName {
+                    let unread = pages.unread().iter().map(|name| UnreadName {
                         name: name.to_string(),
                         error: error.clone(),
                     });
--- a/src/server/upgrade.rs
+++ b/src/server/upgrade.rs
@@ -1,5 +1,12 @@
-//! Which controllers run this version. Each leaves a mark in the store when it
-//! first runs it; what older ones can't read is written only once all have.
+//! Which controllers run this version. Each writes a version record to the
+//! key-value store when it first runs it; what older versions can't read is written
+//! only once all controllers have done so.
+//!
+//! Owns: the version records as last read. Its loop is started once by the process;
+//! the steps of users' requests ask whether the upgrade is complete.
+//!
+//! Must never: take the upgrade for complete while a controller's record is missing
+//! or of an older format.
 
 use super::{
     Node,
@@ -18,17 +25,22 @@
     time::Duration,
 };
 
-const SOON: Duration = Duration::from_millis(500);
-/// Between two looks at the marks of the others.
-const LOOK: u64 = 1_500;
+/// Pause after a failed attempt to write the version record.
+const RETRY_PAUSE: Duration = Duration::from_millis(500);
+/// Shortest time between two reads of the version records; up to as much again is
+/// added at random, so that the controllers don't read at the same moment.
+const READ_INTERVAL_MS: u64 = 1_500;
+/// Requests in the budget that the version record leaves to leadership.
+const RESERVE_REQUESTS: f64 = 2.0;
 
+/// How far the upgrade to this version has come.
 #[derive(Default)]
 pub(super) struct Upgrade {
     /// Every controller has run this version. It stays so: one that has is not
     /// started in an older version again.
     complete: Cell<bool>,
-    /// Marks as last read.
-    seen: RefCell<BTreeMap<String, VersionRecord>>,
+    /// Version records by controller, as last read.
+    records: RefCell<BTreeMap<String, VersionRecord>>,
 }
 
 impl Upgrade {
@@ -37,44 +49,53 @@
         self.complete.get()
     }
 
-    /// Controllers with what each was seen to run; `None`: an older version.
+    /// The version that each controller runs; `None`: an older one.
     pub(super) fn versions<'a>(
         &self,
         nodes: impl Iterator<Item = &'a str>,
     ) -> Vec<(String, Option<String>)> {
-        let seen = self.seen.borrow();
+        let records = self.records.borrow();
         nodes
-            .map(|n| (n.to_owned(), seen.get(n).map(|v| v.program.clone())))
+            .map(|node| {
+                let version = records.get(node).map(|record| record.program.clone());
+                (node.to_owned(), version)
+            })
             .collect()
     }
 
     fn learned<'a>(
         &self,
-        seen: BTreeMap<String, VersionRecord>,
+        records: BTreeMap<String, VersionRecord>,
         mut nodes: impl Iterator<Item = &'a str>,
     ) {
-        let all = nodes.all(|n| seen.get(n).is_some_and(|v| v.format >= FORMAT));
-        if all && !self.complete.replace(true) {
+        let all_run_it = nodes.all(|node| {
+            records
+                .get(node)
+                .is_some_and(|record| record.format >= FORMAT)
+        });
+        if all_run_it && !self.complete.replace(true) {
             log::info!("all controllers run this version: its records may be used");
         }
-        *self.seen.borrow_mut() = seen;
+        *self.records.borrow_mut() = records;
     }
 }
 
+/// Writes this version's record, then waits until all controllers have done so.
 pub async fn run(node: Rc<Node>) {
-    while let Err(e) = node.leave_mark().await {
+    while let Err(e) = node.write_version_record().await {
         log::debug!("recording this version: {e}");
-        Timer::after(SOON).await;
+        Timer::after(RETRY_PAUSE).await;
     }
     while !node.upgraded().await {
-        // Not all at the same moment.
-        Timer::after(Duration::from_millis(LOOK + fastrand::u64(0..LOOK))).await;
+        let jitter_ms = fastrand::u64(0..READ_INTERVAL_MS);
+        Timer::after(Duration::from_millis(READ_INTERVAL_MS + jitter_ms)).await;
     }
 }
 
 impl Node {
+    /// The names of all controllers.
     fn names(&self) -> impl Iterator<Item = &str> {
-        let peers = self.settings.peers.iter().map(|p| p.name.as_str());
+        let peers = self.settings.peers.iter().map(|peer| peer.name.as_str());
         peers.chain([self.settings.name.as_str()])
     }
 
@@ -85,21 +106,21 @@
         list
     }
 
-    async fn leave_mark(&self) -> Result<(), StoreError> {
+    async fn write_version_record(&self) -> Result<(), StoreError> {
         let key = version_key(&self.settings.name);
         let own = VersionRecord {
             format: FORMAT,
             program: env!("CARGO_PKG_VERSION").to_owned(),
         };
-        if !self.may_request(2.0) {
+        if !self.may_request(RESERVE_REQUESTS) {
             return Err(StoreError::OverRequestBudget);
         }
         let found = self.get(&key, STATE_TIMEOUT).await?;
-        let version = found.as_ref().map_or(0, |i| i.version);
-        let same = found.is_some_and(|i| {
-            serde_json::from_value::<VersionRecord>(i.value).is_ok_and(|v| v == own)
+        let version = found.as_ref().map_or(0, |item| item.version);
+        let is_written = found.is_some_and(|item| {
+            serde_json::from_value::<VersionRecord>(item.value).is_ok_and(|record| record == own)
         });
-        if same {
+        if is_written {
             return Ok(());
         }
         let now = self.now();
@@ -123,19 +144,19 @@
         }
     }
 
-    /// Whether every controller has run this version, looking if that was not
-    /// so yet.
+    /// Whether every controller has run this version; reads the records unless that
+    /// is known.
     pub(super) async fn upgraded(&self) -> bool {
         if self.upgrade.is_complete() {
             return true;
         }
         match self.list(VERSIONS).await {
             Ok(items) => {
-                let marks = items.into_iter().filter_map(|i| {
-                    let node = i.key.strip_prefix(VERSIONS)?.to_owned();
-                    Some((node, serde_json::from_value(i.value).ok()?))
+                let records = items.into_iter().filter_map(|item| {
+                    let node = item.key.strip_prefix(VERSIONS)?.to_owned();
+                    Some((node, serde_json::from_value(item.value).ok()?))
                 });
-                self.upgrade.learned(marks.collect(), self.names());
+                self.upgrade.learned(records.collect(), self.names());
             }
             Err(e) => log::debug!("reading the versions of the controllers: {e}"),
         }
