--- a/tests/dependencies.rs
+++ b/tests/dependencies.rs
@@ -6,7 +6,7 @@
     protocol::users::{JobSpec, JobState, Kind, Priority},
     state::records,
 };
-use simulation::{Net, Simulation, job};
+use simulation::{Net, Simulation, id, job};
 
 /// One that needs these.
 fn after(n: u32, tasks: u32, needs: &[u32]) -> JobSpec {
@@ -23,10 +23,6 @@
     w
 }
 
-fn id(n: u32) -> String {
-    format!("j-{n:06}")
-}
-
 fn state(w: &mut Simulation, n: u32) -> Option<JobState> {
     let leader = w.leader()?;
     w.poll(leader, &id(n))
--- a/tests/invariant_checker.rs
+++ b/tests/invariant_checker.rs
@@ -10,11 +10,7 @@
     },
     state::records::{self, FinalRecord},
 };
-use simulation::{CANCEL, Simulation, Task, job};
-
-fn id(n: u32) -> String {
-    format!("j-{n:06}")
-}
+use simulation::{CANCEL, Simulation, Task, id, job};
 
 /// Led, with limits, and nothing that runs.
 fn with_leader() -> Simulation {
--- a/tests/job_liveness.rs
+++ b/tests/job_liveness.rs
@@ -8,11 +8,7 @@
     control::requests::Answer,
     protocol::users::{JobSpec, Kind, Priority},
 };
-use simulation::{Cut, CutScope, LEASE, Net, Simulation, UserRequest, job};
-
-fn id(n: u32) -> String {
-    format!("j-{n:06}")
-}
+use simulation::{Cut, CutScope, LEASE, Net, Simulation, UserRequest, id, job};
 
 /// A service of so many replicas runs on the machines.
 fn serving(seed: u64, machines: usize, replicas: u32) -> Simulation {
--- a/tests/leader_changes.rs
+++ b/tests/leader_changes.rs
@@ -7,11 +7,7 @@
     control::requests::Answer,
     protocol::users::{JobState, Kind, Priority},
 };
-use simulation::{CANCEL, Cut, CutScope, LEASE, Net, Simulation, UserRequest, job};
-
-fn id(n: u32) -> String {
-    format!("j-{n:06}")
-}
+use simulation::{CANCEL, Cut, CutScope, LEASE, Net, Simulation, UserRequest, id, job};
 
 /// Both teams at their limits, with more of each waiting: `t` runs four tasks
 /// and `u` two, on four machines with room for eight.
--- a/tests/request_consistency.rs
+++ b/tests/request_consistency.rs
@@ -8,11 +8,7 @@
     control::requests::Answer,
     protocol::users::{JobSpec, JobState, Kind},
 };
-use simulation::{Cut, CutScope, Simulation, UserRequest, job};
-
-fn id(n: u32) -> String {
-    format!("j-{n:06}")
-}
+use simulation::{Cut, CutScope, Simulation, UserRequest, id, job};
 
 /// In flight everywhere: relays, reads and writes take a drawn time.
 fn with_request_latency(seed: u64, machines: usize, nodes: usize) -> Simulation {
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -1,10 +1,10 @@
 //! Deterministic simulation of a whole cluster in one thread, in steps of
 //! `STEP` milliseconds of simulated time, with one seeded random generator.
 //!
-//! Simulated here, written from the protocol: users (`users`), the state
-//! service (`store`), the cloud and the network (`nodes`, `net`), and the
+//! Simulated here, written from the protocol: users (`users`, `requests`), the
+//! state service (`store`), the cloud and the network (`nodes`, `net`), and the
 //! machines' agents (`workers`). Of the controllers the decisions are the
-//! program's own (`control` and `state` of the library); `nodes` and
+//! program's own (`control` and `state` of the library); `nodes`, `election` and
 //! `standbys` stand in for the I/O loops of `server` around them.
 //!
 //! Faults: messages that are lost, held, refused, delayed or duplicated;
@@ -16,19 +16,25 @@
 //!
 //! The invariants are checked at every step, whatever the test asserts:
 //! `check` looks at tasks on machines, quotas and cancellations, `standbys` at
-//! what registered standbys know, `users` at the answers that users get. What
+//! what registered standbys know, `answers` at the answers that users get. What
 //! they find collects in `Simulation::violations`, which each test asserts to
 //! be empty.
 #![allow(dead_code)]
 
+mod answers;
 mod check;
+mod election;
+mod fixtures;
 mod net;
 mod nodes;
+mod requests;
 mod standbys;
 mod store;
 mod users;
 mod workers;
 
+#[allow(unused_imports)]
+pub use fixtures::{id, job, machine_record, many_types, settings, types, whole_machines};
 pub use net::{Cut, CutScope, Endpoint, Link, Net};
 pub use store::Store;
 // Not used by every test file.
@@ -55,11 +61,10 @@
     },
     options::Options,
     protocol::{
-        cloud::MachineType,
         peers::Follow,
         settings::{NextLimits, Peer, Settings},
         state::{Condition, Txn, Write},
-        users::{JobSpec, JobState, JobStatus, Kind, Priority},
+        users::{JobSpec, JobState, JobStatus, Kind},
         workers::{
             Command, DirectCommands, ExitReason, Heartbeat, HeartbeatResponse, TaskState,
             TaskStatus,
@@ -83,92 +88,6 @@
 pub const LEASE: Millis = 10_000;
 pub const CANCEL: Millis = 35_000;
 
-/// Settings of a cluster with two zones and three teams; `cpus_max` is the limit
-/// of team `t`.
-pub fn settings(cpus_max: f64) -> Settings {
-    Settings::parse(
-        &serde_json::json!({
-            "host_name": "n0", "area": "a", "listen": "127.0.0.1:1", "back": "127.0.0.1:2",
-            "known": [], "outside": {"cloud": "127.0.0.1:3", "state": "127.0.0.1:4"},
-            "cluster": {
-                "zones": ["a", "b"],
-                "teams": [{"name": "t", "cpus": 8.0, "cpus_max": cpus_max},
-                          {"name": "u", "cpus": 8.0}, {"name": "guests"}],
-                "workers": {"report_s": 1.0, "lease_s": 10.0, "gang_wait_s": 45.0,
-                            "gang_peer_s": 5.0, "cancel_s": 35.0},
-                "state": {"rps": 200.0, "write_rps": 80.0, "value_kb": 8.0, "txn_ops": 12},
-                "cloud": {"rps": 5.0, "list_lag_s": 3.0},
-                "quota": {"max_sockets": 600}
-            }
-        })
-        .to_string(),
-    )
-    .unwrap()
-}
-
-/// The one machine type on offer: room for two tasks of `job`.
-pub fn types() -> Vec<MachineType> {
-    vec![MachineType {
-        name: "m8".into(),
-        cpus: 8.0,
-        gpus: 0.0,
-        memory_gb: 32.0,
-        cache_gb: 70.0,
-        fetch_gb_per_s: 1.0,
-        price: 0.33,
-        spot_price: 0.11,
-        boot_s: 5.0,
-        zones: vec!["a".into(), "b".into()],
-    }]
-}
-
-/// Allowed machine types that make a spec larger than 6 KiB and smaller than 8.
-pub fn many_types() -> Vec<String> {
-    let names = (0..40).map(|k| format!("kind-{k:02}-{}", "x".repeat(150)));
-    names.chain(["m8".to_owned()]).collect()
-}
-
-/// Registry record of a machine on which tasks may run.
-pub fn machine_record() -> MachineRecord {
-    MachineRecord {
-        addr: "127.0.0.1:9".into(),
-        type_name: "m8".into(),
-        zone: "a".into(),
-        spot: false,
-        releasing: false,
-        lease_expired: false,
-        quarantined: false,
-        images: Vec::new(),
-    }
-}
-
-/// A job `j-<n>` of team `t` whose tasks take half a machine each.
-pub fn job(n: u32, kind: Kind, tasks: u32) -> JobSpec {
-    JobSpec {
-        id: format!("j-{n:06}"),
-        class: "c".into(),
-        team: "t".into(),
-        kind,
-        priority: Priority::Normal,
-        tasks,
-        cpus: 4.0,
-        gpus: 0.0,
-        memory_gb: 8.0,
-        image: "img".into(),
-        image_gb: 1.0,
-        types: None,
-        zone: None,
-        single_zone: false,
-        spread: false,
-        spot: true,
-        estimate_s: 10.0,
-        checkpoint_interval_s: 0.0,
-        checkpoint_cost_s: 0.0,
-        deadline_s: None,
-        dependencies: Vec::new(),
-    }
-}
-
 pub struct Node {
     pub alive: bool,
     pub back_at: Millis,
@@ -565,6 +484,15 @@
             }
             self.step();
         }
+        self.print_leader();
+        panic!(
+            "did not come about in {ms} ms: {what}; broken: {:?}",
+            self.violations
+        );
+    }
+
+    /// Prints the leader's view of jobs and machines, for a run that failed.
+    fn print_leader(&mut self) {
         if let Some(i) = self.leader() {
             let l = self.nodes[i].leader.as_ref().unwrap();
             for j in l.cluster.jobs.iter().flatten() {
@@ -601,10 +529,6 @@
         } else {
             eprintln!("nobody leads");
         }
-        panic!(
-            "did not come about in {ms} ms: {what}; broken: {:?}",
-            self.violations
-        );
     }
 
     /// Panics if the checkers found a violation so far.
--- a/tests/simulation/net.rs
+++ b/tests/simulation/net.rs
@@ -362,92 +362,115 @@
                 }
             }
             Msg::HeartbeatReply(w, i, reply, session, seq, sent) => {
-                let nodes = self.nodes.len();
-                let worker = &self.workers[w];
-                if worker.heartbeat_in_flight != Some((seq, sent))
-                    || now > sent + 4000
-                    || !worker.alive
-                {
-                    return;
-                }
-                let Some(reply) = reply else {
-                    let leader = self.known_leader(i);
-                    let peers: Vec<usize> = peers_of(i, nodes).collect();
-                    let leads = self.nodes[i].election.leadership().is_some();
-                    let relayed = self.relaying.remove(&(w, seq));
-                    let failure_detector = &mut self.nodes[i].failure_detector;
-                    let foreman = match (leads, relayed) {
-                        (true, _) => RedirectTarget::Any,
-                        (_, true) => failure_detector.redirect_target(None, now),
-                        _ => failure_detector.redirect_target(leader, now),
-                    };
-                    let (target, pause) = match foreman {
-                        RedirectTarget::Leader(p) | RedirectTarget::Healthy(p) => (peers[p], 250),
-                        RedirectTarget::Any => ((i + 1) % nodes, 1000),
-                    };
-                    let worker = &mut self.workers[w];
-                    worker.heartbeat_in_flight = None;
-                    worker.target = target;
-                    worker.next_election_step = now + pause;
-                    worker.sent = now.max(500) + pause - 500;
-                    return;
-                };
-                let worker = &mut self.workers[w];
-                worker.heartbeat_in_flight = None;
-                if session != worker.incarnation || reply.fencing_token < worker.token {
-                    return;
-                }
-                if reply.fencing_token > worker.token {
-                    worker.token = reply.fencing_token;
-                    worker.report_due = true;
-                }
-                worker.lease_renewed_at = sent;
-                self.execute(w, reply.commands);
-            }
-            Msg::DirectCommand(i, w, term, order) => {
-                let worker = &mut self.workers[w];
-                if !worker.alive {
-                    return;
-                }
-                let ok =
-                    order.fencing_token >= worker.token && order.incarnation == worker.incarnation;
-                if ok {
-                    worker.token = order.fencing_token;
-                    self.execute(w, order.commands);
-                }
-                let report = self.next_heartbeat(w);
-                let name = report.machine.clone();
-                let answers = matches!(self.workers[w].net, Net::Up | Net::DirectCommandsOnly);
-                if answers && self.link(i, Endpoint::Worker(w)) == Link::Up {
-                    let done = Msg::DirectCommandEnded(
-                        i,
-                        term,
-                        name,
-                        order.fencing_token,
-                        Some((ok, report)),
-                    );
-                    self.in_transit.push((now + 5, done));
-                }
+                self.receive_reply(w, i, reply, session, seq, sent);
             }
+            Msg::DirectCommand(i, w, term, order) => self.receive_direct_command(i, w, term, order),
             Msg::DirectCommandEnded(i, term, name, token, answer) => {
-                // Answered, or given up, only once.
-                if !self.directs.remove(&(i, term, name.clone(), token)) {
-                    return;
-                }
-                let Some(l) = self.nodes[i].leader.as_mut().filter(|l| l.term == term) else {
-                    return;
-                };
-                let outcome = match answer {
-                    Some((true, r)) => DirectDeliveryOutcome::Executed(r),
-                    Some((false, r)) => DirectDeliveryOutcome::Refused(Some(r)),
-                    // The time limit, unless it was answered.
-                    None => DirectDeliveryOutcome::NoAnswer,
-                };
-                l.direct_delivery_finished(&name, token, outcome, now);
+                self.end_direct_command(i, term, name, token, answer);
             }
         }
     }
 
+    /// A worker gets node `i`'s answer to its heartbeat; without a response it
+    /// turns to the node's redirect target.
+    fn receive_reply(
+        &mut self,
+        w: usize,
+        i: usize,
+        reply: Option<HeartbeatResponse>,
+        session: u64,
+        seq: u64,
+        sent: Millis,
+    ) {
+        let now = self.now;
+        let nodes = self.nodes.len();
+        let worker = &self.workers[w];
+        if worker.heartbeat_in_flight != Some((seq, sent)) || now > sent + 4000 || !worker.alive {
+            return;
+        }
+        let Some(reply) = reply else {
+            let leader = self.known_leader(i);
+            let peers: Vec<usize> = peers_of(i, nodes).collect();
+            let leads = self.nodes[i].election.leadership().is_some();
+            let relayed = self.relaying.remove(&(w, seq));
+            let failure_detector = &mut self.nodes[i].failure_detector;
+            let foreman = match (leads, relayed) {
+                (true, _) => RedirectTarget::Any,
+                (_, true) => failure_detector.redirect_target(None, now),
+                _ => failure_detector.redirect_target(leader, now),
+            };
+            let (target, pause) = match foreman {
+                RedirectTarget::Leader(p) | RedirectTarget::Healthy(p) => (peers[p], 250),
+                RedirectTarget::Any => ((i + 1) % nodes, 1000),
+            };
+            let worker = &mut self.workers[w];
+            worker.heartbeat_in_flight = None;
+            worker.target = target;
+            worker.next_election_step = now + pause;
+            worker.sent = now.max(500) + pause - 500;
+            return;
+        };
+        let worker = &mut self.workers[w];
+        worker.heartbeat_in_flight = None;
+        if session != worker.incarnation || reply.fencing_token < worker.token {
+            return;
+        }
+        if reply.fencing_token > worker.token {
+            worker.token = reply.fencing_token;
+            worker.report_due = true;
+        }
+        worker.lease_renewed_at = sent;
+        self.execute(w, reply.commands);
+    }
+
+    /// A worker gets a direct command of node `i`, and answers it.
+    fn receive_direct_command(&mut self, i: usize, w: usize, term: u64, order: DirectCommands) {
+        let now = self.now;
+        let worker = &mut self.workers[w];
+        if !worker.alive {
+            return;
+        }
+        let ok = order.fencing_token >= worker.token && order.incarnation == worker.incarnation;
+        if ok {
+            worker.token = order.fencing_token;
+            self.execute(w, order.commands);
+        }
+        let report = self.next_heartbeat(w);
+        let name = report.machine.clone();
+        let answers = matches!(self.workers[w].net, Net::Up | Net::DirectCommandsOnly);
+        if answers && self.link(i, Endpoint::Worker(w)) == Link::Up {
+            let done =
+                Msg::DirectCommandEnded(i, term, name, order.fencing_token, Some((ok, report)));
+            self.in_transit.push((now + 5, done));
+        }
+    }
+
+    /// Node `i` gets the answer to a direct command, or gives it up.
+    fn end_direct_command(
+        &mut self,
+        i: usize,
+        term: u64,
+        name: String,
+        token: u64,
+        answer: Option<(bool, Heartbeat)>,
+    ) {
+        let now = self.now;
+        // Answered, or given up, only once.
+        if !self.directs.remove(&(i, term, name.clone(), token)) {
+            return;
+        }
+        let Some(l) = self.nodes[i].leader.as_mut().filter(|l| l.term == term) else {
+            return;
+        };
+        let outcome = match answer {
+            Some((true, r)) => DirectDeliveryOutcome::Executed(r),
+            Some((false, r)) => DirectDeliveryOutcome::Refused(Some(r)),
+            // The time limit, unless it was answered.
+            None => DirectDeliveryOutcome::NoAnswer,
+        };
+        l.direct_delivery_finished(&name, token, outcome, now);
+    }
+
     /// The leader that a node knows of, as an index into its peers.
     fn known_leader(&self, i: usize) -> Option<usize> {
         let (name, _) = self.nodes[i].election.leader(self.now)?;
--- /dev/null
+++ b/tests/simulation/requests.rs
@@ -0,0 +1,420 @@
+//! Requests at the nodes: a stand-in for the server's loop around
+//! `control::requests`, which takes each step and carries out what the step asks
+//! for, at once or after drawn latencies.
+
+use super::*;
+use pathwinch::{
+    control::requests::{Event, Found, LookupResults, Next, NodeView, Reading, Request, polled},
+    state::rate_limit::share::{self, Role},
+};
+use users::UserRequest;
+
+/// What happens next to a request in flight.
+#[derive(Debug)]
+pub(super) enum NextEvent {
+    /// Its user sends it.
+    Sent,
+    Event(Event),
+    /// It reaches the leader, or the state service; asked then.
+    AtLeader(usize, Millis),
+    ReadState(Millis),
+    Look(Vec<String>),
+    Write(Txn),
+    AtForwardTarget(usize),
+    /// The answer, at the user or at the node that passed the request on.
+    Answer(Option<Answer>),
+}
+
+/// Who awaits the answer.
+#[derive(Clone, Copy, PartialEq, Debug)]
+pub(super) enum Recipient {
+    User(usize),
+    InFlight(u64),
+    Nobody,
+}
+
+/// A request in flight, at one node.
+pub(super) struct InFlight {
+    pub(super) serial: u64,
+    pub(super) node: usize,
+    pub(super) process: u64,
+    pub(super) recipient: Recipient,
+    pub(super) ask: UserRequest,
+    pub(super) request: Request,
+    pub(super) due: Millis,
+    pub(super) next_event: NextEvent,
+}
+
+impl Simulation {
+    fn view<T>(&mut self, i: usize, now: Millis, f: impl FnOnce(&mut NodeView) -> T) -> T {
+        let types = if self.types_unknown {
+            Vec::new()
+        } else {
+            types()
+        };
+        let node = &mut self.nodes[i];
+        let term = node.election.authority(now);
+        f(&mut NodeView {
+            may_act: term.is_some() && node.leader.as_ref().map(|l| l.term) == term,
+            leader: node.leader.as_mut(),
+            final_states: &mut node.final_states,
+            settings: &self.settings,
+            types: &types,
+            upgraded: !self.mixed_versions,
+            now,
+            wall_ms: now,
+            read_term: None,
+        })
+    }
+
+    fn read_record(&self, id: &str) -> Found {
+        let live = self.store.kv.get(&records::job_key(id));
+        let over = self.store.kv.get(&records::final_key(id));
+        match (live, over) {
+            (Some((v, r)), _) => Found::Live(Box::new(self.store.job_record(id, v.clone())), *r),
+            (None, Some((v, r))) => Found::Final(serde_json::from_value(v.clone()).unwrap(), *r),
+            (None, None) => Found::Nothing,
+        }
+    }
+
+    fn read_records(&self, i: usize, ids: &[String]) -> LookupResults {
+        let reaches = self.reaches_state(i);
+        let one = |id: &String| match reaches {
+            true => Ok(self.read_record(id)),
+            false => Err("status 503".to_owned()),
+        };
+        ids.iter().map(|id| (id.clone(), one(id))).collect()
+    }
+
+    fn read_state(&self, i: usize, id: &str, began: Millis) -> Result<Reading, String> {
+        if !self.reaches_state(i) {
+            return Err("status 503".into());
+        }
+        let (status, version) = match self.read_record(id) {
+            Found::Live(record, version) => (Some(record.status()), Some(version)),
+            Found::Final(record, version) => (Some(final_status(id, &record)), Some(version)),
+            Found::Nothing => (None, None),
+        };
+        Ok(Reading {
+            started_at: began,
+            status,
+            version,
+        })
+    }
+
+    /// Applies a node's transaction, holds it, or loses its answer, as the faults
+    /// have it; returns the outcome that the node sees.
+    pub(super) fn transact(&mut self, i: usize, txn: &Txn) -> TxnResult {
+        let stalled = self.paused_sender.filter(|(n, _)| *n == i);
+        let late = match (stalled, self.link(i, Endpoint::State)) {
+            (Some((_, until)), _) => Some(until),
+            (None, Link::Hold) => Some(Millis::MAX),
+            _ => None,
+        };
+        if let Some(at) = late {
+            self.store.held.push((at, i, txn.clone()));
+            return TxnResult::Unknown;
+        }
+        if !self.reaches_state(i) {
+            return TxnResult::Refused;
+        }
+        if self.store.lost_answers > 0 && self.rng.u32(..100) < self.store.lost_answers {
+            let kind = match &txn.writes[0] {
+                Write::Put { key, .. } | Write::Delete { key } => key.split('/').next(),
+            };
+            let kind = kind.unwrap_or_default().to_owned();
+            *self.store.unanswered.entry(kind).or_default() += 1;
+            let _ = self.store.apply(txn);
+            return TxnResult::Unknown;
+        }
+        if let Some(delay) = self.store.late_writes.pop() {
+            self.store.held.push((self.now + delay, i, txn.clone()));
+            return TxnResult::Unknown;
+        }
+        match self.store.apply(txn) {
+            Ok(revision) => TxnResult::Done(revision),
+            Err(failed) => TxnResult::Conflict(failed),
+        }
+    }
+
+    /// Limits the writes a second that the state service takes.
+    pub fn limit_write_rate(&mut self, rate: f64) {
+        self.write_rate = rate;
+        let budget = || TokenBucket::new(rate * share::of_changes(Role::Leads, 3), 1.0);
+        self.budgets = self.nodes.iter().map(|_| budget()).collect();
+    }
+
+    fn has_budget(&mut self, i: usize, now: Millis, txn: &Txn) -> bool {
+        let budget = self.budgets.get_mut(i);
+        budget.is_none_or(|b| b.take(now, txn.writes.len() as f64, 0.0))
+    }
+
+    /// Writes that a leader's bookkeeping may make now.
+    pub(super) fn write_budget(&mut self, i: usize) -> usize {
+        let (now, kept) = (self.now, share::kept_for_users(self.write_rate));
+        let level = self.budgets.get_mut(i).map(|b| b.level(now) - kept);
+        level.map_or(12, |l| l.max(0.0) as usize)
+    }
+
+    /// The leader to which node `i` forwards, if it answers.
+    fn forward_target(&self, i: usize, now: Millis) -> Option<usize> {
+        let (name, _) = self.nodes[i].election.leader(now)?;
+        let l: usize = name[1..].parse().ok()?;
+        (l != i && self.reaches(l) && self.link(i, Endpoint::Node(l)) == Link::Up).then_some(l)
+    }
+
+    /// Takes all steps of the request at this moment. `Err`: it has to wait.
+    pub(super) fn complete_now(
+        &mut self,
+        i: usize,
+        ask: &UserRequest,
+        request: &mut Request,
+    ) -> Result<Option<Answer>, ()> {
+        let mut now = self.now;
+        let mut event = Event::Begin;
+        loop {
+            event = match self.view(i, now, |view| request.step(event, view)) {
+                Next::Answer(answer) => return Ok(Some(answer)),
+                Next::NotLeading | Next::Over => return Ok(None),
+                // An end that is held back is waited for, nothing else.
+                Next::Wait(ms) if request.is_held() => {
+                    self.run(ms + STEP);
+                    now = self.now;
+                    Event::Waited
+                }
+                Next::Wait(_) => return Err(()),
+                Next::AskLeader => {
+                    let status = self.forward_target(i, now).and_then(|l| {
+                        let ids = [ask.id().to_owned()];
+                        let known = self.view(l, now, |view| polled(view, &ids))?.pop()?;
+                        known.map(|k| status_of(&ids[0], k))
+                    });
+                    leader_replied(now, status)
+                }
+                Next::ReadState => Event::Read(self.read_state(i, ask.id(), now)),
+                Next::Versions => Event::Versions(!self.mixed_versions),
+                Next::Look(ids) => Event::LookupResults(self.read_records(i, &ids)),
+                Next::Write(txn, _) => Event::Wrote(self.transact(i, &txn)),
+                Next::Forward => {
+                    let leader = self.forward_target(i, now);
+                    let passed = leader.map(|l| self.complete_now(l, ask, &mut ask.request(true)));
+                    Event::Forwarded(passed.transpose()?.flatten())
+                }
+            };
+        }
+    }
+
+    /// Puts a request into flight at node `i`.
+    pub(super) fn launch(
+        &mut self,
+        i: usize,
+        ask: UserRequest,
+        forwarded: bool,
+        who: Recipient,
+        due: Millis,
+        comes: NextEvent,
+    ) {
+        let serial = self.traffic.next();
+        self.traffic.in_flight.push(InFlight {
+            serial,
+            node: i,
+            process: self.nodes[i].election.incarnation,
+            recipient: who,
+            request: ask.request(forwarded),
+            ask,
+            due,
+            next_event: comes,
+        });
+    }
+
+    fn draw_latency(&mut self) -> Millis {
+        let most = self.traffic.max_latency_ms;
+        1 + self.rng.u64(0..=most)
+    }
+
+    /// All events of requests in flight that are due.
+    pub(super) fn step_requests(&mut self) {
+        loop {
+            let flights = self.traffic.in_flight.iter().enumerate();
+            let first = flights.min_by_key(|(_, f)| (f.due, f.serial));
+            let Some(at) = first.filter(|(_, f)| f.due <= self.now).map(|(at, _)| at) else {
+                return;
+            };
+            let flight = self.traffic.in_flight.swap_remove(at);
+            self.advance(flight);
+        }
+    }
+
+    fn advance(&mut self, mut f: InFlight) {
+        let (i, now) = (f.node, f.due);
+        if let (NextEvent::Sent, Recipient::User(n)) = (&f.next_event, f.recipient) {
+            self.traffic.history[n].order = self.traffic.next();
+            if !self.reaches(i) {
+                return;
+            }
+            f.process = self.nodes[i].election.incarnation;
+            f.due = now + self.draw_latency();
+            f.next_event = NextEvent::Event(Event::Begin);
+            return self.traffic.in_flight.push(f);
+        }
+        let node = &self.nodes[i];
+        if !node.alive || node.election.incarnation != f.process {
+            return;
+        }
+        // Messages to a paused node wait.
+        if node.paused_until > now && matches!(f.next_event, NextEvent::Event(_)) {
+            f.due = node.paused_until + self.rng.u64(0..20);
+            self.traffic.in_flight.push(f);
+            return;
+        }
+        let slow = self.store.delay_ms;
+        let (soon, next) = match std::mem::replace(&mut f.next_event, NextEvent::Answer(None)) {
+            NextEvent::Event(event) => {
+                let next = self.view(i, now, |view| f.request.step(event, view));
+                self.schedule(&mut f, next)
+            }
+            NextEvent::AtLeader(l, began) => {
+                let answers = self.reaches(l) && self.link(i, Endpoint::Node(l)) == Link::Up;
+                let ids = [f.ask.id().to_owned()];
+                let known = match answers {
+                    true => self.view(l, now, |view| polled(view, &ids)),
+                    false => None,
+                };
+                let known = known.and_then(|mut k| k.pop()?);
+                let status = known.map(|k| status_of(&ids[0], k));
+                let after = if answers { self.draw_latency() } else { 500 };
+                (after, NextEvent::Event(leader_replied(began, status)))
+            }
+            NextEvent::ReadState(began) => {
+                let read = self.read_state(i, f.ask.id(), began);
+                (self.draw_latency(), NextEvent::Event(Event::Read(read)))
+            }
+            NextEvent::Look(ids) => {
+                let looked = self.read_records(i, &ids);
+                let after = self.draw_latency() + self.traffic.read_delay_ms;
+                (after, NextEvent::Event(Event::LookupResults(looked)))
+            }
+            NextEvent::Write(txn) => {
+                let wrote = self.transact(i, &txn);
+                let after = match wrote {
+                    TxnResult::Unknown => 2_000,
+                    _ => self.draw_latency(),
+                };
+                (after, NextEvent::Event(Event::Wrote(wrote)))
+            }
+            NextEvent::AtForwardTarget(l) => {
+                let there = self.reaches(l) && self.link(i, Endpoint::Node(l)) == Link::Up;
+                if there {
+                    let begin = NextEvent::Event(Event::Begin);
+                    self.launch(
+                        l,
+                        f.ask.clone(),
+                        true,
+                        Recipient::InFlight(f.serial),
+                        now,
+                        begin,
+                    );
+                }
+                let after = if there { f.request.forward_limit() } else { 0 };
+                (after, NextEvent::Event(Event::Forwarded(None)))
+            }
+            NextEvent::Sent => return,
+            NextEvent::Answer(answer) => return self.deliver_answer(f, answer),
+        };
+        let reads = matches!(
+            next,
+            NextEvent::ReadState(_) | NextEvent::Look(_) | NextEvent::Write(_)
+        );
+        f.due = now + soon + if reads { slow } else { 0 };
+        f.next_event = next;
+        self.traffic.in_flight.push(f);
+    }
+
+    /// The event that a step asks for, and after which delay it comes.
+    fn schedule(&mut self, f: &mut InFlight, next: Next) -> (Millis, NextEvent) {
+        let way = self.draw_latency();
+        let leader = self.forward_target(f.node, f.due);
+        match next {
+            Next::Answer(answer) => {
+                if let Some(left) = f.request.unfinished_work() {
+                    let serial = self.traffic.next();
+                    self.traffic.in_flight.push(InFlight {
+                        serial,
+                        node: f.node,
+                        process: f.process,
+                        recipient: Recipient::Nobody,
+                        ask: f.ask.clone(),
+                        request: left,
+                        due: f.due,
+                        next_event: NextEvent::Event(Event::Begin),
+                    });
+                }
+                (way, NextEvent::Answer(Some(answer)))
+            }
+            Next::NotLeading | Next::Over => (way, NextEvent::Answer(None)),
+            Next::Wait(ms) => (ms, NextEvent::Event(Event::Waited)),
+            Next::AskLeader => match leader {
+                Some(l) => (way, NextEvent::AtLeader(l, f.due)),
+                None => (0, NextEvent::Event(leader_replied(f.due, None))),
+            },
+            Next::Forward => match leader {
+                Some(l) => (way, NextEvent::AtForwardTarget(l)),
+                None => (0, NextEvent::Event(Event::Forwarded(None))),
+            },
+            Next::ReadState => (way, NextEvent::ReadState(f.due)),
+            Next::Look(ids) => (way, NextEvent::Look(ids)),
+            Next::Versions => (way, NextEvent::Event(Event::Versions(!self.mixed_versions))),
+            Next::Write(txn, _) => match self.has_budget(f.node, f.due, &txn) {
+                true => (way, NextEvent::Write(txn)),
+                false => (0, NextEvent::Event(Event::OverBudget)),
+            },
+        }
+    }
+
+    fn deliver_answer(&mut self, f: InFlight, answer: Option<Answer>) {
+        match f.recipient {
+            Recipient::Nobody => {}
+            Recipient::InFlight(serial) => {
+                let asker = self
+                    .traffic
+                    .in_flight
+                    .iter_mut()
+                    .find(|o| o.serial == serial);
+                let waits = |o: &&mut InFlight| {
+                    matches!(o.next_event, NextEvent::Event(Event::Forwarded(None)))
+                };
+                if let Some(asker) = asker.filter(waits) {
+                    asker.due = f.due;
+                    asker.next_event = NextEvent::Event(Event::Forwarded(answer));
+                }
+            }
+            Recipient::User(n) => {
+                let asked = &self.traffic.history[n];
+                let late = f.due > asked.sent + asked.ask.patience();
+                let Some(answer) = answer.filter(|_| !late && self.reaches(f.node)) else {
+                    return;
+                };
+                let order = asked.order;
+                self.check_answer(&f.ask, order, &answer);
+                self.traffic.history[n].answer = Some((f.due, answer));
+            }
+        }
+    }
+}
+
+fn leader_replied(began: Millis, status: Option<JobStatus>) -> Event {
+    Event::LeaderReplied(Reading {
+        started_at: began,
+        status,
+        version: None,
+    })
+}
+
+fn status_of(id: &str, (state, done, running): (JobState, u32, u32)) -> JobStatus {
+    JobStatus {
+        id: id.to_owned(),
+        state,
+        done,
+        running,
+    }
+}
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -11,7 +11,7 @@
         spec_chunks::SPEC_CHUNKS,
     },
 };
-use simulation::{Simulation, job};
+use simulation::{Simulation, id, job};
 
 /// An installation whose state service will have lower limits.
 fn with_announced_limits(seed: u64, machines: usize) -> Simulation {
@@ -34,10 +34,6 @@
     spec
 }
 
-fn id(n: u32) -> String {
-    format!("j-{n:06}")
-}
-
 fn crash_leader(w: &mut Simulation, back: u64) {
     if let Some(leader) = w.leader() {
         w.crash(leader, back);
