--- a/src/control/requests/cancel.rs
+++ b/src/control/requests/cancel.rs
@@ -1,15 +1,25 @@
-//! Cancellations. They are recorded by leaders alone.
+//! The steps of a cancellation. Only a leader records one; every other node
+//! forwards it. The answer is given once the final record, or the cancellation
+//! in the job's record, is written. Called by `request`.
+//!
+//! Must never answer that a job is cancelled before that is recorded.
 
-use super::*;
+use super::{
+    Answer, CANCELLATION_PENDING, Event, LEADERSHIP_CHANGING, NO_LEADER, NO_SUCH_JOB, Next,
+    NodeView, RECORDS_LOADING, looked_up_status, unexpected_event,
+};
+use crate::state::Millis;
 
-/// How long the record is waited for, less than users wait.
-const PATIENCE: Millis = 1_500;
-/// About as long as a write takes.
-const PAUSE: Millis = 15;
+/// How long the record is awaited: less than users wait.
+const RECORD_TIMEOUT_MS: Millis = 1_500;
+/// Interval of looks at the record: about as long as a write takes.
+const RECORD_CHECK_INTERVAL_MS: Millis = 15;
 
+/// A cancellation under way.
 #[derive(Debug, Default)]
 pub(super) struct Cancel {
-    began: Option<Millis>,
+    /// Since when the leader has been asked to record it.
+    requested_at: Option<Millis>,
 }
 
 impl Cancel {
@@ -21,53 +31,61 @@
         view: &mut NodeView,
     ) -> Next {
         match event {
-            Event::Begin if id.is_empty() => Next::Answer(Answer::Refused(404, NO_SUCH.into())),
-            Event::Begin => match (view.end_of(id), view.acting()) {
+            Event::Begin if id.is_empty() => Next::Answer(Answer::Refused(404, NO_SUCH_JOB.into())),
+            Event::Begin => match (view.known_final_status(id), view.acting()) {
                 (Some(status), _) => Next::Answer(Answer::known(status)),
-                (None, Some(l)) if !l.loaded() => Next::Answer(Answer::later(UNREAD)),
-                (None, Some(_)) => self.look(id, view),
+                (None, Some(leader)) if !leader.loaded() => {
+                    Next::Answer(Answer::later(RECORDS_LOADING))
+                }
+                (None, Some(_)) => self.check_status(id, view),
                 (None, None) if forwarded => Next::NotLeading,
                 (None, None) => Next::Forward,
             },
             Event::Forwarded(Some(answer)) => Next::Answer(answer),
             Event::Forwarded(None) => Next::Answer(Answer::later(NO_LEADER)),
-            Event::LookupResults(found) => match (looked(id, found, view), view.may_act) {
-                (_, false) => Next::Answer(Answer::later(LOST)),
-                (Ok(Some(status)), _) if status.state.is_final() => {
-                    Next::Answer(Answer::known(status))
+            Event::LookupResults(results) => {
+                match (looked_up_status(id, results, view), view.may_act) {
+                    (_, false) => Next::Answer(Answer::later(LEADERSHIP_CHANGING)),
+                    (Ok(Some(status)), _) if status.state.is_final() => {
+                        Next::Answer(Answer::known(status))
+                    }
+                    (Ok(Some(_)), _) => self.request_record(id, view),
+                    (Ok(None), _) => Next::Answer(Answer::Refused(404, NO_SUCH_JOB.into())),
+                    (Err(answer), _) => Next::Answer(answer),
                 }
-                (Ok(Some(_)), _) => self.mark(id, view),
-                (Ok(None), _) => Next::Answer(Answer::Refused(404, NO_SUCH.into())),
-                (Err(answer), _) => Next::Answer(answer),
-            },
-            Event::Waited => self.look(id, view),
-            other => out_of_place(&other),
+            }
+            Event::Waited => self.check_status(id, view),
+            other => unexpected_event(&other),
         }
     }
 
-    fn look(&mut self, id: &str, view: &mut NodeView) -> Next {
-        let Some(l) = view.acting() else {
-            return Next::Answer(Answer::later(LOST));
+    /// Answers a final status, and else has the leader cancel the job.
+    fn check_status(&mut self, id: &str, view: &mut NodeView) -> Next {
+        let Some(leader) = view.acting() else {
+            return Next::Answer(Answer::later(LEADERSHIP_CHANGING));
         };
-        // Its end is on its way to the record: that is waited for.
-        if l.is_ending(id) {
-            return self.mark(id, view);
+        // Its final record is being written: that decides.
+        if leader.is_ending(id) {
+            return self.request_record(id, view);
         }
-        match l.answerable_status(id) {
+        match leader.answerable_status(id) {
             Some(status) if status.state.is_final() => Next::Answer(Answer::known(status)),
-            Some(_) => self.mark(id, view),
-            None if l.is_cancelled_with_dependency(id) => Next::Answer(Answer::later(WITHHELD)),
+            Some(_) => self.request_record(id, view),
+            None if leader.is_cancelled_with_dependency(id) => {
+                Next::Answer(Answer::later(CANCELLATION_PENDING))
+            }
             None => Next::Look(vec![id.to_owned()]),
         }
     }
 
-    fn mark(&mut self, id: &str, view: &mut NodeView) -> Next {
-        let began = *self.began.get_or_insert(view.now);
-        let late = view.now > began + PATIENCE;
+    /// Has the leader record the cancellation, and looks again after a while.
+    fn request_record(&mut self, id: &str, view: &mut NodeView) -> Next {
+        let requested_at = *self.requested_at.get_or_insert(view.now);
+        let timed_out = view.now > requested_at + RECORD_TIMEOUT_MS;
         match view.acting() {
-            Some(l) if !late => {
-                l.cancel(id);
-                Next::Wait(PAUSE)
+            Some(leader) if !timed_out => {
+                leader.cancel(id);
+                Next::Wait(RECORD_CHECK_INTERVAL_MS)
             }
             _ => Next::Answer(Answer::later("the withdrawal could not be recorded yet")),
         }
--- a/src/control/requests/mod.rs
+++ b/src/control/requests/mod.rs
@@ -1,13 +1,19 @@
-//! What users are told: polls, submissions and cancellations, in steps that do
-//! no input or output. A step is taken with what the node knows at that moment;
-//! what it asks for (the leader's word, a look at the records, a write) may
-//! take any time and comes back as the next event.
+//! Requests of users: polls, submissions and cancellations, as state machines
+//! without I/O. A step is taken with what the node knows at that moment
+//! (`NodeView`); what it asks for (the leader's answer, a read of the records, a
+//! write) may take any time and comes back as the next event.
 //!
-//! What may be said of a job is a register that moves one way: unknown,
+//! This module owns a request from its arrival to its answer. The server's loop
+//! calls `Request::step` and does the I/O that `Next` asks for; the tests'
+//! simulation does the same. Requests must never do I/O themselves, and never
+//! keep state of a job beyond their own answer: that is the leader's, or
+//! `polls::FinalStates`.
+//!
+//! The state of a job that users see is a register that moves one way: unknown,
 //! accepted, and then done or cancelled. An answer is made from what was read
-//! after its request came in, or from memory where that can't be older than
-//! any answer given. As it leaves it is looked at once more: an end that this
-//! node has learned meanwhile goes before it.
+//! after its request came in, or from memory where that can't be older than any
+//! answer given. It is checked once more as it leaves: a final state that this
+//! node has learned meanwhile overrides it.
 
 mod cancel;
 mod poll;
@@ -24,14 +30,8 @@
 pub use request::Request;
 pub use view::NodeView;
 
-use super::{leader::Leader, polls::FinalStates, safety_bounds::MAX_READING_AGE_MS};
 use crate::{
-    protocol::{
-        cloud::MachineType,
-        settings::Settings,
-        state::Txn,
-        users::{JobSpec, JobState, JobStatus, is_valid_job_id},
-    },
+    protocol::{state::Txn, users::JobStatus},
     state::{
         Millis,
         records::{FinalRecord, JobRecord},
@@ -39,38 +39,43 @@
 };
 use std::collections::HashMap;
 
-const LOST: &str = "leadership is changing";
+const LEADERSHIP_CHANGING: &str = "leadership is changing";
 const NO_LEADER: &str = "no leader can be reached";
-const UNREAD: &str = "a new leader is reading the records";
-const WITHHELD: &str = "its withdrawal, with a job that it needs, is being recorded";
-const NO_SUCH: &str = "no such job";
+const RECORDS_LOADING: &str = "a new leader is reading the records";
+const CANCELLATION_PENDING: &str = "its withdrawal, with a job that it needs, is being recorded";
+const NO_SUCH_JOB: &str = "no such job";
 
-/// What stands in the store about a job.
+/// The record of a job in the state service, with its version.
 #[derive(Debug)]
 pub enum Found {
+    /// It is not final yet.
     Live(Box<JobRecord>, u64),
+    /// It is done or cancelled.
     Final(FinalRecord, u64),
+    /// It has no record.
     Nothing,
 }
 
-/// By job; one that is missing was never accepted.
+/// Results of reads by job id; a job that is missing was never accepted.
 pub type LookupResults = HashMap<String, Result<Found, String>>;
 
-/// What came of a transaction.
+/// Outcome of a transaction.
 #[derive(Debug, Clone, PartialEq)]
 pub enum TxnResult {
+    /// Applied, at this revision.
     Done(u64),
-    /// Keys whose versions differ.
+    /// Not applied: keys whose versions differ.
     Conflict(Vec<String>),
-    /// Not executed: refused, or not sent.
+    /// Not applied: refused, or not sent.
     Refused,
-    /// Not executed, and would not be if it came again: over a limit that has
-    /// fallen, or malformed.
+    /// Not applied, and would not be if repeated: over a limit that has been
+    /// lowered, or malformed.
     Rejected,
-    /// May have been executed, or may be yet.
+    /// Indeterminate: it may have been applied, or may be yet.
     Unknown,
 }
 
+/// The status of a job by its final record.
 pub fn final_status(id: &str, record: &FinalRecord) -> JobStatus {
     JobStatus {
         id: id.to_owned(),
@@ -80,10 +85,12 @@
     }
 }
 
+/// The answer to a user.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Answer {
     /// With 200, or 201 for a job that was not known before.
     State(u16, JobStatus),
+    /// 4xx, with a line that says why.
     Refused(u16, String),
     /// 503: not now.
     Later(String),
@@ -94,8 +101,8 @@
         Answer::State(200, status)
     }
 
-    /// With this state in place of an older reading: a job that was accepted
-    /// now stays one, and one that is known is not refused.
+    /// The same answer with a newer status: a job that was accepted now keeps its
+    /// 201, and a known job is not refused.
     fn with(self, status: JobStatus) -> Answer {
         match self {
             Answer::State(code, _) => Answer::State(code, status),
@@ -111,7 +118,7 @@
         Answer::Later(format!("records can't be read: {e}"))
     }
 
-    /// Another node's answer, as it was passed on.
+    /// Another node's answer, by the status and body of its response.
     pub fn relayed(status: u16, body: &[u8]) -> Answer {
         let text = || {
             let v = serde_json::from_slice::<serde_json::Value>(body).ok();
@@ -129,63 +136,70 @@
     }
 }
 
-/// What a request waits for.
+/// What a request waited for, as it comes.
 #[derive(Debug)]
 pub enum Event {
+    /// The request has arrived.
     Begin,
-    /// The leader's word on a polled job.
+    /// The leader's answer to the poll of a job.
     LeaderReplied(Reading),
-    /// The polled job's state by the records.
+    /// The job's state by the records.
     Read(Result<Reading, String>),
-    /// The leader's answer. `None`: there is none.
+    /// The leader's answer to a forwarded request. `None`: there is none.
     Forwarded(Option<Answer>),
     /// Whether every controller runs this version.
     Versions(bool),
+    /// The records of the jobs that were looked up.
     LookupResults(LookupResults),
+    /// The outcome of the write.
     Wrote(TxnResult),
-    /// The write was not begun: over the budget.
+    /// The write was not begun: over the write budget.
     OverBudget,
+    /// The pause is over.
     Waited,
 }
 
-/// What is to be done next for a request.
+/// What the caller has to do next for a request.
 #[derive(Debug)]
 pub enum Next {
+    /// Send this answer; the request is over.
     Answer(Answer),
-    /// It was passed on to this node, which does not lead.
+    /// It was forwarded to this node, which does not lead.
     NotLeading,
-    /// Nothing is left to be done, and nobody waits.
+    /// Nothing: it is over, and nobody waits for an answer.
     Over,
-    /// Ask the leader how the job stands.
+    /// Ask the leader for the job's status.
     AskLeader,
-    /// Read, with others, how it stands.
+    /// Read the job's status from the records, in a batch with others.
     ReadState,
-    /// Pass the request on to the leader.
+    /// Forward the request to the leader.
     Forward,
-    /// Look whether every controller runs this version.
+    /// Check whether every controller runs this version.
     Versions,
-    /// Look these jobs up in the records.
+    /// Read the records of these jobs.
     Look(Vec<String>),
-    /// Whether it may wait for the budget of changes.
+    /// Write; the flag: whether it may wait for the write budget.
     Write(Txn, bool),
+    /// Pause for so long.
     Wait(Millis),
 }
 
-/// One look at how the job stands, by the one job that was looked up.
-fn looked(
+/// The job's status by a read of its record alone; `Err`: the answer to give
+/// where the read failed.
+fn looked_up_status(
     id: &str,
-    mut looked: LookupResults,
+    mut results: LookupResults,
     view: &mut NodeView,
 ) -> Result<Option<JobStatus>, Answer> {
-    match looked.remove(id) {
+    match results.remove(id) {
         Some(Ok(found)) => Ok(view.learn(id, found)),
         Some(Err(e)) => Err(Answer::unread(&e)),
         None => Ok(None),
     }
 }
 
-/// An event that does not fit the step: no answer is made of it.
-fn out_of_place(event: &Event) -> Next {
+/// An event that does not fit the step: it is logged, and the user may retry.
+fn unexpected_event(event: &Event) -> Next {
     log::error!("a request got an answer to what it did not ask: {event:?}");
     Next::Answer(Answer::later("try again"))
 }
--- a/src/control/requests/request.rs
+++ b/src/control/requests/request.rs
@@ -1,6 +1,17 @@
-//! A request under way: its steps, and the checks that every answer passes.
-
-use super::*;
+//! A request under way: it dispatches events to the steps of its kind, and owns
+//! the checks that every answer passes before it leaves the node: a final state
+//! learned meanwhile overrides an older reading, a reading that is too old is
+//! read again, and a final state is held until older answers have been given.
+//! Called by the server's loop for users' requests.
+//!
+//! Must never return an answer that has not passed `finish`.
+
+use super::{Answer, Event, Next, NodeView, cancel, poll, provenance::Provenance, settle, submit};
+use crate::{
+    control::safety_bounds::MAX_READING_AGE_MS,
+    protocol::users::{JobSpec, is_valid_job_id},
+    state::Millis,
+};
 
 /// See `Request::forward_limit`.
 const FORWARD_TIMEOUT_MS: Millis = 800;
@@ -19,10 +30,10 @@
 pub struct Request {
     /// The job that it names, if that is of the right form.
     id: Option<String>,
-    /// Passed on by another node.
+    /// Forwarded by another node.
     forwarded: bool,
     work: Work,
-    /// When something was last asked for elsewhere, and the term in which this
+    /// When something was last requested elsewhere, and the term in which this
     /// node led then.
     requested_at: Millis,
     requested_in_term: Option<u64>,
@@ -33,20 +44,20 @@
     stale_reads: u32,
 }
 
-/// What is seen to before an answer is given.
+/// What an answer waits for before it is given.
 #[derive(Debug, Default)]
 enum Check {
     #[default]
     None,
-    /// Its end is held back until older answers have been given.
+    /// A final state, held until older answers have been given.
     Held(Answer),
     /// Its reading was too old: it is read again.
     Reread(Answer),
 }
 
-/// So many readings may be too old.
+/// How many readings of one request may be too old.
 pub(super) const MAX_STALE_READS: u32 = 3;
-const SLOW: &str = "its state could not be read in time";
+const READ_TIMED_OUT: &str = "its state could not be read in time";
 
 impl Request {
     fn of(id: &str, forwarded: bool, work: Work) -> Request {
@@ -63,20 +74,23 @@
         }
     }
 
+    /// A poll of a job.
     pub fn poll(id: &str) -> Request {
         Self::of(id, false, Work::Poll)
     }
 
+    /// A submission, by its body as it came.
     pub fn submit(body: &[u8], forwarded: bool) -> Request {
         let parsed = JobSpec::parse(body);
         let id = match &parsed {
             Ok(spec) => spec.id.clone(),
-            Err(_) => submit::named(body).unwrap_or_default(),
+            Err(_) => submit::named_job(body).unwrap_or_default(),
         };
         let work = Work::Submit(Box::new(submit::Submit::new(parsed)));
         Self::of(&id, forwarded, work)
     }
 
+    /// A cancellation of a job.
     pub fn cancel(id: &str, forwarded: bool) -> Request {
         Self::of(id, forwarded, Work::Cancel(Default::default()))
     }
@@ -84,7 +98,7 @@
     /// What remains to be done once this is answered.
     pub fn unfinished_work(&self) -> Option<Request> {
         let (term, id) = match &self.work {
-            Work::Submit(s) => (s.unsettled()?, self.id.as_deref()?),
+            Work::Submit(s) => (s.indeterminate_term()?, self.id.as_deref()?),
             _ => return None,
         };
         let work = Work::Settle(settle::Settle::new(term));
@@ -96,13 +110,13 @@
         self.id.as_deref()
     }
 
-    /// What the answer rests on that was given last.
+    /// What the last answer rests on.
     pub fn provenance(&self) -> Provenance {
         self.provenance
     }
 
-    /// For how long the leader's answer to it is waited for, where it is passed
-    /// on. A cancellation's record is waited for, and then held back.
+    /// How long to wait for the leader's answer where the request is forwarded. A
+    /// cancellation waits for its record there, and is then held.
     pub fn forward_limit(&self) -> Millis {
         match self.work {
             Work::Cancel(_) => FORWARD_CANCELLATION_TIMEOUT_MS,
@@ -110,11 +124,12 @@
         }
     }
 
-    /// Whether it waits only as an end is held back.
+    /// Whether it waits only as a final state is held.
     pub fn is_held(&self) -> bool {
         matches!(self.check, Check::Held(_))
     }
 
+    /// Takes an event; returns what is to be done next.
     pub fn step(&mut self, event: Event, view: &mut NodeView) -> Next {
         self.provenance = Provenance::of(&event, self.requested_at, view.may_act, view.now);
         view.read_term = self.requested_in_term;
@@ -139,21 +154,21 @@
         match &mut self.work {
             Work::Poll => poll::step(&id, event, view),
             Work::Submit(s) => s.step(&id, self.forwarded, event, view),
-            Work::Cancel(w) => w.step(&id, self.forwarded, event, view),
+            Work::Cancel(c) => c.step(&id, self.forwarded, event, view),
             Work::Settle(s) => s.step(&id, event, view),
         }
     }
 
-    /// Gives an answer that is not too old, and an end not too soon: by the
-    /// time at which an end is told first, every node has given the older
-    /// answers that it may have read. Guards against one of those that is
-    /// given by another node after the end.
+    /// Gives an answer that is not too old, and a final state not too soon: when
+    /// a final state is answered for the first time, every node has given the
+    /// older answers that it may have read. Guards against one of those being
+    /// given by another node after the final state.
     fn finish(&mut self, answer: Answer, view: &mut NodeView) -> Next {
         let answer = self.check_latest(answer, view);
         match &answer {
             Answer::Later(_) => Next::Answer(answer),
             Answer::State(_, status) if status.state.is_final() => {
-                match view.held_for(status, self.provenance.source) {
+                match view.hold_time(status, self.provenance.source) {
                     0 => Next::Answer(answer),
                     left => {
                         self.check = Check::Held(answer);
@@ -168,56 +183,57 @@
         }
     }
 
-    /// Its reading took too long: read it once more, a few times at most.
+    /// The reading is too old: reads once more, a few times at most.
     fn read_again(&mut self, answer: Answer, view: &mut NodeView) -> Next {
         let id = self.id.as_deref().unwrap_or_default();
-        let led = view.acting().filter(|l| l.loaded());
-        if let Some(status) = led.and_then(|l| l.answerable_status(id)) {
-            self.provenance = Provenance::picture(view.now);
+        let leader = view.acting().filter(|l| l.loaded());
+        if let Some(status) = leader.and_then(|l| l.answerable_status(id)) {
+            self.provenance = Provenance::cluster_state(view.now);
             let answer = answer.with(status);
             return self.finish(answer, view);
         }
         self.stale_reads += 1;
         if self.stale_reads > MAX_STALE_READS {
-            return Next::Answer(Answer::later(SLOW));
+            return Next::Answer(Answer::later(READ_TIMED_OUT));
         }
         self.check = Check::Reread(answer);
         Next::ReadState
     }
 
-    /// As late as can be. Guards against an answer that was read, or relayed,
-    /// before the job ended, and is given after this node has told that end.
+    /// The last check, as late as possible. Guards against an answer that was
+    /// read, or relayed, before the job ended, and is given after this node has
+    /// answered with the final state.
     fn check_latest(&mut self, answer: Answer, view: &mut NodeView) -> Answer {
         let Some(id) = self.id.as_deref() else {
             return answer;
         };
-        let told = match &answer {
+        let newer = match &answer {
             Answer::Later(_) => None,
             Answer::State(_, s) if s.state.is_final() => None,
-            Answer::State(..) => view.end_of(id),
+            Answer::State(..) => view.known_final_status(id),
             // It may have been accepted while the records were read.
             Answer::Refused(..) => {
-                let led = view.acting().and_then(|l| l.answerable_status(id));
-                led.or_else(|| view.end_of(id))
+                let leader = view.acting().and_then(|l| l.answerable_status(id));
+                leader.or_else(|| view.known_final_status(id))
             }
         };
-        if told.is_some() {
+        if newer.is_some() {
             self.provenance = Provenance::memory(view.now);
         }
-        told.map_or(answer, Answer::known)
+        newer.map_or(answer, Answer::known)
     }
 }
 
-/// The same answer, by what was read again.
+/// The same answer, by the new reading.
 fn reread(answer: Answer, event: Event) -> Answer {
     match (event, answer) {
         (Event::Read(Ok(reading)), answer) => match (reading.status, answer) {
             (Some(status), answer) => answer.with(status),
-            // A job that was known can't be unknown: what says so is amiss.
-            (None, Answer::State(..)) => Answer::later(SLOW),
+            // A job that was known can't be unknown: the reading is at fault.
+            (None, Answer::State(..)) => Answer::later(READ_TIMED_OUT),
             (None, refused) => refused,
         },
         (Event::Read(Err(e)), _) => Answer::Later(e),
-        _ => Answer::later(SLOW),
+        _ => Answer::later(READ_TIMED_OUT),
     }
 }
--- a/src/control/requests/settle.rs
+++ b/src/control/requests/settle.rs
@@ -1,41 +1,46 @@
-//! An acceptance of a term that had no answer, and may be carried out yet.
-//! Guards against a job that stands in the records, and is called queued from
-//! there, while the leader does not know of it.
+//! Follow-up of an acceptance whose write had no answer: its outcome is unknown,
+//! and it may be applied yet. Reads the record a few times and lets the leader
+//! adopt the job. Guards against a job that stands in the records, and is called
+//! queued from there, while the leader does not know of it. Called by `request`;
+//! no user waits for it, and it must never answer one.
 
-use super::*;
+use super::{Event, Found, Next, NodeView};
+use crate::state::Millis;
 
-/// Pauses before each look.
-const PAUSES: [Millis; 4] = [2_000, 4_000, 8_000, 16_000];
+/// Pauses before each read of the record.
+const READ_PAUSES_MS: [Millis; 4] = [2_000, 4_000, 8_000, 16_000];
 
+/// An acceptance of unknown outcome.
 #[derive(Debug)]
 pub(super) struct Settle {
+    /// The term in which it was written.
     term: u64,
-    looks: usize,
+    reads: usize,
 }
 
 impl Settle {
     pub(super) fn new(term: u64) -> Settle {
-        Settle { term, looks: 0 }
+        Settle { term, reads: 0 }
     }
 
     pub(super) fn step(&mut self, id: &str, event: Event, view: &mut NodeView) -> Next {
         let now = view.now;
         // It leads no more: whoever does next reads the records.
-        let Some(l) = view.of_term(self.term) else {
+        let Some(leader) = view.of_term(self.term) else {
             return Next::Over;
         };
         match event {
             Event::Begin => self.pause(),
-            Event::Waited if l.status(id).is_some() => Next::Over,
+            Event::Waited if leader.status(id).is_some() => Next::Over,
             Event::Waited => Next::Look(vec![id.to_owned()]),
-            Event::LookupResults(mut found) => match found.remove(id) {
+            Event::LookupResults(mut results) => match results.remove(id) {
                 Some(Ok(Found::Live(record, version))) => {
                     log::info!("job {id} was accepted late");
-                    l.accepted(*record, version, now);
+                    leader.accepted(*record, version, now);
                     Next::Over
                 }
                 _ => {
-                    self.looks += 1;
+                    self.reads += 1;
                     self.pause()
                 }
             },
@@ -44,8 +49,8 @@
     }
 
     fn pause(&self) -> Next {
-        PAUSES
-            .get(self.looks)
+        READ_PAUSES_MS
+            .get(self.reads)
             .map_or(Next::Over, |ms| Next::Wait(*ms))
     }
 }
--- a/src/control/requests/submit.rs
+++ b/src/control/requests/submit.rs
@@ -1,12 +1,23 @@
-//! Submissions: accepted once the job's record is written, by the leader or,
-//! where none can be reached, by whichever node was asked.
+//! The steps of a submission: accepted once the job's record is written, by the
+//! leader or, where none can be reached, by the node that got the request.
+//! Idempotent: a job that is known is answered with its status, whatever the body
+//! says now. Called by `request`.
+//!
+//! Must never answer 201 before the record is written, and never refuse a job
+//! before it was looked up.
 
-use super::*;
+use super::{
+    Answer, CANCELLATION_PENDING, Event, Found, LEADERSHIP_CHANGING, LookupResults, NO_LEADER,
+    Next, NodeView, RECORDS_LOADING, TxnResult, looked_up_status, unexpected_event,
+};
 use crate::{
     control::{admission, leader::acceptance_with_feed_entry},
-    protocol::users::Kind,
+    protocol::{
+        state::Txn,
+        users::{JobSpec, Kind, is_valid_job_id},
+    },
     state::{
-        records::{self, LEADER},
+        records::{self, JobRecord, LEADER},
         spec_chunks::SpecChunks,
     },
 };
@@ -15,52 +26,53 @@
 const BUSY: &str = "too many submissions at once";
 const UNRECORDED: &str = "the job could not be recorded";
 
-/// The id that a malformed submission names, if it is of the right form.
-pub(super) fn named(body: &[u8]) -> Option<String> {
+/// The job id in a malformed submission, if the id itself is well formed.
+pub(super) fn named_job(body: &[u8]) -> Option<String> {
     let v = serde_json::from_slice::<serde_json::Value>(body).ok()?;
     let id = v.get("ref")?.as_str()?;
     is_valid_job_id(id).then(|| id.to_owned())
 }
 
-/// What is waited for.
+/// What the submission waits for.
 #[derive(Debug)]
-enum At {
+enum Stage {
     /// Nothing yet, or the versions of the controllers.
     Start,
     Forwarded,
-    /// Whether the job is known; else this is the answer.
+    /// Whether the job is known; if not, this is the answer.
     Known(Answer),
-    /// How the jobs stand that it names.
-    Needs,
-    /// Pieces of a long description are being written in this term.
+    /// The status of the dependencies.
+    Dependencies,
+    /// Chunks of a long spec are being written in this term; those left.
     SpecChunks(u64, SpecChunks, std::vec::IntoIter<Txn>),
     /// The record is being written, by the leader of this term or alone.
     Record(Option<u64>, Box<JobRecord>),
-    /// The write had no answer.
-    Unsettled(u64),
+    /// The outcome of the write in this term is unknown.
+    Indeterminate(u64),
 }
 
+/// A submission under way.
 #[derive(Debug)]
 pub(super) struct Submit {
     parsed: Result<JobSpec, String>,
-    /// This node leads, or did as it began.
-    led: bool,
-    at: At,
+    /// This node led when the request began.
+    leads: bool,
+    stage: Stage,
 }
 
 impl Submit {
     pub(super) fn new(parsed: Result<JobSpec, String>) -> Submit {
         Submit {
             parsed,
-            led: false,
-            at: At::Start,
+            leads: false,
+            stage: Stage::Start,
         }
     }
 
     /// The term in which the acceptance had no answer.
-    pub(super) fn unsettled(&self) -> Option<u64> {
-        match self.at {
-            At::Unsettled(term) => Some(term),
+    pub(super) fn indeterminate_term(&self) -> Option<u64> {
+        match self.stage {
+            Stage::Indeterminate(term) => Some(term),
             _ => None,
         }
     }
@@ -72,53 +84,55 @@
         event: Event,
         view: &mut NodeView,
     ) -> Next {
-        match (std::mem::replace(&mut self.at, At::Start), event) {
+        match (std::mem::replace(&mut self.stage, Stage::Start), event) {
             (_, Event::Begin) => self.begin(id, forwarded, view),
-            (_, Event::Versions(true)) if self.led => self.needs(id, view),
+            (_, Event::Versions(true)) if self.leads => self.check_dependencies(id, view),
             (_, Event::Versions(true)) => self.forward(),
             (_, Event::Versions(false)) => Next::Answer(Answer::later(NOT_UPGRADED)),
-            (At::Forwarded, Event::Forwarded(Some(answer))) => Next::Answer(answer),
-            (At::Forwarded, Event::Forwarded(None)) => self.alone(id, view),
+            (Stage::Forwarded, Event::Forwarded(Some(answer))) => Next::Answer(answer),
+            (Stage::Forwarded, Event::Forwarded(None)) => self.submit_without_leader(id, view),
             (_, Event::OverBudget) => Next::Answer(Answer::later(BUSY)),
-            (_, Event::LookupResults(_)) if self.led && !view.may_act => {
-                Next::Answer(Answer::later(LOST))
+            (_, Event::LookupResults(_)) if self.leads && !view.may_act => {
+                Next::Answer(Answer::later(LEADERSHIP_CHANGING))
             }
-            (At::Known(otherwise), Event::LookupResults(found)) => {
-                Next::Answer(match looked(id, found, view) {
+            (Stage::Known(otherwise), Event::LookupResults(results)) => {
+                Next::Answer(match looked_up_status(id, results, view) {
                     Ok(Some(status)) => Answer::known(status),
                     Ok(None) => otherwise,
                     Err(answer) => answer,
                 })
             }
-            (At::Needs, Event::LookupResults(found)) => self.needs_found(id, found, view),
-            (At::SpecChunks(term, pieces, left), Event::Wrote(TxnResult::Done(_))) => {
-                self.piece(term, pieces, left, true, view)
+            (Stage::Dependencies, Event::LookupResults(results)) => {
+                self.dependencies_found(id, results, view)
+            }
+            (Stage::SpecChunks(term, chunks, remaining), Event::Wrote(TxnResult::Done(_))) => {
+                self.write_chunk(term, chunks, remaining, true, view)
             }
-            (At::Record(term, record), Event::Wrote(result)) => {
-                self.wrote(id, term, record, result, view)
+            (Stage::Record(term, record), Event::Wrote(result)) => {
+                self.record_written(id, term, record, result, view)
             }
             (_, Event::Wrote(_)) => Next::Answer(Answer::later(UNRECORDED)),
-            (_, other) => out_of_place(&other),
+            (_, other) => unexpected_event(&other),
         }
     }
 
     fn begin(&mut self, id: &str, forwarded: bool, view: &mut NodeView) -> Next {
-        if let Some(status) = view.end_of(id) {
+        if let Some(status) = view.known_final_status(id) {
             return Next::Answer(Answer::known(status));
         }
-        self.led = view.may_act && view.leader.is_some();
-        let (led, upgraded) = (self.led, view.upgraded);
-        match view.acting().map(|l| l.loaded()) {
-            Some(false) => return Next::Answer(Answer::later(UNREAD)),
+        self.leads = view.may_act && view.leader.is_some();
+        let (leads, upgraded) = (self.leads, view.upgraded);
+        match view.acting().map(|leader| leader.loaded()) {
+            Some(false) => return Next::Answer(Answer::later(RECORDS_LOADING)),
             None if forwarded => return Next::NotLeading,
             _ => {}
         }
-        let needs = self
+        let has_dependencies = self
             .parsed
             .as_ref()
             .is_ok_and(|s| !s.dependencies.is_empty());
-        match (led, needs && !upgraded) {
-            (true, _) => self.led_by(id, view),
+        match (leads, has_dependencies && !upgraded) {
+            (true, _) => self.submit_as_leader(id, view),
             // An older leader would take the job and start it at once.
             (false, true) => Next::Versions,
             (false, false) => self.forward(),
@@ -126,11 +140,11 @@
     }
 
     fn forward(&mut self) -> Next {
-        self.at = At::Forwarded;
+        self.stage = Stage::Forwarded;
         Next::Forward
     }
 
-    /// Status and reason with which a submission that isn't known is refused.
+    /// The refusal of a submission whose job isn't known.
     fn refusal(&self, view: &NodeView) -> Option<Answer> {
         match &self.parsed {
             Err(e) => Some(Answer::Refused(400, e.clone())),
@@ -142,26 +156,29 @@
     /// A known job is answered with its state, whatever the repeated body or
     /// the settings now say.
     fn unless_known(&mut self, id: &str, otherwise: Answer, view: &mut NodeView) -> Next {
-        if self.led {
-            let Some(l) = view.acting() else {
-                return Next::Answer(Answer::later(LOST));
+        if self.leads {
+            let Some(leader) = view.acting() else {
+                return Next::Answer(Answer::later(LEADERSHIP_CHANGING));
             };
-            if let Some(status) = l.answerable_status(id) {
+            if let Some(status) = leader.answerable_status(id) {
                 return Next::Answer(Answer::known(status));
             }
-            if l.is_cancelled_with_dependency(id) {
-                return Next::Answer(Answer::later(WITHHELD));
+            if leader.is_cancelled_with_dependency(id) {
+                return Next::Answer(Answer::later(CANCELLATION_PENDING));
             }
         }
         if id.is_empty() {
             return Next::Answer(otherwise);
         }
-        self.at = At::Known(otherwise);
+        self.stage = Stage::Known(otherwise);
         Next::Look(vec![id.to_owned()])
     }
 
-    fn led_by(&mut self, id: &str, view: &mut NodeView) -> Next {
-        if let Some(status) = view.acting().and_then(|l| l.answerable_status(id)) {
+    fn submit_as_leader(&mut self, id: &str, view: &mut NodeView) -> Next {
+        if let Some(status) = view
+            .acting()
+            .and_then(|leader| leader.answerable_status(id))
+        {
             return Next::Answer(Answer::known(status));
         }
         if self.parsed.is_ok() && view.types.is_empty() {
@@ -170,127 +187,142 @@
         if let Some(refusal) = self.refusal(view) {
             return self.unless_known(id, refusal, view);
         }
-        let needs = self
+        let has_dependencies = self
             .parsed
             .as_ref()
             .is_ok_and(|s| !s.dependencies.is_empty());
-        match needs && !view.upgraded {
+        match has_dependencies && !view.upgraded {
             true => Next::Versions,
-            false => self.needs(id, view),
+            false => self.check_dependencies(id, view),
         }
     }
 
-    /// Where this node leads: are the jobs known that it names?
-    fn needs(&mut self, id: &str, view: &mut NodeView) -> Next {
-        let (Ok(spec), Some(l)) = (&self.parsed, view.acting()) else {
-            return Next::Answer(Answer::later(LOST));
+    /// At the leader: are all dependencies known?
+    fn check_dependencies(&mut self, id: &str, view: &mut NodeView) -> Next {
+        let (Ok(spec), Some(leader)) = (&self.parsed, view.acting()) else {
+            return Next::Answer(Answer::later(LEADERSHIP_CHANGING));
         };
         if spec.dependencies.is_empty() {
             return self.accept(view);
         }
-        match l.unknown_dependencies(spec) {
+        match leader.unknown_dependencies(spec) {
             Err(service) => self.unless_known(id, is_service(&service), view),
             Ok(unknown) if unknown.is_empty() => self.accept(view),
             Ok(unknown) => {
-                self.at = At::Needs;
+                self.stage = Stage::Dependencies;
                 Next::Look(unknown)
             }
         }
     }
 
-    fn needs_found(&mut self, id: &str, mut found: LookupResults, view: &mut NodeView) -> Next {
+    fn dependencies_found(
+        &mut self,
+        id: &str,
+        mut results: LookupResults,
+        view: &mut NodeView,
+    ) -> Next {
         let Ok(spec) = &self.parsed else {
-            return Next::Answer(Answer::later(LOST));
+            return Next::Answer(Answer::later(LEADERSHIP_CHANGING));
         };
-        let asked: Vec<String> = match (self.led, view.acting()) {
-            (true, Some(l)) => l.unknown_dependencies(spec).unwrap_or_default(),
+        let pending: Vec<String> = match (self.leads, view.acting()) {
+            (true, Some(leader)) => leader.unknown_dependencies(spec).unwrap_or_default(),
             _ => spec.dependencies.clone(),
         };
-        for need in asked {
-            let refusal = match found.remove(&need) {
-                Some(Ok(Found::Live(r, _))) if r.spec.kind == Kind::Service => is_service(&need),
+        for dependency in pending {
+            let refusal = match results.remove(&dependency) {
+                Some(Ok(Found::Live(r, _))) if r.spec.kind == Kind::Service => {
+                    is_service(&dependency)
+                }
                 Some(Ok(Found::Nothing)) | None => {
-                    Answer::Refused(422, format!("waits_on: {need} was never accepted"))
+                    Answer::Refused(422, format!("waits_on: {dependency} was never accepted"))
                 }
                 Some(Err(e)) => return Next::Answer(Answer::unread(&e)),
                 Some(Ok(known)) => {
-                    view.learn(&need, known);
+                    view.learn(&dependency, known);
                     continue;
                 }
             };
             return self.unless_known(id, refusal, view);
         }
-        match self.led {
-            // Among what it has learned meanwhile there may be services.
-            true => match view.acting().map(|l| l.unknown_dependencies(spec)) {
+        match self.leads {
+            // What the leader has learned meanwhile may include services.
+            true => match view
+                .acting()
+                .map(|leader| leader.unknown_dependencies(spec))
+            {
                 Some(Err(service)) => self.unless_known(id, is_service(&service), view),
                 Some(Ok(_)) => self.accept(view),
-                None => Next::Answer(Answer::later(LOST)),
+                None => Next::Answer(Answer::later(LEADERSHIP_CHANGING)),
             },
-            false => self.accept_alone(view),
+            false => self.accept_without_leader(view),
         }
     }
 
     fn accept(&mut self, view: &mut NodeView) -> Next {
         let Ok(spec) = &self.parsed else {
-            return Next::Answer(Answer::later(LOST));
+            return Next::Answer(Answer::later(LEADERSHIP_CHANGING));
         };
-        let most = view.settings.cluster.state.value_kb;
-        if !view.upgraded && !records::fits(records::inline_record_size(spec), most) {
+        let limit_kb = view.settings.cluster.state.value_kb;
+        if !view.upgraded && !records::fits(records::inline_record_size(spec), limit_kb) {
             let why = "so long a description waits until all controllers are upgraded";
             return Next::Answer(Answer::later(why));
         }
         let upgraded = view.upgraded;
-        let Some(l) = view.acting() else {
-            return Next::Answer(Answer::later(LOST));
+        let Some(leader) = view.acting() else {
+            return Next::Answer(Answer::later(LEADERSHIP_CHANGING));
         };
-        l.upgraded(upgraded);
-        let term = l.term;
-        match l.pieces_first(spec) {
+        leader.upgraded(upgraded);
+        let term = leader.term;
+        match leader.pieces_first(spec) {
             Ok(None) => self.record(term, None, false, view),
-            Ok(Some((pieces, txns))) => self.piece(term, pieces, txns.into_iter(), false, view),
+            Ok(Some((chunks, txns))) => {
+                self.write_chunk(term, chunks, txns.into_iter(), false, view)
+            }
             Err(_) => Next::Answer(Answer::later("it can't be kept")),
         }
     }
 
-    /// The next piece of a long description, or else the record that names
-    /// them. Only what comes first is refused at once for lack of budget.
-    fn piece(
+    /// Writes the next chunk of a long spec, or else the record that names them.
+    /// Only the first write is refused at once for lack of budget.
+    fn write_chunk(
         &mut self,
         term: u64,
-        pieces: SpecChunks,
-        mut left: std::vec::IntoIter<Txn>,
-        waits: bool,
+        chunks: SpecChunks,
+        mut remaining: std::vec::IntoIter<Txn>,
+        may_wait: bool,
         view: &mut NodeView,
     ) -> Next {
-        match left.next() {
+        match remaining.next() {
             Some(txn) => {
-                self.at = At::SpecChunks(term, pieces, left);
-                Next::Write(txn, waits)
+                self.stage = Stage::SpecChunks(term, chunks, remaining);
+                Next::Write(txn, may_wait)
             }
-            None => self.record(term, Some(pieces), true, view),
+            None => self.record(term, Some(chunks), true, view),
         }
     }
 
     fn record(
         &mut self,
         term: u64,
-        pieces: Option<SpecChunks>,
-        waits: bool,
+        chunks: Option<SpecChunks>,
+        may_wait: bool,
         view: &mut NodeView,
     ) -> Next {
         let wall = view.wall_ms;
-        // Of another term the pieces may just be cleared away as left over.
-        let (Some(l), Ok(spec)) = (view.acting().filter(|l| l.term == term), &self.parsed) else {
-            return Next::Answer(Answer::later(LOST));
+        // The leader of another term may be clearing the chunks as unreferenced.
+        let (Some(leader), Ok(spec)) = (
+            view.acting().filter(|leader| leader.term == term),
+            &self.parsed,
+        ) else {
+            return Next::Answer(Answer::later(LEADERSHIP_CHANGING));
         };
-        let (txn, record) = l.acceptance(spec, pieces, wall);
-        self.at = At::Record(Some(term), Box::new(record));
-        Next::Write(txn, waits)
+        let (txn, record) = leader.acceptance(spec, chunks, wall);
+        self.stage = Stage::Record(Some(term), Box::new(record));
+        Next::Write(txn, may_wait)
     }
 
-    /// Without a leader: its record is what counts.
-    fn alone(&mut self, id: &str, view: &mut NodeView) -> Next {
+    /// Without a leader this node writes the record itself.
+    fn submit_without_leader(&mut self, id: &str, view: &mut NodeView) -> Next {
         if self.parsed.is_ok() && view.types.is_empty() {
             return Next::Answer(Answer::later("machine types are not known yet"));
         }
@@ -299,33 +331,33 @@
         }
         match &self.parsed {
             Ok(spec) if !spec.dependencies.is_empty() => {
-                self.at = At::Needs;
+                self.stage = Stage::Dependencies;
                 Next::Look(spec.dependencies.clone())
             }
-            _ => self.accept_alone(view),
+            _ => self.accept_without_leader(view),
         }
     }
 
-    fn accept_alone(&mut self, view: &mut NodeView) -> Next {
+    fn accept_without_leader(&mut self, view: &mut NodeView) -> Next {
         let Ok(spec) = &self.parsed else {
             return Next::Answer(Answer::later(NO_LEADER));
         };
         let state = &view.settings.cluster.state;
-        let most = match view.upgraded {
+        let limit_kb = match view.upgraded {
             true => state.always().value_kb,
             false => state.value_kb,
         };
-        if !records::fits(records::inline_record_size(spec), most) {
+        if !records::fits(records::inline_record_size(spec), limit_kb) {
             let why = "so long a description needs a leader";
             return Next::Answer(Answer::later(why));
         }
         let record = JobRecord::new(spec.clone(), view.wall_ms);
         let txn = acceptance_with_feed_entry(&record);
-        self.at = At::Record(None, Box::new(record));
+        self.stage = Stage::Record(None, Box::new(record));
         Next::Write(txn, false)
     }
 
-    fn wrote(
+    fn record_written(
         &mut self,
         id: &str,
         term: Option<u64>,
@@ -335,11 +367,11 @@
     ) -> Next {
         match (result, term) {
             (TxnResult::Done(version), _) => {
-                // Whether or not this node still leads, it is recorded, and
-                // whoever leads next reads it.
+                // Whether or not this node still leads, it is recorded, and the
+                // next leader reads it.
                 let (status, now) = (record.status(), view.now);
-                if let Some(l) = term.and_then(|t| view.of_term(t)) {
-                    l.accepted(*record, version, now);
+                if let Some(leader) = term.and_then(|t| view.of_term(t)) {
+                    leader.accepted(*record, version, now);
                 }
                 Next::Answer(Answer::State(201, status))
             }
@@ -347,7 +379,7 @@
                 self.unless_known(id, Answer::later("try again"), view)
             }
             (TxnResult::Unknown, Some(term)) => {
-                self.at = At::Unsettled(term);
+                self.stage = Stage::Indeterminate(term);
                 Next::Answer(Answer::later(UNRECORDED))
             }
             _ => Next::Answer(Answer::later(UNRECORDED)),
--- a/src/control/requests/tests.rs
+++ b/src/control/requests/tests.rs
@@ -1,7 +1,14 @@
-//! Each step by itself, with what comes between.
+//! The steps of requests one by one, with events that overtake each other.
 
-use super::*;
-use crate::protocol::users::JobState;
+use super::{Answer, Event, Next, NodeView, Reading, Request, request};
+use crate::{
+    control::{polls::FinalStates, safety_bounds::MAX_READING_AGE_MS},
+    protocol::{
+        settings::Settings,
+        users::{JobState, JobStatus},
+    },
+    state::Millis,
+};
 
 fn settings() -> Settings {
     let cluster = serde_json::json!({
