--- a/src/server/cloud.rs
+++ b/src/server/cloud.rs
@@ -1,163 +1,239 @@
-//! The cloud: machine types, the list, rentals and releases.
+//! Client of the cloud: machine types and prices, the list of machines, requests for
+//! machines and releases.
+//!
+//! Owns: the paths, bodies and status codes of the cloud's calls. Its loop over the
+//! machine types is started once by the process; the control loop begins the rest.
+//!
+//! Must never: request or release machines without authority.
 
 use super::{Node, signals::InFlight};
 use crate::{
     control::leader::CloudOp,
-    protocol::cloud::{MachineList, MachineNames, MachineType, MachineTypes},
+    protocol::cloud::{MachineList, MachineNames, MachineRequest, MachineType, MachineTypes},
     transport::client::CallError,
 };
 use async_io::Timer;
 use http_types::Method;
-use std::{rc::Rc, time::Duration};
+use std::{fmt, rc::Rc, time::Duration};
 
-const LIMIT: Duration = Duration::from_secs(4);
-const NOT_SENT: &str = "not sent: authority has ended";
+/// How long a call to the cloud may take.
+const CALL_TIMEOUT: Duration = Duration::from_secs(4);
+/// Machines asked for in one page of the list.
+const LIST_PAGE_MACHINES: usize = 500;
+/// Pause before the request budget is checked again.
+const BUDGET_PAUSE: Duration = Duration::from_millis(100);
+/// Time between two reads of the machine types, and until the first succeeds.
+const TYPES_INTERVAL: Duration = Duration::from_secs(30);
+const FIRST_TYPES_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Keeps machine types and prices current.
+/// Why a call to the cloud gave no result.
+#[derive(Debug, Clone, PartialEq)]
+enum CloudError {
+    /// Authority ended before the call was sent.
+    AuthorityEnded,
+    /// The call failed.
+    Call(CallError),
+    /// The cloud answered with this HTTP status.
+    Status(u16),
+    /// The answer could not be decoded.
+    Decode(String),
+}
+
+impl fmt::Display for CloudError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            CloudError::AuthorityEnded => f.write_str("not sent: authority has ended"),
+            CloudError::Call(e) => e.fmt(f),
+            CloudError::Status(status) => write!(f, "status {status}"),
+            CloudError::Decode(reason) => f.write_str(reason),
+        }
+    }
+}
+
+impl std::error::Error for CloudError {}
+
+impl From<serde_json::Error> for CloudError {
+    fn from(error: serde_json::Error) -> Self {
+        CloudError::Decode(error.to_string())
+    }
+}
+
+/// An HTTP answer of the cloud.
+struct CloudAnswer {
+    status: u16,
+    body: Vec<u8>,
+}
+
+impl CloudAnswer {
+    /// The body, if the call succeeded.
+    fn success(self) -> Result<Vec<u8>, CloudError> {
+        match self.status {
+            200 => Ok(self.body),
+            status => Err(CloudError::Status(status)),
+        }
+    }
+}
+
+/// Keeps machine types and prices current, for as long as the process runs.
 pub async fn types(node: Rc<Node>) {
     loop {
         let known = !node.machine_types.borrow().is_empty();
         match node.fetch_types().await {
-            Ok(types) => {
-                let mut own = node.machine_types.borrow_mut();
-                for t in types {
-                    match own.iter_mut().find(|o| o.name == t.name) {
-                        Some(o) => *o = t,
-                        None => own.push(t),
-                    }
-                }
-                // Prices in force; the list of types is fixed for a term.
-                if let Some(l) = node.leader.borrow_mut().as_mut() {
-                    for t in l.cluster.types.iter_mut() {
-                        if let Some(o) = own.iter().find(|o| o.name == t.name) {
-                            t.price = o.price;
-                            t.spot_price = o.spot_price;
-                        }
-                    }
-                }
-            }
+            Ok(types) => node.update_types(types),
             Err(e) => log::info!("machine types: {e}"),
         }
-        let pause = if known { 30 } else { 1 };
-        Timer::after(Duration::from_secs(pause)).await;
+        let interval = if known {
+            TYPES_INTERVAL
+        } else {
+            FIRST_TYPES_INTERVAL
+        };
+        Timer::after(interval).await;
     }
 }
 
 impl Node {
-    /// `term`: only as long as this node leads that term.
+    fn update_types(&self, fetched: Vec<MachineType>) {
+        let mut known = self.machine_types.borrow_mut();
+        for machine_type in fetched {
+            match known.iter_mut().find(|t| t.name == machine_type.name) {
+                Some(existing) => *existing = machine_type,
+                None => known.push(machine_type),
+            }
+        }
+        // A leader takes new prices; its list of types is fixed for a term.
+        if let Some(leader) = self.leader.borrow_mut().as_mut() {
+            for led_type in leader.cluster.types.iter_mut() {
+                if let Some(current) = known.iter().find(|t| t.name == led_type.name) {
+                    led_type.price = current.price;
+                    led_type.spot_price = current.spot_price;
+                }
+            }
+        }
+    }
+
+    /// One call, once the request budget allows it. `term`: only as long as this node
+    /// has authority in that term.
     async fn cloud(
         &self,
         term: Option<u64>,
         method: Method,
         path: &str,
         body: Option<Vec<u8>>,
-    ) -> Result<(u16, Vec<u8>), String> {
-        let still = || term.is_none() || self.election.borrow().authority(self.now()) == term;
+    ) -> Result<CloudAnswer, CloudError> {
+        let may_act = || term.is_none() || self.election.borrow().authority(self.now()) == term;
         loop {
-            if !still() {
-                return Err(NOT_SENT.into());
+            if !may_act() {
+                return Err(CloudError::AuthorityEnded);
             }
-            let now = self.now();
-            if self.budgets.take_cloud_request(now) {
+            if self.budgets.take_cloud_request(self.now()) {
                 break;
             }
-            Timer::after(Duration::from_millis(100)).await;
+            Timer::after(BUDGET_PAUSE).await;
         }
         self.metrics.borrow().cloud_requests.inc();
         let addr = self.settings.services.cloud;
-        self.http
-            .call_if(addr, method, path, body, LIMIT, still)
-            .await
-            .map(|a| (a.status, a.body))
-            .map_err(|e| match e {
-                CallError::NotSent(_) if !still() => NOT_SENT.into(),
-                e => e.to_string(),
-            })
+        let result = self
+            .http
+            .call_if(addr, method, path, body, CALL_TIMEOUT, may_act)
+            .await;
+        match result {
+            Ok(answer) => Ok(CloudAnswer {
+                status: answer.status,
+                body: answer.body,
+            }),
+            Err(CallError::NotSent(_)) if !may_act() => Err(CloudError::AuthorityEnded),
+            Err(e) => Err(CloudError::Call(e)),
+        }
     }
 
-    async fn fetch_types(&self) -> Result<Vec<MachineType>, String> {
-        match self
+    async fn fetch_types(&self) -> Result<Vec<MachineType>, CloudError> {
+        let answer = self
             .cloud(None, Method::Get, "/machine_types", None)
-            .await?
-        {
-            (200, body) => serde_json::from_slice::<MachineTypes>(&body)
-                .map(|t| t.types)
-                .map_err(|e| e.to_string()),
-            (s, _) => Err(format!("status {s}")),
-        }
+            .await?;
+        let types: MachineTypes = serde_json::from_slice(&answer.success()?)?;
+        Ok(types.types)
     }
 
+    /// Reads the list of machines, page by page.
     pub(super) async fn list_machines(self: Rc<Self>, term: u64, _in_flight: InFlight) {
+        let began = self.now();
         let mut from = String::new();
-        let asked = self.now();
         loop {
-            let path = format!("/hosts?from={from}&most=500");
-            let page: MachineList = match self.cloud(Some(term), Method::Get, &path, None).await {
-                Ok((200, body)) => match serde_json::from_slice(&body) {
-                    Ok(page) => page,
-                    Err(e) => {
-                        log::info!("machine list: {e}");
-                        break;
-                    }
-                },
-                Ok((s, _)) => {
-                    log::debug!("machine list: status {s}");
-                    break;
+            let page = match self.list_page(term, &from).await {
+                Ok(page) => page,
+                Err(e @ CloudError::Decode(_)) => {
+                    log::info!("machine list: {e}");
+                    return;
                 }
                 Err(e) => {
                     log::debug!("machine list: {e}");
-                    break;
+                    return;
                 }
             };
-            self.of_term(term, |l, now| l.machines_listed(&page.machines, now));
+            self.of_term(term, |leader, now| {
+                leader.machines_listed(&page.machines, now);
+            });
             match page.machines.last() {
                 Some(last) if page.more => from = last.id.clone(),
                 _ => {
-                    self.of_term(term, |l, now| l.full_list_received(asked, now));
-                    break;
+                    self.of_term(term, |leader, now| leader.full_list_received(began, now));
+                    return;
                 }
             }
         }
     }
 
+    async fn list_page(&self, term: u64, from: &str) -> Result<MachineList, CloudError> {
+        let path = format!("/hosts?from={from}&most={LIST_PAGE_MACHINES}");
+        let answer = self.cloud(Some(term), Method::Get, &path, None).await?;
+        Ok(serde_json::from_slice(&answer.success()?)?)
+    }
+
+    /// Requests or releases machines, and reports the result to the leader.
     pub(super) async fn cloud_op(self: Rc<Self>, term: u64, op: CloudOp) {
         match op {
-            CloudOp::MachineRequest(rent) => {
-                let body = serde_json::to_vec(&rent).unwrap_or_default();
-                let names = match self
-                    .cloud(Some(term), Method::Post, "/hosts", Some(body))
-                    .await
-                {
-                    Ok((200, body)) => serde_json::from_slice::<MachineNames>(&body)
-                        .ok()
-                        .map(|n| n.machines),
-                    Ok((s, _)) => {
-                        log::debug!("rental {}: status {s}", rent.request_id);
-                        None
-                    }
-                    Err(e) => {
-                        log::info!("rental {}: {e}", rent.request_id);
-                        if e == NOT_SENT {
-                            self.of_term(term, |l, _| l.scale_out_not_sent());
-                            return;
-                        }
-                        None
-                    }
-                };
-                self.of_term(term, |l, now| {
-                    l.scale_out_answered(&rent, names.as_deref(), now)
-                });
+            CloudOp::MachineRequest(request) => self.request_machines(term, request).await,
+            CloudOp::Release(names) => self.release_machines(term, names).await,
+        }
+    }
+
+    async fn request_machines(&self, term: u64, request: MachineRequest) {
+        let body = serde_json::to_vec(&request).unwrap_or_default();
+        let result = self
+            .cloud(Some(term), Method::Post, "/hosts", Some(body))
+            .await;
+        let names = match result.and_then(CloudAnswer::success) {
+            Ok(body) => serde_json::from_slice::<MachineNames>(&body)
+                .ok()
+                .map(|names| names.machines),
+            Err(e @ CloudError::Status(_)) => {
+                log::debug!("rental {}: {e}", request.request_id);
+                None
             }
-            CloudOp::Release(names) => {
-                let request = MachineNames {
-                    machines: names.clone(),
-                };
-                let body = serde_json::to_vec(&request).unwrap_or_default();
-                let path = "/hosts/release";
-                let answer = self.cloud(Some(term), Method::Post, path, Some(body)).await;
-                let ok = matches!(answer, Ok((200, _)));
-                self.of_term(term, |l, now| l.released(&names, ok, now));
+            Err(e) => {
+                log::info!("rental {}: {e}", request.request_id);
+                if e == CloudError::AuthorityEnded {
+                    self.of_term(term, |leader, _| leader.scale_out_not_sent());
+                    return;
+                }
+                None
             }
-        }
+        };
+        self.of_term(term, |leader, now| {
+            leader.scale_out_answered(&request, names.as_deref(), now)
+        });
+    }
+
+    async fn release_machines(&self, term: u64, names: Vec<String>) {
+        let request = MachineNames {
+            machines: names.clone(),
+        };
+        let body = serde_json::to_vec(&request).unwrap_or_default();
+        let path = "/hosts/release";
+        let result = self.cloud(Some(term), Method::Post, path, Some(body)).await;
+        let is_released = result.and_then(CloudAnswer::success).is_ok();
+        self.of_term(term, |leader, now| {
+            leader.released(&names, is_released, now)
+        });
     }
 }
--- a/src/server/market.rs
+++ b/src/server/market.rs
@@ -1,4 +1,9 @@
-//! What a broker of markets asks: only the leader answers.
+//! Requests of a market's broker, which only the leader answers.
+//!
+//! Owns: how long such a request waits until the leader's decision is recorded.
+//! Called by `server::peers`.
+//!
+//! Must never: answer before the decision is recorded, except that it is not yet.
 
 use super::Node;
 use crate::{
@@ -6,46 +11,49 @@
         market::{MOST_LENDABLE, Marked},
         peers::Reply,
     },
-    state::offload::OffloadTarget,
+    state::{Millis, offload::OffloadTarget},
 };
 use async_io::Timer;
 use std::time::Duration;
 
-/// For how long a broker's question waits for a write.
-const WAIT: u64 = 1_500;
-const STEP: Duration = Duration::from_millis(15);
+/// How long a broker's request waits for a write.
+const MAX_WAIT_MS: Millis = 1_500;
+/// Time between two checks whether the write was applied.
+const CHECK_INTERVAL: Duration = Duration::from_millis(15);
 
 impl Node {
+    /// The jobs that may be offloaded, and those offloaded ones to be recalled.
     pub(super) fn lendable(&self, lent: &[(String, u64)]) -> Reply {
-        self.acting(|l, _| {
-            l.loaded().then(|| Reply::Lendable {
-                jobs: l.lendable(MOST_LENDABLE),
-                recall: l.not_needed(lent),
+        self.acting(|leader, _| {
+            leader.loaded().then(|| Reply::Lendable {
+                jobs: leader.lendable(MOST_LENDABLE),
+                recall: leader.not_needed(lent),
             })
         })
         .flatten()
         .unwrap_or(Reply::NotLeader)
     }
 
-    /// Asks until it is decided. `None`: not the leader.
+    /// Repeats `ask` until its answer is decided. `None`: this node doesn't lead.
     async fn decided<T>(&self, ask: impl Fn() -> Option<(T, bool)>) -> Option<T> {
         let began = self.now();
         loop {
             let (answer, decided) = ask()?;
-            if decided || self.now() > began + WAIT {
+            if decided || self.now() > began + MAX_WAIT_MS {
                 return Some(answer);
             }
-            Timer::after(STEP).await;
+            Timer::after(CHECK_INTERVAL).await;
         }
     }
 
+    /// Offloads a job to another cluster.
     pub(super) async fn lend(&self, id: &str, lent: OffloadTarget, version: u64) -> Reply {
         let ask = || {
-            self.acting(|l, _| {
-                if !l.loaded() {
+            self.acting(|leader, _| {
+                if !leader.loaded() {
                     return None;
                 }
-                let marked = l.lend(id, lent.clone(), version);
+                let marked = leader.lend(id, lent.clone(), version);
                 Some((marked, marked != Marked::NotYet))
             })
             .flatten()
@@ -54,13 +62,14 @@
         marked.map_or(Reply::NotLeader, Reply::Lent)
     }
 
+    /// Takes an offloaded job back, with the tasks that are done.
     pub(super) async fn take_back(&self, id: &str, award: u64, done: &[(u32, u32)]) -> Reply {
         let ask = || {
-            self.acting(|l, _| {
-                if !l.loaded() {
+            self.acting(|leader, _| {
+                if !leader.loaded() {
                     return None;
                 }
-                let taken = l.take_back(id, award, done);
+                let taken = leader.take_back(id, award, done);
                 Some((taken, taken))
             })
             .flatten()
