--- a/src/control/leader/mod.rs
+++ b/src/control/leader/mod.rs
@@ -41,7 +41,7 @@
 pub use status::Tally;
 
 use super::{
-    placement::Policy, polls::FinalStates, safety_bounds::SafetyBounds, standby::Standbys,
+    final_states::FinalStates, placement::Policy, safety_bounds::SafetyBounds, standby::Standbys,
 };
 use crate::{
     options::Options,
--- a/src/control/polls.rs
+++ b/src/control/polls.rs
@@ -6,7 +6,6 @@
 //!
 //! Must never: give a poll an answer whose read began before the poll arrived.
 
-pub use super::final_states::FinalStates;
 use std::collections::{HashMap, VecDeque};
 
 /// Polls that wait for the next round of answers. One that arrives while a round is
--- a/src/control/requests/mod.rs
+++ b/src/control/requests/mod.rs
@@ -7,7 +7,7 @@
 //! calls `Request::step` and does the I/O that `Next` asks for; the tests'
 //! simulation does the same. Requests must never do I/O themselves, and never
 //! keep state of a job beyond their own answer: that is the leader's, or
-//! `polls::FinalStates`.
+//! `final_states::FinalStates`.
 //!
 //! The state of a job that users see is a register that moves one way: unknown,
 //! accepted, and then done or cancelled. An answer is made from what was read
--- a/src/control/requests/tests.rs
+++ b/src/control/requests/tests.rs
@@ -2,7 +2,7 @@
 
 use super::{Answer, Event, Next, NodeView, Reading, Request, request};
 use crate::{
-    control::{polls::FinalStates, safety_bounds::MAX_READING_AGE_MS},
+    control::{final_states::FinalStates, safety_bounds::MAX_READING_AGE_MS},
     protocol::{
         settings::Settings,
         users::{JobState, JobStatus},
--- a/src/control/requests/view.rs
+++ b/src/control/requests/view.rs
@@ -7,7 +7,7 @@
 
 use super::{Found, final_status, provenance::Source};
 use crate::{
-    control::{leader::Leader, polls::FinalStates},
+    control::{final_states::FinalStates, leader::Leader},
     protocol::{cloud::MachineType, settings::Settings, users::JobStatus},
     state::Millis,
 };
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -30,7 +30,7 @@
 use crate::{
     control::{
         election::Election, exclusions::Exclusions, failure_detector::FailureDetector,
-        leader::Leader, polls::FinalStates, safety_bounds::SafetyBounds,
+        final_states::FinalStates, leader::Leader, safety_bounds::SafetyBounds,
     },
     options::Options,
     protocol::{cloud::MachineType, settings::Settings},
