--- a/src/state/bounded_cache.rs
+++ b/src/state/bounded_cache.rs
@@ -1,12 +1,13 @@
-//! A bounded map that keeps the entries inserted last.
+//! A bounded map that evicts the entries inserted longest ago.
 //!
-//! Owns its entries only. Used for final states, which users ask for
-//! again, and by the audit log.
-//! Must never hold more than its bound, nor be relied upon to hold an entry.
+//! The map owns only its entries. The cache of final job states, which users query
+//! again, the audit log and the dependency evidence use it. The map never holds more
+//! than `max_entries` entries; callers must not rely on an entry still being present.
 
 use std::{borrow::Borrow, collections::HashMap, hash::Hash};
 
-/// Two generations: when the younger is full, the older is dropped.
+/// A bounded map of two generations: when the young generation is full, the old one is
+/// dropped and the young one takes its place.
 #[derive(Debug)]
 pub struct Recent<K, V> {
     young: HashMap<K, V>,
@@ -15,7 +16,7 @@
 }
 
 impl<K: Hash + Eq, V> Recent<K, V> {
-    /// One that holds at most so many entries.
+    /// Returns an empty map that holds at most `max_entries` entries.
     pub fn new(max_entries: usize) -> Self {
         Recent {
             young: HashMap::new(),
@@ -32,7 +33,7 @@
         self.young.insert(key, value);
     }
 
-    /// The entry with this key, if it is still held.
+    /// Returns the value of `key`, unless it was evicted.
     pub fn get<Q: Hash + Eq + ?Sized>(&self, key: &Q) -> Option<&V>
     where
         K: Borrow<Q>,
@@ -40,7 +41,8 @@
         self.young.get(key).or_else(|| self.old.get(key))
     }
 
-    /// Whether it was inserted lately: then it stays for some time yet.
+    /// Whether `key` is in the young generation, which is not the next one to be
+    /// dropped.
     pub fn is_young<Q: Hash + Eq + ?Sized>(&self, key: &Q) -> bool
     where
         K: Borrow<Q>,
@@ -48,12 +50,12 @@
         self.young.contains_key(key)
     }
 
-    /// How many entries it holds.
+    /// Number of entries in both generations.
     pub fn len(&self) -> usize {
         self.young.len() + self.old.len()
     }
 
-    /// Whether it holds none.
+    /// Whether the map has no entries.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/src/state/cluster/assignments.rs
+++ b/src/state/cluster/assignments.rs
@@ -1,9 +1,9 @@
-//! Which task is, or may be, on which machine.
+//! Assignments: which task runs, or may run, on which machine.
 //!
-//! Owns the counts that follow from it: resources used of machines and teams,
-//! live and running tasks of jobs, and the number of the latest change.
-//! Called by the scheduler, by reconciliation of heartbeats and after a
-//! failover. Must never release resources while the task may still run.
+//! Owns the counts derived from assignments: resource usage of machines and teams, live
+//! and running tasks of jobs, and the number of the latest change. The scheduler, the
+//! reconciliation of heartbeats and the recovery after a failover call these functions.
+//! Resources must never be released while the task may still run.
 
 use super::{Assignment, ClusterState, JobHandle, MachineHandle, Phase};
 use crate::{
@@ -12,7 +12,8 @@
 };
 
 impl ClusterState {
-    /// Adds a task to a machine's list and counts what it takes.
+    /// Adds an assignment to the machine's list and counts its resources against the
+    /// machine and the team.
     pub fn assign(
         &mut self,
         handle: JobHandle,
@@ -50,8 +51,8 @@
         }
     }
 
-    /// A task reported by a machine whose job is not known, or that should
-    /// not be there: it is stopped, or reaped if it has ended.
+    /// Adds a task that a machine reports although its job is unknown or has no such
+    /// task there. The task is stopped, or reaped if it has ended.
     pub fn assign_orphan(
         &mut self,
         machine: MachineHandle,
@@ -68,8 +69,9 @@
         }
     }
 
-    /// A task that may be on the machine though its job has it as done: it
-    /// counts there and for its team until it is gone, and is stopped.
+    /// Adds a task that may run on the machine although its job records the task as
+    /// complete. The task is stopped; until it is gone, its resources count against the
+    /// machine and the team.
     pub fn assign_duplicate(
         &mut self,
         handle: JobHandle,
@@ -102,12 +104,13 @@
         }
     }
 
-    /// The task at this place of the machine's list is now in this phase.
+    /// Sets the phase of the assignment at index `at` of the machine's list and updates
+    /// the counts that depend on it.
     pub fn set_phase(&mut self, machine: MachineHandle, at: usize, phase: Phase) {
-        let Some(on) = self.machine_mut(machine) else {
+        let Some(assigned_machine) = self.machine_mut(machine) else {
             return;
         };
-        let assignment = &mut on.tasks[at];
+        let assignment = &mut assigned_machine.tasks[at];
         let before = std::mem::replace(&mut assignment.phase, phase);
         if before == phase {
             return;
@@ -116,7 +119,7 @@
         let (team, need) = (assignment.team, assignment.need);
         let ends = before.is_live() && !phase.is_live();
         if ends {
-            on.used -= need;
+            assigned_machine.used -= need;
             self.record_change(machine);
             if let Some(usage) = self.team_usage.get_mut(team) {
                 *usage -= need;
@@ -140,22 +143,24 @@
         }
     }
 
-    /// Takes an entry off the machine's list: it is not there.
+    /// Removes an assignment from the machine's list because the task is not on the
+    /// machine.
     pub fn unassign(&mut self, machine: MachineHandle, at: usize) {
-        let Some(on) = self.machine_mut(machine) else {
+        let Some(assigned_machine) = self.machine_mut(machine) else {
             return;
         };
-        let assignment = on.tasks.swap_remove(at);
+        let assignment = assigned_machine.tasks.swap_remove(at);
         if assignment.is_live() {
             self.record_change(machine);
             self.release_resources(machine, &assignment);
         }
     }
 
-    /// The live task, already off the machine's list, takes nothing any more.
+    /// Releases the resources of a live task that was already removed from the
+    /// machine's list.
     pub(super) fn release_resources(&mut self, machine: MachineHandle, assignment: &Assignment) {
-        if let Some(on) = self.machine_mut(machine) {
-            on.used -= assignment.need;
+        if let Some(assigned_machine) = self.machine_mut(machine) {
+            assigned_machine.used -= assignment.need;
         }
         if let Some(usage) = self.team_usage.get_mut(assignment.team) {
             *usage -= assignment.need;
@@ -168,7 +173,8 @@
         }
     }
 
-    /// What is, or may be, on the machine has changed.
+    /// Counts a change of the machine's assignments and marks the machine for
+    /// replication.
     pub(super) fn record_change(&mut self, machine: MachineHandle) {
         self.change_count += 1;
         if let Some(changed) = &mut self.changed_machines
@@ -181,7 +187,7 @@
 }
 
 impl Assignment {
-    /// One of no job that takes nothing.
+    /// Returns an assignment that belongs to no job and takes no resources.
     fn new(name: String, attempt: u64, phase: Phase, now: Millis) -> Self {
         Assignment {
             name,
--- a/src/state/cluster/images.rs
+++ b/src/state/cluster/images.rs
@@ -1,18 +1,19 @@
-//! Which container images a machine is thought to cache.
+//! Estimate of which container images each machine caches.
 //!
-//! Owns the estimate of each machine's image cache, least recently used
-//! first. Called whenever a task is assigned. An estimate only: nothing may
-//! rely on an image being there.
+//! Owns the estimated image cache of each machine, ordered from least to most recently
+//! used, and updates it whenever a task is assigned. The estimate may be wrong: no code
+//! may rely on an image being cached.
 
 use super::{ClusterState, MachineHandle};
 
-/// Images that are noted of a machine, so that its record stays small.
+/// Maximum number of images listed per machine, which keeps the machine's record small.
 const MAX_IMAGES_PER_MACHINE: usize = 32;
 
 impl ClusterState {
-    /// The machine has the image, or fetches it: it becomes the most recently
-    /// used of its cache, and the oldest that no longer fit are gone. By size,
-    /// as a large image stays while many small ones come.
+    /// Records that a machine has or fetches an image: the image becomes the most
+    /// recently used entry, and the least recently used entries that no longer fit the
+    /// cache are removed. Eviction goes by size, because one large image can stay while
+    /// many small ones arrive.
     pub(super) fn record_image_use(&mut self, machine: MachineHandle, image: u32, size_gb: f64) {
         if self.image_gb.len() <= image as usize {
             self.image_gb.resize(image as usize + 1, 0.0);
@@ -33,7 +34,7 @@
         machine.images.push(image);
         let size_of = |image: &u32| self.image_gb.get(*image as usize).copied().unwrap_or(0.0);
         let cache_gb = match self.types[machine.type_ix].cache_gb {
-            known if known > 0.0 => known,
+            configured_gb if configured_gb > 0.0 => configured_gb,
             _ => f64::INFINITY,
         };
         let mut cached_gb: f64 = machine.images.iter().map(size_of).sum();
--- a/src/state/cluster/interner.rs
+++ b/src/state/cluster/interner.rs
@@ -1,11 +1,11 @@
-//! Names mapped to dense indices, in the order in which they came.
+//! Maps names to dense indices in the order in which the names were first seen.
 //!
-//! Owns its names; used for zones, teams and images of the cluster state. Must
-//! never forget a name or change its index.
+//! Owns its names. The cluster state uses one interner each for zones, teams and
+//! images. A name is never removed and never changes its index.
 
 use std::collections::HashMap;
 
-/// A table of names and their indices.
+/// A table of names and their dense indices.
 #[derive(Debug, Default)]
 pub struct Interner {
     index: HashMap<String, u32>,
@@ -13,7 +13,7 @@
 }
 
 impl Interner {
-    /// The index of the name, a new one if it is unknown.
+    /// Returns the index of the name, allocating a new one if the name is unknown.
     pub fn intern(&mut self, name: &str) -> u32 {
         if let Some(index) = self.index.get(name) {
             return *index;
@@ -24,22 +24,22 @@
         index
     }
 
-    /// The index of the name, if it is known.
+    /// Returns the index of the name, or `None` if the name is unknown.
     pub fn find(&self, name: &str) -> Option<usize> {
         self.index.get(name).map(|index| *index as usize)
     }
 
-    /// The name with this index, which `intern` or `find` gave.
+    /// Returns the name with this index, which must come from `intern` or `find`.
     pub fn name(&self, index: usize) -> &str {
         &self.names[index]
     }
 
-    /// How many names there are.
+    /// Number of names.
     pub fn len(&self) -> usize {
         self.names.len()
     }
 
-    /// Whether there is no name.
+    /// Whether the table has no names.
     pub fn is_empty(&self) -> bool {
         self.names.is_empty()
     }
--- a/src/state/cluster/job.rs
+++ b/src/state/cluster/job.rs
@@ -1,9 +1,9 @@
-//! A job, and where each of its tasks is.
+//! The state of one job and the placement of each of its tasks.
 //!
-//! Owns the state of one job as its record and the machines show it. The
-//! placements of its tasks are changed through `assignments.rs` only, which
-//! keeps the counts of machines and teams in step. Must never take a task for
-//! waiting while it may be on a machine.
+//! Owns what the job's record and the machines' heartbeats say about the job.
+//! Placements are changed only through `assignments.rs`, which keeps the counts of
+//! machines and teams consistent. A task must never be treated as waiting while it may
+//! run on a machine.
 
 use super::{Machine, MachineHandle};
 use crate::{
@@ -23,33 +23,33 @@
     },
 };
 
-/// Where one task of a job is.
+/// Placement of one task of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Placement {
-    /// On no machine, and not complete.
+    /// The task is on no machine and not complete.
     Unplaced,
-    /// Complete.
+    /// The task is complete.
     Done,
-    /// It is, or may be, on this machine.
+    /// The task runs, or may run, on this machine.
     On(MachineHandle),
 }
 
-/// A job as it was accepted or read, before it has a handle.
+/// A newly accepted or loaded job that has no handle yet.
 #[derive(Debug)]
 pub struct NewJob {
-    /// What the user submitted.
+    /// The job specification that the user submitted.
     pub spec: JobSpec,
-    /// Time of day of the acceptance, in milliseconds.
+    /// Wall-clock time at which the job was accepted, in milliseconds.
     pub accepted_at_ms: u64,
-    /// Version of its record.
+    /// Version of the job's record in the state service.
     pub record_version: u64,
-    /// Tasks that the record has as complete.
+    /// Tasks that the record lists as complete.
     pub completed: TaskBitmap,
-    /// Cancelled, by the record.
+    /// Whether the job's record marks it as cancelled.
     pub cancelled: bool,
 }
 
-/// The names in a job's spec as the cluster state's indices.
+/// The names in a job's spec, resolved to indices of the cluster state.
 #[derive(Debug)]
 pub(super) struct ResolvedNames {
     pub team: usize,
@@ -58,81 +58,88 @@
     pub zone: Option<usize>,
 }
 
-/// A job that is not over, as this leader knows it.
+/// A job that is neither done nor cancelled, as this leader knows it.
 #[derive(Debug)]
 pub struct Job {
-    /// The id that the user chose.
+    /// The job's id, chosen by the user.
     pub id: String,
-    /// What the user submitted.
+    /// The job specification that the user submitted.
     pub spec: JobSpec,
-    /// Index of its team; `usize::MAX`: the settings don't have it.
+    /// Index of the job's team; `usize::MAX` if the settings don't define the team.
     pub team: usize,
-    /// Index of its image.
+    /// Index of the container image.
     pub image: u32,
-    /// Allowed machine types, by index.
+    /// Whether each machine type is allowed, by type index.
     pub types: Vec<bool>,
-    /// Index of the only allowed zone; `usize::MAX`: no machine is in it.
+    /// Index of the only allowed zone; `None` allows every zone, `usize::MAX` means
+    /// that no machine is in the requested zone.
     pub zone: Option<usize>,
-    /// What one task takes.
+    /// Resources that one task takes.
     pub need: Resources,
-    /// Time of day of the acceptance, in milliseconds.
+    /// Wall-clock time at which the job was accepted, in milliseconds.
     pub accepted_at_ms: u64,
-    /// Accepted in this term: no earlier leader can have started it.
+    /// Whether the job was accepted, or became ready, in this term: then no earlier
+    /// leader can have started it.
     pub accepted_this_term: bool,
-    /// Steady-clock time at which this leader first knew of it.
+    /// Steady-clock time at which this leader first knew of the job, or at which its
+    /// dependencies let it start, if that was later. Waiting times count from here.
     pub known_since: Millis,
-    /// Complete tasks.
+    /// The job's complete tasks.
     pub completed: TaskBitmap,
-    /// How many they are.
+    /// Number of complete tasks.
     pub completed_count: u32,
-    /// Where each task is.
+    /// Placement of each task, by task number.
     pub(super) task_slots: Vec<Placement>,
-    /// Tasks before this index are not waiting.
+    /// No task before this index is waiting to be placed.
     pub(super) first_waiting_hint: u32,
-    /// Tasks that are, or may be, on a machine.
+    /// Number of tasks that are, or may be, on a machine.
     pub live_count: u32,
-    /// Tasks that were reported running.
+    /// Number of tasks last reported as running.
     pub running_count: u32,
-    /// Cancelled, by the record.
+    /// Whether the job's record marks it as cancelled.
     pub cancelled: bool,
-    /// A cancellation that the record does not hold yet.
+    /// Whether a cancellation is requested that the record does not hold yet.
     pub cancel_requested: bool,
-    /// The write of that cancellation is indeterminate: a user may read it in
-    /// the record, through any controller, before this leader knows of it.
+    /// Whether the write of the cancellation is indeterminate: users may read it in the
+    /// record, through any controller, before this leader knows whether it was applied.
     pub cancel_indeterminate: bool,
-    /// The same of its terminal state, whichever that is.
+    /// Whether a write of the job's terminal state, done or cancelled, is
+    /// indeterminate.
     pub end_indeterminate: bool,
-    /// Version of its record.
+    /// Version of the job's record in the state service.
     pub record_version: u64,
-    /// Segments of `completed` that the records lack.
+    /// Segments of `completed` with tasks that the stored records lack.
     pub dirty_segments: Vec<bool>,
-    /// A write of its record is in flight or indeterminate.
+    /// Whether a write of the job's record is in flight or indeterminate.
     pub write_in_flight: bool,
-    /// That write ends or cancels it.
+    /// Whether the write in flight finishes or cancels the job.
     pub ending_in_flight: bool,
-    /// Starts in a row that came to nothing for other reasons than errors.
+    /// Number of starts since the last completed task that were refused or ended for an
+    /// unknown reason, or that failed although another task of the job has run.
     pub consecutive_refusals: u32,
-    /// No task is started before.
+    /// Steady-clock time before which no task of the job is started.
     pub backoff_until: Millis,
-    /// Failures of its tasks.
+    /// Failures of the job's tasks, for fault attribution.
     pub failures: JobFailures,
-    /// A task of it has run since this leader knows of it.
+    /// Whether a task of the job has run since this leader knows the job.
     pub has_run: bool,
-    /// Why waiting tasks don't run, as the scheduler last decided.
+    /// Why the job's waiting tasks don't run, as last decided by the scheduler.
     pub reason: PendingReason,
-    /// The same by scale-out: machines requested, or none to be had.
+    /// Why the job's waiting tasks don't run, as last decided by scale-out: machines
+    /// were requested, or none are available.
     pub supply_reason: Option<PendingReason>,
-    /// Whether it runs here or in another cluster.
+    /// Whether the job runs here or is offloaded to another cluster.
     pub offload: OffloadState,
-    /// Chunks that hold its spec, if its record does not.
+    /// Chunks that hold the spec, if the job's record does not.
     pub spec_chunks: Option<SpecChunks>,
-    /// Bytes that its record may take with the spec in it.
+    /// Maximum size of the job's record in bytes, with the spec included.
     pub inline_size: usize,
-    /// Whether its dependencies let it start.
+    /// Whether the job's dependencies let it start.
     pub readiness: Readiness,
-    /// Its priority, or a higher one of a job that depends on it.
+    /// The job's own priority, or the highest priority of a job that depends on it, if
+    /// that is higher.
     pub effective_priority: Priority,
-    /// Since when it is queued, by the time of day.
+    /// Wall-clock time since which the job is queued, in milliseconds.
     pub queued_since_ms: u64,
 }
 
@@ -178,7 +185,8 @@
             offload: OffloadState::Local,
             spec_chunks: None,
             inline_size: inline_record_size(&spec),
-            // Unresolved until the dependency graph has been looked at.
+            // A job with dependencies is unresolved until the dependency graph has been
+            // consulted.
             readiness: match spec.dependencies.is_empty() {
                 true => Readiness::Ready,
                 false => Readiness::Unresolved,
@@ -189,13 +197,14 @@
         }
     }
 
-    /// Where a task is.
+    /// Returns the placement of a task.
     pub fn placement(&self, task: u32) -> Placement {
         let slot = self.task_slots.get(task as usize);
         slot.copied().unwrap_or(Placement::Unplaced)
     }
 
-    /// That its record is still as it was last known.
+    /// Returns the transaction condition that the job's record has not changed since
+    /// this leader last read or wrote it.
     pub fn record_condition(&self) -> Condition {
         Condition {
             key: job_key(&self.id),
@@ -203,7 +212,7 @@
         }
     }
 
-    /// Tasks to be started here.
+    /// Number of waiting tasks that may be started in this cluster now.
     pub fn waiting_count(&self) -> u32 {
         match self.readiness {
             Readiness::Ready => self.possibly_running(),
@@ -211,9 +220,8 @@
         }
     }
 
-    /// Tasks that may be on machines whose heartbeats this leader has not
-    /// received yet: those that wait to be started, which an earlier leader may
-    /// have started.
+    /// Number of tasks that may run on machines whose heartbeats this leader has not
+    /// received yet: the waiting tasks, which an earlier leader may have started.
     pub fn possibly_running(&self) -> u32 {
         match self.offload.is_local() && self.readiness != Readiness::Blocked {
             true => self.spec.tasks - self.completed_count - self.live_count,
@@ -221,24 +229,25 @@
         }
     }
 
-    /// Whether its spec allows tasks on this machine.
+    /// Whether the job's spec allows tasks on this machine.
     pub fn allows(&self, machine: &Machine) -> bool {
         self.allows_kind(machine.type_ix, machine.zone, machine.spot)
     }
 
-    /// Whether its spec allows tasks on such machines.
+    /// Whether the job's spec allows tasks on machines of this type, zone and kind
+    /// (spot or on-demand).
     pub fn allows_kind(&self, type_ix: usize, zone: usize, spot: bool) -> bool {
         self.types.get(type_ix).copied().unwrap_or(false)
             && self.zone.is_none_or(|only| only == zone)
             && (self.spec.spot || !spot)
     }
 
-    /// Whether all tasks are complete.
+    /// Whether all tasks of the job are complete.
     pub fn is_complete(&self) -> bool {
         self.completed_count == self.spec.tasks
     }
 
-    /// The first task that is neither placed nor complete.
+    /// Returns the first task that is neither placed nor complete.
     pub fn next_waiting(&mut self) -> Option<u32> {
         while (self.first_waiting_hint as usize) < self.task_slots.len() {
             if self.task_slots[self.first_waiting_hint as usize] == Placement::Unplaced {
@@ -249,12 +258,12 @@
         None
     }
 
-    /// Whether the records lack complete tasks.
+    /// Whether some complete tasks are not yet in the stored records.
     pub fn is_dirty(&self) -> bool {
         self.dirty_segments.iter().any(|dirty| *dirty)
     }
 
-    /// The task is complete. A gang's tasks complete together.
+    /// Marks a task as complete. For a gang, all tasks complete together.
     pub fn mark_done(&mut self, task: u32) {
         if self.spec.kind == Kind::Gang {
             (0..self.spec.tasks).for_each(|t| self.mark_task_done(t));
@@ -275,14 +284,14 @@
         }
     }
 
-    /// The task is on this machine now.
+    /// Records that the task is placed on the machine.
     pub(super) fn occupy(&mut self, task: u32, machine: MachineHandle) {
         debug_assert_eq!(self.task_slots[task as usize], Placement::Unplaced);
         self.task_slots[task as usize] = Placement::On(machine);
         self.live_count += 1;
     }
 
-    /// The task is not on this machine any more, if it was.
+    /// Clears the task's placement if the task was placed on this machine.
     pub(super) fn vacate(&mut self, task: u32, machine: MachineHandle) {
         if self.task_slots[task as usize] == Placement::On(machine) {
             self.task_slots[task as usize] = Placement::Unplaced;
@@ -291,12 +300,13 @@
         }
     }
 
-    /// A write that ends or cancels it is in flight, or indeterminate.
+    /// Whether a write that finishes or cancels the job is in flight or indeterminate.
+    /// An indeterminate write counts only until the record is known to be cancelled.
     pub fn is_ending(&self) -> bool {
         self.ending_in_flight || self.end_indeterminate && !self.cancelled
     }
 
-    /// What users are answered.
+    /// Returns the status that users are shown.
     pub fn status(&self) -> JobStatus {
         JobStatus {
             id: self.id.clone(),
--- a/src/state/cluster/jobs.rs
+++ b/src/state/cluster/jobs.rs
@@ -1,8 +1,8 @@
-//! The cluster state's table of jobs.
+//! The job table of the cluster state.
 //!
-//! Owns how jobs get and lose their handles. Called by the leader as it loads
-//! records, accepts submissions and ends jobs. Must never leave anything that is
-//! noted of a job in the cluster state once the job is removed.
+//! Owns how jobs get and lose their handles. The leader calls these functions when it
+//! loads records, accepts submissions and ends jobs. After a job is removed, nothing in
+//! the cluster state may refer to it.
 
 use super::{
     ClusterState, Job, JobHandle, MachineHandle, Placement,
@@ -11,28 +11,28 @@
 use crate::{protocol::users::JobSpec, state::Millis};
 
 impl ClusterState {
-    /// The handle of the job with this id.
+    /// Returns the handle of the job with this id.
     pub fn job_handle(&self, id: &str) -> Option<JobHandle> {
         self.job_handle_by_id.get(id).copied()
     }
 
-    /// The job, unless it is over.
+    /// Returns the job, or `None` once it has been removed.
     pub fn job(&self, handle: JobHandle) -> Option<&Job> {
         self.jobs.get(handle)
     }
 
-    /// The job, to be changed.
+    /// Returns the job for modification, or `None` once it has been removed.
     pub fn job_mut(&mut self, handle: JobHandle) -> Option<&mut Job> {
         self.jobs.get_mut(handle)
     }
 
-    /// How many jobs are not over.
+    /// Number of jobs that are neither done nor cancelled.
     pub fn live_jobs(&self) -> usize {
         self.job_handle_by_id.len()
     }
 
-    /// Adds a job and returns its handle; one that is already there is left as
-    /// it is.
+    /// Adds a job and returns its handle. A job that is already in the table is left
+    /// unchanged.
     pub fn insert_job(&mut self, new: NewJob, now: Millis) -> JobHandle {
         if let Some(handle) = self.job_handle(&new.spec.id) {
             return handle;
@@ -57,7 +57,7 @@
                     allowed.is_none_or(|allowed| allowed.contains(&machine_type.name))
                 })
                 .collect(),
-            // An unknown zone is one that no machine is in.
+            // No machine is in an unknown zone, so no machine matches it.
             zone: spec
                 .zone
                 .as_ref()
@@ -65,8 +65,8 @@
         }
     }
 
-    /// Forgets a job that is over. Tasks of it that are still on machines
-    /// keep counting there, and are stopped.
+    /// Removes a job that has ended. Its tasks that are still on machines keep counting
+    /// there and are stopped.
     pub fn remove_job(&mut self, handle: JobHandle) {
         let Some(job) = self.jobs.remove(handle) else {
             return;
@@ -85,7 +85,8 @@
         }
     }
 
-    /// Where the job's live tasks are: machine, and place in its list.
+    /// Locations of the job's live tasks, as machine and index in the machine's task
+    /// list.
     pub fn live_tasks_of(&self, job: JobHandle) -> impl Iterator<Item = (MachineHandle, usize)> {
         let slots = self.job(job).map_or(&[][..], |j| &j.task_slots);
         let mut machines: Vec<MachineHandle> = slots
@@ -99,14 +100,14 @@
         machines.dedup();
         machines.into_iter().flat_map(move |handle| {
             let tasks = self.machine(handle).map_or(&[][..], |m| &m.tasks);
-            let own = tasks.iter().enumerate();
-            own.filter_map(move |(at, a)| {
+            let assignments = tasks.iter().enumerate();
+            assignments.filter_map(move |(at, a)| {
                 (a.job == Some(job) && a.is_live()).then_some((handle, at))
             })
         })
     }
 
-    /// Live tasks of a job per zone.
+    /// Number of live tasks of the job in each zone, by zone index.
     pub fn live_tasks_by_zone(&self, job: JobHandle) -> Vec<u32> {
         let mut counts = vec![0; self.zones.len()];
         for (handle, _) in self.live_tasks_of(job) {
--- a/src/state/cluster/machine.rs
+++ b/src/state/cluster/machine.rs
@@ -1,9 +1,9 @@
-//! A machine, and the tasks that are or may be on it.
+//! The state of one machine and the tasks that run, or may run, on it.
 //!
-//! Owns the state of one machine as heartbeats, cloud listings and records
-//! show it, and the rules for when it may be used. Its list of tasks is changed
-//! through `assignments.rs`, which keeps the counts. Must never take a machine
-//! for empty before its lease has expired.
+//! Owns what heartbeats, cloud listings and records say about the machine, and the
+//! rules for when it may be used. The list of tasks is changed only through
+//! `assignments.rs`, which keeps the counts consistent. A machine must never be treated
+//! as empty before its lease has expired.
 
 use super::JobHandle;
 use crate::{
@@ -15,38 +15,39 @@
 };
 use std::{fmt, net::SocketAddr};
 
-/// How long the answer to a direct command is waited for. The command is not
-/// sent later than that: the connection is made or given up within it.
+/// Timeout of a direct command to a machine, in milliseconds. The command is never sent
+/// later than that: the connection is established or abandoned within this time.
 pub const DIRECT_COMMAND_TIMEOUT_MS: Millis = 2_000;
 
-/// How far a task on a machine has come.
+/// Progress of a task on a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
-    /// Assigned, no command sent yet.
+    /// The task is assigned; no start command has been sent yet.
     New,
-    /// A start was sent; its outcome is unknown.
+    /// A start command was sent; its outcome is unknown.
     Sent,
-    /// The machine fetches its image.
+    /// The machine is fetching the container image.
     Fetching,
-    /// Waits for its gang.
+    /// The task waits for the other tasks of its gang.
     Waiting,
-    /// It runs.
+    /// The task is running.
     Running,
-    /// It writes a checkpoint before it stops.
+    /// The task is writing a checkpoint before it stops.
     Saving,
-    /// It is over, for this reason, and not yet reaped.
+    /// The task ended for this reason and has not been reaped yet.
     Ended(ExitReason),
 }
 
 impl Phase {
-    /// Whether the task is, or may be, taking resources.
+    /// Whether the task takes, or may take, resources.
     pub fn is_live(self) -> bool {
         !matches!(self, Phase::Ended(_))
     }
 }
 
 impl fmt::Display for Phase {
-    /// The name in `explain`, which operators' tools read.
+    /// Writes the phase as shown by `explain`. Operators' tools read these names, so
+    /// they must not change.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Phase::New => f.write_str("new"),
@@ -60,45 +61,47 @@
     }
 }
 
-/// A task that is, or may be, on a machine, or that ended there and has not
-/// been reaped.
+/// A task that runs, or may run, on a machine, or that ended there and has not been
+/// reaped.
 #[derive(Debug)]
 pub struct Assignment {
-    /// The task's name on the wire: job id and task number.
+    /// Name of the task on the wire: job id and task number.
     pub name: String,
-    /// Its job; `None`: that is over or unknown.
+    /// The task's job; `None` if the job has ended or is unknown.
     pub job: Option<JobHandle>,
-    /// Its number within the job.
+    /// Task number within the job.
     pub task: u32,
-    /// Which start of the task this is.
+    /// Attempt number of this start of the task.
     pub attempt: u64,
-    /// Index of the team whose quota it counts against; `usize::MAX`: none.
+    /// Index of the team whose quota the task counts against; `usize::MAX` if there is
+    /// none.
     pub team: usize,
-    /// What it takes of the machine.
+    /// Resources that the task takes on the machine.
     pub need: Resources,
-    /// How far it has come.
+    /// Progress of the task.
     pub phase: Phase,
-    /// Grace in seconds of the stop that is wanted.
+    /// Grace period in seconds of the requested stop; `None` if no stop is requested.
     pub stop_grace_s: Option<f64>,
-    /// The stop was sent at least once.
+    /// Whether the stop command was sent at least once.
     pub stop_sent: bool,
-    /// Fencing token of a direct start that had no answer: it may be carried
-    /// out until the machine has seen a higher one. 0: none.
+    /// Fencing token of a direct start command that got no response; 0 if there is
+    /// none. The machine may still execute the command until it has seen a higher
+    /// token.
     pub indeterminate_token: u64,
-    /// Sequence number of the heartbeat whose response carried the start.
+    /// Sequence number of the heartbeat whose response carried the start command.
     pub sent_with_heartbeat: u64,
-    /// When it entered the list.
+    /// Time at which the assignment was added to the list.
     pub since: Millis,
-    /// It was reported running more than once, or completed: fault attribution
-    /// has counted it in favour of its job and its machine.
+    /// Whether the task was reported running more than once, or completed: fault
+    /// attribution has counted this in favour of its job and its machine.
     pub seen_running: bool,
-    /// The change of the cluster state that put it here. Standbys must have
-    /// confirmed that before it is started.
+    /// Number of the cluster state change that added the assignment. Standbys must have
+    /// confirmed this change before the task is started.
     pub change_number: u64,
 }
 
 impl Assignment {
-    /// Whether the task is, or may be, taking resources.
+    /// Whether the task takes, or may take, resources.
     pub fn is_live(&self) -> bool {
         self.phase.is_live()
     }
@@ -107,24 +110,25 @@
 /// Whether the machine registry has a record of the machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Registration {
-    /// It has none.
+    /// The registry has no record of the machine.
     Absent,
-    /// It has one.
+    /// The registry has a record of the machine.
     Present,
 }
 
-/// A machine by what names it, before it has an index.
+/// Identity and properties of a machine that has no handle yet.
 #[derive(Debug, Clone, Copy)]
 pub struct NewMachine<'a> {
-    /// The cloud's name of it.
+    /// Name that the cloud gave the machine.
     pub name: &'a str,
-    /// Where its agent listens; not an address: not known yet.
+    /// Address on which the machine's agent listens; text that is no address means that
+    /// it is not known yet.
     pub addr: &'a str,
-    /// Its machine type.
+    /// Name of the machine type.
     pub type_name: &'a str,
-    /// The zone it is in.
+    /// Name of the zone.
     pub zone: &'a str,
-    /// Whether the cloud may reclaim it.
+    /// Whether the machine is a spot machine, which the cloud may reclaim.
     pub spot: bool,
 }
 
@@ -155,118 +159,127 @@
 /// A machine of the cluster, as this leader knows it.
 #[derive(Debug)]
 pub struct Machine {
-    /// The cloud's name of it.
+    /// Name that the cloud gave the machine.
     pub name: String,
-    /// Where its agent listens, once known.
+    /// Address on which the machine's agent listens, once known.
     pub addr: Option<SocketAddr>,
-    /// Index of its machine type.
+    /// Index of the machine type.
     pub type_ix: usize,
-    /// Index of its zone.
+    /// Index of the zone.
     pub zone: usize,
-    /// Whether the cloud may reclaim it.
+    /// Whether the machine is a spot machine, which the cloud may reclaim.
     pub spot: bool,
-    /// All it offers.
+    /// Total resources of the machine.
     pub capacity: Resources,
-    /// What live tasks take of that.
+    /// Resources taken by live tasks.
     pub used: Resources,
-    /// Tasks that are, or may be, on it, or ended there and were not reaped.
+    /// Tasks that run, or may run, on the machine, or that ended there and have not
+    /// been reaped.
     pub tasks: Vec<Assignment>,
-    /// Incarnation of its agent, by the last accepted heartbeat.
+    /// Incarnation of the machine's agent, as of the last accepted heartbeat.
     pub incarnation: u64,
     /// Sequence number of the last accepted heartbeat.
     pub heartbeat_seq: u64,
-    /// Heartbeats of earlier incarnations are stale.
+    /// Lowest accepted incarnation: heartbeats of earlier incarnations are stale.
     pub min_incarnation: u64,
-    /// The highest fencing token that it has shown.
+    /// Highest fencing token that the machine's heartbeats have acknowledged.
     pub acknowledged_token: u64,
-    /// How often its fencing token was raised within the term: the low bits of
-    /// the token.
+    /// How often the machine's fencing token was raised within the term: the low bits
+    /// of the token.
     pub token_epoch: u64,
-    /// A one-way partition is suspected, as heartbeats arrive but responses
-    /// don't seem to: until a heartbeat shows this token, nothing new is placed
-    /// here. 0: not suspected.
+    /// Fencing token that the machine has to acknowledge before new tasks are placed on
+    /// it; 0 if there is none. Set when a one-way partition is suspected, because
+    /// heartbeats arrive but responses seem to be lost.
     pub required_token: u64,
-    /// A heartbeat that is older by its sequence number may be of a restarted
-    /// agent: one that shows this token is, and nothing runs there. 0: none.
+    /// Fencing token that tells a restarted agent from a delayed heartbeat; 0 if there
+    /// is none. A heartbeat with an old sequence number that acknowledges this token
+    /// comes from a restarted agent, which runs nothing but the tasks that the
+    /// heartbeat lists.
     pub restart_token: u64,
-    /// Its agent has restarted in this term: heartbeats that have not seen this
-    /// token are from before, whatever their sequence number.
-    pub min_token: u64,
-    /// The latest heartbeat in this term, stale or not: incarnation and
+    /// Lowest fencing token accepted after the agent restarted in this term: heartbeats
+    /// that have not seen this token were sent before the restart, whatever their
     /// sequence number.
+    pub min_token: u64,
+    /// Incarnation and sequence number of the latest heartbeat in this term, whether or
+    /// not it was stale.
     pub latest_heartbeat: (u64, u64),
-    /// The last heartbeat that was older than that, and when it came.
+    /// The last heartbeat that was older than `latest_heartbeat` or had not seen a
+    /// required token, and the time at which it was received.
     pub last_stale_heartbeat: ((u64, u64), Millis),
-    /// Heartbeats in a row that show no token of this term, although those
-    /// before them were answered.
+    /// Number of consecutive heartbeats that acknowledge no token of this term,
+    /// although the heartbeats before them were answered.
     pub unacknowledged_heartbeats: u32,
-    /// A heartbeat was received in this term, and its lease has not expired
-    /// since.
+    /// Whether a heartbeat was received in this term and the machine's lease has not
+    /// expired since.
     pub up: bool,
-    /// It was in the machine registry when this term began, and since then no
-    /// heartbeat was received and its lease has not expired: anything may run
+    /// Whether the machine was in the machine registry when this term began, and since
+    /// then no heartbeat was received and its lease has not expired: any task may run
     /// on it.
     pub contents_unknown: bool,
-    /// When a heartbeat was last answered with 200.
+    /// Time at which a heartbeat was last answered with status 200.
     pub last_answered: Millis,
-    /// When the direct command with a start that is in flight was sent.
+    /// Time at which the direct start command that is in flight was sent.
     pub start_sent_at: Option<Millis>,
-    /// When the last one can have reached it at the latest.
+    /// Latest time at which the last direct start command can have reached the machine.
     pub latest_possible_start: Millis,
-    /// When the last heartbeat was received.
+    /// Time at which the last heartbeat was received.
     pub last_heartbeat: Millis,
-    /// Whether the machine registry has a record of it.
+    /// Whether the machine registry has a record of this machine.
     pub registration: Registration,
-    /// Version of that record; 0: there is none.
+    /// Version of the machine's record; 0 if there is none.
     pub record_version: u64,
-    /// A write of that record is in flight or indeterminate.
+    /// Whether a write of the machine's record is in flight or indeterminate.
     pub write_in_flight: bool,
-    /// Its release has been decided.
+    /// Whether the release of the machine has been decided.
     pub releasing: bool,
-    /// The record says so.
+    /// Whether the record says that the machine is being released.
     pub release_recorded: bool,
-    /// The record says, or may come to say, that nothing runs here: nothing is
-    /// started before one without that is surely written.
+    /// Whether the record says, or an indeterminate write may make it say, that nothing
+    /// runs on the machine. Nothing is started on the machine before a record without
+    /// that mark is known to be written.
     pub recorded_empty: bool,
-    /// The cloud was asked to release it.
+    /// Whether the cloud was asked to release the machine.
     pub release_requested: bool,
-    /// Steady-clock time at which it is to be taken away.
+    /// Steady-clock time at which the cloud will reclaim the machine.
     pub reclaim_at: Option<Millis>,
-    /// When it was first known, its lease expired, its registered contents were
-    /// found gone, or its release was decided, whichever was last.
+    /// Time at which the machine was first known, its lease expired, its registered
+    /// contents were found to be gone, or its release was decided, whichever was last.
     pub state_since: Millis,
-    /// Since when nothing runs on it.
+    /// Time since which nothing has run on the machine.
     pub idle_since: Millis,
-    /// When the cloud's listing last had it.
+    /// Time at which the cloud's listing last included the machine.
     pub last_listed: Millis,
-    /// Failures of tasks that are attributed to it.
+    /// Task failures that are attributed to the machine.
     pub failures: MachineFailures,
-    /// The record lacks its quarantine.
+    /// Whether the machine is quarantined but its record does not say so yet.
     pub quarantine_unrecorded: bool,
-    /// A direct command is in flight.
+    /// Whether a direct command is in flight.
     pub command_in_flight: bool,
-    /// No direct command is sent before.
+    /// Time before which no direct command is sent.
     pub command_retry_at: Millis,
-    /// Images it is thought to cache, least recently used first.
+    /// Images that the machine is estimated to cache, least recently used first.
     pub images: Vec<u32>,
-    /// The record lacks some of them.
+    /// Whether the record lacks some of `images`.
     pub images_unrecorded: bool,
-    /// When a task other than a service's was last on it.
+    /// Time at which a task of a job other than a service was last on the machine.
     pub last_batch_activity: Millis,
-    /// Services move here: no batch task is placed on it until then.
+    /// Time until which no batch task is placed on the machine, because services are
+    /// being moved to it.
     pub closed_to_batches_until: Millis,
-    /// Up, but its heartbeats are overdue.
+    /// Whether the machine is up but its heartbeats are overdue.
     pub overdue: bool,
-    /// Since when they are.
+    /// Time since which the heartbeats are overdue.
     pub overdue_since: Millis,
-    /// Its services are being moved off, then it is released.
+    /// Whether the services on the machine are being moved off, after which it is
+    /// released.
     pub draining: bool,
-    /// Reserved for this job until then, while others are preempted on it.
+    /// Job for which the machine is reserved while other tasks on it are preempted, and
+    /// the time at which the reservation ends.
     pub reserved_for: Option<(JobHandle, Millis)>,
 }
 
 impl Machine {
-    /// One that nothing is known of but what names it.
+    /// Returns a machine of which only its identity and properties are known.
     pub(super) fn new(
         new: NewMachine<'_>,
         type_ix: usize,
@@ -330,37 +343,38 @@
         }
     }
 
-    /// What is left of its capacity.
+    /// Returns the free part of the capacity.
     pub fn free(&self) -> Resources {
         self.capacity.minus(self.used)
     }
 
-    /// How many live tasks are on it.
+    /// Number of live tasks on the machine.
     pub fn live_tasks(&self) -> usize {
         self.tasks.iter().filter(|t| t.is_live()).count()
     }
 
-    /// It is reserved for this job.
+    /// Whether the machine is reserved for this job.
     pub fn is_reserved_for(&self, job: JobHandle, now: Millis) -> bool {
         self.reserved_for
             .is_some_and(|(of, until)| of == job && now < until)
     }
 
-    /// It is not reserved for another job.
+    /// Whether the machine is not reserved for another job.
     pub fn available_to(&self, job: JobHandle, now: Millis) -> bool {
         self.reserved_for
             .is_none_or(|(of, until)| of == job || now >= until)
     }
 
-    /// Nothing can run there: its lease has expired, and no heartbeat was
-    /// received since.
+    /// Whether the machine's lease has expired and no heartbeat was received since:
+    /// nothing can run on it.
     pub fn lease_expired(&self) -> bool {
         !self.up && !self.contents_unknown && self.registration == Registration::Present
     }
 
-    /// Since when its lease may run. An agent that has just started counts from
-    /// its own start, which may be as late as the moment at which it took a
-    /// direct command; what that command started runs until the lease ends.
+    /// Returns the latest time at which the machine's lease may have started. An agent
+    /// that has just started counts its lease from its own start, which may be as late
+    /// as the moment at which it received a direct command; tasks that the command
+    /// started run until that lease ends.
     pub fn lease_start(&self) -> Millis {
         let in_flight = self
             .start_sent_at
@@ -370,24 +384,27 @@
             .max(in_flight)
     }
 
-    /// Heartbeats arrive, but it has not acknowledged responses for a while.
+    /// Whether the machine sends heartbeats but has not acknowledged the required
+    /// fencing token, so responses may not reach it.
     pub fn misses_responses(&self) -> bool {
         self.acknowledged_token < self.required_token
     }
 
-    /// Up, and its record must be written before anything is started on it.
+    /// Whether the machine is up but its record must be written before anything is
+    /// started on it.
     pub fn awaits_record(&self) -> bool {
         self.up
             && !self.releasing
             && (self.registration == Registration::Absent || self.recorded_empty)
     }
 
-    /// Whether new tasks may be placed here.
+    /// Whether new tasks may be placed on the machine.
     pub fn schedulable(&self) -> bool {
         !self.overdue && self.schedulable_once_heard()
     }
 
-    /// The same if its heartbeats were not overdue.
+    /// Whether new tasks could be placed on the machine if its heartbeats were not
+    /// overdue.
     pub fn schedulable_once_heard(&self) -> bool {
         self.up
             && !self.releasing
--- a/src/state/cluster/machines.rs
+++ b/src/state/cluster/machines.rs
@@ -1,10 +1,10 @@
-//! The cluster state's table of machines.
+//! The machine table of the cluster state.
 //!
-//! Owns how machines get and lose their handles, which of them may have
-//! changed since the scheduler last looked, and the count of inspections.
-//! Called by the leader on heartbeats, listings and releases, and by the
-//! scheduler. Must never remove a machine that may still run something; the
-//! caller has to know that it is gone.
+//! Owns how machines get and lose their handles, which machines may have changed since
+//! the scheduler last looked, and the count of inspections. The leader calls these
+//! functions on heartbeats, listings and releases, and the scheduler calls them too. A
+//! machine that may still run a task must never be removed; the caller has to know that
+//! the machine is gone.
 
 use super::{
     Assignment, ClusterState, Job, JobHandle, Machine, MachineHandle, machine::NewMachine,
@@ -15,41 +15,44 @@
 };
 
 impl ClusterState {
-    /// The index of the machine type with this name.
+    /// Returns the index of the machine type with this name.
     pub fn type_index(&self, name: &str) -> Option<usize> {
         self.types.iter().position(|t| t.name == name)
     }
 
-    /// The handle of the machine with this name.
+    /// Returns the handle of the machine with this name.
     pub fn machine_handle(&self, name: &str) -> Option<MachineHandle> {
         self.machine_handle_by_name.get(name).copied()
     }
 
-    /// The handle of the machine that has this index now.
+    /// Returns the handle of the machine that currently has this index.
     pub fn machine_handle_at(&self, index: u32) -> Option<MachineHandle> {
         self.machines.handle_at(index)
     }
 
-    /// The machine that has this index now, with its handle. Counts as an inspection.
+    /// Returns the machine that currently has this index, with its handle. Counts as an
+    /// inspection.
     pub fn machine_at(&self, index: u32) -> Option<(MachineHandle, &Machine)> {
         self.count_inspections(1);
         self.machines.entry_at(index)
     }
 
-    /// The machine, unless it was removed. Counts as an inspection.
+    /// Returns the machine, or `None` if it was removed. Counts as an inspection.
     pub fn machine(&self, handle: MachineHandle) -> Option<&Machine> {
         self.count_inspections(1);
         self.machines.get(handle)
     }
 
-    /// The machine, to be changed: it is stale from now on.
+    /// Returns the machine for modification and marks it as stale. Counts as an
+    /// inspection.
     pub fn machine_mut(&mut self, handle: MachineHandle) -> Option<&mut Machine> {
         self.count_inspections(1);
         self.stale_machines.mark(handle.index());
         self.machines.get_mut(handle)
     }
 
-    /// The machine, to be changed, beside the jobs.
+    /// Returns the machine for modification, which marks it as stale, together with the
+    /// job table for reading. Counts as an inspection.
     pub fn machine_with_jobs(
         &mut self,
         handle: MachineHandle,
@@ -60,42 +63,43 @@
         Some((machine, &self.jobs))
     }
 
-    /// Indices that a machine may have.
+    /// Range of all machine indices, including indices that no machine has at present.
     pub fn machine_range(&self) -> std::ops::Range<u32> {
         0..self.machines.slot_count() as u32
     }
 
-    /// How many machines there are.
+    /// Number of machines.
     pub fn machine_count(&self) -> usize {
         self.machine_handle_by_name.len()
     }
 
-    /// All machines. Counts as an inspection of each.
+    /// Returns all machines. Counts as an inspection of each.
     pub fn each_machine(&self) -> impl Iterator<Item = &Machine> {
         self.count_inspections(self.machines.slot_count());
         self.machines.values()
     }
 
-    /// All machines, to be changed: they are all stale from now on.
+    /// Returns all machines for modification and marks all of them as stale. Counts as
+    /// an inspection of each.
     pub fn each_machine_mut(&mut self) -> impl Iterator<Item = &mut Machine> {
         self.count_inspections(self.machines.slot_count());
         self.stale_machines.mark_all();
         self.machines.values_mut()
     }
 
-    /// All machines with their handles.
+    /// Returns all machines with their handles. Counts as an inspection of each.
     pub fn machines_by_handle(&self) -> impl Iterator<Item = (MachineHandle, &Machine)> {
         self.count_inspections(self.machines.slot_count());
         self.machines.iter()
     }
 
-    /// Indices at which machines may have changed, come or gone since the last call,
-    /// each once.
+    /// Returns each index at which a machine may have changed, been added or been
+    /// removed since the last call, once.
     pub fn take_stale(&mut self) -> Vec<u32> {
         self.stale_machines.take(self.machines.slot_count())
     }
 
-    /// The machine is among those that `take_stale` names next.
+    /// Marks the machine as stale, so that the next `take_stale` returns its index.
     pub fn mark_stale(&mut self, machine: MachineHandle) {
         self.stale_machines.mark(machine.index());
     }
@@ -105,13 +109,14 @@
             .set(self.inspections.get() + machines as u64);
     }
 
-    /// Machines looked at so far, one by one or in a pass over all: tests
-    /// bound the work per event by it.
+    /// Number of machine inspections so far, single or in a pass over all machines.
+    /// Tests bound the work per event with this count.
     pub fn inspections(&self) -> u64 {
         self.inspections.get()
     }
 
-    /// Notes on which machines tasks of jobs other than services are now.
+    /// Updates `last_batch_activity` of each machine that has a live task of a job
+    /// other than a service.
     pub fn record_batch_activity(&mut self, now: Millis) {
         self.count_inspections(self.machines.slot_count());
         let jobs = &self.jobs;
@@ -119,7 +124,8 @@
             let job = a.job.and_then(|job| jobs.get(job));
             a.is_live() && job.is_none_or(|j| j.spec.kind != Kind::Service)
         };
-        // Nothing that the scheduler goes by changes: no machine gets stale.
+        // The scheduler does not use `last_batch_activity`, so no machine becomes
+        // stale.
         for machine in self.machines.values_mut() {
             if machine.tasks.iter().any(is_batch) {
                 machine.last_batch_activity = now;
@@ -127,8 +133,8 @@
         }
     }
 
-    /// Adds a machine and returns its handle; one that is already there is left
-    /// as it is. `None`: its type is unknown.
+    /// Adds a machine and returns its handle, or `None` if its type is unknown. A
+    /// machine that is already in the table is left unchanged.
     pub fn insert_machine(&mut self, new: NewMachine<'_>, now: Millis) -> Option<MachineHandle> {
         if let Some(handle) = self.machine_handle(new.name) {
             return Some(handle);
@@ -143,7 +149,7 @@
         Some(handle)
     }
 
-    /// Forgets a machine that is surely gone: nothing is on it any more.
+    /// Removes a machine that is known to be gone, together with its assignments.
     pub fn remove_machine(&mut self, handle: MachineHandle) {
         self.clear_machine(handle);
         self.stale_machines.mark(handle.index());
@@ -152,7 +158,8 @@
         }
     }
 
-    /// All tasks of the machine are surely gone.
+    /// Removes all assignments of the machine, because all its tasks are known to be
+    /// gone.
     pub fn clear_machine(&mut self, handle: MachineHandle) {
         let Some(machine) = self.machines.get_mut(handle) else {
             return;
--- a/src/state/cluster/mod.rs
+++ b/src/state/cluster/mod.rs
@@ -1,16 +1,16 @@
-//! The leader's cluster state: jobs, machines, and what is or may be running
-//! where. Kept in memory only; the records of `state/records.rs` are what is
-//! durable of it.
+//! The leader's cluster state: jobs, machines, and which tasks run, or may run, on
+//! which machine. The state is kept in memory only; the records of `state/records.rs`
+//! are its durable part.
 //!
-//! `ClusterState` owns all of it; each file holds one concern: `jobs` and
-//! `machines` the tables, `assignments` what is where and the counts that
-//! follow, `quota` the limits of teams, `images` the caches of machines,
-//! `replication` what standbys receive, `stale` which machines to look at
-//! again. Names are mapped to dense indices (`Interner`) or handles
-//! (`SlotTable`) as they come in; everything inside uses those.
+//! `ClusterState` owns all of it; each file covers one concern: `jobs` and `machines`
+//! the tables, `assignments` the assignments and the counts derived from them, `quota`
+//! the team limits, `images` the image caches of machines, `replication` what standbys
+//! receive, `stale` which machines the scheduler has to look at again. Names are mapped
+//! to dense indices (`Interner`) or handles (`SlotTable`) when they enter the state;
+//! all code inside uses those.
 //!
-//! Called by the leader, its scheduler and reconciliation, all of one thread.
-//! Must never do I/O, read a clock or write a record.
+//! The leader, its scheduler and reconciliation call this module, all on one thread.
+//! The module must not do I/O, read a clock or write a record.
 
 mod assignments;
 mod images;
@@ -44,52 +44,54 @@
 };
 
 handle_type! {
-    /// Names a job of this leader, and never another one.
+    /// Identifies a job of this leader; a handle is never reused for another job.
     JobHandle
 }
 
 handle_type! {
-    /// Names a machine of this leader, and never another one.
+    /// Identifies a machine of this leader; a handle is never reused for another
+    /// machine.
     MachineHandle
 }
 
-/// Jobs and machines, and what is or may be running where.
+/// Jobs and machines, and which tasks run, or may run, on which machine.
 #[derive(Debug, Default)]
 pub struct ClusterState {
-    /// Zones of the settings, and those that machines came with.
+    /// Zones from the settings, and zones that machines reported.
     pub zones: Interner,
-    /// Names of `teams`, by the same index.
+    /// Names of `teams`, with the same indices.
     pub team_names: Interner,
-    /// Teams as the settings have them.
+    /// Teams from the settings.
     pub teams: Vec<Team>,
-    /// What live tasks of each team take.
+    /// Resources taken by the live tasks of each team, by team index.
     pub team_usage: Vec<Resources>,
     /// Machine types that the cloud offers.
     pub types: Vec<MachineType>,
-    /// Images of jobs and machine records.
+    /// Images named by jobs and machine records.
     pub images: Interner,
-    /// Sizes of `images`, as far as known.
+    /// Sizes of `images` in GB, as far as known.
     image_gb: Vec<f64>,
-    /// Jobs that are not over.
+    /// Jobs that are neither done nor cancelled.
     pub jobs: SlotTable<JobHandle, Job>,
     job_handle_by_id: HashMap<String, JobHandle>,
     machines: SlotTable<MachineHandle, Machine>,
-    /// Machines looked at, one by one or in a pass over all: tests bound the
-    /// work per event by it.
+    /// Number of machine inspections, single or in a pass over all machines. Tests
+    /// bound the work per event with this count.
     inspections: Cell<u64>,
-    /// Machines that may have changed since `take_stale`.
+    /// Machines that may have changed since the last `take_stale`.
     stale_machines: StaleMachines,
     machine_handle_by_name: HashMap<String, MachineHandle>,
-    /// Changes of what is, or may be, on machines.
+    /// Number of changes of assignments so far.
     pub change_count: u64,
-    /// The latest change of which a start was sent.
+    /// Number of the latest change for which a start command was sent.
     pub latest_sent_change: u64,
-    /// Machines that changed since the last replication, if there are standbys.
+    /// Names of machines that changed since the last replication; `None` if there are
+    /// no standbys.
     changed_machines: Option<BTreeSet<String>>,
 }
 
 impl ClusterState {
-    /// One without jobs and machines.
+    /// Returns a cluster state without jobs and machines.
     pub fn new(settings: &Settings, types: Vec<MachineType>) -> Self {
         let mut state = ClusterState {
             types,
--- a/src/state/cluster/stale.rs
+++ b/src/state/cluster/stale.rs
@@ -1,9 +1,9 @@
-//! Which machines may have changed since the scheduler last looked.
+//! Tracks which machines may have changed since the scheduler last looked.
 //!
-//! Owns the marks. Called by the table of machines on every mutable access.
-//! Must never lose a mark before it is taken.
+//! Owns the stale marks. The machine table sets a mark on every mutable access. A mark
+//! must never be lost before it is taken.
 
-/// Marks by machine index.
+/// Stale marks, by machine index.
 #[derive(Debug, Default)]
 pub(super) struct StaleMachines {
     marked: Vec<bool>,
@@ -12,7 +12,7 @@
 }
 
 impl StaleMachines {
-    /// The machine may have changed.
+    /// Marks the machine with this index as stale.
     pub(super) fn mark(&mut self, machine: u32) {
         let index = machine as usize;
         if self.marked.len() <= index {
@@ -23,12 +23,13 @@
         }
     }
 
-    /// Any machine may have changed.
+    /// Marks all machines as stale.
     pub(super) fn mark_all(&mut self) {
         self.all = true;
     }
 
-    /// Takes the marks of a table with `machines` indices.
+    /// Returns the indices of the stale machines and clears all marks. `machines` is
+    /// the number of indices in the machine table.
     pub(super) fn take(&mut self, machines: usize) -> Vec<u32> {
         let list = std::mem::take(&mut self.list);
         for machine in &list {
