--- a/src/state/cluster/replication.rs
+++ b/src/state/cluster/replication.rs
@@ -24,7 +24,7 @@
         let mut jobs: Vec<(String, Vec<ReplicatedTask>)> = Vec::new();
         let mut listed_jobs: Vec<JobHandle> = Vec::new();
         for assignment in machine.map_or(&[][..], |m| &m.tasks) {
-            let phase = match assignment.phase {
+            let replicated_phase = match assignment.phase {
                 Phase::Running => ReplicatedPhase::Running,
                 Phase::Ended(ExitReason::Done) => ReplicatedPhase::Done,
                 Phase::Ended(_) => continue,
@@ -46,7 +46,7 @@
                 assignment.task,
                 assignment.attempt,
                 assignment.change_number,
-                phase,
+                replicated_phase,
             ));
         }
         MachineTasks {
--- a/src/state/dependencies.rs
+++ b/src/state/dependencies.rs
@@ -1,11 +1,11 @@
-//! The dependency graph of jobs: which wait for which, what became ready, what
-//! is to be cancelled with a job that it depends on, and the priority that a job
+//! The dependency graph of jobs: which jobs wait for which, which became ready, which
+//! have to be cancelled because a dependency was cancelled, and the priority that a job
 //! inherits from its dependents.
 //!
-//! Owns the edges between live jobs and the lookups of unknown ones. Called by
-//! the leader as jobs come, are cancelled and end. Must never be called with
-//! what is not durable yet: a job must not start, or be cancelled, by a state
-//! that a failover may undo.
+//! Owns the edges between live jobs and the lookups of unknown ones. The leader calls
+//! this module when jobs are added, cancelled or ended. Callers must pass only durable
+//! state: otherwise a job could start, or be cancelled, because of a state that a
+//! failover may undo.
 
 use super::cluster::JobHandle;
 use crate::protocol::users::Priority;
@@ -14,71 +14,74 @@
     rc::Rc,
 };
 
-/// The state of a job that another depends on.
+/// The state of a job on which another job depends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DependencyState {
-    /// Not over: its handle, and its own priority.
+    /// The job is live: its handle and its own priority.
     Live(JobHandle, Priority),
-    /// Its final record says so.
+    /// The job's final record says that it is done.
     Done,
-    /// It is recorded as cancelled, or surely will be.
+    /// The job is recorded as cancelled, or is certain to be.
     Cancelled,
-    /// Not known to be live: its final record is to be read.
+    /// The job is not known to be live: its final record has to be read.
     Unknown,
 }
 
 /// Whether a job's dependencies let its tasks start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Readiness {
-    /// All are done.
+    /// All dependencies are done.
     #[default]
     Ready,
-    /// Of some it is not known yet whether they are done; an earlier leader may
-    /// have started the job.
+    /// It is unknown whether some dependencies are done. An earlier leader may have
+    /// started the job.
     Unresolved,
-    /// One is surely not done: nothing of the job can run anywhere.
+    /// At least one dependency is known not to be done: no task of the job can run
+    /// anywhere.
     Blocked,
 }
 
-/// A live job that is to be cancelled, as a job that it depends on was.
+/// A live job that has to be cancelled because a dependency was cancelled.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DependentCancellation {
-    /// The job.
+    /// The job to cancel.
     pub job: JobHandle,
-    /// The id of the job whose cancellation reached it, directly or through others.
+    /// Id of the job whose cancellation caused this one, directly or through other
+    /// jobs.
     pub dependency: Rc<str>,
 }
 
-/// What follows from the latest changes of the graph.
+/// The effects of the latest changes of the graph.
 #[derive(Debug, Default)]
 pub struct DependencyChanges {
     /// Jobs whose readiness or priority may have changed.
     pub changed: Vec<JobHandle>,
-    /// Jobs that are to be cancelled (`must_cancel`).
+    /// Jobs that have to be cancelled (`must_cancel`).
     pub cancellations: Vec<DependentCancellation>,
 }
 
 #[derive(Debug, Default)]
 struct DependencyNode {
-    /// Its id, once another job depends on it.
+    /// The job's id, set once another job depends on it.
     id: Rc<str>,
-    /// Live jobs that it depends on.
+    /// Live jobs on which this job depends.
     dependencies: HashSet<JobHandle>,
-    /// How many dependencies nothing is known of yet.
+    /// Number of dependencies whose state is unknown.
     unresolved: usize,
-    /// That many, and the live dependencies of which the same number is not 0.
+    /// Number of unknown dependencies, plus the number of live dependencies whose own
+    /// `unresolved_before` is not 0.
     unresolved_before: usize,
-    /// A dependency was cancelled.
+    /// Whether a dependency was cancelled.
     must_cancel: bool,
-    /// Live jobs that depend on it.
+    /// Live jobs that depend on this job.
     dependents: HashSet<JobHandle>,
-    /// How many of those have which effective priority.
+    /// Number of dependents with each effective priority, by rank.
     dependent_priorities: [u32; 4],
     own_priority: Option<Priority>,
     effective_priority: Option<Priority>,
 }
 
-/// By rank, which is the index in `dependent_priorities`.
+/// Priorities in order of rank; the rank is the index into `dependent_priorities`.
 const PRIORITIES: [Priority; 4] = [
     Priority::Low,
     Priority::Normal,
@@ -86,16 +89,17 @@
     Priority::Production,
 ];
 
-/// Live jobs and what they depend on.
+/// Live jobs and their dependencies.
 #[derive(Debug, Default)]
 pub struct DependencyGraph {
-    /// Of live jobs.
+    /// Nodes of the live jobs.
     nodes: HashMap<JobHandle, DependencyNode>,
-    /// Which jobs depend on an unknown job, by its id. One may be over by the time
-    /// that is looked up, and its index another job's: kept as handles, as a late
-    /// answer once cancelled the other job.
+    /// Jobs that depend on an unknown job, by the id of the unknown job. A waiting job
+    /// may end before the lookup is answered, and another job may then take its index.
+    /// Handles are kept instead of indices, because a late answer once cancelled that
+    /// other job.
     waiting_for_unknown: HashMap<String, Vec<JobHandle>>,
-    /// Ids to be looked up.
+    /// Ids to look up.
     lookups: VecDeque<String>,
     changes: DependencyChanges,
 }
@@ -112,7 +116,7 @@
         for (id, state) in dependencies {
             match state {
                 DependencyState::Done => {}
-                DependencyState::Live(on, own) => self.add_edge(id, on, own, job),
+                DependencyState::Live(dependency, own) => self.add_edge(id, dependency, own, job),
                 DependencyState::Cancelled => self.cancel_with_dependents(job, &id.into()),
                 DependencyState::Unknown => {
                     self.nodes.entry(job).or_default().unresolved += 1;
@@ -134,46 +138,47 @@
         self.update_priority(job);
     }
 
-    /// Whether jobs depend on an unknown job with this id: its state is to be
-    /// given to `resolve`.
+    /// Whether jobs depend on an unknown job with this id. If so, pass the job's state
+    /// to `resolve`.
     pub fn is_awaited(&self, id: &str) -> bool {
         self.waiting_for_unknown.contains_key(id)
     }
 
-    /// How many unknown jobs others depend on.
+    /// Number of unknown jobs on which other jobs depend.
     pub fn unknown_count(&self) -> usize {
         self.waiting_for_unknown.len()
     }
 
-    /// How many jobs depend on an unknown job with this id.
+    /// Number of jobs that depend on the unknown job with this id.
     pub fn awaiting(&self, id: &str) -> usize {
         self.waiting_for_unknown.get(id).map_or(0, Vec::len)
     }
 
-    /// The state of a job that was unknown.
+    /// Applies the state of a job that was unknown.
     pub fn resolve(&mut self, id: &str, state: DependencyState) {
         let Some(waiting) = self.waiting_for_unknown.remove(id) else {
             return;
         };
         for job in waiting {
-            // It may be over by now.
+            // The waiting job may have ended by now.
             let Some(node) = self.nodes.get_mut(&job) else {
                 continue;
             };
             node.unresolved = node.unresolved.saturating_sub(1);
             match state {
-                DependencyState::Live(on, own) => self.add_edge(id, on, own, job),
+                DependencyState::Live(dependency, own) => self.add_edge(id, dependency, own, job),
                 DependencyState::Cancelled => self.cancel_with_dependents(job, &id.into()),
                 DependencyState::Done | DependencyState::Unknown => {}
             }
-            // After the edge is there: it may be as unresolved, and the job's dependents
-            // need not be told twice.
+            // The edge has to be added first: the dependency may itself be unresolved,
+            // and then the job's dependents need not be updated twice.
             self.remove_unresolved(job);
             self.changes.changed.push(job);
         }
     }
 
-    /// Ids to be looked up, at most so many; they come again only if requeued.
+    /// Returns at most `max_lookups` ids to look up and removes them from the queue. An
+    /// id is returned again only after `requeue_lookups`.
     pub fn take_lookups(&mut self, max_lookups: usize) -> Vec<String> {
         let mut ids = Vec::new();
         while ids.len() < max_lookups
@@ -186,13 +191,13 @@
         ids
     }
 
-    /// These lookups failed.
+    /// Queues ids again whose lookups failed.
     pub fn requeue_lookups(&mut self, ids: Vec<String>) {
         self.lookups.extend(ids);
     }
 
-    /// A live job's cancellation is durable, or follows from what is: so does
-    /// that of all that depend on it, directly or not.
+    /// Marks all direct and indirect dependents of a live job to be cancelled. The
+    /// cancellation of the job itself is durable, or follows from one that is.
     pub fn job_cancelled(&mut self, job: JobHandle) {
         let Some(node) = self.nodes.get(&job) else {
             return;
@@ -219,7 +224,8 @@
         }
     }
 
-    /// The job's terminal state is durable: it is not live any more.
+    /// Removes a job whose terminal state is durable. If the job is not done, its
+    /// dependents have to be cancelled.
     pub fn job_ended(&mut self, job: JobHandle, done: bool) {
         if !done {
             self.job_cancelled(job);
@@ -239,21 +245,22 @@
             }
         }
         for dependency in node.dependencies {
-            if let Some(on) = self.nodes.get_mut(&dependency) {
-                on.dependents.remove(&job);
+            if let Some(dependency_node) = self.nodes.get_mut(&dependency) {
+                dependency_node.dependents.remove(&job);
                 if let Some(priority) = node.effective_priority {
-                    on.dependent_priorities[priority as usize] -= 1;
+                    dependency_node.dependent_priorities[priority as usize] -= 1;
                 }
                 self.update_priority(dependency);
             }
         }
     }
 
-    /// `job` depends on `on`, which has this id, and this priority of its own.
-    fn add_edge(&mut self, id: &str, on: JobHandle, own: Priority, job: JobHandle) {
-        self.set_own_priority(on, own);
+    /// Adds the edge from `job` to `dependency_handle`, the job with the id `id` and
+    /// the own priority `own`.
+    fn add_edge(&mut self, id: &str, dependency_handle: JobHandle, own: Priority, job: JobHandle) {
+        self.set_own_priority(dependency_handle, own);
         let priority = self.nodes.get(&job).and_then(|n| n.effective_priority);
-        let node = self.nodes.entry(on).or_default();
+        let node = self.nodes.entry(dependency_handle).or_default();
         if !node.dependents.insert(job) {
             return;
         }
@@ -265,17 +272,22 @@
         }
         let inherited_cancellation = node.must_cancel.then(|| node.id.clone());
         let unresolved = node.unresolved_before > 0;
-        self.nodes.entry(job).or_default().dependencies.insert(on);
+        self.nodes
+            .entry(job)
+            .or_default()
+            .dependencies
+            .insert(dependency_handle);
         if unresolved {
             self.add_unresolved(job);
         }
-        self.update_priority(on);
+        self.update_priority(dependency_handle);
         if let Some(dependency) = inherited_cancellation {
             self.cancel_with_dependents(job, &dependency);
         }
     }
 
-    /// Something that the job depends on became unresolved.
+    /// Counts one more unresolved dependency of the job, and updates its dependents if
+    /// the job became unresolved.
     fn add_unresolved(&mut self, job: JobHandle) {
         let mut pending = vec![job];
         while let Some(job) = pending.pop() {
@@ -288,7 +300,8 @@
         }
     }
 
-    /// Something that the job depends on is not unresolved any more.
+    /// Counts one unresolved dependency of the job less, and updates its dependents if
+    /// the job is resolved now.
     fn remove_unresolved(&mut self, job: JobHandle) {
         let mut pending = vec![job];
         while let Some(job) = pending.pop() {
@@ -301,8 +314,8 @@
         }
     }
 
-    /// Computes a job's effective priority again, and that of its dependencies
-    /// as far as it changes.
+    /// Recomputes the effective priority of a job, and that of its dependencies as far
+    /// as it changes.
     fn update_priority(&mut self, job: JobHandle) {
         let mut pending = vec![job];
         while let Some(job) = pending.pop() {
@@ -322,12 +335,12 @@
             self.changes.changed.push(job);
             let dependencies: Vec<JobHandle> = node.dependencies.iter().copied().collect();
             for dependency in dependencies {
-                if let Some(on) = self.nodes.get_mut(&dependency) {
+                if let Some(dependency_node) = self.nodes.get_mut(&dependency) {
                     if let Some(previous) = previous {
-                        on.dependent_priorities[previous as usize] -= 1;
+                        dependency_node.dependent_priorities[previous as usize] -= 1;
                     }
                     if let Some(priority) = priority {
-                        on.dependent_priorities[priority as usize] += 1;
+                        dependency_node.dependent_priorities[priority as usize] += 1;
                     }
                     pending.push(dependency);
                 }
@@ -335,7 +348,7 @@
         }
     }
 
-    /// Whether the job's dependencies let it start.
+    /// Returns whether the job's dependencies let it start.
     pub fn readiness(&self, job: JobHandle) -> Readiness {
         match self.nodes.get(&job) {
             Some(node) if node.must_cancel || !node.dependencies.is_empty() => Readiness::Blocked,
@@ -344,24 +357,27 @@
         }
     }
 
-    /// Whether it is not known of some dependency, direct or through live ones,
-    /// how it ended: it may have been cancelled.
+    /// Whether the final state of some dependency, direct or through live jobs, is
+    /// unknown: that dependency may have been cancelled.
     pub fn is_unresolved(&self, job: JobHandle) -> bool {
         let node = self.nodes.get(&job);
         node.is_some_and(|node| node.unresolved_before > 0)
     }
 
-    /// Its own priority, or that of a dependent, whichever is higher.
+    /// Returns the job's own priority or the highest effective priority of its
+    /// dependents, whichever is higher.
     pub fn effective_priority(&self, job: JobHandle) -> Option<Priority> {
         self.nodes.get(&job)?.effective_priority
     }
 
-    /// When each job has to be done so that it and all that depend on it meet
-    /// their deadlines, if any of them has one: along the longest path, by the
-    /// estimates. `own`: a job's own deadline, and how long it takes.
+    /// Returns the time by which each job has to be done so that the job and all its
+    /// dependents meet their deadlines, for jobs where any of them has a deadline. The
+    /// time follows the longest path, by the run time estimates. `own` returns a job's
+    /// own deadline and its estimated run time.
     pub fn due_by(&self, own: impl Fn(JobHandle) -> (Option<u64>, u64)) -> HashMap<JobHandle, u64> {
         let mut due: HashMap<JobHandle, Option<u64>> = HashMap::new();
-        // Depth first; `true`: its dependents are in `due`.
+        // Depth-first traversal; `true` means that the job's dependents are already in
+        // `due`.
         let mut pending: Vec<(JobHandle, bool)> =
             self.nodes.keys().map(|job| (*job, false)).collect();
         while let Some((job, dependents_done)) = pending.pop() {
@@ -387,12 +403,13 @@
             .collect()
     }
 
-    /// Whether it is to be cancelled, as a dependency was.
+    /// Whether the job has to be cancelled because a dependency was cancelled.
     pub fn must_cancel(&self, job: JobHandle) -> bool {
         self.nodes.get(&job).is_some_and(|node| node.must_cancel)
     }
 
-    /// Live jobs that it depends on, and how many dependencies are not known.
+    /// Returns the live dependencies of the job and the number of its unknown
+    /// dependencies.
     pub fn unfinished_dependencies(
         &self,
         job: JobHandle,
@@ -404,7 +421,7 @@
         (live, node.map_or(0, |node| node.unresolved))
     }
 
-    /// What follows from the changes since the last call.
+    /// Returns the effects of the changes since the last call.
     pub fn take_changes(&mut self) -> DependencyChanges {
         std::mem::take(&mut self.changes)
     }
--- a/src/state/fault_attribution.rs
+++ b/src/state/fault_attribution.rs
@@ -1,83 +1,89 @@
-//! Fault attribution: whether a job or a machine is at fault when tasks fail,
-//! by what else fails.
+//! Fault attribution: decides whether a job or a machine is at fault when tasks fail,
+//! based on which other tasks fail.
 //!
-//! A job submitted with a mistake fails on every machine; a faulty machine
-//! fails every task. So a machine is suspected by failures of jobs that run
-//! elsewhere, or of several jobs, and a job by failures on several machines, or
-//! on one where others run.
+//! A job submitted with a mistake fails on every machine; a faulty machine fails every
+//! task. Therefore a machine is suspected when jobs fail there that run elsewhere, or
+//! when several jobs fail there; a job is suspected when it fails on several machines,
+//! or on one machine where other jobs run.
 //!
-//! Owns the failures of each job and machine and what follows from them:
-//! suspicion, delay of retries, quarantine. Called by the leader as tasks end or
-//! are confirmed to run. Must never suspect a job that has run.
+//! Owns the failures of each job and machine and the resulting suspicion, retry delay
+//! and quarantine. The leader calls this module when tasks end or are confirmed to run.
+//! A job that has run must never be suspected.
 
 use super::{Millis, cluster::MachineHandle};
 
-/// Failures that are remembered of a job or a machine.
+/// Maximum number of machines remembered per job, and of jobs remembered per machine,
+/// with their failures.
 const MAX_REMEMBERED_FAILURES: usize = 8;
-/// Machines on which a job that has never run must fail to be suspected.
+/// Number of machines on which a job that has never run must fail before the job is
+/// suspected.
 const MACHINES_TO_SUSPECT_JOB: u32 = 2;
-/// Jobs of which nothing is known that must fail on a machine to quarantine it.
+/// Number of jobs that must fail on a machine before it is quarantined, if none of them
+/// is known to run elsewhere.
 const JOBS_TO_SUSPECT_MACHINE: usize = 3;
-/// The first delay between retries of a suspected job.
+/// First delay between retries of a suspected job, in milliseconds.
 const FIRST_RETRY_DELAY_MS: Millis = 8_000;
-/// The longest.
+/// Longest delay between retries of a suspected job, in milliseconds.
 const MAX_RETRY_DELAY_MS: Millis = 64_000;
-/// A machine that is quarantined, but kept for what runs there, is retried.
+/// Time in milliseconds after which a quarantined machine is tried again, if it can't
+/// be released because tasks still run there.
 const QUARANTINE_RETRY_MS: Millis = 300_000;
 
-/// A job's failures on one machine, as the job keeps them.
+/// A job's failures on one machine, stored with the job.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FailuresOnMachine {
-    /// The machine, which may be gone: never one that took its index, as that would
-    /// be held against the job.
+    /// The machine, which may have been removed. A handle is kept so that a machine
+    /// that took the same index is never counted against the job.
     pub machine: MachineHandle,
-    /// When the last one was.
+    /// Time of the last failure.
     pub last_failure: Millis,
-    /// How many there were.
+    /// Number of failures.
     pub count: u32,
 }
 
-/// Failures of a job's tasks, and what follows from them.
+/// Failures of a job's tasks, and the suspicion and retry delay that follow.
 #[derive(Debug, Clone, Default)]
 pub struct JobFailures {
-    /// Some task of it has run, so it can't fail everywhere.
+    /// Whether a task of the job has run, so that the job can't fail everywhere.
     pub has_succeeded: bool,
-    /// Machines on which it failed.
+    /// Failures by machine, the latest last.
     by_machine: Vec<FailuresOnMachine>,
-    /// It is thought to be at fault itself.
+    /// Whether the job itself is thought to be at fault.
     pub suspected: bool,
-    /// An earlier leader suspected it, by failures that are not stored.
+    /// Whether an earlier leader suspected the job, based on failures that are not
+    /// stored.
     inherited: bool,
     retries: u32,
     next_retry_at: Millis,
 }
 
-/// A job's failures on one machine, as the machine keeps them.
+/// A job's failures on one machine, stored with the machine.
 #[derive(Debug, Clone)]
 struct FailuresOfJob {
     job: String,
     count: u32,
     last_failure: Millis,
-    /// The job runs elsewhere.
+    /// Whether the job runs elsewhere.
     job_has_succeeded: bool,
 }
 
-/// Failures on a machine, and what follows from them.
+/// Failures on a machine, and the quarantine that follows.
 #[derive(Debug, Clone, Default)]
 pub struct MachineFailures {
     by_job: Vec<FailuresOfJob>,
-    /// When the latest of the tasks that ran there was started. A task started
-    /// before a failure says nothing of the time after it.
+    /// Latest start time of the tasks that ran on the machine. A task that was started
+    /// before a failure is no evidence about the time after the failure.
     last_success: Option<Millis>,
-    /// Nothing new is placed there.
+    /// Whether the machine is quarantined: no new task is placed there.
     pub quarantined: bool,
     quarantined_since: Millis,
-    /// An earlier leader quarantined it, by failures that are not stored.
+    /// Whether an earlier leader quarantined the machine, based on failures that are
+    /// not stored.
     inherited: bool,
 }
 
 impl JobFailures {
-    /// As recorded by an earlier leader.
+    /// Returns the state of a job that an earlier leader recorded as suspected.
     pub fn inherited_suspicion(now: Millis) -> Self {
         JobFailures {
             suspected: true,
@@ -87,17 +93,17 @@
         }
     }
 
-    /// Whether it failed there: other machines are tried first.
+    /// Whether the job failed on the machine: other machines are tried first.
     pub fn failed_on(&self, machine: MachineHandle) -> bool {
         self.by_machine.iter().any(|f| f.machine == machine)
     }
 
-    /// Its failures by machine, the latest last.
+    /// Returns the job's failures by machine, the latest last.
     pub fn failures(&self) -> &[FailuresOnMachine] {
         &self.by_machine
     }
 
-    /// A task of it failed on the machine.
+    /// Records that a task of the job failed on the machine.
     pub fn record_failure(&mut self, machine: MachineHandle, now: Millis) {
         let known = self.by_machine.iter().position(|f| f.machine == machine);
         let count = known.map_or(0, |at| self.by_machine.remove(at).count);
@@ -111,12 +117,13 @@
         });
     }
 
-    /// The machine was at fault for what failed there.
+    /// Discards the job's failures on a machine that turned out to be at fault.
     pub fn clear_machine(&mut self, machine: MachineHandle) {
         self.by_machine.retain(|f| f.machine != machine);
     }
 
-    /// A task of it ran: whatever failed before, the job was not at fault.
+    /// Records that a task of the job ran: whatever failed before, the job was not at
+    /// fault.
     pub fn record_success(&mut self) {
         *self = JobFailures {
             has_succeeded: true,
@@ -124,9 +131,9 @@
         };
     }
 
-    /// Decides again whether the job is suspected, and returns whether that
-    /// changed. `machine`: whether it is surely at fault, and when the last task
-    /// that ran there was started.
+    /// Re-evaluates whether the job is suspected and returns whether that changed.
+    /// `machine` returns whether a machine is confirmed faulty, and the latest start
+    /// time of the tasks that ran there.
     pub fn reevaluate(
         &mut self,
         now: Millis,
@@ -137,7 +144,8 @@
             .iter()
             .map(|f| match machine(f.machine) {
                 (true, _) => 0,
-                // Others run where it failed: counts as much as a second machine.
+                // Other jobs run on the machine where this job failed: this counts as
+                // much as failing on a second machine.
                 (false, Some(success)) if success > f.last_failure => MACHINES_TO_SUSPECT_JOB,
                 (false, _) => 1,
             })
@@ -154,8 +162,9 @@
         true
     }
 
-    /// A start of a job that has never run has failed: the next one is delayed,
-    /// and much more if it is suspected. The many tasks of one start count once.
+    /// Delays the next start after a start of a job that has never run has failed. The
+    /// delay is much longer if the job is suspected. Failures of many tasks of one
+    /// start count once.
     pub fn delay_retry(&mut self, now: Millis) {
         if self.has_succeeded || now < self.next_retry_at {
             return;
@@ -168,20 +177,20 @@
         self.retries += 1;
     }
 
-    /// Whether the next start is delayed for now. This also keeps a failing job
-    /// from taking the only free capacity again and again.
+    /// Whether the next start is still delayed. The delay also keeps a failing job from
+    /// repeatedly taking the only free capacity.
     pub fn is_backing_off(&self, now: Millis) -> bool {
         now < self.next_retry_at
     }
 
-    /// When it may be started again.
+    /// Returns the time from which the job may be started again.
     pub fn next_retry_at(&self) -> Millis {
         self.next_retry_at
     }
 }
 
 impl MachineFailures {
-    /// As recorded by an earlier leader.
+    /// Returns the state of a machine that an earlier leader recorded as quarantined.
     pub fn inherited_quarantine(now: Millis) -> Self {
         MachineFailures {
             quarantined: true,
@@ -191,13 +200,13 @@
         }
     }
 
-    /// When the latest of the tasks that ran there was started.
+    /// Returns the latest start time of the tasks that ran on the machine.
     pub fn last_success(&self) -> Option<Millis> {
         self.last_success
     }
 
-    /// Whether jobs that run elsewhere fail there. A quarantine by other jobs
-    /// alone may prove wrong: they may all be at fault themselves.
+    /// Whether jobs that run elsewhere fail on the machine. A quarantine based only on
+    /// other jobs may prove wrong: all those jobs may themselves be at fault.
     pub fn is_confirmed_faulty(&self) -> bool {
         self.quarantined && (self.inherited || self.fails_proven_jobs())
     }
@@ -208,13 +217,14 @@
             .any(|f| f.job_has_succeeded && f.count >= 2)
     }
 
-    /// A task that was started then ran there.
+    /// Records that a task started at `started` ran on the machine.
     pub fn record_success(&mut self, started: Millis) {
         self.last_success = self.last_success.max(Some(started));
         self.by_job.retain(|f| f.last_failure >= started);
     }
 
-    /// So many tasks of the job failed there.
+    /// Records that `count` tasks of the job failed on the machine. `proven`: whether
+    /// the job runs elsewhere.
     pub fn record_failure(&mut self, job: &str, proven: bool, count: u32, now: Millis) {
         if let Some(f) = self.by_job.iter_mut().find(|f| f.job == job) {
             f.count += count;
@@ -230,13 +240,13 @@
         }
     }
 
-    /// The job itself turned out to be at fault.
+    /// Discards the failures of a job that turned out to be at fault itself.
     pub fn clear_job(&mut self, job: &str) {
         self.by_job.retain(|f| f.job != job);
     }
 
-    /// Decides again on the quarantine, and returns whether it changed: it ends
-    /// if the jobs that failed there turned out to be at fault.
+    /// Re-evaluates the quarantine and returns whether it changed. The quarantine ends
+    /// if the jobs that failed on the machine turned out to be at fault.
     pub fn reevaluate(&mut self, now: Millis) -> bool {
         let faulty = self.inherited
             || self.fails_proven_jobs()
@@ -247,8 +257,8 @@
         std::mem::replace(&mut self.quarantined, faulty) != faulty
     }
 
-    /// A quarantined machine that can't be released, as something still runs
-    /// there, is tried again after a while. Returns whether that is now.
+    /// Ends the quarantine when its retry time has passed, and returns whether it did.
+    /// This applies to machines that can't be released because tasks still run there.
     pub fn end_quarantine_if_due(&mut self, now: Millis) -> bool {
         let due = self.quarantined && now >= self.quarantined_since + QUARANTINE_RETRY_MS;
         if due {
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -2,19 +2,20 @@
 //!
 //! | module | owns |
 //! | --- | --- |
-//! | `cluster` | jobs, machines, and what is or may be running where |
-//! | `records` | keys and form of what the state service stores |
-//! | `spec_chunks` | specs too long for one value |
+//! | `cluster` | jobs, machines, and which tasks run, or may run, where |
+//! | `records` | keys and format of the records in the state service |
+//! | `spec_chunks` | job specs too long for one value |
 //! | `dependencies` | the graph of jobs that depend on others |
 //! | `fault_attribution` | whether jobs or machines are at fault |
 //! | `offload` | whether a job runs here or in another cluster |
 //! | `rate_limit` | shares of the state service's rate limits |
 //! | `request_budget` | a controller's requests to the state service, by priority |
 //! | `slot_table` | dense tables with handles, for jobs and machines |
-//! | `bounded_cache`, `resources` | a bounded map; amounts that add up exactly |
+//! | `bounded_cache` | a bounded map that evicts old entries |
+//! | `resources` | resource amounts that add up exactly |
 //!
-//! Called by `control/`, which decides, and `server/`, which does the I/O. Nothing
-//! here does I/O or reads a clock.
+//! `control/`, which makes the decisions, and `server/`, which does the I/O, call this
+//! module. Nothing here does I/O or reads a clock.
 
 pub mod bounded_cache;
 pub mod cluster;
@@ -28,5 +29,5 @@
 pub mod slot_table;
 pub mod spec_chunks;
 
-/// Milliseconds of the steady clock since the process began.
+/// Milliseconds of the monotonic clock since the process started.
 pub type Millis = u64;
--- a/src/state/offload.rs
+++ b/src/state/offload.rs
@@ -1,16 +1,16 @@
-//! Whether a job runs here or was offloaded to another cluster's market.
+//! Whether a job runs here or was offloaded to another cluster through a market.
 //!
-//! Owns the state machine of one job's offload. Called by the leader as the
-//! market client asks, and as writes of the job's record are applied or read
-//! again. Must never be local while the record may say that the job is
-//! offloaded: then it could run in both clusters.
+//! Owns the state machine of one job's offload. The leader calls this module on
+//! requests of the market client, and when writes of the job's record are applied or
+//! the record is read again. The state must never be local while the record may say
+//! that the job is offloaded: otherwise the job could run in both clusters.
 
 use serde::{Deserialize, Serialize};
 
-/// To whom a job is offloaded, as its record says.
+/// The target of an offloaded job, as stored in the job's record.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct OffloadTarget {
-    /// Number of the market's award.
+    /// Number of the award in the market.
     #[serde(rename = "a")]
     pub award: u64,
     /// Name of the market.
@@ -18,41 +18,41 @@
     pub market: String,
 }
 
-/// How far a job's offload has come. The target in the job's record is the
-/// mark by which every leader knows.
+/// Progress of a job's offload. Every leader learns from the target in the job's record
+/// that the job is offloaded.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub enum OffloadState {
-    /// It runs here.
+    /// The job runs here.
     #[default]
     Local,
-    /// The same, and the target of this award can't be recorded any more.
+    /// The job runs here, and the target of this award can't be recorded any more.
     Refused(u64),
-    /// The target is to be recorded. It may be in the record, or get there
-    /// late, as long as the award's record has this version.
+    /// The target has to be recorded. It may be in the record already, or a late write
+    /// may add it, as long as the award's record has this version.
     Offloading {
-        /// To whom.
+        /// The target to record.
         target: OffloadTarget,
         /// Version of the award's record.
         version: u64,
     },
-    /// The target is in the record.
+    /// The target is in the job's record.
     Offloaded(OffloadTarget),
-    /// Its results are known; the target is to be removed from the record.
+    /// The job's results are known; the target has to be removed from the record.
     Returning(OffloadTarget),
 }
 
 impl OffloadState {
-    /// The state that follows from a job's record.
+    /// Returns the state that follows from the target in a job's record.
     pub fn recorded(target: Option<OffloadTarget>) -> Self {
         target.map_or(OffloadState::Local, OffloadState::Offloaded)
     }
 
-    /// Whether its tasks may start here.
+    /// Whether the job's tasks may start here.
     pub fn is_local(&self) -> bool {
         matches!(self, OffloadState::Local | OffloadState::Refused(_))
     }
 
-    /// Whether the target is to be recorded or removed.
+    /// Whether the target has to be recorded or removed.
     pub fn has_pending_change(&self) -> bool {
         matches!(
             self,
@@ -60,7 +60,7 @@
         )
     }
 
-    /// To whom it is, or may be, offloaded.
+    /// Returns the target to which the job is, or may be, offloaded.
     pub fn target(&self) -> Option<&OffloadTarget> {
         match self {
             OffloadState::Local | OffloadState::Refused(_) => None,
@@ -70,7 +70,7 @@
         }
     }
 
-    /// The target that any other write of the job's record must keep.
+    /// Returns the target that every other write of the job's record must preserve.
     pub fn recorded_target(&self) -> Option<OffloadTarget> {
         match self {
             OffloadState::Local | OffloadState::Refused(_) | OffloadState::Offloading { .. } => {
@@ -82,28 +82,30 @@
         }
     }
 
-    /// The target is in the record.
+    /// Records that the target is in the job's record.
     pub fn mark_recorded(&mut self) {
         if let OffloadState::Offloading { target, .. } = self {
             *self = OffloadState::Offloaded(target.clone());
         }
     }
 
-    /// The target is surely not in the record, and can't get there.
+    /// Records that the target is known not to be in the job's record and can't be
+    /// added any more.
     pub fn mark_refused(&mut self) {
         if let OffloadState::Offloading { target, .. } = self {
             *self = OffloadState::Refused(target.award);
         }
     }
 
-    /// The target is out of the record.
+    /// Records that the target was removed from the job's record.
     pub fn mark_removed(&mut self) {
         if let OffloadState::Returning(_) = self {
             *self = OffloadState::Local;
         }
     }
 
-    /// The record was read again after an indeterminate write.
+    /// Applies the target found when the record was read again after an indeterminate
+    /// write.
     pub fn reread(&mut self, recorded: Option<&OffloadTarget>) {
         match (&*self, recorded) {
             (OffloadState::Offloading { target, .. }, Some(found)) if target == found => {
--- a/src/state/rate_limit.rs
+++ b/src/state/rate_limit.rs
@@ -1,29 +1,30 @@
-//! Rate budgets towards the state service, and how the controllers share them.
+//! Rate limits of the state service, and how the controllers share them.
 //!
-//! Owns the shares; `TokenBucket` keeps each controller to its own. Called as a
-//! controller's role or the number of controllers changes. The shares of all
-//! must never add up to more than the whole.
+//! Owns the shares; a `TokenBucket` keeps each controller within its own. The caller
+//! recomputes the shares when a controller's role or the number of controllers changes.
+//! The shares of all controllers must never add up to more than the whole limit.
 
 pub use crate::transport::rate_limit::TokenBucket;
 
-/// How the controllers share what all of them together may request per second,
-/// as fractions of the whole. A tenth is left for what can't wait. The leader
-/// has a share of its own, so that followers' polls can't use up what it needs
-/// to renew its lease.
+/// The shares of the state service's rate limits, as fractions of the rate allowed for
+/// all controllers together. One tenth is left for requests that can't wait. The leader
+/// has a share of its own, so that polls handled by followers can't use up the requests
+/// that it needs to renew its lease.
 pub mod share {
-    /// What a controller is at the time.
+    /// The current role of a controller.
     #[derive(Debug, Clone, Copy, PartialEq, Eq)]
     pub enum Role {
-        /// It leads.
+        /// The controller is the leader.
         Leads,
-        /// Another controller leads.
+        /// Another controller is the leader.
         Follows,
-        /// Nobody leads.
+        /// There is no leader.
         Leaderless,
     }
     use Role::*;
 
-    /// The share of requests of one of so many controllers.
+    /// Returns one controller's share of the request rate, with `nodes` controllers in
+    /// total.
     pub fn of_requests(role: Role, nodes: usize) -> f64 {
         match (role, nodes) {
             (_, 0 | 1) => 0.9,
@@ -33,9 +34,10 @@
         }
     }
 
-    /// The share of writes. Followers write only while no leader can be reached.
-    /// Without a leader, first come is first served: which controller users ask
-    /// is not known beforehand.
+    /// Returns one controller's share of the write rate. Followers write only while no
+    /// leader can be reached. Without a leader every controller may use the whole
+    /// share, first come, first served: it is not known beforehand which controller
+    /// users contact.
     pub fn of_changes(role: Role, nodes: usize) -> f64 {
         match (role, nodes) {
             (Follows, 2..) => 0.45 / (nodes - 1) as f64,
@@ -43,13 +45,14 @@
         }
     }
 
-    /// How many seconds' worth of writes is kept for submissions.
+    /// Time in seconds whose worth of writes is reserved for submissions.
     const RESERVED_FOR_USERS_S: f64 = 0.25;
-    /// And how many writes at most.
+    /// Maximum number of writes reserved for submissions.
     const MAX_WRITES_RESERVED_FOR_USERS: f64 = 8.0;
 
-    /// Writes that persistence leaves for submissions, which would be refused
-    /// when progress has just used up the budget.
+    /// Returns the number of writes that persistence leaves for submissions. Without
+    /// this reserve, submissions would be refused when task progress has just used up
+    /// the budget.
     pub fn kept_for_users(rate: f64) -> f64 {
         (rate * RESERVED_FOR_USERS_S).clamp(1.0, MAX_WRITES_RESERVED_FOR_USERS)
     }
--- a/src/state/records.rs
+++ b/src/state/records.rs
@@ -1,26 +1,26 @@
-//! What is stored in the state service, and under which keys.
+//! The records stored in the state service, and their keys.
 //!
-//! Owns the keys and the stored form of each record but spec chunks. Called by
-//! the leader's persistence, by followers that accept jobs, and as a new leader
-//! loads its state. Must never change a stored name, nor what a missing field
-//! means: older versions have written records, and run beside this one.
+//! Owns the keys and the stored format of every record except spec chunks. Called by
+//! the leader's persistence, by followers that accept jobs, and by a new leader that
+//! loads its state. Stored names, and the meaning of a missing field, must never
+//! change: older versions have written records and run beside this one.
 //!
-//! Stored names are short, as values are small:
+//! Stored names are short because values are small:
 //!
 //! | record | key | stored name: field |
 //! | --- | --- | --- |
 //! | `LeaderRecord` | `leader` | `n` node, `i` incarnation |
 //! | `StandbyRecord` | `standbys` | `t` term, `n` named nodes, `k` known to all |
 //! | `VersionRecord` | `v/<node>` | `f` format, `p` program |
-//! | `StoredJob` | `j/<job>` | `d` spec, `p` spec chunks, `a` accepted at (ms), `w` cancelled, `e` suspected, `b` complete tasks of the first segment, `l` offloaded to |
+//! | `StoredJob` | `j/<job>` | `d` spec, `p` spec chunks, `a` accepted at (ms), `w` cancelled, `e` suspected, `b` complete tasks of the first segment, `l` offload target |
 //! | `OffloadTarget` | in `l` of a job | `a` award, `m` market |
 //! | `SpecChunks` | in `p` of a job | `h` hash, `n` count |
 //! | `FinalRecord` | `f/<job>` | `s` terminal state, `n` complete tasks |
 //! | `MachineRecord` | `m/<machine>` | `a` address, `t` type, `z` zone, `s` spot, `r` releasing, `l` lease expired, `q` quarantined, `i` images |
-//! | segment of the completion bitmap | `c/<job>/<segment>` | a string of base 64 |
-//! | spec chunk | `p/<job>/<hash>/<number>` | a string of base 64 |
+//! | segment of the completion bitmap | `c/<job>/<segment>` | a base64 string |
+//! | spec chunk | `p/<job>/<hash>/<number>` | a base64 string |
 //! | feed of accepted jobs | `n/<job>` | `true` |
-//! | exclusion from elections | `x/<node>` | only its version counts |
+//! | exclusion from elections | `x/<node>` | no field; only its version is used |
 
 use super::{offload::OffloadTarget, spec_chunks::SpecChunks};
 use crate::protocol::{
@@ -30,109 +30,111 @@
 use base64::{Engine, engine::general_purpose::STANDARD_NO_PAD};
 use serde::{Deserialize, Serialize};
 
-/// Key of the leader's record: whoever holds it leads.
+/// Key of the leader record: the controller that holds the key is the leader.
 pub const LEADER: &str = "leader";
-/// Prefix of jobs that are not over.
+/// Key prefix of the records of jobs that are neither done nor cancelled.
 pub const JOBS: &str = "j/";
-/// Prefix of segments of completion bitmaps.
+/// Key prefix of segments of completion bitmaps.
 pub const SEGMENTS: &str = "c/";
-/// Prefix of jobs that are over.
+/// Key prefix of the final records of jobs that are done or cancelled.
 pub const FINALS: &str = "f/";
-/// Prefix of the machine registry.
+/// Key prefix of the machine registry.
 pub const MACHINES: &str = "m/";
-/// Prefix of the feed that tells the leader of jobs that followers accepted.
+/// Key prefix of the feed that tells the leader which jobs followers accepted.
 pub const ACCEPTANCES: &str = "n/";
 
-/// Prefix of exclusions from elections.
+/// Key prefix of exclusions from elections.
 pub const EXCLUSIONS: &str = "x/";
 
-/// Key of the standby registry: who may take over without a heartbeat of every
-/// machine.
+/// Key of the standby registry: the controllers that may take over without a heartbeat
+/// from every machine.
 pub const STANDBYS: &str = "standbys";
 
-/// Tasks in one segment of a completion bitmap: 1 KiB of bits. The first segment
-/// is part of the job's record, the others have keys of their own, so that a job
-/// of 100,000 tasks fits any sensible value limit.
+/// Number of tasks in one segment of a completion bitmap, which is 1 KiB of bits. The
+/// first segment is part of the job's record and the others have keys of their own, so
+/// that a job of 100,000 tasks fits any sensible value limit.
 pub const SEGMENT_TASKS: u32 = 8192;
 const SEGMENT_BYTES: usize = SEGMENT_TASKS as usize / 8;
 
-/// Prefix of the versions that controllers run.
+/// Key prefix of the program versions that controllers run.
 pub const VERSIONS: &str = "v/";
 
-/// Key of a controller's version.
+/// Returns the key of a controller's version record.
 pub fn version_key(node: &str) -> String {
     format!("{VERSIONS}{node}")
 }
 
-/// Key of a job's record.
+/// Returns the key of a job's record.
 pub fn job_key(id: &str) -> String {
     format!("{JOBS}{id}")
 }
 
-/// Key of the record of a job's terminal state.
+/// Returns the key of the record of a job's terminal state.
 pub fn final_key(id: &str) -> String {
     format!("{FINALS}{id}")
 }
 
-/// Key of a segment of a job's completion bitmap, from 1 on.
+/// Returns the key of a segment of a job's completion bitmap. Segments with their own
+/// key are numbered from 1.
 pub fn segment_key(id: &str, segment: usize) -> String {
     format!("{SEGMENTS}{id}/{segment}")
 }
 
-/// Key of a machine's record.
+/// Returns the key of a machine's record.
 pub fn machine_key(name: &str) -> String {
     format!("{MACHINES}{name}")
 }
 
-/// Key of a controller's exclusion from elections.
+/// Returns the key of a controller's exclusion from elections.
 pub fn exclusion_key(node: &str) -> String {
     format!("{EXCLUSIONS}{node}")
 }
 
-/// Key of the market's award of a job.
+/// Returns the key of the market's award for a job.
 pub fn award_key(id: &str) -> String {
     format!("{AWARDS}{id}")
 }
 
-/// Key of a job's entry in the feed of accepted jobs.
+/// Returns the key of a job's entry in the feed of accepted jobs.
 pub fn acceptance_key(id: &str) -> String {
     format!("{ACCEPTANCES}{id}")
 }
 
-/// Who leads.
+/// The controller that is the leader.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LeaderRecord {
-    /// Its name.
+    /// Name of the controller.
     #[serde(rename = "n")]
     pub node: String,
-    /// Which start of its process it is.
+    /// Incarnation of the controller's process.
     #[serde(rename = "i")]
     pub incarnation: u64,
 }
 
-/// Which standbys may take over at once: each of them knows at least all that may
-/// run on machines. Written by the leader on condition of its own key, and by
-/// each new leader, if it named anybody, before it starts anything.
+/// The standbys that may take over at once, because each of them knows at least every
+/// task that may run on a machine. The leader writes this record on the condition that
+/// it still holds its own key. Each new leader overwrites a record that named any
+/// standby before it starts a task.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct StandbyRecord {
-    /// Term of the leader whose cluster state the replicas are of.
+    /// Term of the leader whose cluster state the standbys replicate.
     #[serde(rename = "t")]
     pub term: u64,
-    /// Names of controllers with their incarnations.
+    /// Names of the standbys with their incarnations.
     #[serde(rename = "n")]
     pub named: Vec<(String, u64)>,
-    /// Each controller runs a version that knows of this record. One that doesn't
-    /// would lead, and start tasks, without changing it.
+    /// Whether every controller runs a version that knows this record. A version that
+    /// does not know it would lead, and start tasks, without changing the record.
     #[serde(rename = "k", default)]
     pub known_to_all: bool,
 }
 
 impl StandbyRecord {
-    /// The record from its stored form. One that can't be read may name anybody:
-    /// it has to be overwritten before anything is started.
+    /// Parses the stored record. A record that can't be read may name any standby, so
+    /// it has to be overwritten before a task is started.
     pub fn read(value: serde_json::Value) -> Self {
         serde_json::from_value(value).unwrap_or_else(|e| {
-            log::error!("record {STANDBYS}: {e}");
+            log::error!("cannot parse record {STANDBYS}, assuming that it names a standby: {e}");
             StandbyRecord {
                 named: vec![(String::new(), 0)],
                 ..StandbyRecord::default()
@@ -141,42 +143,43 @@
     }
 }
 
-/// Version of the form of records and messages. 1: jobs may depend on others.
-/// Programs from before that write no version.
+/// Version of the format of records and messages. Format 1: jobs may depend on other
+/// jobs. Programs older than format 1 write no version.
 pub const FORMAT: u32 = 1;
 
-/// Written by each controller once it can reach the state service.
+/// A controller's program version, which each controller writes once it can reach the
+/// state service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct VersionRecord {
-    /// The `FORMAT` of its program.
+    /// The `FORMAT` of the controller's program.
     #[serde(rename = "f")]
     pub format: u32,
-    /// Version of its program, for operators.
+    /// Version of the controller's program, for operators.
     #[serde(rename = "p", default)]
     pub program: String,
 }
 
-/// A job as its record and its spec chunks have it.
+/// A job assembled from its record and its spec chunks.
 #[derive(Debug, Clone, PartialEq)]
 pub struct JobRecord {
-    /// What the user submitted.
+    /// The job specification that the user submitted.
     pub spec: JobSpec,
     /// Chunks that hold the spec, if the record does not.
     pub spec_chunks: Option<SpecChunks>,
-    /// Time of day of the acceptance, in milliseconds.
+    /// Wall-clock time at which the job was accepted, in milliseconds.
     pub accepted_at_ms: u64,
-    /// Cancelled; its tasks may still run.
+    /// Whether the job is cancelled; its tasks may still run.
     pub cancelled: bool,
-    /// It is thought to fail wherever it starts.
+    /// Whether the job is thought to fail wherever it starts.
     pub suspected: bool,
-    /// Complete tasks of the first segment, as text.
+    /// Complete tasks of the first segment, in base64.
     pub completed: String,
-    /// To whom it is offloaded.
+    /// Target to which the job is offloaded.
     pub offloaded_to: Option<OffloadTarget>,
 }
 
 impl JobRecord {
-    /// One that was accepted just now.
+    /// Returns the record of a job that was just accepted.
     pub fn new(spec: JobSpec, accepted_at_ms: u64) -> Self {
         JobRecord {
             spec,
@@ -189,7 +192,7 @@
         }
     }
 
-    /// Its stored form.
+    /// Returns the record in its stored form.
     pub fn stored(&self) -> serde_json::Value {
         let stored = StoredJob {
             spec: self.spec_chunks.is_none().then(|| self.spec.clone()),
@@ -204,37 +207,38 @@
     }
 }
 
-/// A job's record as it is stored.
+/// The stored form of a job's record.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct StoredJob {
-    /// What the user submitted.
+    /// The job specification that the user submitted.
     #[serde(rename = "d", default, skip_serializing_if = "Option::is_none")]
     pub spec: Option<JobSpec>,
-    /// In place of a long spec. Written only once every controller's version
-    /// knows of it.
+    /// Chunks that replace a long spec. This field is written only once every
+    /// controller runs a version that knows it.
     #[serde(rename = "p", default, skip_serializing_if = "Option::is_none")]
     pub spec_chunks: Option<SpecChunks>,
-    /// Time of day of the acceptance, in milliseconds.
+    /// Wall-clock time at which the job was accepted, in milliseconds.
     #[serde(rename = "a")]
     pub accepted_at_ms: u64,
-    /// Cancelled; its tasks may still run.
+    /// Whether the job is cancelled; its tasks may still run.
     #[serde(rename = "w", default, skip_serializing_if = "std::ops::Not::not")]
     pub cancelled: bool,
-    /// It fails wherever it starts: a new leader need not find that out again.
+    /// Whether the job fails wherever it starts, so that a new leader need not detect
+    /// that again.
     #[serde(rename = "e", default, skip_serializing_if = "std::ops::Not::not")]
     pub suspected: bool,
-    /// Complete tasks of the first segment.
+    /// Complete tasks of the first segment, in base64.
     #[serde(rename = "b", default, skip_serializing_if = "String::is_empty")]
     pub completed: String,
-    /// To whom it is offloaded; nothing of it starts here meanwhile. A program
-    /// that does not know this field must not lead beside one that writes it.
+    /// Target to which the job is offloaded; no task of the job starts here meanwhile.
+    /// A program that does not know this field must not lead beside one that writes it.
     #[serde(rename = "l", default, skip_serializing_if = "Option::is_none")]
     pub offloaded_to: Option<OffloadTarget>,
 }
 
 impl StoredJob {
-    /// The job with its spec, from the record or from what `join` makes of its
-    /// chunks.
+    /// Returns the job with its spec, taken from the record or assembled from the
+    /// chunks by `join`.
     pub fn with_spec(
         self,
         join: impl FnOnce(&SpecChunks) -> anyhow::Result<JobSpec>,
@@ -242,7 +246,7 @@
         let spec = match (self.spec, &self.spec_chunks) {
             (_, Some(chunks)) => join(chunks)?,
             (Some(spec), None) => spec,
-            (None, None) => anyhow::bail!("no description"),
+            (None, None) => anyhow::bail!("job record has neither a spec nor spec chunks"),
         };
         Ok(JobRecord {
             spec,
@@ -255,20 +259,20 @@
         })
     }
 
-    /// The job of a record that holds its spec.
+    /// Parses the record of a job that holds its spec.
     pub fn read(value: serde_json::Value) -> anyhow::Result<JobRecord> {
         let stored: StoredJob = serde_json::from_value(value)?;
-        stored.with_spec(|_| anyhow::bail!("its description is in pieces"))
+        stored.with_spec(|_| anyhow::bail!("job record holds spec chunks instead of the spec"))
     }
 
-    /// What users are answered by the record alone.
+    /// Returns the job status that follows from the record alone.
     pub fn status(&self, id: &str) -> JobStatus {
         status_of(id, self.cancelled, &self.completed)
     }
 }
 
 impl JobRecord {
-    /// What users are answered by the record alone.
+    /// Returns the job status that follows from the record alone.
     pub fn status(&self) -> JobStatus {
         status_of(&self.spec.id, self.cancelled, &self.completed)
     }
@@ -292,55 +296,56 @@
     }
 }
 
-/// A job that is over.
+/// The final record of a job that is done or cancelled.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct FinalRecord {
-    /// Its terminal state.
+    /// Terminal state of the job.
     #[serde(rename = "s")]
     pub state: JobState,
-    /// How many tasks were complete.
+    /// Number of tasks that were complete.
     #[serde(rename = "n")]
     pub done: u32,
 }
 
-/// A machine in the machine registry: tasks may run on it.
+/// A machine in the machine registry. Tasks may run on registered machines.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineRecord {
-    /// Where its agent listens; empty if unknown.
+    /// Address on which the machine's agent listens; empty if unknown.
     #[serde(rename = "a")]
     pub addr: String,
-    /// Name of its machine type.
+    /// Name of the machine type.
     #[serde(rename = "t")]
     pub type_name: String,
-    /// Name of its zone.
+    /// Name of the zone.
     #[serde(rename = "z")]
     pub zone: String,
-    /// Whether the cloud may reclaim it.
+    /// Whether the machine is a spot machine, which the cloud may reclaim.
     #[serde(rename = "s")]
     pub spot: bool,
-    /// Its release has been decided.
+    /// Whether the release of the machine has been decided.
     #[serde(rename = "r", default, skip_serializing_if = "std::ops::Not::not")]
     pub releasing: bool,
-    /// Beside `releasing`: only its lease has expired, and should it come back it
-    /// may be used, once this is written without either. A program that does
-    /// not know this field releases the machine.
+    /// Set together with `releasing` if only the machine's lease has expired. If the
+    /// machine returns, it may be used once the record is written without both fields.
+    /// A program that does not know this field releases the machine.
     #[serde(rename = "l", default, skip_serializing_if = "std::ops::Not::not")]
     pub lease_expired: bool,
-    /// Tasks fail on it: a new leader need not find that out again.
+    /// Whether tasks fail on the machine, so that a new leader need not detect that
+    /// again.
     #[serde(rename = "q", default, skip_serializing_if = "std::ops::Not::not")]
     pub quarantined: bool,
-    /// Images it is thought to cache, so that a new leader knows where a
-    /// task starts without a fetch.
+    /// Images that the machine is estimated to cache, so that a new leader knows where
+    /// a task starts without fetching its image.
     #[serde(rename = "i", default, skip_serializing_if = "Vec::is_empty")]
     pub images: Vec<String>,
 }
 
-/// A set of task numbers: the complete ones of a job.
+/// A set of task numbers, used for the complete tasks of a job.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct TaskBitmap(Vec<u8>);
 
 impl TaskBitmap {
-    /// An empty set for so many tasks.
+    /// Returns an empty set for `tasks` tasks.
     pub fn with_len(tasks: u32) -> Self {
         TaskBitmap(vec![0; (tasks as usize).div_ceil(8)])
     }
@@ -352,7 +357,7 @@
             .is_some_and(|byte| byte & (1 << (task % 8)) != 0)
     }
 
-    /// Adds a task, and returns whether it is new.
+    /// Adds a task and returns whether it was not in the set before.
     pub fn set(&mut self, task: u32) -> bool {
         match self.0.get_mut(task as usize / 8) {
             Some(byte) if *byte & (1 << (task % 8)) == 0 => {
@@ -363,12 +368,12 @@
         }
     }
 
-    /// How many segments it has.
+    /// Number of segments of the bitmap.
     pub fn chunks(&self) -> usize {
         self.0.len().div_ceil(SEGMENT_BYTES)
     }
 
-    /// One segment as text, without trailing zeros.
+    /// Returns one segment as base64, without trailing zero bytes.
     pub fn chunk(&self, segment: usize) -> String {
         let end = self.0.len().min((segment + 1) * SEGMENT_BYTES);
         let bytes = self.0.get(segment * SEGMENT_BYTES..end).unwrap_or(&[]);
@@ -377,8 +382,8 @@
         STANDARD_NO_PAD.encode(&bytes[..used])
     }
 
-    /// Adds the tasks of a stored segment. One that can't be read adds none, and
-    /// tasks past the end are left out.
+    /// Adds the tasks of a stored segment. A segment that can't be decoded adds none,
+    /// and tasks past the end of the set are ignored.
     pub fn load(&mut self, segment: usize, text: &str) {
         let Ok(stored) = STANDARD_NO_PAD.decode(text) else {
             return;
@@ -389,24 +394,24 @@
         }
     }
 
-    /// How many tasks are in the set.
+    /// Number of tasks in the set.
     pub fn count(&self) -> u32 {
         self.0.iter().map(|byte| byte.count_ones()).sum()
     }
 }
 
-/// What a job's record takes beside its spec and complete tasks: flags, the
-/// name of a market, the time.
+/// Size in bytes of a job's record beside the spec and the complete tasks: flags, the
+/// name of a market and the time.
 const RECORD_OVERHEAD_BYTES: usize = 320;
 
-/// Bytes that a job's record with the spec in it may take at most.
+/// Returns the maximum size in bytes of a job's record that holds the spec.
 pub fn inline_record_size(spec: &JobSpec) -> usize {
     let segment = (spec.tasks.min(SEGMENT_TASKS) as usize).div_ceil(8) * 4 / 3 + 4;
     let len = serde_json::to_vec(spec).map_or(usize::MAX / 2, |v| v.len());
     len + segment + RECORD_OVERHEAD_BYTES
 }
 
-/// Whether a record of so many bytes is within the limit on values.
+/// Whether a record of `bytes` bytes is within the value limit of `value_kb` KiB.
 pub fn fits(bytes: usize, value_kb: f64) -> bool {
     bytes as f64 <= value_kb * 1024.0
 }
--- a/src/state/request_budget.rs
+++ b/src/state/request_budget.rs
@@ -1,16 +1,17 @@
-//! One controller's requests to the state service, by what they hold up.
+//! One controller's budget of requests to the state service, by priority.
 //!
-//! Owns the controller's share of the request limit, what of it is guaranteed to
-//! which priority, and the counts of what was taken and refused. Called by whoever
-//! calls the state service; the share follows the role in the election
-//! (`rate_limit::share`). Must never hold back a request of leadership: those are
-//! charged whatever is left, so that others wait instead.
+//! Owns the controller's share of the request limit, the part of it that is guaranteed
+//! to each priority, and the counts of requests taken and refused. Every caller of the
+//! state service uses the budget; the share follows the controller's role in the
+//! election (`rate_limit::share`). A leadership request must never be held back: such
+//! requests are charged whatever is left, so that other requests wait instead.
 //!
-//! Of what the bucket holds, the guaranteed part belongs to the priorities that have
-//! a guarantee; it fills first. The rest, the surplus, is for whoever is more urgent:
-//! each priority leaves some requests of it to those above. So acceptances without
-//! end use up neither the lookups that jobs wait for nor the polls, and lookups of a
-//! large takeover don't use up the polls.
+//! The guaranteed part of the tokens in the bucket belongs to the priorities that have
+//! a guarantee; it is refilled first. The remaining surplus goes to more urgent
+//! requests first: each priority leaves some requests of the surplus to the priorities
+//! above it. Therefore an endless stream of acceptances uses up neither the dependency
+//! lookups that jobs wait for nor the polls, and the lookups of a large takeover don't
+//! use up the polls.
 
 use super::{
     Millis,
@@ -18,23 +19,24 @@
 };
 use std::fmt;
 
-/// Requests to the state service by what they hold up, the most urgent first.
+/// Priority of a request to the state service, the most urgent first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestPriority {
-    /// Leases, elections, standbys, and the leader's writes once they are begun.
+    /// Leases, elections, standbys, and the leader's writes once they have begun.
     Leadership,
-    /// Acceptances and cancellations, and what a new leader loads.
+    /// Acceptances and cancellations of jobs, and the records that a new leader loads.
     Acceptance,
-    /// Dependencies that only the records know: jobs wait for them.
+    /// Lookups of dependencies that are known only from stored records: jobs wait for
+    /// them.
     DependencyLookup,
-    /// Users' polls that only the records can answer.
+    /// User polls that can only be answered from stored records.
     Poll,
-    /// What nobody waits for.
+    /// Requests for which no user and no job waits.
     Listing,
 }
 
 impl RequestPriority {
-    /// All of them, the most urgent first.
+    /// All priorities, the most urgent first.
     pub const ALL: [RequestPriority; 5] = [
         RequestPriority::Leadership,
         RequestPriority::Acceptance,
@@ -43,7 +45,7 @@
         RequestPriority::Listing,
     ];
 
-    /// Its name in logs and metrics.
+    /// Returns the priority's name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             RequestPriority::Leadership => "leadership",
@@ -54,7 +56,7 @@
         }
     }
 
-    /// Requests of the surplus that it leaves to more urgent ones.
+    /// Number of surplus requests that this priority leaves to more urgent ones.
     fn reserve(self) -> f64 {
         match self {
             RequestPriority::Leadership => 0.0,
@@ -65,8 +67,8 @@
         }
     }
 
-    /// The part of the controller's rate that no other priority can use up. Only a
-    /// leader looks dependencies up.
+    /// Fraction of the controller's rate that no other priority can use up. Only a
+    /// leader looks up dependencies.
     fn guaranteed_share(self, role: Role) -> f64 {
         match (self, role) {
             (RequestPriority::DependencyLookup, Role::Leads) => LOOKUP_SHARE,
@@ -76,26 +78,28 @@
     }
 }
 
-/// The part of a controller's rate that is guaranteed to dependency lookups. They are
-/// few, and jobs wait for them.
+/// Fraction of a controller's rate that is guaranteed to dependency lookups. Lookups
+/// are few, and jobs wait for them.
 const LOOKUP_SHARE: f64 = 0.2;
-/// The part that is guaranteed to polls.
+/// Fraction of a controller's rate that is guaranteed to polls.
 const POLL_SHARE: f64 = 0.1;
-/// Most requests that a priority's guarantee holds while it is not used.
+/// Maximum number of requests that a priority's guarantee accumulates while it is not
+/// used.
 const MAX_GUARANTEED_REQUESTS: f64 = 2.0;
-/// The part of a small bucket that one guarantee may hold.
+/// Maximum fraction of the bucket's capacity that one guarantee may hold, which limits
+/// it for small buckets.
 const MAX_GUARANTEED_PART: f64 = 0.2;
 
-/// Requests of one priority since the process began.
+/// Number of requests of one priority since the process started.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct RequestCounts {
-    /// Made.
+    /// Requests that were made.
     pub taken: u64,
-    /// Held back, to be tried again or given up.
+    /// Requests that were held back, to be retried or given up.
     pub refused: u64,
 }
 
-/// What of the bucket is kept for one priority.
+/// The part of the bucket that is kept for one priority.
 #[derive(Debug, Clone, Copy, Default)]
 struct Guarantee {
     requests_per_ms: f64,
@@ -107,7 +111,8 @@
     fn set_share(&mut self, share: f64, per_s: f64, capacity: f64) {
         self.requests_per_ms = per_s * share / 1000.0;
         let max_requests = MAX_GUARANTEED_REQUESTS.min(capacity * MAX_GUARANTEED_PART);
-        // Less than one request can't be taken, and would only be kept from others.
+        // A guarantee of less than one request could never be taken and would only be
+        // withheld from other priorities.
         self.max_requests = match share > 0.0 && max_requests >= 1.0 {
             true => max_requests,
             false => 0.0,
@@ -121,7 +126,8 @@
     }
 }
 
-/// A controller's share of the state service's request limit.
+/// A controller's share of the state service's request limit, with the guarantees of
+/// each priority.
 #[derive(Debug)]
 pub struct RequestBudget {
     bucket: TokenBucket,
@@ -132,8 +138,8 @@
 }
 
 impl RequestBudget {
-    /// For a controller in this role, with so many requests a second, and so many
-    /// seconds' worth at once.
+    /// Returns the budget of a controller in this role, with `per_s` requests per
+    /// second and a burst of `burst_s` seconds' worth of requests.
     pub fn new(role: Role, per_s: f64, burst_s: f64) -> Self {
         let mut budget = RequestBudget {
             bucket: TokenBucket::new(per_s, burst_s),
@@ -149,7 +155,7 @@
         budget
     }
 
-    /// The controller's role has changed, and its rate with it.
+    /// Applies a changed role of the controller and the rate that goes with it.
     pub fn set_role(&mut self, now: Millis, role: Role, per_s: f64, burst_s: f64) {
         self.refill_guarantees(now);
         self.bucket.set_rate(now, per_s, burst_s);
@@ -157,7 +163,7 @@
     }
 
     fn set_guarantees(&mut self, role: Role, per_s: f64, burst_s: f64) {
-        // As much as the bucket holds when it is full.
+        // Same capacity as that of the token bucket.
         self.capacity = (per_s * burst_s).max(1.0);
         for priority in RequestPriority::ALL {
             let share = priority.guaranteed_share(role);
@@ -173,7 +179,7 @@
         }
     }
 
-    /// Takes one request, and says whether it may be made.
+    /// Takes one request from the budget and returns whether the request may be made.
     pub fn take(&mut self, now: Millis, priority: RequestPriority) -> bool {
         self.refill_guarantees(now);
         let taken = self.take_guaranteed(now, priority) || self.take_surplus(now, priority);
@@ -197,7 +203,8 @@
     fn take_surplus(&mut self, now: Millis, priority: RequestPriority) -> bool {
         let guaranteed: f64 = self.guarantees.iter().map(|g| g.requests).sum();
         let max_guaranteed: f64 = self.guarantees.iter().map(|g| g.max_requests).sum();
-        // A full bucket serves every priority, however small it is.
+        // Limits the reserve so that a full bucket serves every priority, however small
+        // the bucket is.
         let max_reserve = (self.capacity - max_guaranteed - 1.0).max(0.0);
         let reserve = priority.reserve().min(max_reserve);
         self.bucket.take(now, 1.0, guaranteed + reserve)
@@ -209,18 +216,18 @@
         self.counts[priority as usize].taken += u64::from(requests);
     }
 
-    /// How many requests may be made now; negative while in debt.
+    /// Number of requests that may be made now; negative while in debt.
     pub fn level(&mut self, now: Millis) -> f64 {
         self.bucket.level(now)
     }
 
-    /// What was taken and refused, by priority.
+    /// Returns the number of requests taken and refused, by priority.
     pub fn counts(&self) -> impl Iterator<Item = (RequestPriority, RequestCounts)> {
         RequestPriority::ALL.into_iter().zip(self.counts)
     }
 }
 
-/// Requests taken and refused of each priority.
+/// Writes the number of requests taken and refused of each priority.
 impl fmt::Display for RequestBudget {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("requests taken and refused:")?;
--- a/src/state/request_budget/tests.rs
+++ b/src/state/request_budget/tests.rs
@@ -1,10 +1,10 @@
-//! Who goes first, and what nobody can use up.
+//! Tests of request priorities and of the guaranteed shares.
 
 use super::*;
 use crate::state::rate_limit::share;
 
-/// Shares of the deployments: 60, 200 and 700 requests a second, of 3 and 7
-/// controllers, of which one leads.
+/// Roles and their request rates in deployments with 60, 200 and 700 requests per
+/// second and with 3 and 7 controllers, one of which is the leader.
 fn deployments() -> impl Iterator<Item = (Role, f64)> {
     let rates = [60.0, 200.0, 700.0].into_iter();
     let sizes = rates.flat_map(|per_s| [(per_s, 3), (per_s, 7)]);
@@ -22,8 +22,8 @@
 const BURST_S: f64 = 0.9;
 const SECONDS: u64 = 60;
 
-/// Everybody in `demand` asks for one request every so often; returns how many each
-/// priority got in a minute, by its number.
+/// Every priority in `demand` asks for one request every `every_ms` milliseconds.
+/// Returns the number of requests that each priority got in a minute, by its index.
 fn contend(role: Role, per_s: f64, demand: &[RequestPriority], every_ms: Millis) -> [u64; 5] {
     let mut budget = RequestBudget::new(role, per_s, BURST_S);
     for now in (0..SECONDS * 1_000).step_by(every_ms as usize) {
@@ -38,8 +38,8 @@
     taken
 }
 
-/// Guards against lookups of dependencies that find no request for whole terms, as
-/// acceptances take all that the bucket gets beyond what is reserved for them.
+/// Guards against dependency lookups that get no request for whole terms, because
+/// acceptances take all that the bucket gets beyond what is reserved for lookups.
 #[test]
 fn acceptances_leave_lookups_and_polls_their_share_at_every_rate() {
     let all = RequestPriority::ALL;
@@ -50,8 +50,8 @@
             (RequestPriority::Poll, POLL_SHARE),
         ] {
             let guaranteed = (per_s * SECONDS as f64 * share) as u64;
-            let got = taken[priority as usize];
-            assert!(got + 1 >= guaranteed, "{per_s}: {priority:?} {taken:?}");
+            let granted = taken[priority as usize];
+            assert!(granted + 1 >= guaranteed, "{per_s}: {priority:?} {taken:?}");
         }
         let accepted = taken[RequestPriority::Acceptance as usize];
         assert!(
@@ -61,8 +61,8 @@
     }
 }
 
-/// Guards against polls that find no request while the lookups of a large takeover go
-/// on.
+/// Guards against polls that get no request while the lookups of a large takeover are
+/// in progress.
 #[test]
 fn lookups_leave_polls_their_share() {
     for per_s in leaders() {
@@ -78,15 +78,16 @@
     }
 }
 
-/// Guards against shares that are kept though nobody wants them.
+/// Guards against shares that are withheld although no other priority asks for
+/// requests.
 #[test]
-fn one_priority_gets_the_whole_rate_when_nobody_else_asks() {
+fn single_priority_gets_the_whole_rate_when_no_other_asks() {
     for (role, per_s) in deployments() {
         for priority in RequestPriority::ALL {
             let taken = contend(role, per_s, &[priority], 1)[priority as usize];
-            let whole = per_s * SECONDS as f64;
+            let full_rate = per_s * SECONDS as f64;
             assert!(
-                taken as f64 >= 0.99 * whole,
+                taken as f64 >= 0.99 * full_rate,
                 "{per_s}: {priority:?} {taken}"
             );
         }
@@ -104,14 +105,14 @@
     }
 }
 
-/// The bound on the whole is kept, whoever asks.
+/// Guards against exceeding the total rate, whichever priorities ask.
 #[test]
 fn all_priorities_together_stay_within_the_rate() {
     for (role, per_s) in deployments() {
         let taken = contend(role, per_s, &RequestPriority::ALL, 1);
-        let most = per_s * (SECONDS as f64 + BURST_S) + 1.0;
+        let max_requests = per_s * (SECONDS as f64 + BURST_S) + 1.0;
         assert!(
-            taken.iter().sum::<u64>() as f64 <= most,
+            taken.iter().sum::<u64>() as f64 <= max_requests,
             "{per_s}: {taken:?}"
         );
     }
--- a/src/state/resources.rs
+++ b/src/state/resources.rs
@@ -1,12 +1,12 @@
-//! Amounts of CPUs, GPUs and memory in thousandths, so that sums compare
-//! exactly.
+//! Amounts of CPUs, GPUs and memory in thousandths, so that sums compare exactly.
 //!
-//! Owns the rounding: needs up, offers down. Used wherever capacity is compared.
-//! Must never round so that a task fits where it does not.
+//! Owns the rounding: needs are rounded up, offers are rounded down. Used wherever
+//! capacity is compared. Rounding must never let a task appear to fit where it does
+//! not.
 
 use std::ops::{AddAssign, SubAssign};
 
-/// What a task takes, or a machine or quota offers.
+/// Resources that a task takes, or that a machine or quota offers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub struct Resources {
     /// CPUs, in thousandths.
@@ -17,7 +17,7 @@
     pub memory: i64,
 }
 
-/// What an amount may be off by, in thousandths, from how it was computed.
+/// Floating-point error, in thousandths, by which a computed amount may be off.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
 
 fn thousandths_up(amount: f64) -> i64 {
@@ -29,7 +29,7 @@
 }
 
 impl Resources {
-    /// What a task takes: rounded up.
+    /// Returns the resources that a task takes, rounded up.
     pub fn need(cpus: f64, gpus: f64, memory_gb: f64) -> Self {
         Resources {
             cpus: thousandths_up(cpus),
@@ -38,7 +38,7 @@
         }
     }
 
-    /// What a machine or a limit offers: rounded down.
+    /// Returns the resources that a machine or a limit offers, rounded down.
     pub fn offer(cpus: f64, gpus: f64, memory_gb: f64) -> Self {
         Resources {
             cpus: thousandths_down(cpus),
@@ -47,19 +47,19 @@
         }
     }
 
-    /// Whether this fits into what is free.
+    /// Whether these resources fit into `free`.
     pub fn fits(&self, free: &Resources) -> bool {
         self.cpus <= free.cpus && self.gpus <= free.gpus && self.memory <= free.memory
     }
 
-    /// Raises each amount to the other's.
+    /// Raises each amount to at least the other's.
     pub fn widen(&mut self, other: &Resources) {
         self.cpus = self.cpus.max(other.cpus);
         self.gpus = self.gpus.max(other.gpus);
         self.memory = self.memory.max(other.memory);
     }
 
-    /// The lesser of each amount.
+    /// Returns the smaller of each amount.
     pub fn least(&self, other: &Resources) -> Resources {
         Resources {
             cpus: self.cpus.min(other.cpus),
@@ -68,13 +68,14 @@
         }
     }
 
-    /// The difference of each amount, which may be negative.
+    /// Returns the difference of each amount, which may be negative.
     pub fn minus(mut self, other: Resources) -> Resources {
         self -= other;
         self
     }
 
-    /// How many of `each` fit into this: as many as the scarcest amount allows.
+    /// Returns how many times `each` fits into these resources, which the scarcest
+    /// amount limits.
     pub fn count(&self, each: &Resources) -> i64 {
         [
             (self.cpus, each.cpus),
@@ -83,12 +84,12 @@
         ]
         .iter()
         .filter(|(_, needed)| *needed > 0)
-        .map(|(have, needed)| have.max(&0) / needed)
+        .map(|(available, needed)| available.max(&0) / needed)
         .min()
         .unwrap_or(i64::MAX)
     }
 
-    /// What `count` of these take together.
+    /// Returns `count` times these resources.
     pub fn scaled(self, count: i64) -> Resources {
         Resources {
             cpus: self.cpus * count,
--- a/src/state/slot_table.rs
+++ b/src/state/slot_table.rs
@@ -1,15 +1,15 @@
-//! Dense tables whose entries are named by handles: an index, and a generation that
-//! tells an entry from a later one at the same index.
+//! Dense tables whose entries are identified by handles: an index, and a generation
+//! that distinguishes an entry from a later one at the same index.
 //!
-//! Owns how indices are given out and used again. Jobs and machines of the cluster
-//! state are kept in such tables, and named by handles everywhere else. A handle of
-//! an entry that was removed must never find another one: whoever keeps it across
-//! events then finds nothing, rather than somebody else's state.
+//! Owns the allocation and reuse of indices. The jobs and machines of the cluster state
+//! are kept in such tables and identified by handles everywhere else. The handle of a
+//! removed entry must never find another entry: code that keeps a handle across events
+//! then finds nothing instead of the state of another job or machine.
 
 use std::{marker::PhantomData, num::NonZeroU32};
 
-/// An index and its generation. `JobHandle` and `MachineHandle` wrap it, so that one
-/// can't be taken for the other.
+/// An index and its generation. `JobHandle` and `MachineHandle` wrap this type, so that
+/// one can't be used in place of the other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Handle {
     index: u32,
@@ -17,13 +17,14 @@
 }
 
 impl Handle {
-    /// The index. It names the entry only as long as the table has not changed.
+    /// Returns the index. The index identifies the entry only as long as the table has
+    /// not changed.
     pub fn index(self) -> u32 {
         self.index
     }
 }
 
-/// Defines the type of the handles of one table.
+/// Defines the handle type of one table.
 macro_rules! handle_type {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
@@ -31,7 +32,8 @@
         pub struct $name($crate::state::slot_table::Handle);
 
         impl $name {
-            /// The index. It names the entry only as long as the table has not changed.
+            /// Returns the index. The index identifies the entry only as long as the
+            /// table has not changed.
             pub fn index(self) -> u32 {
                 self.0.index()
             }
@@ -54,16 +56,16 @@
 
 #[derive(Debug)]
 struct Slot<T> {
-    /// Of its entry, or of the next one.
+    /// Generation of the current entry, or of the next one if the slot is free.
     generation: NonZeroU32,
     entry: Option<T>,
 }
 
-/// A dense table of `T`, named by handles of type `H`.
+/// A dense table of `T`, whose entries are identified by handles of type `H`.
 #[derive(Debug)]
 pub struct SlotTable<H, T> {
     slots: Vec<Slot<T>>,
-    /// Slots without an entry, the one freed last at the end.
+    /// Indices of the free slots, the one freed last at the end.
     free: Vec<u32>,
     handles: PhantomData<H>,
 }
@@ -79,7 +81,7 @@
 }
 
 impl<H: From<Handle> + Into<Handle>, T> SlotTable<H, T> {
-    /// Adds an entry.
+    /// Adds an entry and returns its handle.
     pub fn insert(&mut self, entry: T) -> H {
         let index = self.free.pop().unwrap_or_else(|| {
             self.slots.push(Slot {
@@ -94,14 +96,14 @@
         Handle { index, generation }.into()
     }
 
-    /// Takes an entry out; `None`: it was taken out before.
+    /// Removes an entry and returns it, or `None` if it was removed before.
     pub fn remove(&mut self, handle: H) -> Option<T> {
         let handle = handle.into();
         let slot = self.slots.get_mut(handle.index as usize)?;
         let entry = slot
             .entry
             .take_if(|_| slot.generation == handle.generation)?;
-        // A slot that has had all generations is never used again.
+        // A slot whose generations are exhausted is never reused.
         if let Some(next) = slot.generation.checked_add(1) {
             slot.generation = next;
             self.free.push(handle.index);
@@ -109,7 +111,7 @@
         Some(entry)
     }
 
-    /// The entry; `None`: it was taken out.
+    /// Returns the entry, or `None` if it was removed.
     pub fn get(&self, handle: H) -> Option<&T> {
         let handle = handle.into();
         let slot = self.slots.get(handle.index as usize)?;
@@ -117,7 +119,7 @@
         (slot.generation == handle.generation).then_some(entry)
     }
 
-    /// The entry, to be changed.
+    /// Returns the entry for modification, or `None` if it was removed.
     pub fn get_mut(&mut self, handle: H) -> Option<&mut T> {
         let handle = handle.into();
         let slot = self.slots.get_mut(handle.index as usize)?;
@@ -125,12 +127,12 @@
         (slot.generation == handle.generation).then_some(entry)
     }
 
-    /// The handle of the entry that has this index now.
+    /// Returns the handle of the entry that currently has this index.
     pub fn handle_at(&self, index: u32) -> Option<H> {
         self.entry_at(index).map(|(handle, _)| handle)
     }
 
-    /// The entry that has this index now, with its handle.
+    /// Returns the entry that currently has this index, with its handle.
     pub fn entry_at(&self, index: u32) -> Option<(H, &T)> {
         let slot = self.slots.get(index as usize)?;
         let entry = slot.entry.as_ref()?;
@@ -138,22 +140,22 @@
         Some((Handle { index, generation }.into(), entry))
     }
 
-    /// How many indices have been given out.
+    /// Number of indices that have been allocated.
     pub fn slot_count(&self) -> usize {
         self.slots.len()
     }
 
-    /// All entries, by index.
+    /// Returns all entries in index order.
     pub fn values(&self) -> impl Iterator<Item = &T> {
         self.slots.iter().filter_map(|slot| slot.entry.as_ref())
     }
 
-    /// All entries, to be changed.
+    /// Returns all entries for modification, in index order.
     pub fn values_mut(&mut self) -> impl Iterator<Item = &mut T> {
         self.slots.iter_mut().filter_map(|slot| slot.entry.as_mut())
     }
 
-    /// All entries with their handles, by index.
+    /// Returns all entries with their handles, in index order.
     pub fn iter(&self) -> impl Iterator<Item = (H, &T)> {
         let slots = self.slots.iter().enumerate();
         slots.filter_map(|(index, slot)| {
@@ -165,7 +167,7 @@
         })
     }
 
-    /// The same, to be changed.
+    /// Returns all entries with their handles, for modification, in index order.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (H, &mut T)> {
         let slots = self.slots.iter_mut().enumerate();
         slots.filter_map(|(index, slot)| {
--- a/src/state/spec_chunks.rs
+++ b/src/state/spec_chunks.rs
@@ -1,11 +1,11 @@
-//! Specs of jobs too long for one value, cut into chunks under keys of their
-//! own. The chunks never change; the job's record names them, and holds what
-//! does change. Keys derive from the content, so that writing them again, in any
-//! order and by any controller, changes nothing.
+//! Job specs that are too long for one value, split into chunks under keys of their
+//! own. Chunks never change; the job's record refers to them and holds the mutable
+//! part. Keys derive from the content, so that writing the chunks again, in any order
+//! and from any controller, has no further effect.
 //!
-//! Owns the keys and the form of chunks. Called on submission, by persistence
-//! and as a new leader loads records. Must never change how the hash is made of
-//! the bytes: stored records name it.
+//! Owns the keys and the format of chunks. Called on submission, by persistence, and
+//! when a new leader loads records. The computation of the hash from the bytes must
+//! never change, because stored records contain the hash.
 //!
 //! Stored names: `h` hash, `n` count.
 
@@ -15,48 +15,49 @@
 use serde::{Deserialize, Serialize};
 use std::hash::{DefaultHasher, Hasher};
 
-/// Prefix of the keys of chunks.
+/// Key prefix of spec chunks.
 pub const SPEC_CHUNKS: &str = "p/";
-/// Bytes of a spec in one chunk: in base 64 it fits any allowed value limit.
+/// Maximum number of spec bytes in one chunk. Such a chunk in base64 fits any allowed
+/// value limit.
 const CHUNK_BYTES: usize = 1200;
 
-/// What a job's record says of its spec.
+/// Reference from a job's record to the chunks of its spec.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SpecChunks {
-    /// Of the spec, with its length.
+    /// Hash of the spec, followed by its length.
     #[serde(rename = "h")]
     hash: String,
-    /// How many chunks there are.
+    /// Number of chunks.
     #[serde(rename = "n")]
     count: usize,
 }
 
 impl SpecChunks {
-    /// Prefix of the keys of these chunks.
+    /// Returns the key prefix of the chunks of job `id`.
     pub fn prefix(&self, id: &str) -> String {
         format!("{SPEC_CHUNKS}{id}/{}/", self.hash)
     }
 
-    /// Their keys, in order.
+    /// Returns the keys of the chunks, in order.
     pub fn keys(&self, id: &str) -> impl Iterator<Item = String> + use<> {
         let prefix = self.prefix(id);
         (0..self.count).map(move |n| format!("{prefix}{n:04}"))
     }
 
-    /// Whether the key is one of these.
+    /// Whether the key belongs to one of these chunks.
     pub fn names(&self, id: &str, key: &str) -> bool {
         let number = key.strip_prefix(&self.prefix(id)).map(str::parse::<usize>);
         matches!(number, Some(Ok(n)) if n < self.count)
     }
 
-    /// The job that a chunk's key belongs to.
+    /// Returns the id of the job to which a chunk's key belongs.
     pub fn job_of(key: &str) -> Option<&str> {
         Some(key.strip_prefix(SPEC_CHUNKS)?.split_once('/')?.0)
     }
 }
 
-/// The chunks of a spec, and the keys and values to be written before a record
-/// may name them.
+/// Splits a spec into chunks. Returns the reference for the job's record, and the keys
+/// and values that have to be written before a record may refer to them.
 pub fn cut(spec: &JobSpec) -> Result<(SpecChunks, Vec<(String, String)>)> {
     let bytes = serde_json::to_vec(spec)?;
     let mut hasher = DefaultHasher::new();
@@ -72,15 +73,21 @@
     Ok((chunks, values))
 }
 
-/// The spec, from the values of its chunks in order.
+/// Assembles the spec from the values of its chunks, in order.
 pub fn join<'a>(chunks: &SpecChunks, values: impl Iterator<Item = &'a str>) -> Result<JobSpec> {
     let mut bytes = Vec::new();
     let mut count = 0;
     for value in values {
-        let part = STANDARD_NO_PAD.decode(value).context("a piece")?;
+        let part = STANDARD_NO_PAD
+            .decode(value)
+            .context("invalid base64 in spec chunk")?;
         bytes.extend(part);
         count += 1;
     }
-    ensure!(count == chunks.count, "{count} pieces of {}", chunks.count);
-    serde_json::from_slice(&bytes).context("the pieces together")
+    ensure!(
+        count == chunks.count,
+        "got {count} of {} spec chunks",
+        chunks.count
+    );
+    serde_json::from_slice(&bytes).context("invalid JSON in assembled spec chunks")
 }
