--- a/crates/protocol/src/cloud.rs
+++ b/crates/protocol/src/cloud.rs
@@ -1,133 +1,133 @@
-//! The cloud's interface: machine types, rentals, releases, the list.
+//! Messages of the cloud's API: machine types, rentals, releases and the machine list.
 
 use serde::{Deserialize, Serialize};
 
-/// A type of machine that the cloud rents, at its current prices.
+/// A machine type that the cloud rents, at its current prices.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct MachineType {
-    /// Its name in requests.
+    /// Name of the type in requests.
     #[serde(rename = "sku")]
     pub name: String,
-    /// CPU cores.
+    /// Number of CPU cores.
     #[serde(rename = "cores")]
     pub cpus: f64,
-    /// GPUs.
+    /// Number of GPUs.
     #[serde(rename = "accelerators", default)]
     pub gpus: f64,
     /// Memory, in GB.
     pub memory_gb: f64,
-    /// Local space for images, in GB; 0: not known.
+    /// Local storage for images, in GB; 0 if unknown.
     #[serde(rename = "local_gb", default)]
     pub cache_gb: f64,
-    /// Rate at which images are fetched, in GB a second.
+    /// Rate at which images are fetched, in GB per second.
     #[serde(default)]
     pub fetch_gb_per_s: f64,
-    /// Price of an ordinary machine, an hour.
+    /// Price of an on-demand machine, per hour.
     pub price: f64,
-    /// Current price of a spot machine, an hour.
+    /// Current price of a spot machine, per hour.
     #[serde(rename = "market_price")]
     pub spot_price: f64,
     /// Usual boot time, in seconds.
     #[serde(rename = "startup_s", default)]
     pub boot_s: f64,
-    /// Zones in which it can be had.
+    /// Zones in which the type is available.
     #[serde(rename = "halls")]
     pub zones: Vec<String>,
 }
 
 impl MachineType {
-    /// The price an hour, as a spot machine or as an ordinary one.
+    /// Returns the price per hour, of a spot machine or of an on-demand one.
     pub fn price_of(&self, spot: bool) -> f64 {
         if spot { self.spot_price } else { self.price }
     }
 }
 
-/// The answer to `GET /machine_types`.
+/// The response to `GET /machine_types`.
 #[derive(Debug, Deserialize, Serialize)]
 pub struct MachineTypes {
-    /// All types.
+    /// All machine types.
     #[serde(rename = "rigs")]
     pub types: Vec<MachineType>,
 }
 
-/// Machines that one rental may ask for.
+/// Maximum number of machines that one rental may request.
 pub const MAX_MACHINES_PER_REQUEST: u32 = 50;
 
-/// A scale-out: the body of `POST /hosts`. Repeating a request that was granted rents
-/// nothing more, so its id must never recur.
+/// A scale-out request: the body of `POST /hosts`. Repeating a request that was granted
+/// rents no further machines, so a request id must never be used for another request.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct MachineRequest {
-    /// Unique over all terms and controllers.
+    /// Request id, unique over all terms and controllers.
     #[serde(rename = "hire_ask")]
     pub request_id: String,
-    /// The machine type.
+    /// Name of the machine type.
     #[serde(rename = "rig")]
     pub type_name: String,
-    /// The zone.
+    /// Name of the zone.
     #[serde(rename = "hall")]
     pub zone: String,
-    /// Spot machines, which the cloud may reclaim.
+    /// Whether to rent spot machines, which the cloud may reclaim.
     #[serde(rename = "lendback")]
     pub spot: bool,
-    /// How many, at most `MAX_MACHINES_PER_REQUEST`.
+    /// Number of machines, at most `MAX_MACHINES_PER_REQUEST`.
     pub count: u32,
 }
 
-/// Names of machines, as granted or to be released.
+/// Names of machines that were granted or have to be released.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct MachineNames {
-    /// The names.
+    /// The machine names.
     #[serde(rename = "posts")]
     pub machines: Vec<String>,
 }
 
-/// The state of a machine in the cloud's list.
+/// State of a machine in the cloud's list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize, Serialize)]
 pub enum ListedState {
-    /// Not up yet, as far as the list knows.
+    /// The machine was not up when the list was made.
     #[serde(rename = "booting")]
     Booting,
-    /// Up, or dead for less than about 30 s.
+    /// The machine is up, or has been dead for less than about 30 s.
     #[serde(rename = "running")]
     Running,
-    /// It stopped by itself and stays listed until it is released.
+    /// The machine stopped by itself and stays listed until it is released.
     #[serde(rename = "failed")]
     Failed,
 }
 
-/// A machine in the cloud's list, which lags.
+/// A machine in the cloud's list, which lags behind the actual state.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct ListedMachine {
-    /// Its name.
+    /// Name of the machine.
     #[serde(rename = "ref")]
     pub id: String,
-    /// Where its worker takes direct commands.
+    /// Address on which the machine's worker accepts direct commands.
     #[serde(default)]
     pub addr: String,
-    /// Its type.
+    /// Name of the machine type.
     #[serde(rename = "rig")]
     pub type_name: String,
-    /// Its zone.
+    /// Name of the zone.
     #[serde(rename = "hall")]
     pub zone: String,
-    /// The cloud may reclaim it.
+    /// Whether the machine is a spot machine, which the cloud may reclaim.
     #[serde(rename = "lendback")]
     pub spot: bool,
-    /// Its state at the time that the list describes.
+    /// State of the machine at the time that the list describes.
     #[serde(rename = "stage")]
     pub state: ListedState,
-    /// Seconds since it was requested, at that time.
+    /// Seconds from the request for the machine to the time that the list describes.
     #[serde(default)]
     pub age_s: f64,
 }
 
-/// A page of the list, in the order of names.
+/// A page of the machine list, ordered by name.
 #[derive(Debug, Deserialize, Serialize)]
 pub struct MachineList {
     /// The machines of this page.
     #[serde(rename = "posts")]
     pub machines: Vec<ListedMachine>,
-    /// There are further pages.
+    /// Whether there are further pages.
     #[serde(default)]
     pub more: bool,
 }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,11 +1,10 @@
-//! Messages between processes, as serde types: workers, users, cloud, state
-//! service, other controllers, brokers and operators, and the settings file.
+//! Messages between processes, as serde types: messages of workers, users, the cloud,
+//! the state service, other controllers, brokers and operators, and the settings file.
 //!
-//! The installation's wire format has names of its own. They appear here, as
-//! serde renames, and nowhere else; the rest of the program uses the field's
-//! terms (`baton` is a fencing token, `tenure` an incarnation, `hall` a zone).
-//! The whole table is in `docs/ARCHITECTURE.md`. What each message is used for
-//! is not decided here.
+//! The installation's wire format uses names of its own. They appear here as serde
+//! renames and nowhere else; the rest of the program uses the common terms (`baton` is
+//! a fencing token, `tenure` an incarnation, `hall` a zone). The complete table is in
+//! `docs/ARCHITECTURE.md`. This crate defines only the messages, not how they are used.
 
 #![warn(missing_docs)]
 
--- a/crates/protocol/src/peers.rs
+++ b/crates/protocol/src/peers.rs
@@ -1,4 +1,5 @@
-//! Messages between controllers: CBOR in length-prefixed frames.
+//! Messages between controllers, and from brokers and operators to controllers: CBOR in
+//! length-prefixed frames.
 
 use super::{
     market::{OffloadCandidate, OffloadMark},
@@ -7,12 +8,14 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// Raised when a frame's meaning changes; others are refused.
+/// Version of the frame format, raised when the meaning of a frame changes. Frames of
+/// other versions are refused.
 pub const VERSION: u16 = 1;
-/// A forwarded body is at most 64 KiB; the rest is framing.
+/// Maximum size of a frame in bytes: 64 KiB for a forwarded body and the rest for
+/// framing.
 pub const MAX_FRAME: usize = 96 * 1024;
 
-/// What is sent in a length-prefixed frame.
+/// A message as sent in a length-prefixed frame.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Frame<T> {
     /// `VERSION` of the sender.
@@ -21,10 +24,10 @@
     pub body: T,
 }
 
-/// What one controller, broker or operator asks of a controller.
+/// A request from a controller, broker or operator to a controller.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Request {
-    /// A user's request, passed on to the leader.
+    /// Forwards a user's request to the leader.
     Forward {
         /// HTTP method.
         method: String,
@@ -33,160 +36,166 @@
         /// HTTP body, at most 64 KiB.
         body: Vec<u8>,
     },
-    /// Polls of users, as many as wait: how do these jobs stand?
+    /// Queries the state of jobs for all user polls that are waiting.
     Polls {
-        /// The jobs, each once.
+        /// Ids of the jobs, without duplicates.
         ids: Vec<String>,
     },
-    /// The leader of `term` can't reach the state service: will the peer
-    /// refrain from seeking leadership for `for_ms`?
+    /// Asks the peer not to seek leadership for `for_ms`, because the leader of `term`
+    /// can't reach the state service.
     Promise {
         /// The leader's term.
         term: u64,
         /// The leader's name.
         leader: String,
-        /// For how many milliseconds.
+        /// Duration of the promise, in milliseconds.
         for_ms: u64,
     },
-    /// Is anybody there? The leader has not heard these machines for a
-    /// while: their reports are to be relayed for `for_ms` if they come.
+    /// Probes a peer. The leader has received no heartbeat from the named machines for
+    /// a while: the peer relays their heartbeats for `for_ms` if it receives any.
     #[serde(rename = "Unheard")]
     RelayHeartbeats {
-        /// Names of the machines; none for a mere probe.
+        /// Names of the machines; empty for a plain probe.
         machines: Vec<String>,
-        /// For how many milliseconds.
+        /// Time for which the peer relays heartbeats, in milliseconds.
         for_ms: u64,
     },
-    /// The leader's cluster state, or what changed of it, for a standby to keep.
+    /// Sends a standby the leader's cluster state, or the changes of it.
     #[serde(rename = "Follow")]
     Replicate(ReplicationPart),
-    /// The leader of `term` has stopped acting, its key may be replaced.
+    /// Tells the peer that the leader of `term` has stopped acting and that its key may
+    /// be replaced.
     Resigned {
-        /// The term that is over.
+        /// The term that has ended.
         term: u64,
     },
-    /// An operator asks any node how things stand.
+    /// Asks any node for the cluster status on behalf of an operator.
     Status,
-    /// The same among controllers: only the leader answers.
+    /// Asks for the cluster status among controllers: only the leader replies with it.
     LeaderStatus,
-    /// An operator asks about one job. `forwarded`: on their behalf.
+    /// Asks about one job on behalf of an operator.
     Explain {
-        /// The job.
+        /// Id of the job.
         id: String,
-        /// By a controller that does not lead.
+        /// Whether a controller that is not the leader forwards the operator's request.
         forwarded: bool,
     },
-    /// A broker asks the leader what could be offloaded, and which of the jobs that
-    /// it has out (with their awards) are not needed any more.
+    /// Asks the leader, on behalf of a broker, which jobs could be offloaded and which
+    /// of the offloaded jobs, given with their awards, are no longer needed.
     #[serde(rename = "Lendable")]
     OffloadCandidates {
-        /// Ids of offloaded jobs, each with its award.
+        /// Ids of the offloaded jobs, each with its award.
         lent: Vec<(String, u64)>,
     },
-    /// The job is to be marked as offloaded, if the award's record has this
-    /// version.
+    /// Asks to mark the job as offloaded, if the award's record has this version.
     #[serde(rename = "Lend")]
     Offload {
-        /// The job.
+        /// Id of the job.
         id: String,
-        /// The award.
+        /// Number of the award.
         award: u64,
-        /// To which market.
+        /// Name of the market.
         market: String,
-        /// Of the award's record, on which the mark's write is conditional.
+        /// Version of the award's record, on which the write of the mark is
+        /// conditional.
         version: u64,
     },
-    /// The award is over: these tasks are done, the mark is to be lifted.
+    /// Reports that an award has ended: the given tasks are done, and the mark has to
+    /// be removed.
     #[serde(rename = "TakeBack")]
     EndOffload {
-        /// The job.
+        /// Id of the job.
         id: String,
-        /// The award that has ended.
+        /// Number of the award that has ended.
         award: u64,
-        /// Finished tasks, as sorted ranges with both ends.
+        /// Completed tasks, as sorted ranges that include both ends.
         done: Vec<(u32, u32)>,
     },
 }
 
-/// One part of a stream in which the leader of a term tells a standby what is,
-/// or may be, on machines.
+/// One part of a replication stream, in which the leader of a term sends a standby
+/// which tasks run, or may run, on machines.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ReplicationPart {
     /// The leader's term.
     pub term: u64,
-    /// Later streams replace earlier ones; each begins with everything.
+    /// Number of the stream. Later streams replace earlier ones; each starts with the
+    /// whole state.
     pub stream: u64,
-    /// Place in the stream, from 0 without a gap.
+    /// Number of the part in the stream, from 0 without gaps.
     pub part: u64,
-    /// With this part the copy holds all that the leader's cluster state held when
-    /// the round began that the part ends.
+    /// Whether the replica, with this part applied, holds everything that the leader's
+    /// cluster state held at the start of the replication round that ends with this
+    /// part.
     #[serde(rename = "whole")]
     pub complete: bool,
-    /// The leader counts on this standby, as far as it knows.
+    /// Whether the leader counts on this standby, as far as the leader knows.
     #[serde(rename = "named")]
     pub counted: bool,
-    /// Machines of which the content is told, each whole.
+    /// Machines that this part describes, each with all its tasks.
     pub machines: Vec<MachineTasks>,
 }
 
-/// All that is, or may be, on a machine.
+/// All tasks that run, or may run, on a machine.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MachineTasks {
-    /// The machine's name.
+    /// Name of the machine.
     #[serde(rename = "m")]
     pub machine: String,
-    /// By job.
+    /// Tasks by job id.
     #[serde(rename = "j")]
     pub jobs: Vec<(String, Vec<ReplicatedTask>)>,
 }
 
-/// A task that is, or may be, on a machine.
+/// A task that runs, or may run, on a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ReplicatedTask(
-    /// Its number in the job.
+    /// Task number within the job.
     pub u32,
-    /// The attempt.
+    /// Attempt number.
     pub u64,
-    /// The leader's change that put it there: of two places the one with the
-    /// later change holds, as nothing is placed again before it is gone.
+    /// Number of the leader's change that placed the task there. Of two placements of a
+    /// task the one with the later change is valid, because a task is placed again only
+    /// after it is gone from its earlier machine.
     pub u64,
-    /// How it was last seen.
+    /// Phase in which the task was last reported.
     pub ReplicatedPhase,
 );
 
-/// See `ReplicatedPhase`.
+/// Phase of a replicated task, written as a number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(into = "u8", try_from = "u8")]
 pub enum ReplicatedPhase {
-    /// It may be there, or come to be there.
+    /// The task may be on the machine, or may yet arrive there.
     Sent,
-    /// Running, as last reported.
+    /// The task was last reported as running.
     Running,
-    /// It has completed, which may not be recorded yet.
+    /// The task has completed, which may not be recorded yet.
     Done,
 }
 
 impl From<ReplicatedPhase> for u8 {
-    fn from(seen: ReplicatedPhase) -> u8 {
-        seen as u8
+    fn from(phase: ReplicatedPhase) -> u8 {
+        phase as u8
     }
 }
 
 impl TryFrom<u8> for ReplicatedPhase {
     type Error = String;
 
-    fn try_from(n: u8) -> Result<Self, String> {
-        match n {
+    fn try_from(number: u8) -> Result<Self, String> {
+        match number {
             0 => Ok(ReplicatedPhase::Sent),
             1 => Ok(ReplicatedPhase::Running),
             2 => Ok(ReplicatedPhase::Done),
-            _ => Err(format!("no such state of a task: {n}")),
+            _ => Err(format!("invalid phase of a replicated task: {number}")),
         }
     }
 }
 
 impl Request {
-    /// Asks nothing but an answer.
+    /// Returns a request that only probes the peer and asks for the leader that it
+    /// knows.
     pub fn greeting() -> Self {
         Request::RelayHeartbeats {
             machines: Vec::new(),
@@ -195,7 +204,7 @@
     }
 }
 
-/// The answer to a `Request`.
+/// The reply to a `Request`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Reply {
     /// The leader's HTTP response to a forwarded request.
@@ -207,57 +216,59 @@
         /// HTTP body.
         body: Vec<u8>,
     },
-    /// In the order of the ids asked about: state, tasks done and running.
-    /// Of a job that the leader doesn't know, the records may.
+    /// Job states in the order of the requested ids, each with the numbers of done and
+    /// running tasks. `None` for jobs that the leader does not know; the stored records
+    /// may know them.
     Polled(Vec<Option<(JobState, u32, u32)>>),
-    /// Who keeps the copy, and whether the part was taken in. If not, the
-    /// stream has to begin anew.
+    /// Tells which process keeps the replica, and whether the part was applied. If not,
+    /// the leader has to restart the stream.
     #[serde(rename = "Followed")]
     Replicated {
-        /// Of the standby's process.
+        /// Incarnation of the standby's process.
         incarnation: u64,
-        /// The part was applied.
+        /// Whether the part was applied.
         #[serde(rename = "taken")]
         applied: bool,
     },
-    /// Not the leader.
+    /// The replying node is not the leader.
     NotLeader,
-    /// The answer to a request for a promise.
+    /// The reply to a request for a promise.
     Promise {
-        /// The promise is given.
+        /// Whether the promise is granted.
         granted: bool,
-        /// The peer's own requests to the state service succeed.
+        /// Whether the peer's own requests to the state service succeed.
         state_ok: bool,
-        /// How long its process has run, in milliseconds: evidence that no
-        /// other process of that node has led meanwhile. A version from before
-        /// it says nothing, and that is none.
+        /// Uptime of the peer's process in milliseconds: evidence that no other process
+        /// of that node has led in the meantime. Older versions don't send this field,
+        /// and its absence is no such evidence.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         running_ms: Option<u64>,
     },
-    /// Nothing more to say.
+    /// Acknowledges the request without further data.
     Ok,
-    /// Name and term of the leader, as far as this node knows.
+    /// Names the leader and its term, as far as the replying node knows.
     #[serde(rename = "Greeted")]
     LeaderHint {
-        /// `None`: it knows of none.
+        /// Name and term of the leader; `None` if the node knows of no leader.
         leader: Option<(String, u64)>,
     },
-    /// To `Status` and `LeaderStatus`.
+    /// The reply to `Status` and `LeaderStatus`.
     Status(Box<Status>),
-    /// To `Explain`.
+    /// The reply to `Explain`.
     Explained(Explanation),
-    /// To `Lendable`.
+    /// The reply to `OffloadCandidates` (`Lendable` on the wire).
     #[serde(rename = "Lendable")]
     OffloadCandidates {
         /// Jobs that could be offloaded.
         jobs: Vec<OffloadCandidate>,
-        /// Offloaded jobs that are to be called back.
+        /// Ids of offloaded jobs that have to be recalled.
         recall: Vec<String>,
     },
-    /// To `Lend`.
+    /// The reply to `Offload` (`Lend` on the wire).
     #[serde(rename = "Lent")]
     OffloadMark(OffloadMark),
-    /// Whether that is durable.
+    /// The reply to `EndOffload` (`TakeBack` on the wire): whether the end of the
+    /// offload is durable.
     #[serde(rename = "TakenBack")]
     OffloadEnded(bool),
 }
--- a/crates/protocol/src/settings.rs
+++ b/crates/protocol/src/settings.rs
@@ -1,21 +1,23 @@
-//! The platform's JSON settings file, read once at the start and checked.
+//! The platform's JSON settings file, read and checked once at startup.
 
 use anyhow::{Context, Result, ensure};
 use serde::{Deserialize, Serialize};
 use std::{net::SocketAddr, path::Path};
 
-/// What a value must be allowed to hold: a job's marks and 1 KiB of bits.
-pub const LEAST_VALUE_KB: f64 = 2.0;
-/// A job's end is two changes, and an acceptance with its notice.
-pub const LEAST_TXN_OPS: usize = 2;
+/// Minimum value size limit, in KiB, that `state.next` may announce: a value must hold
+/// a job's flags and 1 KiB of its completion bitmap.
+pub const MIN_VALUE_KB: f64 = 2.0;
+/// Minimum number of changes per transaction that `state.next` may announce: ending a
+/// job takes two changes, and so does an acceptance with its feed entry.
+pub const MIN_TXN_OPS: usize = 2;
 
-/// The whole file.
+/// The contents of the settings file.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct Settings {
     /// Name of this controller.
     #[serde(rename = "host_name")]
     pub name: String,
-    /// Zone in which it runs.
+    /// Zone in which this controller runs.
     #[serde(rename = "area")]
     pub zone: String,
     /// Address for users and workers.
@@ -26,150 +28,151 @@
     /// The other controllers.
     #[serde(rename = "known", default)]
     pub peers: Vec<Peer>,
-    /// Where the outside services are.
+    /// Addresses of the external services.
     #[serde(rename = "outside")]
     pub services: Services,
-    /// What is the same for all controllers.
+    /// Settings that are the same for all controllers.
     pub cluster: Cluster,
 }
 
 /// Another controller.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct Peer {
-    /// Its name.
+    /// Name of the controller.
     #[serde(rename = "host_name")]
     pub name: String,
-    /// Where it stands, if that is told.
+    /// Zone of the controller, empty if not given.
     #[serde(rename = "area", default)]
     pub zone: String,
-    /// Its address for controllers.
+    /// Address on which the controller accepts requests from other controllers.
     #[serde(rename = "endpoint")]
     pub addr: SocketAddr,
 }
 
-/// Addresses of the outside services.
+/// Addresses of the external services.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct Services {
-    /// The cloud's API.
+    /// Address of the cloud's API.
     pub cloud: SocketAddr,
-    /// The state service.
+    /// Address of the state service.
     pub state: SocketAddr,
 }
 
-/// What is the same for all controllers.
+/// Settings that are the same for all controllers.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct Cluster {
     /// Names of all zones.
     pub zones: Vec<String>,
-    /// All teams, with quotas.
+    /// All teams, with their quotas.
     pub teams: Vec<Team>,
     /// Service-level objectives.
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    /// Times that workers keep.
+    /// Timing parameters of the workers.
     pub workers: Workers,
     /// Limits of the state service.
     pub state: StateLimits,
     /// Limits of the cloud's API.
     pub cloud: CloudLimits,
-    /// Limits of this process.
+    /// Resource limits of this process.
     pub quota: Quota,
 }
 
-/// A team, with its guarantee and limit.
+/// A team with its guarantee and its limit.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct Team {
-    /// Its name in jobs.
+    /// Name of the team in job specs.
     pub name: String,
-    /// Guaranteed amounts; 0 is no guarantee.
+    /// Guaranteed CPUs; 0 means no guarantee.
     #[serde(default)]
     pub cpus: f64,
-    /// Guaranteed GPUs; 0 is no guarantee.
+    /// Guaranteed GPUs; 0 means no guarantee.
     #[serde(default)]
     pub gpus: f64,
-    /// Limits; 0 is no limit for that resource.
+    /// Limit in CPUs; 0 means no limit.
     #[serde(default)]
     pub cpus_max: f64,
-    /// Limit in GPUs; 0 is no limit.
+    /// Limit in GPUs; 0 means no limit.
     #[serde(default)]
     pub gpus_max: f64,
 }
 
-/// An aim as the operators state it. Only `kind`, the class and the times
-/// matter to scheduling.
+/// A service-level objective, as stated by the operators. Only the kind, the class and
+/// the times affect scheduling.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct Objective {
-    /// What is aimed at: `wait`, `guarantee`, `deadline` and others.
+    /// Kind of the objective: `wait`, `guarantee`, `deadline` and others.
     pub kind: String,
-    /// The class of jobs that it is for.
+    /// Class of jobs to which the objective applies.
     #[serde(default)]
     pub class: Option<String>,
-    /// Within how many seconds.
+    /// Time in seconds within which the objective has to be met.
     #[serde(default)]
     pub within_s: Option<f64>,
-    /// For deadlines: by how many times the deadline.
+    /// For deadlines: factor by which the deadline is multiplied.
     #[serde(default)]
     pub times: Option<f64>,
 }
 
-/// Times that workers keep, in seconds.
+/// Timing parameters of the workers, in seconds.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct Workers {
-    /// Between two heartbeats.
+    /// Interval between two heartbeats.
     pub report_s: f64,
-    /// A worker without an answer for so long ends its tasks.
+    /// Lease duration: a worker that gets no response for this long stops its tasks.
     pub lease_s: f64,
-    /// So long a gang's task waits for the others.
+    /// Time for which a task of a gang waits for the other tasks.
     pub gang_wait_s: f64,
-    /// Within this time a gang notices that a task of it is lost.
+    /// Time within which a gang detects that one of its tasks is lost.
     pub gang_peer_s: f64,
-    /// Within this time all tasks of a cancelled job must be gone.
+    /// Time within which all tasks of a cancelled job must be gone.
     pub cancel_s: f64,
 }
 
-/// Limits of the state service, for all controllers together.
+/// Limits of the state service, shared by all controllers.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct StateLimits {
-    /// Requests a second.
+    /// Maximum number of requests per second.
     pub rps: f64,
-    /// Puts and deletes a second.
+    /// Maximum number of puts and deletes per second.
     pub write_rps: f64,
-    /// KiB of a value.
+    /// Maximum size of a value, in KiB.
     pub value_kb: f64,
-    /// Puts and deletes of a transaction.
+    /// Maximum number of puts and deletes in a transaction.
     pub txn_ops: usize,
-    /// What some of them will be from some moment on, without notice.
+    /// New values of some limits, which will take effect at some moment without notice.
     #[serde(default)]
     pub next: Option<NextLimits>,
 }
 
-/// Limits to come; one that is absent stays.
+/// Future limits of the state service; an absent limit stays as it is.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Deserialize, Serialize)]
 pub struct NextLimits {
-    /// Requests a second.
+    /// Maximum number of requests per second.
     #[serde(default)]
     pub rps: Option<f64>,
-    /// Puts and deletes a second.
+    /// Maximum number of puts and deletes per second.
     #[serde(default)]
     pub write_rps: Option<f64>,
-    /// KiB of a value.
+    /// Maximum size of a value, in KiB.
     #[serde(default)]
     pub value_kb: Option<f64>,
-    /// Puts and deletes of a transaction.
+    /// Maximum number of puts and deletes in a transaction.
     #[serde(default)]
     pub txn_ops: Option<usize>,
 }
 
 impl StateLimits {
-    /// The lesser of each limit and what it will be: what keeps to these fits
-    /// before and after, so that nobody need know the moment.
+    /// Returns the lower of each limit and its future value. Requests within these
+    /// limits are allowed before and after the change, so that the moment of the change
+    /// need not be known.
     pub fn always(&self) -> StateLimits {
         let next = self.next.unwrap_or_default();
-        let least = |now: f64, next: Option<f64>| next.map_or(now, |n| n.min(now));
+        let lower = |current: f64, next: Option<f64>| next.map_or(current, |n| n.min(current));
         StateLimits {
-            rps: least(self.rps, next.rps),
-            write_rps: least(self.write_rps, next.write_rps),
-            value_kb: least(self.value_kb, next.value_kb),
+            rps: lower(self.rps, next.rps),
+            write_rps: lower(self.write_rps, next.write_rps),
+            value_kb: lower(self.value_kb, next.value_kb),
             txn_ops: next.txn_ops.map_or(self.txn_ops, |n| n.min(self.txn_ops)),
             next: None,
         }
@@ -179,29 +182,29 @@
 /// Limits of the cloud's API.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct CloudLimits {
-    /// Requests a second, for all controllers together.
+    /// Maximum number of requests per second, shared by all controllers.
     pub rps: f64,
-    /// Usual age of the machine list, in seconds; it may be twice that.
+    /// Usual age of the machine list, in seconds; the actual age may be twice that.
     pub list_lag_s: f64,
 }
 
-/// Limits of this process.
+/// Resource limits of this process.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct Quota {
-    /// Open sockets.
+    /// Maximum number of open sockets.
     #[serde(rename = "max_sockets")]
     pub max_connections: usize,
 }
 
 impl Settings {
-    /// Reads and checks the file.
+    /// Reads and checks the settings file.
     pub fn load(path: &Path) -> Result<Self> {
         let text = std::fs::read_to_string(path)
             .with_context(|| format!("cannot read settings file {}", path.display()))?;
         Self::parse(&text).with_context(|| format!("settings file {}", path.display()))
     }
 
-    /// Reads and checks the text of a file. Errors name the field.
+    /// Parses and checks the text of a settings file. Errors name the field.
     pub fn parse(text: &str) -> Result<Self> {
         let settings: Settings = serde_json::from_str(text)?;
         settings.check()?;
@@ -210,68 +213,71 @@
 
     fn check(&self) -> Result<()> {
         ensure!(!self.name.is_empty(), "host_name: must not be empty");
-        let c = &self.cluster;
+        let cluster = &self.cluster;
         ensure!(
-            !c.zones.is_empty() && c.zones.len() < 1000,
+            !cluster.zones.is_empty() && cluster.zones.len() < 1000,
             "cluster.zones: must name 1 to 999 zones"
         );
-        ensure!(c.teams.len() < 10_000, "cluster.teams: too many teams");
-        for team in &c.teams {
-            for (field, v) in [
+        ensure!(
+            cluster.teams.len() < 10_000,
+            "cluster.teams: too many teams"
+        );
+        for team in &cluster.teams {
+            for (field, value) in [
                 ("cpus", team.cpus),
                 ("gpus", team.gpus),
                 ("cpus_max", team.cpus_max),
                 ("gpus_max", team.gpus_max),
             ] {
                 ensure!(
-                    v.is_finite() && v >= 0.0,
+                    value.is_finite() && value >= 0.0,
                     "cluster.teams: {}.{field}: must not be negative",
                     team.name
                 );
             }
         }
-        for (field, v) in [
-            ("workers.report_s", c.workers.report_s),
-            ("workers.lease_s", c.workers.lease_s),
-            ("workers.gang_wait_s", c.workers.gang_wait_s),
-            ("workers.gang_peer_s", c.workers.gang_peer_s),
-            ("workers.cancel_s", c.workers.cancel_s),
-            ("state.rps", c.state.rps),
-            ("state.write_rps", c.state.write_rps),
-            ("state.value_kb", c.state.value_kb),
-            ("cloud.rps", c.cloud.rps),
+        for (field, value) in [
+            ("workers.report_s", cluster.workers.report_s),
+            ("workers.lease_s", cluster.workers.lease_s),
+            ("workers.gang_wait_s", cluster.workers.gang_wait_s),
+            ("workers.gang_peer_s", cluster.workers.gang_peer_s),
+            ("workers.cancel_s", cluster.workers.cancel_s),
+            ("state.rps", cluster.state.rps),
+            ("state.write_rps", cluster.state.write_rps),
+            ("state.value_kb", cluster.state.value_kb),
+            ("cloud.rps", cluster.cloud.rps),
         ] {
             ensure!(
-                v.is_finite() && v > 0.0 && v < 1e9,
+                value.is_finite() && value > 0.0 && value < 1e9,
                 "cluster.{field}: must be a positive number"
             );
         }
         ensure!(
-            c.cloud.list_lag_s.is_finite() && c.cloud.list_lag_s >= 0.0,
+            cluster.cloud.list_lag_s.is_finite() && cluster.cloud.list_lag_s >= 0.0,
             "cluster.cloud.list_lag_s: must not be negative"
         );
         ensure!(
-            c.state.txn_ops >= 4,
+            cluster.state.txn_ops >= 4,
             "cluster.state.txn_ops: must be at least 4"
         );
-        let next = c.state.next.unwrap_or_default();
-        for (field, v, least) in [
+        let next = cluster.state.next.unwrap_or_default();
+        for (field, value, minimum) in [
             ("rps", next.rps, 1.0),
             ("write_rps", next.write_rps, 1.0),
-            ("value_kb", next.value_kb, LEAST_VALUE_KB),
+            ("value_kb", next.value_kb, MIN_VALUE_KB),
             (
                 "txn_ops",
                 next.txn_ops.map(|n| n as f64),
-                LEAST_TXN_OPS as f64,
+                MIN_TXN_OPS as f64,
             ),
         ] {
             ensure!(
-                v.is_none_or(|v| v.is_finite() && v >= least),
-                "cluster.state.next.{field}: must be at least {least}"
+                value.is_none_or(|value| value.is_finite() && value >= minimum),
+                "cluster.state.next.{field}: must be at least {minimum}"
             );
         }
         ensure!(
-            c.quota.max_connections >= 32,
+            cluster.quota.max_connections >= 32,
             "cluster.quota.max_sockets: must be at least 32"
         );
         Ok(())
--- a/crates/protocol/src/state.rs
+++ b/crates/protocol/src/state.rs
@@ -1,9 +1,9 @@
-//! The state service's interface.
+//! Messages of the state service's API.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// A key with its value.
+/// A key with its value and version.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct Item {
     /// The key.
@@ -11,7 +11,7 @@
     /// The value.
     #[serde(rename = "data")]
     pub value: Value,
-    /// Revision of the key's last change.
+    /// Version of the key: the revision of its last change.
     #[serde(rename = "key_rev")]
     pub version: u64,
 }
@@ -19,47 +19,48 @@
 /// A page of keys under a prefix, in key order.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct Page {
-    /// The keys of this page.
+    /// The items of this page.
     #[serde(rename = "rows")]
     pub items: Vec<Item>,
-    /// There are further pages.
+    /// Whether there are further pages.
     #[serde(default)]
     pub more: bool,
-    /// Revision that the page shows.
+    /// Revision of the store that the page shows.
     #[serde(rename = "ledger_rev", default)]
     pub revision: u64,
 }
 
-/// The answer to a watch.
+/// The response to a watch.
 #[derive(Debug, Deserialize, Serialize)]
 pub struct Watched {
-    /// All changes up to this revision are told.
+    /// Revision up to which all changes are included.
     #[serde(rename = "ledger_rev")]
     pub revision: u64,
-    /// The changes since the revision asked from.
+    /// Changes since the revision given in the request.
     #[serde(rename = "log", default)]
     pub events: Vec<Event>,
 }
 
-/// One change.
+/// A change of one key.
 #[derive(Debug, Deserialize, Serialize)]
 pub struct Event {
-    /// Absent when the key was deleted.
+    /// The key that was set; absent if the key was deleted.
     #[serde(rename = "set", default)]
     pub put: Option<String>,
 }
 
-/// A comparison: the transaction applies only if the key has this version.
+/// A condition of a transaction: the transaction applies only if the key has this
+/// version.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Condition {
     /// The key.
     pub key: String,
-    /// Its expected version; 0: it must not exist.
+    /// Expected version of the key; 0 means that the key must not exist.
     #[serde(rename = "key_rev")]
     pub version: u64,
 }
 
-/// One change of a transaction.
+/// One write of a transaction.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Write {
@@ -68,7 +69,7 @@
         /// The key.
         #[serde(rename = "set")]
         key: String,
-        /// Its new value.
+        /// New value of the key.
         #[serde(rename = "data")]
         value: Value,
         /// The lease that the key is attached to; `None` detaches it.
@@ -83,32 +84,32 @@
     },
 }
 
-/// A transaction: a compare-and-swap over several keys, applied whole or not at all.
+/// A compare-and-swap transaction over several keys, applied completely or not at all.
 #[derive(Debug, Clone, PartialEq, Serialize, Default, Deserialize)]
 pub struct Txn {
-    /// All must hold.
+    /// Conditions, all of which must hold.
     #[serde(rename = "guards", default)]
     pub conditions: Vec<Condition>,
-    /// Applied together, under one revision.
+    /// Writes, which are applied together under one revision.
     #[serde(rename = "writes", default)]
     pub writes: Vec<Write>,
 }
 
-/// The answer to a transaction.
+/// The response to a transaction.
 #[derive(Debug, Deserialize, Serialize)]
 pub struct Revision {
-    /// The new revision, or the present one if a condition failed.
+    /// The new revision, or the current one if a condition failed.
     #[serde(rename = "ledger_rev")]
     pub revision: u64,
-    /// Keys of which the condition failed.
+    /// Keys whose condition failed.
     #[serde(default)]
     pub failed: Vec<String>,
 }
 
-/// The answer to a request for a lease.
+/// The response to a request for a lease.
 #[derive(Debug, Deserialize, Serialize)]
 pub struct LeaseGranted {
-    /// The lease's id.
+    /// Id of the lease.
     #[serde(rename = "hold")]
     pub lease: u64,
 }
--- a/crates/protocol/src/status.rs
+++ b/crates/protocol/src/status.rs
@@ -1,44 +1,45 @@
-//! What operators are told: the state of the whole, and of one job. Lists are
-//! bounded, so that an answer always fits a frame.
+//! Status messages for operators: the state of the whole cluster, and of one job. Lists
+//! are bounded, so that a reply always fits a frame.
 
 use serde::{Deserialize, Serialize};
 
-/// Rows of each list.
+/// Maximum number of rows in each list.
 pub const MOST_ROWS: usize = 100;
 
-/// Why a task is not running. Set by the code that decided so.
+/// Reason why a task is not running, set by the code that made the decision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PendingReason {
-    /// Not looked at yet.
+    /// The scheduler has not considered the task yet.
     New,
-    /// The team may not use more at once.
+    /// The team has reached its limit.
     TeamLimit,
-    /// No machine that is up has room; more were not found worth renting.
+    /// No machine that is up has room, and renting more machines was not found
+    /// worthwhile.
     NoRoom,
-    /// Room is on its way: a machine boots or is being rented.
+    /// Capacity is on its way: a machine is booting or being rented.
     MachineBooting,
-    /// More machines are wanted than the cloud gives.
+    /// The cloud does not grant as many machines as are needed.
     CloudRefuses,
-    /// The gang has not found room for all its tasks yet.
+    /// Room for all tasks of the gang has not been found yet.
     GangIncomplete,
-    /// Tasks of lower priority are stopping to make room.
+    /// Tasks of lower priority are being preempted to make room.
     RoomBeingMade,
-    /// An earlier attempt may still be on a machine.
+    /// An earlier attempt of the task may still be on a machine.
     OldAttempt,
-    /// The leader is new and has not heard every machine.
+    /// The leader is new and has not received a heartbeat from every machine yet.
     Settling,
-    /// Its tasks fail wherever they start: the next try is put off.
+    /// The job's tasks fail wherever they start, so that the next start is delayed.
     FailsEverywhere,
-    /// With a neighbouring market, or on its way there.
+    /// The job is offloaded to a neighbouring market, or its offload is in progress.
     Lent,
-    /// Other jobs have to be done first. Only seen where every controller
-    /// knows of that.
+    /// Other jobs have to be done first. Only used once every controller runs a version
+    /// that knows this reason.
     NeedsOthers,
 }
 
 impl PendingReason {
-    /// As operators read it.
+    /// Returns the reason as text for operators.
     pub fn text(self) -> &'static str {
         match self {
             PendingReason::New => "not looked at yet",
@@ -57,43 +58,43 @@
     }
 }
 
-/// How a job stands to its deadline.
+/// Prospects of a job with regard to its deadline.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Due {
-    /// No sign that it will miss it.
+    /// Nothing indicates that the job will miss its deadline.
     InTime,
     /// Waiting tasks would be late even if they started now.
     AtRisk,
-    /// It has missed it.
+    /// The job has missed its deadline.
     Late,
 }
 
-/// Jobs of one class and team.
+/// Summary of the jobs of one class and team.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct JobGroup {
-    /// The class.
+    /// Class of the jobs.
     pub class: String,
-    /// The team.
+    /// Team of the jobs.
     pub team: String,
-    /// Tasks that wait.
+    /// Number of waiting tasks.
     pub waiting: u32,
-    /// Tasks that run.
+    /// Number of running tasks.
     pub running: u32,
-    /// Age of the job that waits longest, in seconds.
+    /// Age of the job that has waited longest, in seconds.
     pub oldest_wait_s: f64,
-    /// Waiting tasks by reason.
+    /// Number of waiting tasks by reason.
     pub reasons: Vec<(PendingReason, u32)>,
-    /// Jobs past their deadline.
+    /// Number of jobs past their deadline.
     pub late_jobs: u32,
-    /// Jobs that are going to miss it.
+    /// Number of jobs that are expected to miss their deadline.
     pub at_risk_jobs: u32,
 }
 
-/// What a team uses of its quota.
+/// A team's resource usage and quota.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct TeamUsage {
-    /// The team.
+    /// Name of the team.
     pub name: String,
     /// CPUs in use.
     pub cpus: f64,
@@ -103,65 +104,66 @@
     pub cpus_guaranteed: f64,
     /// Guaranteed GPUs.
     pub gpus_guaranteed: f64,
-    /// Limit in CPUs; 0 is none.
+    /// Limit in CPUs; 0 means no limit.
     pub cpus_max: f64,
-    /// Limit in GPUs; 0 is none.
+    /// Limit in GPUs; 0 means no limit.
     pub gpus_max: f64,
 }
 
-/// Machines of one type, zone and kind.
+/// Summary of the machines of one type and zone, either spot or on-demand.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct MachineGroup {
-    /// The type.
+    /// Name of the machine type.
     pub type_name: String,
-    /// The zone.
+    /// Name of the zone.
     pub zone: String,
-    /// Spot machines.
+    /// Whether these are spot machines.
     pub spot: bool,
-    /// Machines that are up.
+    /// Number of machines that are up.
     pub up: u32,
-    /// Machines that are not up yet.
+    /// Number of machines that are not up yet.
     pub booting: u32,
-    /// Machines that are being released.
+    /// Number of machines that are being released.
     pub leaving: u32,
-    /// Share of the scarcest resource that is taken, on machines that are up.
+    /// Fraction of the scarcest resource that is in use, on machines that are up.
     pub load: f64,
 }
 
-/// A machine that is not in order.
+/// A machine with a problem.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineProblem {
-    /// The machine.
+    /// Name of the machine.
     pub machine: String,
-    /// What is the matter.
+    /// Description of the problem.
     pub why: String,
 }
 
-/// A task that failed lately.
+/// A recent task failure.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TaskFailure {
-    /// The task.
+    /// Name of the task.
     pub task: String,
-    /// Where it failed.
+    /// Machine on which the task failed.
     pub machine: String,
-    /// Its exit reason.
+    /// Exit reason of the task.
     pub why: String,
-    /// How many seconds ago.
+    /// Seconds since the failure.
     pub ago_s: f64,
 }
 
-/// A node that is to take over without hearing every machine.
+/// State of a standby, which may take over without a heartbeat from every machine.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct StandbyStatus {
-    /// The standby's name.
+    /// Name of the standby.
     pub node: String,
-    /// It is recorded, and knows all that was started.
+    /// Whether the standby is warm: it is named in the standby registry and knows all
+    /// tasks that were started.
     pub warm: bool,
-    /// For how long its copy has been whole.
+    /// Seconds for which the standby's replica has been complete.
     pub since_s: Option<f64>,
-    /// For how long it has owed a confirmation.
+    /// Seconds for which a confirmation by the standby has been outstanding.
     pub owes_s: f64,
-    /// Why it is not warm.
+    /// Reason why the standby is not warm.
     pub why_not: Option<String>,
 }
 
@@ -170,124 +172,128 @@
 pub struct ClusterStatus {
     /// The leader's term.
     pub term: u64,
-    /// For how many seconds it has led.
+    /// Seconds for which the leader has led.
     pub since_s: f64,
-    /// Every machine was heard from, or its lease has expired.
+    /// Whether every machine has sent a heartbeat in this term, or its lease has
+    /// expired.
     pub settled: bool,
-    /// Unfinished jobs.
+    /// Number of unfinished jobs.
     pub jobs: u32,
     /// Jobs by class and team.
     pub groups: Vec<JobGroup>,
-    /// Quotas and their use.
+    /// Resource usage and quotas of the teams.
     pub teams: Vec<TeamUsage>,
-    /// Machines by kind.
+    /// Machines by type, zone and kind.
     pub fleet: Vec<MachineGroup>,
-    /// Machines that are not in order.
+    /// Machines with problems.
     pub troubles: Vec<MachineProblem>,
-    /// Tasks that failed lately, the latest first.
+    /// Recent task failures, the latest first.
     pub failures: Vec<TaskFailure>,
-    /// Jobs with each neighbouring market, or on their way.
+    /// Number of jobs offloaded to each neighbouring market, including offloads in
+    /// progress.
     #[serde(default)]
     pub lent: Vec<(String, u32)>,
-    /// Who would take over warm.
+    /// Standbys that could take over.
     #[serde(default)]
     pub standbys: Vec<StandbyStatus>,
-    /// How this leader itself took over.
+    /// How this leader took over.
     #[serde(default)]
     pub took_over: String,
 }
 
-/// The answer to an operator who asks how things stand.
+/// The reply to an operator's status request.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Status {
-    /// Who answers.
+    /// Name of the replying node.
     pub node: String,
-    /// Who leads, as far as the answering node knows.
+    /// Name of the leader, as far as the replying node knows.
     pub leader: Option<String>,
-    /// How old the cluster state is.
+    /// Age of `cluster`, in seconds.
     pub age_s: f64,
-    /// What the leader last said.
+    /// The cluster status that the leader last reported.
     #[serde(rename = "picture")]
     pub cluster: Option<ClusterStatus>,
-    /// Controllers with the versions that they were seen to run; none: from
-    /// before versions were told.
+    /// Controllers with the last known versions of their programs; `None` for a program
+    /// that is older than the version records, or not seen yet.
     #[serde(default)]
     pub versions: Vec<(String, Option<String>)>,
-    /// All run this version, so that what only it can read may be written.
+    /// Whether all controllers run this version, so that data which only this version
+    /// can read may be written.
     #[serde(default)]
     pub upgraded: bool,
-    /// Why the answering node last gave up leadership, and how long ago.
+    /// Why the replying node last gave up leadership, and how many seconds ago.
     #[serde(default)]
     pub stopped: Option<(String, f64)>,
 }
 
-/// One unfinished job.
+/// Details of one unfinished job.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobExplanation {
-    /// The job's id.
+    /// Id of the job.
     pub id: String,
-    /// Its class.
+    /// Class of the job.
     pub class: String,
-    /// Its team.
+    /// Team of the job.
     pub team: String,
-    /// Its state.
+    /// State of the job.
     pub state: String,
-    /// Its number of tasks.
+    /// Number of tasks.
     pub tasks: u32,
-    /// Tasks that are done.
+    /// Number of completed tasks.
     pub done: u32,
-    /// Tasks that run.
+    /// Number of running tasks.
     pub running: u32,
-    /// Tasks that wait.
+    /// Number of waiting tasks.
     pub waiting: u32,
-    /// Seconds since its acceptance.
+    /// Seconds since the job was accepted.
     pub age_s: f64,
-    /// Why tasks of it wait.
+    /// Why tasks of the job wait.
     pub reason: Option<PendingReason>,
-    /// What is held against it, if anything.
+    /// Description of the job's offload or of its task failures, if it has any.
     #[serde(default)]
     pub verdict: Option<String>,
-    /// How it stands to its deadline.
+    /// Prospects of the job with regard to its deadline.
     pub due: Option<Due>,
-    /// Its deadline, in seconds after its submission.
+    /// Deadline of the job, in seconds after its submission.
     pub deadline_s: Option<f64>,
-    /// Its tasks on machines: task, machine, phase.
+    /// Tasks of the job on machines: task number, machine and phase.
     pub places: Vec<(u32, String, String)>,
-    /// Seconds until it has to be done, for its own deadline or for that of a
-    /// job that needs it.
+    /// Seconds until the job has to be done, to meet its own deadline or that of a job
+    /// that depends on it.
     #[serde(default)]
     pub left_s: Option<f64>,
-    /// Jobs that have to be done first, with how each stands; of many, some.
+    /// Jobs that have to be done first, each with its state. Long lists are truncated.
     #[serde(default)]
     pub needs: Vec<(String, String)>,
-    /// How many they are.
+    /// Total number of jobs that have to be done first.
     #[serde(default)]
     pub needs_all: u32,
 }
 
-/// The answer to an operator who asks about one job.
+/// The reply to an operator's request about one job.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Explanation {
-    /// It is unfinished.
+    /// The job is unfinished.
     Job(Box<JobExplanation>),
-    /// Over: its final state and finished tasks.
+    /// The job has ended.
     Over {
-        /// Its final state.
+        /// Final state of the job.
         state: String,
-        /// Tasks that were done.
+        /// Number of completed tasks.
         done: u32,
     },
-    /// It was never accepted.
+    /// The job was never accepted.
     NoSuchJob,
-    /// Nobody who would know can be asked now.
+    /// The state is unknown, because no node that would know it can be asked now. Holds
+    /// the reason.
     Unknown(String),
 }
 
-fn rows<T>(out: &mut String, list: &[T], head: &str, line: impl Fn(&T) -> String) {
+fn write_rows<T>(out: &mut String, list: &[T], heading: &str, line: impl Fn(&T) -> String) {
     if list.is_empty() {
         return;
     }
-    out.push_str(head);
+    out.push_str(heading);
     out.push('\n');
     for item in list {
         out.push_str("  ");
@@ -299,72 +305,73 @@
     }
 }
 
-fn limit(used: f64, guaranteed: f64, most: f64) -> String {
-    let most = match most {
+fn format_usage(used: f64, guaranteed: f64, limit: f64) -> String {
+    let limit_text = match limit {
         0.0 => "no limit".to_owned(),
-        m => format!("at most {m}"),
+        maximum => format!("at most {maximum}"),
     };
-    format!("{used} (guaranteed {guaranteed}, {most})")
+    format!("{used} (guaranteed {guaranteed}, {limit_text})")
 }
 
 impl Status {
-    fn put_stopped(&self, out: &mut String) {
+    fn write_last_resignation(&self, out: &mut String) {
         if let Some((why, ago)) = &self.stopped {
             let node = &self.node;
             out.push_str(&format!("{node} gave up the lead {ago:.0} s ago: {why}\n"));
         }
     }
 
-    /// Nothing while all run the same, as on most days.
-    fn put_versions(&self, out: &mut String) {
-        let same = self.versions.windows(2).all(|w| w[0].1 == w[1].1);
-        if self.upgraded && same {
+    /// Writes the controllers' versions, unless all run the same version, which is the
+    /// usual case.
+    fn write_versions(&self, out: &mut String) {
+        let same_version = self.versions.windows(2).all(|w| w[0].1 == w[1].1);
+        if self.upgraded && same_version {
             return;
         }
-        let use_of = match self.upgraded {
+        let heading = match self.upgraded {
             true => "versions",
             false => "versions; records and fields of the newest are not in use yet",
         };
-        rows(out, &self.versions, use_of, |(node, version)| {
+        write_rows(out, &self.versions, heading, |(node, version)| {
             let version = version.as_deref().unwrap_or("older, or not seen yet");
             format!("{node}: {version}")
         });
     }
 
-    /// As operators read it.
+    /// Formats the status as text for operators.
     pub fn text(&self) -> String {
         let leader = self.leader.as_deref().unwrap_or("nobody");
         let mut out = format!("asked {}; {leader} leads", self.node);
-        let Some(p) = &self.cluster else {
+        let Some(view) = &self.cluster else {
             out.push_str("; nothing more is known here\n");
-            self.put_stopped(&mut out);
-            self.put_versions(&mut out);
+            self.write_last_resignation(&mut out);
+            self.write_versions(&mut out);
             return out;
         };
-        let settled = if p.settled { "settled" } else { "settling" };
+        let settled = if view.settled { "settled" } else { "settling" };
         out.push_str(&format!(
             ", term {} for {:.0} s, {settled}; picture {:.1} s old; {} jobs\n",
-            p.term, p.since_s, self.age_s, p.jobs
+            view.term, view.since_s, self.age_s, view.jobs
         ));
-        self.put_stopped(&mut out);
-        self.put_versions(&mut out);
-        if !p.took_over.is_empty() {
-            out.push_str(&format!("took over {}\n", p.took_over));
+        self.write_last_resignation(&mut out);
+        self.write_versions(&mut out);
+        if !view.took_over.is_empty() {
+            out.push_str(&format!("took over {}\n", view.took_over));
         }
-        rows(&mut out, &p.standbys, "standbys", |s| {
-            let owes = match s.owes_s {
+        write_rows(&mut out, &view.standbys, "standbys", |s| {
+            let outstanding = match s.owes_s {
                 o if o >= 0.1 => format!(", owes a confirmation for {o:.1} s"),
                 _ => String::new(),
             };
             match (s.warm, s.since_s, &s.why_not) {
-                (true, Some(since), _) => format!("{}: warm for {since:.0} s{owes}", s.node),
-                (true, None, _) => format!("{}: warm{owes}", s.node),
-                (false, _, Some(why)) => format!("{}: not warm: {why}{owes}", s.node),
-                (false, _, None) => format!("{}: not warm{owes}", s.node),
+                (true, Some(since), _) => format!("{}: warm for {since:.0} s{outstanding}", s.node),
+                (true, None, _) => format!("{}: warm{outstanding}", s.node),
+                (false, _, Some(why)) => format!("{}: not warm: {why}{outstanding}", s.node),
+                (false, _, None) => format!("{}: not warm{outstanding}", s.node),
             }
         });
-        rows(&mut out, &p.groups, "class, team: tasks", |g| {
-            let why: Vec<String> = g
+        write_rows(&mut out, &view.groups, "class, team: tasks", |g| {
+            let reason_texts: Vec<String> = g
                 .reasons
                 .iter()
                 .map(|(r, n)| format!("{n} {}", r.text()))
@@ -377,7 +384,7 @@
                 line.push_str(&format!(
                     " (oldest {:.0} s): {}",
                     g.oldest_wait_s,
-                    why.join(", ")
+                    reason_texts.join(", ")
                 ));
             }
             if g.late_jobs + g.at_risk_jobs > 0 {
@@ -388,15 +395,15 @@
             }
             line
         });
-        rows(&mut out, &p.teams, "team: use", |t| {
+        write_rows(&mut out, &view.teams, "team: use", |t| {
             format!(
                 "{}: CPUs {}, GPUs {}",
                 t.name,
-                limit(t.cpus, t.cpus_guaranteed, t.cpus_max),
-                limit(t.gpus, t.gpus_guaranteed, t.gpus_max)
+                format_usage(t.cpus, t.cpus_guaranteed, t.cpus_max),
+                format_usage(t.gpus, t.gpus_guaranteed, t.gpus_max)
             )
         });
-        rows(&mut out, &p.fleet, "machines", |f| {
+        write_rows(&mut out, &view.fleet, "machines", |f| {
             format!(
                 "{}, {}, {}: {} up at {:.0}% load, {} booting, {} leaving",
                 f.type_name,
@@ -408,13 +415,13 @@
                 f.leaving
             )
         });
-        rows(&mut out, &p.lent, "lent to markets", |(market, jobs)| {
+        write_rows(&mut out, &view.lent, "lent to markets", |(market, jobs)| {
             format!("{market}: {jobs} jobs")
         });
-        rows(&mut out, &p.troubles, "not in order", |t| {
+        write_rows(&mut out, &view.troubles, "not in order", |t| {
             format!("{}: {}", t.machine, t.why)
         });
-        rows(&mut out, &p.failures, "failures of tasks", |f| {
+        write_rows(&mut out, &view.failures, "failures of tasks", |f| {
             format!(
                 "{} on {}, {:.0} s ago: {}",
                 f.task, f.machine, f.ago_s, f.why
@@ -425,7 +432,7 @@
 }
 
 impl JobExplanation {
-    /// As operators read it.
+    /// Formats the explanation as text for operators.
     pub fn text(&self) -> String {
         let mut out = format!(
             "{} ({}, {}): {}, {} of {} tasks done, {} running, {} waiting; {:.0} s old\n",
@@ -459,10 +466,10 @@
             out.push_str(&format!("has to be done in {left:.0} s: {due}\n"));
         }
         let needs = format!("waits for {} jobs", self.needs_all);
-        rows(&mut out, &self.needs, &needs, |(id, state)| {
+        write_rows(&mut out, &self.needs, &needs, |(id, state)| {
             format!("{id}: {state}")
         });
-        rows(&mut out, &self.places, "on machines", |(task, m, phase)| {
+        write_rows(&mut out, &self.places, "on machines", |(task, m, phase)| {
             format!("{task} on {m}: {phase}")
         });
         out
--- a/crates/protocol/src/users.rs
+++ b/crates/protocol/src/users.rs
@@ -1,12 +1,12 @@
-//! Submissions, polls and cancellations.
+//! Messages of users: submissions, polls and cancellations.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Tasks that a job may have.
+/// Maximum number of tasks of a job.
 pub const MAX_TASKS: u32 = 100_000;
 
-/// How the tasks of a job belong together.
+/// How the tasks of a job are run together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Kind {
     /// A job array: independent tasks, each runs to completion.
@@ -20,30 +20,30 @@
     Service,
 }
 
-/// Ordered by rank: a greater one may preempt a lesser one.
+/// Priority of a job, in ascending order: a job may preempt jobs of lower priority.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Priority {
-    /// The lowest.
+    /// The lowest priority.
     #[serde(rename = "idle")]
     Low,
-    /// Between low and high.
+    /// Priority between low and high.
     #[serde(rename = "normal")]
     Normal,
-    /// Below production.
+    /// Priority below production.
     #[serde(rename = "urgent")]
     High,
-    /// The highest.
+    /// The highest priority.
     #[serde(rename = "prod")]
     Production,
 }
 
-/// A job as submitted; also the form in which its record keeps it.
+/// A job specification as submitted; job records store the spec in the same form.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// Chosen by the user; the key of idempotent submission.
+    /// Job id chosen by the user; submissions are idempotent by this id.
     #[serde(rename = "ref")]
     pub id: String,
-    /// The class of jobs, to which objectives refer.
+    /// Class of the job, to which objectives refer.
     #[serde(rename = "job_family")]
     pub class: String,
     /// The team whose quota applies.
@@ -52,7 +52,7 @@
     /// Array, gang or service.
     #[serde(rename = "run_shape")]
     pub kind: Kind,
-    /// Its priority.
+    /// Priority of the job.
     #[serde(rename = "urgency")]
     pub priority: Priority,
     /// Number of tasks.
@@ -66,40 +66,41 @@
     pub gpus: f64,
     /// Memory of each task, in GB.
     pub memory_gb: f64,
-    /// Image that a machine needs before a task starts.
+    /// Container image that a machine needs before a task starts.
     #[serde(rename = "bundle")]
     pub image: String,
-    /// Its size, in GB.
+    /// Size of the image, in GB.
     pub image_gb: f64,
-    /// Allowed machine types; `None`: any.
+    /// Allowed machine types; `None` allows any.
     #[serde(rename = "rigs", default, skip_serializing_if = "Option::is_none")]
     pub types: Option<Vec<String>>,
-    /// The only allowed zone; `None`: any.
+    /// The only allowed zone; `None` allows any.
     #[serde(rename = "hall", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
-    /// All tasks in one zone, whichever.
+    /// Whether all tasks have to run in the same zone, whichever that is.
     #[serde(rename = "same_place")]
     pub single_zone: bool,
-    /// At most half of the tasks, rounded up, in one zone.
+    /// Whether at most half of the tasks, rounded up, may run in one zone.
     #[serde(rename = "apart")]
     pub spread: bool,
-    /// Spot machines are allowed.
+    /// Whether spot machines are allowed.
     #[serde(rename = "lendback")]
     pub spot: bool,
     /// The owner's estimate of a task's run time, in seconds; 0 for services.
     #[serde(rename = "expected_s")]
     pub estimate_s: f64,
-    /// Seconds between two checkpoints; 0: the tasks save nothing.
+    /// Seconds between two checkpoints; 0 if the tasks write none.
     #[serde(rename = "snapshot_every_s")]
     pub checkpoint_interval_s: f64,
-    /// Seconds that saving takes when a task is stopped.
+    /// Seconds that writing a checkpoint takes when a task is stopped.
     #[serde(rename = "snapshot_cost_s")]
     pub checkpoint_cost_s: f64,
-    /// When it should be complete, in seconds after its submission.
+    /// Deadline by which the job should be complete, in seconds after its submission.
     #[serde(rename = "due_s", default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
-    /// Jobs that have to be done before any task of this one starts, each
-    /// named once. No record names any before every controller knows this field.
+    /// Ids of jobs that have to be done before any task of this job starts, without
+    /// duplicates. No record contains this field before every controller runs a version
+    /// that knows it.
     #[serde(
         rename = "waits_on",
         default,
@@ -109,13 +110,14 @@
     pub dependencies: Vec<String>,
 }
 
-/// Null, or a list of ids; of doubled ones the first counts.
+/// Parses null or a list of job ids. Duplicates are removed; the first occurrence keeps
+/// its place.
 fn ids<'de, D: serde::Deserializer<'de>>(d: D) -> Result<Vec<String>, D::Error> {
-    let wrong = || serde::de::Error::custom("waits_on: must be a list of ids like j-000412");
+    let invalid_list = || serde::de::Error::custom("waits_on: must be a list of ids like j-000412");
     let list = match serde_json::Value::deserialize(d)? {
         serde_json::Value::Null => return Ok(Vec::new()),
         serde_json::Value::Array(list) => list,
-        _ => return Err(wrong()),
+        _ => return Err(invalid_list()),
     };
     let mut seen = std::collections::HashSet::new();
     let mut ids = Vec::with_capacity(list.len());
@@ -126,20 +128,21 @@
                     ids.push(id);
                 }
             }
-            _ => return Err(wrong()),
+            _ => return Err(invalid_list()),
         }
     }
     Ok(ids)
 }
 
-/// `j-` and 6 to 18 digits.
+/// Whether the id consists of `j-` and 6 to 18 digits.
 pub fn is_valid_job_id(id: &str) -> bool {
     id.strip_prefix("j-")
         .is_some_and(|d| (6..=18).contains(&d.len()) && d.bytes().all(|b| b.is_ascii_digit()))
 }
 
 impl JobSpec {
-    /// Parses a submission. The error is one line fit for the user.
+    /// Parses and checks a submission. The error is a single line to be shown to the
+    /// user.
     pub fn parse(body: &[u8]) -> Result<JobSpec, String> {
         if body.trim_ascii_start().first() != Some(&b'{') {
             return Err("not a JSON object".into());
@@ -147,7 +150,7 @@
         let mut json = serde_json::Deserializer::from_slice(body);
         let parsed: Result<JobSpec, _> = serde_path_to_error::deserialize(&mut json);
         let spec = parsed.map_err(|e| {
-            // A field that is missing or there twice is named by the message.
+            // If a field is missing or duplicated, the message itself names it.
             let field = e.path().to_string();
             match field.as_str() {
                 "." => e.inner().to_string(),
@@ -201,30 +204,31 @@
     }
 }
 
-/// The state of a job, as users see it.
+/// State of a job, as shown to users.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobState {
-    /// No task runs.
+    /// No task of the job is running.
     #[serde(rename = "pending")]
     Queued,
-    /// A task runs.
+    /// At least one task of the job is running.
     #[serde(rename = "running")]
     Running,
     /// All tasks are done.
     #[serde(rename = "done")]
     Done,
-    /// Cancelled by its user, or with a dependency.
+    /// The job was cancelled by its user, or because a dependency was cancelled.
     #[serde(rename = "withdrawn")]
     Cancelled,
 }
 
 impl JobState {
-    /// It never changes again.
+    /// Whether the state is final and never changes again.
     pub fn is_final(self) -> bool {
         matches!(self, JobState::Done | JobState::Cancelled)
     }
 
-    /// The name in log lines, in metric labels and in what operators are shown.
+    /// Returns the name of the state in log lines, in metric labels and in the output
+    /// for operators.
     pub fn name(self) -> &'static str {
         match self {
             JobState::Queued => "queued",
@@ -241,17 +245,17 @@
     }
 }
 
-/// The answer to a poll.
+/// The response to a poll.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobStatus {
-    /// The job's id.
+    /// Id of the job.
     #[serde(rename = "ref")]
     pub id: String,
-    /// Its state.
+    /// State of the job.
     #[serde(rename = "stage")]
     pub state: JobState,
-    /// Tasks that are done.
+    /// Number of completed tasks.
     pub done: u32,
-    /// Tasks that run.
+    /// Number of running tasks.
     pub running: u32,
 }
--- a/crates/protocol/src/workers.rs
+++ b/crates/protocol/src/workers.rs
@@ -1,82 +1,82 @@
-//! Reports of workers and commands to them.
+//! Heartbeats of workers, and commands to workers.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A worker's heartbeat: its status, whole.
+/// A worker's heartbeat with its complete status.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct Heartbeat {
-    /// The machine's name.
+    /// Name of the machine.
     #[serde(rename = "post")]
     pub machine: String,
-    /// Where the worker takes direct commands.
+    /// Address on which the worker accepts direct commands.
     pub addr: String,
-    /// The machine's type.
+    /// Name of the machine type.
     #[serde(rename = "rig")]
     pub type_name: String,
-    /// Its zone.
+    /// Name of the zone.
     #[serde(rename = "hall")]
     pub zone: String,
-    /// The cloud may reclaim it.
+    /// Whether the machine is a spot machine, which the cloud may reclaim.
     #[serde(rename = "lendback")]
     pub spot: bool,
-    /// Grows each time that the worker's lease expires.
+    /// Incarnation of the worker, which increases each time the worker's lease expires.
     #[serde(rename = "tenure")]
     pub incarnation: u64,
-    /// Grows with each message of the worker.
+    /// Sequence number, which increases with each message of the worker.
     #[serde(rename = "tick")]
     pub seq: u64,
     /// The highest fencing token that the worker has received.
     #[serde(rename = "baton")]
     pub acknowledged_token: u64,
-    /// Seconds until the cloud reclaims the machine, if it gave notice.
+    /// Seconds until the cloud reclaims the machine, if the cloud gave notice.
     #[serde(rename = "reclaim_in_s", default)]
     pub reclaim_in_s: Option<f64>,
-    /// All tasks on the machine, ended ones until they are reaped.
+    /// All tasks on the machine, including ended ones until they are reaped.
     #[serde(rename = "pieces", default)]
     pub tasks: Vec<TaskStatus>,
 }
 
-/// A task on a machine.
+/// Status of a task on a machine.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct TaskStatus {
-    /// Its name, as `JOB/NUMBER`.
+    /// Name of the task, in the form `JOB/NUMBER`.
     #[serde(rename = "piece")]
     pub task: String,
-    /// The attempt.
+    /// Attempt number of the task.
     #[serde(rename = "try")]
     pub attempt: u64,
-    /// Its state.
+    /// State of the task.
     #[serde(rename = "stage")]
     pub state: TaskState,
-    /// Why it ended.
+    /// Exit reason, if the task has ended.
     #[serde(
         rename = "exit_cause",
         default,
         skip_serializing_if = "Option::is_none"
     )]
     pub exit_reason: Option<ExitReason>,
-    /// Its progress was saved.
+    /// Whether the task's progress was saved in a checkpoint.
     #[serde(rename = "stored", default)]
     pub checkpointed: bool,
 }
 
-/// The state of a task on a machine.
+/// State of a task on a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize, Serialize)]
 pub enum TaskState {
-    /// Waits for its image.
+    /// The task waits for its container image.
     #[serde(rename = "pulling")]
     Fetching,
-    /// Waits for the other tasks of its attempt.
+    /// The task waits for the other tasks of its attempt, which are in the same gang.
     #[serde(rename = "gathering")]
     WaitingForGang,
-    /// Runs.
+    /// The task is running.
     #[serde(rename = "running")]
     Running,
-    /// Was told to stop and saves a checkpoint.
+    /// The task was told to stop and is writing a checkpoint.
     #[serde(rename = "saving")]
     Saving,
-    /// Has ended.
+    /// The task has ended.
     #[serde(rename = "ended")]
     Exited,
 }
@@ -84,38 +84,38 @@
 /// Why a task ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize, Serialize)]
 pub enum ExitReason {
-    /// It completed.
+    /// The task completed.
     #[serde(rename = "done")]
     Done,
-    /// Stopped by command.
+    /// The task was stopped by a command.
     #[serde(rename = "stopped")]
     Stopped,
-    /// Another task of its gang is gone.
+    /// Another task of the gang is gone.
     #[serde(rename = "peers")]
     GangMemberLost,
     /// The gang was not complete in time.
     #[serde(rename = "incomplete")]
     GangIncomplete,
-    /// It failed.
+    /// The task failed.
     #[serde(rename = "error")]
     Error,
-    /// Start refused: too little is free on the machine.
+    /// The start was refused: the machine has too few free resources.
     #[serde(rename = "no_room")]
     InsufficientResources,
-    /// Start refused: another attempt of the task is there.
+    /// The start was refused: another attempt of the task is on the machine.
     #[serde(rename = "in_use")]
     DuplicateTask,
-    /// Start refused: no such job or task was submitted.
+    /// The start was refused: no such job or task was submitted.
     #[serde(rename = "no_such")]
     UnknownTask,
-    /// Anything a later protocol may add: treated like a failure.
+    /// A reason added by a later protocol version, which is treated as a failure.
     #[serde(other)]
     Other,
 }
 
 impl fmt::Display for ExitReason {
-    /// The name in `status` and `explain`, which operators' tools read: it is
-    /// older than the variants' names and stays.
+    /// Writes the name shown by `status` and `explain`. Operators' tools read these
+    /// names, which are older than the names of the variants, so they must not change.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             ExitReason::Done => "done",
@@ -131,72 +131,74 @@
     }
 }
 
-/// A command to a worker. Repeating one is safe, except that a start after a reap starts
-/// the task again.
+/// A command to a worker. Repeating a command is safe, except that a start after a reap
+/// starts the task again.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "verb")]
 pub enum Command {
     /// Starts an attempt of a task.
     #[serde(rename = "launch")]
     Start {
-        /// The task.
+        /// Name of the task.
         #[serde(rename = "piece")]
         task: String,
-        /// The attempt.
+        /// Attempt number of the task.
         #[serde(rename = "try")]
         attempt: u64,
     },
     /// Stops a task.
     #[serde(rename = "halt")]
     Stop {
-        /// The task.
+        /// Name of the task.
         #[serde(rename = "piece")]
         task: String,
-        /// The attempt.
+        /// Attempt number of the task.
         #[serde(rename = "try")]
         attempt: u64,
-        /// Grace period in seconds; one that covers the checkpoint cost lets the task save.
+        /// Grace period in seconds; a period that covers the checkpoint cost lets the
+        /// task write a checkpoint.
         #[serde(rename = "wind_down_s")]
         grace_s: f64,
     },
     /// Removes an ended task from the heartbeats.
     #[serde(rename = "reap")]
     Reap {
-        /// The task.
+        /// Name of the task.
         #[serde(rename = "piece")]
         task: String,
-        /// The attempt.
+        /// Attempt number of the task.
         #[serde(rename = "try")]
         attempt: u64,
     },
 }
 
-/// The answer to a heartbeat; it renews the worker's lease.
+/// The response to a heartbeat, which renews the worker's lease.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct HeartbeatResponse {
-    /// The worker drops the answer if it has seen a higher one.
+    /// Fencing token; the worker drops the response if it has seen a higher one.
     #[serde(rename = "baton")]
     pub fencing_token: u64,
-    /// Executed in order.
+    /// Commands, executed in order.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
 
-/// Commands sent straight to a worker. They don't renew its lease.
+/// Commands sent directly to a worker. They do not renew the worker's lease.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct DirectCommands {
-    /// The worker refuses them if it has seen a higher one.
+    /// Fencing token; the worker refuses the commands if it has seen a higher one.
     #[serde(rename = "baton")]
     pub fencing_token: u64,
-    /// The worker refuses them in any other.
+    /// Incarnation for which the commands are meant; the worker refuses them in any
+    /// other.
     #[serde(rename = "tenure")]
     pub incarnation: u64,
-    /// Executed in order.
+    /// Commands, executed in order.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
 
-/// "j-000412/4" -> ("j-000412", 4)
+/// Splits a task name into job id and task number: `j-000412/4` gives `j-000412` and 4.
 pub fn parse_task_name(name: &str) -> Option<(&str, u32)> {
     let (job, n) = name.rsplit_once('/')?;
     Some((job, n.parse().ok()?))
