--- a/crates/protocol/src/peers.rs
+++ b/crates/protocol/src/peers.rs
@@ -188,7 +188,7 @@
             0 => Ok(ReplicatedPhase::Sent),
             1 => Ok(ReplicatedPhase::Running),
             2 => Ok(ReplicatedPhase::Done),
-            _ => Err(format!("invalid phase of a replicated task: {number}")),
+            _ => Err(format!("no such state of a task: {number}")),
         }
     }
 }
--- a/crates/protocol/src/users.rs
+++ b/crates/protocol/src/users.rs
@@ -112,9 +112,9 @@
 
 /// Parses null or a list of job ids. Duplicates are removed; the first occurrence keeps
 /// its place.
-fn ids<'de, D: serde::Deserializer<'de>>(d: D) -> Result<Vec<String>, D::Error> {
+fn ids<'de, D: serde::Deserializer<'de>>(deserializer: D) -> Result<Vec<String>, D::Error> {
     let invalid_list = || serde::de::Error::custom("waits_on: must be a list of ids like j-000412");
-    let list = match serde_json::Value::deserialize(d)? {
+    let list = match serde_json::Value::deserialize(deserializer)? {
         serde_json::Value::Null => return Ok(Vec::new()),
         serde_json::Value::Array(list) => list,
         _ => return Err(invalid_list()),
--- a/crates/protocol/src/workers.rs
+++ b/crates/protocol/src/workers.rs
@@ -200,6 +200,6 @@
 
 /// Splits a task name into job id and task number: `j-000412/4` gives `j-000412` and 4.
 pub fn parse_task_name(name: &str) -> Option<(&str, u32)> {
-    let (job, n) = name.rsplit_once('/')?;
-    Some((job, n.parse().ok()?))
+    let (job, number) = name.rsplit_once('/')?;
+    Some((job, number.parse().ok()?))
 }
--- a/src/state/cluster/job.rs
+++ b/src/state/cluster/job.rs
@@ -81,7 +81,7 @@
     /// Whether the job was accepted, or became ready, in this term: then no earlier
     /// leader can have started it.
     pub accepted_this_term: bool,
-    /// Steady-clock time at which this leader first knew of the job, or at which its
+    /// Monotonic clock time at which this leader first knew of the job, or at which its
     /// dependencies let it start, if that was later. Waiting times count from here.
     pub known_since: Millis,
     /// The job's complete tasks.
@@ -117,7 +117,7 @@
     /// Number of starts since the last completed task that were refused or ended for an
     /// unknown reason, or that failed although another task of the job has run.
     pub consecutive_refusals: u32,
-    /// Steady-clock time before which no task of the job is started.
+    /// Monotonic clock time before which no task of the job is started.
     pub backoff_until: Millis,
     /// Failures of the job's tasks, for fault attribution.
     pub failures: JobFailures,
--- a/src/state/cluster/machine.rs
+++ b/src/state/cluster/machine.rs
@@ -240,7 +240,7 @@
     pub recorded_empty: bool,
     /// Whether the cloud was asked to release the machine.
     pub release_requested: bool,
-    /// Steady-clock time at which the cloud will reclaim the machine.
+    /// Monotonic clock time at which the cloud will reclaim the machine.
     pub reclaim_at: Option<Millis>,
     /// Time at which the machine was first known, its lease expired, its registered
     /// contents were found to be gone, or its release was decided, whichever was last.
--- a/src/state/records.rs
+++ b/src/state/records.rs
@@ -388,8 +388,8 @@
         let Ok(stored) = STANDARD_NO_PAD.decode(text) else {
             return;
         };
-        let own = self.0.iter_mut().skip(segment * SEGMENT_BYTES);
-        for (byte, stored) in own.zip(stored) {
+        let segment_bytes = self.0.iter_mut().skip(segment * SEGMENT_BYTES);
+        for (byte, stored) in segment_bytes.zip(stored) {
             *byte |= stored;
         }
     }
