--- a/src/control/leader/gang_reservation.rs
+++ b/src/control/leader/gang_reservation.rs
@@ -1,8 +1,10 @@
-//! Gang reservation: capacity that becomes free bit by bit is withheld for a gang until
-//! all of its tasks fit, and made by preemption where that is enough.
+//! Gang reservation: capacity that becomes free bit by bit is withheld from other jobs until
+//! all tasks of a gang fit. If preemption can free enough for the whole gang, tasks are
+//! preempted and their machines reserved.
 //!
-//! Called by the scheduling cycle and by preemption. A reservation must never outlast
-//! the cycle, or its time limit, and never start a part of a gang.
+//! Called by the scheduling cycle and by preemption. Withheld capacity must never outlast
+//! the cycle, a reservation never its time limit, and a part of a gang must never be
+//! started.
 
 use super::{
     Leader, millis,
@@ -17,70 +19,75 @@
     },
 };
 
-/// After this long, where no objective for starting says otherwise, other work of the
-/// same priority no longer takes capacity ahead of a gang.
-const PATIENCE: Millis = 60_000;
+/// Time in milliseconds after which jobs of the same priority no longer take capacity ahead
+/// of a waiting gang, for classes without an objective for starting.
+const DEFAULT_GANG_WAIT_MS: Millis = 60_000;
 
 impl Leader {
-    /// Zones that could take the missing tasks of a gang: the one its tasks
-    /// are in already, if it must stay together. `None`: any mixture.
+    /// Returns the zones that could take the missing tasks of a gang. For a gang that must run
+    /// in a single zone, this is the zone of its live tasks, or each zone if it has none.
+    /// For other gangs the only entry is `None`: its tasks may be in any mixture of zones.
     pub(super) fn gang_zones(&self, job_handle: JobHandle) -> Vec<Option<usize>> {
-        let Some(j) = self.cluster.job(job_handle) else {
+        let Some(job) = self.cluster.job(job_handle) else {
             return Vec::new();
         };
-        if !j.spec.single_zone {
+        if !job.spec.single_zone {
             return vec![None];
         }
-        let there = self.cluster.live_tasks_by_zone(job_handle);
-        let begun = there.iter().any(|n| *n > 0);
-        (0..there.len())
-            .filter(|z| !begun || there[*z] > 0)
+        let tasks_by_zone = self.cluster.live_tasks_by_zone(job_handle);
+        let has_live_tasks = tasks_by_zone.iter().any(|n| *n > 0);
+        (0..tasks_by_zone.len())
+            .filter(|z| !has_live_tasks || tasks_by_zone[*z] > 0)
             .map(Some)
             .collect()
     }
 
-    /// Whether the gang waits for nothing but capacity.
-    pub(super) fn wants_room(&self, job_handle: JobHandle) -> bool {
-        self.cluster.job(job_handle).is_some_and(|j| {
-            (j.live_count == 0 || self.gang_to_complete(job_handle).is_some())
-                && self.within_limit(j.team, &j.need, i64::from(j.waiting_count()))
+    /// Whether the gang waits for capacity alone: no old attempt of it runs, and its team's
+    /// quota allows the missing tasks.
+    pub(super) fn waits_for_capacity_only(&self, job_handle: JobHandle) -> bool {
+        self.cluster.job(job_handle).is_some_and(|job| {
+            (job.live_count == 0 || self.gang_to_complete(job_handle).is_some())
+                && self.within_limit(job.team, &job.need, i64::from(job.waiting_count()))
         })
     }
 
-    /// A gang that has missed its aims for starting is not passed any more.
+    /// Whether the gang has missed the last objective for starting of its class, so that no
+    /// other job may take capacity ahead of it.
     pub(super) fn has_waited_too_long(&self, job_handle: JobHandle, now: Millis) -> bool {
-        self.cluster.job(job_handle).is_some_and(|j| {
-            let aims =
-                self.settings.cluster.objectives.iter().filter(|o| {
-                    o.kind == "wait" && o.class.as_deref() == Some(j.spec.class.as_str())
-                });
-            let last = aims.filter_map(|o| o.within_s).fold(0.0, f64::max);
-            let patience = if last > 0.0 { millis(last) } else { PATIENCE };
-            now > j.known_since + patience
+        self.cluster.job(job_handle).is_some_and(|job| {
+            let objectives = self.settings.cluster.objectives.iter().filter(|o| {
+                o.kind == "wait" && o.class.as_deref() == Some(job.spec.class.as_str())
+            });
+            let last = objectives.filter_map(|o| o.within_s).fold(0.0, f64::max);
+            let max_wait_ms = if last > 0.0 {
+                millis(last)
+            } else {
+                DEFAULT_GANG_WAIT_MS
+            };
+            now > job.known_since + max_wait_ms
         })
     }
 
-    /// Withholds the rooms that a waiting gang finds from the others, so
-    /// that what comes after it can't break them up. Guards against gangs
-    /// that never start, because each machine that comes up or falls free is
-    /// filled with small tasks before there are enough of them.
+    /// Withholds the capacity that a waiting gang finds from the jobs that are served after it
+    /// in this cycle. Guards against gangs that never start because each machine that comes
+    /// up or becomes free is filled with small tasks before there are enough machines.
     pub(super) fn reserve_for_gang(&mut self, job_handle: JobHandle, now: Millis) {
-        if !self.wants_room(job_handle) {
+        if !self.waits_for_capacity_only(job_handle) {
             return;
         }
         let Some(ranking) = self.ranking_for(job_handle, now) else {
             return;
         };
-        let Some(j) = self.cluster.job(job_handle) else {
+        let Some(job) = self.cluster.job(job_handle) else {
             return;
         };
-        let (need, missing) = (j.need, i64::from(j.waiting_count()));
+        let (need, missing) = (job.need, i64::from(job.waiting_count()));
         let zones = self.gang_zones(job_handle);
-        let found = |zone: &Option<usize>| -> i64 {
-            let rooms = self.candidates_for_gang(job_handle, *zone, ranking, now);
-            rooms.iter().map(|(_, n)| n).sum::<i64>().min(missing)
+        let tasks_that_fit = |zone: &Option<usize>| -> i64 {
+            let candidates = self.candidates_for_gang(job_handle, *zone, ranking, now);
+            candidates.iter().map(|(_, n)| n).sum::<i64>().min(missing)
         };
-        let Some(zone) = zones.into_iter().max_by_key(found) else {
+        let Some(zone) = zones.into_iter().max_by_key(tasks_that_fit) else {
             return;
         };
         let mut left = missing;
@@ -94,8 +101,8 @@
         }
     }
 
-    /// Machines of a zone, or of any, with capacity for tasks of the gang, and for how
-    /// many.
+    /// Returns the machines with capacity for tasks of the gang, in the given zone or in any
+    /// zone, each with the number of tasks that fit.
     fn candidates_for_gang(
         &self,
         job_handle: JobHandle,
@@ -103,118 +110,129 @@
         ranking: RankingId,
         now: Millis,
     ) -> Vec<(MachineHandle, i64)> {
-        let Some(j) = self.cluster.job(job_handle) else {
+        let Some(job) = self.cluster.job(job_handle) else {
             return Vec::new();
         };
         let fleet = &self.scheduling.fleet;
-        let open =
-            |(_, m): &(MachineHandle, &Machine)| j.allows(m) && m.available_to(job_handle, now);
+        let is_available =
+            |(_, m): &(MachineHandle, &Machine)| job.allows(m) && m.available_to(job_handle, now);
         let ranked = fleet.ranked(ranking, |z| zone.is_none_or(|only| only == z));
         let machines = ranked
             .into_iter()
             .filter_map(|index| self.cluster.machine_at(index));
-        let with_room = machines.filter(open).filter_map(|(machine, _)| {
-            let tasks = fleet.machine_view(machine.index())?.free.count(&j.need);
-            Some((machine, tasks.min(i64::from(j.waiting_count()))))
+        let candidates = machines.filter(is_available).filter_map(|(machine, _)| {
+            let tasks = fleet.machine_view(machine.index())?.free.count(&job.need);
+            Some((machine, tasks.min(i64::from(job.waiting_count()))))
         });
-        with_room.collect()
+        candidates.collect()
     }
 
-    /// Preemptions for all missing tasks of a gang in one zone, on machines that `there`
-    /// admits, where the least work is lost.
+    /// Returns the preemptions for all missing tasks of a gang that lose the least work, with
+    /// the work lost in core-seconds. Only machines that `machine_ok` admits are considered.
+    /// `None` if the tasks can't all be placed, or if the gang must be spread over zones.
     pub(super) fn gang_candidates(
         &self,
         job_handle: JobHandle,
         now: Millis,
-        there: impl Fn(&Machine) -> bool,
+        machine_ok: impl Fn(&Machine) -> bool,
     ) -> Option<(i64, Vec<Preemption>)> {
-        let j = self.cluster.job(job_handle).filter(|j| !j.spec.spread)?;
-        let (missing, priority, need) =
-            (i64::from(j.waiting_count()), j.effective_priority, j.need);
-        let guaranteed = self.within_guarantee(j, now);
+        let job = self
+            .cluster
+            .job(job_handle)
+            .filter(|job| !job.spec.spread)?;
+        let (missing, priority, need) = (
+            i64::from(job.waiting_count()),
+            job.effective_priority,
+            job.need,
+        );
+        let guaranteed = self.within_guarantee(job, now);
         let mut best: Option<(i64, Vec<Preemption>)> = None;
         for zone in self.gang_zones(job_handle) {
-            let mut rooms: Vec<Preemption> = (self.cluster.machine_range())
+            let mut candidates: Vec<Preemption> = (self.cluster.machine_range())
                 .filter_map(|index| self.cluster.machine_at(index))
-                .filter(|(_, m)| zone.is_none_or(|z| z == m.zone) && there(m))
+                .filter(|(_, m)| zone.is_none_or(|z| z == m.zone) && machine_ok(m))
                 .filter_map(|(machine_handle, _)| {
                     self.preemption_on(machine_handle, job_handle, priority, guaranteed, now)
                 })
                 .collect();
-            rooms.sort_by_key(|r| (r.lost, r.fetch));
-            let (mut left, mut lost, mut n) = (missing, 0, 0);
-            for r in &rooms {
-                if left <= 0 {
+            candidates.sort_by_key(|candidate| (candidate.lost, candidate.fetch));
+            let (mut tasks_left, mut lost, mut count) = (missing, 0, 0);
+            for candidate in &candidates {
+                if tasks_left <= 0 {
                     break;
                 }
-                let free = self
+                let tasks_that_fit = self
                     .cluster
-                    .machine(r.machine)
+                    .machine(candidate.machine)
                     .map(|m| m.free().count(&need));
-                left -= free.unwrap_or(0).max(1);
-                lost += r.lost;
-                n += 1;
+                tasks_left -= tasks_that_fit.unwrap_or(0).max(1);
+                lost += candidate.lost;
+                count += 1;
             }
-            rooms.truncate(n);
-            if left <= 0 && best.as_ref().is_none_or(|(l, _)| lost < *l) {
-                best = Some((lost, rooms));
+            candidates.truncate(count);
+            if tasks_left <= 0 && best.as_ref().is_none_or(|(l, _)| lost < *l) {
+                best = Some((lost, candidates));
             }
         }
         best
     }
 
-    /// Where some of a gang's tasks would fetch for longer than the objective for
-    /// starting allows, preemption on machines with the image for all of them may be the
-    /// lesser loss. Returns whether the gang is to wait for that.
+    /// Preempts for all tasks of a gang on machines that cache its image, if the caller found
+    /// that some chosen machine would fetch the image for longer than the objective for
+    /// starting allows and preemption loses less work than the fetches. Returns whether the
+    /// gang is to wait for the reserved machines.
     pub(super) fn reserve_gang_where_image_is(
         &mut self,
         job_handle: JobHandle,
         chosen: &[MachineHandle],
         now: Millis,
     ) -> bool {
-        let held = |m: &Machine| m.is_reserved_for(job_handle, now);
-        let Some(j) = self.cluster.job(job_handle) else {
+        let is_reserved = |m: &Machine| m.is_reserved_for(job_handle, now);
+        let Some(job) = self.cluster.job(job_handle) else {
             return false;
         };
-        let high = j.effective_priority >= Priority::High && !j.failures.suspected;
-        let image = j.image;
-        if !high
+        let may_preempt = job.effective_priority >= Priority::High && !job.failures.suspected;
+        let image = job.image;
+        if !may_preempt
             || chosen
                 .iter()
                 .filter_map(|machine_handle| self.cluster.machine(*machine_handle))
-                .any(held)
+                .any(is_reserved)
         {
             return false;
         }
         if self.has_reservation(job_handle, now) {
             return true;
         }
-        let rate = chosen
+        let fetch_rate = chosen
             .iter()
             .filter_map(|machine_handle| self.cluster.machine(*machine_handle))
             .map(|m| self.cluster.types[m.type_ix].fetch_gb_per_s)
             .fold(f64::INFINITY, f64::min)
             .max(0.001);
-        let worth = (victims::fetch_worth(j, rate) + victims::WORTH) * chosen.len() as f64;
+        let acceptable_loss = (victims::fetch_idle_core_s(job, fetch_rate)
+            + victims::BASE_LOSS_CORE_S)
+            * chosen.len() as f64;
         match self.gang_candidates(job_handle, now, |m| m.images.contains(&image)) {
-            Some((lost, rooms)) if lost as f64 <= worth => {
-                self.preempt_all(job_handle, rooms, now);
+            Some((lost, preemptions)) if lost as f64 <= acceptable_loss => {
+                self.preempt_all(job_handle, preemptions, now);
                 true
             }
             _ => false,
         }
     }
 
+    /// Carries out the preemptions. Returns on how many machines tasks were stopped.
     pub(super) fn preempt_all(
         &mut self,
         job_handle: JobHandle,
-        rooms: Vec<Preemption>,
+        preemptions: Vec<Preemption>,
         now: Millis,
     ) -> usize {
         let mut stopped = 0;
-        for room in rooms {
-            stopped += usize::from(!room.victims.is_empty());
-            self.preempt(job_handle, room, now);
+        for preemption in preemptions {
+            stopped += usize::from(!preemption.victims.is_empty());
+            self.preempt(job_handle, preemption, now);
         }
         stopped
     }
--- a/src/control/leader/job_status.rs
+++ b/src/control/leader/job_status.rs
@@ -1,9 +1,9 @@
-//! The state of a job as users and other controllers may be answered, and
-//! requests to cancel one.
+//! The job state that may be reported to users and other controllers, and requests to
+//! cancel a job.
 //!
-//! Called by the request handlers. It must never answer with a state that a
-//! later answer could contradict: none while a job's end is being recorded, and
-//! a final state always goes before the cluster state.
+//! Called by the request handlers. A reported state must never be contradicted by a later
+//! answer: no state is reported while a job's end is being recorded, and a cached final
+//! state takes precedence over the cluster state.
 
 use super::Leader;
 use crate::{
@@ -17,17 +17,18 @@
 /// Why the state of a known job is not reported.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Withheld {
-    /// Its end is being recorded: another node may read and report that end before
+    /// The job's end is being recorded: another node may read and report that end before
     /// the leader learns that the write succeeded.
     Ending,
-    /// A dependency is cancelled, so this job will be, and that is not recorded yet.
+    /// A dependency is cancelled, so this job will be cancelled too, which is not recorded yet.
     CancelledWithDependency,
-    /// How a dependency ended has not been read yet: it may have been cancelled.
+    /// The final state of a dependency has not been read yet: it may have been cancelled.
     DependenciesUnread,
 }
 
 impl Leader {
-    /// A cached final state goes before the cluster state: it never changes.
+    /// Returns the state of a job. A cached final state takes precedence over the cluster
+    /// state, because a final state never changes.
     pub fn status(&self, id: &str) -> Option<JobStatus> {
         self.final_states.get(id).or_else(|| self.live_status(id))
     }
@@ -37,11 +38,11 @@
         self.cluster.job(handle).map(Job::status)
     }
 
-    /// The job's state as a user may be answered. `None` if the leader does not
-    /// know it, or for one of the reasons of `withheld`.
+    /// Returns the job state that may be reported to users. `None` if the leader does not know
+    /// the job, or for one of the reasons returned by `withheld`.
     pub fn answerable_status(&self, id: &str) -> Option<JobStatus> {
-        if let Some(end) = self.final_states.get(id) {
-            return Some(end);
+        if let Some(final_status) = self.final_states.get(id) {
+            return Some(final_status);
         }
         let handle = self.cluster.job_handle(id)?;
         let job = self.cluster.job(handle)?;
@@ -50,7 +51,8 @@
             .then(|| job.status())
     }
 
-    /// Why the state of a known job may not be reported now.
+    /// Returns why the state of a known job may not be reported now; `None` if it may be
+    /// reported or the job is unknown.
     pub fn withheld(&self, id: &str) -> Option<Withheld> {
         let handle = self.cluster.job_handle(id)?;
         self.withheld_state(handle, self.cluster.job(handle)?)
@@ -66,26 +68,27 @@
         if self.dependencies.must_cancel(handle) {
             return Some(Withheld::CancelledWithDependency);
         }
-        // Its tasks started only once all dependencies were done.
+        // Tasks start only once all dependencies are done, so a job that has started needs no
+        // check of its dependencies.
         let has_started = job.running_count > 0 || job.completed_count > 0;
         let unread = !has_started && self.dependencies.is_unresolved(handle);
         unread.then_some(Withheld::DependenciesUnread)
     }
 
-    /// Caches a final state learned now.
+    /// Caches a job's final state, learned at `now`.
     pub fn remember_final_state(&mut self, status: &JobStatus, now: Millis) {
         self.final_states.learn(status, now);
     }
 
-    /// The job's state as another node may report it at once. A final state is
-    /// withheld for as long as an older answer may be under way.
+    /// Returns the job state that another node may report at once. A final state is withheld
+    /// for as long as an older answer may still be on its way to a user.
     pub fn answerable_by_peers(&mut self, id: &str, now: Millis) -> Option<JobStatus> {
         let status = self.answerable_status(id)?;
         (self.final_states.hold_time(&status, now) == 0).then_some(status)
     }
 
-    /// Marks a known job for cancellation. Its tasks stop only once that is
-    /// recorded: until then it may still complete.
+    /// Marks a known job for cancellation. Its tasks are stopped only once the cancellation is
+    /// recorded; until then the job may still complete.
     pub fn cancel(&mut self, id: &str) {
         if let Some(job) = self
             .cluster
--- a/src/control/leader/preemption.rs
+++ b/src/control/leader/preemption.rs
@@ -1,8 +1,9 @@
-//! Preemption at the end of a scheduling cycle: capacity for jobs of high priority that
-//! found none, by stopping tasks. Searches that are certain to fail are skipped.
+//! Preemption at the end of a scheduling cycle: stops tasks to free capacity for jobs that
+//! found none and have high priority or are within their team's guarantee. Searches for
+//! victims that are certain to fail are skipped.
 //!
-//! Called by the scheduling cycle alone. It must never preempt on more than a few
-//! machines a cycle, nor while too many machines are unconfirmed.
+//! Called only by the scheduling cycle. Preemption must never stop tasks on more than a few
+//! machines per cycle, nor run while too many machines are unconfirmed.
 
 use super::{Leader, millis, victims::GUARANTEE_S};
 use crate::{
@@ -15,14 +16,15 @@
 };
 use std::collections::HashMap;
 
-/// Machines on which tasks are preempted in one cycle; a gang that was begun with fewer
-/// is not cut short.
+/// Number of machines with preempted tasks in a cycle after which no further preemption
+/// begins. Preemption for a gang may exceed this limit, as it covers all of the gang's tasks.
 const MAX_PREEMPTED_MACHINES: usize = 3;
 
-/// All that the outcome of a failed search depends on.
+/// Everything that the outcome of a search for victims depends on, apart from the number of
+/// tasks. Used to skip searches that are certain to fail.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct SearchKey {
-    /// All tasks at once: capacity that is free already counts too.
+    /// Whether all tasks are searched for at once, so that free capacity counts too.
     gang: bool,
     need: Resources,
     types: Vec<bool>,
@@ -33,21 +35,22 @@
     guaranteed: Option<Guaranteed>,
 }
 
-/// What a search for a job within its guarantee depends on besides.
+/// What a search for a job within its team's guarantee depends on in addition.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Guaranteed {
     team: usize,
-    /// Only machines with this image count yet.
+    /// Image that a machine must cache for tasks beyond other teams' guarantees to be stopped
+    /// on it; `None` once the job has waited for `GUARANTEE_S`.
     image: Option<u32>,
 }
 
-/// Searches of one cycle that found nothing, and the fewest tasks each was for.
+/// Searches of one cycle that found nothing, with the smallest number of tasks searched for.
 #[derive(Debug, Default)]
 struct FailedSearches(HashMap<SearchKey, i64>);
 
 impl FailedSearches {
-    /// A search for as many tasks or more finds nothing either: meanwhile capacity can
-    /// only have become less.
+    /// Whether a search for this many tasks is certain to find nothing. Within a cycle,
+    /// capacity only shrinks, so a search fails if one for as many or fewer tasks failed.
     fn covers(&self, key: &SearchKey, tasks: i64) -> bool {
         self.0.get(key).is_some_and(|least| tasks >= *least)
     }
@@ -59,40 +62,47 @@
 }
 
 impl Leader {
-    /// Preempts tasks of lower priority where a job of high priority found no capacity,
-    /// and reserves what becomes free for it.
-    pub(super) fn preempt_for_waiting(&mut self, wanting: &[JobHandle], now: Millis) {
-        let holding = self.jobs_with_reservations(now);
+    /// Preempts tasks for jobs that found no capacity in this cycle and have high priority or
+    /// are within their team's guarantee, and reserves the capacity that becomes free.
+    pub(super) fn preempt_for_waiting(&mut self, unplaced_jobs: &[JobHandle], now: Millis) {
+        let jobs_with_reservations = self.jobs_with_reservations(now);
         let mut failed_searches = FailedSearches::default();
-        let mut begun = 0;
-        for &job_handle in wanting {
-            let Some(j) = self.cluster.job(job_handle) else {
+        let mut preempted_machines = 0;
+        for &job_handle in unplaced_jobs {
+            let Some(job) = self.cluster.job(job_handle) else {
                 continue;
             };
-            if begun >= MAX_PREEMPTED_MACHINES {
+            if preempted_machines >= MAX_PREEMPTED_MACHINES {
                 return;
             }
-            let several = j.spec.kind == Kind::Gang && j.spec.tasks > 1;
-            let starts_over = j.spec.kind == Kind::Gang
-                && j.live_count > 0
+            let is_multi_task_gang = job.spec.kind == Kind::Gang && job.spec.tasks > 1;
+            let old_attempt_running = job.spec.kind == Kind::Gang
+                && job.live_count > 0
                 && self.gang_to_complete(job_handle).is_none();
-            if starts_over
-                || j.effective_priority < Priority::High && !self.within_guarantee(j, now)
+            if old_attempt_running
+                || job.effective_priority < Priority::High && !self.within_guarantee(job, now)
             {
                 continue;
             }
-            if several {
-                if !holding.contains(&job_handle) {
-                    begun += self.preempt_for_gang(job_handle, &mut failed_searches, now);
+            if is_multi_task_gang {
+                if !jobs_with_reservations.contains(&job_handle) {
+                    preempted_machines +=
+                        self.preempt_for_gang(job_handle, &mut failed_searches, now);
                 }
                 continue;
             }
-            if j.spec.single_zone && j.spec.tasks > 1 {
-                // Not planned for here: such a job waits for capacity.
+            if job.spec.single_zone && job.spec.tasks > 1 {
+                // Preemption does not support these jobs: they wait for free capacity.
                 continue;
             }
-            let holds = holding.contains(&job_handle);
-            begun += self.preempt_for_tasks(job_handle, holds, begun, &mut failed_searches, now);
+            let has_reservation = jobs_with_reservations.contains(&job_handle);
+            preempted_machines += self.preempt_for_tasks(
+                job_handle,
+                has_reservation,
+                preempted_machines,
+                &mut failed_searches,
+                now,
+            );
         }
     }
 
@@ -114,61 +124,65 @@
         }
     }
 
-    /// Preempts for tasks one by one. Returns on how many machines.
+    /// Preempts for the tasks of a job one by one. Returns on how many machines.
     fn preempt_for_tasks(
         &mut self,
         job_handle: JobHandle,
-        holds: bool,
-        begun: usize,
+        has_reservation: bool,
+        preempted_before: usize,
         failed_searches: &mut FailedSearches,
         now: Millis,
     ) -> usize {
-        let Some(j) = self.cluster.job(job_handle) else {
+        let Some(job) = self.cluster.job(job_handle) else {
             return 0;
         };
-        let (need, team, priority) = (j.need, j.team, j.effective_priority);
-        let half = j.spec.spread.then(|| j.spec.tasks.div_ceil(2));
-        let key = self.search_key(j, now);
-        let mut tasks = i64::from(j.waiting_count());
-        if holds {
-            tasks -= self.tasks_that_held_room_takes(job_handle, &need, now);
+        let (need, team, priority) = (job.need, job.team, job.effective_priority);
+        let zone_limit = job.spec.spread.then(|| job.spec.tasks.div_ceil(2));
+        let key = self.search_key(job, now);
+        let mut tasks_left = i64::from(job.waiting_count());
+        if has_reservation {
+            tasks_left -= self.tasks_fitting_reservation(job_handle, &need, now);
         }
-        // Where zones are counted, another job may find what this one can't.
-        if half.is_none() && failed_searches.covers(&key, 1) {
+        // The failure of a search that excludes full tasks_by_zone is not recorded or reused: another
+        // job with the same key may be allowed in those tasks_by_zone.
+        if zone_limit.is_none() && failed_searches.covers(&key, 1) {
             return 0;
         }
-        let mut zones = self.cluster.live_tasks_by_zone(job_handle);
-        let mut own = 0;
-        while tasks > 0 && begun + own < MAX_PREEMPTED_MACHINES && self.within_limit(team, &need, 1)
+        let mut tasks_by_zone = self.cluster.live_tasks_by_zone(job_handle);
+        let mut preempted_machines = 0;
+        while tasks_left > 0
+            && preempted_before + preempted_machines < MAX_PREEMPTED_MACHINES
+            && self.within_limit(team, &need, 1)
         {
-            let found = self.cheapest_preemption(job_handle, priority, now, |z| {
-                half.is_none_or(|h| zones.get(z).copied().unwrap_or(0) < h)
+            let candidate = self.cheapest_preemption(job_handle, priority, now, |z| {
+                zone_limit.is_none_or(|limit| tasks_by_zone.get(z).copied().unwrap_or(0) < limit)
             });
-            let Some(room) = found else {
-                if half.is_none() {
+            let Some(preemption) = candidate else {
+                if zone_limit.is_none() {
                     failed_searches.record(key, 1);
                 }
                 break;
             };
-            tasks -= 1;
-            own += 1;
-            if let Some(m) = self.cluster.machine(room.machine) {
-                zones[m.zone] += 1;
+            tasks_left -= 1;
+            preempted_machines += 1;
+            if let Some(m) = self.cluster.machine(preemption.machine) {
+                tasks_by_zone[m.zone] += 1;
             }
-            self.preempt(job_handle, room, now);
+            self.preempt(job_handle, preemption, now);
         }
-        own
+        preempted_machines
     }
 
-    fn tasks_that_held_room_takes(
+    /// Returns how many tasks fit on the machines that are reserved for the job.
+    fn tasks_fitting_reservation(
         &self,
         job_handle: JobHandle,
         need: &Resources,
         now: Millis,
     ) -> i64 {
-        let held = self.cluster.each_machine();
-        let held = held.filter(|m| m.is_reserved_for(job_handle, now));
-        held.map(|m| m.capacity.count(need)).sum()
+        let reserved_machines = self.cluster.each_machine();
+        let reserved_machines = reserved_machines.filter(|m| m.is_reserved_for(job_handle, now));
+        reserved_machines.map(|m| m.capacity.count(need)).sum()
     }
 
     /// Preempts for all missing tasks of a gang at once, and reserves the capacity.
@@ -179,22 +193,23 @@
         failed_searches: &mut FailedSearches,
         now: Millis,
     ) -> usize {
-        if !self.wants_room(job_handle) {
+        if !self.waits_for_capacity_only(job_handle) {
             return 0;
         }
-        let Some(j) = self.cluster.job(job_handle) else {
+        let Some(job) = self.cluster.job(job_handle) else {
             return 0;
         };
-        // Tasks that are there already may bind the rest to their zone.
-        let alone = j.live_count == 0 && !j.spec.spread;
-        let (key, missing) = (self.search_key(j, now), i64::from(j.waiting_count()));
-        if alone && failed_searches.covers(&key, missing) {
+        // Failed searches are not shared by gangs with live tasks, whose zone may bind the
+        // missing tasks.
+        let may_share_result = job.live_count == 0 && !job.spec.spread;
+        let (key, missing) = (self.search_key(job, now), i64::from(job.waiting_count()));
+        if may_share_result && failed_searches.covers(&key, missing) {
             return 0;
         }
         match self.gang_candidates(job_handle, now, |_| true) {
-            Some((_, rooms)) => self.preempt_all(job_handle, rooms, now),
+            Some((_, preemptions)) => self.preempt_all(job_handle, preemptions, now),
             None => {
-                if alone {
+                if may_share_result {
                     failed_searches.record(key, missing);
                 }
                 0
--- a/src/control/leader/queue.rs
+++ b/src/control/leader/queue.rs
@@ -1,8 +1,8 @@
-//! The order of service of waiting jobs: suspicion, starvation, priority, deadline,
-//! arrival.
+//! The order in which waiting jobs are served. Jobs are sorted by suspicion of failing
+//! everywhere (suspected jobs last), starvation, priority, deadline and arrival.
 //!
-//! Called by the scheduling cycle and by scale-out. It must never let a job wait for
-//! ever behind later ones.
+//! Called by the scheduling cycle and by scale-out. A job must never wait forever behind
+//! later jobs.
 
 use super::{Leader, millis, scheduling_cycle::is_schedulable_job};
 use crate::{
@@ -18,7 +18,7 @@
 };
 
 impl Leader {
-    /// Waiting jobs in the order in which they are served.
+    /// Returns the waiting jobs in the order in which they are served.
     pub(super) fn queue(&mut self, now: Millis) -> Vec<JobHandle> {
         self.refresh_fleet(now);
         let mut order = std::mem::take(&mut self.scheduling.queue_buffer);
@@ -27,84 +27,100 @@
         let schedulable = jobs.filter(|(_, job)| is_schedulable_job(job));
         order.extend(schedulable.map(|(handle, _)| handle));
         let jobs = &self.cluster.jobs;
-        let (objectives, wall) = (&self.settings.cluster.objectives, self.wall_ms);
-        let fleet = self.scheduling.fleet.capacity();
+        let (objectives, wall_ms) = (&self.settings.cluster.objectives, self.wall_ms);
+        let fleet_capacity = self.scheduling.fleet.capacity();
         order.sort_by_cached_key(|handle| {
-            jobs.get(*handle).map(|j| {
-                let begun = !self.is_starving(j);
-                let band =
-                    deadline_band(&j.spec, objectives, wall.saturating_sub(j.accepted_at_ms));
-                let rank = std::cmp::Reverse(j.effective_priority);
-                let turn = j.queued_since_ms.saturating_add(yield_time_ms(j, &fleet));
-                (j.failures.suspected, begun, rank, band, turn, *handle)
+            jobs.get(*handle).map(|job| {
+                let not_starving = !self.is_starving(job);
+                let deadline_band_rank = deadline_band(
+                    &job.spec,
+                    objectives,
+                    wall_ms.saturating_sub(job.accepted_at_ms),
+                );
+                let priority_rank = std::cmp::Reverse(job.effective_priority);
+                let queue_time_ms = job
+                    .queued_since_ms
+                    .saturating_add(yield_time_ms(job, &fleet_capacity));
+                (
+                    job.failures.suspected,
+                    not_starving,
+                    priority_rank,
+                    deadline_band_rank,
+                    queue_time_ms,
+                    *handle,
+                )
             })
         });
         order
     }
 
-    /// Nothing of the job has run for so long that it goes ahead of all others now.
-    /// Guards against starvation of large jobs by a stream of smaller, later or more
-    /// urgent ones.
-    pub(super) fn is_starving(&self, j: &Job) -> bool {
-        if !self.waited_long(j) || j.has_run || j.completed_count > 0 || j.live_count > 0 {
+    /// Whether the job has waited for `begin_s` without any task having run, so that it is
+    /// served before all jobs that aren't starving. Guards against starvation of large jobs
+    /// by a stream of smaller, later or more urgent ones.
+    pub(super) fn is_starving(&self, job: &Job) -> bool {
+        if !self.waited_long(job) || job.has_run || job.completed_count > 0 || job.live_count > 0 {
             return false;
         }
-        // Best-effort gangs begin only where one machine is enough: more would cost
-        // others theirs.
-        j.spec.kind != Kind::Gang || j.spec.tasks == 1 || !self.is_best_effort(j)
+        // A best-effort gang counts as starving only if it has a single task: the capacity
+        // for several tasks would be taken from other jobs.
+        job.spec.kind != Kind::Gang || job.spec.tasks == 1 || !self.is_best_effort(job)
     }
 
-    fn waited_long(&self, j: &Job) -> bool {
-        let waited = self.wall_ms.saturating_sub(j.queued_since_ms);
-        let bound = millis(self.options.begin_s);
-        bound > 0 && waited >= bound
+    /// Whether the job has been queued for `begin_s`; 0 disables starvation handling.
+    fn waited_long(&self, job: &Job) -> bool {
+        let waited_ms = self.wall_ms.saturating_sub(job.queued_since_ms);
+        let bound_ms = millis(self.options.begin_s);
+        bound_ms > 0 && waited_ms >= bound_ms
     }
 
-    /// All that runs of the job is its start after starvation. Guards against preempting
-    /// that at once for what it went ahead of.
-    pub(super) fn has_only_starvation_start(&self, j: &Job) -> bool {
-        j.live_count <= 1 && j.completed_count == 0 && self.waited_long(j)
+    /// Whether at most one task of the job runs, after the job was starving. Guards against
+    /// preempting that task at once for the jobs that the starving job was served before.
+    pub(super) fn has_only_starvation_start(&self, job: &Job) -> bool {
+        job.live_count <= 1 && job.completed_count == 0 && self.waited_long(job)
     }
 
-    /// Neither its team has a guarantee nor its class an objective.
-    fn is_best_effort(&self, j: &Job) -> bool {
-        let promised = |t: &crate::protocol::settings::Team| t.cpus > 0.0 || t.gpus > 0.0;
-        let class = Some(j.spec.class.as_str());
-        let aims = &self.settings.cluster.objectives;
-        !self.cluster.teams.get(j.team).is_some_and(promised)
-            && !aims.iter().any(|o| o.class.as_deref() == class)
+    /// Whether neither the job's team has a guarantee nor its class an objective.
+    fn is_best_effort(&self, job: &Job) -> bool {
+        let has_guarantee = |t: &crate::protocol::settings::Team| t.cpus > 0.0 || t.gpus > 0.0;
+        let class = Some(job.spec.class.as_str());
+        let objectives = &self.settings.cluster.objectives;
+        !self.cluster.teams.get(job.team).is_some_and(has_guarantee)
+            && !objectives.iter().any(|o| o.class.as_deref() == class)
     }
 }
 
-/// A batch with a deadline yields to jobs that arrived up to so many times later as the
-/// whole fleet would take for the rest of it.
+/// Factor by which a batch job with a deadline is delayed in the queue: it yields to jobs that
+/// arrive within this many times the time that the whole fleet would need for its waiting
+/// tasks.
 const YIELD_FACTOR: f64 = 40.0;
 
-/// For how long after its arrival a batch yields to smaller ones, in milliseconds.
-/// Guards against a burst that makes all batches late by the same time, where most would
-/// keep their deadline if the few large ones waited; it is bounded, so none waits for
-/// ever.
-fn yield_time_ms(j: &Job, fleet: &Resources) -> u64 {
-    if j.spec.kind != Kind::Array || j.spec.deadline_s.is_none() {
+/// Returns for how long after its arrival a batch job yields to smaller ones, in
+/// milliseconds. Guards against a burst that makes all batch jobs late by the same time,
+/// where most would keep their deadline if the few large ones waited. The time is bounded,
+/// so no job waits forever.
+fn yield_time_ms(job: &Job, fleet_capacity: &Resources) -> u64 {
+    if job.spec.kind != Kind::Array || job.spec.deadline_s.is_none() {
         return 0;
     }
-    let (each, all) = match j.need.gpus {
-        0 => (j.need.cpus, fleet.cpus),
-        n => (n, fleet.gpus),
+    let (task_amount, all) = match job.need.gpus {
+        0 => (job.need.cpus, fleet_capacity.cpus),
+        n => (n, fleet_capacity.gpus),
     };
-    let left = f64::from(j.waiting_count()) * j.spec.estimate_s * each as f64;
-    (YIELD_FACTOR * 1000.0 * left / all.max(each).max(1) as f64) as u64
+    let amount_seconds_left =
+        f64::from(job.waiting_count()) * job.spec.estimate_s * task_amount as f64;
+    (YIELD_FACTOR * 1000.0 * amount_seconds_left / all.max(task_amount).max(1) as f64) as u64
 }
 
-/// Within a priority, jobs are served in arrival order, but those that have missed their
-/// deadline yield to the others, until a later objective for them (or three times the
-/// deadline) draws near.
+/// Returns the deadline band of a job; lower bands are served first within a priority. Jobs
+/// without a deadline, or that can still meet it, are in band 1. Jobs that miss their
+/// deadline yield to the others in band 2 until the last objective for their class (or
+/// three times the deadline) is near; then they move to band 0.
 fn deadline_band(spec: &JobSpec, objectives: &[Objective], age_ms: u64) -> u8 {
-    let Some(due) = spec.deadline_s else {
+    let Some(deadline_s) = spec.deadline_s else {
         return 1;
     };
-    let age = age_ms as f64 / 1000.0;
-    if due - age >= spec.estimate_s * 0.8 {
+    let age_s = age_ms as f64 / 1000.0;
+    if deadline_s - age_s >= spec.estimate_s * 0.8 {
         return 1;
     }
     let last = objectives
@@ -113,8 +129,8 @@
         .filter_map(|o| o.times)
         .fold(1.0, f64::max);
     let last = if last > 1.0 { last } else { 3.0 };
-    let near = last * due - age < spec.estimate_s * 1.5 + 0.2 * due;
-    if near { 0 } else { 2 }
+    let last_objective_near = last * deadline_s - age_s < spec.estimate_s * 1.5 + 0.2 * deadline_s;
+    if last_objective_near { 0 } else { 2 }
 }
 
 #[cfg(test)]
--- a/src/control/leader/queue/tests.rs
+++ b/src/control/leader/queue/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of the order of service.
+//! Tests of the queue order of waiting jobs.
 
 use super::*;
 
 #[test]
-fn late_batch_yields_until_its_last_objective_is_near() {
+fn late_batch_yields_when_last_objective_is_not_near() {
     let spec = JobSpec::parse(
         br#"{"ref":"j-000001","job_family":"c","owner_crew":"t","run_shape":"array",
             "urgency":"normal","pieces":3,"cores":1.0,"accelerators":0.0,"memory_gb":1.0,
@@ -11,18 +11,20 @@
             "expected_s":20.0,"snapshot_every_s":0.0,"snapshot_cost_s":0.0,"due_s":100.0}"#,
     )
     .unwrap();
-    let aim = |times| Objective {
+    let objective = |times| Objective {
         kind: "deadline".into(),
         class: Some("c".into()),
         within_s: None,
         times: Some(times),
     };
-    let band = |age_s: u64, aims: &[Objective]| deadline_band(&spec, aims, age_s * 1000);
-    let aims = [aim(1.0), aim(1.5)];
-    assert_eq!(band(0, &aims), 1);
-    assert_eq!(band(90, &aims), 2);
-    assert_eq!(band(110, &aims), 0);
-    // Without a later objective it still does not wait for ever.
+    let band =
+        |age_s: u64, objectives: &[Objective]| deadline_band(&spec, objectives, age_s * 1000);
+    let objectives = [objective(1.0), objective(1.5)];
+    assert_eq!(band(0, &objectives), 1);
+    assert_eq!(band(90, &objectives), 2);
+    assert_eq!(band(110, &objectives), 0);
+    // Without a later objective, three times the deadline applies, so the job does not
+    // wait forever.
     assert_eq!(band(110, &[]), 2);
     assert_eq!(band(280, &[]), 0);
 }
--- a/src/control/leader/quotas.rs
+++ b/src/control/leader/quotas.rs
@@ -1,14 +1,16 @@
-//! Quotas of teams, counted with what may run unconfirmed.
+//! Team quotas, checked against known usage and the usage of tasks that may run on machines
+//! that are not confirmed yet.
 //!
-//! Called wherever a task may be started or a machine requested for one. Usage must
-//! never be underestimated: what may still run counts.
+//! Called wherever a task may be started or a machine requested for one. Usage must never
+//! be underestimated: tasks that may still be running count.
 
 use super::Leader;
 use crate::state::{cluster::Job, resources::Resources};
 
 impl Leader {
-    /// What may run unconfirmed counts against the limit of its team until every machine
-    /// is confirmed: all that waits of jobs older than this term.
+    /// Recomputes each team's usage by tasks that may run on unconfirmed machines. Until all
+    /// running tasks are known, every waiting task of a job that is not settled counts
+    /// against its team's quota, as an earlier leader may have started it.
     pub(super) fn count_unconfirmed_usage(&mut self) {
         self.scheduling.unconfirmed_usage.clear();
         if self.recovery.knows_all_tasks() {
@@ -17,18 +19,18 @@
         self.scheduling
             .unconfirmed_usage
             .resize(self.cluster.teams.len(), Resources::default());
-        for j in self.cluster.jobs.values() {
-            if !self.job_settled(j)
-                && let Some(u) = self.scheduling.unconfirmed_usage.get_mut(j.team)
+        for job in self.cluster.jobs.values() {
+            if !self.job_settled(job)
+                && let Some(usage) = self.scheduling.unconfirmed_usage.get_mut(job.team)
             {
-                *u += j.need.scaled(i64::from(j.possibly_running()));
+                *usage += job.need.scaled(i64::from(job.possibly_running()));
             }
         }
     }
 
-    /// Whether all tasks of the job that are, or may be, on a machine are known: it is
-    /// younger than the term, or no unconfirmed machine is of a kind that the job
-    /// allows.
+    /// Whether all tasks of the job that are or may be on a machine are known. That is so if
+    /// the job was accepted in this term, or if no unconfirmed machine is of a kind that the
+    /// job allows.
     pub(super) fn job_settled(&self, job: &Job) -> bool {
         self.recovery.knows_all_tasks()
             || job.accepted_this_term
@@ -40,17 +42,19 @@
             })
     }
 
+    /// Whether the team may run `n` more tasks of this need within its quota.
     pub(super) fn within_limit(&self, team: usize, need: &Resources, n: i64) -> bool {
-        let unseen = self
+        let unconfirmed = self
             .scheduling
             .unconfirmed_usage
             .get(team)
             .copied()
             .unwrap_or_default();
-        self.cluster.within_quota(team, need, n, unseen)
+        self.cluster.within_quota(team, need, n, unconfirmed)
     }
 
-    /// How many of at most `n` such tasks the team may run beside `planned`.
+    /// Returns how many tasks of this need, at most `n`, the team may run within its quota in
+    /// addition to the planned resources.
     pub(super) fn most_within_limit(
         &self,
         team: usize,
--- a/src/control/leader/scheduling.rs
+++ b/src/control/leader/scheduling.rs
@@ -1,9 +1,8 @@
-//! What scheduling keeps between events: the fleet as placement ranks it, recent
-//! arrivals, and an interrupted scheduling cycle.
+//! Scheduling state that outlives a single event: the fleet as ranked by placement, recent
+//! job arrivals, and an interrupted scheduling cycle.
 //!
-//! Owned by `Leader`; read and changed by the modules of scheduling (queue, scheduling
-//! cycle, fleet view, headroom, quotas). It holds no cluster state, and none of it is
-//! stored.
+//! Owned by `Leader`; read and changed by the scheduling modules (queue, scheduling cycle,
+//! fleet view, headroom, quotas). It holds no cluster state, and none of it is stored.
 
 use super::{headroom::Class, scheduling_cycle::SchedulingCycle};
 use crate::{
@@ -16,29 +15,36 @@
 };
 use std::collections::{BTreeSet, VecDeque};
 
-/// State of scheduling between events.
+/// In-memory scheduling state of one leader term.
 pub(super) struct Scheduling {
     pub(super) policy: Policy,
+    /// Resource needs of submitted jobs, with the number of jobs of each, most frequent
+    /// first. Used as the placement policy's shapes if none are configured.
     pub(super) seen_shapes: Vec<(Resources, u64)>,
+    /// Allocation reused for the job order of the next cycle.
     pub(super) queue_buffer: Vec<JobHandle>,
-    /// Recent arrivals: time, index into `classes`, tasks.
+    /// Recent job arrivals: arrival time, index into `classes`, number of tasks.
     pub(super) arrivals: VecDeque<(Millis, usize, u32)>,
+    /// Distinct job classes seen in this term, for headroom.
     pub(super) classes: Vec<Class>,
+    /// Earliest time at which machines are considered for draining again.
     pub(super) next_drain_at: Millis,
+    /// Time at which a scheduling cycle runs even if nothing has changed.
     pub(super) next_cycle_at: Millis,
-    /// Attempts given out in this term.
+    /// Number of attempts created in this term; the low bits of the next attempt number.
     pub(super) attempt_count: u64,
-    /// By team, see `count_unconfirmed_usage`; empty once all that may run is known.
+    /// Resources that each team's unconfirmed tasks may use, by team index; see
+    /// `count_unconfirmed_usage`. Empty once all tasks that may be running are known.
     pub(super) unconfirmed_usage: Vec<Resources>,
-    /// Machines that tasks may be placed on.
+    /// Machines on which tasks may be placed, and their rankings.
     pub(super) fleet: Fleet,
-    /// A cycle that has made its steps, and resumes where it stopped.
+    /// The scheduling cycle that used up its steps and resumes at the next tick.
     pub(super) interrupted_cycle: Option<SchedulingCycle>,
-    /// A cycle is under way, or was interrupted.
+    /// Whether a scheduling cycle is running or interrupted.
     pub(super) in_cycle: bool,
-    /// Machines with capacity that became free since it began.
+    /// Machines on which capacity became free since the current cycle began.
     pub(super) machines_with_gain: BTreeSet<MachineHandle>,
-    /// Steps that the cycle may make before it is interrupted.
+    /// Number of steps left before the current cycle is interrupted.
     pub(super) steps_left: u32,
 }
 
--- a/src/control/leader/scheduling_cycle.rs
+++ b/src/control/leader/scheduling_cycle.rs
@@ -1,9 +1,9 @@
-//! The scheduling cycle: tries every waiting job in the order of service. It does a
-//! bounded number of steps at once and resumes where it stopped, so that heartbeats are
+//! The scheduling cycle: tries to place every waiting job in queue order. A cycle runs a
+//! bounded number of steps per tick and resumes where it stopped, so that heartbeats are
 //! answered in between.
 //!
-//! Owns `SchedulingCycle`. Called from `tick`. It must never serve a job out of order
-//! because it was interrupted.
+//! Owns `SchedulingCycle`. Called from `tick`. An interruption must never change the order
+//! in which jobs are served.
 
 use super::{
     Leader,
@@ -24,11 +24,11 @@
 };
 use std::collections::HashSet;
 
-/// Steps (machines chosen and jobs tried) before heartbeats are answered again: some
-/// milliseconds.
+/// Maximum number of steps (machines chosen and jobs tried) before a cycle is interrupted
+/// so that heartbeats are answered. This many steps take some milliseconds.
 const MAX_CYCLE_STEPS: u32 = 1_000;
 
-/// What tasks ask of machines, for jobs that find no capacity.
+/// Machine requirements of a job's tasks. Jobs with equal requirements find the same capacity.
 #[derive(Debug, PartialEq)]
 struct Shape {
     need: Resources,
@@ -37,27 +37,31 @@
     spot: bool,
 }
 
-/// A cycle that has begun.
+/// Progress of a scheduling cycle.
 pub(super) struct SchedulingCycle {
+    /// Waiting jobs in queue order, as of the start of the cycle.
     order: Vec<JobHandle>,
+    /// Index into `order` of the job to be tried next.
     next: usize,
     headroom: Vec<Headroom>,
-    /// Jobs with a reservation.
+    /// Jobs for which capacity was reserved when the cycle began.
     jobs_with_reservations: HashSet<JobHandle>,
-    /// Jobs that found no capacity.
+    /// Jobs that found no capacity; preemption is tried for them at the end of the cycle.
     unplaced_jobs: Vec<JobHandle>,
-    /// Shapes that found no capacity in this cycle; the rest of the queue need not be
-    /// tried for them.
+    /// Shapes that found no capacity in this cycle. Later jobs of the same shape are not
+    /// tried.
     full_shapes: Vec<Shape>,
-    /// Gangs that wait for capacity, and their priority.
+    /// Gangs of priority `waiting_gangs_priority` that found no capacity. Capacity is
+    /// reserved for them before the first job of lower priority is tried.
     waiting_gangs: Vec<JobHandle>,
     waiting_gangs_priority: Priority,
-    /// The job at hand may start one task under its team's limit.
+    /// Whether the team's quota allowed one more task before the current job was tried. A job
+    /// held back by the quota does not show that its shape has no capacity.
     may_start_one: bool,
 }
 
 impl Leader {
-    /// Begins a cycle, or resumes the interrupted one.
+    /// Begins a scheduling cycle, or resumes the interrupted one.
     pub(super) fn schedule(&mut self, now: Millis) {
         self.count_unconfirmed_usage();
         self.scheduling.steps_left = MAX_CYCLE_STEPS;
@@ -67,16 +71,17 @@
         };
         let Some(mut cycle) = cycle else { return };
         while let Some(waiting) = cycle.order.get(cycle.next).copied() {
-            // It may be over, or cancelled, since the cycle began.
-            let still = self.cluster.job(waiting).is_some_and(is_schedulable_job);
-            if still && (!self.take_step() || !self.place_job(waiting, &mut cycle, now)) {
+            // The job may have ended or been cancelled since the cycle began.
+            let still_schedulable = self.cluster.job(waiting).is_some_and(is_schedulable_job);
+            if still_schedulable && (!self.take_step() || !self.place_job(waiting, &mut cycle, now))
+            {
                 self.scheduling.interrupted_cycle = Some(cycle);
                 return;
             }
             cycle.next += 1;
         }
         self.scheduling.queue_buffer = std::mem::take(&mut cycle.order);
-        // Capacity that became free meanwhile is offered to nobody yet.
+        // Capacity that became free during this cycle is not offered before the next one.
         self.refresh_fleet(now);
         if self.recovery.heard_from_most(now) {
             self.preempt_for_waiting(&cycle.unplaced_jobs, now);
@@ -84,14 +89,14 @@
         self.end_cycle();
     }
 
-    /// Counts a step; `false` once the cycle has made as many as it may at once.
+    /// Uses up one step of the cycle. Returns whether a step was left.
     pub(super) fn take_step(&mut self) -> bool {
-        let left = self.scheduling.steps_left.checked_sub(1);
-        self.scheduling.steps_left = left.unwrap_or(0);
-        left.is_some()
+        let steps_left = self.scheduling.steps_left.checked_sub(1);
+        self.scheduling.steps_left = steps_left.unwrap_or(0);
+        steps_left.is_some()
     }
 
-    /// `None`: there is no machine to place anything on.
+    /// Returns a new cycle, or `None` if there is no machine to place tasks on.
     fn begin_cycle(&mut self, now: Millis) -> Option<SchedulingCycle> {
         let order = self.queue(now);
         if self.scheduling.fleet.is_empty() {
@@ -101,15 +106,15 @@
             self.scheduling.queue_buffer = order;
             return None;
         }
-        let keep = millis(self.options.keep_s);
-        let headroom = self.headroom(ARRIVAL_WINDOW_MS, keep, now);
-        let held = self.jobs_with_reservations(now);
+        let headroom_ahead_ms = millis(self.options.keep_s);
+        let headroom = self.headroom(ARRIVAL_WINDOW_MS, headroom_ahead_ms, now);
+        let reserved_jobs = self.jobs_with_reservations(now);
         self.scheduling.in_cycle = true;
         Some(SchedulingCycle {
             order,
             next: 0,
             headroom,
-            jobs_with_reservations: held,
+            jobs_with_reservations: reserved_jobs,
             unplaced_jobs: Vec::new(),
             full_shapes: Vec::new(),
             waiting_gangs: Vec::new(),
@@ -118,7 +123,8 @@
         })
     }
 
-    /// Places what it can of one job; `false`: the cycle was interrupted.
+    /// Places as many tasks of the job as possible. Returns `false` if the cycle was
+    /// interrupted.
     fn place_job(
         &mut self,
         job_handle: JobHandle,
@@ -128,9 +134,9 @@
         let Some(job) = self.cluster.job(job_handle) else {
             return true;
         };
-        // One try at a time.
-        let tried = job.failures.suspected && job.live_count > 0;
-        if job.backoff_until > now || job.failures.is_backing_off(now) || tried {
+        // A job suspected of failing everywhere runs one trial at a time.
+        let trial_running = job.failures.suspected && job.live_count > 0;
+        if job.backoff_until > now || job.failures.is_backing_off(now) || trial_running {
             self.set_reason(job_handle, PendingReason::FailsEverywhere);
             return true;
         }
@@ -150,25 +156,26 @@
                 self.reserve_for_gang(gang, now);
             }
         }
-        let held = cycle.jobs_with_reservations.contains(&job_handle);
-        // No free capacity; some may be reserved or preempted for it still.
-        if cycle.full_shapes.contains(&shape) && !held {
+        let has_reservation = cycle.jobs_with_reservations.contains(&job_handle);
+        // There is no free capacity for this shape, but reserved or preempted capacity may
+        // still serve the job.
+        if cycle.full_shapes.contains(&shape) && !has_reservation {
             self.set_reason(job_handle, PendingReason::NoRoom);
             cycle.unplaced_jobs.push(job_handle);
             return true;
         }
         if suspected {
-            // Only where capacity is free: nothing is preempted or reserved for it.
+            // A suspected job uses free capacity only; nothing is preempted or reserved for it.
             if let Some(ranking) = self.ranking_for(job_handle, now) {
-                self.place_try(job_handle, ranking, &mut cycle.headroom, now);
+                self.place_trial(job_handle, ranking, &mut cycle.headroom, now);
             }
             return true;
         }
         self.refresh_fleet(now);
-        // Guards against a ranking for every shape that waits while the fleet
-        // is full.
+        // Guards against building a ranking for every waiting shape while the fleet is
+        // full.
         if !self.may_fit(job_handle) {
-            self.record_pending_reason(job_handle, held);
+            self.record_pending_reason(job_handle, has_reservation);
             cycle.unplaced_jobs.push(job_handle);
             return true;
         }
@@ -176,7 +183,7 @@
             Outcome::Placed => true,
             Outcome::Interrupted => false,
             Outcome::Left => {
-                self.record_pending_reason(job_handle, held);
+                self.record_pending_reason(job_handle, has_reservation);
                 cycle.unplaced_jobs.push(job_handle);
                 self.record_no_capacity(job_handle, shape, cycle, now);
                 true
@@ -191,7 +198,7 @@
         })
     }
 
-    /// Places what it can of a job for which there may be capacity.
+    /// Places as many tasks as possible of a job for which there may be capacity.
     fn place_tasks(
         &mut self,
         job_handle: JobHandle,
@@ -201,7 +208,7 @@
         let Some(job) = self.cluster.job(job_handle) else {
             return Outcome::Placed;
         };
-        let gang = job.spec.kind == Kind::Gang;
+        let is_gang = job.spec.kind == Kind::Gang;
         let (team, need) = (job.team, job.need);
         let is_starving = self.is_starving(job);
         cycle.may_start_one = self.within_limit(team, &need, 1);
@@ -209,18 +216,20 @@
             return Outcome::Placed;
         };
         let headroom = &mut cycle.headroom;
-        if gang {
+        if is_gang {
             return match self.place_gang(job_handle, ranking, headroom, now) {
                 true => Outcome::Placed,
                 false => Outcome::Left,
             };
         }
         if !is_starving {
-            return self.place_some(job_handle, u32::MAX, ranking, headroom, now);
+            return self.place_up_to(job_handle, u32::MAX, ranking, headroom, now);
         }
-        // One task is a beginning; the rest takes its turn.
-        let outcome = self.place_some(job_handle, 1, ranking, headroom, now);
-        // Guards against a cycle at every event while it finds no capacity.
+        // A starving job goes ahead of the queue with one task only; its other tasks are served
+        // in normal order.
+        let outcome = self.place_up_to(job_handle, 1, ranking, headroom, now);
+        // Another cycle is requested only if the task was placed. Guards against a cycle at
+        // every event while the job finds no capacity.
         if self
             .cluster
             .job(job_handle)
@@ -232,7 +241,8 @@
         outcome
     }
 
-    /// Reserves what a gang finds, or records that the shape has no capacity.
+    /// Handles a job that found no capacity: reserves capacity for a gang at once if it is
+    /// starving or overdue and later otherwise, and records that the shape has no capacity.
     fn record_no_capacity(
         &mut self,
         job_handle: JobHandle,
@@ -244,7 +254,8 @@
             return;
         };
         let (team, priority) = (job.team, job.effective_priority);
-        let bound = job.spec.single_zone || job.spec.spread || job.spec.kind == Kind::Gang;
+        let has_placement_constraint =
+            job.spec.single_zone || job.spec.spread || job.spec.kind == Kind::Gang;
         if job.spec.kind == Kind::Gang {
             if self.is_starving(job) || self.has_waited_too_long(job_handle, now) {
                 self.reserve_for_gang(job_handle, now);
@@ -253,25 +264,29 @@
                 cycle.waiting_gangs_priority = priority;
             }
         }
-        if !bound && cycle.may_start_one && self.within_limit(team, &shape.need, 1) {
+        if !has_placement_constraint
+            && cycle.may_start_one
+            && self.within_limit(team, &shape.need, 1)
+        {
             cycle.full_shapes.push(shape);
         }
     }
 
-    /// Records why the rest of a job was not placed in this cycle.
-    fn record_pending_reason(&mut self, job_handle: JobHandle, held: bool) {
-        let Some(j) = self.cluster.job(job_handle) else {
+    /// Records why the remaining tasks of a job were not placed in this cycle.
+    fn record_pending_reason(&mut self, job_handle: JobHandle, has_reservation: bool) {
+        let Some(job) = self.cluster.job(job_handle) else {
             return;
         };
-        let gang = j.spec.kind == Kind::Gang;
-        let at_once = if gang { j.waiting_count() } else { 1 };
-        let reason = if gang && j.live_count > 0 && self.gang_to_complete(job_handle).is_none() {
+        let is_gang = job.spec.kind == Kind::Gang;
+        let tasks_at_once = if is_gang { job.waiting_count() } else { 1 };
+        let reason = if is_gang && job.live_count > 0 && self.gang_to_complete(job_handle).is_none()
+        {
             PendingReason::OldAttempt
-        } else if !self.within_limit(j.team, &j.need, i64::from(at_once)) {
+        } else if !self.within_limit(job.team, &job.need, i64::from(tasks_at_once)) {
             PendingReason::TeamLimit
-        } else if held {
+        } else if has_reservation {
             PendingReason::RoomBeingMade
-        } else if gang && j.spec.tasks > 1 {
+        } else if is_gang && job.spec.tasks > 1 {
             PendingReason::GangIncomplete
         } else {
             PendingReason::NoRoom
@@ -280,7 +295,7 @@
     }
 }
 
-/// The job waits for its turn.
-pub(super) fn is_schedulable_job(j: &Job) -> bool {
-    j.waiting_count() > 0 && !j.cancelled && !j.cancel_requested
+/// Whether the job has tasks to place and is not cancelled.
+pub(super) fn is_schedulable_job(job: &Job) -> bool {
+    job.waiting_count() > 0 && !job.cancelled && !job.cancel_requested
 }
--- a/src/control/leader/task_placement.rs
+++ b/src/control/leader/task_placement.rs
@@ -1,9 +1,9 @@
-//! Placement of one job's tasks: of an array or a service one by one, of a gang all or
-//! none.
+//! Placement of one job's tasks: arrays and services are placed task by task, gangs all at
+//! once or not at all.
 //!
-//! Called by the scheduling cycle. It must never start a task beyond the team's quota,
-//! the headroom of higher priorities, or on a machine that may still run an older
-//! attempt of it.
+//! Called by the scheduling cycle. A task must never be started beyond the team's quota, in
+//! the headroom of higher priorities, or on a machine that may still run an older attempt
+//! of the task.
 
 use super::{Leader, MACHINE_TOKEN_BITS, headroom::Headroom};
 use crate::{
@@ -24,57 +24,60 @@
 pub(super) struct ChosenMachine {
     pub(super) machine: MachineHandle,
     zone: usize,
-    /// Its fetch of the image would miss the objective for starting.
+    /// Whether fetching the image on the machine would miss the objective for starting.
     pub(super) late: bool,
 }
 
-/// The outcome of placing the tasks of a job.
+/// The result of placing the tasks of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Outcome {
-    /// Nothing waits any more.
+    /// No task of the job is to be placed any more in this cycle.
     Placed,
-    /// The rest finds no capacity, or may not start now.
+    /// The remaining tasks found no capacity or may not start now.
     Left,
-    /// The cycle has made as many steps as it may at once.
+    /// The cycle has used up its steps and is interrupted.
     Interrupted,
 }
 
 impl Leader {
+    /// Returns a new attempt number: the term in the high bits and a counter in the low
+    /// `MACHINE_TOKEN_BITS` bits.
     pub(super) fn attempt(&mut self) -> u64 {
         self.scheduling.attempt_count += 1;
         (self.term << MACHINE_TOKEN_BITS) | self.scheduling.attempt_count
     }
 
-    /// Whether the machine takes this task now.
+    /// Whether the task may be placed on the machine now.
     fn admits(
         &self,
         job_handle: JobHandle,
         task: u32,
-        m: &Machine,
-        room: &MachineView,
+        machine: &Machine,
+        machine_view: &MachineView,
         headroom: &[Headroom],
         now: Millis,
     ) -> bool {
         let Some(job) = self.cluster.job(job_handle) else {
             return false;
         };
-        let leaves_headroom = |r: &Headroom| {
-            r.priority <= job.effective_priority
-                || !r.covers(room.type_ix, room.spot)
-                || match r.loss(&room.free, &job.need) {
+        let leaves_headroom = |class_headroom: &Headroom| {
+            class_headroom.priority <= job.effective_priority
+                || !class_headroom.covers(machine_view.type_ix, machine_view.spot)
+                || match class_headroom.loss(&machine_view.free, &job.need) {
                     0 => true,
-                    loss => r.fits - loss >= r.wanted,
+                    loss => class_headroom.fits - loss >= class_headroom.wanted,
                 }
         };
-        (now >= m.closed_to_batches_until || job.spec.kind != Kind::Array)
-            && m.available_to(job_handle, now)
+        (now >= machine.closed_to_batches_until || job.spec.kind != Kind::Array)
+            && machine.available_to(job_handle, now)
             && headroom.iter().all(leaves_headroom)
-            && job.allows(m)
-            // An old attempt still listed there would refuse it.
-            && !m.tasks.iter().any(|a| a.job == Some(job_handle) && a.task == task)
+            && job.allows(machine)
+            // The machine would refuse the task while it still lists an old attempt of it.
+            && !machine.tasks.iter().any(|a| a.job == Some(job_handle) && a.task == task)
     }
 
-    /// The machine for a task, from the ranking for its job.
+    /// Chooses the machine for a task from the ranking for its job. Machines on which the job
+    /// has failed are used only if there is no other.
     fn choose(
         &self,
         job_handle: JobHandle,
@@ -86,7 +89,7 @@
     ) -> Option<ChosenMachine> {
         let job = self.cluster.job(job_handle)?;
         let zone_ok = |zone| job.zone.is_none_or(|only| only == zone) && zone_ok(zone);
-        // Where the job has failed, the fault may be there.
+        // The machines on which the job has failed may be the cause of the failures.
         let failed_before = !job.failures.failures().is_empty();
         let failed = |index| {
             let machine = failed_before.then(|| self.cluster.machine_handle_at(index));
@@ -114,35 +117,41 @@
 
     fn log_choice(&self, job: &Job, task: u32, choice: ChosenMachine) {
         let index = choice.machine.index();
-        let Some(room) = self.scheduling.fleet.machine_view(index) else {
+        let Some(machine_view) = self.scheduling.fleet.machine_view(index) else {
             return;
         };
         let policy = &self.scheduling.policy;
-        let after = room.free.minus(job.need);
+        let free_after = machine_view.free.minus(job.need);
         log::debug!(
-            "choice for {}/{task}: {}, load {:.2}, cost {:.3}{}",
+            "placement: chose a machine for task {}/{task}: {}, load {:.2}, fragmentation cost {:.3}{}",
             job.id,
             self.cluster
                 .machine(choice.machine)
                 .map_or("?", |m| &m.name),
-            placement::load(&room.capacity, &room.free, policy.load),
-            placement::fragmentation(&room.capacity, &after, &policy.shapes),
-            if choice.late { ", late" } else { "" },
+            placement::load(&machine_view.capacity, &machine_view.free, policy.load),
+            placement::fragmentation(&machine_view.capacity, &free_after, &policy.shapes),
+            if choice.late {
+                ", image fetch misses the start objective"
+            } else {
+                ""
+            },
         );
     }
 
+    /// Counts a task placed on the machine against the headroom that covers the machine.
     fn take_headroom(&self, headroom: &mut [Headroom], machine: MachineHandle, need: &Resources) {
-        if let Some(room) = self.scheduling.fleet.machine_view(machine.index()) {
-            for r in headroom.iter_mut() {
-                if r.covers(room.type_ix, room.spot) {
-                    r.fits -= r.loss(&room.free, need);
+        if let Some(machine_view) = self.scheduling.fleet.machine_view(machine.index()) {
+            for class_headroom in headroom.iter_mut() {
+                if class_headroom.covers(machine_view.type_ix, machine_view.spot) {
+                    class_headroom.fits -= class_headroom.loss(&machine_view.free, need);
                 }
             }
         }
     }
 
-    /// A try of a suspected job: one task, or a whole gang.
-    pub(super) fn place_try(
+    /// Places a trial of a job that is suspected of failing everywhere: one task, or a whole
+    /// gang.
+    pub(super) fn place_trial(
         &mut self,
         job_handle: JobHandle,
         ranking: RankingId,
@@ -150,25 +159,25 @@
         now: Millis,
     ) {
         self.set_reason(job_handle, PendingReason::FailsEverywhere);
-        let gang = self
+        let is_gang = self
             .cluster
             .job(job_handle)
             .map(|j| j.spec.kind == Kind::Gang);
-        match gang {
+        match is_gang {
             Some(true) => {
                 self.place_gang(job_handle, ranking, headroom, now);
             }
             _ => {
-                self.place_some(job_handle, 1, ranking, headroom, now);
+                self.place_up_to(job_handle, 1, ranking, headroom, now);
             }
         }
     }
 
-    /// Tasks of an array or a service, at most so many.
-    pub(super) fn place_some(
+    /// Places at most `max_tasks` tasks of an array or a service.
+    pub(super) fn place_up_to(
         &mut self,
         job_handle: JobHandle,
-        most: u32,
+        max_tasks: u32,
         ranking: RankingId,
         headroom: &mut [Headroom],
         now: Millis,
@@ -176,10 +185,10 @@
         let Some(job) = self.cluster.job(job_handle) else {
             return Outcome::Placed;
         };
-        let (need, team, one_zone, spread) =
+        let (need, team, single_zone, spread) =
             (job.need, job.team, job.spec.single_zone, job.spec.spread);
-        let half = job.spec.tasks.div_ceil(2);
-        let mut zones = if one_zone || spread {
+        let zone_limit = job.spec.tasks.div_ceil(2);
+        let mut tasks_by_zone = if single_zone || spread {
             self.cluster.live_tasks_by_zone(job_handle)
         } else {
             Vec::new()
@@ -193,7 +202,7 @@
             else {
                 return Outcome::Placed;
             };
-            if placed >= most {
+            if placed >= max_tasks {
                 return Outcome::Left;
             }
             placed += 1;
@@ -203,51 +212,61 @@
             if !self.take_step() {
                 return Outcome::Interrupted;
             }
-            let chosen = self.choose(job_handle, task, ranking, headroom, now, |z| {
-                (!one_zone || zones.iter().enumerate().all(|(i, n)| *n == 0 || i == z))
-                    && (!spread || zones.get(z).copied().unwrap_or(0) < half)
+            let candidate = self.choose(job_handle, task, ranking, headroom, now, |z| {
+                (!single_zone
+                    || tasks_by_zone
+                        .iter()
+                        .enumerate()
+                        .all(|(i, n)| *n == 0 || i == z))
+                    && (!spread || tasks_by_zone.get(z).copied().unwrap_or(0) < zone_limit)
             });
-            let Some(choice) = chosen else {
+            let Some(chosen) = candidate else {
                 return Outcome::Left;
             };
-            if !one_zone
-                && self.reserve_where_image_is(job_handle, choice, now, |z| {
-                    !spread || zones.get(z).copied().unwrap_or(0) < half
+            if !single_zone
+                && self.reserve_where_image_is(job_handle, chosen, now, |z| {
+                    !spread || tasks_by_zone.get(z).copied().unwrap_or(0) < zone_limit
                 })
             {
                 return Outcome::Left;
             }
-            self.take_headroom(headroom, choice.machine, &need);
-            self.scheduling.fleet.take(ranking, choice.machine.index());
-            if let Some(n) = zones.get_mut(choice.zone) {
+            self.take_headroom(headroom, chosen.machine, &need);
+            self.scheduling.fleet.take(ranking, chosen.machine.index());
+            if let Some(n) = tasks_by_zone.get_mut(chosen.zone) {
                 *n += 1;
             }
             let attempt = self.attempt();
-            self.start(job_handle, task, choice.machine, attempt, now);
+            self.start(job_handle, task, chosen.machine, attempt, now);
         }
     }
 
-    /// The attempt of a gang that lost a task before it started: the others
-    /// wait on, and a replacement under the same number completes it.
+    /// Returns the attempt number of a gang whose live tasks have not begun to run, so that
+    /// missing tasks can be placed under the same attempt. Used when a gang lost a task
+    /// before it started: the other tasks keep waiting, and a replacement under the same
+    /// attempt number completes the gang.
     pub(super) fn gang_to_complete(&self, job_handle: JobHandle) -> Option<u64> {
         let mut attempt = None;
-        for (machine_handle, at) in self.cluster.live_tasks_of(job_handle) {
-            if let Some(a) = self
+        for (machine_handle, task_index) in self.cluster.live_tasks_of(job_handle) {
+            if let Some(assignment) = self
                 .cluster
                 .machine(machine_handle)
-                .and_then(|m| m.tasks.get(at))
+                .and_then(|m| m.tasks.get(task_index))
             {
-                let begun = matches!(a.phase, Phase::Running | Phase::Saving);
-                if begun || a.stop_grace_s.is_some() || attempt.is_some_and(|n| n != a.attempt) {
+                let has_begun = matches!(assignment.phase, Phase::Running | Phase::Saving);
+                if has_begun
+                    || assignment.stop_grace_s.is_some()
+                    || attempt.is_some_and(|n| n != assignment.attempt)
+                {
                     return None;
                 }
-                attempt = Some(a.attempt);
+                attempt = Some(assignment.attempt);
             }
         }
         attempt
     }
 
-    /// Places all tasks of a gang in one cycle, or none. Returns whether it was placed.
+    /// Places all missing tasks of a gang in one cycle, or none. Returns whether the gang was
+    /// placed.
     pub(super) fn place_gang(
         &mut self,
         job_handle: JobHandle,
@@ -258,13 +277,13 @@
         let Some(job) = self.cluster.job(job_handle) else {
             return true;
         };
-        let (n, need, team) = (job.spec.tasks, job.need, job.team);
-        let missing: Vec<u32> = (0..n)
+        let (task_count, need, team) = (job.spec.tasks, job.need, job.team);
+        let missing: Vec<u32> = (0..task_count)
             .filter(|t| job.placement(*t) == Placement::Unplaced)
             .collect();
-        let again = match job.live_count {
+        let attempt_to_complete = match job.live_count {
             0 => None,
-            // Tasks of an attempt that had started must be gone first.
+            // A new attempt must wait until the tasks of an attempt that had started are gone.
             _ => match self.gang_to_complete(job_handle) {
                 Some(attempt) if self.hears_all_tasks_of(job_handle) => Some(attempt),
                 _ => return false,
@@ -273,15 +292,16 @@
         if !self.within_limit(team, &need, missing.len() as i64) {
             return false;
         }
-        for only in self.gang_zones(job_handle) {
-            let Some(chosen) = self.try_gang(job_handle, &missing, only, ranking, headroom, now)
+        for only_zone in self.gang_zones(job_handle) {
+            let Some(chosen) =
+                self.try_gang(job_handle, &missing, only_zone, ranking, headroom, now)
             else {
                 continue;
             };
-            if self.gang_waits_for_image(job_handle, &chosen, only, now) {
+            if self.gang_waits_for_image(job_handle, &chosen, only_zone, now) {
                 return false;
             }
-            let attempt = again.unwrap_or_else(|| self.attempt());
+            let attempt = attempt_to_complete.unwrap_or_else(|| self.attempt());
             for (task, choice) in missing.iter().zip(chosen) {
                 self.scheduling.fleet.take(ranking, choice.machine.index());
                 self.start(job_handle, *task, choice.machine, attempt, now);
@@ -291,60 +311,64 @@
         false
     }
 
-    /// Machines for all missing tasks of a gang, in one zone or in any. What
-    /// was chosen is not taken.
+    /// Returns machines for all missing tasks of a gang, in zone `only_zone` or in any zone.
+    /// The capacity of the chosen machines is not taken; the headroom is.
     fn try_gang(
         &mut self,
         job_handle: JobHandle,
         missing: &[u32],
-        only: Option<usize>,
+        only_zone: Option<usize>,
         ranking: RankingId,
         headroom: &mut [Headroom],
         now: Millis,
     ) -> Option<Vec<ChosenMachine>> {
         let job = self.cluster.job(job_handle)?;
-        let (need, spread, half) = (job.need, job.spec.spread, job.spec.tasks.div_ceil(2));
-        let mut per_zone = self.cluster.live_tasks_by_zone(job_handle);
-        let mut trial = Vec::with_capacity(missing.len());
+        let (need, spread, zone_limit) = (job.need, job.spec.spread, job.spec.tasks.div_ceil(2));
+        let mut tasks_by_zone = self.cluster.live_tasks_by_zone(job_handle);
+        let mut taken = Vec::with_capacity(missing.len());
         let mut chosen = Vec::with_capacity(missing.len());
         for &task in missing {
-            // A gang is never interrupted; it counts for what comes after.
+            // The placement of a gang is never interrupted, but its steps count towards the
+            // interruption of the cycle.
             self.take_step();
-            let pick = self.choose(job_handle, task, ranking, headroom, now, |z| {
-                only.is_none_or(|o| o == z) && (!spread || per_zone[z] < half)
+            let candidate = self.choose(job_handle, task, ranking, headroom, now, |z| {
+                only_zone.is_none_or(|o| o == z) && (!spread || tasks_by_zone[z] < zone_limit)
             });
-            let Some(choice) = pick else { break };
+            let Some(choice) = candidate else { break };
             self.take_headroom(headroom, choice.machine, &need);
-            trial.push(self.scheduling.fleet.take(ranking, choice.machine.index()));
-            per_zone[choice.zone] += 1;
+            taken.push(self.scheduling.fleet.take(ranking, choice.machine.index()));
+            tasks_by_zone[choice.zone] += 1;
             chosen.push(choice);
         }
-        self.scheduling.fleet.give_back(ranking, trial);
+        self.scheduling.fleet.give_back(ranking, taken);
         (chosen.len() == missing.len()).then_some(chosen)
     }
 
-    /// Whether the gang is to wait for capacity where its image is.
+    /// Returns whether the gang is to wait for reserved capacity on machines that cache its
+    /// image, instead of starting on the chosen machines.
     fn gang_waits_for_image(
         &mut self,
         job_handle: JobHandle,
         chosen: &[ChosenMachine],
-        only: Option<usize>,
+        only_zone: Option<usize>,
         now: Millis,
     ) -> bool {
-        let several = self
+        let several_tasks = self
             .cluster
             .job(job_handle)
             .is_some_and(|j| j.spec.tasks > 1);
-        if several {
+        if several_tasks {
             let machines: Vec<MachineHandle> = chosen.iter().map(|c| c.machine).collect();
             return chosen.iter().any(|c| c.late)
                 && self.reserve_gang_where_image_is(job_handle, &machines, now);
         }
-        let zone_ok = |z| only.is_none_or(|o| o == z);
-        let one = chosen.first().copied();
-        one.is_some_and(|c| self.reserve_where_image_is(job_handle, c, now, zone_ok))
+        let zone_ok = |z| only_zone.is_none_or(|o| o == z);
+        let single_choice = chosen.first().copied();
+        single_choice.is_some_and(|c| self.reserve_where_image_is(job_handle, c, now, zone_ok))
     }
 
+    /// Assigns a task to a machine under the given attempt. The start command is sent with
+    /// the machine's next commands.
     pub(super) fn start(
         &mut self,
         job_handle: JobHandle,
@@ -354,32 +378,37 @@
         now: Millis,
     ) {
         if log::log_enabled!(log::Level::Debug)
-            && let (Some(j), Some(m)) =
+            && let (Some(job), Some(machine_state)) =
                 (self.cluster.job(job_handle), self.cluster.machine(machine))
         {
-            let with_image = self.cluster.each_machine();
-            let with_image = with_image.filter(|o| o.images.contains(&j.image));
+            let machines_with_image = self.cluster.each_machine();
+            let machines_with_image =
+                machines_with_image.filter(|other| other.images.contains(&job.image));
             let (mut cached, mut batch, mut fit) = (0, 0, 0);
-            for o in with_image {
+            for other in machines_with_image {
                 cached += 1;
-                let mut room = o.free();
-                fit += i32::from(o.schedulable() && j.need.fits(&room));
-                room += self.held_by_batches(o);
-                batch += i32::from(o.schedulable() && j.need.fits(&room));
+                let mut free = other.free();
+                fit += i32::from(other.schedulable() && job.need.fits(&free));
+                free += self.held_by_batches(other);
+                batch += i32::from(other.schedulable() && job.need.fits(&free));
             }
             log::debug!(
-                "place {}/{task} try {attempt} on {}: image there {}, of {cached} with it \
-                 {fit} have room, {batch} without batches",
-                j.id,
-                m.name,
-                m.images.contains(&j.image),
+                "placement: assigned task {}/{task}, attempt {attempt}, to {}: image cached {}; \
+                 {cached} machines cache the image, {fit} of them have capacity, {batch} \
+                 would without batch tasks",
+                job.id,
+                machine_state.name,
+                machine_state.images.contains(&job.image),
             );
         }
-        // Its reservation is used; the rest of the machine is open again.
-        if let Some(m) = self.cluster.machine_mut(machine)
-            && m.reserved_for.is_some_and(|(of, _)| of == job_handle)
+        // The job's reservation of the machine is used up; the remaining capacity is available
+        // to other jobs again.
+        if let Some(machine_state) = self.cluster.machine_mut(machine)
+            && machine_state
+                .reserved_for
+                .is_some_and(|(of, _)| of == job_handle)
         {
-            m.reserved_for = None;
+            machine_state.reserved_for = None;
         }
         self.cluster
             .assign(job_handle, task, machine, attempt, Phase::New, now);
--- a/src/control/leader/victims.rs
+++ b/src/control/leader/victims.rs
@@ -1,8 +1,8 @@
-//! Victims of preemption: which tasks to stop for a job, at what loss of work, and the
-//! reservation of what becomes free.
+//! Selection of preemption victims: which tasks to stop for a job and how much work is
+//! lost, and the reservation of the capacity that becomes free.
 //!
-//! Called by preemption, gang reservation and placement. It must never stop a service,
-//! nor a task that is stopping already.
+//! Called by preemption, gang reservation and placement. A service, or a task that is
+//! already stopping, must never be chosen as a victim.
 
 use super::{Leader, millis, task_placement::ChosenMachine};
 use crate::{
@@ -18,61 +18,64 @@
 };
 use std::collections::HashSet;
 
-/// How long capacity is reserved for a job after a preemption.
+/// How long a machine is reserved for a job after a preemption.
 const RESERVATION_MS: Millis = 8_000;
-/// A start stopped sooner than this would not have been worth making.
+/// Minimum time since its assignment before a task may be preempted for another team's
+/// guarantee. Stopping a task sooner would waste its start.
 const MIN_USEFUL_RUN_MS: Millis = 30_000;
 
-/// Constant part, in core-seconds, of the work that may be lost for a start
-/// without a fetch.
-pub(super) const WORTH: f64 = 100.0;
-/// The same for a service, which users miss while it fetches.
-const WORTH_SERVICE: f64 = 600.0;
+/// Constant part, in core-seconds, of the work that may be lost to preemption so that a task
+/// starts on a machine that caches its image.
+pub(super) const BASE_LOSS_CORE_S: f64 = 100.0;
+/// Like `BASE_LOSS_CORE_S`, for a service: its users are not served while the image is fetched.
+const SERVICE_BASE_LOSS_CORE_S: f64 = 600.0;
 
-/// After this long a team does not wait for what other teams use beyond their
-/// guarantees.
+/// Time in seconds after which a team within its guarantee no longer waits for capacity that
+/// other teams use beyond their guarantees.
 pub(super) const GUARANTEE_S: f64 = 20.0;
 
-/// Core-seconds for which a task's share of a machine is idle while its image
-/// is fetched there.
-pub(super) fn fetch_worth(job: &Job, gb_per_s: f64) -> f64 {
+/// Returns the core-seconds for which a task's share of a machine is idle while the image is
+/// fetched there. A GPU counts as four cores.
+pub(super) fn fetch_idle_core_s(job: &Job, gb_per_s: f64) -> f64 {
     job.spec.image_gb / gb_per_s * job.spec.cpus.max(4.0 * job.spec.gpus)
 }
 
-/// Capacity that stopping some tasks would free.
+/// A machine, and the tasks to stop on it so that a task of another job fits.
 pub(super) struct Preemption {
     pub(super) machine: MachineHandle,
+    /// Indices into the machine's task list.
     pub(super) victims: Vec<usize>,
-    /// The image would have to be fetched there.
+    /// Whether the image would have to be fetched on this machine.
     pub(super) fetch: bool,
-    /// Work lost, in core-seconds.
+    /// Work lost by stopping the victims, in core-seconds.
     pub(super) lost: i64,
 }
 
-/// What decides which tasks may be stopped for a job.
+/// Criteria for the tasks that may be stopped for a job.
 struct Search<'a> {
     job: &'a Job,
     priority: Priority,
-    /// Also what other teams run beyond their guarantees.
+    /// Whether tasks that other teams run beyond their guarantees may be stopped too.
     beyond_guarantees: bool,
     now: Millis,
 }
 
 impl Leader {
-    /// Jobs with a reservation.
+    /// Returns the jobs for which some machine is reserved.
     pub(super) fn jobs_with_reservations(&self, now: Millis) -> HashSet<JobHandle> {
-        let held = self.cluster.each_machine().filter_map(|m| m.reserved_for);
-        let held = held.filter(|(_, until)| now < *until);
-        held.map(|(job, _)| job).collect()
+        let reservations = self.cluster.each_machine().filter_map(|m| m.reserved_for);
+        let reservations = reservations.filter(|(_, until)| now < *until);
+        reservations.map(|(job, _)| job).collect()
     }
 
-    /// The job has a reservation.
+    /// Whether some machine is reserved for the job.
     pub(super) fn has_reservation(&self, job_handle: JobHandle, now: Millis) -> bool {
-        let held = |m: &Machine| m.is_reserved_for(job_handle, now);
-        self.cluster.each_machine().any(held)
+        let is_reserved = |m: &Machine| m.is_reserved_for(job_handle, now);
+        self.cluster.each_machine().any(is_reserved)
     }
 
-    /// The machine on which the least work is lost by preempting for a task.
+    /// Returns the preemption for one task of the job that loses the least work, preferring
+    /// machines that cache the image.
     pub(super) fn cheapest_preemption(
         &self,
         job_handle: JobHandle,
@@ -87,11 +90,13 @@
             .filter_map(|(machine_handle, _)| {
                 self.preemption_on(machine_handle, job_handle, priority, guaranteed, now)
             })
-            .filter(|r| !r.victims.is_empty())
-            .min_by_key(|r| (r.fetch, r.lost))
+            .filter(|candidate| !candidate.victims.is_empty())
+            .min_by_key(|candidate| (candidate.fetch, candidate.lost))
     }
 
-    /// The preemption for a task on one machine, at the least loss there.
+    /// Returns the preemption for one task of the job on the given machine, stopping the tasks
+    /// with the smallest losses first. `None` if the machine is not allowed or can't free
+    /// enough capacity.
     pub(super) fn preemption_on(
         &self,
         machine_handle: MachineHandle,
@@ -101,44 +106,46 @@
         now: Millis,
     ) -> Option<Preemption> {
         let job = self.cluster.job(job_handle)?;
-        let m = self.cluster.machine(machine_handle)?;
-        let allowed = m.schedulable()
+        let machine = self.cluster.machine(machine_handle)?;
+        let allowed = machine.schedulable()
             && !self.scheduling.machines_with_gain.contains(&machine_handle)
-            && m.reserved_for.is_none_or(|(_, until)| now >= until)
-            && job.allows(m)
-            && job.need.fits(&m.capacity);
+            && machine.reserved_for.is_none_or(|(_, until)| now >= until)
+            && job.allows(machine)
+            && job.need.fits(&machine.capacity);
         if !allowed {
             return None;
         }
-        let fetch = !m.images.contains(&job.image);
+        let fetch = !machine.images.contains(&job.image);
         let search = Search {
             job,
             priority,
-            // A machine without the image can't meet the objective any more.
+            // On a machine without the image the job can no longer meet its objective, so other
+            // teams' tasks are stopped there only after `GUARANTEE_S`.
             beyond_guarantees: guaranteed
                 && (!fetch || now >= job.known_since + millis(GUARANTEE_S)),
             now,
         };
-        let tasks = m.tasks.iter().enumerate();
+        let tasks = machine.tasks.iter().enumerate();
         let victims = tasks.filter_map(|(at, a)| Some((self.loss_of(a, &search)?, at)));
-        // Most machines can not free enough: found without a list.
-        let mut most = m.free();
+        // Most machines can't free enough capacity; this is detected before a list of victims
+        // is built.
+        let mut max_free = machine.free();
         for (_, at) in victims.clone() {
-            most += m.tasks[at].need;
+            max_free += machine.tasks[at].need;
         }
-        if !job.need.fits(&most) {
+        if !job.need.fits(&max_free) {
             return None;
         }
         let mut victims: Vec<(i64, usize)> = victims.collect();
         victims.sort_unstable();
-        let mut free = m.free();
+        let mut free = machine.free();
         let mut lost = 0;
         let mut chosen = Vec::new();
         for (cost, at) in victims {
             if job.need.fits(&free) {
                 break;
             }
-            free += m.tasks[at].need;
+            free += machine.tasks[at].need;
             lost += cost;
             chosen.push(at);
         }
@@ -150,47 +157,50 @@
         })
     }
 
-    /// The work in core-seconds that is lost if this task is stopped for the
-    /// job; `None`: it may not be stopped for it.
-    fn loss_of(&self, a: &Assignment, search: &Search) -> Option<i64> {
-        let v = self.cluster.job(a.job?)?;
-        if !a.is_live() || a.stop_grace_s.is_some() || v.spec.kind == Kind::Service {
+    /// Returns the work in core-seconds that is lost if the task is stopped for the job, or
+    /// `None` if the task may not be stopped for the job.
+    fn loss_of(&self, assignment: &Assignment, search: &Search) -> Option<i64> {
+        let victim_job = self.cluster.job(assignment.job?)?;
+        if !assignment.is_live()
+            || assignment.stop_grace_s.is_some()
+            || victim_job.spec.kind == Kind::Service
+        {
             return None;
         }
-        let lower = v.effective_priority < search.priority
-            && v.spec.kind == Kind::Array
-            && !self.has_only_starvation_start(v);
-        let beyond = search.beyond_guarantees
-            && v.team != search.job.team
-            && search.now > a.since + MIN_USEFUL_RUN_MS
-            && self.beyond_guarantee(v.team, &a.need, &search.job.need);
-        if !lower && !beyond {
+        let lower_priority = victim_job.effective_priority < search.priority
+            && victim_job.spec.kind == Kind::Array
+            && !self.has_only_starvation_start(victim_job);
+        let beyond_guarantee = search.beyond_guarantees
+            && victim_job.team != search.job.team
+            && search.now > assignment.since + MIN_USEFUL_RUN_MS
+            && self.beyond_guarantee(victim_job.team, &assignment.need, &search.job.need);
+        if !lower_priority && !beyond_guarantee {
             return None;
         }
-        // A task that saves loses little.
-        let mut ms = search.now - a.since;
-        if v.spec.checkpoint_interval_s > 0.0 {
-            ms = ms.min(millis(v.spec.checkpoint_cost_s + 1.0));
+        // A task with checkpoints loses little, as it saves one before it stops.
+        let mut lost_ms = search.now - assignment.since;
+        if victim_job.spec.checkpoint_interval_s > 0.0 {
+            lost_ms = lost_ms.min(millis(victim_job.spec.checkpoint_cost_s + 1.0));
         }
-        let tasks = match v.spec.kind {
-            Kind::Gang => i64::from(v.spec.tasks),
+        let tasks = match victim_job.spec.kind {
+            Kind::Gang => i64::from(victim_job.spec.tasks),
             _ => 1,
         };
-        Some(ms as i64 * a.need.cpus.max(1) / 1_000_000 * tasks)
+        Some(lost_ms as i64 * assignment.need.cpus.max(1) / 1_000_000 * tasks)
     }
 
-    /// Where the best machine means a fetch that misses the objective for starting,
-    /// preemption on a machine that caches the image may be the lesser loss: the fetch
-    /// leaves the task's share idle for as long. Returns whether the task is to wait for
-    /// that.
+    /// Preempts on a machine that caches the image, if the best machine would have to fetch it
+    /// and so miss the objective for starting. Preemption may lose less work than the fetch,
+    /// which leaves the task's share of the machine idle. Returns whether the task is to
+    /// wait for the reserved machine.
     pub(super) fn reserve_where_image_is(
         &mut self,
         job_handle: JobHandle,
-        at: ChosenMachine,
+        chosen: ChosenMachine,
         now: Millis,
         zone_ok: impl Fn(usize) -> bool,
     ) -> bool {
-        if !at.late {
+        if !chosen.late {
             return false;
         }
         let Some(job) = self.cluster.job(job_handle) else {
@@ -200,88 +210,96 @@
         if priority < Priority::High || job.failures.suspected {
             return false;
         }
-        let held = |m: &Machine| m.is_reserved_for(job_handle, now);
-        // The reservation is on this machine. Guards against a service that waited until
-        // its reservation expired, as machines without its image looked like capacity
-        // still to come.
-        if self.cluster.machine(at.machine).is_some_and(held) {
+        let is_reserved = |m: &Machine| m.is_reserved_for(job_handle, now);
+        // The job may start on a machine that is reserved for it. Guards against a service
+        // that waits until its reservation expires, because reserved machines without its
+        // image are taken for capacity that is still to come.
+        if self
+            .cluster
+            .machine(chosen.machine)
+            .is_some_and(is_reserved)
+        {
             return false;
         }
         if self.has_reservation(job_handle, now) {
             return true;
         }
-        let rate = self.cluster.machine(at.machine).map_or(1.0, |m| {
+        let fetch_rate = self.cluster.machine(chosen.machine).map_or(1.0, |m| {
             self.cluster.types[m.type_ix].fetch_gb_per_s.max(0.001)
         });
-        let least = match job.spec.kind {
-            Kind::Service => WORTH_SERVICE,
-            _ => WORTH,
+        let base_worth = match job.spec.kind {
+            Kind::Service => SERVICE_BASE_LOSS_CORE_S,
+            _ => BASE_LOSS_CORE_S,
         };
-        let worth = fetch_worth(job, rate) + least;
-        let Some(room) = self.cheapest_preemption(job_handle, priority, now, zone_ok) else {
+        let acceptable_loss = fetch_idle_core_s(job, fetch_rate) + base_worth;
+        let Some(candidate) = self.cheapest_preemption(job_handle, priority, now, zone_ok) else {
             return false;
         };
-        if room.fetch || room.lost as f64 > worth {
+        if candidate.fetch || candidate.lost as f64 > acceptable_loss {
             return false;
         }
-        self.preempt(job_handle, room, now);
+        self.preempt(job_handle, candidate, now);
         true
     }
 
-    pub(super) fn preempt(&mut self, job_handle: JobHandle, room: Preemption, now: Millis) {
+    /// Stops the victims and reserves the machine for the job for `RESERVATION_MS`.
+    pub(super) fn preempt(&mut self, job_handle: JobHandle, preemption: Preemption, now: Millis) {
         let id = self.cluster.job(job_handle).map(|j| j.id.clone());
         self.set_reason(job_handle, PendingReason::RoomBeingMade);
-        self.events.tally.preempted += room.victims.len() as u64;
-        let Some(m) = self.cluster.machine_mut(room.machine) else {
+        self.events.tally.preempted += preemption.victims.len() as u64;
+        let Some(machine) = self.cluster.machine_mut(preemption.machine) else {
             return;
         };
-        if !room.victims.is_empty() {
+        if !preemption.victims.is_empty() {
             log::info!(
-                "preempting {} tasks on {} for {}",
-                room.victims.len(),
-                m.name,
+                "preemption: stopping {} tasks on machine {} for job {}",
+                preemption.victims.len(),
+                machine.name,
                 id.unwrap_or_default()
             );
         }
-        m.reserved_for = Some((job_handle, now + RESERVATION_MS));
-        for at in room.victims {
-            self.stop_gracefully(room.machine, at);
+        machine.reserved_for = Some((job_handle, now + RESERVATION_MS));
+        for at in preemption.victims {
+            self.stop_gracefully(preemption.machine, at);
         }
     }
 
-    /// Stops a task, with the time it needs for a checkpoint; a gang is stopped as a
-    /// whole, or the checkpoint would fail.
+    /// Requests that a task stops, with a grace period that allows for a checkpoint. All tasks
+    /// of a gang are stopped together, because its checkpoint would fail otherwise.
     pub(super) fn stop_gracefully(&mut self, machine: MachineHandle, at: usize) {
-        let Some(a) = self.cluster.machine(machine).and_then(|m| m.tasks.get(at)) else {
+        let Some(assignment) = self.cluster.machine(machine).and_then(|m| m.tasks.get(at)) else {
             return;
         };
-        let handle = a.job;
-        let (whole, grace) = match handle.and_then(|handle| self.cluster.job(handle)) {
-            Some(j) if j.spec.checkpoint_interval_s > 0.0 => {
-                (j.spec.kind == Kind::Gang, j.spec.checkpoint_cost_s)
-            }
-            Some(j) => (j.spec.kind == Kind::Gang, 0.0),
-            None => (false, 0.0),
-        };
-        let own: Vec<(MachineHandle, usize)> = match handle.filter(|_| whole) {
-            Some(handle) => self.cluster.live_tasks_of(handle).collect(),
+        let job_handle = assignment.job;
+        let (whole_gang, grace_s) =
+            match job_handle.and_then(|job_handle| self.cluster.job(job_handle)) {
+                Some(j) if j.spec.checkpoint_interval_s > 0.0 => {
+                    (j.spec.kind == Kind::Gang, j.spec.checkpoint_cost_s)
+                }
+                Some(j) => (j.spec.kind == Kind::Gang, 0.0),
+                None => (false, 0.0),
+            };
+        let tasks_to_stop: Vec<(MachineHandle, usize)> = match job_handle.filter(|_| whole_gang) {
+            Some(job_handle) => self.cluster.live_tasks_of(job_handle).collect(),
             None => vec![(machine, at)],
         };
-        for (machine_handle, at) in own {
-            let a = self
+        for (machine_handle, at) in tasks_to_stop {
+            let assignment = self
                 .cluster
                 .machine_mut(machine_handle)
                 .and_then(|m| m.tasks.get_mut(at));
-            if let Some(a) = a.filter(|a| a.stop_grace_s.is_none() && a.is_live()) {
-                a.stop_grace_s = Some(grace);
+            if let Some(assignment) = assignment
+                .filter(|assignment| assignment.stop_grace_s.is_none() && assignment.is_live())
+            {
+                assignment.stop_grace_s = Some(grace_s);
             }
         }
     }
 
-    /// Whether the team's unfinished work all fits its guarantee, and this job
-    /// has waited a while although it must not wait for other teams.
+    /// Whether all unfinished work of the job's team fits the team's guarantee, and the job has
+    /// waited for a fifth of the time within which the guarantee is to be met.
     pub(super) fn within_guarantee(&self, job: &Job, now: Millis) -> bool {
-        let within = self
+        let guarantee_within_s = self
             .settings
             .cluster
             .objectives
@@ -289,15 +307,15 @@
             .filter(|o| o.kind == "guarantee")
             .filter_map(|o| o.within_s)
             .fold(GUARANTEE_S, f64::min);
-        if now < job.known_since + millis(within / 5.0) {
+        if now < job.known_since + millis(guarantee_within_s / 5.0) {
             return false;
         }
-        let Some(t) = self.cluster.teams.get(job.team) else {
+        let Some(team) = self.cluster.teams.get(job.team) else {
             return false;
         };
-        let guarantee = Resources::offer(t.cpus, t.gpus, 0.0);
-        let of = |a: &Resources| if job.need.gpus > 0 { a.gpus } else { a.cpus };
-        if of(&guarantee) <= 0 {
+        let guarantee = Resources::offer(team.cpus, team.gpus, 0.0);
+        let main_resource = |a: &Resources| if job.need.gpus > 0 { a.gpus } else { a.cpus };
+        if main_resource(&guarantee) <= 0 {
             return false;
         }
         let mut all = Resources::default();
@@ -306,18 +324,19 @@
                 all += j.need.scaled(i64::from(j.waiting_count() + j.live_count));
             }
         }
-        of(&all) <= of(&guarantee)
+        main_resource(&all) <= main_resource(&guarantee)
     }
 
-    /// Whether the team still has its guarantee without this task.
+    /// Whether the team still uses at least its guarantee without this task, in the resource
+    /// that the waiting job needs (GPUs or CPUs).
     fn beyond_guarantee(&self, team: usize, task: &Resources, wanted: &Resources) -> bool {
-        let (Some(t), Some(used)) = (
+        let (Some(team_settings), Some(used)) = (
             self.cluster.teams.get(team),
             self.cluster.team_usage.get(team),
         ) else {
             return false;
         };
-        let guarantee = Resources::offer(t.cpus, t.gpus, 0.0);
+        let guarantee = Resources::offer(team_settings.cpus, team_settings.gpus, 0.0);
         match wanted.gpus > 0 {
             true => task.gpus > 0 && used.gpus - task.gpus >= guarantee.gpus,
             false => used.cpus - task.cpus >= guarantee.cpus,
