--- a/src/control/leader/dependencies.rs
+++ b/src/control/leader/dependencies.rs
@@ -1,9 +1,10 @@
-//! Job dependencies: links jobs to those they depend on, and releases or cancels them
-//! when a dependency reaches its final state.
+//! Job dependencies: links jobs to the jobs they depend on, and makes dependent jobs ready
+//! or cancels them when a dependency reaches its final state.
 //!
-//! Owns no state; the graph is `Leader::dependencies`. Called when a job becomes known,
-//! from `tick`, and by the server for dependencies that only the records know. A job
-//! must never become ready before the end of every dependency is durable.
+//! Owns no state; the dependency graph is `Leader::dependencies`. Called when a job becomes
+//! known, from `tick`, and by the server for dependencies that are known only from the
+//! records in the state service. A job must never become ready before the final state of
+//! every dependency is durable.
 
 use super::{Leader, millis};
 use crate::{
@@ -19,11 +20,11 @@
 };
 use std::collections::HashMap;
 
-/// Dependencies looked up in the records at a time.
+/// Maximum number of dependencies looked up in the records at a time.
 const MAX_LOOKUPS: usize = 200;
 
 impl Leader {
-    /// The state of a job that another depends on.
+    /// Returns the state of a job as a dependency of other jobs.
     fn dependency_state(&self, id: &str) -> DependencyState {
         let Some(handle) = self.cluster.job_handle(id) else {
             return match self.final_states.get(id).map(|s| s.state) {
@@ -37,36 +38,37 @@
 
     fn state_of_job(&self, handle: JobHandle) -> DependencyState {
         match self.cluster.job(handle) {
-            Some(j) if !j.cancelled => DependencyState::Live(handle, j.spec.priority),
+            Some(job) if !job.cancelled => DependencyState::Live(handle, job.spec.priority),
             _ => DependencyState::Cancelled,
         }
     }
 
-    /// A job became known: links it to its dependencies and dependents.
+    /// Links a job that became known to its dependencies and to the jobs that depend on it.
     pub(super) fn link(&mut self, handle: JobHandle) {
-        let Some(j) = self.cluster.job(handle) else {
+        let Some(job) = self.cluster.job(handle) else {
             return;
         };
-        let (id, own) = (j.id.clone(), j.spec.priority);
-        let dependencies = j.spec.dependencies.iter();
+        let (id, own_priority) = (job.id.clone(), job.spec.priority);
+        let dependencies = job.spec.dependencies.iter();
         let dependencies: Vec<(&str, DependencyState)> = dependencies
             .map(|id| (id.as_str(), self.dependency_state(id)))
             .collect();
         if !dependencies.is_empty() {
-            self.dependencies.add(handle, own, dependencies);
+            self.dependencies.add(handle, own_priority, dependencies);
         }
         if self.dependencies.is_awaited(&id) {
             let state = self.state_of_job(handle);
             self.dependencies.resolve(&id, state);
         }
         let readiness = self.dependencies.readiness(handle);
-        if let Some(j) = self.cluster.job_mut(handle) {
-            j.readiness = readiness;
+        if let Some(job) = self.cluster.job_mut(handle) {
+            job.readiness = readiness;
         }
     }
 
-    /// Applies changes of the graph: jobs that became ready, and jobs to cancel as they
-    /// never can.
+    /// Applies the pending changes of the dependency graph: updates readiness and effective
+    /// priority of the jobs, and requests the cancellation of jobs that depend on a cancelled
+    /// job.
     pub(super) fn apply_dependency_changes(&mut self, now: Millis) {
         let DependencyChanges {
             changed,
@@ -75,40 +77,46 @@
         for handle in changed {
             let readiness = self.dependencies.readiness(handle);
             let priority = self.dependencies.effective_priority(handle);
-            let wall = self.wall_ms;
+            let wall_ms = self.wall_ms;
             let Some(j) = self.cluster.job_mut(handle) else {
                 continue;
             };
             if let Some(priority) = priority {
                 j.effective_priority = priority;
             }
-            let was = std::mem::replace(&mut j.readiness, readiness);
-            if readiness != Readiness::Ready || was == readiness {
+            let previous_readiness = std::mem::replace(&mut j.readiness, readiness);
+            if readiness != Readiness::Ready || previous_readiness == readiness {
                 continue;
             }
             self.changed = true;
-            if was == Readiness::Blocked {
-                // Its last dependency ended in this term, so no earlier leader can have
-                // started it. Its other times count from now.
+            if previous_readiness == Readiness::Blocked {
+                // The job's last dependency ended in this term, so no earlier leader can have
+                // started the job. Its waiting time counts from now.
                 j.accepted_this_term = true;
-                j.queued_since_ms = wall;
+                j.queued_since_ms = wall_ms;
             }
             j.known_since = now;
             j.reason = PendingReason::New;
-            log::debug!("job {} is ready: all its dependencies are done", j.id);
+            log::debug!(
+                "dependencies: job {} is ready, all its dependencies are done",
+                j.id
+            );
             self.record_arrival(handle, now);
         }
         for DependentCancellation { job, dependency } in cancellations {
             if let Some(j) = self.cluster.job_mut(job).filter(|j| !j.cancelled) {
-                log::info!("job {} is cancelled with its dependency {dependency}", j.id);
+                log::info!(
+                    "dependencies: cancelling job {} because its dependency {dependency} was cancelled",
+                    j.id
+                );
                 j.cancel_requested = true;
                 self.events.tally.cancelled_with_dependency += 1;
             }
         }
     }
 
-    /// Notes since when the ends of dependencies are unread, and logs when the last of
-    /// them is read.
+    /// Records since when final states of dependencies have been unread, and logs when the
+    /// last of them has been read.
     pub(super) fn note_unread_dependencies(&mut self, now: Millis) {
         match (
             self.dependencies.unknown_count(),
@@ -117,7 +125,7 @@
             (0, Some(since)) => {
                 self.dependencies_unread_since = None;
                 log::info!(
-                    "all dependencies are read in term {}: the first was unread for {} ms",
+                    "dependencies: all final states are read in term {}, the first was unread for {} ms",
                     self.term,
                     now.saturating_sub(since),
                 );
@@ -127,13 +135,15 @@
         }
     }
 
-    /// For how long the end of some dependency has been unread.
+    /// Returns for how long, in milliseconds, the final state of some dependency has been
+    /// unread; 0 if all are read.
     pub fn dependencies_unread_ms(&self, now: Millis) -> Millis {
         let since = self.dependencies_unread_since;
         since.map_or(0, |since| now.saturating_sub(since))
     }
 
-    /// Dependencies whose final state has to be read from the records.
+    /// Takes at most `MAX_LOOKUPS` dependencies whose final state has to be read from the
+    /// records. Empty until the leader has loaded its state.
     pub fn dependencies_to_look_up(&mut self) -> Vec<String> {
         match self.recovery.loaded {
             true => self.dependencies.take_lookups(MAX_LOOKUPS),
@@ -141,16 +151,16 @@
         }
     }
 
-    /// The records could not be read: these lookups are queued again.
+    /// Queues lookups again whose records could not be read.
     pub fn requeue_dependency_lookups(&mut self, ids: Vec<String>) {
         self.dependencies.requeue_lookups(ids);
     }
 
-    /// A dependency that was looked up has this final state, by its record at this
-    /// revision.
+    /// Applies the final state of a dependency that was looked up, as read from its record at
+    /// the given revision.
     pub fn dependency_ended(&mut self, status: &JobStatus, revision: u64, now: Millis) {
         log::info!(
-            "dependency {} is {}, by its record at revision {revision}, read in term {}: \
+            "dependencies: job {} is {} by its record at revision {revision}, read in term {}; \
              {} jobs depend on it",
             status.id,
             status.state,
@@ -166,8 +176,12 @@
         self.changed = true;
     }
 
-    /// Dependencies of a submission of which only the records show whether they were
-    /// accepted. `Err`: one is a service.
+    /// Returns the dependencies of a submission that this leader does not know, so that only
+    /// the records show whether they were accepted.
+    ///
+    /// # Errors
+    ///
+    /// Returns the id of a dependency that is a service, as a service never completes.
     pub fn unknown_dependencies(&self, spec: &JobSpec) -> Result<Vec<String>, String> {
         let mut unknown = Vec::new();
         for id in &spec.dependencies {
@@ -185,8 +199,8 @@
         Ok(unknown)
     }
 
-    /// By job, until when it has to be done for the jobs that depend on it, in wall-
-    /// clock milliseconds.
+    /// Returns, by job, the time by which the job must be done so that the jobs that depend on
+    /// it meet their deadlines, in wall-clock milliseconds.
     pub(super) fn inherited_deadlines(&self) -> HashMap<JobHandle, u64> {
         self.dependencies.due_by(|handle| {
             self.cluster.job(handle).map_or((None, 0), |j| {
@@ -196,20 +210,23 @@
         })
     }
 
-    /// Unfinished dependencies with a text on each, and how many there are in all.
+    /// Returns at most `max_rows` unfinished dependencies of a job, each with a text on its
+    /// state, and the number of all unfinished dependencies.
     pub(super) fn unfinished_dependencies(
         &self,
         handle: JobHandle,
-        most: usize,
+        max_rows: usize,
     ) -> (Vec<(String, String)>, usize) {
         let (live, unknown) = self.dependencies.unfinished_dependencies(handle);
-        let mut live: Vec<&Job> = live.filter_map(|on| self.cluster.job(on)).collect();
+        let mut live: Vec<&Job> = live
+            .filter_map(|dependency| self.cluster.job(dependency))
+            .collect();
         live.sort_by(|a, b| a.id.cmp(&b.id));
         let all = live.len() + unknown;
-        let rows = live.into_iter().take(most).map(|j| {
+        let rows = live.into_iter().take(max_rows).map(|j| {
             let state = match (j.is_complete(), j.readiness) {
                 (true, _) => "done, not recorded yet".to_owned(),
-                (_, Readiness::Blocked) => "waits for others itself".to_owned(),
+                (_, Readiness::Blocked) => "waiting for its own dependencies".to_owned(),
                 _ => format!(
                     "{} of {} done, {} running",
                     j.completed_count, j.spec.tasks, j.running_count
--- a/src/control/leader/offload.rs
+++ b/src/control/leader/offload.rs
@@ -1,10 +1,10 @@
-//! Jobs offloaded to the markets of neighbouring clusters: which may be, the
-//! target in their records, and what comes back.
+//! Offloading of jobs to the markets of neighbouring clusters: which jobs may be offloaded,
+//! the offload target in their records, and the jobs that come back.
 //!
-//! Owns the decision which jobs are offered and the writes that record or
-//! remove a target. Called by the market client through the control loop, and
-//! by persistence. Must never start a task here of a job whose record may name
-//! a target, nor confirm an offload before that is recorded.
+//! Decides which jobs are offered, and plans the writes that record or remove an offload
+//! target. Called by the market client through the control loop, and by persistence. A task
+//! of a job whose record may name a target must never be started on this cluster, and an
+//! offload must never be confirmed before its target is recorded.
 
 use super::{
     Leader, millis,
@@ -24,25 +24,26 @@
     },
 };
 
-/// Bytes of records after which a transaction of targets takes nothing more: of
-/// its 64 KiB, so that one more record and the conditions fit.
+/// Size in bytes of the job records in a transaction after which no more targets are added.
+/// A transaction is limited to 64 KiB; one more record and the conditions must fit.
 const MAX_OFFLOAD_PLAN_BYTES: usize = 32 * 1024;
-/// Bytes of offers in one answer, which must fit a frame whatever names users
-/// chose.
+/// Maximum size in bytes of the offers in one answer, so that the answer fits a frame
+/// whatever the length of the names that users chose.
 const MAX_OFFER_BYTES: usize = 64 * 1024;
-/// What an offer takes in a frame beside names and ranges, and each range.
+/// Size in bytes of an offer in a frame without its names and ranges.
 const OFFER_OVERHEAD_BYTES: usize = 500;
+/// Size in bytes of one range of completed tasks in a frame.
 const RANGE_BYTES: usize = 12;
-/// What the name of a machine type takes in a frame beside its text.
+/// Size in bytes that the name of a machine type takes in a frame in addition to its text.
 const NAME_OVERHEAD_BYTES: usize = 4;
-/// Millionths of the price list's unit in one.
+/// Factor from the price list's unit to millionths of that unit.
 const PRICE_SCALE: f64 = 1e6;
 
 impl Leader {
-    /// Waiting jobs that the market client may choose from, longest waiting
-    /// first, at most `max_offers`.
+    /// Returns at most `max_offers` waiting jobs that the market client may offload, longest
+    /// waiting first. Empty until recovery has settled.
     pub fn lendable(&self, max_offers: usize) -> Vec<OffloadCandidate> {
-        // Only when it is settled, so that no job may run on a machine that has
+        // Before recovery has settled, tasks of a job may still run on a machine that has
         // sent no heartbeat.
         if !self.recovery.settled {
             return Vec::new();
@@ -77,7 +78,7 @@
             rent: self.cost_of_machines(job),
             kept: self.fits_guarantee(job),
             done: completed_ranges(job),
-            // All that it depends on is done.
+            // A waiting job's dependencies are all done.
             spec: JobSpec {
                 dependencies: Vec::new(),
                 ..job.spec.clone()
@@ -85,11 +86,14 @@
         }
     }
 
-    /// What machines for the job would cost, in millionths of the price
-    /// list's unit: its share of the cheapest type that it may use.
+    /// Returns what machines for the job's waiting tasks would cost, in millionths of the
+    /// price list's unit: their share of the cheapest machine type that the job may use,
+    /// for the estimated run time. 0 if no machine type fits.
     fn cost_of_machines(&self, job: &Job) -> u64 {
         let spec = &job.spec;
-        let share = |need: f64, have: f64| if need > 0.0 { need / have } else { 0.0 };
+        let share = |need: f64, have: f64| {
+            if need > 0.0 { need / have } else { 0.0 }
+        };
         let hours = spec.estimate_s.max(1.0) / 3600.0;
         let task_hour = self
             .cluster
@@ -110,8 +114,8 @@
         if cost.is_finite() { cost as u64 } else { 0 }
     }
 
-    /// Whether the job fits into what its team is guaranteed, beside what the
-    /// team runs.
+    /// Whether the job's waiting tasks fit the guarantee of its team in addition to the tasks
+    /// that the team runs.
     fn fits_guarantee(&self, job: &Job) -> bool {
         let teams = self.cluster.teams.get(job.team);
         let Some((team, used)) = teams.zip(self.cluster.team_usage.get(job.team)) else {
@@ -123,8 +127,8 @@
         within(total.cpus, team.cpus) && within(total.gpus, team.gpus)
     }
 
-    /// Those of the market client's jobs, with their awards, that it is to call
-    /// back: over, cancelled, or offloaded by another award.
+    /// Returns the offloaded jobs that the market client is to call back, of the given jobs
+    /// and awards: jobs that are over, cancelled, or offloaded under another award.
     pub fn not_needed(&self, offloaded: &[(String, u64)]) -> Vec<String> {
         let needed = |id: &str, award: u64| {
             let job = self
@@ -141,8 +145,8 @@
         unneeded.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Asks for the target to be recorded, or whether it is. `version`: of the
-    /// award's record, which the write is on condition of.
+    /// Requests that the offload target is recorded, and returns whether it is recorded. The
+    /// write is conditional on `version`, the version of the award's record.
     pub fn lend(&mut self, id: &str, target: OffloadTarget, version: u64) -> OffloadMark {
         let Some(handle) = self.cluster.job_handle(id) else {
             return OffloadMark::No;
@@ -178,9 +182,9 @@
         OffloadMark::NotYet
     }
 
-    /// Takes over the complete tasks, as ranges, of a job that comes back, and
-    /// has its target removed. Returns whether that is durable, or there is
-    /// nothing to remove.
+    /// Marks the completed tasks of a job that comes back, given as ranges with both ends
+    /// included, and requests the removal of its target. Returns whether the removal is
+    /// durable or there is nothing to remove.
     pub fn take_back(&mut self, id: &str, award: u64, completed: &[(u32, u32)]) -> bool {
         if completed.iter().any(|(first, last)| first > last) {
             return false;
@@ -201,8 +205,8 @@
                 self.changed = true;
                 false
             }
-            // The award's end is recorded: the write of the target fails,
-            // unless it was applied before.
+            // The end of the award is recorded, so the write of the target fails unless it was
+            // applied before.
             OffloadState::Offloading { target, .. } | OffloadState::Returning(target) => {
                 target.award != award
             }
@@ -210,11 +214,12 @@
         }
     }
 
-    /// Targets to be recorded, in transactions of their own: a condition on an
-    /// award that has ended must not hold up anything else. Which of those in
-    /// one transaction made it fail is known once its keys have been read.
+    /// Plans a transaction that records pending offload targets. Targets are written in
+    /// transactions of their own, so that a condition on an award that has ended does not
+    /// hold up other writes. Which condition made a transaction fail is known once its keys
+    /// have been read.
     pub(super) fn plan_offloads(&mut self, max_writes: usize) -> Option<WritePlan> {
-        // In turn with other writes.
+        // Transactions of offload targets alternate with other writes.
         if std::mem::replace(&mut self.write_queue.offloads_went_last, false) {
             return None;
         }
@@ -260,7 +265,7 @@
         (!plan.txn.writes.is_empty()).then_some(plan)
     }
 
-    /// Targets to be removed, once all that came back is recorded.
+    /// Adds writes that remove the targets of returned jobs whose completed tasks are recorded.
     pub(super) fn plan_offload_removals(&mut self, plan: &mut WritePlan, budget: &WriteBudget) {
         let value_kb = self.settings.cluster.state.always().value_kb;
         for handle in &self.write_queue.offload_changes {
@@ -286,15 +291,16 @@
         }
     }
 
-    /// The version of the award's record: once it has another one than the
-    /// target's write is on condition of, the target can't be recorded any more.
-    pub(super) fn award_seen(&mut self, id: &str, found: u64) {
+    /// Handles the version of an award's record as it was read. If it differs from the version
+    /// on which the target's write is conditional, the target can't be recorded any more and
+    /// the offload is refused.
+    pub(super) fn award_seen(&mut self, id: &str, found_version: u64) {
         if let Some(job) = self
             .cluster
             .job_handle(id)
             .and_then(|handle| self.cluster.job_mut(handle))
             && let OffloadState::Offloading { version, .. } = job.offload
-            && version != found
+            && version != found_version
         {
             job.offload.mark_refused();
             job.reason = PendingReason::New;
@@ -302,7 +308,7 @@
     }
 }
 
-/// Whether the job waits for nothing but capacity or quota.
+/// Whether the job is not started and waits only for capacity or quota.
 fn may_be_offered(job: &Job) -> bool {
     job.waiting_count() > 0
         && job.live_count == 0
@@ -316,7 +322,7 @@
         )
 }
 
-/// About what an offer takes in a frame.
+/// Returns the approximate size of an offer in a frame, in bytes.
 fn offer_bytes(offer: &OffloadCandidate) -> usize {
     let spec = &offer.spec;
     let types = spec.types.iter().flatten();
@@ -330,7 +336,7 @@
     OFFER_OVERHEAD_BYTES + names + offer.done.len() * RANGE_BYTES
 }
 
-/// Complete tasks as sorted ranges, both ends included.
+/// Returns the completed tasks of a job as sorted ranges, both ends included.
 fn completed_ranges(job: &Job) -> Vec<(u32, u32)> {
     let mut ranges: Vec<(u32, u32)> = Vec::new();
     if job.completed_count == 0 {
@@ -345,7 +351,8 @@
     ranges
 }
 
-/// Marks tasks in these ranges as done; of a gang all or none.
+/// Marks the tasks in these ranges as done. For a gang, does nothing unless the ranges cover
+/// all of its tasks.
 fn mark_completed_ranges(job: &mut Job, ranges: &[(u32, u32)]) {
     let tasks: u64 = ranges
         .iter()
--- a/src/control/leader/preemption.rs
+++ b/src/control/leader/preemption.rs
@@ -143,8 +143,8 @@
         if has_reservation {
             tasks_left -= self.tasks_fitting_reservation(job_handle, &need, now);
         }
-        // The failure of a search that excludes full tasks_by_zone is not recorded or reused: another
-        // job with the same key may be allowed in those tasks_by_zone.
+        // The failure of a search that excludes full zones is not recorded or reused: another
+        // job with the same key may be allowed in those zones.
         if zone_limit.is_none() && failed_searches.covers(&key, 1) {
             return 0;
         }
--- a/src/control/reconciliation.rs
+++ b/src/control/reconciliation.rs
@@ -1,10 +1,10 @@
-//! Reconciliation of one machine: what its heartbeat, or its answer to a direct
-//! command, changes in the cluster state, and which commands follow from the
-//! difference between wanted and reported tasks.
+//! Reconciliation of one machine: applies a heartbeat, or the answer to a direct command, to
+//! the cluster state, and derives the commands that bring the reported tasks in line with
+//! the assigned ones.
 //!
-//! Owns no state. Called by the leader for each heartbeat and direct command.
-//! Must never release a task that a command still on its way may start, nor
-//! have a complete task reaped before that is recorded.
+//! Owns no state. Called by the leader for each heartbeat and direct command. A task must
+//! never be released while a command in flight may still start it, and a completed task
+//! must never be reaped before its completion is recorded.
 
 use crate::{
     protocol::{
@@ -21,64 +21,64 @@
 };
 use std::collections::HashSet;
 
-/// Commands in one message; a response line must stay under 64 KiB.
+/// Maximum number of commands in one message. A response line must stay under 64 KiB.
 const MAX_COMMANDS: usize = 300;
 
 /// A task that ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EndedTask {
-    /// Its job.
+    /// Job of the task.
     pub job: JobHandle,
-    /// Its number within the job.
+    /// Number of the task within the job.
     pub task: u32,
-    /// Why it ended.
+    /// Why the task ended.
     pub reason: ExitReason,
 }
 
-/// A task that was seen to run for a while, or to complete.
+/// A task that two statuses reported as running, or that has completed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ConfirmedTask {
-    /// Its job; `None`: that is over.
+    /// Job of the task; `None` if the job is over.
     pub job: Option<JobHandle>,
-    /// When it was assigned.
+    /// When the task was assigned.
     pub since: Millis,
 }
 
-/// What the leader must know of a heartbeat beyond the changes of the cluster
+/// Effects of a heartbeat that the leader must act on, besides the changes of the cluster
 /// state.
 #[derive(Debug, Default, PartialEq)]
 pub struct HeartbeatEffects {
-    /// Tasks, jobs or the machine's readiness changed.
+    /// Whether tasks, jobs or the machine's readiness changed.
     pub cluster_changed: bool,
     /// Tasks that ended.
     pub ended_tasks: Vec<EndedTask>,
-    /// Jobs of tasks that began to run.
+    /// Jobs with tasks that began to run; a job is listed once for each task.
     pub started_jobs: Vec<JobHandle>,
-    /// Tasks that are confirmed to run, or have completed.
+    /// Tasks that are confirmed to be running, or have completed.
     pub confirmed_running: Vec<ConfirmedTask>,
-    /// Starts in a response that the machine did not receive.
+    /// Number of start commands in responses that the machine did not receive.
     pub lost_commands: u32,
-    /// The agent has begun a new incarnation since the last heartbeat: the
+    /// Whether the agent has begun a new incarnation since the last heartbeat, because the
     /// machine's lease had ended.
     pub new_incarnation: bool,
 }
 
-/// Where a status came from. Only a heartbeat is sure to be later than the
-/// response to the heartbeat before it.
+/// Source of a machine's status. Only a heartbeat is certain to be made after the response
+/// to the previous heartbeat arrived or was lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StatusSource {
     /// A heartbeat of the machine.
     Heartbeat,
-    /// Its answer to a direct command.
+    /// The machine's answer to a direct command.
     DirectCommand,
 }
 
-/// How a heartbeat relates to what is known of the machine.
+/// How a heartbeat relates to the known state of the machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Freshness {
     Stale,
     Newer,
-    /// Older by its sequence number, but of a restarted agent.
+    /// Older by its sequence number, but sent by a restarted agent.
     Restarted,
 }
 
@@ -92,9 +92,9 @@
     }
 }
 
-/// Applies what a machine reports. `term_floor` is the lowest fencing token of
-/// this term: a status that has not seen it is stale, as commands of an earlier
-/// leader may still be carried out after it.
+/// Applies the status that a machine reports. `term_floor` is the lowest fencing token of
+/// this term. A status made before the machine saw that token is stale, because commands of
+/// an earlier leader may still be carried out after it.
 pub fn apply_heartbeat(
     cluster: &mut ClusterState,
     machine_handle: MachineHandle,
@@ -124,8 +124,8 @@
     }
     effects.new_incarnation = machine.up && heartbeat.incarnation > machine.incarnation;
     if effects.new_incarnation && !machine.tasks.is_empty() {
-        // Everything of the old incarnation is gone, including commands still
-        // on their way, which name it.
+        // All tasks of the old incarnation are gone. Commands still in flight name the old
+        // incarnation and are not carried out.
         cluster.clear_machine(machine_handle);
         effects.cluster_changed = true;
     }
@@ -144,23 +144,23 @@
                 .iter()
                 .position(|a| a.attempt == reported.attempt && a.name == reported.task)
         });
-        let Some(at) = known else {
+        let Some(task_index) = known else {
             effects.cluster_changed = true;
             adopt_task(cluster, machine_handle, reported, now);
             continue;
         };
-        if let Some(listed) = listed.get_mut(at) {
+        if let Some(listed) = listed.get_mut(task_index) {
             *listed = true;
         }
-        update_task(cluster, machine_handle, at, reported, &mut effects);
+        update_task(cluster, machine_handle, task_index, reported, &mut effects);
     }
-    // From the end, as a removal moves the last entry into its place.
-    for at in (0..listed.len()).rev() {
-        if !listed[at] {
+    // In reverse order, because a removal moves the last entry to the removed index.
+    for task_index in (0..listed.len()).rev() {
+        if !listed[task_index] {
             resolve_unlisted_task(
                 cluster,
                 machine_handle,
-                at,
+                task_index,
                 heartbeat.seq,
                 source,
                 &mut effects,
@@ -183,9 +183,9 @@
     let reported = (heartbeat.incarnation, heartbeat.seq);
     let known = (machine.incarnation, machine.heartbeat_seq);
     let older = heartbeat.incarnation < machine.min_incarnation || machine.up && reported <= known;
-    // It has seen a token that was raised after all that is known of the
-    // machine, so it is newer: the agent has restarted, counts from one again,
-    // and holds nothing but what it lists.
+    // An agent that has seen `restart_token` reports after everything that is known of the
+    // machine, because the token was raised after that. The agent has restarted, counts
+    // incarnations and sequence numbers from one again, and holds only the tasks it lists.
     let restarted = machine.restart_token != 0 && token >= machine.restart_token;
     match (older, restarted) {
         (false, _) => Freshness::Newer,
@@ -194,16 +194,20 @@
     }
 }
 
+/// Resets the heartbeat tracking of a machine whose agent has restarted.
 fn note_restart(machine: &mut Machine, heartbeat: &Heartbeat, now: Millis) {
-    log::info!("machine {} has restarted", machine.name);
+    log::info!(
+        "reconciliation: the agent of machine {} has restarted",
+        machine.name
+    );
     machine.min_token = machine.restart_token;
     machine.last_stale_heartbeat = ((0, 0), 0);
     machine.latest_heartbeat = (heartbeat.incarnation, heartbeat.seq);
     machine.last_answered = now;
 }
 
-/// Takes over what the heartbeat says of the machine itself. Returns whether
-/// its readiness changed.
+/// Updates the machine's own state from the heartbeat. Returns whether the machine's
+/// readiness changed.
 fn update_machine(machine: &mut Machine, heartbeat: &Heartbeat, now: Millis) -> bool {
     let mut changed = false;
     if !machine.up {
@@ -228,22 +232,23 @@
     changed
 }
 
-/// Applies the reported state of a task that is in the machine's list.
+/// Applies the reported state of a task in the machine's task list.
 fn update_task(
     cluster: &mut ClusterState,
     machine_handle: MachineHandle,
-    at: usize,
+    task_index: usize,
     reported: &TaskStatus,
     effects: &mut HeartbeatEffects,
 ) {
     let phase = phase_of(reported);
     let Some(assignment) = cluster
         .machine(machine_handle)
-        .and_then(|m| m.tasks.get(at))
+        .and_then(|m| m.tasks.get(task_index))
     else {
         return;
     };
-    // Reported running once only, it may be about to fail.
+    // A task that was reported running only once may be about to fail, so a second report is
+    // required.
     let running_again = phase == Phase::Running && assignment.phase == phase;
     let confirmed = !assignment.seen_running
         && assignment.is_live()
@@ -254,12 +259,12 @@
             since: assignment.since,
         });
         if let Some(machine) = cluster.machine_mut(machine_handle) {
-            machine.tasks[at].seen_running = true;
+            machine.tasks[task_index].seen_running = true;
         }
     }
     let Some(assignment) = cluster
         .machine(machine_handle)
-        .and_then(|m| m.tasks.get(at))
+        .and_then(|m| m.tasks.get(task_index))
     else {
         return;
     };
@@ -275,23 +280,23 @@
         effects.ended_tasks.extend(ended);
     }
     effects.cluster_changed = true;
-    log::debug!("task {}: {phase:?}", reported.task);
-    cluster.set_phase(machine_handle, at, phase);
+    log::debug!("reconciliation: task {} is now {phase:?}", reported.task);
+    cluster.set_phase(machine_handle, task_index, phase);
 }
 
-/// Decides on a task in the machine's list that the heartbeat does not have: it
-/// is gone, or a start of it was lost, or is still on its way.
+/// Handles a task in the machine's task list that the heartbeat does not list: the task is
+/// gone, or its start command was lost or is still in flight.
 fn resolve_unlisted_task(
     cluster: &mut ClusterState,
     machine_handle: MachineHandle,
-    at: usize,
+    task_index: usize,
     heartbeat_seq: u64,
     source: StatusSource,
     effects: &mut HeartbeatEffects,
 ) {
     let Some(assignment) = cluster
         .machine(machine_handle)
-        .and_then(|m| m.tasks.get(at))
+        .and_then(|m| m.tasks.get(task_index))
     else {
         return;
     };
@@ -299,12 +304,12 @@
         return;
     };
     match assignment.phase {
-        // Ended and reaped.
-        Phase::Ended(_) => cluster.unassign(machine_handle, at),
+        // The task had ended and has been reaped.
+        Phase::Ended(_) => cluster.unassign(machine_handle, task_index),
         Phase::New | Phase::Sent => {
-            // A direct start without an answer may come yet, unless the machine
-            // has seen a higher token. One in a response can't any more once a
-            // later heartbeat was made.
+            // A direct start without an answer may still arrive, unless the machine has seen a
+            // higher token. A start in a response can no longer arrive once a later
+            // heartbeat was made.
             let may_start = if assignment.indeterminate_token != 0 {
                 direct_start_pending(assignment, machine, machine.acknowledged_token)
             } else {
@@ -317,10 +322,10 @@
             }
             let cancelled = assignment.stop_grace_s.is_some();
             if cancelled {
-                cluster.unassign(machine_handle, at);
+                cluster.unassign(machine_handle, task_index);
                 effects.cluster_changed = true;
             } else if let Some(machine) = cluster.machine_mut(machine_handle) {
-                let assignment = &mut machine.tasks[at];
+                let assignment = &mut machine.tasks[task_index];
                 let sent_in_response =
                     assignment.phase == Phase::Sent && assignment.indeterminate_token == 0;
                 effects.lost_commands += u32::from(sent_in_response);
@@ -328,40 +333,43 @@
                 assignment.phase = Phase::New;
             }
         }
-        // It was there and is not any more, in the same incarnation. Nothing
-        // in the protocol does this; the newest status is to be believed.
+        // The task was listed before and is missing now, in the same incarnation. Nothing in
+        // the protocol causes this; the newest status is taken as correct.
         _ => {
-            log::error!("task {} vanished from a live incarnation", assignment.name);
-            cluster.unassign(machine_handle, at);
+            log::error!(
+                "reconciliation: task {} is no longer listed by its machine within the same incarnation; removing it",
+                assignment.name
+            );
+            cluster.unassign(machine_handle, task_index);
             effects.cluster_changed = true;
         }
     }
 }
 
-/// Whether a direct start may still be carried out by a machine that has seen
-/// this token.
+/// Whether a machine that has seen `seen_token` may still carry out the direct start of the
+/// assignment.
 fn direct_start_pending(assignment: &Assignment, machine: &Machine, seen_token: u64) -> bool {
     machine.command_in_flight || seen_token <= assignment.indeterminate_token
 }
 
-/// The agent has restarted, and has seen this token: all that is known of the
-/// machine is gone, but for direct starts that it may still carry out, as
-/// incarnations count from one again as well.
+/// Removes the tasks of a machine whose agent has restarted and has seen `token`. Direct
+/// starts that the new process may still carry out stay: incarnations count from one again,
+/// so the incarnation that such a command names does not rule it out.
 fn forget_previous_process(cluster: &mut ClusterState, machine_handle: MachineHandle, token: u64) {
     let Some(machine) = cluster.machine(machine_handle) else {
         return;
     };
-    let gone = machine_tasks_where(machine, |assignment| {
+    let tasks_gone = machine_tasks_where(machine, |assignment| {
         !(assignment.phase == Phase::Sent
             && assignment.indeterminate_token != 0
             && direct_start_pending(assignment, machine, token))
     });
-    remove_tasks(cluster, machine_handle, gone);
+    remove_tasks(cluster, machine_handle, tasks_gone);
 }
 
-/// The first heartbeat of the machine in this term, so it has seen this term's
-/// token: of what an earlier leader had there, or had sent there, only what it
-/// lists is there or will ever be.
+/// Removes the tasks that the machine's first heartbeat in this term does not list. The
+/// machine has seen this term's token, so commands of an earlier leader are no longer
+/// carried out, and no other task of an earlier leader runs there or ever will.
 fn drop_unlisted_tasks(
     cluster: &mut ClusterState,
     machine_handle: MachineHandle,
@@ -384,20 +392,28 @@
     remove_tasks(cluster, machine_handle, unlisted);
 }
 
-/// Places in the machine's list, in order.
-fn machine_tasks_where(machine: &Machine, holds: impl Fn(&Assignment) -> bool) -> Vec<usize> {
+/// Returns the indices of the assignments for which `predicate` holds, in ascending order.
+fn machine_tasks_where(machine: &Machine, predicate: impl Fn(&Assignment) -> bool) -> Vec<usize> {
     let tasks = machine.tasks.iter().enumerate();
-    tasks.filter(|(_, a)| holds(a)).map(|(at, _)| at).collect()
+    tasks
+        .filter(|(_, a)| predicate(a))
+        .map(|(index, _)| index)
+        .collect()
 }
 
-fn remove_tasks(cluster: &mut ClusterState, machine_handle: MachineHandle, places: Vec<usize>) {
-    // From the end, as a removal moves the last entry into its place.
-    for at in places.into_iter().rev() {
-        cluster.unassign(machine_handle, at);
+fn remove_tasks(
+    cluster: &mut ClusterState,
+    machine_handle: MachineHandle,
+    task_indices: Vec<usize>,
+) {
+    // In reverse order, because a removal moves the last entry to the removed index.
+    for task_index in task_indices.into_iter().rev() {
+        cluster.unassign(machine_handle, task_index);
     }
 }
 
-/// A task that is not in the machine's list: an earlier leader started it.
+/// Adds a reported task that is not in the machine's task list, as an earlier leader started
+/// it. Without a job or a free place in its job, the task is kept as an orphan.
 fn adopt_task(
     cluster: &mut ClusterState,
     machine_handle: MachineHandle,
@@ -406,19 +422,20 @@
 ) {
     let (name, attempt) = (reported.task.as_str(), reported.attempt);
     let phase = phase_of(reported);
-    let known = parse_task_name(name).and_then(|(id, task)| Some((cluster.job_handle(id)?, task)));
-    let Some((job_handle, task)) = known else {
+    let job_and_task =
+        parse_task_name(name).and_then(|(id, task)| Some((cluster.job_handle(id)?, task)));
+    let Some((job_handle, task)) = job_and_task else {
         cluster.assign_orphan(machine_handle, name, attempt, phase, now);
         return;
     };
     let Some(job) = cluster.job_mut(job_handle) else {
         return;
     };
-    let of_job = task < job.spec.tasks;
-    if phase == Phase::Ended(ExitReason::Done) && job.spec.kind != Kind::Service && of_job {
+    let valid_task = task < job.spec.tasks;
+    if phase == Phase::Ended(ExitReason::Done) && job.spec.kind != Kind::Service && valid_task {
         job.mark_done(task);
     }
-    if phase.is_live() && of_job && job.placement(task) == Placement::Unplaced {
+    if phase.is_live() && valid_task && job.placement(task) == Placement::Unplaced {
         let cancelled = job.cancelled || job.cancel_requested;
         cluster.assign(job_handle, task, machine_handle, attempt, phase, now);
         if cancelled && let Some(assignment) = last_assignment(cluster, machine_handle) {
@@ -427,7 +444,7 @@
         return;
     }
     cluster.assign_orphan(machine_handle, name, attempt, phase, now);
-    // An ended task keeps its job, so that it is reaped only once recorded.
+    // An ended task keeps its job, so that it is reaped only once its end is recorded.
     if !phase.is_live()
         && let Some(assignment) = last_assignment(cluster, machine_handle)
     {
@@ -445,10 +462,10 @@
         .and_then(|m| m.tasks.last_mut())
 }
 
-/// Commands for a machine; what they start is marked as sent. `direct`: the
-/// token of a direct command; in the response to heartbeat `seq` it is `None`.
-/// Nothing is started of changes after `confirmed`, as a standby that may take
-/// over does not have them.
+/// Returns the commands for a machine, and marks the tasks that they start as sent. `direct`
+/// is the token of a direct command, or `None` in the response to heartbeat `seq`. Tasks
+/// assigned by changes after `confirmed` are not started, because a standby that may take
+/// over does not have these changes yet.
 pub fn commands(
     cluster: &mut ClusterState,
     machine_handle: MachineHandle,
@@ -485,7 +502,7 @@
                 assignment.indeterminate_token = direct.unwrap_or(0);
                 commands.push(Command::Start { task, attempt });
             }
-            // It is stopping already.
+            // The task is saving a checkpoint before it stops, so no further stop is sent.
             (Phase::Saving, Some(grace_s)) if grace_s > 0.0 => {}
             (_, Some(grace_s)) => {
                 assignment.stop_sent = true;
@@ -502,9 +519,9 @@
     commands
 }
 
-/// Whether the machine may forget an ended task. After that, a start of the
-/// same attempt which is still on its way would run it again; and completion
-/// must be recorded before its only witness is removed.
+/// Whether the machine may be told to forget an ended task. Once it has, a start of the same
+/// attempt that is still in flight would run the task again. Completion must be recorded
+/// first, because the machine's task list is the only evidence of it until then.
 fn may_reap(
     assignment: &Assignment,
     reason: ExitReason,
@@ -521,8 +538,8 @@
     !start_pending && recorded
 }
 
-/// A direct command was answered, or surely not carried out: what it starts is
-/// no longer indeterminate.
+/// Resolves the starts of the direct command with the given token, which was answered or is
+/// certain not to be carried out. If it was not executed, its tasks can be started again.
 pub fn resolve_direct_commands(
     cluster: &mut ClusterState,
     machine_handle: MachineHandle,
@@ -532,8 +549,8 @@
     let Some(machine) = cluster.machine_mut(machine_handle) else {
         return;
     };
-    let sent = machine.tasks.iter_mut();
-    for assignment in sent.filter(|a| a.indeterminate_token == token) {
+    let assignments = machine.tasks.iter_mut();
+    for assignment in assignments.filter(|a| a.indeterminate_token == token) {
         assignment.indeterminate_token = 0;
         if assignment.phase == Phase::Sent && !executed {
             assignment.phase = Phase::New;
@@ -541,12 +558,12 @@
     }
 }
 
-/// Whether there is a command for the machine that shouldn't wait for its next
-/// heartbeat.
+/// Whether there is a command for the machine that should be sent directly instead of with
+/// the response to its next heartbeat.
 pub fn needs_direct_commands(machine: &Machine, confirmed: u64) -> bool {
     let is_due = |a: &Assignment| match (a.phase, a.stop_grace_s) {
         (Phase::New, None) => a.change_number <= confirmed,
-        // A stop is sent at once, and again with the responses.
+        // A stop is sent directly once, and repeated with the responses to heartbeats.
         (Phase::Fetching | Phase::Waiting | Phase::Running, Some(_)) => !a.stop_sent,
         _ => false,
     };
