--- a/src/control/placement/fleet.rs
+++ b/src/control/placement/fleet.rs
@@ -1,10 +1,10 @@
-//! The fleet: the machines that tasks may be placed on, and the rankings of them
-//! that are kept up to date as machines change.
+//! The fleet: the machines on which tasks may be placed, and rankings of these machines that
+//! are kept up to date as machines change.
 //!
-//! Owned by the leader's scheduling, which reports each change of a machine
-//! (`set`) and asks for the best one for a request (`choose`). A ranking applies
-//! the changes recorded since it was last used, so choosing a machine costs what
-//! has changed, not what there is. It must never offer what is withheld.
+//! Owned by the leader's scheduling, which reports each change of a machine (`set`) and asks
+//! for the best machine for a request (`choose`). A ranking applies the changes recorded
+//! since it was last used, so the cost of a choice grows with the number of changes, not
+//! with the size of the fleet. Withheld capacity must never be offered.
 
 pub use super::ranking::{Choice, RankingId, Request};
 
@@ -14,7 +14,7 @@
     fragmentation,
     free_counts::FreeCounts,
     load,
-    ranking::{Cost, Key, Place, Ranking},
+    ranking::{Cost, Key, Ranking, RankingEntry},
 };
 use crate::state::{Millis, resources::Resources};
 use rustc_hash::FxHashMap;
@@ -23,74 +23,80 @@
     collections::{BTreeMap, BTreeSet},
 };
 
-/// Rankings that are kept; the least recently used one is dropped for another.
+/// Maximum number of rankings kept. The least recently used one is dropped for a new one.
 const MAX_RANKINGS: usize = 24;
-/// A ranking unused for so long is dropped.
+/// Time in milliseconds after which an unused ranking is dropped.
 const RANKING_IDLE_MS: Millis = 30_000;
-/// How long a machine must have been empty to count as surplus.
+/// Time in milliseconds for which a machine must have been empty to count as surplus.
 pub const SURPLUS: Millis = 3_000;
-/// Costs that are cached; past that the cache is emptied.
-const MAX_COSTS: usize = 8_192;
-/// Added to a machine's rank: it is about to be released, or its fetch would
-/// miss the objective for starting. The latter weighs more.
+/// Maximum number of cached costs. The cache is emptied when it is full.
+const MAX_CACHED_COSTS: usize = 8_192;
+/// Added to the rank of a surplus machine, which is about to be released.
 const SURPLUS_RANK: u32 = 1_000;
+/// Added to the rank of a machine on which fetching the image would miss the objective for
+/// starting. This weighs more than surplus.
 const LATE_RANK: u32 = 10_000;
 
-/// A machine as placement sees it.
+/// The state of a machine that placement depends on.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MachineView {
-    /// Index of its type.
+    /// Index of the machine's type.
     pub type_ix: usize,
-    /// Index of its zone.
+    /// Index of the machine's zone.
     pub zone: usize,
-    /// Whether it is a spot machine.
+    /// Whether the machine is a spot machine.
     pub spot: bool,
-    /// What it offers in all.
+    /// Total resources of the machine.
     pub capacity: Resources,
-    /// What is not taken or withheld.
+    /// Resources that are neither assigned to tasks nor withheld.
     pub free: Resources,
-    /// Images that it caches.
+    /// Images that the machine caches.
     pub images: Vec<u32>,
-    /// Since when it has been empty, if it is.
+    /// Time since which the machine has been empty; `None` if it is not empty.
     pub idle_since: Option<Millis>,
 }
 
-/// A usable machine.
+/// A machine on which tasks may be placed.
 #[derive(Debug)]
 struct Slot {
     view: MachineView,
-    /// Kept for a gang that waits: no longer part of what is free.
+    /// Resources withheld for a waiting gang; not included in `view.free`.
     withheld: Resources,
+    /// Whether the machine has been empty for `SURPLUS`.
     surplus: bool,
 }
 
-/// A task that was placed for a trial.
+/// A trial placement, with what is needed to undo it.
 #[derive(Debug)]
 pub struct Taken {
     machine: u32,
-    place: Option<Place>,
+    /// The machine's entry in the ranking before the placement.
+    entry: Option<RankingEntry>,
 }
 
 /// Usable machines and their rankings.
 #[derive(Debug)]
 pub struct Fleet {
     policy: Policy,
-    /// By capacity and what is left: many machines are alike.
+    /// Cached fragmentation costs by capacity and free resources, as many machines are alike.
     costs: RefCell<FxHashMap<(Resources, Resources), Cost>>,
     slots: Vec<Option<Slot>>,
     rankings: Vec<Ranking>,
     log: ChangeLog,
-    /// Empty machines that are going to be surplus.
-    soon_surplus: BTreeSet<(Millis, u32)>,
-    /// By type, zone and kind.
+    /// Empty machines that are not surplus yet, with the time at which they become surplus.
+    surplus_due: BTreeSet<(Millis, u32)>,
+    /// Free resources by machine type, zone and whether the machine is a spot machine.
     free_counts: BTreeMap<(usize, usize, bool), FreeCounts>,
+    /// Machines with withheld resources.
     withheld: BTreeSet<u32>,
+    /// Total resources of all usable machines.
     capacity: Resources,
+    /// Number of usable machines.
     usable: usize,
 }
 
 impl Fleet {
-    /// A fleet without machines.
+    /// Creates a fleet without machines.
     pub fn new(policy: Policy) -> Self {
         Fleet {
             policy,
@@ -98,7 +104,7 @@
             slots: Vec::new(),
             rankings: Vec::new(),
             log: ChangeLog::default(),
-            soon_surplus: BTreeSet::new(),
+            surplus_due: BTreeSet::new(),
             free_counts: BTreeMap::new(),
             withheld: BTreeSet::new(),
             capacity: Resources::default(),
@@ -106,7 +112,7 @@
         }
     }
 
-    /// The order of machines follows this policy from now on.
+    /// Replaces the policy. If it differs, all rankings and cached costs are dropped.
     pub fn set_policy(&mut self, policy: &Policy) {
         if self.policy != *policy {
             self.policy = policy.clone();
@@ -120,25 +126,25 @@
         self.usable == 0
     }
 
-    /// What all usable machines offer together.
+    /// Returns the total resources of all usable machines.
     pub fn capacity(&self) -> Resources {
         self.capacity
     }
 
-    /// A usable machine as placement sees it.
+    /// Returns the view of a machine, or `None` if the machine is not usable.
     pub fn machine_view(&self, machine: u32) -> Option<&MachineView> {
         let slot = self.slots.get(machine as usize)?.as_ref()?;
         Some(&slot.view)
     }
 
-    /// Usable machines, by index.
+    /// Returns the usable machines with their indices.
     pub fn machine_views(&self) -> impl Iterator<Item = (u32, &MachineView)> {
         let slots = self.slots.iter().enumerate();
         slots.filter_map(|(index, slot)| Some((index as u32, &slot.as_ref()?.view)))
     }
 
-    /// The machine is as `view` says, without what is withheld on it; `None`:
-    /// nothing may be placed on it.
+    /// Updates a machine. `view` does not account for withheld resources, which are deducted
+    /// here; `None` if nothing may be placed on the machine.
     pub fn set(&mut self, machine: u32, view: Option<MachineView>, now: Millis) {
         let index = machine as usize;
         if self.slots.len() <= index {
@@ -163,15 +169,15 @@
         if same {
             return;
         }
-        self.forget(machine);
+        self.remove_machine(machine);
         if let Some(slot) = slot {
-            self.remember(machine, slot);
+            self.insert_machine(machine, slot);
         }
         self.record_change(machine);
     }
 
-    /// The same, but capacity that became free is left out. Returns whether there
-    /// is any.
+    /// Updates a machine like `set`, but leaves out capacity that became free since the last
+    /// update. Returns whether there is any such capacity.
     pub fn set_without_gain(
         &mut self,
         machine: u32,
@@ -194,7 +200,7 @@
         gained
     }
 
-    fn forget(&mut self, machine: u32) {
+    fn remove_machine(&mut self, machine: u32) {
         let Some(slot) = self.slots[machine as usize].take() else {
             return;
         };
@@ -204,18 +210,18 @@
             counts.remove(&view.free);
         }
         if let Some(since) = view.idle_since {
-            self.soon_surplus.remove(&(since + SURPLUS, machine));
+            self.surplus_due.remove(&(since + SURPLUS, machine));
         }
         self.capacity -= view.capacity;
         self.usable -= 1;
     }
 
-    fn remember(&mut self, machine: u32, slot: Slot) {
+    fn insert_machine(&mut self, machine: u32, slot: Slot) {
         let view = &slot.view;
         let kind = (view.type_ix, view.zone, view.spot);
         self.free_counts.entry(kind).or_default().add(&view.free);
         if let Some(since) = view.idle_since.filter(|_| !slot.surplus) {
-            self.soon_surplus.insert((since + SURPLUS, machine));
+            self.surplus_due.insert((since + SURPLUS, machine));
         }
         self.capacity += view.capacity;
         self.usable += 1;
@@ -226,12 +232,12 @@
         self.log.record(machine, self.slots.len());
     }
 
-    /// Time has passed: machines that have been empty for a while are surplus.
+    /// Marks machines that have been empty for `SURPLUS` by `now` as surplus.
     pub fn advance(&mut self, now: Millis) {
-        while let Some(&(due, machine)) = self.soon_surplus.first()
+        while let Some(&(due, machine)) = self.surplus_due.first()
             && due <= now
         {
-            self.soon_surplus.pop_first();
+            self.surplus_due.pop_first();
             if let Some(Some(slot)) = self.slots.get_mut(machine as usize) {
                 slot.surplus = true;
             }
@@ -239,8 +245,8 @@
         }
     }
 
-    /// Whether a machine that `allows` admits by type, zone and kind may have
-    /// capacity. `false` is certain.
+    /// Whether a machine that `allows` admits, by type, zone and whether it is a spot machine,
+    /// may have capacity for a task. `false` is certain; `true` is not.
     pub fn may_fit(&self, need: &Resources, allows: impl Fn(usize, usize, bool) -> bool) -> bool {
         self.free_counts
             .iter()
@@ -249,7 +255,7 @@
             })
     }
 
-    /// The ranking for a request, brought up to date.
+    /// Returns the ranking for a request, brought up to date.
     pub fn ranking(&mut self, request: &Request, now: Millis) -> RankingId {
         let unused = |ranking: &Ranking| ranking.last_used + RANKING_IDLE_MS < now;
         self.rankings
@@ -282,10 +288,10 @@
 
     fn fill(&self, ranking: &mut Ranking) {
         let all = 0..self.slots.len() as u32;
-        let places = all
-            .map(|machine| self.place(&ranking.request, machine))
+        let entries = all
+            .map(|machine| self.entry(&ranking.request, machine))
             .collect();
-        ranking.fill(places, self.log.end());
+        ranking.fill(entries, self.log.end());
     }
 
     fn bring_up_to_date(&self, ranking: &mut Ranking) {
@@ -293,14 +299,15 @@
             return self.fill(ranking);
         };
         for machine in changed {
-            let place = self.place(&ranking.request, machine);
-            ranking.put(machine, place);
+            let entry = self.entry(&ranking.request, machine);
+            ranking.set_entry(machine, entry);
         }
         ranking.position = self.log.end();
     }
 
-    /// Where a machine stands for a request; `None` without capacity for it.
-    fn place(&self, request: &Request, machine: u32) -> Option<Place> {
+    /// Returns the entry of a machine in the ranking for a request, or `None` if the machine is
+    /// not allowed or has no capacity.
+    fn entry(&self, request: &Request, machine: u32) -> Option<RankingEntry> {
         let slot = self.slots.get(machine as usize)?.as_ref()?;
         let view = &slot.view;
         let allowed = request.types.get(view.type_ix).copied().unwrap_or(false)
@@ -314,20 +321,21 @@
         if fetches_image && request.late.get(view.type_ix).copied().unwrap_or(false) {
             rank = rank.saturating_add(LATE_RANK);
         }
-        // Used only when the others have no capacity, or would have to fetch what
-        // it has. Guards against gangs that leave idle machines with their
-        // image to fetch it on others.
+        // A surplus machine is used only when the others have no capacity, unless it caches
+        // the image. Guards against gangs that leave idle machines with their image and
+        // fetch it on others.
         if slot.surplus && view.free == view.capacity && fetches_image {
             rank = rank.saturating_add(SURPLUS_RANK);
         }
         let key = self.key_with_rank(request, machine, rank, fetches_image)?;
-        Some(Place {
+        Some(RankingEntry {
             zone: view.zone,
             key,
         })
     }
 
-    /// The same for a machine whose rank and image are taken as known.
+    /// Returns the sort key of a machine with the given rank and image state, or `None` if the
+    /// machine has no capacity.
     fn key_with_rank(
         &self,
         request: &Request,
@@ -352,16 +360,15 @@
 
     fn cost(&self, capacity: &Resources, left: &Resources) -> Cost {
         let mut costs = self.costs.borrow_mut();
-        if costs.len() >= MAX_COSTS {
+        if costs.len() >= MAX_CACHED_COSTS {
             costs.clear();
         }
         let known = costs.entry((*capacity, *left));
         *known.or_insert_with(|| Cost(fragmentation(capacity, left, &self.policy.shapes)))
     }
 
-    /// The best machine in the zones that `zone_ok` admits, of those that
-    /// `allowed` admits. Those that `last` names are used only when there is no
-    /// other.
+    /// Chooses the best machine that `allowed` admits, in the zones that `zone_ok` admits.
+    /// Machines for which `last` is true are chosen only if there is no other.
     pub fn choose(
         &self,
         id: RankingId,
@@ -378,7 +385,7 @@
         let found = ranking
             .best(&zone_ok, first)
             .or_else(|| ranking.best(&zone_ok, admits));
-        found.map(|Place { zone, key }| Choice {
+        found.map(|RankingEntry { zone, key }| Choice {
             machine: key.machine,
             zone,
             late: key.fetches_image && self.is_late(&ranking.request, key.machine),
@@ -392,30 +399,30 @@
         late.flatten().copied().unwrap_or(false)
     }
 
-    /// A task of the ranking's request is placed on the machine. For the rest
-    /// of the job, the machine's rank and image stay as they were.
+    /// Places a task of the ranking's request on a machine. The machine keeps its rank and its
+    /// image state for the remaining tasks of the job.
     pub fn take(&mut self, id: RankingId, machine: u32) -> Taken {
         let need = self.rankings[id.0].request.need;
-        let before = self.rankings[id.0].place(machine);
+        let before = self.rankings[id.0].entry(machine);
         self.change_free(machine, |free| *free -= need);
-        let after = before.and_then(|Place { zone, key }| {
+        let after = before.and_then(|RankingEntry { zone, key }| {
             let request = &self.rankings[id.0].request;
             let key = self.key_with_rank(request, machine, key.rank, key.fetches_image)?;
-            Some(Place { zone, key })
+            Some(RankingEntry { zone, key })
         });
-        self.rankings[id.0].put(machine, after);
+        self.rankings[id.0].set_entry(machine, after);
         Taken {
             machine,
-            place: before,
+            entry: before,
         }
     }
 
-    /// Undoes placements of a trial; the latest come last.
+    /// Undoes trial placements, given in the order in which they were made.
     pub fn give_back(&mut self, id: RankingId, trial: Vec<Taken>) {
         let need = self.rankings[id.0].request.need;
         for taken in trial.into_iter().rev() {
             self.change_free(taken.machine, |free| *free += need);
-            self.rankings[id.0].put(taken.machine, taken.place);
+            self.rankings[id.0].set_entry(taken.machine, taken.entry);
         }
     }
 
@@ -433,8 +440,8 @@
         self.record_change(machine);
     }
 
-    /// Machines in the ranking, in the order of their indices, of the zones
-    /// that `zone_ok` admits.
+    /// Returns the machines in the ranking, in ascending order of index, in the zones that
+    /// `zone_ok` admits.
     pub fn ranked(&self, id: RankingId, zone_ok: impl Fn(usize) -> bool) -> Vec<u32> {
         let Some(ranking) = self.rankings.get(id.0) else {
             return Vec::new();
@@ -442,7 +449,7 @@
         ranking.machines_in(zone_ok)
     }
 
-    /// Keeps so much of what is free on the machine until `release_withheld`.
+    /// Withholds free resources of a machine until `release_withheld`.
     pub fn withhold(&mut self, machine: u32, amounts: Resources) {
         let Some(Some(slot)) = self.slots.get_mut(machine as usize) else {
             return;
@@ -452,7 +459,7 @@
         self.change_free(machine, |free| *free -= amounts);
     }
 
-    /// Gives all that is withheld free again.
+    /// Makes all withheld resources free again.
     pub fn release_withheld(&mut self) {
         for machine in std::mem::take(&mut self.withheld) {
             let Some(Some(slot)) = self.slots.get_mut(machine as usize) else {
--- a/src/control/placement/mod.rs
+++ b/src/control/placement/mod.rs
@@ -1,9 +1,9 @@
-//! Placement: which machine a task goes to. Lightly loaded (lazy) machines come
-//! first, and among them the one left least fragmented; then busy ones.
+//! Placement: chooses the machine for a task. Lightly loaded ("lazy") machines are preferred
+//! to busy ones, and among equally loaded machines the one that is left least fragmented.
 //!
-//! `Policy` and the cost functions are here; `fleet` keeps the machines and
-//! their rankings and makes the choice. Called by the leader's scheduling; it
-//! knows no jobs and must not depend on their number.
+//! This module contains `Policy` and the cost functions; `fleet` keeps the machines and
+//! their rankings and makes the choice. Called by the leader's scheduling. Placement knows
+//! no jobs, and its cost must not depend on their number.
 
 mod change_log;
 pub mod fleet;
@@ -15,19 +15,19 @@
     state::resources::Resources,
 };
 
-/// What the order of machines depends on beside the machines.
+/// Parameters of the order in which machines are preferred.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Policy {
-    /// A machine with a lower load is lazy, others are busy.
+    /// Load below which a machine is lazy; from this load on it is busy.
     pub threshold: f64,
-    /// The resource that counts as load.
+    /// Resource whose requested share counts as load.
     pub load: LoadResource,
-    /// Common shapes of tasks that fragmentation is averaged over.
+    /// Common task shapes over which fragmentation is averaged.
     pub shapes: Vec<Resources>,
 }
 
 impl Policy {
-    /// A shape as the operators state it.
+    /// Returns the resources of a task shape as given in the operator's options.
     pub fn shape(s: &Shape) -> Resources {
         Resources::need(s.cpus, s.gpus, s.memory_gb)
     }
@@ -37,7 +37,7 @@
     if of > 0 { used as f64 / of as f64 } else { 0.0 }
 }
 
-/// Requested share of the load resource.
+/// Returns the load of a machine: the requested share of the load resource, from 0 to 1.
 pub fn load(capacity: &Resources, free: &Resources, resource: LoadResource) -> f64 {
     let used = capacity.minus(*free);
     let cpu = share(used.cpus, capacity.cpus);
@@ -51,39 +51,45 @@
     }
 }
 
-/// How many of a shape fit counting its main resource alone: the one of
-/// which it takes the greatest share of a whole machine.
-fn ideal(capacity: &Resources, free: &Resources, shape: &Resources) -> i64 {
+/// Returns how many tasks of a shape would fit if only the shape's main resource counted.
+/// The main resource is the one of which a task takes the greatest share of a whole machine.
+fn ideal_count(capacity: &Resources, free: &Resources, shape: &Resources) -> i64 {
     [
         (shape.gpus, capacity.gpus, free.gpus),
         (shape.cpus, capacity.cpus, free.cpus),
         (shape.memory, capacity.memory, free.memory),
     ]
     .into_iter()
-    .filter(|(s, _, _)| *s > 0)
-    .map(|(s, c, f)| {
-        let share = if c > 0 {
-            s as f64 / c as f64
+    .filter(|(needed, _, _)| *needed > 0)
+    .map(|(needed, capacity_amount, free_amount)| {
+        let share = if capacity_amount > 0 {
+            needed as f64 / capacity_amount as f64
         } else {
             f64::INFINITY
         };
-        (share, f.max(0) / s)
+        (share, free_amount.max(0) / needed)
     })
     .reduce(|a, b| if b.0 > a.0 { b } else { a })
     .map_or(0, |(_, n)| n)
 }
 
-/// Fragmentation cost of a machine with this much left: the mean, over the
-/// common shapes, of one minus valid over ideal.
+/// Returns the fragmentation cost of a machine with the given free resources: the mean, over
+/// the common shapes, of `1 - fitting / ideal`. `fitting` is the number of tasks that fit,
+/// `ideal` the number that would fit by the shape's main resource alone. Shapes with
+/// an ideal of 0 are left out.
 pub fn fragmentation(capacity: &Resources, free: &Resources, shapes: &[Resources]) -> f64 {
     let mut sum = 0.0;
-    let mut n = 0;
+    let mut counted_shapes = 0;
     for shape in shapes {
-        let ideal = ideal(capacity, free, shape);
-        if ideal > 0 {
-            sum += 1.0 - free.count(shape) as f64 / ideal as f64;
-            n += 1;
+        let ideal_count = ideal_count(capacity, free, shape);
+        if ideal_count > 0 {
+            sum += 1.0 - free.count(shape) as f64 / ideal_count as f64;
+            counted_shapes += 1;
         }
     }
-    if n > 0 { sum / f64::from(n) } else { 0.0 }
+    if counted_shapes > 0 {
+        sum / f64::from(counted_shapes)
+    } else {
+        0.0
+    }
 }
--- a/src/control/placement/ranking.rs
+++ b/src/control/placement/ranking.rs
@@ -1,46 +1,45 @@
 //! A ranking: the machines with capacity for one kind of request, best first.
 //!
-//! `Fleet` owns the rankings and computes the keys; a ranking only keeps them in
-//! order. It must never be read before it is brought up to date.
+//! `Fleet` owns the rankings and computes the sort keys; a ranking only keeps the keys in
+//! order. A ranking must never be read before it is brought up to date.
 
 use crate::state::{Millis, resources::Resources};
 use std::{cmp::Ordering, collections::BTreeSet};
 
-/// What a job asks of a machine. Jobs with equal requests share a ranking.
+/// Machine requirements and preferences of a job. Jobs with equal requests share a ranking.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Request {
-    /// What one task needs.
+    /// Resources that one task needs.
     pub need: Resources,
     /// Allowed machine types, by index.
     pub types: Vec<bool>,
     /// Whether spot machines are allowed.
     pub spot: bool,
-    /// Image that its tasks run.
+    /// Image that the job's tasks run.
     pub image: u32,
-    /// Rank of each machine type, ordinary and spot: dearer ones are used only
-    /// when the cheaper have no room.
+    /// Rank of each machine type, for ordinary and for spot machines: more expensive types are
+    /// used only when the cheaper ones have no capacity.
     pub type_ranks: Vec<[u32; 2]>,
-    /// Machine types on which fetching the image would miss the objective for
-    /// starting.
+    /// Whether, by machine type, fetching the image would miss the objective for starting.
     pub late: Vec<bool>,
 }
 
 /// A machine that was chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Choice {
-    /// Its index.
+    /// Index of the machine.
     pub machine: u32,
-    /// Its zone.
+    /// Index of the machine's zone.
     pub zone: usize,
-    /// Fetching the image there would miss the objective for starting.
+    /// Whether fetching the image on the machine would miss the objective for starting.
     pub late: bool,
 }
 
-/// Names a ranking until the next call of `Fleet::ranking`.
+/// Identifies a ranking until the next call of `Fleet::ranking`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RankingId(pub(super) usize);
 
-/// Fragmentation cost in the order of numbers.
+/// Fragmentation cost, with a total order.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Cost(pub(super) f64);
 
@@ -64,7 +63,7 @@
     }
 }
 
-/// The place of a machine in a ranking; the fields are compared in order.
+/// Sort key of a machine in a ranking, lowest first. The fields are compared in their order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Key {
     pub(super) rank: u32,
@@ -75,9 +74,9 @@
     pub(super) machine: u32,
 }
 
-/// A machine's zone, and its key there.
+/// Position of a machine in a ranking: its zone, and its sort key within the zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) struct Place {
+pub(super) struct RankingEntry {
     pub(super) zone: usize,
     pub(super) key: Key,
 }
@@ -86,11 +85,11 @@
 #[derive(Debug)]
 pub(super) struct Ranking {
     pub(super) request: Request,
-    /// By zone.
+    /// Sort keys of the machines with capacity, by zone.
     machines: Vec<BTreeSet<Key>>,
-    /// By machine: its place, if it has capacity.
-    places: Vec<Option<Place>>,
-    /// Changes before this position of the log have been applied.
+    /// Entry of each machine, by machine index; `None` for machines without capacity.
+    entries: Vec<Option<RankingEntry>>,
+    /// Position in the change log up to which changes have been applied.
     pub(super) position: u64,
     pub(super) last_used: Millis,
 }
@@ -100,39 +99,40 @@
         Ranking {
             request: request.clone(),
             machines: Vec::new(),
-            places: Vec::new(),
+            entries: Vec::new(),
             position: 0,
             last_used: now,
         }
     }
 
-    /// Replaces all places; `position`: of the log as they were computed.
-    pub(super) fn fill(&mut self, places: Vec<Option<Place>>, position: u64) {
+    /// Replaces all entries, which were computed at the given position of the change log.
+    pub(super) fn fill(&mut self, entries: Vec<Option<RankingEntry>>, position: u64) {
         let mut by_zone: Vec<Vec<Key>> = Vec::new();
-        for place in places.iter().flatten() {
-            if by_zone.len() <= place.zone {
-                by_zone.resize_with(place.zone + 1, Vec::new);
+        for entry in entries.iter().flatten() {
+            if by_zone.len() <= entry.zone {
+                by_zone.resize_with(entry.zone + 1, Vec::new);
             }
-            by_zone[place.zone].push(place.key);
+            by_zone[entry.zone].push(entry.key);
         }
         self.machines = by_zone.into_iter().map(sorted).collect();
-        self.places = places;
+        self.entries = entries;
         self.position = position;
     }
 
-    pub(super) fn put(&mut self, machine: u32, place: Option<Place>) {
+    /// Sets or removes the entry of a machine.
+    pub(super) fn set_entry(&mut self, machine: u32, entry: Option<RankingEntry>) {
         let index = machine as usize;
-        if self.places.len() <= index {
-            self.places.resize(index + 1, None);
+        if self.entries.len() <= index {
+            self.entries.resize(index + 1, None);
         }
-        let old = std::mem::replace(&mut self.places[index], place);
-        if old == place {
+        let old = std::mem::replace(&mut self.entries[index], entry);
+        if old == entry {
             return;
         }
-        if let Some(Place { zone, key }) = old {
+        if let Some(RankingEntry { zone, key }) = old {
             self.machines[zone].remove(&key);
         }
-        if let Some(Place { zone, key }) = place {
+        if let Some(RankingEntry { zone, key }) = entry {
             if self.machines.len() <= zone {
                 self.machines.resize_with(zone + 1, BTreeSet::new);
             }
@@ -140,29 +140,30 @@
         }
     }
 
-    pub(super) fn place(&self, machine: u32) -> Option<Place> {
-        self.places.get(machine as usize).copied().flatten()
+    pub(super) fn entry(&self, machine: u32) -> Option<RankingEntry> {
+        self.entries.get(machine as usize).copied().flatten()
     }
 
-    /// The best machine of the zones that `zone_ok` admits that passes.
+    /// Returns the entry of the best machine that `passes` admits, in the zones that `zone_ok`
+    /// admits.
     pub(super) fn best(
         &self,
         zone_ok: &impl Fn(usize) -> bool,
         passes: impl Fn(&Key) -> bool,
-    ) -> Option<Place> {
-        let mut found: Option<Place> = None;
+    ) -> Option<RankingEntry> {
+        let mut found: Option<RankingEntry> = None;
         let zones = self.machines.iter().enumerate();
         for (zone, keys) in zones.filter(|(zone, _)| zone_ok(*zone)) {
             let better = |key: &&Key| found.is_none_or(|best| **key < best.key);
             let first = keys.iter().take_while(better).find(|key| passes(key));
             if let Some(key) = first {
-                found = Some(Place { zone, key: *key });
+                found = Some(RankingEntry { zone, key: *key });
             }
         }
         found
     }
 
-    /// Its machines in the zones that `zone_ok` admits, by index.
+    /// Returns the machines in the zones that `zone_ok` admits, in ascending order of index.
     pub(super) fn machines_in(&self, zone_ok: impl Fn(usize) -> bool) -> Vec<u32> {
         let zones = self.machines.iter().enumerate();
         let zones = zones.filter(|(zone, _)| zone_ok(*zone));
