--- a/src/control/provision.rs
+++ b/src/control/provision.rs
@@ -1,84 +1,85 @@
-//! Planning of new machines: how many of which kind, given the demand of waiting
-//! jobs, the capacity that exists or is coming, and the price list.
+//! Planning of new machines: how many machines of which kind to request, given the demand of
+//! waiting jobs, the existing and booting capacity, and the price list.
 //!
-//! Pure functions, called by the leader's scale-out; nothing is kept between
-//! calls. They must never plan a machine where capacity that is coming will do.
+//! Pure functions, called by the leader's scale-out; no state is kept between calls. A
+//! machine must never be planned for tasks that fit existing or booting capacity.
 
 use crate::state::resources::Resources;
 use std::collections::HashMap;
 
-/// Equal tasks that wait for capacity.
+/// Tasks with equal requirements that wait for capacity.
 #[derive(Debug, Clone)]
 pub struct Demand {
-    /// What one task needs.
+    /// Resources that one task needs.
     pub need: Resources,
-    /// How many must run at once to be in time.
+    /// Number of tasks that must run at once to be done in time.
     pub count: i64,
     /// Allowed machine types, by index.
     pub types: Vec<bool>,
-    /// The only zone allowed, if there is one.
+    /// Index of the only allowed zone; `None` if any zone is allowed.
     pub zone: Option<usize>,
     /// Whether spot machines are allowed.
     pub spot: bool,
-    /// Tasks that one zone may take, if the job is to be spread.
+    /// Maximum number of tasks per zone, if the job must be spread over zones.
     pub per_zone: Option<i64>,
-    /// Set by planning: some of it found no offer.
+    /// Set by planning if no offer was found for some of the tasks.
     pub refused: bool,
 }
 
-/// A machine that exists, boots or is planned, with what is free on it.
+/// A machine that exists, is booting or is planned, with its free resources.
 #[derive(Debug, Clone)]
 pub struct Bin {
-    /// Index of its type.
+    /// Index of the machine type.
     pub type_ix: usize,
-    /// Index of its zone.
+    /// Index of the zone.
     pub zone: usize,
-    /// Whether it is a spot machine.
+    /// Whether the machine is a spot machine.
     pub spot: bool,
-    /// What is not taken yet.
+    /// Resources that are not assigned to tasks yet.
     pub free: Resources,
 }
 
-/// A kind of machine on the price list.
+/// A kind of machine (type, zone, spot or ordinary) on the price list.
 #[derive(Debug, Clone)]
 pub struct Offer {
-    /// Index of its type.
+    /// Index of the machine type.
     pub type_ix: usize,
-    /// Index of its zone.
+    /// Index of the zone.
     pub zone: usize,
-    /// Whether it is a spot machine.
+    /// Whether the machines are spot machines.
     pub spot: bool,
-    /// What one machine offers.
+    /// Resources of one machine.
     pub capacity: Resources,
-    /// Its price, as on the price list.
+    /// Price of one machine, as on the price list.
     pub price: f64,
-    /// Refused lately.
+    /// Whether a request for this kind was refused recently; such offers are not planned.
     pub refused: bool,
 }
 
 /// Machines of one kind to be requested.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PlannedMachines {
-    /// Index of its type.
+    /// Index of the machine type.
     pub type_ix: usize,
-    /// Index of its zone.
+    /// Index of the zone.
     pub zone: usize,
-    /// Whether it is a spot machine.
+    /// Whether the machines are spot machines.
     pub spot: bool,
-    /// How many.
+    /// Number of machines.
     pub count: u32,
 }
 
-/// New machines for batches in a round: what is left waits for the next, as some
-/// of it will have found capacity by then.
+/// Maximum number of new machines for batch jobs in a scale-out round. Remaining demand waits
+/// for the next round, as some of it will have found capacity by then.
 pub const BATCH_NEW: usize = 12;
-/// New machines in a round: a few requests' worth. The next round follows within
-/// a second or two.
+/// Maximum number of new machines in a scale-out round: as many as four requests may ask for.
+/// The next round follows within a second or two.
 pub const MAX_NEW: usize = 4 * crate::protocol::cloud::MAX_MACHINES_PER_REQUEST as usize;
 
-/// Plans at most `max_new` machines for the demands, in their order: what fits
-/// into `bins` needs none. Afterwards `bins` holds what is left, in the new
-/// machines too, and `refused` of a demand says that some of it found no offer.
+/// Plans at most `max_new` machines for the demands, in the given order. Tasks that fit into
+/// `bins` need no new machine. Afterwards `bins` holds the remaining free resources, including
+/// those of the planned machines, and `refused` is set on demands for which some tasks found
+/// no offer.
 pub fn plan(
     demands: &mut [Demand],
     bins: &mut Vec<Bin>,
@@ -89,14 +90,14 @@
     let mut new_machines = 0;
     for demand in demands.iter_mut() {
         let mut by_zone = TasksByZone::default();
-        let mut left = demand.fill_bins(bins, &mut by_zone);
-        while left > 0 && new_machines < max_new {
-            let Some(best) = demand.best_offer(offers, left, &by_zone) else {
+        let mut tasks_left = demand.fill_bins(bins, &mut by_zone);
+        while tasks_left > 0 && new_machines < max_new {
+            let Some(best) = demand.best_offer(offers, tasks_left, &by_zone) else {
                 demand.refused = true;
                 break;
             };
             new_machines += 1;
-            left -= best.tasks;
+            tasks_left -= best.tasks;
             by_zone.add(best.offer.zone, best.tasks);
             bins.push(Bin {
                 type_ix: best.offer.type_ix,
@@ -110,7 +111,7 @@
     planned
 }
 
-/// Tasks of one demand that each zone has been given.
+/// Number of tasks of one demand assigned to each zone.
 #[derive(Default)]
 struct TasksByZone(HashMap<usize, i64>);
 
@@ -124,13 +125,13 @@
     }
 }
 
-/// An offer, and how many tasks of the demand its machine would take.
+/// An offer, with the number of tasks of the demand that one machine would take.
 struct RankedOffer<'a> {
     offer: &'a Offer,
     tasks: i64,
     price_per_task: f64,
-    /// Tasks that its zone has been given already.
-    in_zone: i64,
+    /// Number of tasks of the demand already assigned to the offer's zone.
+    tasks_in_zone: i64,
 }
 
 impl Demand {
@@ -140,35 +141,40 @@
             && (self.spot || !spot)
     }
 
-    /// How many more tasks the zone may be given.
+    /// Returns how many more tasks of the demand may be assigned to the zone.
     fn zone_allowance(&self, zone: usize, by_zone: &TasksByZone) -> i64 {
         self.per_zone
             .map_or(i64::MAX, |most| most - by_zone.count(zone))
     }
 
-    /// Takes capacity that exists or is coming; returns how many tasks found
-    /// none.
+    /// Assigns tasks to existing, booting and planned machines. Returns the number of tasks
+    /// that found no capacity.
     fn fill_bins(&self, bins: &mut [Bin], by_zone: &mut TasksByZone) -> i64 {
-        let mut left = self.count;
+        let mut tasks_left = self.count;
         for bin in bins.iter_mut() {
-            if left == 0 || !self.allows(bin.type_ix, bin.zone, bin.spot) {
+            if tasks_left == 0 || !self.allows(bin.type_ix, bin.zone, bin.spot) {
                 continue;
             }
             let allowance = self.zone_allowance(bin.zone, by_zone);
-            let tasks = bin.free.count(&self.need).min(left).min(allowance).max(0);
+            let tasks = bin
+                .free
+                .count(&self.need)
+                .min(tasks_left)
+                .min(allowance)
+                .max(0);
             bin.free -= self.need.scaled(tasks);
             by_zone.add(bin.zone, tasks);
-            left -= tasks;
+            tasks_left -= tasks;
         }
-        left
+        tasks_left
     }
 
-    /// The offer of the least price for each task that it would take; of equal
-    /// ones, that of the zone with the fewest tasks.
+    /// Returns the offer with the lowest price per task; among equal ones, the one in the zone
+    /// with the fewest tasks of the demand.
     fn best_offer<'a>(
         &self,
         offers: &'a [Offer],
-        left: i64,
+        tasks_left: i64,
         by_zone: &TasksByZone,
     ) -> Option<RankedOffer<'a>> {
         offers
@@ -176,23 +182,27 @@
             .filter(|offer| !offer.refused && self.allows(offer.type_ix, offer.zone, offer.spot))
             .filter_map(|offer| {
                 let allowance = self.zone_allowance(offer.zone, by_zone);
-                let tasks = offer.capacity.count(&self.need).min(left).min(allowance);
+                let tasks = offer
+                    .capacity
+                    .count(&self.need)
+                    .min(tasks_left)
+                    .min(allowance);
                 (tasks > 0).then(|| RankedOffer {
                     offer,
                     tasks,
                     price_per_task: offer.price / tasks as f64,
-                    in_zone: by_zone.count(offer.zone),
+                    tasks_in_zone: by_zone.count(offer.zone),
                 })
             })
             .min_by(|a, b| {
                 a.price_per_task
                     .total_cmp(&b.price_per_task)
-                    .then(a.in_zone.cmp(&b.in_zone))
+                    .then(a.tasks_in_zone.cmp(&b.tasks_in_zone))
             })
     }
 }
 
-/// Adds one machine of the offer's kind.
+/// Adds one machine of the offer's kind to the plan.
 fn add_machine(planned: &mut Vec<PlannedMachines>, offer: &Offer) {
     let same_kind = |machines: &&mut PlannedMachines| {
         machines.type_ix == offer.type_ix
@@ -210,27 +220,28 @@
     }
 }
 
-/// Time over which a batch without a deadline, or past hope of its own, is
-/// to be worked off.
-const UNHURRIED_S: f64 = 240.0;
-/// How much longer than its estimate a task is allowed for.
-const ESTIMATE_MARGIN: f64 = 1.3;
-/// Time for fetching a task's image.
+/// Time in seconds within which a batch job is to be done if it has no deadline or can no
+/// longer meet it.
+const DEFAULT_BATCH_TIME_S: f64 = 240.0;
+/// Factor by which a task is assumed to run longer than its estimate.
+const ESTIMATE_FACTOR: f64 = 1.3;
+/// Time in seconds assumed for fetching a task's image.
 const FETCH_MARGIN_S: f64 = 5.0;
-/// Of its estimate, what a task takes at the least.
-const SHORTEST_RUN: f64 = 0.7;
+/// Fraction of its estimate that a task is assumed to run at least.
+const MIN_RUN_FACTOR: f64 = 0.7;
 
-/// How many tasks of a batch must run at once to be done in time, given the
-/// time that is left once a new machine is up. (Counting rounds on the machines
-/// that are up was tried: it requests fewer machines, and too late when estimates
-/// are low.)
+/// Returns how many tasks of a batch job must be started beside the `live` ones so that the
+/// job is done in time. `time_left_s` is the time left once a new machine is up. The number
+/// of rounds of tasks is not counted on the machines that are already up: that requests fewer
+/// machines, but too late when estimates are low.
 pub fn parallel(waiting: i64, live: i64, estimate_s: f64, time_left_s: Option<f64>) -> i64 {
-    // Estimates are often wrong by half; a fetch comes on top.
-    let task_s = estimate_s.max(1.0) * ESTIMATE_MARGIN + FETCH_MARGIN_S;
-    // A machine that would come too late is not worth hurrying for.
+    // Estimates are often wrong by half, and the image may have to be fetched in addition.
+    let task_s = estimate_s.max(1.0) * ESTIMATE_FACTOR + FETCH_MARGIN_S;
+    // If a new machine would come too late for the deadline, the default time applies: it is
+    // not worth requesting more machines.
     let time_s = time_left_s
-        .filter(|left_s| *left_s > estimate_s * SHORTEST_RUN)
-        .unwrap_or(UNHURRIED_S);
+        .filter(|left_s| *left_s > estimate_s * MIN_RUN_FACTOR)
+        .unwrap_or(DEFAULT_BATCH_TIME_S);
     let rounds = (time_s / task_s).floor().max(1.0);
     let at_once = ((waiting + live) as f64 / rounds).ceil() as i64;
     (at_once - live).clamp(0, waiting)
--- a/src/control/provision/tests.rs
+++ b/src/control/provision/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of planning new machines.
+//! Tests of the planning of new machines.
 
 use super::*;
 
@@ -38,17 +38,17 @@
         plan(&mut [demand(2)], &mut bins.clone(), &offers, 12),
         vec![]
     );
-    let got = plan(&mut [demand(5)], &mut bins, &offers, 12);
-    assert_eq!(got.len(), 1);
-    assert!(got[0].spot && got[0].count == 2);
+    let planned = plan(&mut [demand(5)], &mut bins, &offers, 12);
+    assert_eq!(planned.len(), 1);
+    assert!(planned[0].spot && planned[0].count == 2);
 }
 
 #[test]
 fn plan_skips_offer_when_refused() {
     let mut offers = [offer(0, false, 8.0, 0.33), offer(0, true, 8.0, 0.11)];
     offers[1].refused = true;
-    let got = plan(&mut [demand(1)], &mut vec![], &offers, 12);
-    assert!(!got[0].spot);
+    let planned = plan(&mut [demand(1)], &mut vec![], &offers, 12);
+    assert!(!planned[0].spot);
 }
 
 #[test]
@@ -57,6 +57,7 @@
     assert_eq!(parallel(20, 0, 30.0, Some(200.0)), 5);
     assert_eq!(parallel(20, 6, 30.0, Some(200.0)), 1);
     assert_eq!(parallel(3, 10, 30.0, Some(400.0)), 0);
-    // Too late for a machine that would have to boot first.
+    // The time left is too short for a machine that has to boot first, so the default time
+    // applies.
     assert_eq!(parallel(20, 0, 30.0, Some(5.0)), 4);
 }
