--- a/src/control/leader/dependencies.rs
+++ b/src/control/leader/dependencies.rs
@@ -78,13 +78,13 @@
             let readiness = self.dependencies.readiness(handle);
             let priority = self.dependencies.effective_priority(handle);
             let wall_ms = self.wall_ms;
-            let Some(j) = self.cluster.job_mut(handle) else {
+            let Some(dependent) = self.cluster.job_mut(handle) else {
                 continue;
             };
             if let Some(priority) = priority {
-                j.effective_priority = priority;
+                dependent.effective_priority = priority;
             }
-            let previous_readiness = std::mem::replace(&mut j.readiness, readiness);
+            let previous_readiness = std::mem::replace(&mut dependent.readiness, readiness);
             if readiness != Readiness::Ready || previous_readiness == readiness {
                 continue;
             }
@@ -92,14 +92,14 @@
             if previous_readiness == Readiness::Blocked {
                 // The job's last dependency ended in this term, so no earlier leader can have
                 // started the job. Its waiting time counts from now.
-                j.accepted_this_term = true;
-                j.queued_since_ms = wall_ms;
+                dependent.accepted_this_term = true;
+                dependent.queued_since_ms = wall_ms;
             }
-            j.known_since = now;
-            j.reason = PendingReason::New;
+            dependent.known_since = now;
+            dependent.reason = PendingReason::New;
             log::debug!(
                 "dependencies: job {} is ready, all its dependencies are done",
-                j.id
+                dependent.id
             );
             self.record_arrival(handle, now);
         }
--- a/src/control/leader/gang_reservation.rs
+++ b/src/control/leader/gang_reservation.rs
@@ -130,7 +130,7 @@
     /// Returns the preemptions for all missing tasks of a gang that lose the least work, with
     /// the work lost in core-seconds. Only machines that `machine_ok` admits are considered.
     /// `None` if the tasks can't all be placed, or if the gang must be spread over zones.
-    pub(super) fn gang_candidates(
+    pub(super) fn gang_preemptions(
         &self,
         job_handle: JobHandle,
         now: Millis,
@@ -155,7 +155,7 @@
                     self.preemption_on(machine_handle, job_handle, priority, guaranteed, now)
                 })
                 .collect();
-            candidates.sort_by_key(|candidate| (candidate.lost, candidate.fetch));
+            candidates.sort_by_key(|candidate| (candidate.lost_core_s, candidate.needs_fetch));
             let (mut tasks_left, mut lost, mut count) = (missing, 0, 0);
             for candidate in &candidates {
                 if tasks_left <= 0 {
@@ -166,7 +166,7 @@
                     .machine(candidate.machine)
                     .map(|m| m.free().count(&need));
                 tasks_left -= tasks_that_fit.unwrap_or(0).max(1);
-                lost += candidate.lost;
+                lost += candidate.lost_core_s;
                 count += 1;
             }
             candidates.truncate(count);
@@ -181,7 +181,7 @@
     /// that some chosen machine would fetch the image for longer than the objective for
     /// starting allows and preemption loses less work than the fetches. Returns whether the
     /// gang is to wait for the reserved machines.
-    pub(super) fn reserve_gang_where_image_is(
+    pub(super) fn reserve_machines_with_image(
         &mut self,
         job_handle: JobHandle,
         chosen: &[MachineHandle],
@@ -213,7 +213,7 @@
         let acceptable_loss = (victims::fetch_idle_core_s(job, fetch_rate)
             + victims::BASE_LOSS_CORE_S)
             * chosen.len() as f64;
-        match self.gang_candidates(job_handle, now, |m| m.images.contains(&image)) {
+        match self.gang_preemptions(job_handle, now, |m| m.images.contains(&image)) {
             Some((lost, preemptions)) if lost as f64 <= acceptable_loss => {
                 self.preempt_all(job_handle, preemptions, now);
                 true
--- a/src/control/leader/offload.rs
+++ b/src/control/leader/offload.rs
@@ -91,9 +91,7 @@
     /// for the estimated run time. 0 if no machine type fits.
     fn cost_of_machines(&self, job: &Job) -> u64 {
         let spec = &job.spec;
-        let share = |need: f64, have: f64| {
-            if need > 0.0 { need / have } else { 0.0 }
-        };
+        let share = |need: f64, have: f64| if need > 0.0 { need / have } else { 0.0 };
         let hours = spec.estimate_s.max(1.0) / 3600.0;
         let task_hour = self
             .cluster
--- a/src/control/leader/preemption.rs
+++ b/src/control/leader/preemption.rs
@@ -206,7 +206,7 @@
         if may_share_result && failed_searches.covers(&key, missing) {
             return 0;
         }
-        match self.gang_candidates(job_handle, now, |_| true) {
+        match self.gang_preemptions(job_handle, now, |_| true) {
             Some((_, preemptions)) => self.preempt_all(job_handle, preemptions, now),
             None => {
                 if may_share_result {
--- a/src/control/leader/scheduling_cycle.rs
+++ b/src/control/leader/scheduling_cycle.rs
@@ -9,7 +9,7 @@
     Leader,
     headroom::{ARRIVAL_WINDOW_MS, Headroom},
     millis,
-    task_placement::Outcome,
+    task_placement::PlacementOutcome,
 };
 use crate::{
     protocol::{
@@ -57,7 +57,7 @@
     waiting_gangs_priority: Priority,
     /// Whether the team's quota allowed one more task before the current job was tried. A job
     /// held back by the quota does not show that its shape has no capacity.
-    may_start_one: bool,
+    quota_allowed_one: bool,
 }
 
 impl Leader {
@@ -119,7 +119,7 @@
             full_shapes: Vec::new(),
             waiting_gangs: Vec::new(),
             waiting_gangs_priority: Priority::Low,
-            may_start_one: false,
+            quota_allowed_one: false,
         })
     }
 
@@ -180,9 +180,9 @@
             return true;
         }
         match self.place_tasks(job_handle, cycle, now) {
-            Outcome::Placed => true,
-            Outcome::Interrupted => false,
-            Outcome::Left => {
+            PlacementOutcome::Placed => true,
+            PlacementOutcome::Interrupted => false,
+            PlacementOutcome::Incomplete => {
                 self.record_pending_reason(job_handle, has_reservation);
                 cycle.unplaced_jobs.push(job_handle);
                 self.record_no_capacity(job_handle, shape, cycle, now);
@@ -204,22 +204,22 @@
         job_handle: JobHandle,
         cycle: &mut SchedulingCycle,
         now: Millis,
-    ) -> Outcome {
+    ) -> PlacementOutcome {
         let Some(job) = self.cluster.job(job_handle) else {
-            return Outcome::Placed;
+            return PlacementOutcome::Placed;
         };
         let is_gang = job.spec.kind == Kind::Gang;
         let (team, need) = (job.team, job.need);
         let is_starving = self.is_starving(job);
-        cycle.may_start_one = self.within_limit(team, &need, 1);
+        cycle.quota_allowed_one = self.within_limit(team, &need, 1);
         let Some(ranking) = self.ranking_for(job_handle, now) else {
-            return Outcome::Placed;
+            return PlacementOutcome::Placed;
         };
         let headroom = &mut cycle.headroom;
         if is_gang {
             return match self.place_gang(job_handle, ranking, headroom, now) {
-                true => Outcome::Placed,
-                false => Outcome::Left,
+                true => PlacementOutcome::Placed,
+                false => PlacementOutcome::Incomplete,
             };
         }
         if !is_starving {
@@ -236,7 +236,7 @@
             .is_some_and(|j| j.live_count > 0)
         {
             self.changed = true;
-            return Outcome::Placed;
+            return PlacementOutcome::Placed;
         }
         outcome
     }
@@ -265,7 +265,7 @@
             }
         }
         if !has_placement_constraint
-            && cycle.may_start_one
+            && cycle.quota_allowed_one
             && self.within_limit(team, &shape.need, 1)
         {
             cycle.full_shapes.push(shape);
--- a/src/control/leader/task_placement.rs
+++ b/src/control/leader/task_placement.rs
@@ -30,11 +30,11 @@
 
 /// The result of placing the tasks of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Outcome {
+pub(super) enum PlacementOutcome {
     /// No task of the job is to be placed any more in this cycle.
     Placed,
     /// The remaining tasks found no capacity or may not start now.
-    Left,
+    Incomplete,
     /// The cycle has used up its steps and is interrupted.
     Interrupted,
 }
@@ -42,7 +42,7 @@
 impl Leader {
     /// Returns a new attempt number: the term in the high bits and a counter in the low
     /// `MACHINE_TOKEN_BITS` bits.
-    pub(super) fn attempt(&mut self) -> u64 {
+    pub(super) fn next_attempt(&mut self) -> u64 {
         self.scheduling.attempt_count += 1;
         (self.term << MACHINE_TOKEN_BITS) | self.scheduling.attempt_count
     }
@@ -96,9 +96,10 @@
             let machine = machine.flatten();
             machine.is_some_and(|machine| job.failures.failed_on(machine))
         };
-        let admits = |index, room: &MachineView| {
+        let admits = |index, machine_view: &MachineView| {
             let machine = self.cluster.machine_at(index);
-            machine.is_some_and(|(_, m)| self.admits(job_handle, task, m, room, headroom, now))
+            machine
+                .is_some_and(|(_, m)| self.admits(job_handle, task, m, machine_view, headroom, now))
         };
         let choice = self
             .scheduling
@@ -181,9 +182,9 @@
         ranking: RankingId,
         headroom: &mut [Headroom],
         now: Millis,
-    ) -> Outcome {
+    ) -> PlacementOutcome {
         let Some(job) = self.cluster.job(job_handle) else {
-            return Outcome::Placed;
+            return PlacementOutcome::Placed;
         };
         let (need, team, single_zone, spread) =
             (job.need, job.team, job.spec.single_zone, job.spec.spread);
@@ -200,17 +201,17 @@
                 .job_mut(job_handle)
                 .and_then(|j| j.next_waiting())
             else {
-                return Outcome::Placed;
+                return PlacementOutcome::Placed;
             };
             if placed >= max_tasks {
-                return Outcome::Left;
+                return PlacementOutcome::Incomplete;
             }
             placed += 1;
             if !self.within_limit(team, &need, 1) {
-                return Outcome::Left;
+                return PlacementOutcome::Incomplete;
             }
             if !self.take_step() {
-                return Outcome::Interrupted;
+                return PlacementOutcome::Interrupted;
             }
             let candidate = self.choose(job_handle, task, ranking, headroom, now, |z| {
                 (!single_zone
@@ -221,21 +222,21 @@
                     && (!spread || tasks_by_zone.get(z).copied().unwrap_or(0) < zone_limit)
             });
             let Some(chosen) = candidate else {
-                return Outcome::Left;
+                return PlacementOutcome::Incomplete;
             };
             if !single_zone
-                && self.reserve_where_image_is(job_handle, chosen, now, |z| {
+                && self.reserve_machine_with_image(job_handle, chosen, now, |z| {
                     !spread || tasks_by_zone.get(z).copied().unwrap_or(0) < zone_limit
                 })
             {
-                return Outcome::Left;
+                return PlacementOutcome::Incomplete;
             }
             self.take_headroom(headroom, chosen.machine, &need);
             self.scheduling.fleet.take(ranking, chosen.machine.index());
             if let Some(n) = tasks_by_zone.get_mut(chosen.zone) {
                 *n += 1;
             }
-            let attempt = self.attempt();
+            let attempt = self.next_attempt();
             self.start(job_handle, task, chosen.machine, attempt, now);
         }
     }
@@ -301,7 +302,7 @@
             if self.gang_waits_for_image(job_handle, &chosen, only_zone, now) {
                 return false;
             }
-            let attempt = attempt_to_complete.unwrap_or_else(|| self.attempt());
+            let attempt = attempt_to_complete.unwrap_or_else(|| self.next_attempt());
             for (task, choice) in missing.iter().zip(chosen) {
                 self.scheduling.fleet.take(ranking, choice.machine.index());
                 self.start(job_handle, *task, choice.machine, attempt, now);
@@ -360,11 +361,11 @@
         if several_tasks {
             let machines: Vec<MachineHandle> = chosen.iter().map(|c| c.machine).collect();
             return chosen.iter().any(|c| c.late)
-                && self.reserve_gang_where_image_is(job_handle, &machines, now);
+                && self.reserve_machines_with_image(job_handle, &machines, now);
         }
         let zone_ok = |z| only_zone.is_none_or(|o| o == z);
         let single_choice = chosen.first().copied();
-        single_choice.is_some_and(|c| self.reserve_where_image_is(job_handle, c, now, zone_ok))
+        single_choice.is_some_and(|c| self.reserve_machine_with_image(job_handle, c, now, zone_ok))
     }
 
     /// Assigns a task to a machine under the given attempt. The start command is sent with
--- a/src/control/leader/victims.rs
+++ b/src/control/leader/victims.rs
@@ -46,13 +46,13 @@
     /// Indices into the machine's task list.
     pub(super) victims: Vec<usize>,
     /// Whether the image would have to be fetched on this machine.
-    pub(super) fetch: bool,
+    pub(super) needs_fetch: bool,
     /// Work lost by stopping the victims, in core-seconds.
-    pub(super) lost: i64,
+    pub(super) lost_core_s: i64,
 }
 
 /// Criteria for the tasks that may be stopped for a job.
-struct Search<'a> {
+struct VictimSearch<'a> {
     job: &'a Job,
     priority: Priority,
     /// Whether tasks that other teams run beyond their guarantees may be stopped too.
@@ -91,7 +91,7 @@
                 self.preemption_on(machine_handle, job_handle, priority, guaranteed, now)
             })
             .filter(|candidate| !candidate.victims.is_empty())
-            .min_by_key(|candidate| (candidate.fetch, candidate.lost))
+            .min_by_key(|candidate| (candidate.needs_fetch, candidate.lost_core_s))
     }
 
     /// Returns the preemption for one task of the job on the given machine, stopping the tasks
@@ -115,23 +115,23 @@
         if !allowed {
             return None;
         }
-        let fetch = !machine.images.contains(&job.image);
-        let search = Search {
+        let needs_fetch = !machine.images.contains(&job.image);
+        let search = VictimSearch {
             job,
             priority,
             // On a machine without the image the job can no longer meet its objective, so other
             // teams' tasks are stopped there only after `GUARANTEE_S`.
             beyond_guarantees: guaranteed
-                && (!fetch || now >= job.known_since + millis(GUARANTEE_S)),
+                && (!needs_fetch || now >= job.known_since + millis(GUARANTEE_S)),
             now,
         };
         let tasks = machine.tasks.iter().enumerate();
-        let victims = tasks.filter_map(|(at, a)| Some((self.loss_of(a, &search)?, at)));
+        let victims = tasks.filter_map(|(index, a)| Some((self.work_lost(a, &search)?, index)));
         // Most machines can't free enough capacity; this is detected before a list of victims
         // is built.
         let mut max_free = machine.free();
-        for (_, at) in victims.clone() {
-            max_free += machine.tasks[at].need;
+        for (_, index) in victims.clone() {
+            max_free += machine.tasks[index].need;
         }
         if !job.need.fits(&max_free) {
             return None;
@@ -139,27 +139,27 @@
         let mut victims: Vec<(i64, usize)> = victims.collect();
         victims.sort_unstable();
         let mut free = machine.free();
-        let mut lost = 0;
+        let mut lost_core_s = 0;
         let mut chosen = Vec::new();
-        for (cost, at) in victims {
+        for (loss, index) in victims {
             if job.need.fits(&free) {
                 break;
             }
-            free += machine.tasks[at].need;
-            lost += cost;
-            chosen.push(at);
+            free += machine.tasks[index].need;
+            lost_core_s += loss;
+            chosen.push(index);
         }
         Some(Preemption {
             machine: machine_handle,
             victims: chosen,
-            fetch,
-            lost,
+            needs_fetch,
+            lost_core_s,
         })
     }
 
     /// Returns the work in core-seconds that is lost if the task is stopped for the job, or
     /// `None` if the task may not be stopped for the job.
-    fn loss_of(&self, assignment: &Assignment, search: &Search) -> Option<i64> {
+    fn work_lost(&self, assignment: &Assignment, search: &VictimSearch) -> Option<i64> {
         let victim_job = self.cluster.job(assignment.job?)?;
         if !assignment.is_live()
             || assignment.stop_grace_s.is_some()
@@ -193,7 +193,7 @@
     /// and so miss the objective for starting. Preemption may lose less work than the fetch,
     /// which leaves the task's share of the machine idle. Returns whether the task is to
     /// wait for the reserved machine.
-    pub(super) fn reserve_where_image_is(
+    pub(super) fn reserve_machine_with_image(
         &mut self,
         job_handle: JobHandle,
         chosen: ChosenMachine,
@@ -235,7 +235,7 @@
         let Some(candidate) = self.cheapest_preemption(job_handle, priority, now, zone_ok) else {
             return false;
         };
-        if candidate.fetch || candidate.lost as f64 > acceptable_loss {
+        if candidate.needs_fetch || candidate.lost_core_s as f64 > acceptable_loss {
             return false;
         }
         self.preempt(job_handle, candidate, now);
@@ -259,15 +259,19 @@
             );
         }
         machine.reserved_for = Some((job_handle, now + RESERVATION_MS));
-        for at in preemption.victims {
-            self.stop_gracefully(preemption.machine, at);
+        for task_index in preemption.victims {
+            self.stop_gracefully(preemption.machine, task_index);
         }
     }
 
     /// Requests that a task stops, with a grace period that allows for a checkpoint. All tasks
     /// of a gang are stopped together, because its checkpoint would fail otherwise.
-    pub(super) fn stop_gracefully(&mut self, machine: MachineHandle, at: usize) {
-        let Some(assignment) = self.cluster.machine(machine).and_then(|m| m.tasks.get(at)) else {
+    pub(super) fn stop_gracefully(&mut self, machine: MachineHandle, task_index: usize) {
+        let Some(assignment) = self
+            .cluster
+            .machine(machine)
+            .and_then(|m| m.tasks.get(task_index))
+        else {
             return;
         };
         let job_handle = assignment.job;
@@ -281,13 +285,13 @@
             };
         let tasks_to_stop: Vec<(MachineHandle, usize)> = match job_handle.filter(|_| whole_gang) {
             Some(job_handle) => self.cluster.live_tasks_of(job_handle).collect(),
-            None => vec![(machine, at)],
+            None => vec![(machine, task_index)],
         };
-        for (machine_handle, at) in tasks_to_stop {
+        for (machine_handle, task_index) in tasks_to_stop {
             let assignment = self
                 .cluster
                 .machine_mut(machine_handle)
-                .and_then(|m| m.tasks.get_mut(at));
+                .and_then(|m| m.tasks.get_mut(task_index));
             if let Some(assignment) = assignment
                 .filter(|assignment| assignment.stop_grace_s.is_none() && assignment.is_live())
             {
