--- a/src/control/leader/dependencies.rs
+++ b/src/control/leader/dependencies.rs
@@ -106,7 +106,8 @@
         for DependentCancellation { job, dependency } in cancellations {
             if let Some(j) = self.cluster.job_mut(job).filter(|j| !j.cancelled) {
                 log::info!(
-                    "dependencies: cancelling job {} because its dependency {dependency} was cancelled",
+                    "dependencies: cancelling job {} because its dependency \
+                     {dependency} was cancelled",
                     j.id
                 );
                 j.cancel_requested = true;
@@ -125,7 +126,8 @@
             (0, Some(since)) => {
                 self.dependencies_unread_since = None;
                 log::info!(
-                    "dependencies: all final states are read in term {}, the first was unread for {} ms",
+                    "dependencies: all final states are read in term {}, \
+                     the first was unread for {} ms",
                     self.term,
                     now.saturating_sub(since),
                 );
--- a/src/control/leader/gang_reservation.rs
+++ b/src/control/leader/gang_reservation.rs
@@ -51,8 +51,9 @@
         })
     }
 
-    /// Whether the gang has missed the last objective for starting of its class, so that no
-    /// other job may take capacity ahead of it.
+    /// Whether the gang has missed the last objective for starting of its class, or has waited
+    /// for `DEFAULT_GANG_WAIT_MS` if there is none. Other jobs of the same priority then no
+    /// longer take capacity ahead of the gang.
     pub(super) fn has_waited_too_long(&self, job_handle: JobHandle, now: Millis) -> bool {
         self.cluster.job(job_handle).is_some_and(|job| {
             let objectives = self.settings.cluster.objectives.iter().filter(|o| {
--- a/src/control/leader/scheduling.rs
+++ b/src/control/leader/scheduling.rs
@@ -19,7 +19,7 @@
 pub(super) struct Scheduling {
     pub(super) policy: Policy,
     /// Resource needs of submitted jobs, with the number of jobs of each, most frequent
-    /// first. Used as the placement policy's shapes if none are configured.
+    /// first. The first ones are the placement policy's shapes if none are configured.
     pub(super) seen_shapes: Vec<(Resources, u64)>,
     /// Allocation reused for the job order of the next cycle.
     pub(super) queue_buffer: Vec<JobHandle>,
@@ -31,7 +31,8 @@
     pub(super) next_drain_at: Millis,
     /// Time at which a scheduling cycle runs even if nothing has changed.
     pub(super) next_cycle_at: Millis,
-    /// Number of attempts created in this term; the low bits of the next attempt number.
+    /// Number of attempts created in this term. The low bits of an attempt number hold this
+    /// count.
     pub(super) attempt_count: u64,
     /// Resources that each team's unconfirmed tasks may use, by team index; see
     /// `count_unconfirmed_usage`. Empty once all tasks that may be running are known.
--- a/src/control/leader/task_placement.rs
+++ b/src/control/leader/task_placement.rs
@@ -124,7 +124,8 @@
         let policy = &self.scheduling.policy;
         let free_after = machine_view.free.minus(job.need);
         log::debug!(
-            "placement: chose a machine for task {}/{task}: {}, load {:.2}, fragmentation cost {:.3}{}",
+            "placement: chose a machine for task {}/{task}: {}, load {:.2}, \
+             fragmentation cost {:.3}{}",
             job.id,
             self.cluster
                 .machine(choice.machine)
--- a/src/control/reconciliation.rs
+++ b/src/control/reconciliation.rs
@@ -337,7 +337,8 @@
         // the protocol causes this; the newest status is taken as correct.
         _ => {
             log::error!(
-                "reconciliation: task {} is no longer listed by its machine within the same incarnation; removing it",
+                "reconciliation: task {} is no longer listed by its machine within the \
+                 same incarnation; removing it",
                 assignment.name
             );
             cluster.unassign(machine_handle, task_index);
