--- a/src/control/leader/dependencies.rs
+++ b/src/control/leader/dependencies.rs
@@ -228,7 +228,7 @@
         let rows = live.into_iter().take(max_rows).map(|j| {
             let state = match (j.is_complete(), j.readiness) {
                 (true, _) => "done, not recorded yet".to_owned(),
-                (_, Readiness::Blocked) => "waiting for its own dependencies".to_owned(),
+                (_, Readiness::Blocked) => "waits for others itself".to_owned(),
                 _ => format!(
                     "{} of {} done, {} running",
                     j.completed_count, j.spec.tasks, j.running_count
