--- a/src/control/election.rs
+++ b/src/control/election.rs
@@ -1,44 +1,47 @@
 //! Leader election and the leader's authority, as a state machine without I/O.
 //!
-//! The leader's key stands in the key-value store under a lease. A leader may
-//! act until shortly before that lease can expire. While the store fails all
-//! controllers alike, promises of the other controllers extend its authority,
-//! but no longer than [`SafetyBounds::max_staleness`] after the last moment at
-//! which it surely knew of every cancellation.
+//! The leader's key is stored in the key-value store under a lease. A leader may act
+//! until shortly before that lease can expire. While the store is unavailable to all
+//! controllers, promises of the other controllers not to campaign extend the leader's
+//! authority, but no longer than [`SafetyBounds::max_staleness`] after the last moment
+//! at which the leader certainly knew of every cancellation.
 //!
-//! Owns: this process's term, its lease and authority, its promise to others,
-//! and what it last learned of who leads. Called by `server::leadership` (the
-//! campaign, renewals, promises), by `server` to find the current leader, and by
-//! the simulation in `tests/`.
+//! Owns: the term of this process, its lease and authority, the promise that it granted
+//! to another leader, and the leader that it last observed. Called by
+//! `server::leadership` (campaigns, lease renewals, promises), by `server` to find the
+//! current leader, and by the simulation in `tests/`.
 //!
-//! Must never: grant a promise while this process leads or an attempt of its own
-//! may still succeed; extend an authority that has ended, except by a renewal of
-//! the lease; campaign before a promise that an earlier process of this node may
-//! have granted has expired.
+//! Must never: grant a promise while this process leads or one of its own attempts to
+//! become leader may still succeed; extend an authority that has ended, except by a
+//! renewal of the lease; campaign before the expiry of a promise that an earlier
+//! process of this node may have granted.
 
 use super::safety_bounds::{SafetyBounds, at_least, at_most};
 use crate::state::Millis;
 
 /// Time to live of the lease under the leader's key.
 pub const LEASE_TTL_MS: Millis = 4000;
-/// How long an observed leader, or a leader hint of a peer, is used.
+/// How long an observed leader, or a leader hint received from a peer, is used.
 const LEADER_HINT_TTL_MS: Millis = 2_000;
-/// How long a node in an unfavourable failover position leaves a vacant
-/// leadership to others.
+/// How long a node in an unfavourable failover position delays its candidacy, so that
+/// another node can take the vacant leadership.
 const CANDIDACY_DELAY_MS: Millis = 500;
-/// How long a leader abstains after it yielded for its failover position.
+/// How long a leader does not campaign after it yielded because of its failover
+/// position.
 const YIELD_PAUSE_MS: Millis = 1500;
-/// Shortest time between two such yields of one process.
+/// Minimum time between two such yields of one process.
 const YIELD_INTERVAL_MS: Millis = 120_000;
-/// How long a leader that would yield waits for a warm standby.
+/// How long a leader in an unfavourable failover position waits for a warm standby
+/// before it yields without one.
 const WARM_STANDBY_WAIT_MS: Millis = 5_000;
-/// How long a promise not to campaign holds.
+/// Duration of a promise not to campaign.
 pub const PROMISE_MS: Millis = 1300;
 
-/// How long the leader waits for the answer to a renewal. Peers are asked for
-/// promises meanwhile, and a late success counts from when it was sent.
+/// How long the leader waits for the response to a lease renewal. Peers are asked for
+/// promises in the meantime, and a late success extends the lease from the time at
+/// which the renewal was sent.
 pub const RENEWAL_TIMEOUT_MS: Millis = 2_500;
-/// How long one step of a campaign may take.
+/// Timeout of one step of a campaign.
 pub const CAMPAIGN_STEP_TIMEOUT_MS: Millis = 1_200;
 /// How long a node that is asked for a promise waits for the key-value store.
 pub const PROMISE_CHECK_TIMEOUT_MS: Millis = 400;
@@ -46,107 +49,108 @@
 /// A peer's answer to a leader that asks for a promise.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PromiseResponse {
-    /// The peer doesn't campaign for [`PROMISE_MS`]. `started_by`: its process,
-    /// which has led no later term, had started by then, as it states itself.
+    /// The peer does not campaign for [`PROMISE_MS`]. `started_by`: by the peer's own
+    /// statement, its process had started by this time and has led no later term.
     Granted { started_by: Option<Millis> },
-    /// An exclusion in the key-value store keeps the peer from being elected
-    /// before `until`.
+    /// An exclusion in the key-value store prevents the election of the peer before
+    /// `until`.
     Excluded { until: Millis },
     /// The peer's own requests to the key-value store succeed.
     StoreReachable,
-    /// No promise, or no answer.
+    /// The peer refused the promise or did not answer.
     Refused,
 }
 
-/// Result of one round of promises.
+/// Result of one round of promise requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PromiseOutcome {
-    /// The leader may go on acting.
+    /// Every peer promised or is excluded, and the leader may continue to act.
     Extended,
-    /// A promise is missing, or they came when authority had ended.
+    /// A promise is missing, or the promises arrived after the authority had ended.
     NotExtended,
-    /// A peer reaches the key-value store: if a renewal that begins now fails,
-    /// the store fails this node alone.
+    /// A peer reaches the key-value store: if a renewal that starts from now on fails,
+    /// the store is unavailable to this node alone.
     RefusedAlone,
-    /// Authority has ended, as later cancellations may be unknown for longer
-    /// than the staleness bound.
+    /// The authority has ended, because this leader may have missed cancellations for
+    /// longer than the staleness bound.
     CancellationsUnknown,
 }
 
 /// The election state of this process.
 #[derive(Debug)]
 pub struct Election {
-    /// This node's name in the leader's key.
+    /// Name of this node in the leader's key.
     pub node_name: String,
-    /// Random number of this process, which tells it from earlier ones of this
+    /// Random number that distinguishes this process from earlier processes of this
     /// node.
     pub incarnation: u64,
     bounds: SafetyBounds,
     process_started: Millis,
-    /// The term this process leads, with its lease.
+    /// The term that this process leads, with its lease.
     leadership: Option<Leadership>,
     /// Leader and term as last read from the leader's key.
     pub observed_leader: Option<(String, u64)>,
     observed_at: Millis,
-    /// When the key was last seen to hold a leader.
+    /// When the key was last known to hold a leader.
     last_led_at: Millis,
-    /// Leader and term as a peer last reported them.
+    /// Leader and term as last reported by a peer.
     leader_hint: Option<(String, u64)>,
     leader_hint_at: Millis,
     promised_until: Millis,
-    /// Lease of an attempt to become leader whose outcome is unknown. Until that
-    /// lease has surely ended, the attempt may still succeed.
+    /// Lease of an attempt to become leader whose outcome is unknown. The attempt may
+    /// still succeed until that lease has certainly ended.
     pub indeterminate_lease: Option<u64>,
     /// A term whose leader announced that it has stopped.
     resigned_term: Option<u64>,
     highest_term: u64,
     abstain_until: Millis,
-    /// Since when leadership could be campaigned for, from which
-    /// [`CANDIDACY_DELAY_MS`] counts.
+    /// When this node first found that it may campaign; [`CANDIDACY_DELAY_MS`] counts
+    /// from then.
     vacant_since: Option<Millis>,
-    /// When this process last yielded for its failover position.
+    /// When this process last yielded because of its failover position.
     last_yield: Option<Millis>,
-    /// Since when this leader is in an unfavourable failover position.
+    /// When this leader's failover position became unfavourable.
     unfavourable_since: Option<Millis>,
 }
 
-/// A term that this process leads, and its authority in it.
+/// A term that this process leads, and its authority in that term.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Leadership {
-    /// Revision of the leader's key; the fencing token of every write.
+    /// Revision of the leader's key, used as the fencing token of every write.
     pub term: u64,
-    /// The lease under the leader's key.
+    /// Lease under the leader's key.
     pub lease: u64,
     valid_until: Millis,
-    /// No later term had begun by then, so that this leader knows of every
-    /// cancellation: only leaders write any, conditional on their key.
+    /// No later term had begun by this time, so this leader knows of every cancellation
+    /// up to then: only leaders record cancellations, on condition of their own key.
     cancellations_known_until: Millis,
     /// When a peer first reported, since the last renewal, that it reaches the
     /// key-value store.
-    peer_served_at: Option<Millis>,
+    peer_reached_store_at: Option<Millis>,
     basis: AuthorityBasis,
 }
 
-/// What the leader's authority rests on, and when it ends.
+/// The basis of a leader's authority, and when the authority ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Authority {
-    /// What last extended it.
+    /// What last extended the authority.
     pub basis: AuthorityBasis,
     /// The leader may act before this time.
     pub valid_until: Millis,
 }
 
-/// What a leader's authority rests on.
+/// What a leader's authority is based on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum AuthorityBasis {
-    /// The key-value store renewed its lease.
+    /// The key-value store renewed the leader's lease.
     LeaseRenewal,
     /// All other controllers promised not to campaign, or are excluded.
     PeerPromises,
 }
 
 impl AuthorityBasis {
-    /// Label value of metrics and log text. Dashboards depend on it.
+    /// Returns the label value for metrics and log lines. Dashboards depend on this
+    /// text.
     pub fn text(self) -> &'static str {
         match self {
             AuthorityBasis::LeaseRenewal => "renewal",
@@ -156,7 +160,7 @@
 }
 
 impl Leadership {
-    /// The authority of this term, which may have ended.
+    /// Returns the authority of this term, which may have ended.
     pub fn authority(&self) -> Authority {
         Authority {
             basis: self.basis,
@@ -164,12 +168,12 @@
         }
     }
 
-    /// Until when the leader surely knows of every cancellation.
+    /// Time up to which the leader certainly knows of every cancellation.
     pub fn cancellations_known_until(&self) -> Millis {
         self.cancellations_known_until
     }
 
-    /// Applies complete promises that were requested at `sent`.
+    /// Applies a complete round of promises that were requested at `sent`.
     fn apply_promises(&mut self, promises: &PromiseRound, sent: Millis, max_staleness: Millis) {
         if promises.no_later_term {
             self.cancellations_known_until = self.cancellations_known_until.max(sent);
@@ -184,19 +188,19 @@
     }
 }
 
-/// What the peers' answers of one round amount to.
+/// The combined answers of all peers to one round of promise requests.
 struct PromiseRound {
-    /// Every peer has promised or is excluded.
+    /// Whether every peer has promised or is excluded.
     complete: bool,
-    /// Every peer's process states that it led no later term, and has run since
-    /// before the cancellations known to this leader end.
+    /// Whether every peer's process states that it led no later term and that it has
+    /// run since before `cancellations_known_until` of this leader.
     no_later_term: bool,
-    /// The earliest end of an exclusion that is counted.
+    /// Earliest end of an exclusion that is counted in this round.
     exclusions_until: Millis,
 }
 
 impl PromiseRound {
-    /// `None`: a peer reaches the key-value store.
+    /// Combines the answers; `None` if a peer reaches the key-value store.
     fn collect(
         responses: impl IntoIterator<Item = PromiseResponse>,
         cancellations_known_until: Millis,
@@ -225,7 +229,8 @@
 }
 
 impl Election {
-    /// For a process that starts at `now` and may have granted promises before.
+    /// Creates the state of a process that starts at `now`. An earlier process of this
+    /// node may have granted promises before.
     pub fn new(node_name: &str, incarnation: u64, bounds: SafetyBounds, now: Millis) -> Self {
         Election {
             node_name: node_name.to_owned(),
@@ -249,12 +254,13 @@
         }
     }
 
-    /// The term this process leads, whether its authority still holds or not.
+    /// Returns the term that this process leads, whether or not its authority still
+    /// holds.
     pub fn leadership(&self) -> Option<Leadership> {
         self.leadership
     }
 
-    /// The term in which this process may act at `now`.
+    /// Returns the term in which this process may act at `now`.
     pub fn authority(&self, now: Millis) -> Option<u64> {
         self.leadership
             .filter(|leadership| now < leadership.valid_until)
@@ -274,13 +280,13 @@
         self.observed_leader = leader;
     }
 
-    /// For how long no leader was observed; at most since this process started.
+    /// Time since a leader was last observed, at most since this process started.
     pub fn leaderless_for(&self, now: Millis) -> Millis {
         now.saturating_sub(self.last_led_at)
     }
 
-    /// Records who leads according to a peer. A hint that is still in use gives
-    /// way only to one of the same or a later term.
+    /// Records the leader reported by a peer. A hint that has not expired is replaced
+    /// only by one of the same or a later term.
     pub fn receive_leader_hint(&mut self, leader: Option<(String, u64)>, now: Millis) {
         let Some(leader) = leader else {
             return;
@@ -296,11 +302,10 @@
         }
     }
 
-    /// The leader to which others are redirected: as read from the key-value
-    /// store or, while that can't be read, as the peers report it if that is of
-    /// a later term. Without the hints, a node that is cut off from the store
-    /// would redirect workers to an old leader, which they may be unable to
-    /// reach.
+    /// Returns the leader to which others are redirected: the one read from the
+    /// key-value store or, while the store cannot be read, the one reported by peers if
+    /// its term is later. Without the hints, a node that is cut off from the store
+    /// would redirect workers to an old leader, which they may be unable to reach.
     pub fn leader(&self, now: Millis) -> Option<(&str, u64)> {
         let observed_lately = now <= self.observed_at + LEADER_HINT_TTL_MS;
         let hint_is_used = !observed_lately && now <= self.leader_hint_at + LEADER_HINT_TTL_MS;
@@ -312,8 +317,8 @@
             .map(|(name, term)| (name.as_str(), *term))
     }
 
-    /// The version of the leader's key that this node may try to replace now;
-    /// 0 means that the key must not exist.
+    /// Returns the version of the leader's key that this node may try to replace now,
+    /// if it may campaign; 0 means that the key must not exist.
     pub fn may_campaign(&self, now: Millis) -> Option<u64> {
         // An earlier process of this node may have granted a promise just before
         // this one started.
@@ -333,16 +338,16 @@
         }
     }
 
-    /// Whether a node that may campaign first leaves the vacancy to others.
+    /// Whether a node that may campaign first leaves the vacant leadership to others.
     pub fn delays_candidacy(&mut self, now: Millis, unfavourable: impl Fn() -> bool) -> bool {
         let vacant_since = *self.vacant_since.get_or_insert(now);
         now < vacant_since + CANDIDACY_DELAY_MS && unfavourable()
     }
 
-    /// Whether a leader in an unfavourable failover position yields now. It does
-    /// so rarely, as leadership must not alternate where no other node takes it,
-    /// and prefers to wait for a warm standby: a cold successor would have to
-    /// receive a heartbeat of every machine first.
+    /// Whether a leader in an unfavourable failover position yields now. A leader
+    /// yields rarely, because leadership must not alternate where no other node takes
+    /// it over. It prefers to wait for a warm standby, because a cold successor would
+    /// first have to receive a heartbeat from every machine.
     pub fn yields_leadership(
         &mut self,
         unfavourable: bool,
@@ -368,7 +373,7 @@
         true
     }
 
-    /// This process holds the leader's key, under a lease requested at
+    /// Records that this process holds the leader's key, under a lease requested at
     /// `lease_requested`.
     pub fn elected(&mut self, term: u64, lease: u64, lease_requested: Millis) {
         self.highest_term = self.highest_term.max(term);
@@ -379,15 +384,15 @@
             lease,
             valid_until: lease_requested + at_least(LEASE_TTL_MS),
             cancellations_known_until: lease_requested,
-            peer_served_at: None,
+            peer_reached_store_at: None,
             basis: AuthorityBasis::LeaseRenewal,
         });
     }
 
-    /// A renewal of this lease, sent at `sent`, succeeded. The key stands under
-    /// the lease until that ends, and is replaced before only once this process
-    /// announced that it stopped; so a renewal proves as much as a read of the
-    /// key.
+    /// Records that a renewal of this lease, sent at `sent`, succeeded. The leader's
+    /// key is kept until the lease ends; it is replaced earlier only after this process
+    /// has announced that it stopped. A renewal therefore proves as much as a read of
+    /// the key.
     pub fn renewed(&mut self, lease: u64, sent: Millis) {
         let Some(leadership) = self.leadership.as_mut().filter(|held| held.lease == lease) else {
             return;
@@ -395,26 +400,26 @@
         self.last_led_at = self.last_led_at.max(sent);
         leadership.valid_until = leadership.valid_until.max(sent + at_least(LEASE_TTL_MS));
         leadership.cancellations_known_until = leadership.cancellations_known_until.max(sent);
-        leadership.peer_served_at = None;
+        leadership.peer_reached_store_at = None;
         leadership.basis = AuthorityBasis::LeaseRenewal;
     }
 
-    /// Whether a failed renewal that began at `renewal_sent` shows that the store
-    /// fails this node alone. A renewal from before a peer reported success
-    /// doesn't: the outage may have ended in between.
+    /// Whether a failed renewal that began at `renewal_sent` shows that the store is
+    /// unavailable to this node alone. A renewal that began before a peer reported
+    /// success does not show it, as the outage may have ended in between.
     pub fn is_refused_alone(&self, renewal_sent: Millis) -> bool {
         self.leadership
-            .and_then(|leadership| leadership.peer_served_at)
-            .is_some_and(|served_at| renewal_sent >= served_at)
+            .and_then(|leadership| leadership.peer_reached_store_at)
+            .is_some_and(|reached_store_at| renewal_sent >= reached_store_at)
     }
 
-    /// Takes the answers of all peers to a request for promises, sent at `sent`.
+    /// Applies the answers of all peers to a request for promises, sent at `sent`.
     ///
-    /// Promises extend an unbroken authority only: one that has ended may have
-    /// passed to another node, whose authority has ended too and which has
-    /// restarted since. Nor do promises prove by themselves that nobody else has
-    /// led meanwhile; for that, each peer's process must state that it has run
-    /// since then and has led no later term.
+    /// Promises extend only an authority that has not ended: after its end, another
+    /// node may have led, whose authority may also have ended and which may have
+    /// restarted since. Promises alone do not prove that no other node has led in the
+    /// meantime; for that, each peer's process must state that it has run since then
+    /// and has led no later term.
     pub fn extend_by_promises(
         &mut self,
         sent: Millis,
@@ -427,7 +432,7 @@
         };
         let Some(promises) = PromiseRound::collect(responses, leadership.cancellations_known_until)
         else {
-            leadership.peer_served_at.get_or_insert(now);
+            leadership.peer_reached_store_at.get_or_insert(now);
             return PromiseOutcome::RefusedAlone;
         };
         if now < leadership.valid_until && promises.complete {
@@ -443,33 +448,36 @@
         }
     }
 
-    /// The latest time, by this clock, at which a process can have started that
-    /// had run for `uptime` by its own clock when it answered, at
-    /// `received` or before.
+    /// Returns the latest time, by this node's clock, at which a process can have
+    /// started if it reported an `uptime` by its own clock in an answer received at
+    /// `received` or earlier.
     pub fn process_started_by(uptime: Millis, received: Millis) -> Millis {
         received.saturating_sub(at_least(uptime))
     }
 
-    /// How long this process has run.
+    /// Time since this process started.
     pub fn process_uptime(&self, now: Millis) -> Millis {
         now.saturating_sub(self.process_started)
     }
 
-    /// Doesn't campaign before `until`, so that others can be elected.
+    /// Prevents campaigns of this node before `until`, so that other nodes can be
+    /// elected.
     pub fn abstain(&mut self, until: Millis) {
         self.abstain_until = until;
     }
 
-    /// Stops acting in `term` and returns what is to be given back. A cause that
-    /// belongs to an earlier term has no effect.
+    /// Stops acting in `term` and returns the leadership whose lease is to be released.
+    /// Has no effect, and returns `None`, if this process does not lead `term`: the
+    /// reason to resign may belong to an earlier term.
     pub fn resign(&mut self, term: u64) -> Option<Leadership> {
         let resigned = self.leadership.take_if(|held| held.term == term)?;
         self.observed_leader = None;
         Some(resigned)
     }
 
-    /// A leader asks for a promise. `store_unreachable`: a request of this node
-    /// to the key-value store, made for this question, has failed.
+    /// Answers a leader's request for a promise; returns whether the promise is
+    /// granted. `store_unreachable`: a request of this node to the key-value store,
+    /// made to answer this question, has failed.
     pub fn grant_promise(
         &mut self,
         now: Millis,
@@ -490,11 +498,11 @@
         true
     }
 
-    /// The leader of `term` announced that it has stopped: its key may be
-    /// replaced.
+    /// Records the announcement of the leader of `term` that it has stopped, so that
+    /// its key may be replaced.
     pub fn peer_resigned(&mut self, term: u64) {
         self.resigned_term = Some(term);
-        // A promise to that leader, or an earlier one, has served its purpose.
+        // A promise to that leader, or to an earlier one, is no longer needed.
         if term >= self.highest_term {
             self.promised_until = 0;
         }
--- a/src/control/election/tests.rs
+++ b/src/control/election/tests.rs
@@ -19,7 +19,7 @@
 };
 const START_UNKNOWN: PromiseResponse = PromiseResponse::Granted { started_by: None };
 
-/// Asks for promises every 200 ms from the last renewal on; returns when the
+/// Requests promises every 200 ms, starting at the last renewal, and returns when the
 /// authority ends.
 fn authority_end_with_promises(
     election: &mut Election,
@@ -44,8 +44,8 @@
     election
 }
 
-/// Guards against a leader that goes on while another leader, unknown to the
-/// processes that promise, has acknowledged cancellations to users.
+/// Guards against a leader that continues to act although another leader, unknown to
+/// the processes that promise, has acknowledged cancellations to users.
 #[test]
 fn promises_end_at_the_staleness_bound_when_a_peer_lacks_evidence() {
     let max_staleness = bounds(35.0).max_staleness();
@@ -55,22 +55,22 @@
         })
     };
     assert!(until(RUNNING_SINCE_START) >= 130_000);
-    for short in [
+    for response in [
         START_UNKNOWN,
-        // It began right after the last renewal.
+        // The peer's process started right after the last renewal.
         PromiseResponse::Granted {
             started_by: Some(10_000),
         },
         PromiseResponse::Excluded { until: Millis::MAX },
     ] {
-        let end = until(short);
+        let end = until(response);
         assert!(
             (10_000 + max_staleness..10_200 + max_staleness).contains(&end),
             "{end}"
         );
     }
-    // Evidence counts from when it was asked for.
-    let late = |now| {
+    // Evidence counts from the time of the request.
+    let responses_until_50_s = |now| {
         [
             RUNNING_SINCE_START,
             if now < 50_000 {
@@ -80,12 +80,12 @@
             },
         ]
     };
-    let end = authority_end_with_promises(&mut elected_leader(35.0), 10_000, late);
+    let end = authority_end_with_promises(&mut elected_leader(35.0), 10_000, responses_until_50_s);
     assert!(
         (49_000 + max_staleness..50_200 + max_staleness).contains(&end),
         "{end}"
     );
-    // Where the settings leave no time, none is given beyond the lease.
+    // Settings that leave no time beyond the lease allow no extension by promises.
     let end = authority_end_with_promises(&mut elected_leader(14.0), 10_000, |_| {
         [RUNNING_SINCE_START, START_UNKNOWN]
     });
@@ -101,7 +101,7 @@
     assert_eq!(election.authority(31_001), None);
 }
 
-/// Guards against the revival of a leader that was replaced.
+/// Guards against promises that restore the authority of a leader that was replaced.
 #[test]
 fn authority_that_has_ended_is_not_revived_by_promises() {
     let mut election = elected_leader(35.0);
@@ -119,10 +119,10 @@
         PromiseOutcome::NotExtended
     );
     assert_eq!(election.authority(13_920), None);
-    // That its lease stands does.
+    // A renewal of the lease restores the authority.
     election.renewed(1, 14_000);
     assert_eq!(election.authority(14_001), Some(5));
-    // Not that of an earlier lease, answered late.
+    // A late response to a renewal of an earlier lease does not.
     let mut election = elected_leader(35.0);
     election.resign(5);
     election.elected(9, 2, 12_000);
@@ -130,7 +130,8 @@
     assert_eq!(election.authority(16_000), None);
 }
 
-/// Guards against counting a peer whose own requests succeed as one that promised.
+/// Guards against counting a peer whose own store requests succeed as one that
+/// promised.
 #[test]
 fn authority_is_not_extended_when_a_peer_reaches_the_store() {
     let mut election = elected_leader(35.0);
@@ -139,7 +140,7 @@
         election.extend_by_promises(13_500, responses, 13_510),
         PromiseOutcome::RefusedAlone
     );
-    // The renewal of that round may have come before the end of an outage.
+    // The renewal of that round may have been sent before the end of an outage.
     assert!(!election.is_refused_alone(13_500) && election.is_refused_alone(13_510));
     let mut outage_over = elected_leader(35.0);
     outage_over.extend_by_promises(13_500, responses, 13_510);
@@ -148,8 +149,7 @@
     assert_eq!(election.authority(13_900), None);
 }
 
-/// Guards against a process that restarted quickly and is taken for its
-/// predecessor.
+/// Guards against taking a process that restarted quickly for its predecessor.
 #[test]
 fn process_start_is_later_when_the_uptime_is_received_late() {
     let election = Election::new("b", 2, bounds(35.0), 60_000);
@@ -160,7 +160,7 @@
     assert_eq!(
         Election::process_started_by(99_000, 1_000),
         0,
-        "before this process"
+        "it started before this process"
     );
 }
 
@@ -173,24 +173,24 @@
     assert_eq!(
         election.leader(1000),
         Some(("n1", 5)),
-        "it was read just now"
+        "the leader's key was read recently"
     );
     election.receive_leader_hint(of("n2", 9), 3000);
     assert_eq!(election.leader(3000), Some(("n2", 9)));
-    // A peer that lags does not undo that, nor does one without a hint.
+    // Neither an outdated hint nor a peer without a hint replaces the later one.
     election.receive_leader_hint(of("n1", 5), 3100);
     election.receive_leader_hint(None, 3100);
     assert_eq!(election.leader(3100), Some(("n2", 9)));
     assert_eq!(
         election.may_campaign(9000),
         None,
-        "a hint entitles to no campaign"
+        "a hint does not permit a campaign"
     );
     election.observe_leader(None, 4000);
     assert_eq!(election.leader(4000), None);
 }
 
-/// Guards against a leader that steps down for a cause from an earlier term.
+/// Guards against a leader that steps down for a reason from an earlier term.
 #[test]
 fn resignation_is_ignored_when_it_names_another_term() {
     let mut election = elected_leader(35.0);
@@ -202,8 +202,8 @@
     assert_eq!(election.authority(12_100), None);
 }
 
-/// Guards against counting a node's own term as leaderless time, as it doesn't
-/// read the leader's key meanwhile.
+/// Guards against counting a node's own term as leaderless time, as a leader does not
+/// read its own key during its term.
 #[test]
 fn leaderless_time_is_counted_from_the_last_renewal_when_this_node_led() {
     let mut election = new_election("a");
--- a/src/control/exclusions.rs
+++ b/src/control/exclusions.rs
@@ -1,25 +1,23 @@
-//! Exclusions of unresponsive nodes from elections, as kept in the key-value store.
+//! Exclusions of unresponsive nodes from elections, stored in the key-value store.
 //!
-//! To go on while the store is unavailable, a leader needs a promise of every
-//! peer not to campaign, and an unresponsive peer gives none. So, while the store
-//! still answers, the leader writes a key that excludes that peer, under a lease;
-//! becoming leader is conditional on the absence of that key. The store thus
-//! promises in the peer's place, until the lease expires.
+//! To continue while the store is unavailable, a leader needs a promise from every peer
+//! not to campaign, and an unresponsive peer gives none. While the store still answers,
+//! the leader therefore writes a key under a lease that excludes this peer; becoming
+//! leader is conditional on the absence of that key. Until the lease expires, the
+//! exclusion replaces the peer's promise.
 //!
-//! A write whose outcome is unknown may be applied late, after newer ones.
-//! Deleting an exclusion is therefore conditional on its version, so that it can't
-//! delete a later exclusion that is counted. An exclusion whose write has an
-//! unknown outcome has no known version; its lease is ended instead, after which
-//! no key can be attached to it.
+//! A write whose outcome is unknown may be applied late, after newer writes. The
+//! deletion of an exclusion is therefore conditional on its version, so that it cannot
+//! delete a later exclusion that is counted. An exclusion whose write has an unknown
+//! outcome has no known version; its lease is revoked instead, after which no key can
+//! be attached to the lease.
 //!
-//! Owns: which exclusions the leader of one term has written, and their lease.
-//! Called by `server::exclusions`, which carries out each [`Step`] and reports the
-//! result, and by `server::leadership`, which counts an excluded peer among the
-//! promises.
+//! Owns: the exclusions that the leader of one term has written, and their lease.
+//! Called by `server::exclusions`, which performs each [`Step`] and reports the result,
+//! and by `server::leadership`, which counts an excluded peer like one that promised.
 //!
-//! Must never: count an exclusion whose lease may have ended, whose deletion has
-//! begun, or which was written in another term; exclude more than half of the
-//! peers.
+//! Must never: count an exclusion whose lease may have ended, whose deletion has begun,
+//! or which was written in another term; exclude more than half of the peers.
 
 use super::{failure_detector::FailureDetector, safety_bounds::at_least};
 use crate::{
@@ -31,28 +29,28 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Time to live of the lease under the exclusions: the longest store outage that a
-/// leader outlasts with an excluded peer, and the longest time for which a peer
-/// that recovers without a leader stays excluded.
+/// Time to live of the lease under the exclusions. This is the longest store outage
+/// that a leader can bridge with an excluded peer, and the longest time for which a
+/// peer that recovers while there is no leader stays excluded.
 pub const LEASE_TTL_MS: Millis = 25_000;
-/// Time between two renewals of that lease.
+/// Interval between two renewals of that lease.
 const LEASE_RENEWAL_INTERVAL_MS: Millis = 4_000;
 
-/// What to do next about exclusions. One step is carried out at a time.
+/// The next action on the exclusions. One step is performed at a time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
-    /// Request a lease, or renew the one given here.
+    /// Request a lease, or renew the given one.
     RenewLease(Option<u64>),
     /// Write the exclusion of this peer under the lease.
     Exclude { peer: usize, lease: u64 },
-    /// Delete the exclusion of this peer if it still has this version.
+    /// Delete the exclusion of this peer if its key still has this version.
     Readmit { peer: usize, version: u64 },
-    /// End the lease, and so all exclusions under it.
+    /// Revoke the lease, which removes all exclusions under it.
     EndLease(u64),
 }
 
-/// Writes the exclusion of `node` under `lease`, if the leader of `term` still
-/// leads.
+/// Returns the transaction that writes the exclusion of `node` under `lease`, on
+/// condition that the leader of `term` still leads.
 pub fn exclusion_txn(term: u64, node: &str, lease: u64) -> Txn {
     Txn {
         conditions: vec![Condition {
@@ -67,8 +65,8 @@
     }
 }
 
-/// Deletes the exclusion of `node` if it has `version` and the leader of `term`
-/// still leads.
+/// Returns the transaction that deletes the exclusion of `node`, on condition that it
+/// has `version` and that the leader of `term` still leads.
 pub fn readmission_txn(term: u64, node: &str, version: u64) -> Txn {
     let key = exclusion_key(node);
     let condition = |key: &str, version| Condition {
@@ -90,16 +88,16 @@
     lease_renewal_due: Millis,
     /// Peers whose exclusion was written in this term, under its lease.
     in_force: BTreeSet<usize>,
-    /// Version of each exclusion in the store, of whatever term.
+    /// Version of each exclusion in the store, including those of earlier terms.
     recorded: BTreeMap<usize, u64>,
     /// Peers with a write under this lease whose outcome is unknown.
     indeterminate: BTreeSet<usize>,
 }
 
 impl Exclusions {
-    /// `recorded`: exclusions of earlier terms, with their versions. They keep a
-    /// peer from being elected, but this leader doesn't know when their lease ends,
-    /// so they aren't counted.
+    /// Creates the exclusions of a new term. `recorded`: exclusions of earlier terms,
+    /// with their versions. They prevent the election of a peer, but this leader does
+    /// not know when their lease ends, so they are not counted.
     pub fn new(term: u64, recorded: impl IntoIterator<Item = (usize, u64)>) -> Self {
         Exclusions {
             term,
@@ -108,24 +106,25 @@
         }
     }
 
-    /// For the result of a step that began in `term`; `None` when that term is
-    /// over. An exclusion under the lease of an earlier term ends with that lease,
-    /// so a late answer must not be counted in this one.
+    /// Returns the exclusions, to apply the result of a step that began in `term`;
+    /// `None` if that term is over. An exclusion under the lease of an earlier term
+    /// ends with that lease, so a late response must not be counted in the current
+    /// term.
     pub fn of_term(&mut self, term: u64) -> Option<&mut Exclusions> {
         (self.term == term).then_some(self)
     }
 
-    /// Whether the peer surely can't be elected at `now`.
+    /// Whether the peer certainly cannot be elected at `now`.
     pub fn is_excluded(&self, peer: usize, now: Millis) -> bool {
         now < self.lease_valid_until && self.in_force.contains(&peer)
     }
 
-    /// Until when the exclusions in force surely hold.
+    /// Time until which the exclusions in force are certain to hold.
     pub fn lease_until(&self) -> Millis {
         self.lease_valid_until
     }
 
-    /// The step that is due, if any.
+    /// Returns the step that is due, if any.
     pub fn next_step(&self, failure_detector: &FailureDetector, now: Millis) -> Option<Step> {
         if let Some(lease) = self.lease
             && self
@@ -142,9 +141,9 @@
         if let Some((&peer, &version)) = recovered {
             return Some(Step::Readmit { peer, version });
         }
-        // A leader that is cut off itself must not exclude everybody: nobody could
-        // succeed it.
-        let unresponsive = failure_detector.unresponsive_peers(now);
+        // A leader that is itself cut off must not exclude all peers, as no node could
+        // then succeed it.
+        let unresponsive = failure_detector.persistently_unresponsive_peers(now);
         if 2 * unresponsive.len() > failure_detector.len() {
             return None;
         }
@@ -161,7 +160,7 @@
         Some(Step::Exclude { peer, lease })
     }
 
-    /// The lease was granted or renewed, by a request sent at `sent`.
+    /// Records that the lease was granted or renewed, by a request sent at `sent`.
     pub fn lease_granted(&mut self, lease: u64, sent: Millis) {
         if self.lease != Some(lease) {
             self.in_force.clear();
@@ -172,31 +171,31 @@
         self.lease_renewal_due = sent + LEASE_RENEWAL_INTERVAL_MS;
     }
 
-    /// The lease has ended, and all exclusions with it.
+    /// Records that the lease has ended, and all exclusions under it.
     pub fn lease_lost(&mut self) {
         *self = Exclusions::new(self.term, std::mem::take(&mut self.recorded));
     }
 
-    /// An exclusion is about to be written; from now on its outcome is unknown.
-    /// Returns whether an earlier attempt has an unknown outcome too.
+    /// Records that an exclusion is about to be written; its outcome is unknown from
+    /// now on. Returns whether an earlier attempt has an unknown outcome too.
     pub fn begin_exclusion(&mut self, peer: usize) -> bool {
         self.in_force.remove(&peer);
         !self.indeterminate.insert(peer)
     }
 
-    /// The exclusion of the peer is about to be deleted.
+    /// Stops counting the exclusion of the peer, which is about to be deleted.
     pub fn begin_readmission(&mut self, peer: usize) {
         self.in_force.remove(&peer);
     }
 
-    /// The lease is about to be ended.
+    /// Stops counting all exclusions, as their lease is about to be revoked.
     pub fn begin_lease_end(&mut self) {
         self.in_force.clear();
     }
 
-    /// The exclusion was written with this version. `repeated`: an earlier attempt
-    /// had an unknown outcome, which this success doesn't settle, as either write
-    /// may be applied last.
+    /// Records that the exclusion was written with this version. `repeated`: an earlier
+    /// attempt had an unknown outcome. This success does not resolve that attempt, as
+    /// either write may be applied last.
     pub fn excluded(&mut self, peer: usize, version: u64, repeated: bool) {
         self.in_force.insert(peer);
         self.recorded.insert(peer, version);
@@ -205,14 +204,15 @@
         }
     }
 
-    /// The write was surely not applied. `repeated` as in [`Exclusions::excluded`].
+    /// Records that the write was certainly not applied. `repeated` as in
+    /// [`Exclusions::excluded`].
     pub fn exclusion_failed(&mut self, peer: usize, repeated: bool) {
         if !repeated {
             self.indeterminate.remove(&peer);
         }
     }
 
-    /// The exclusion is no longer in the store.
+    /// Records that the exclusion is no longer in the store.
     pub fn readmitted(&mut self, peer: usize) {
         self.recorded.remove(&peer);
     }
--- a/src/control/exclusions/tests.rs
+++ b/src/control/exclusions/tests.rs
@@ -15,7 +15,7 @@
     assert_eq!(
         exclusions.next_step(&failure_detector, 500),
         None,
-        "it may be slow"
+        "the peer may only be slow"
     );
     assert_eq!(
         exclusions.next_step(&failure_detector, 9000),
@@ -28,7 +28,10 @@
         Some(exclusion)
     );
     exclusions.begin_exclusion(1);
-    assert!(!exclusions.is_excluded(1, 9200), "no answer yet");
+    assert!(
+        !exclusions.is_excluded(1, 9200),
+        "the write has not been answered yet"
+    );
     exclusions.excluded(1, 40, false);
     assert!(exclusions.is_excluded(1, 9200) && !exclusions.is_excluded(0, 9200));
     assert_eq!(exclusions.next_step(&failure_detector, 9300), None);
@@ -39,7 +42,7 @@
     assert!(!exclusions.is_excluded(1, 9000 + LEASE_TTL_MS));
     exclusions.lease_granted(7, 13_000);
     assert!(exclusions.is_excluded(1, 9000 + LEASE_TTL_MS));
-    // The peer recovered: not counted from before the key is deleted.
+    // The peer recovered: its exclusion stops counting before the key is deleted.
     failure_detector.request_sent(1, 14_000);
     failure_detector.request_ended(1, PeerHealth::Healthy, 14_000);
     let readmit = Step::Readmit {
@@ -72,8 +75,8 @@
     assert_eq!(exclusions.next_step(&failure_detector, 1), Some(readmit));
 }
 
-/// Guards against an exclusion that is applied after its deletion, as its write
-/// had an unknown outcome, and so keeps a healthy node from being elected.
+/// Guards against an exclusion whose write had an unknown outcome and is applied after
+/// the exclusion was deleted, which would prevent the election of a healthy node.
 #[test]
 fn exclusion_lease_is_ended_when_a_write_is_indeterminate() {
     let mut failure_detector = FailureDetector::new("n0", &["n1", "n2"]);
@@ -81,7 +84,7 @@
     make_unresponsive(&mut failure_detector, 1);
     exclusions.lease_granted(7, 9000);
     exclusions.begin_exclusion(1);
-    // Written again, this time with a known outcome.
+    // The exclusion is written again, this time with a known outcome.
     let repeated = exclusions.begin_exclusion(1);
     assert!(repeated);
     exclusions.excluded(1, 41, repeated);
@@ -101,14 +104,14 @@
     ));
 }
 
-/// Guards against counting an exclusion under the lease of a later term while it
-/// ends with that of the earlier one.
+/// Guards against counting an exclusion under the lease of a later term although it
+/// ends with the lease of the earlier term.
 #[test]
 fn exclusion_is_not_counted_when_its_answer_arrives_in_a_later_term() {
     let mut exclusions = Exclusions::new(5, []);
     exclusions.lease_granted(7, 9_000);
     let repeated = exclusions.begin_exclusion(1);
-    // The same node leads again before the answer comes.
+    // The same node leads again before the response arrives.
     let mut exclusions = Exclusions::new(9, []);
     exclusions.lease_granted(8, 20_000);
     if let Some(exclusions) = exclusions.of_term(5) {
@@ -117,13 +120,13 @@
     assert!(!exclusions.is_excluded(1, 20_100));
     exclusions
         .of_term(9)
-        .expect("its own")
+        .expect("the current term")
         .excluded(1, 41, false);
     assert!(exclusions.is_excluded(1, 20_100));
 }
 
 #[test]
-fn nobody_is_excluded_when_most_peers_are_unresponsive() {
+fn no_peer_is_excluded_when_most_peers_are_unresponsive() {
     let mut failure_detector = FailureDetector::new("n0", &["n1", "n2"]);
     make_unresponsive(&mut failure_detector, 0);
     make_unresponsive(&mut failure_detector, 1);
--- a/src/control/failure_detector/tests.rs
+++ b/src/control/failure_detector/tests.rs
@@ -12,7 +12,7 @@
         detector.health(0, 1001 + RESPONSE_PATIENCE_MS),
         PeerHealth::Unresponsive
     );
-    // Two requests are open: one answer shows that the peer is only slow.
+    // Two requests are open: an answer to one shows that the peer is only slow.
     detector.request_sent(0, 1100);
     detector.request_ended(0, PeerHealth::Healthy, 1500);
     assert_eq!(detector.health(0, 1600), PeerHealth::Healthy);
@@ -22,25 +22,25 @@
 }
 
 #[test]
-fn position_is_unfavourable_when_only_this_nodes_successor_is_unresponsive() {
-    // Workers try n-2, n-9, n-10 and n-2 again.
+fn failover_position_is_unfavourable_when_only_this_nodes_successor_is_unresponsive() {
+    // Workers try the controllers in the order n-2, n-9, n-10, n-2.
     let mut detector = FailureDetector::new("n-9", &["n-10", "n-2"]);
     assert_eq!(detector.successor(), Some(0));
     detector.request_sent(0, 0);
     detector.request_ended(0, PeerHealth::Unresponsive, 700);
     assert!(
         !detector.unfavourable_failover_position(800),
-        "it may just be slow"
+        "the peer may only be slow"
     );
     assert!(
         detector.unfavourable_failover_position(700 + UNRESPONSIVE_AFTER_MS),
-        "n-2 is followed by this one"
+        "n-2 is better: workers try this node after it"
     );
-    // A peer that refuses costs a worker next to nothing.
+    // A peer that refuses connections delays a worker only negligibly.
     detector.request_sent(0, 4000);
     detector.request_ended(0, PeerHealth::Refusing, 4001);
     assert!(!detector.unfavourable_failover_position(9000));
-    // No position is better if the other peer is unresponsive too.
+    // No other position is better if the other peer is unresponsive too.
     for peer in [0, 1] {
         detector.request_sent(peer, 10_000);
         detector.request_ended(peer, PeerHealth::Unresponsive, 10_700);
@@ -60,7 +60,7 @@
     assert_eq!(
         detector.redirect_target(Some(1), 20),
         RedirectTarget::Leader(1),
-        "soon tried"
+        "a refusal costs a worker little time"
     );
     detector.request_sent(1, 20);
     detector.request_ended(1, PeerHealth::Unresponsive, 700);
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -1,10 +1,11 @@
-//! Control decisions, without I/O: state, an event and the time go in, what is to
-//! be done comes out.
+//! Control decisions of a controller, as state machines without I/O: each step takes
+//! the current state, an event and the time, and returns the actions to perform.
 //!
-//! Owns: every decision of a controller, from elections to placement. Called by
-//! `server`, which carries out the results, and by the simulation in `tests/`.
+//! Owns: every decision of a controller, from leader elections to task placement.
+//! Called by `server`, which performs the returned actions, and by the simulation in
+//! `tests/`.
 //!
-//! Must never: read a clock, open a socket, or wait.
+//! Must never: read a clock, open a socket, or block.
 
 pub mod acceptance_feed;
 pub mod admission;
--- a/src/control/safety_bounds.rs
+++ b/src/control/safety_bounds.rs
@@ -1,34 +1,34 @@
-//! The durations that safety rests on, each derived in one place.
+//! Durations on which the safety of the cluster depends, each derived in one place.
 //!
-//! Some of them are measured by the clock of another machine. The monotonic
-//! clocks of two machines drift apart by up to 0.05%, so such a duration is
-//! lengthened ([`at_most`]) or shortened ([`at_least`]) by more than that.
+//! Some of these durations are measured by the clock of another machine. The monotonic
+//! clocks of two machines drift apart by up to 0.05%, so such a duration is lengthened
+//! ([`at_most`]) or shortened ([`at_least`]) by more than that.
 //!
-//! Owns: the margins for clock drift and late timers, and the bounds that follow
-//! from the worker lease and the cancellation deadline of the settings. Called by
-//! the election, the exclusions, the leader and the cache of final states.
+//! Owns: the margins for clock drift and late timers, and the bounds that follow from
+//! the worker lease and the cancellation deadline in the settings. Called by the
+//! election, the exclusions, the leader and the cache of final states.
 //!
-//! Must never: read a clock or hold state; give a bound that is too long where a
+//! Must never: read a clock or hold state; return a bound that is too long where a
 //! shorter one is the safe side, or too short where a longer one is.
 
 use crate::{protocol::settings::Workers, state::Millis};
 
-/// Allowance for timers that fire late.
+/// Margin for timers that fire late.
 const TIMER_MARGIN_MS: Millis = 150;
-/// The allowance for clock drift is a duration divided by this, 0.2%.
+/// The margin for clock drift is the duration divided by this value, that is, 0.2%.
 const CLOCK_DRIFT_DIVISOR: Millis = 500;
-/// How long after it sent a heartbeat a worker accepts the response.
+/// How long after sending a heartbeat a worker still accepts the response.
 pub const RESPONSE_TIMEOUT_MS: Millis = 4_000;
 
-/// How long a user waits for an answer at most.
+/// Maximum time for which a user waits for an answer.
 const ANSWER_TIMEOUT_MS: Millis = 5_000;
 
-/// A job state that is not final leaves a node no later than this after the read
-/// of it began.
+/// Maximum age of a job state that is not final when a node sends it to a user, counted
+/// from the start of the read.
 pub const MAX_READING_AGE_MS: Millis = 500;
 
-/// How long a node that has learned a job's terminal state withholds it: by then,
-/// every older answer of any node has left that node, and has reached its user
+/// Returns how long a node that has learned a job's final state withholds it. After
+/// this time, every older answer has been sent by every node, and has reached its user
 /// unless the network was unusually slow.
 pub fn final_state_hold_ms() -> Millis {
     at_most(MAX_READING_AGE_MS)
@@ -38,19 +38,19 @@
     duration / CLOCK_DRIFT_DIVISOR + TIMER_MARGIN_MS
 }
 
-/// After this long by the local clock, a duration measured by any other clock has
-/// passed.
+/// Returns the time after which, by the local clock, a `duration` measured by any other
+/// clock has certainly passed.
 pub fn at_most(duration: Millis) -> Millis {
     duration + clock_margin(duration)
 }
 
-/// For this long by the local clock, a duration measured by any other clock has
-/// not passed yet.
+/// Returns the time for which, by the local clock, a `duration` measured by any other
+/// clock has certainly not passed yet.
 pub fn at_least(duration: Millis) -> Millis {
     duration.saturating_sub(clock_margin(duration))
 }
 
-/// The bounds that follow from the cluster's settings.
+/// Bounds that follow from the cluster's settings.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SafetyBounds {
     worker_lease: Millis,
@@ -58,7 +58,7 @@
 }
 
 impl SafetyBounds {
-    /// For these settings of the workers.
+    /// Derives the bounds from these worker settings.
     pub fn of(workers: &Workers) -> Self {
         let millis = |seconds: f64| (seconds.max(0.0) * 1000.0) as Millis;
         SafetyBounds {
@@ -67,34 +67,36 @@
         }
     }
 
-    /// How long after the last response to a worker its tasks have surely ended.
+    /// Time after the last response to a worker by which its tasks have certainly
+    /// ended.
     pub fn lease_expiry(&self) -> Millis {
         at_most(self.worker_lease)
     }
 
-    /// How long a leader may respond to workers, or start tasks, after the last
-    /// moment at which it surely knew of every cancellation. Right after that
-    /// moment, another leader may acknowledge a cancellation to a user. Within
-    /// `cancel_s` from then the leases of all machines must have expired, which
-    /// run from when a heartbeat was sent, while a response may be under way for
-    /// [`RESPONSE_TIMEOUT_MS`]. 0: not at all.
+    /// How long a leader may respond to workers, or start tasks, after the last moment
+    /// at which it certainly knew of every cancellation. Right after that moment,
+    /// another leader may acknowledge a cancellation to a user. Within `cancel_s` from
+    /// then, the leases of all machines must have expired. A lease runs from when the
+    /// heartbeat was sent, and a response may be in transit for
+    /// [`RESPONSE_TIMEOUT_MS`]. 0 means that a leader may not do so at all.
     pub fn max_staleness(&self) -> Millis {
         at_least(self.cancellation_deadline)
             .saturating_sub(self.lease_expiry() + RESPONSE_TIMEOUT_MS)
     }
 
-    /// How long after the read of a dependency began, which had it as not cancelled,
-    /// a job may be called unfinished by that. Right after the read, the cancellation
-    /// may be acknowledged to a user; `cancel_s` later no answer with an older state
-    /// may reach anybody, and one may be under way for [`ANSWER_TIMEOUT_MS`].
+    /// How long a job may be reported as unfinished on the basis of a read that found
+    /// its dependency not cancelled, counted from the start of the read. Right after
+    /// the read, the cancellation of the dependency may be acknowledged to a user;
+    /// `cancel_s` later, no answer with an older state may reach any user, and an
+    /// answer may be in transit for [`ANSWER_TIMEOUT_MS`].
     pub fn max_dependency_reading_age(&self) -> Millis {
         at_least(self.cancellation_deadline).saturating_sub(ANSWER_TIMEOUT_MS)
     }
 
-    /// How long a new leader may respond to workers before it has loaded the
-    /// records. A cancellation that it hasn't loaded may have been acknowledged to
-    /// a user up to a worker lease ago; any machine that got a response later than
-    /// that has been commanded to stop.
+    /// How long a new leader may respond to workers before it has loaded the records. A
+    /// cancellation that the leader has not loaded may have been acknowledged to a user
+    /// up to one worker lease ago; any machine that received a response later than that
+    /// has been told to stop the task.
     pub fn max_answering_unloaded(&self) -> Millis {
         self.max_staleness().saturating_sub(self.lease_expiry())
     }
--- a/src/control/safety_bounds/tests.rs
+++ b/src/control/safety_bounds/tests.rs
@@ -10,8 +10,8 @@
     })
 }
 
-/// Guards against a bound that leaves out a part: the machine's clock runs
-/// slow and the controller's fast, and the last response is accepted as late as
+/// Guards against a bound that omits one of its parts: the machine's clock runs slow,
+/// the controller's clock runs fast, and the last response is accepted as late as
 /// possible.
 #[test]
 fn tasks_end_before_the_cancellation_deadline_when_the_leader_is_stale() {
@@ -25,13 +25,17 @@
             tasks_ended + 100.0 < deadline,
             "{lease} {cancel}: {tasks_ended}"
         );
-        // Nor is it shorter by much more than that.
+        // The bound is not much shorter than necessary.
         assert!(
             tasks_ended + 700.0 > deadline,
             "{lease} {cancel}: {tasks_ended}"
         );
     }
-    assert_eq!(bounds(10.0, 14.0).max_staleness(), 0, "no time at all");
+    assert_eq!(
+        bounds(10.0, 14.0).max_staleness(),
+        0,
+        "the settings leave no time"
+    );
     assert_eq!(bounds(26.5, 56.5).max_answering_unloaded(), 0);
     assert!(bounds(10.0, 35.0).max_answering_unloaded() > 10_000);
 }
