--- a/src/control/requests/cancel.rs
+++ b/src/control/requests/cancel.rs
@@ -1,5 +1,5 @@
-//! The steps of a cancellation. Only a leader records one; every other node
-//! forwards it. The answer is given once the final record, or the cancellation
+//! The steps of a cancellation. Only a leader records a cancellation; every other node
+//! forwards the request. The answer is sent once the final record, or the cancellation
 //! in the job's record, is written. Called by `request`.
 //!
 //! Must never answer that a job is cancelled before that is recorded.
@@ -10,15 +10,15 @@
 };
 use crate::{control::leader::Withheld, state::Millis};
 
-/// How long the record is awaited: less than users wait.
+/// How long to wait for the record. This is less than users wait for an answer.
 const RECORD_TIMEOUT_MS: Millis = 1_500;
-/// Interval of looks at the record: about as long as a write takes.
+/// Interval of the checks whether the record is written, about the duration of a write.
 const RECORD_CHECK_INTERVAL_MS: Millis = 15;
 
-/// A cancellation under way.
+/// A cancellation in progress.
 #[derive(Debug, Default)]
 pub(super) struct Cancel {
-    /// Since when the leader has been asked to record it.
+    /// When the leader was first asked to record the cancellation.
     requested_at: Option<Millis>,
 }
 
@@ -32,7 +32,7 @@
     ) -> Next {
         match event {
             Event::Begin if id.is_empty() => Next::Answer(Answer::Refused(404, NO_SUCH_JOB.into())),
-            Event::Begin => match (view.known_final_status(id), view.acting()) {
+            Event::Begin => match (view.known_final_status(id), view.acting_leader()) {
                 (Some(status), _) => Next::Answer(Answer::known(status)),
                 (None, Some(leader)) if !leader.loaded() => {
                     Next::Answer(Answer::later(RECORDS_LOADING))
@@ -59,19 +59,21 @@
         }
     }
 
-    /// Answers a final status, and else has the leader cancel the job.
+    /// Answers with the job's status if it is final; otherwise has the leader cancel
+    /// the job.
     fn check_status(&mut self, id: &str, view: &mut NodeView) -> Next {
-        let Some(leader) = view.acting() else {
+        let Some(leader) = view.acting_leader() else {
             return Next::Answer(Answer::later(LEADERSHIP_CHANGING));
         };
         match (leader.withheld(id), leader.answerable_status(id)) {
-            // Its final record is being written: that decides.
+            // The job's final record is being written, and it decides the outcome.
             (Some(Withheld::Ending), _) => self.request_record(id, view),
             (_, Some(status)) if status.state.is_final() => Next::Answer(Answer::known(status)),
             (Some(Withheld::CancelledWithDependency), None) => {
                 Next::Answer(Answer::later(CANCELLATION_PENDING))
             }
-            // It has not started, so whatever its dependencies are it can be cancelled.
+            // A job with unread dependencies has not started, so it can be cancelled
+            // whatever the state of its dependencies.
             (Some(Withheld::DependenciesUnread), None) | (None, Some(_)) => {
                 self.request_record(id, view)
             }
@@ -79,11 +81,11 @@
         }
     }
 
-    /// Has the leader record the cancellation, and looks again after a while.
+    /// Has the leader record the cancellation, and checks again after a pause.
     fn request_record(&mut self, id: &str, view: &mut NodeView) -> Next {
         let requested_at = *self.requested_at.get_or_insert(view.now);
         let timed_out = view.now > requested_at + RECORD_TIMEOUT_MS;
-        match view.acting() {
+        match view.acting_leader() {
             Some(leader) if !timed_out => {
                 leader.cancel(id);
                 Next::Wait(RECORD_CHECK_INTERVAL_MS)
--- a/src/control/requests/mod.rs
+++ b/src/control/requests/mod.rs
@@ -1,19 +1,19 @@
-//! Requests of users: polls, submissions and cancellations, as state machines
-//! without I/O. A step is taken with what the node knows at that moment
-//! (`NodeView`); what it asks for (the leader's answer, a read of the records, a
-//! write) may take any time and comes back as the next event.
+//! User requests (polls, submissions and cancellations) as state machines without I/O.
+//! Each step is taken with what the node knows at that moment (`NodeView`). A step may
+//! ask for the leader's answer, a read of the records or a write; each of these may
+//! take any time, and its result arrives as the next event.
 //!
-//! This module owns a request from its arrival to its answer. The server's loop
-//! calls `Request::step` and does the I/O that `Next` asks for; the tests'
-//! simulation does the same. Requests must never do I/O themselves, and never
-//! keep state of a job beyond their own answer: that is the leader's, or
+//! Owns a request from its arrival to its answer. The server's loop calls
+//! `Request::step` and performs the I/O that `Next` asks for; the simulation in
+//! `tests/` does the same. Requests must never do I/O themselves, and never keep state
+//! of a job beyond their own answer: that state belongs to the leader or to
 //! `final_states::FinalStates`.
 //!
-//! The state of a job that users see is a register that moves one way: unknown,
-//! accepted, and then done or cancelled. An answer is made from what was read
-//! after its request came in, or from memory where that can't be older than any
-//! answer given. It is checked once more as it leaves: a final state that this
-//! node has learned meanwhile overrides it.
+//! To users, the state of a job changes in one direction only: unknown, accepted, and
+//! then done or cancelled. An answer is based on what was read after its request
+//! arrived, or on memory where that cannot be older than any answer already given. Each
+//! answer is checked once more when it is sent: a final state that this node has
+//! learned in the meantime overrides it.
 
 mod cancel;
 mod poll;
@@ -42,11 +42,12 @@
 
 const LEADERSHIP_CHANGING: &str = "leadership is changing";
 const NO_LEADER: &str = "no leader can be reached";
-const RECORDS_LOADING: &str = "a new leader is reading the records";
-/// A dependency of the job is cancelled, so the job is to be.
+const RECORDS_LOADING: &str = "a new leader is still loading the records";
+/// Answer for a job that will be cancelled because one of its dependencies is
+/// cancelled.
 pub const CANCELLATION_PENDING: &str =
     "its cancellation, with a job that it depends on, is being recorded";
-/// How a dependency of the job ended is not known.
+/// Answer for a job with a dependency whose outcome is not known.
 pub const DEPENDENCIES_UNREAD: &str =
     "the jobs that it depends on have not been read yet: one may be cancelled";
 const NO_SUCH_JOB: &str = "no such job";
@@ -54,34 +55,35 @@
 /// The record of a job in the state service, with its version.
 #[derive(Debug)]
 pub enum Found {
-    /// It is not final yet.
+    /// The job is not final yet.
     Live(Box<JobRecord>, u64),
-    /// It is done or cancelled.
+    /// The job is done or cancelled.
     Final(FinalRecord, u64),
-    /// It has no record.
+    /// The job has no record.
     Nothing,
 }
 
-/// Results of reads by job id; a job that is missing was never accepted.
+/// Results of reads by job id; a missing job was never accepted.
 pub type LookupResults = HashMap<String, Result<Found, String>>;
 
 /// Outcome of a transaction.
 #[derive(Debug, Clone, PartialEq)]
 pub enum TxnResult {
-    /// Applied, at this revision.
+    /// The transaction was applied at this revision.
     Done(u64),
-    /// Not applied: keys whose versions differ.
+    /// The transaction was not applied. Lists the keys whose versions differ.
     Conflict(Vec<String>),
-    /// Not applied: refused, or not sent.
+    /// The transaction was not applied: it was refused, or not sent.
     Refused,
-    /// Not applied, and would not be if repeated: over a limit that has been
-    /// lowered, or malformed.
+    /// The transaction was not applied, and a retry would not be applied either: it
+    /// exceeds a limit that has been lowered, or is malformed.
     Rejected,
-    /// Indeterminate: it may have been applied, or may be yet.
+    /// The outcome is unknown: the transaction may have been applied, or may still be
+    /// applied later.
     Unknown,
 }
 
-/// The status of a job by its final record.
+/// Returns the status of a job according to its final record.
 pub fn final_status(id: &str, record: &FinalRecord) -> JobStatus {
     JobStatus {
         id: id.to_owned(),
@@ -91,14 +93,15 @@
     }
 }
 
-/// The answer to a user.
+/// Answer to a user.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Answer {
-    /// With 200, or 201 for a job that was not known before.
+    /// The job's status, with HTTP status 200, or 201 for a job that was not known
+    /// before.
     State(u16, JobStatus),
-    /// 4xx, with a line that says why.
+    /// HTTP status 4xx, with a message that gives the reason.
     Refused(u16, String),
-    /// 503: not now.
+    /// HTTP status 503, with the reason why the request cannot be answered now.
     Later(String),
 }
 
@@ -107,20 +110,20 @@
         Answer::State(200, status)
     }
 
-    /// The same answer with a newer status: a job that was accepted now keeps its
-    /// 201, and a known job is not refused.
-    fn with(self, status: JobStatus) -> Answer {
+    /// Returns the same answer with a newer status. A job that this request accepted
+    /// keeps its 201, and a refusal becomes the status of the job, which is known.
+    fn with_status(self, status: JobStatus) -> Answer {
         match self {
             Answer::State(code, _) => Answer::State(code, status),
             _ => Answer::known(status),
         }
     }
 
-    fn later(why: &str) -> Answer {
-        Answer::Later(why.to_owned())
+    fn later(reason: &str) -> Answer {
+        Answer::Later(reason.to_owned())
     }
 
-    /// Why a job's dependencies forbade to give its state, in a word, if they did.
+    /// Label of the reason if the job's state was withheld because of its dependencies.
     pub fn withheld_reason(&self) -> Option<&'static str> {
         match self {
             Answer::Later(why) if why == CANCELLATION_PENDING => Some("cancelled_dependency"),
@@ -129,11 +132,11 @@
         }
     }
 
-    fn unread(e: &str) -> Answer {
-        Answer::Later(format!("records can't be read: {e}"))
+    fn records_unreadable(error: &str) -> Answer {
+        Answer::Later(format!("records can't be read: {error}"))
     }
 
-    /// Another node's answer, by the status and body of its response.
+    /// Converts another node's response, given by status and body, to an answer.
     pub fn relayed(status: u16, body: &[u8]) -> Answer {
         let text = || {
             let v = serde_json::from_slice::<serde_json::Value>(body).ok();
@@ -143,7 +146,7 @@
         match status {
             200 | 201 => match serde_json::from_slice(body) {
                 Ok(job) => Answer::State(status, job),
-                Err(_) => Answer::later("the leader's answer can't be read"),
+                Err(_) => Answer::later("the leader's response could not be decoded"),
             },
             400..=499 if status != 429 => Answer::Refused(status, text()),
             _ => Answer::Later(text()),
@@ -151,16 +154,16 @@
     }
 }
 
-/// What a request waited for, as it comes.
+/// Input to a step of a request.
 #[derive(Debug)]
 pub enum Event {
     /// The request has arrived.
     Begin,
     /// The leader's answer to the poll of a job.
     LeaderReplied(Reading),
-    /// The job's state by the records.
+    /// The job's state according to the records.
     Read(Result<Reading, String>),
-    /// The leader's answer to a forwarded request. `None`: there is none.
+    /// The leader's answer to a forwarded request; `None` if there is none.
     Forwarded(Option<Answer>),
     /// Whether every controller runs this version.
     Versions(bool),
@@ -168,24 +171,25 @@
     LookupResults(LookupResults),
     /// The outcome of the write.
     Wrote(TxnResult),
-    /// The write was not begun: over the write budget.
+    /// The write was not started because it exceeds the write budget.
     OverBudget,
     /// The pause is over.
     Waited,
 }
 
-/// What the caller has to do next for a request.
+/// The action that the caller has to perform next for a request.
 #[derive(Debug)]
 pub enum Next {
-    /// Send this answer; the request is over.
+    /// Send this answer; the request is finished.
     Answer(Answer),
-    /// It was forwarded to this node, which does not lead.
+    /// Report that the request was forwarded to this node although it is not the
+    /// leader.
     NotLeading,
-    /// Nothing: it is over, and nobody waits for an answer.
+    /// Do nothing: the request is finished, and no user waits for an answer.
     Over,
     /// Ask the leader for the job's status.
     AskLeader,
-    /// Read the job's status from the records, in a batch with others.
+    /// Read the job's status from the records, in a batch with other jobs.
     ReadState,
     /// Forward the request to the leader.
     Forward,
@@ -193,14 +197,14 @@
     Versions,
     /// Read the records of these jobs.
     Look(Vec<String>),
-    /// Write; the flag: whether it may wait for the write budget.
+    /// Perform this write; the flag tells whether it may wait for the write budget.
     Write(Txn, bool),
-    /// Pause for so long.
+    /// Pause for this duration.
     Wait(Millis),
 }
 
-/// The job's status by a read of its record alone; `Err`: the answer to give
-/// where the read failed.
+/// Returns the job's status according to its record alone; `Err` is the answer to send
+/// if the read failed.
 fn looked_up_status(
     id: &str,
     mut results: LookupResults,
@@ -208,14 +212,14 @@
 ) -> Result<Option<JobStatus>, Answer> {
     match results.remove(id) {
         Some(Ok(found)) => Ok(view.learn(id, found)),
-        Some(Err(e)) => Err(Answer::unread(&e)),
+        Some(Err(e)) => Err(Answer::records_unreadable(&e)),
         None => Ok(None),
     }
 }
 
-/// The answer to a question for a job whose dependencies the leader knows to be
-/// cancelled, or does not know. The records of the job itself must not be asked in
-/// that case: they may still have it queued.
+/// Returns the answer for a job with a dependency that the leader knows to be cancelled
+/// or has not read. In that case the job's own record must not be used for the answer,
+/// as the job may still be queued there.
 fn withheld_answer(leader: &Leader, id: &str) -> Option<Answer> {
     match leader.withheld(id)? {
         Withheld::Ending => None,
@@ -224,8 +228,11 @@
     }
 }
 
-/// An event that does not fit the step: it is logged, and the user may retry.
+/// Handles an event that does not fit the current step: logs it, and the user may
+/// retry.
 fn unexpected_event(event: &Event) -> Next {
-    log::error!("a request got an answer to what it did not ask: {event:?}");
-    Next::Answer(Answer::later("try again"))
+    log::error!("user request received an unexpected event: {event:?}");
+    Next::Answer(Answer::later(
+        "the request could not be completed; retry it",
+    ))
 }
--- a/src/control/requests/provenance.rs
+++ b/src/control/requests/provenance.rs
@@ -1,25 +1,24 @@
-//! What an answer to a user rests on: from where a job's state was read, and
-//! when. Owned by the request under way, which judges by it whether the reading is
-//! still young enough; the server writes it to the audit log. It must never be
-//! dated later than the start of the read.
+//! Provenance of an answer to a user: from where a job's state was read, and when.
+//! Owned by the request in progress, which uses it to judge whether the read is recent
+//! enough; the server writes it to the audit log. A provenance must never be dated
+//! later than the start of the read.
 
 use super::{Event, Found, TxnResult};
 use crate::{protocol::users::JobStatus, state::Millis};
 
-/// A job's state as another node or the state service returned it.
+/// A job's state as returned by another node or by the state service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Reading {
-    /// When the read was begun, by this node's clock: older than that it is
-    /// not.
+    /// When the read started, by this node's clock. The state is not older than that.
     pub started_at: Millis,
-    /// `None`: the leader does not know, or there is no record.
+    /// `None` if the leader does not know the job, or there is no record.
     pub status: Option<JobStatus>,
-    /// Version of the record that it was read from.
+    /// Version of the record from which the state was read.
     pub version: Option<u64>,
 }
 
 impl Reading {
-    /// A reading that found nothing.
+    /// Creates the result of a read that found nothing.
     pub fn nothing(started_at: Millis) -> Self {
         Reading {
             started_at,
@@ -29,15 +28,15 @@
     }
 }
 
-/// Where an answer comes from.
+/// The source of an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub enum Source {
     /// A final state that this node learned before.
     #[default]
     Memory,
-    /// The leader's cluster state, at the leader itself.
+    /// The leader's cluster state, read at the leader itself.
     Picture,
-    /// The leader's answer, at another node.
+    /// The leader's answer, received by another node.
     Leader,
     /// The records in the state service.
     Record,
@@ -46,7 +45,7 @@
 }
 
 impl Source {
-    /// The text in the audit log.
+    /// Returns the text for the audit log.
     pub fn text(self) -> &'static str {
         match self {
             Source::Memory => "remembered end",
@@ -58,14 +57,14 @@
     }
 }
 
-/// Source, time and revision of what an answer rests on.
+/// Source, time and revision of the state on which an answer is based.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Provenance {
-    /// Where it was read.
+    /// Where the state was read.
     pub source: Source,
-    /// When the read was begun, by this node's clock.
+    /// When the read started, by this node's clock.
     pub read_at: Millis,
-    /// Revision of the record or write, where it is known.
+    /// Revision of the record or write, if known.
     pub revision: Option<u64>,
 }
 
@@ -86,8 +85,8 @@
         }
     }
 
-    /// What an answer made of this event rests on, where the event answers a
-    /// request sent at `requested_at`.
+    /// Returns the provenance of an answer based on this event. If the event is the
+    /// result of a request of this node, that request was sent at `requested_at`.
     pub(super) fn of(event: &Event, requested_at: Millis, leads: bool, now: Millis) -> Provenance {
         let basis = |source, read_at, revision| Provenance {
             source,
@@ -98,8 +97,8 @@
             Event::LeaderReplied(reading) => basis(Source::Leader, reading.started_at, None),
             Event::Read(Ok(reading)) => basis(Source::Record, reading.started_at, reading.version),
             Event::Forwarded(_) => basis(Source::Leader, requested_at, None),
-            Event::LookupResults(found) => {
-                let version = found.values().find_map(|f| match f {
+            Event::LookupResults(results) => {
+                let version = results.values().find_map(|f| match f {
                     Ok(Found::Live(_, version) | Found::Final(_, version)) => Some(*version),
                     _ => None,
                 });
@@ -113,7 +112,7 @@
         }
     }
 
-    /// Age of the reading, from when it was begun.
+    /// Age of the state, counted from the start of the read.
     pub fn age(&self, now: Millis) -> Millis {
         now.saturating_sub(self.read_at)
     }
--- a/src/control/requests/request.rs
+++ b/src/control/requests/request.rs
@@ -1,8 +1,8 @@
-//! A request under way: it dispatches events to the steps of its kind, and owns
-//! the checks that every answer passes before it leaves the node: a final state
-//! learned meanwhile overrides an older reading, a reading that is too old is
-//! read again, and a final state is held until older answers have been given.
-//! Called by the server's loop for users' requests.
+//! A user request in progress. Dispatches events to the steps of its kind, and owns the
+//! checks that every answer passes before it leaves the node: a final state learned in
+//! the meantime overrides an older read, a read that is too old is repeated, and a
+//! final state is held until older answers have been sent. Called by the server's loop
+//! for users' requests.
 //!
 //! Must never return an answer that has not passed `finish`.
 
@@ -13,130 +13,132 @@
     state::Millis,
 };
 
-/// See `Request::forward_limit`.
+/// Timeout of a forwarded poll or submission; see `Request::forward_limit`.
 const FORWARD_TIMEOUT_MS: Millis = 800;
+/// Timeout of a forwarded cancellation; see `Request::forward_limit`.
 const FORWARD_CANCELLATION_TIMEOUT_MS: Millis = 2_000;
 
 #[derive(Debug)]
-enum Work {
+enum Kind {
     Poll,
     Submit(Box<submit::Submit>),
     Cancel(cancel::Cancel),
     Settle(settle::Settle),
 }
 
-/// A request under way.
+/// A user request in progress.
 #[derive(Debug)]
 pub struct Request {
-    /// The job that it names, if that is of the right form.
+    /// The job that the request names, if its id is well formed.
     id: Option<String>,
-    /// Forwarded by another node.
+    /// Whether another node forwarded the request to this node.
     forwarded: bool,
-    work: Work,
-    /// When something was last requested elsewhere, and the term in which this
-    /// node led then.
+    kind: Kind,
+    /// When this request last asked for a read, a write or a remote answer, and the
+    /// term in which this node led at that time.
     requested_at: Millis,
     requested_in_term: Option<u64>,
-    /// What the last answer rests on.
+    /// What the latest answer is based on.
     provenance: Provenance,
-    check: Check,
-    /// Readings that were too old as they came.
+    pending_answer: PendingAnswer,
+    /// Number of reads that were already too old when their result arrived.
     stale_reads: u32,
 }
 
-/// What an answer waits for before it is given.
+/// What an answer waits for before it is sent.
 #[derive(Debug, Default)]
-enum Check {
+enum PendingAnswer {
     #[default]
     None,
-    /// A final state, held until older answers have been given.
+    /// A final state, held until older answers have been sent.
     Held(Answer),
-    /// Its reading was too old: it is read again.
+    /// An answer based on a read that was too old; the read is being repeated.
     Reread(Answer),
 }
 
-/// How many readings of one request may be too old.
+/// Maximum number of repeated reads of one request.
 pub(super) const MAX_STALE_READS: u32 = 3;
-const READ_TIMED_OUT: &str = "its state could not be read in time";
+const READ_TIMED_OUT: &str = "the job's state could not be read in time";
 
 impl Request {
-    fn of(id: &str, forwarded: bool, work: Work) -> Request {
+    fn of(id: &str, forwarded: bool, kind: Kind) -> Request {
         let id = Some(id.to_owned()).filter(|id| is_valid_job_id(id));
         Request {
             id,
             forwarded,
-            work,
+            kind,
             requested_at: 0,
             requested_in_term: None,
             provenance: Provenance::default(),
-            check: Check::None,
+            pending_answer: PendingAnswer::None,
             stale_reads: 0,
         }
     }
 
-    /// A poll of a job.
+    /// Creates a poll of a job.
     pub fn poll(id: &str) -> Request {
-        Self::of(id, false, Work::Poll)
+        Self::of(id, false, Kind::Poll)
     }
 
-    /// A submission, by its body as it came.
+    /// Creates a submission from its request body.
     pub fn submit(body: &[u8], forwarded: bool) -> Request {
         let parsed = JobSpec::parse(body);
         let id = match &parsed {
             Ok(spec) => spec.id.clone(),
-            Err(_) => submit::named_job(body).unwrap_or_default(),
+            Err(_) => submit::well_formed_job_id(body).unwrap_or_default(),
         };
-        let work = Work::Submit(Box::new(submit::Submit::new(parsed)));
-        Self::of(&id, forwarded, work)
+        let kind = Kind::Submit(Box::new(submit::Submit::new(parsed)));
+        Self::of(&id, forwarded, kind)
     }
 
-    /// A cancellation of a job.
+    /// Creates a cancellation of a job.
     pub fn cancel(id: &str, forwarded: bool) -> Request {
-        Self::of(id, forwarded, Work::Cancel(Default::default()))
+        Self::of(id, forwarded, Kind::Cancel(Default::default()))
     }
 
-    /// What remains to be done once this is answered.
+    /// Returns the work that remains after the answer has been sent, if any.
     pub fn unfinished_work(&self) -> Option<Request> {
-        let (term, id) = match &self.work {
-            Work::Submit(s) => (s.indeterminate_term()?, self.id.as_deref()?),
+        let (term, id) = match &self.kind {
+            Kind::Submit(submission) => (submission.indeterminate_term()?, self.id.as_deref()?),
             _ => return None,
         };
-        let work = Work::Settle(settle::Settle::new(term));
-        Some(Self::of(id, false, work))
+        let kind = Kind::Settle(settle::Settle::new(term));
+        Some(Self::of(id, false, kind))
     }
 
-    /// The job that it names, if that is of the right form.
+    /// Returns the job that the request names, if its id is well formed.
     pub fn id(&self) -> Option<&str> {
         self.id.as_deref()
     }
 
-    /// What the last answer rests on.
+    /// Returns what the latest answer is based on.
     pub fn provenance(&self) -> Provenance {
         self.provenance
     }
 
-    /// How long to wait for the leader's answer where the request is forwarded. A
-    /// cancellation waits for its record there, and is then held.
+    /// How long to wait for the leader's answer to the forwarded request. The answer to
+    /// a cancellation takes longer: the leader first waits until the cancellation is
+    /// recorded, and then holds the final state.
     pub fn forward_limit(&self) -> Millis {
-        match self.work {
-            Work::Cancel(_) => FORWARD_CANCELLATION_TIMEOUT_MS,
+        match self.kind {
+            Kind::Cancel(_) => FORWARD_CANCELLATION_TIMEOUT_MS,
             _ => FORWARD_TIMEOUT_MS,
         }
     }
 
-    /// Whether it waits only as a final state is held.
+    /// Whether the request waits only because a final state is held.
     pub fn is_held(&self) -> bool {
-        matches!(self.check, Check::Held(_))
+        matches!(self.pending_answer, PendingAnswer::Held(_))
     }
 
-    /// Takes an event; returns what is to be done next.
+    /// Applies an event and returns the action to perform next.
     pub fn step(&mut self, event: Event, view: &mut NodeView) -> Next {
         self.provenance = Provenance::of(&event, self.requested_at, view.may_act, view.now);
         view.read_term = self.requested_in_term;
-        let next = match std::mem::take(&mut self.check) {
-            Check::None => self.advance(event, view),
-            Check::Held(answer) => Next::Answer(answer),
-            Check::Reread(answer) => Next::Answer(reread(answer, event)),
+        let next = match std::mem::take(&mut self.pending_answer) {
+            PendingAnswer::None => self.advance(event, view),
+            PendingAnswer::Held(answer) => Next::Answer(answer),
+            PendingAnswer::Reread(answer) => Next::Answer(reread(answer, event)),
         };
         let next = match next {
             Next::Answer(answer) => self.finish(answer, view),
@@ -151,28 +153,28 @@
 
     fn advance(&mut self, event: Event, view: &mut NodeView) -> Next {
         let id = self.id.clone().unwrap_or_default();
-        match &mut self.work {
-            Work::Poll => poll::step(&id, event, view),
-            Work::Submit(s) => s.step(&id, self.forwarded, event, view),
-            Work::Cancel(c) => c.step(&id, self.forwarded, event, view),
-            Work::Settle(s) => s.step(&id, event, view),
+        match &mut self.kind {
+            Kind::Poll => poll::step(&id, event, view),
+            Kind::Submit(submission) => submission.step(&id, self.forwarded, event, view),
+            Kind::Cancel(cancellation) => cancellation.step(&id, self.forwarded, event, view),
+            Kind::Settle(follow_up) => follow_up.step(&id, event, view),
         }
     }
 
-    /// Gives an answer that is not too old, and a final state not too soon: when
-    /// a final state is answered for the first time, every node has given the
-    /// older answers that it may have read. Guards against one of those being
-    /// given by another node after the final state.
+    /// Sends an answer only if it is recent enough, and a final state only once it is
+    /// safe: before a final state is sent for the first time, every node has sent the
+    /// older answers that it may have read. Guards against another node sending one of
+    /// those after the final state.
     fn finish(&mut self, answer: Answer, view: &mut NodeView) -> Next {
-        let answer = self.check_latest(answer, view);
+        let answer = self.replace_if_outdated(answer, view);
         match &answer {
             Answer::Later(_) => Next::Answer(answer),
             Answer::State(_, status) if status.state.is_final() => {
                 match view.hold_time(status, self.provenance.source) {
                     0 => Next::Answer(answer),
-                    left => {
-                        self.check = Check::Held(answer);
-                        Next::Wait(left)
+                    remaining => {
+                        self.pending_answer = PendingAnswer::Held(answer);
+                        Next::Wait(remaining)
                     }
                 }
             }
@@ -183,27 +185,27 @@
         }
     }
 
-    /// The reading is too old: reads once more, a few times at most.
+    /// Repeats a read that was too old, up to `MAX_STALE_READS` times.
     fn read_again(&mut self, answer: Answer, view: &mut NodeView) -> Next {
         let id = self.id.as_deref().unwrap_or_default();
-        let leader = view.acting().filter(|l| l.loaded());
+        let leader = view.acting_leader().filter(|l| l.loaded());
         if let Some(status) = leader.and_then(|l| l.answerable_status(id)) {
             self.provenance = Provenance::cluster_state(view.now);
-            let answer = answer.with(status);
+            let answer = answer.with_status(status);
             return self.finish(answer, view);
         }
         self.stale_reads += 1;
         if self.stale_reads > MAX_STALE_READS {
             return Next::Answer(Answer::later(READ_TIMED_OUT));
         }
-        self.check = Check::Reread(answer);
+        self.pending_answer = PendingAnswer::Reread(answer);
         Next::ReadState
     }
 
-    /// The last check, as late as possible. Guards against an answer that was
-    /// read, or relayed, before the job ended, and is given after this node has
+    /// Replaces an outdated answer, as late as possible. Guards against an answer that
+    /// was read or relayed before the job ended and is sent after this node has
     /// answered with the final state.
-    fn check_latest(&mut self, answer: Answer, view: &mut NodeView) -> Answer {
+    fn replace_if_outdated(&mut self, answer: Answer, view: &mut NodeView) -> Answer {
         let Some(id) = self.id.as_deref() else {
             return answer;
         };
@@ -211,9 +213,9 @@
             Answer::Later(_) => None,
             Answer::State(_, s) if s.state.is_final() => None,
             Answer::State(..) => view.known_final_status(id),
-            // It may have been accepted while the records were read.
+            // The job may have been accepted while the records were read.
             Answer::Refused(..) => {
-                let leader = view.acting().and_then(|l| l.answerable_status(id));
+                let leader = view.acting_leader().and_then(|l| l.answerable_status(id));
                 leader.or_else(|| view.known_final_status(id))
             }
         };
@@ -224,12 +226,12 @@
     }
 }
 
-/// The same answer, by the new reading.
+/// Returns the answer, updated with the result of the repeated read.
 fn reread(answer: Answer, event: Event) -> Answer {
     match (event, answer) {
         (Event::Read(Ok(reading)), answer) => match (reading.status, answer) {
-            (Some(status), answer) => answer.with(status),
-            // A job that was known can't be unknown: the reading is at fault.
+            (Some(status), answer) => answer.with_status(status),
+            // A job that was known cannot become unknown, so the read is at fault.
             (None, Answer::State(..)) => Answer::later(READ_TIMED_OUT),
             (None, refused) => refused,
         },
--- a/src/control/requests/settle.rs
+++ b/src/control/requests/settle.rs
@@ -1,8 +1,8 @@
-//! Follow-up of an acceptance whose write had no answer: its outcome is unknown,
-//! and it may be applied yet. Reads the record a few times and lets the leader
-//! adopt the job. Guards against a job that stands in the records, and is called
-//! queued from there, while the leader does not know of it. Called by `request`;
-//! no user waits for it, and it must never answer one.
+//! Follow-up of an acceptance whose write got no response: its outcome is unknown, and
+//! the write may still be applied later. Reads the record a few times and lets the
+//! leader adopt the job. Guards against a job that is in the records, and is reported
+//! as queued from there, while the leader does not know of it. Called by `request`; no
+//! user waits for the result, and the follow-up must never answer one.
 
 use super::{Event, Found, Next, NodeView};
 use crate::state::Millis;
@@ -10,10 +10,10 @@
 /// Pauses before each read of the record.
 const READ_PAUSES_MS: [Millis; 4] = [2_000, 4_000, 8_000, 16_000];
 
-/// An acceptance of unknown outcome.
+/// An acceptance with an unknown outcome.
 #[derive(Debug)]
 pub(super) struct Settle {
-    /// The term in which it was written.
+    /// The term in which the acceptance was written.
     term: u64,
     reads: usize,
 }
@@ -25,7 +25,7 @@
 
     pub(super) fn step(&mut self, id: &str, event: Event, view: &mut NodeView) -> Next {
         let now = view.now;
-        // It leads no more: whoever does next reads the records.
+        // This node no longer leads; the next leader reads the records.
         let Some(leader) = view.of_term(self.term) else {
             return Next::Over;
         };
@@ -35,7 +35,9 @@
             Event::Waited => Next::Look(vec![id.to_owned()]),
             Event::LookupResults(mut results) => match results.remove(id) {
                 Some(Ok(Found::Live(record, version))) => {
-                    log::info!("job {id} was accepted late");
+                    log::info!(
+                        "job {id}: the leader adopts an acceptance whose write had an unknown outcome"
+                    );
                     leader.accepted(*record, version, now);
                     Next::Over
                 }
--- a/src/control/requests/submit.rs
+++ b/src/control/requests/submit.rs
@@ -1,10 +1,10 @@
-//! The steps of a submission: accepted once the job's record is written, by the
-//! leader or, where none can be reached, by the node that got the request.
-//! Idempotent: a job that is known is answered with its status, whatever the body
-//! says now. Called by `request`.
+//! The steps of a submission. A job is accepted once its record is written, by the
+//! leader or, if no leader can be reached, by the node that received the request.
+//! Submission is idempotent: a known job is answered with its status, whatever the body
+//! says. Called by `request`.
 //!
-//! Must never answer 201 before the record is written, and never refuse a job
-//! before it was looked up.
+//! Must never answer 201 before the record is written, and never refuse a job before it
+//! was looked up.
 
 use super::{
     Answer, Event, Found, LEADERSHIP_CHANGING, LookupResults, NO_LEADER, Next, NodeView,
@@ -25,12 +25,12 @@
     },
 };
 
-const NOT_UPGRADED: &str = "waits_on: not every controller runs a version that knows it yet";
-const BUSY: &str = "too many submissions at once";
+const NOT_UPGRADED: &str = "waits_on: not every controller runs a version that supports it yet";
+const BUSY: &str = "too many concurrent submissions";
 const UNRECORDED: &str = "the job could not be recorded";
 
-/// The job id in a malformed submission, if the id itself is well formed.
-pub(super) fn named_job(body: &[u8]) -> Option<String> {
+/// Returns the job id in a malformed submission, if the id itself is well formed.
+pub(super) fn well_formed_job_id(body: &[u8]) -> Option<String> {
     let v = serde_json::from_slice::<serde_json::Value>(body).ok()?;
     let id = v.get("ref")?.as_str()?;
     is_valid_job_id(id).then(|| id.to_owned())
@@ -42,17 +42,18 @@
     /// Nothing yet, or the versions of the controllers.
     Start,
     Forwarded,
-    /// Whether the job is known; if not, this is the answer.
-    Known(Answer),
+    /// The lookup of the job; if the job is not known, this is the answer.
+    JobLookup(Answer),
     /// The state of a known job that depends on others.
-    KnownDependent,
-    /// The status of the dependencies.
+    DependentJobState,
+    /// The lookup of the dependencies.
     Dependencies,
-    /// Chunks of a long spec are being written in this term; those left.
+    /// The writes of the chunks of a long spec in this term, with the remaining writes.
     SpecChunks(u64, SpecChunks, std::vec::IntoIter<Txn>),
-    /// The record is being written, by the leader of this term or alone.
+    /// The write of the record, by the leader of this term or, with `None`, by a node
+    /// without a leader.
     Record(Option<u64>, Box<JobRecord>),
-    /// The outcome of the write in this term is unknown.
+    /// Nothing more: the outcome of the write in this term is unknown.
     Indeterminate(u64),
 }
 
@@ -60,7 +61,7 @@
 #[derive(Debug)]
 pub(super) struct Submit {
     parsed: Result<JobSpec, String>,
-    /// This node led when the request began.
+    /// Whether this node led when the request began.
     leads: bool,
     stage: Stage,
 }
@@ -74,7 +75,7 @@
         }
     }
 
-    /// The term in which the acceptance had no answer.
+    /// Returns the term in which the write of the acceptance got no response, if so.
     pub(super) fn indeterminate_term(&self) -> Option<u64> {
         match self.stage {
             Stage::Indeterminate(term) => Some(term),
@@ -100,10 +101,10 @@
             (_, Event::LookupResults(_)) if self.leads && !view.may_act => {
                 Next::Answer(Answer::later(LEADERSHIP_CHANGING))
             }
-            (Stage::Known(otherwise), Event::LookupResults(results)) => {
-                self.looked_up(id, otherwise, results, view)
+            (Stage::JobLookup(answer_if_unknown), Event::LookupResults(results)) => {
+                self.job_looked_up(id, answer_if_unknown, results, view)
             }
-            (Stage::KnownDependent, Event::Read(read)) => {
+            (Stage::DependentJobState, Event::Read(read)) => {
                 Next::Answer(match read.map(|reading| reading.status) {
                     Ok(Some(status)) => Answer::known(status),
                     Ok(None) => Answer::later(LEADERSHIP_CHANGING),
@@ -111,7 +112,7 @@
                 })
             }
             (Stage::Dependencies, Event::LookupResults(results)) => {
-                self.dependencies_found(id, results, view)
+                self.dependencies_looked_up(id, results, view)
             }
             (Stage::SpecChunks(term, chunks, remaining), Event::Wrote(TxnResult::Done(_))) => {
                 self.write_chunk(term, chunks, remaining, true, view)
@@ -130,7 +131,7 @@
         }
         self.leads = view.may_act && view.leader.is_some();
         let (leads, upgraded) = (self.leads, view.upgraded);
-        match view.acting().map(|leader| leader.loaded()) {
+        match view.acting_leader().map(|leader| leader.loaded()) {
             Some(false) => return Next::Answer(Answer::later(RECORDS_LOADING)),
             None if forwarded => return Next::NotLeading,
             _ => {}
@@ -141,7 +142,8 @@
             .is_ok_and(|s| !s.dependencies.is_empty());
         match (leads, has_dependencies && !upgraded) {
             (true, _) => self.submit_as_leader(id, view),
-            // An older leader would take the job and start it at once.
+            // A leader of an older version would accept the job and start it at once,
+            // ignoring its dependencies.
             (false, true) => Next::Versions,
             (false, false) => self.forward(),
         }
@@ -152,39 +154,44 @@
         Next::Forward
     }
 
-    /// The refusal of a submission whose job isn't known.
+    /// Returns the reason to refuse a submission whose job is not known, if any.
     fn refusal(&self, view: &NodeView) -> Option<Answer> {
         match &self.parsed {
             Err(e) => Some(Answer::Refused(400, e.clone())),
             Ok(spec) => admission::reject_reason(view.settings, view.types, spec)
-                .map(|why| Answer::Refused(422, why)),
+                .map(|reason| Answer::Refused(422, reason)),
         }
     }
 
-    /// A known job is answered with its state, whatever the repeated body or
-    /// the settings now say.
-    fn unless_known(&mut self, id: &str, otherwise: Answer, view: &mut NodeView) -> Next {
+    /// Answers with the job's state if the job is known, whatever the repeated body or
+    /// the settings now say, and with `answer_if_unknown` if not.
+    fn answer_unless_known(
+        &mut self,
+        id: &str,
+        answer_if_unknown: Answer,
+        view: &mut NodeView,
+    ) -> Next {
         if self.leads {
-            let Some(leader) = view.acting() else {
+            let Some(leader) = view.acting_leader() else {
                 return Next::Answer(Answer::later(LEADERSHIP_CHANGING));
             };
-            if let Some(answer) = known_to_leader(leader, id) {
+            if let Some(answer) = answer_if_known_to_leader(leader, id) {
                 return Next::Answer(answer);
             }
         }
         if id.is_empty() {
-            return Next::Answer(otherwise);
+            return Next::Answer(answer_if_unknown);
         }
-        self.stage = Stage::Known(otherwise);
+        self.stage = Stage::JobLookup(answer_if_unknown);
         Next::Look(vec![id.to_owned()])
     }
 
-    /// Answers with what was found. The state of a job that depends on others is
-    /// read with those: they may be cancelled.
-    fn looked_up(
+    /// Answers with the result of the lookup. The state of a job that depends on others
+    /// is read together with its dependencies, as one of them may be cancelled.
+    fn job_looked_up(
         &mut self,
         id: &str,
-        otherwise: Answer,
+        answer_if_unknown: Answer,
         results: LookupResults,
         view: &mut NodeView,
     ) -> Next {
@@ -194,24 +201,27 @@
         );
         match looked_up_status(id, results, view) {
             Ok(Some(status)) if dependent && !status.state.is_final() => {
-                self.stage = Stage::KnownDependent;
+                self.stage = Stage::DependentJobState;
                 Next::ReadState
             }
             Ok(Some(status)) => Next::Answer(Answer::known(status)),
-            Ok(None) => Next::Answer(otherwise),
+            Ok(None) => Next::Answer(answer_if_unknown),
             Err(answer) => Next::Answer(answer),
         }
     }
 
     fn submit_as_leader(&mut self, id: &str, view: &mut NodeView) -> Next {
-        if let Some(answer) = view.acting().and_then(|l| known_to_leader(l, id)) {
+        if let Some(answer) = view
+            .acting_leader()
+            .and_then(|l| answer_if_known_to_leader(l, id))
+        {
             return Next::Answer(answer);
         }
         if self.parsed.is_ok() && view.types.is_empty() {
             return Next::Answer(Answer::later("machine types are not known yet"));
         }
         if let Some(refusal) = self.refusal(view) {
-            return self.unless_known(id, refusal, view);
+            return self.answer_unless_known(id, refusal, view);
         }
         let has_dependencies = self
             .parsed
@@ -223,16 +233,16 @@
         }
     }
 
-    /// At the leader: are all dependencies known?
+    /// Checks, as the leader, whether all dependencies are known.
     fn check_dependencies(&mut self, id: &str, view: &mut NodeView) -> Next {
-        let (Ok(spec), Some(leader)) = (&self.parsed, view.acting()) else {
+        let (Ok(spec), Some(leader)) = (&self.parsed, view.acting_leader()) else {
             return Next::Answer(Answer::later(LEADERSHIP_CHANGING));
         };
         if spec.dependencies.is_empty() {
             return self.accept(view);
         }
         match leader.unknown_dependencies(spec) {
-            Err(service) => self.unless_known(id, is_service(&service), view),
+            Err(service) => self.answer_unless_known(id, refuse_service(&service), view),
             Ok(unknown) if unknown.is_empty() => self.accept(view),
             Ok(unknown) => {
                 self.stage = Stage::Dependencies;
@@ -241,7 +251,7 @@
         }
     }
 
-    fn dependencies_found(
+    fn dependencies_looked_up(
         &mut self,
         id: &str,
         mut results: LookupResults,
@@ -250,33 +260,34 @@
         let Ok(spec) = &self.parsed else {
             return Next::Answer(Answer::later(LEADERSHIP_CHANGING));
         };
-        let pending: Vec<String> = match (self.leads, view.acting()) {
+        let pending: Vec<String> = match (self.leads, view.acting_leader()) {
             (true, Some(leader)) => leader.unknown_dependencies(spec).unwrap_or_default(),
             _ => spec.dependencies.clone(),
         };
         for dependency in pending {
             let refusal = match results.remove(&dependency) {
                 Some(Ok(Found::Live(r, _))) if r.spec.kind == Kind::Service => {
-                    is_service(&dependency)
+                    refuse_service(&dependency)
                 }
                 Some(Ok(Found::Nothing)) | None => {
                     Answer::Refused(422, format!("waits_on: {dependency} was never accepted"))
                 }
-                Some(Err(e)) => return Next::Answer(Answer::unread(&e)),
+                Some(Err(e)) => return Next::Answer(Answer::records_unreadable(&e)),
                 Some(Ok(known)) => {
                     view.learn(&dependency, known);
                     continue;
                 }
             };
-            return self.unless_known(id, refusal, view);
+            return self.answer_unless_known(id, refusal, view);
         }
         match self.leads {
-            // What the leader has learned meanwhile may include services.
+            // The leader may have learned in the meantime that a dependency is a
+            // service.
             true => match view
-                .acting()
+                .acting_leader()
                 .map(|leader| leader.unknown_dependencies(spec))
             {
-                Some(Err(service)) => self.unless_known(id, is_service(&service), view),
+                Some(Err(service)) => self.answer_unless_known(id, refuse_service(&service), view),
                 Some(Ok(_)) => self.accept(view),
                 None => Next::Answer(Answer::later(LEADERSHIP_CHANGING)),
             },
@@ -290,11 +301,12 @@
         };
         let limit_kb = view.settings.cluster.state.value_kb;
         if !view.upgraded && !records::fits(records::inline_record_size(spec), limit_kb) {
-            let why = "so long a description waits until all controllers are upgraded";
-            return Next::Answer(Answer::later(why));
+            let reason =
+                "a job spec of this size is accepted only after all controllers are upgraded";
+            return Next::Answer(Answer::later(reason));
         }
         let upgraded = view.upgraded;
-        let Some(leader) = view.acting() else {
+        let Some(leader) = view.acting_leader() else {
             return Next::Answer(Answer::later(LEADERSHIP_CHANGING));
         };
         leader.upgraded(upgraded);
@@ -304,12 +316,13 @@
             Ok(Some((chunks, txns))) => {
                 self.write_chunk(term, chunks, txns.into_iter(), false, view)
             }
-            Err(_) => Next::Answer(Answer::later("it can't be kept")),
+            Err(_) => Next::Answer(Answer::later("the job spec could not be split into chunks")),
         }
     }
 
-    /// Writes the next chunk of a long spec, or else the record that names them.
-    /// Only the first write is refused at once for lack of budget.
+    /// Writes the next chunk of a long spec or, after the last one, the record that
+    /// names the chunks. Only the first write is refused at once if the write budget is
+    /// exhausted.
     fn write_chunk(
         &mut self,
         term: u64,
@@ -335,9 +348,10 @@
         view: &mut NodeView,
     ) -> Next {
         let wall = view.wall_ms;
-        // The leader of another term may be clearing the chunks as unreferenced.
+        // The leader of another term may already be deleting the chunks as
+        // unreferenced.
         let (Some(leader), Ok(spec)) = (
-            view.acting().filter(|leader| leader.term == term),
+            view.acting_leader().filter(|leader| leader.term == term),
             &self.parsed,
         ) else {
             return Next::Answer(Answer::later(LEADERSHIP_CHANGING));
@@ -347,13 +361,13 @@
         Next::Write(txn, may_wait)
     }
 
-    /// Without a leader this node writes the record itself.
+    /// Writes the record from this node, as there is no leader.
     fn submit_without_leader(&mut self, id: &str, view: &mut NodeView) -> Next {
         if self.parsed.is_ok() && view.types.is_empty() {
             return Next::Answer(Answer::later("machine types are not known yet"));
         }
         if let Some(refusal) = self.refusal(view) {
-            return self.unless_known(id, refusal, view);
+            return self.answer_unless_known(id, refusal, view);
         }
         match &self.parsed {
             Ok(spec) if !spec.dependencies.is_empty() => {
@@ -374,8 +388,8 @@
             false => state.value_kb,
         };
         if !records::fits(records::inline_record_size(spec), limit_kb) {
-            let why = "so long a description needs a leader";
-            return Next::Answer(Answer::later(why));
+            let reason = "a job spec of this size is accepted only by a leader";
+            return Next::Answer(Answer::later(reason));
         }
         let record = JobRecord::new(spec.clone(), view.wall_ms);
         let txn = acceptance_with_feed_entry(&record);
@@ -393,8 +407,8 @@
     ) -> Next {
         match (result, term) {
             (TxnResult::Done(version), _) => {
-                // Whether or not this node still leads, it is recorded, and the
-                // next leader reads it.
+                // The job is recorded whether or not this node still leads, and the
+                // next leader will read the record.
                 let (status, now) = (record.status(), view.now);
                 if let Some(leader) = term.and_then(|t| view.of_term(t)) {
                     leader.accepted(*record, version, now);
@@ -402,7 +416,7 @@
                 Next::Answer(Answer::State(201, status))
             }
             (TxnResult::Conflict(failed), _) if !failed.iter().any(|k| k == LEADER) => {
-                self.unless_known(id, Answer::later("try again"), view)
+                self.answer_unless_known(id, Answer::later("concurrent update; try again"), view)
             }
             (TxnResult::Unknown, Some(term)) => {
                 self.stage = Stage::Indeterminate(term);
@@ -413,12 +427,12 @@
     }
 }
 
-/// The answer to the submission of a job that the leader knows.
-fn known_to_leader(leader: &Leader, id: &str) -> Option<Answer> {
+/// Returns the answer to the submission of a job that the leader knows.
+fn answer_if_known_to_leader(leader: &Leader, id: &str) -> Option<Answer> {
     let known = leader.answerable_status(id).map(Answer::known);
     known.or_else(|| withheld_answer(leader, id))
 }
 
-fn is_service(id: &str) -> Answer {
+fn refuse_service(id: &str) -> Answer {
     Answer::Refused(422, format!("waits_on: {id} is a service"))
 }
--- a/src/control/requests/tests.rs
+++ b/src/control/requests/tests.rs
@@ -1,4 +1,5 @@
-//! The steps of requests one by one, with events that overtake each other.
+//! Tests of the individual steps of requests, including events that overtake each
+//! other.
 
 use super::{Answer, Event, Next, NodeView, Reading, Request, request};
 use crate::{
@@ -45,16 +46,16 @@
     }
 }
 
-fn told(state: Option<JobState>) -> Event {
+fn leader_replied(state: Option<JobState>) -> Event {
     Event::LeaderReplied(reading(state))
 }
 
-/// At a node that does not lead.
+/// Performs a step at a node that is not the leader, at time 0.
 fn step(request: &mut Request, event: Event, final_states: &mut FinalStates) -> Next {
     step_at(0, request, event, final_states)
 }
 
-/// The same at a time.
+/// Performs a step at a node that is not the leader, at `now`.
 fn step_at(
     now: Millis,
     request: &mut Request,
@@ -84,8 +85,8 @@
     }
 }
 
-/// Guards against a relayed word, or one read from the records, that was true
-/// when it was said and is given after this node has told the job's end.
+/// Guards against a relayed or recorded state that was correct when it was read but is
+/// sent after this node has reported the job's final state.
 #[test]
 fn overtaken_answer_is_discarded() {
     let ended =
@@ -98,9 +99,9 @@
             Next::AskLeader
         ));
         let event = match relayed {
-            true => told(Some(JobState::Running)),
+            true => leader_replied(Some(JobState::Running)),
             false => {
-                let next = step(&mut poll, told(None), &mut final_states);
+                let next = step(&mut poll, leader_replied(None), &mut final_states);
                 assert!(matches!(next, Next::ReadState));
                 Event::Read(Ok(reading(Some(JobState::Queued))))
             }
@@ -109,7 +110,7 @@
         let next = step(&mut poll, event, &mut final_states);
         assert_eq!(state_of(next), JobState::Cancelled);
     }
-    // So it is with a submission's answer that another node gave.
+    // The same holds for a submission's answer that another node gave.
     let mut final_states = FinalStates::default();
     let body = format!(r#"{{"ref":"{ID}"}}"#);
     let mut submit = Request::submit(body.as_bytes(), false);
@@ -127,13 +128,18 @@
     assert_eq!(state_of(next), JobState::Cancelled);
 }
 
-/// Guards against asking the leader, or the records, for what never changes.
+/// Guards against asking the leader, or reading the records, for a final state, which
+/// never changes.
 #[test]
 fn known_final_state_answers_every_request() {
     let mut final_states = FinalStates::default();
     let mut poll = Request::poll(ID);
     step(&mut poll, Event::Begin, &mut final_states);
-    let next = step(&mut poll, told(Some(JobState::Done)), &mut final_states);
+    let next = step(
+        &mut poll,
+        leader_replied(Some(JobState::Done)),
+        &mut final_states,
+    );
     assert_eq!(state_of(next), JobState::Done);
     let body = format!(r#"{{"ref":"{ID}","pieces":"many"}}"#);
     for mut request in [
@@ -155,8 +161,8 @@
     }
 }
 
-/// Guards against a user who is told that a job is not known because a leader
-/// that is overloaded, or of another version, said something else.
+/// Guards against reporting a job as unknown because a leader that is overloaded, or of
+/// another version, returned some other error.
 #[test]
 fn relayed_answer_is_parsed_by_status() {
     let body = serde_json::to_vec(&status(JobState::Queued)).unwrap();
@@ -171,7 +177,7 @@
     assert!(matches!(Answer::relayed(200, b"<"), Answer::Later(_)));
 }
 
-/// The record as it was read at that time.
+/// The record as read at that time.
 fn read_at(began: Millis, state: JobState) -> Event {
     Event::Read(Ok(Reading {
         started_at: began,
@@ -179,16 +185,16 @@
     }))
 }
 
-/// Guards against an unfinished state that is given long after it was read: by
-/// then another node may have told the end.
+/// Guards against an unfinished state that is sent long after it was read: by then
+/// another node may have reported the final state.
 #[test]
 fn stale_reading_is_reread_within_bound() {
     for late in [MAX_READING_AGE_MS, MAX_READING_AGE_MS + 1] {
         let mut final_states = FinalStates::default();
         let mut poll = Request::poll(ID);
         step_at(0, &mut poll, Event::Begin, &mut final_states);
-        let told = told(Some(JobState::Running));
-        let next = step_at(late, &mut poll, told, &mut final_states);
+        let reply = leader_replied(Some(JobState::Running));
+        let next = step_at(late, &mut poll, reply, &mut final_states);
         if late == MAX_READING_AGE_MS {
             assert_eq!(state_of(next), JobState::Running);
             continue;
@@ -206,7 +212,7 @@
     let mut final_states = FinalStates::default();
     let mut poll = Request::poll(ID);
     step_at(0, &mut poll, Event::Begin, &mut final_states);
-    let (mut now, mut event) = (0, told(Some(JobState::Running)));
+    let (mut now, mut event) = (0, leader_replied(Some(JobState::Running)));
     for _ in 0..request::MAX_STALE_READS {
         now += 2 * MAX_READING_AGE_MS;
         let next = step_at(now, &mut poll, event, &mut final_states);
@@ -222,8 +228,8 @@
     assert!(matches!(next, Next::Answer(Answer::Later(_))), "{next:?}");
 }
 
-/// Guards against a job that was accepted while a refusal was on its way for
-/// long: it is looked up again.
+/// Guards against refusing a job that was accepted while a refusal was delayed in
+/// transit: the job is looked up again.
 #[test]
 fn stale_refusal_is_read_again() {
     let mut final_states = FinalStates::default();
@@ -249,8 +255,9 @@
     assert_eq!(state_of(next), JobState::Queued);
 }
 
-/// Guards against an end that is told while another node may still give an
-/// answer that it read before. What the leader says has been held back there.
+/// Guards against reporting a final state while another node may still send an answer
+/// that it read before. A final state in the leader's answer has already been held by
+/// the leader.
 #[test]
 fn final_state_read_is_held_then_answered_immediately() {
     let mut final_states = FinalStates::default();
@@ -258,7 +265,7 @@
     step_at(0, &mut poll, Event::Begin, &mut final_states);
     let read = read_at(0, JobState::Done);
     let Next::Wait(held) = step_at(10, &mut poll, read, &mut final_states) else {
-        panic!("told at once");
+        panic!("the final state was answered without being held");
     };
     assert!(held > MAX_READING_AGE_MS && poll.is_held());
     let next = step_at(10 + held, &mut poll, Event::Waited, &mut final_states);
@@ -270,6 +277,11 @@
     let mut final_states = FinalStates::default();
     let mut poll = Request::poll(ID);
     step_at(0, &mut poll, Event::Begin, &mut final_states);
-    let next = step_at(10, &mut poll, told(Some(JobState::Done)), &mut final_states);
+    let next = step_at(
+        10,
+        &mut poll,
+        leader_replied(Some(JobState::Done)),
+        &mut final_states,
+    );
     assert_eq!(state_of(next), JobState::Done);
 }
