--- a/src/control/standby/failover_checks/tests.rs
+++ b/src/control/standby/failover_checks/tests.rs
@@ -23,32 +23,32 @@
     };
     assert_eq!(
         check_failover(None, Some(replica(5))),
-        Err(ColdReason::NobodyNamed)
+        Err(ColdReason::NoStandbyNamed)
     );
-    let nobody = StandbyRecord::default();
+    let no_standby = StandbyRecord::default();
     assert_eq!(
-        check_failover(Some(nobody), Some(replica(5))),
-        Err(ColdReason::NobodyNamed)
+        check_failover(Some(no_standby), Some(replica(5))),
+        Err(ColdReason::NoStandbyNamed)
     );
     let named = record(5, "n1", 7);
-    let other = record(5, "n2", 7);
+    let other_node = record(5, "n2", 7);
     assert_eq!(
-        check_failover(Some(other), Some(replica(5))),
-        Err(ColdReason::NotNamed)
+        check_failover(Some(other_node), Some(replica(5))),
+        Err(ColdReason::OtherNodesNamed)
     );
-    let before = record(5, "n1", 6);
+    let earlier_incarnation = record(5, "n1", 6);
     assert_eq!(
-        check_failover(Some(before), Some(replica(5))),
-        Err(ColdReason::BeganAnew)
+        check_failover(Some(earlier_incarnation), Some(replica(5))),
+        Err(ColdReason::Restarted)
     );
     assert_eq!(
         check_failover(Some(named.clone()), None),
-        Err(ColdReason::NoCopy)
+        Err(ColdReason::NoCompleteReplica)
     );
-    // A leader in between has started something and wrote a record.
+    // A leader in between has written a record and started tasks.
     assert_eq!(
         check_failover(Some(named.clone()), Some(replica(4))),
-        Err(ColdReason::OldCopy)
+        Err(ColdReason::OutdatedReplica)
     );
     assert_eq!(
         check_failover(Some(named.clone()), Some(replica(5))),
--- a/src/control/standby/mod.rs
+++ b/src/control/standby/mod.rs
@@ -1,14 +1,15 @@
-//! Standbys: nodes that replicate what may run on machines, so that one of them can
-//! decide at once when it takes over.
+//! Standbys: controllers that replicate which tasks may be running on which machines,
+//! so that one of them can make decisions at once when it becomes leader.
 //!
-//! The leader replicates its cluster state and each change of it (`replication_stream`);
-//! a standby keeps a replica (`replica`); a record says who counts (`registry`); and a
-//! start waits until all who count have acknowledged its change. A new leader checks
-//! that it was one of them before it uses its replica (`failover_checks`).
+//! The leader replicates its cluster state and each change of it
+//! (`replication_stream`), and a standby keeps a replica (`replica`). A record names
+//! the standbys that count (`registry`), and a task is started only after all standbys
+//! that count have acknowledged the change. A new leader checks that it was one of them
+//! before it uses its replica (`failover_checks`).
 //!
 //! Called by the leader on one side and by the server on the other. The invariant:
-//! *whoever the record names knows at least all that may run.* `docs/design.md` has the
-//! argument.
+//! *every standby named by the record knows at least all tasks that may be running.*
+//! `docs/design.md` contains the argument.
 
 pub mod failover_checks;
 mod registry;
@@ -27,26 +28,29 @@
 use replication_stream::ReplicationStream;
 use std::collections::BTreeSet;
 
-/// A standby that has not acknowledged for so long is demoted.
-const CONFIRM_TIMEOUT_MS: Millis = 400;
-/// How long a new leader leaves the record of the previous one as it is, so that those
-/// named there still count, while its own standbys are not warm yet.
+/// A standby that has not acknowledged a part for this long is demoted.
+const ACK_TIMEOUT_MS: Millis = 400;
+/// How long a new leader keeps the record of the previous leader unchanged while its
+/// own standbys are not warm yet, so that the standbys named there still count.
 const HANDOVER_GRACE_MS: Millis = 1_000;
-/// How long a demoted standby is left alone, the first time; it doubles.
+/// How long a standby is not selected again after its first demotion; the pause doubles
+/// with each further demotion.
 const DEMOTION_PAUSE_MS: Millis = 2_000;
+/// Maximum of that pause.
 const MAX_DEMOTION_PAUSE_MS: Millis = 32_000;
 
-/// What is replicated: what runs, or may run, on machines.
+/// The replicated state: the tasks that run, or may run, on machines.
 pub trait ReplicatedState {
-    /// Changes so far.
+    /// Number of changes so far.
     fn changes(&self) -> u64;
-    /// The latest change of which a start was sent.
+    /// The latest change whose start command was sent.
     fn sent(&self) -> u64;
-    /// What runs, or may run, on the machine.
+    /// The tasks that run, or may run, on the machine.
     fn tasks_on(&self, machine: &str) -> MachineTasks;
-    /// Machines on which anything runs or may run.
+    /// Machines on which any task runs or may run.
     fn occupied_machines(&self) -> BTreeSet<String>;
-    /// Machines that changed since the last call; the first call begins to record them.
+    /// Returns the machines that changed since the last call. The first call starts the
+    /// recording of changes.
     fn take_changed_machines(&mut self) -> BTreeSet<String>;
 }
 
@@ -71,38 +75,44 @@
 /// Outcome of a write of the standby record.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RegistryWriteOutcome {
-    /// Executed; the record has this version.
+    /// The write was applied; the record has this version.
     Done(u64),
-    /// Surely not executed.
+    /// The write was certainly not applied.
     Refused,
-    /// It conflicted, or its outcome was unknown; this is what was read since.
+    /// The write conflicted, or its outcome was unknown; this is the record as read
+    /// since then.
     Reread(Option<(StandbyRecord, u64)>),
 }
 
-/// The leader's side: who is kept warm, and which starts may be sent.
+/// The leader's side: which standbys are kept warm, and which starts may be sent.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Standbys {
     term: u64,
     max_warm: usize,
     streams: Vec<ReplicationStream>,
     registry: StandbyRegistry,
-    /// Since when the cluster state holds all that may run, and its changes are
-    /// recorded.
+    /// When the cluster state first held all tasks that may be running. Its changes are
+    /// recorded from then on.
     replicating_since: Option<Millis>,
-    /// Something is to be started.
+    /// Whether any task is to be started.
     starts_wanted: bool,
 }
 
 impl Standbys {
-    /// `peers`: names of the other controllers, and whether each is in another zone than
-    /// this one. `most`: so many are kept warm.
-    pub fn new(term: u64, most: usize, peers: impl IntoIterator<Item = (String, bool)>) -> Self {
+    /// Creates the state of a new term. `peers`: names of the other controllers, and
+    /// whether each is in another zone than this one. `warm_limit`: maximum number of
+    /// warm standbys.
+    pub fn new(
+        term: u64,
+        warm_limit: usize,
+        peers: impl IntoIterator<Item = (String, bool)>,
+    ) -> Self {
         let streams = peers
             .into_iter()
-            .map(|(name, far)| ReplicationStream::new(name, far));
+            .map(|(name, in_other_zone)| ReplicationStream::new(name, in_other_zone));
         Standbys {
             term,
-            max_warm: most,
+            max_warm: warm_limit,
             streams: streams.collect(),
             registry: StandbyRegistry::default(),
             replicating_since: None,
@@ -110,66 +120,67 @@
         }
     }
 
-    /// The record as an earlier leader left it.
+    /// Takes over the record as an earlier leader left it.
     pub fn loaded(&mut self, found: Option<(StandbyRecord, u64)>) {
-        self.registry = StandbyRegistry::found(found);
+        self.registry = StandbyRegistry::from_stored(found);
     }
 
-    /// Up to which change of the cluster state starts may be sent.
+    /// Returns the change of the cluster state up to which starts may be sent.
     pub fn confirmed_change(&self) -> u64 {
         if !self.registry.belongs_to(self.term) {
             return 0;
         }
         let counted = self.registry.counted_standbys(self.term);
         let acked = counted.map(|(name, incarnation)| {
-            let stream = self.streams.iter().find(|f| f.name == *name);
-            stream.map_or(0, |f| f.acknowledged_by(*incarnation))
+            let found = self.streams.iter().find(|f| f.name == *name);
+            found.map_or(0, |f| f.acknowledged_by(*incarnation))
         });
         acked.min().unwrap_or(u64::MAX)
     }
 
-    /// Something is to be started.
+    /// Records that a task is to be started.
     pub fn start_wanted(&mut self) {
         self.starts_wanted = true;
     }
 
-    /// Selects the standbys, and returns the write of the record that is due, if any:
-    /// one at a time. `complete`: the cluster state holds all that may run. `answers`:
-    /// by peer.
+    /// Selects the standbys, and returns the write of the record that is due, if any.
+    /// One write is in flight at a time. `complete`: the cluster state holds all tasks
+    /// that may be running. `healthy`: whether the peer with this index answers.
     ///
-    /// Who is entered must know all that was started so far, and counts from here on:
-    /// nothing may be started between the selection and the plan.
+    /// Each standby in the new record must know all tasks started so far, and counts
+    /// from now on: no task may be started between the selection of the standbys and
+    /// the planning of the write.
     pub fn step(
         &mut self,
         state: &mut impl ReplicatedState,
         complete: bool,
-        answers: impl Fn(usize) -> bool,
+        healthy: impl Fn(usize) -> bool,
         now: Millis,
     ) -> Option<Txn> {
-        let wanted = match complete && self.max_warm > 0 && !self.streams.is_empty() {
-            true => self.select_standbys(state, answers, now),
+        let wanted_record = match complete && self.max_warm > 0 && !self.streams.is_empty() {
+            true => self.select_standbys(state, healthy, now),
             false => StandbyRecord {
                 term: self.term,
                 known_to_all: self.registry.known_to_all(),
                 ..StandbyRecord::default()
             },
         };
-        if !self.registry.belongs_to(self.term) && wanted.named.is_empty() {
-            let hands_on = match self.replicating_since {
+        if !self.registry.belongs_to(self.term) && wanted_record.named.is_empty() {
+            let keeps_previous_record = match self.replicating_since {
                 Some(at) => now < at + HANDOVER_GRACE_MS,
                 None => !self.starts_wanted,
             };
-            if hands_on {
+            if keeps_previous_record {
                 return None;
             }
         }
-        self.registry.plan(wanted, now)
+        self.registry.plan(wanted_record, now)
     }
 
     fn select_standbys(
         &mut self,
         state: &mut impl ReplicatedState,
-        answers: impl Fn(usize) -> bool,
+        healthy: impl Fn(usize) -> bool,
         now: Millis,
     ) -> StandbyRecord {
         self.replicating_since.get_or_insert(now);
@@ -178,58 +189,61 @@
             self.registry.counted_standbys(self.term).cloned().collect();
         let named =
             |f: &ReplicationStream| counted.iter().find(|(n, _)| *n == f.name).map(|(_, i)| *i);
-        let mut keep = Vec::new();
-        for (p, f) in self.streams.iter_mut().enumerate() {
-            let Some(incarnation) = named(f) else {
+        let mut selected = Vec::new();
+        for (peer, stream) in self.streams.iter_mut().enumerate() {
+            let Some(incarnation) = named(stream) else {
                 continue;
             };
-            if let Some(why) = f.demotion_due(incarnation, answers(p), now) {
-                f.demote(why, now);
+            if let Some(reason) = stream.demotion_due(incarnation, healthy(peer), now) {
+                stream.demote(reason, now);
             } else {
-                keep.push(p);
+                selected.push(peer);
             }
         }
-        // Those in other zones first: what ends the leader may take its zone.
+        // Peers in other zones come first, because a failure of the leader may affect
+        // its whole zone.
         let mut others: Vec<usize> = (0..self.streams.len())
-            .filter(|p| !keep.contains(p) && answers(*p) && !self.streams[*p].is_demoted(now))
+            .filter(|p| !selected.contains(p) && healthy(*p) && !self.streams[*p].is_demoted(now))
             .collect();
-        others.sort_by_key(|p| !self.streams[*p].in_other_zone);
-        keep.extend(others);
-        keep.truncate(self.max_warm);
-        for (p, f) in self.streams.iter_mut().enumerate() {
-            match keep.contains(&p) {
-                true if !f.is_active() => f.restart(state),
-                false if f.is_active() && named(f).is_none() => f.stop(),
+        others.sort_by_key(|peer| !self.streams[*peer].in_other_zone);
+        selected.extend(others);
+        selected.truncate(self.max_warm);
+        for (peer, stream) in self.streams.iter_mut().enumerate() {
+            match selected.contains(&peer) {
+                true if !stream.is_active() => stream.restart(state),
+                false if stream.is_active() && named(stream).is_none() => stream.stop(),
                 _ => {}
             }
         }
-        let known =
+        let supported_by_all =
             self.registry.known_to_all() || self.streams.iter().all(|f| f.supports_standbys);
-        let ready = |p: &&usize| {
-            let f = &self.streams[**p];
-            known && f.is_warm(state.sent()) && f.is_same_incarnation(named(f))
+        let ready = |peer: &&usize| {
+            let stream = &self.streams[**peer];
+            supported_by_all
+                && stream.is_warm(state.sent())
+                && stream.is_same_incarnation(named(stream))
         };
-        let names = keep
+        let names = selected
             .iter()
             .filter(ready)
-            .map(|p| self.streams[*p].identity());
+            .map(|peer| self.streams[*peer].identity());
         let mut named: Vec<(String, u64)> = names.flatten().collect();
         named.sort();
         StandbyRecord {
             term: self.term,
             named,
-            known_to_all: known,
+            known_to_all: supported_by_all,
         }
     }
 
-    /// Passes changed machines to all active streams.
+    /// Adds the changed machines to all active streams.
     fn distribute_changes(&mut self, state: &mut impl ReplicatedState) {
-        let touched = state.take_changed_machines();
-        if touched.is_empty() {
+        let changed_machines = state.take_changed_machines();
+        if changed_machines.is_empty() {
             return;
         }
-        for f in self.streams.iter_mut().filter(|f| f.is_active()) {
-            f.machines_changed(&touched);
+        for stream in self.streams.iter_mut().filter(|f| f.is_active()) {
+            stream.machines_changed(&changed_machines);
         }
     }
 
@@ -238,7 +252,8 @@
         0..self.streams.len()
     }
 
-    /// The next part to send to a peer, if any. One is in flight at a time.
+    /// Returns the next part to send to a peer, if any. One part is in flight at a
+    /// time.
     pub fn next(
         &mut self,
         peer: usize,
@@ -247,17 +262,18 @@
     ) -> Option<ReplicationPart> {
         self.replicating_since?;
         self.distribute_changes(state);
-        let probes = !self.registry.known_to_all();
-        let f = self.streams.get_mut(peer)?;
+        let should_probe = !self.registry.known_to_all();
+        let stream = self.streams.get_mut(peer)?;
         let named = self
             .registry
             .counted_standbys(self.term)
-            .any(|(n, _)| *n == f.name);
-        f.next(self.term, named, probes, state, now)
+            .any(|(n, _)| *n == stream.name);
+        stream.next(self.term, named, should_probe, state, now)
     }
 
-    /// Applies the answer to a part: the incarnation, and whether it applied the part.
-    /// Returns whether more starts may be sent now.
+    /// Applies the answer to a part: the peer's incarnation, and whether the peer
+    /// applied the part; `None` if there was no answer. Returns whether more starts may
+    /// be sent now.
     pub fn answered(
         &mut self,
         peer: usize,
@@ -266,21 +282,21 @@
         now: Millis,
     ) -> bool {
         let before = self.confirmed_change();
-        if let Some(f) = self.streams.get_mut(peer) {
-            f.answered(answer, state, now);
+        if let Some(stream) = self.streams.get_mut(peer) {
+            stream.answered(answer, state, now);
         }
         self.confirmed_change() > before
     }
 
     /// Applies the outcome of the write of the record. Returns whether more starts may
     /// be sent now.
-    pub fn written(&mut self, how: RegistryWriteOutcome, now: Millis) -> bool {
+    pub fn written(&mut self, outcome: RegistryWriteOutcome, now: Millis) -> bool {
         let before = self.confirmed_change();
-        self.registry.write_finished(how, now);
+        self.registry.write_finished(outcome, now);
         self.confirmed_change() > before
     }
 
-    /// The state of each peer, for operators.
+    /// Returns the state of each active or demoted peer, for operators.
     pub fn status(&self, now: Millis) -> Vec<StandbyStatus> {
         let counted: Vec<&(String, u64)> = self.registry.counted_standbys(self.term).collect();
         let named = |f: &ReplicationStream| counted.iter().any(|(n, _)| *n == f.name);
--- a/src/control/standby/registry.rs
+++ b/src/control/standby/registry.rs
@@ -1,8 +1,8 @@
-//! The standby registry: the record of who counts as a standby, and which write of it
-//! may be made.
+//! The standby registry: holds the record that names the standbys that count, and
+//! decides which write of it may be made.
 //!
-//! Owned by `Standbys`. While the outcome of a write is unknown, whoever it names counts
-//! too.
+//! Owned by `Standbys`. While the outcome of a write is unknown, the standbys that it
+//! names count too.
 
 use super::RegistryWriteOutcome;
 use crate::{
@@ -13,47 +13,49 @@
     },
 };
 
-/// After a write that was refused.
+/// Delay before the next write after one that was refused.
 const RETRY_DELAY_MS: Millis = 200;
 
+/// The standby record with its version, and the writes of it.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub(super) struct StandbyRegistry {
-    /// As it was last known to stand, with its version.
+    /// The record as last read or written.
     record: Option<StandbyRecord>,
     version: u64,
-    /// Written without an answer so far: each may stand, or may come to stand
-    /// until a later version is known.
+    /// Records of writes with an unknown outcome: each may be in the store, or may
+    /// still be applied until a later version of the record is known.
     indeterminate: Vec<StandbyRecord>,
     write_in_flight: bool,
     retry_at: Millis,
 }
 
 impl StandbyRegistry {
-    pub(super) fn found(found: Option<(StandbyRecord, u64)>) -> Self {
+    pub(super) fn from_stored(stored: Option<(StandbyRecord, u64)>) -> Self {
         let mut registry = StandbyRegistry::default();
-        registry.set_record(found);
+        registry.set_record(stored);
         registry
     }
 
-    fn set_record(&mut self, found: Option<(StandbyRecord, u64)>) {
-        let version = found.as_ref().map_or(0, |(_, v)| *v);
-        self.record = found.map(|(r, _)| r);
+    fn set_record(&mut self, stored: Option<(StandbyRecord, u64)>) {
+        let version = stored.as_ref().map_or(0, |(_, v)| *v);
+        self.record = stored.map(|(r, _)| r);
         if version != self.version {
-            // What was guarded by the version before can't be applied now.
+            // Writes conditional on the previous version cannot be applied any more.
             self.indeterminate.clear();
         }
         self.version = version;
     }
 
-    /// Nobody is named of an earlier term: a start now would be one that they
-    /// don't know of.
+    /// Whether the record names no standby of another term. Such a standby would not
+    /// know of a task started now.
     pub(super) fn belongs_to(&self, term: u64) -> bool {
         self.record
             .as_ref()
             .is_none_or(|r| r.term == term || r.named.is_empty())
     }
 
-    /// All whom the record names, or may come to name.
+    /// Returns all standbys that the record of `term` names, or that a write with an
+    /// unknown outcome may name.
     pub(super) fn counted_standbys(&self, term: u64) -> impl Iterator<Item = &(String, u64)> {
         let all = self.record.iter().chain(&self.indeterminate);
         all.filter(move |r| r.term == term).flat_map(|r| &r.named)
@@ -63,17 +65,19 @@
         self.record.as_ref().is_some_and(|r| r.known_to_all)
     }
 
-    /// Writes what is wanted, unless it stands, or a write is on its way.
+    /// Returns the write of the wanted record, unless the record is up to date or a
+    /// write is in flight.
     pub(super) fn plan(&mut self, wanted: StandbyRecord, now: Millis) -> Option<Txn> {
         if self.write_in_flight || now < self.retry_at {
             return None;
         }
-        let nobody = StandbyRecord::default();
-        let stands = self.record.as_ref().unwrap_or(&nobody);
-        let same = stands.named == wanted.named && stands.known_to_all == wanted.known_to_all;
-        // Whose record it is matters only where somebody is named.
-        let own = wanted.named.is_empty() || stands.term == wanted.term;
-        if same && own && self.indeterminate.is_empty() {
+        let empty_record = StandbyRecord::default();
+        let current = self.record.as_ref().unwrap_or(&empty_record);
+        let same_content =
+            current.named == wanted.named && current.known_to_all == wanted.known_to_all;
+        // The term of the record matters only if the record names a standby.
+        let same_term = wanted.named.is_empty() || current.term == wanted.term;
+        if same_content && same_term && self.indeterminate.is_empty() {
             return None;
         }
         let term = wanted.term;
@@ -99,9 +103,9 @@
         })
     }
 
-    pub(super) fn write_finished(&mut self, how: RegistryWriteOutcome, now: Millis) {
+    pub(super) fn write_finished(&mut self, outcome: RegistryWriteOutcome, now: Millis) {
         self.write_in_flight = false;
-        match how {
+        match outcome {
             RegistryWriteOutcome::Done(version) => {
                 let record = self.indeterminate.pop();
                 self.set_record(record.map(|r| (r, version)));
--- a/src/control/standby/replica.rs
+++ b/src/control/standby/replica.rs
@@ -1,8 +1,9 @@
-//! The standby's side: receives the replication stream and keeps a replica of what runs,
-//! or may run, on machines.
+//! The standby's side: receives the replication stream and keeps a replica of the tasks
+//! that run, or may run, on machines.
 //!
-//! Called by the server with each part from a peer, and once this node leads. A replica
-//! must never replace a complete one before it is complete itself, and never have a gap.
+//! Called by the server for each part received from a peer, and once when this node
+//! becomes leader. A replica must never replace a complete one before it is complete
+//! itself, and must never have a gap.
 
 use crate::{
     protocol::peers::{ReplicatedTask, ReplicationPart},
@@ -10,40 +11,42 @@
 };
 use std::collections::BTreeMap;
 
-/// Machines in a replica at most: a part beyond that is refused, and the node is not
-/// warm.
+/// Maximum number of machines in a replica. A part that exceeds it is refused, and the
+/// node does not become warm.
 const MAX_MACHINES: usize = 50_000;
 
-/// What runs, or may run, on one machine, by job.
-pub type Held = Vec<(String, Vec<ReplicatedTask>)>;
+/// The tasks that run, or may run, on one machine, by job.
+pub type TasksByJob = Vec<(String, Vec<ReplicatedTask>)>;
 
-/// What runs, or may run, on machines. More than runs is harmless, less is not.
+/// The tasks that run, or may run, on machines. Listing a task that does not run is
+/// harmless; omitting one that runs is not.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct Replica {
-    /// The term of the leader that it was received from.
+    /// The term of the leader from which the replica was received.
     pub term: u64,
-    /// By machine.
-    pub machines: BTreeMap<String, Held>,
+    /// The tasks on each machine.
+    pub machines: BTreeMap<String, TasksByJob>,
 }
 
 /// The receiving end of the replication stream.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct ReplicaReceiver {
-    /// The latest stream that was begun, as term and number.
+    /// The latest stream that was started, as term and number.
     stream: (u64, u64),
     next_part: u64,
-    /// What this node may use, should a record name it.
+    /// The replica that this node may use if the record names it.
     complete: Option<Replica>,
-    /// What a new stream has sent so far. The old replica stays until that is complete:
-    /// nothing is started meanwhile that it lacks.
+    /// The replica built from the parts of a new stream. The old replica is kept until
+    /// this one is complete; no task that the old replica lacks is started in the
+    /// meantime.
     building: Option<Replica>,
     counted: bool,
     last_part_at: Millis,
 }
 
 impl ReplicaReceiver {
-    /// Returns whether the part was applied. One that came late, twice, or after a gap
-    /// is not, and the leader restarts the stream.
+    /// Applies a part and returns whether it was applied. A part that is late,
+    /// repeated, or follows a gap is refused, and the leader then restarts the stream.
     pub fn apply_part(&mut self, part: ReplicationPart, now: Millis) -> bool {
         let stream = (part.term, part.stream);
         if part.part == 0 {
@@ -64,10 +67,12 @@
         if replica.machines.len() + part.machines.len() > MAX_MACHINES {
             return false;
         }
-        for m in part.machines {
-            match m.jobs.is_empty() {
-                true => replica.machines.remove(&m.machine),
-                false => replica.machines.insert(m.machine, m.jobs),
+        for machine_tasks in part.machines {
+            match machine_tasks.jobs.is_empty() {
+                true => replica.machines.remove(&machine_tasks.machine),
+                false => replica
+                    .machines
+                    .insert(machine_tasks.machine, machine_tasks.jobs),
             };
         }
         if part.complete && self.building.is_some() {
@@ -79,32 +84,33 @@
         true
     }
 
-    /// The node has become leader in `term`: it takes the replica, and no part of an
-    /// earlier leader is applied any more.
+    /// Returns the complete replica of this node, which has become leader in `term`.
+    /// From now on, no part of an earlier leader is applied.
     pub fn take_replica(&mut self, term: u64) -> Option<Replica> {
-        let whole = self.complete.take();
+        let replica = self.complete.take();
         *self = ReplicaReceiver {
             stream: (term, u64::MAX),
             ..ReplicaReceiver::default()
         };
-        whole
+        replica
     }
 
-    /// The complete replica, if there is one.
+    /// Returns the complete replica, if there is one.
     pub fn replica(&self) -> Option<&Replica> {
         self.complete.as_ref()
     }
 
-    /// The leader counted this node as a standby a moment ago.
+    /// Whether the leader counted this node as a standby in the latest part that was
+    /// applied, which is at most 10 s old.
     pub fn is_counted(&self, now: Millis) -> bool {
         self.counted && now < self.last_part_at + 10_000
     }
 }
 
 impl Replica {
-    /// Machine, job and task, by the change that placed the task, the latest first: of
-    /// two places of a task the later one is valid, as it was gone from the other by
-    /// then.
+    /// Returns machine, job and task, ordered by the change that placed the task, the
+    /// latest first. If a task is listed on two machines, the later placement is valid,
+    /// as the task had left the other machine by then.
     pub fn latest_first(&self) -> Vec<(&str, &str, ReplicatedTask)> {
         let mut all: Vec<(&str, &str, ReplicatedTask)> = Vec::new();
         for (machine, jobs) in &self.machines {
--- a/src/control/standby/replication_stream.rs
+++ b/src/control/standby/replication_stream.rs
@@ -1,9 +1,11 @@
-//! The replication stream to one peer, and how far the peer has acknowledged it.
+//! The replication stream to one peer, and the change up to which the peer has
+//! acknowledged it.
 //!
-//! Owned by `Standbys`, one for each peer. It must never count a change as acknowledged
-//! before the whole round that holds it is, in the same incarnation.
+//! Owned by `Standbys`, which has one stream for each peer. A change must never count
+//! as acknowledged before the whole round that contains it is acknowledged by the same
+//! incarnation.
 
-use super::{CONFIRM_TIMEOUT_MS, DEMOTION_PAUSE_MS, MAX_DEMOTION_PAUSE_MS, ReplicatedState};
+use super::{ACK_TIMEOUT_MS, DEMOTION_PAUSE_MS, MAX_DEMOTION_PAUSE_MS, ReplicatedState};
 use crate::{
     protocol::{
         peers::{MAX_FRAME, MachineTasks, ReplicationPart},
@@ -13,57 +15,58 @@
 };
 use std::collections::BTreeSet;
 
-/// Bytes of machines in a part, estimated from above; the rest of a frame is
-/// left for what one machine may exceed that by.
+/// Target size of the machines in a part, in bytes, estimated from above. The rest of a
+/// frame is left for the last machine, which may exceed this size.
 const PART_BYTES: usize = MAX_FRAME / 2;
-/// Interval of empty parts when nothing has changed: they show whether a standby was
-/// restarted.
-const KEEP_ALIVE_MS: Millis = 1_000;
-/// Between two probes whether a peer knows of standbys at all.
+/// Interval of empty parts while nothing changes. Their answers show whether a standby
+/// was restarted.
+const KEEP_ALIVE_INTERVAL_MS: Millis = 1_000;
+/// Interval between two probes whether a peer supports replication to standbys.
 const PROBE_INTERVAL_MS: Millis = 2_000;
-/// After a part that had no answer.
+/// Delay after a part that was not answered.
 const RETRY_DELAY_MS: Millis = 200;
 
 /// Why a standby is demoted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) enum Demotion {
-    Silent,
-    BeganAnew,
-    Late,
+    Unresponsive,
+    Restarted,
+    AckTimeout,
 }
 
 impl Demotion {
     fn text(self) -> &'static str {
         match self {
-            Demotion::Silent => "does not answer",
-            Demotion::BeganAnew => "began anew",
-            Demotion::Late => "confirms too late",
+            Demotion::Unresponsive => "does not answer",
+            Demotion::Restarted => "began anew",
+            Demotion::AckTimeout => "confirms too late",
         }
     }
 }
 
-/// All that changed up to some moment, sent in one or more parts.
+/// All changes up to some moment, sent in one or more parts.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Round {
     up_to_change: u64,
     remaining: BTreeSet<String>,
 }
 
+/// The replication stream to one peer.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct ReplicationStream {
     pub(super) name: String,
-    /// In another zone than the leader.
+    /// Whether the peer is in another zone than the leader.
     pub(super) in_other_zone: bool,
-    /// It was seen to know of the record.
+    /// Whether the peer has shown that it supports standbys.
     pub(super) supports_standbys: bool,
     incarnation: Option<u64>,
     active: bool,
     stream: u64,
     part: u64,
     round: Option<Round>,
-    /// Changed since the round began.
+    /// Machines that changed since the round began.
     changed_machines: BTreeSet<String>,
-    /// Its replica holds all changes up to this one.
+    /// The peer's replica holds all changes up to this one.
     acknowledged: Option<u64>,
     /// The part in flight, by stream and number.
     in_flight: Option<(u64, u64)>,
@@ -73,15 +76,15 @@
     warm_since: Option<Millis>,
     demoted_until: Millis,
     demotions: u32,
-    /// Why it was last demoted.
+    /// Why the peer was last demoted.
     last_demotion: Option<Demotion>,
 }
 
 impl ReplicationStream {
-    pub(super) fn new(name: String, far: bool) -> Self {
+    pub(super) fn new(name: String, other_zone: bool) -> Self {
         ReplicationStream {
             name,
-            in_other_zone: far,
+            in_other_zone: other_zone,
             supports_standbys: false,
             incarnation: None,
             active: false,
@@ -109,6 +112,8 @@
         now < self.demoted_until
     }
 
+    /// Returns the latest change that this incarnation of the peer has acknowledged; 0
+    /// if none.
     pub(super) fn acknowledged_by(&self, incarnation: u64) -> u64 {
         match self.incarnation == Some(incarnation) {
             true => self.acknowledged.unwrap_or(0),
@@ -116,56 +121,58 @@
         }
     }
 
-    /// It knows all that was started so far.
+    /// Whether the peer knows all tasks started so far; `sent` is the latest change
+    /// whose start command was sent.
     pub(super) fn is_warm(&self, sent: u64) -> bool {
         self.active && self.acknowledged.is_some_and(|acked| acked >= sent)
     }
 
-    /// If it is named, then in this incarnation.
+    /// Whether the peer is either not named, or named in its current incarnation.
     pub(super) fn is_same_incarnation(&self, named: Option<u64>) -> bool {
         named.is_none() || named == self.incarnation
     }
 
+    /// Returns the name and incarnation of the peer, as entered in the standby record.
     pub(super) fn identity(&self) -> Option<(String, u64)> {
         Some((self.name.clone(), self.incarnation?))
     }
 
-    /// Why the peer, named in that incarnation, is to be demoted, if it is.
+    /// Returns why the peer, named in this incarnation, is to be demoted, if it is.
     pub(super) fn demotion_due(&self, named: u64, answers: bool, now: Millis) -> Option<Demotion> {
         if !answers {
-            return Some(Demotion::Silent);
+            return Some(Demotion::Unresponsive);
         }
         if self.incarnation.is_some_and(|i| i != named) {
-            return Some(Demotion::BeganAnew);
+            return Some(Demotion::Restarted);
         }
         let late = self
             .unacknowledged_since
-            .is_some_and(|at| now >= at + CONFIRM_TIMEOUT_MS);
-        late.then_some(Demotion::Late)
+            .is_some_and(|at| now >= at + ACK_TIMEOUT_MS);
+        late.then_some(Demotion::AckTimeout)
     }
 
-    /// Demotes it, and leaves it alone for a while.
-    pub(super) fn demote(&mut self, why: Demotion, now: Millis) {
+    /// Demotes the peer, which is not selected again until a pause has passed.
+    pub(super) fn demote(&mut self, reason: Demotion, now: Millis) {
         if self.is_demoted(now) {
             return;
         }
-        log::info!("standby {} is demoted: it {}", self.name, why.text());
-        // A restarted one is as good as any other.
-        let pause = match why {
-            Demotion::BeganAnew => 0,
-            Demotion::Silent | Demotion::Late => {
+        log::info!("standby {} is demoted: it {}", self.name, reason.text());
+        // A restarted peer is as suitable as any other, so no pause is needed.
+        let pause = match reason {
+            Demotion::Restarted => 0,
+            Demotion::Unresponsive | Demotion::AckTimeout => {
                 (DEMOTION_PAUSE_MS << self.demotions.min(4)).min(MAX_DEMOTION_PAUSE_MS)
             }
         };
         self.demotions += 1;
         self.demoted_until = now + pause;
-        self.last_demotion = Some(why);
+        self.last_demotion = Some(reason);
         self.unacknowledged_since = None;
         self.warm_since = None;
     }
 
-    /// Restarts the stream. What the replica holds stays valid until the new one is
-    /// complete.
+    /// Restarts the stream with a round of all occupied machines. The peer's replica
+    /// stays valid until the new one is complete.
     pub(super) fn restart(&mut self, state: &impl ReplicatedState) {
         self.active = true;
         self.stream += 1;
@@ -177,6 +184,7 @@
         });
     }
 
+    /// Stops the stream and discards what the peer has acknowledged.
     pub(super) fn stop(&mut self) {
         self.active = false;
         self.round = None;
@@ -186,15 +194,17 @@
         self.warm_since = None;
     }
 
-    pub(super) fn machines_changed(&mut self, touched: &BTreeSet<String>) {
-        self.changed_machines.extend(touched.iter().cloned());
+    /// Adds machines to those that the next round sends.
+    pub(super) fn machines_changed(&mut self, machines: &BTreeSet<String>) {
+        self.changed_machines.extend(machines.iter().cloned());
     }
 
+    /// Returns the next part to send, if one is due.
     pub(super) fn next(
         &mut self,
         term: u64,
         named: bool,
-        probes: bool,
+        should_probe: bool,
         state: &impl ReplicatedState,
         now: Millis,
     ) -> Option<ReplicationPart> {
@@ -202,12 +212,13 @@
             return None;
         }
         if !self.active {
-            let due = probes && !self.supports_standbys && now >= self.sent_at + PROBE_INTERVAL_MS;
+            let due =
+                should_probe && !self.supports_standbys && now >= self.sent_at + PROBE_INTERVAL_MS;
             return due.then(|| self.probe(term, now));
         }
         if self.round.is_none() {
-            let silent = now >= self.sent_at + KEEP_ALIVE_MS;
-            if self.changed_machines.is_empty() && !silent {
+            let keep_alive_due = now >= self.sent_at + KEEP_ALIVE_INTERVAL_MS;
+            if self.changed_machines.is_empty() && !keep_alive_due {
                 return None;
             }
             self.round = Some(Round {
@@ -221,11 +232,11 @@
         while bytes < PART_BYTES
             && let Some(name) = round.remaining.pop_first()
         {
-            let held = state.tasks_on(&name);
-            bytes += size(&held);
-            machines.push(held);
+            let machine_tasks = state.tasks_on(&name);
+            bytes += encoded_size_bound(&machine_tasks);
+            machines.push(machine_tasks);
         }
-        let whole = round.remaining.is_empty();
+        let is_last_part = round.remaining.is_empty();
         self.in_flight = Some((self.stream, self.part));
         self.sent_at = now;
         self.unacknowledged_since.get_or_insert(now);
@@ -233,13 +244,14 @@
             term,
             stream: self.stream,
             part: self.part,
-            complete: whole,
+            complete: is_last_part,
             counted: named,
             machines,
         })
     }
 
-    /// An empty beginning, only to see whether it is understood.
+    /// Returns an empty first part, sent only to find out whether the peer supports
+    /// standbys.
     fn probe(&mut self, term: u64, now: Millis) -> ReplicationPart {
         self.stream += 1;
         self.in_flight = Some((self.stream, 0));
@@ -254,6 +266,8 @@
         }
     }
 
+    /// Applies the peer's answer to the part in flight: its incarnation, and whether it
+    /// applied the part; `None` if there was no answer.
     pub(super) fn answered(
         &mut self,
         answer: Option<(u64, bool)>,
@@ -261,25 +275,26 @@
         now: Millis,
     ) {
         self.supports_standbys |= answer.is_some();
-        // One of a stream that was given up says nothing of the present one.
+        // The answer to a part of an abandoned stream says nothing about the current
+        // one.
         if self.in_flight.take() != Some((self.stream, self.part)) || !self.active {
             return;
         }
         let first = self.part == 0;
-        let (same, taken) = match answer {
+        let (same_incarnation, applied) = match answer {
             None => (true, false),
-            Some((incarnation, taken)) => {
-                let same = self.incarnation == Some(incarnation);
-                if !same {
-                    // What it confirmed is gone with the process before.
+            Some((incarnation, applied)) => {
+                let same_incarnation = self.incarnation == Some(incarnation);
+                if !same_incarnation {
+                    // The acknowledged replica was lost with the previous process.
                     self.acknowledged = None;
                     self.warm_since = None;
                     self.incarnation = Some(incarnation);
                 }
-                (same || first, taken)
+                (same_incarnation || first, applied)
             }
         };
-        if !same || !taken {
+        if !same_incarnation || !applied {
             if answer.is_none() {
                 self.retry_at = now + RETRY_DELAY_MS;
             }
@@ -302,12 +317,12 @@
     }
 
     pub(super) fn status(&self, named: bool, now: Millis) -> StandbyStatus {
-        let s = |at: Millis| now.saturating_sub(at) as f64 / 1000.0;
+        let seconds_since = |at: Millis| now.saturating_sub(at) as f64 / 1000.0;
         StandbyStatus {
             node: self.name.clone(),
             warm: named && self.acknowledged.is_some(),
-            since_s: self.warm_since.map(s),
-            owes_s: self.unacknowledged_since.map_or(0.0, s),
+            since_s: self.warm_since.map(seconds_since),
+            owes_s: self.unacknowledged_since.map_or(0.0, seconds_since),
             why_not: match (named, self.acknowledged) {
                 (true, Some(_)) => None,
                 _ if self.is_demoted(now) => self.last_demotion.map(|why| why.text().to_owned()),
@@ -318,11 +333,11 @@
     }
 }
 
-/// What it takes in a frame at most.
-fn size(m: &MachineTasks) -> usize {
-    let jobs = m.jobs.iter();
+/// Upper bound of the size in a frame, in bytes.
+fn encoded_size_bound(machine_tasks: &MachineTasks) -> usize {
+    let jobs = machine_tasks.jobs.iter();
     let jobs: usize = jobs
         .map(|(id, tasks)| id.len() + 8 + 26 * tasks.len())
         .sum();
-    m.machine.len() + 16 + jobs
+    machine_tasks.machine.len() + 16 + jobs
 }
