--- a/src/control/acceptance_feed.rs
+++ b/src/control/acceptance_feed.rs
@@ -1,21 +1,22 @@
 //! The leader's position in the feed of jobs that followers accepted.
 //!
-//! Owns: the revision up to which the feed has been read, and what follows from an
-//! answer of the watch. Called by the leader's load loop in `server::leadership` and
-//! by the simulation in `tests/`.
+//! Owns: the revision up to which the feed has been read, and the action that follows
+//! from a response to the watch. Called by the leader's load loop in
+//! `server::leadership` and by the simulation in `tests/`.
 //!
 //! Must never: move past an entry that was not read.
 
 use crate::{protocol::state::Watched, state::records};
 
-/// What to do after an answer of the watch.
+/// The action to perform after a response to the watch.
 #[derive(Debug, PartialEq)]
 pub enum Next {
-    /// These entries were written: look up their jobs, then watch on.
+    /// These entries were written: look up their jobs, then continue the watch.
     Look(Vec<String>),
-    /// The position is too old: list the entries, then watch on from there.
+    /// The position is older than the revisions that the watch still provides: list the
+    /// entries, then continue the watch from the revision of the list.
     List,
-    /// The watch failed: pause before the next.
+    /// The watch failed: pause before the next one.
     Pause,
 }
 
@@ -26,24 +27,24 @@
 }
 
 impl AcceptanceFeed {
-    /// From the beginning of the term on; earlier entries are loaded with the other
+    /// Starts at the beginning of the term; earlier entries are loaded with the other
     /// records.
     pub fn new(term: u64) -> Self {
         AcceptanceFeed { revision: term }
     }
 
-    /// The revision after which entries are unread.
+    /// Returns the revision after which entries are unread.
     pub fn from(&self) -> u64 {
         self.revision
     }
 
-    /// The path of a watch that waits this long for new entries.
+    /// Returns the path of a watch request that waits up to `wait_ms` for new entries.
     pub fn path(&self, wait_ms: u64) -> String {
         let (under, from) = (records::ACCEPTANCES, self.from());
         format!("/watch?under={under}&from={from}&wait_ms={wait_ms}")
     }
 
-    /// Takes the answer of the watch.
+    /// Applies a response to the watch.
     pub fn answered(&mut self, status: u16, body: &[u8]) -> Next {
         match (status, serde_json::from_slice::<Watched>(body)) {
             (200, Ok(watched)) => {
@@ -56,9 +57,10 @@
         }
     }
 
-    /// The entries were listed as of this revision; the watch reports later ones. The
-    /// revision counts rather than the listed keys: with none listed, the position
-    /// would stay too old, and the watch would fail again at once.
+    /// Records that the entries were listed as of this revision; the watch then reports
+    /// later ones. The position follows the revision of the list rather than the listed
+    /// keys: if the list is empty, the position would otherwise stay too old and the
+    /// watch would fail again at once.
     pub fn listed(&mut self, revision: u64) {
         self.revision = self.revision.max(revision);
     }
--- a/src/control/dependency_evidence.rs
+++ b/src/control/dependency_evidence.rs
@@ -1,13 +1,13 @@
-//! Whether a job that depends on others may be called queued or running, by what a
-//! node has read of those. That claims that none of them, direct or through others,
-//! was cancelled longer ago than a cancellation may take; the job's own record does
-//! not show it.
+//! Evidence about dependencies: whether a job that depends on others may be reported as
+//! queued or running, based on what a node has read of its dependencies. Such a report
+//! claims that no direct or transitive dependency was cancelled longer ago than the
+//! time that a cancellation may take; the job's own record does not show this.
 //!
-//! Owns: which jobs were read as unfinished, when, and on what those depend. Final
-//! states are kept by `final_states`. Called by whoever answers from the records; the
-//! leader answers by its dependency graph.
+//! Owns: which jobs were read as unfinished, when they were read, and on which jobs
+//! they depend. Final states are kept by `final_states`. Called by nodes that answer
+//! from the records; the leader answers from its dependency graph.
 //!
-//! Must never: allow an answer by a read that began longer ago than
+//! Must never: allow an answer based on a read that began longer ago than
 //! `SafetyBounds::max_dependency_reading_age`.
 
 use super::{
@@ -20,22 +20,22 @@
 };
 use std::collections::BTreeSet;
 
-/// Most unfinished jobs that are remembered.
-const MAX_UNFINISHED: usize = 4_000;
+/// Maximum number of unfinished jobs that are remembered.
+const MAX_UNFINISHED_JOBS: usize = 4_000;
 
-/// Whether a job may be called unfinished, as far as its dependencies go.
+/// Whether the dependencies of a job allow it to be reported as unfinished.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum DependencyVerdict {
-    /// All are done, or were lately read as not cancelled.
+    /// All dependencies are done, or were read recently as not cancelled.
     NotCancelled,
-    /// This one is cancelled.
+    /// This dependency is cancelled.
     Cancelled(String),
-    /// These, the job itself or others, have to be read first.
+    /// These jobs, which may include the job itself, have to be read first.
     Unread(BTreeSet<String>),
 }
 
 impl DependencyVerdict {
-    /// Why the job may not be called unfinished; `None` if it may.
+    /// Returns why the job may not be reported as unfinished; `None` if it may.
     pub fn refusal(&self) -> Option<&'static str> {
         match self {
             DependencyVerdict::NotCancelled => None,
@@ -47,12 +47,12 @@
 
 #[derive(Debug)]
 struct UnfinishedJob {
-    /// When the read began.
+    /// When the read of the job began.
     read_at: Millis,
     dependencies: Vec<String>,
 }
 
-/// What a node has read of the jobs that others depend on.
+/// What a node has read of jobs on which other jobs depend.
 #[derive(Debug)]
 pub struct DependencyEvidence {
     unfinished: Recent<Box<str>, UnfinishedJob>,
@@ -60,15 +60,16 @@
 }
 
 impl DependencyEvidence {
-    /// Nothing is known yet.
+    /// Creates an empty store of evidence.
     pub fn new(bounds: &SafetyBounds) -> Self {
         DependencyEvidence {
-            unfinished: Recent::new(MAX_UNFINISHED),
+            unfinished: Recent::new(MAX_UNFINISHED_JOBS),
             max_age: bounds.max_dependency_reading_age(),
         }
     }
 
-    /// A read that began at `read_at` found this job neither over nor cancelled.
+    /// Records that a read that began at `read_at` found this job neither done nor
+    /// cancelled.
     pub fn read_unfinished(&mut self, id: &str, dependencies: Vec<String>, read_at: Millis) {
         let job = UnfinishedJob {
             read_at,
@@ -77,15 +78,15 @@
         self.unfinished.insert(id.into(), job);
     }
 
-    /// On what an unfinished job depends, if it was read before, however long ago:
-    /// that never changes.
+    /// Returns the dependencies of an unfinished job if it was read before, however
+    /// long ago: they never change.
     pub fn dependencies_of(&self, id: &str) -> Option<&[String]> {
         let job = self.unfinished.get(id)?;
         Some(&job.dependencies)
     }
 
-    /// Whether this job may be called unfinished now. `final_state`: of a job, if it
-    /// is known to be over.
+    /// Whether this job may be reported as unfinished now. `final_state` returns the
+    /// state of a job that is known to be done or cancelled.
     pub fn verdict(
         &self,
         id: &str,
@@ -93,10 +94,10 @@
         now: Millis,
     ) -> DependencyVerdict {
         let mut unread = BTreeSet::new();
-        let mut seen: BTreeSet<&str> = BTreeSet::new();
+        let mut visited: BTreeSet<&str> = BTreeSet::new();
         let mut pending: Vec<&str> = vec![id];
         while let Some(id) = pending.pop() {
-            if !seen.insert(id) {
+            if !visited.insert(id) {
                 continue;
             }
             match final_state(id) {
@@ -104,7 +105,7 @@
                 Some(_) => return DependencyVerdict::Cancelled(id.to_owned()),
                 None => {}
             }
-            match self.young(id, now) {
+            match self.recently_read(id, now) {
                 Some(job) => pending.extend(job.dependencies.iter().map(String::as_str)),
                 None => {
                     unread.insert(id.to_owned());
@@ -117,8 +118,8 @@
         }
     }
 
-    /// The job, if it was read as unfinished lately enough.
-    fn young(&self, id: &str, now: Millis) -> Option<&UnfinishedJob> {
+    /// Returns the job if it was read as unfinished recently enough.
+    fn recently_read(&self, id: &str, now: Millis) -> Option<&UnfinishedJob> {
         let job = self.unfinished.get(id)?;
         (now <= job.read_at + self.max_age).then_some(job)
     }
--- a/src/control/dependency_evidence/tests.rs
+++ b/src/control/dependency_evidence/tests.rs
@@ -1,9 +1,10 @@
-//! What a node may say by what it has read of dependencies.
+//! Tests of what a node may report, based on what it has read of dependencies.
 
 use super::*;
 use crate::protocol::settings::Workers;
 
-/// As long as `cancel_s` of 35 s leaves, with 5 s for an answer on its way.
+/// Maximum age of a read with a `cancel_s` of 35 s, of which 5 s are reserved for an
+/// answer in transit.
 const MAX_AGE_MS: Millis = 29_780;
 
 fn evidence() -> DependencyEvidence {
@@ -15,7 +16,8 @@
     DependencyEvidence::new(&SafetyBounds::of(&workers))
 }
 
-/// A chain: 3 depends on 2, that on 1.
+/// Returns the evidence of a dependency chain: job 3 depends on job 2, which depends on
+/// job 1.
 fn chain(read_at: Millis) -> DependencyEvidence {
     let mut evidence = evidence();
     evidence.read_unfinished("3", vec!["2".into()], read_at);
@@ -23,7 +25,7 @@
     evidence
 }
 
-fn nothing_over(_: &str) -> Option<JobState> {
+fn no_final_state(_: &str) -> Option<JobState> {
     None
 }
 
@@ -31,9 +33,10 @@
     DependencyVerdict::Unread(ids.iter().map(|id| id.to_string()).collect())
 }
 
-/// Guards against calling a job queued when a job two dependencies away was cancelled.
+/// Guards against reporting a job as queued after a transitive dependency, two steps
+/// away, was cancelled.
 #[test]
-fn cancelled_dependency_of_a_dependency_forbids_to_call_a_job_unfinished() {
+fn transitive_dependency_blocks_unfinished_status_when_cancelled() {
     let evidence = chain(0);
     for (state, verdict) in [
         (None, unread(&["1"])),
@@ -43,36 +46,44 @@
         ),
         (Some(JobState::Done), DependencyVerdict::NotCancelled),
     ] {
-        let over = |id: &str| state.filter(|_| id == "1");
-        assert_eq!(evidence.verdict("3", over, 0), verdict);
+        let final_state = |id: &str| state.filter(|_| id == "1");
+        assert_eq!(evidence.verdict("3", final_state, 0), verdict);
     }
 }
 
-/// Guards against a read that is older than the time that a cancellation may take.
+/// Guards against relying on a read that is older than the time that a cancellation may
+/// take.
 #[test]
-fn dependency_is_read_again_once_its_reading_is_too_old() {
+fn dependency_is_unread_when_its_latest_read_is_too_old() {
     let mut evidence = chain(1_000);
     evidence.read_unfinished("1", Vec::new(), 1_000);
     let at = 1_000 + MAX_AGE_MS;
-    let verdict = evidence.verdict("3", nothing_over, at);
+    let verdict = evidence.verdict("3", no_final_state, at);
     assert_eq!(verdict, DependencyVerdict::NotCancelled);
-    assert_eq!(evidence.verdict("3", nothing_over, at + 1), unread(&["3"]));
-    // The oldest reading on the way counts.
+    assert_eq!(
+        evidence.verdict("3", no_final_state, at + 1),
+        unread(&["3"])
+    );
+    // The oldest read among the dependencies decides.
     evidence.read_unfinished("3", vec!["2".into()], at);
     evidence.read_unfinished("2", vec!["1".into()], at);
-    assert_eq!(evidence.verdict("3", nothing_over, at + 1), unread(&["1"]));
+    assert_eq!(
+        evidence.verdict("3", no_final_state, at + 1),
+        unread(&["1"])
+    );
 }
 
-/// Guards against a walk that does not end where jobs share dependencies.
+/// Guards against a traversal of the dependency graph that does not end where jobs
+/// share dependencies.
 #[test]
-fn shared_dependencies_are_followed_once() {
+fn shared_dependencies_are_visited_once() {
     let mut evidence = evidence();
     let id = |n: usize| n.to_string();
     for n in 2..2_000 {
         evidence.read_unfinished(&id(n), vec![id(n - 1), id(n - 2)], 0);
     }
     assert_eq!(
-        evidence.verdict(&id(1_999), nothing_over, 0),
+        evidence.verdict(&id(1_999), no_final_state, 0),
         unread(&["0", "1"])
     );
 }
--- a/src/control/final_states.rs
+++ b/src/control/final_states.rs
@@ -1,11 +1,11 @@
-//! Cache of the terminal states of jobs, which never change.
+//! Cache of the final states of jobs, which never change.
 //!
-//! Owns: the most recently learned terminal states, and from when on each may be
+//! Owns: the most recently learned final states, and the time from which each may be
 //! reported. Called by the leader, by the steps of users' requests and by the
 //! simulation in `tests/`.
 //!
-//! Must never: keep a state that isn't terminal, or let one become visible while an
-//! older answer of another node may still be under way to its user.
+//! Must never: keep a state that is not final, or let a final state become visible
+//! while an older answer of another node may still be in transit to its user.
 
 use super::safety_bounds::final_state_hold_ms;
 use crate::{
@@ -13,7 +13,7 @@
     state::{Millis, bounded_cache::Recent},
 };
 
-/// The most recently learned terminal states.
+/// The most recently learned final states.
 #[derive(Debug)]
 pub struct FinalStates {
     by_job: Recent<Box<str>, FinalState>,
@@ -23,11 +23,11 @@
 struct FinalState {
     state: JobState,
     done: u32,
-    /// It may be reported from then on.
+    /// The state may be reported from this time on.
     visible_from: Millis,
 }
 
-/// Most jobs whose terminal state is kept.
+/// Maximum number of jobs whose final state is kept.
 const MAX_FINAL_STATES: usize = 20_000;
 
 impl Default for FinalStates {
@@ -39,8 +39,8 @@
 }
 
 impl FinalStates {
-    /// Keeps the state if it is terminal. If it is known already, the earlier of
-    /// both times of visibility counts.
+    /// Caches the state if it is final. If the state is already cached, the earlier of
+    /// the two times of visibility applies.
     pub fn insert(&mut self, status: &JobStatus, visible_from: Millis) {
         let id = status.id.as_str();
         let known = self.by_job.get(id).copied();
@@ -60,7 +60,7 @@
         self.by_job.insert(id.into(), kept);
     }
 
-    /// The terminal state of the job, if it is known.
+    /// Returns the final state of the job, if it is cached.
     pub fn get(&self, id: &str) -> Option<JobStatus> {
         let known = self.by_job.get(id)?;
         Some(JobStatus {
@@ -71,14 +71,14 @@
         })
     }
 
-    /// Learns the state now, unless it is known already. It may be reported once
-    /// older answers have reached their users.
+    /// Caches a state learned now, unless it is cached already. The state may be
+    /// reported once older answers have reached their users.
     pub fn learn(&mut self, status: &JobStatus, now: Millis) {
         self.insert(status, now + final_state_hold_ms());
     }
 
-    /// Learns the state and returns for how long it must still be withheld; 0 for one
-    /// that isn't terminal.
+    /// Caches the state and returns how much longer it must be withheld; 0 if it is not
+    /// final.
     pub fn hold_time(&mut self, status: &JobStatus, now: Millis) -> Millis {
         self.learn(status, now);
         let known = self.by_job.get(status.id.as_str());
--- a/src/control/final_states/tests.rs
+++ b/src/control/final_states/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn only_terminal_states_are_kept_up_to_a_bound() {
+fn only_final_states_are_kept_up_to_a_bound() {
     let mut final_states = FinalStates::default();
     let status = |index: usize, state| JobStatus {
         id: format!("j-{index:06}"),
--- a/src/control/heartbeat_relay.rs
+++ b/src/control/heartbeat_relay.rs
@@ -1,25 +1,27 @@
-//! Which workers' heartbeats a node that doesn't lead relays to the leader.
+//! Selects the workers whose heartbeats a node that is not the leader relays to the
+//! leader.
 //!
-//! The network between the leader and some workers alone may fail. Such a worker
-//! needs 5 s of its lease to try another node, which would redirect it to the same
-//! leader again.
+//! The network may fail between the leader and some workers only. Such a worker needs 5
+//! s of its lease to try another node, which would redirect it to the same leader
+//! again.
 //!
-//! Owns: what this node remembers of the workers it redirected. Called by
+//! Owns: what this node remembers of the workers that it redirected. Called by
 //! `server::heartbeats` for each heartbeat, and by `server::peers` when the leader
 //! requests a relay.
 //!
-//! Must never: answer a heartbeat, or keep a worker on the relay for good.
+//! Must never: answer a heartbeat, or relay a worker indefinitely.
 
 use crate::state::Millis;
 use std::collections::HashMap;
 
 /// A redirected worker that returns within this time could not reach the leader.
 const RETURNED_WITHIN_MS: Millis = 12_000;
-/// A redirected worker that returns sooner hasn't waited for the leader's answer.
+/// A redirected worker that returns sooner than this has not waited for the leader's
+/// response.
 const RETURNED_AFTER_MS: Millis = 1_500;
-/// How long a worker is relayed before it is redirected again.
+/// How long a worker's heartbeats are relayed before the worker is redirected again.
 const RELAY_MS: Millis = 30_000;
-/// Workers that are remembered.
+/// Maximum number of workers that are remembered.
 const MAX_WORKERS: usize = 2000;
 
 #[derive(Debug, Clone, Copy, Default)]
@@ -28,19 +30,21 @@
     relay_until: Millis,
 }
 
-/// The workers that this node has redirected, or relays.
+/// The workers that this node has redirected, or whose heartbeats it relays.
 #[derive(Debug, Default)]
 pub struct HeartbeatRelays {
     workers: HashMap<String, WorkerRelay>,
 }
 
 impl HeartbeatRelays {
-    /// Forgets all workers: what they could not reach is no longer the leader.
+    /// Forgets all workers. Called when the leader changes, as the workers may be able
+    /// to reach the new leader.
     pub fn clear(&mut self) {
         self.workers.clear();
     }
 
-    /// The leader misses heartbeats of these machines, and asks for a relay.
+    /// Records that the leader misses heartbeats of these machines and asks for a
+    /// relay.
     pub fn relay_requested(&mut self, machines: &[String], duration: Millis, now: Millis) {
         let until = now + duration.min(RELAY_MS);
         for machine in machines.iter().take(MAX_WORKERS / 2) {
@@ -49,7 +53,7 @@
         }
     }
 
-    /// Whether this worker's heartbeat is relayed. If not, the worker is taken to be
+    /// Whether this worker's heartbeat is relayed. If not, the worker is assumed to be
     /// redirected to the leader.
     pub fn should_relay(&mut self, machine: &str, now: Millis) -> bool {
         if self.workers.len() >= MAX_WORKERS {
--- a/src/control/key_pages.rs
+++ b/src/control/key_pages.rs
@@ -1,15 +1,15 @@
-//! Which pages of a prefix to read for some names under it: as few as possible,
-//! each beginning just before the next unread name.
+//! Selects the pages of a key prefix to read for a given set of names: as few pages as
+//! possible, each of which begins just before the next unread name.
 //!
-//! Owns: the position in the prefix and the names that are still unread. Called by
-//! the key-value store's client, `server::store`.
+//! Owns: the position in the prefix, and the names that are still unread. Called by the
+//! key-value store's client, `server::store`.
 //!
-//! Must never: count a name as read which no page has covered.
+//! Must never: count a name as read that no page has covered.
 
-/// Most keys requested in a page.
+/// Maximum number of keys requested in a page.
 const MAX_PAGE_KEYS: usize = 500;
-/// Keys requested in a page for each unread name, and beside that, as other keys
-/// may stand between them.
+/// Number of keys requested in a page for each unread name, plus a fixed extra number,
+/// because other keys may lie between the names.
 const PAGE_KEYS_PER_NAME: usize = 2;
 const EXTRA_PAGE_KEYS: usize = 10;
 
@@ -18,7 +18,7 @@
 pub struct PageRequest {
     /// The page begins after this key.
     pub after: String,
-    /// Most keys in the page.
+    /// Maximum number of keys in the page.
     pub max_keys: usize,
 }
 
@@ -26,7 +26,7 @@
 #[derive(Debug)]
 pub struct Pages<'a> {
     prefix: &'a str,
-    /// Sorted.
+    /// The requested names, sorted and without duplicates.
     names: Vec<&'a str>,
     /// Index of the first unread name.
     next: usize,
@@ -35,7 +35,7 @@
 }
 
 impl<'a> Pages<'a> {
-    /// For these names under the prefix, in any order.
+    /// Starts a read of these names under the prefix, given in any order.
     pub fn new(prefix: &'a str, mut names: Vec<&'a str>) -> Self {
         names.sort_unstable();
         names.dedup();
@@ -47,12 +47,12 @@
         }
     }
 
-    /// Names that are still unread.
+    /// Returns the names that are still unread.
     pub fn unread(&self) -> &[&'a str] {
         &self.names[self.next..]
     }
 
-    /// The page to read next; `None` when all names are read.
+    /// Returns the page to read next; `None` when all names have been read.
     pub fn next_page(&self) -> Option<PageRequest> {
         let name = self.unread().first()?;
         // A key without its last character sorts before the key.
@@ -72,7 +72,8 @@
         name.is_some_and(|name| self.unread().binary_search(&name).is_ok())
     }
 
-    /// The requested page was read, up to `last_key`. `more`: other keys follow it.
+    /// Records that the requested page was read, up to `last_key`. `more`: further keys
+    /// follow it.
     pub fn page_read(&mut self, last_key: Option<&str>, more: bool) {
         let last_key = last_key.filter(|_| more);
         match last_key.and_then(|key| Some((key, key.strip_prefix(self.prefix)?))) {
--- a/src/control/key_pages/tests.rs
+++ b/src/control/key_pages/tests.rs
@@ -5,11 +5,11 @@
 fn existing_names_are_found_in_few_pages() {
     let mut rng = fastrand::Rng::with_seed(1);
     for round in 0..200 {
-        // Ids of six to eight digits, dense in places.
+        // Ids of six to eight digits; some ranges of ids are dense.
         let mut random_id = || format!("j-{:0w$}", rng.u32(0..3_000), w = rng.usize(6..9));
         let stored: BTreeSet<String> = (0..2_000).map(|_| format!("f/{}", random_id())).collect();
-        let asked: Vec<String> = (0..1 + round * 4).map(|_| random_id()).collect();
-        let mut reader = Pages::new("f/", asked.iter().map(String::as_str).collect());
+        let requested: Vec<String> = (0..1 + round * 4).map(|_| random_id()).collect();
+        let mut reader = Pages::new("f/", requested.iter().map(String::as_str).collect());
         let (mut found, mut page_count) = (BTreeSet::new(), 0);
         while let Some(PageRequest { after, max_keys }) = reader.next_page() {
             page_count += 1;
@@ -27,14 +27,15 @@
             );
             reader.page_read(page.last().map(|k| k.as_str()), more);
         }
-        let expected: BTreeSet<String> =
-            (asked.iter().filter(|a| stored.contains(&format!("f/{a}"))))
-                .cloned()
-                .collect();
+        let expected: BTreeSet<String> = (requested
+            .iter()
+            .filter(|a| stored.contains(&format!("f/{a}"))))
+        .cloned()
+        .collect();
         assert_eq!(found, expected, "round {round}");
-        let distinct = asked.iter().collect::<BTreeSet<_>>().len();
+        let distinct = requested.iter().collect::<BTreeSet<_>>().len();
         assert!(page_count <= distinct, "round {round}: {page_count} pages");
-        // 800 of some thousands are not 800 requests.
+        // Reading about 800 of several thousand names takes far fewer than 800 requests.
         assert!(round < 199 || page_count < 40, "{page_count} pages");
     }
 }
--- a/src/control/polls.rs
+++ b/src/control/polls.rs
@@ -1,33 +1,33 @@
-//! Batches of polls at a node: polls of one job share an answer, and the jobs of a
-//! round share a request.
+//! Batches of polls at a node: polls of the same job share one answer, and the jobs of
+//! one round share one request.
 //!
-//! Owns: the waiting polls and the order in which their jobs are answered. Called by
+//! Owns: the waiting polls, and the order in which their jobs are answered. Called by
 //! `server::polls`, which obtains the answers.
 //!
 //! Must never: give a poll an answer whose read began before the poll arrived.
 
 use std::collections::{HashMap, VecDeque};
 
-/// Polls that wait for the next round of answers. One that arrives while a round is
-/// under way waits for the round after it: an answer that was read before the poll
-/// arrived may be older than one that another node already gave.
+/// Polls that wait for the next round of answers. A poll that arrives while a round is
+/// in progress waits for the following round: an answer that was read before the poll
+/// arrived may be older than one that another node has already given.
 #[derive(Debug)]
 pub struct PollBatch<T> {
     waiters_by_job: HashMap<String, Vec<T>>,
     order: VecDeque<String>,
     waiting: usize,
     max_waiters: usize,
-    /// Jobs whose last poll was shed, with their number in the order of shedding:
-    /// they go first.
+    /// Jobs whose latest poll was shed, with their sequence number of shedding. These
+    /// jobs are answered first.
     shed_jobs: HashMap<String, u64>,
     shed_count: u64,
 }
 
-/// Most jobs that are remembered as shed.
+/// Maximum number of jobs that are remembered as shed.
 const MAX_SHED_JOBS: usize = 10_000;
 
 impl<T> PollBatch<T> {
-    /// For at most this many waiting polls.
+    /// Creates a batch for at most `max_waiters` waiting polls.
     pub fn new(max_waiters: usize) -> Self {
         PollBatch {
             waiters_by_job: HashMap::new(),
@@ -39,8 +39,8 @@
         }
     }
 
-    /// Polls of this job were shed. It goes first in a later round, so that no job
-    /// waits behind others for ever.
+    /// Records that polls of this job were shed. The job goes first in a later round,
+    /// so that no job is starved by others.
     pub fn mark_shed(&mut self, id: &str) {
         if self.shed_jobs.len() < MAX_SHED_JOBS && !self.shed_jobs.contains_key(id) {
             self.shed_count += 1;
@@ -48,12 +48,12 @@
         }
     }
 
-    /// A poll of this job was answered.
+    /// Records that a poll of this job was answered.
     pub fn mark_answered(&mut self, id: &str) {
         self.shed_jobs.remove(id);
     }
 
-    /// Adds a poll of the job. `false`: too many wait already.
+    /// Adds a poll of the job. Returns `false` if too many polls are waiting already.
     pub fn add(&mut self, id: &str, waiter: T) -> bool {
         if self.waiting >= self.max_waiters {
             return false;
@@ -69,18 +69,18 @@
         true
     }
 
-    /// Whether no poll waits.
+    /// Whether no poll is waiting.
     pub fn is_empty(&self) -> bool {
         self.order.is_empty()
     }
 
-    /// Takes the next round: at most `max_jobs`, first those that were shed, then
-    /// those that were polled first.
+    /// Takes the next round of at most `max_jobs` jobs: first those that were shed,
+    /// then the others in the order of their first poll.
     pub fn take_round(&mut self, max_jobs: usize) -> Vec<(String, Vec<T>)> {
         let job_count = max_jobs.min(self.order.len());
         let mut round = Vec::with_capacity(job_count);
         if !self.shed_jobs.is_empty() {
-            // The sort is stable: the others keep the order of their polls.
+            // The sort is stable, so the other jobs keep the order of their polls.
             let shed_number = |id: &String| self.shed_jobs.get(id).copied().unwrap_or(u64::MAX);
             self.order.make_contiguous().sort_by_key(shed_number);
         }
--- a/src/control/polls/tests.rs
+++ b/src/control/polls/tests.rs
@@ -6,40 +6,43 @@
     assert!(batch.add("j-000001", 'a') && batch.add("j-000002", 'b') && batch.add("j-000001", 'c'));
     let round = batch.take_round(1);
     assert_eq!(round, [("j-000001".to_owned(), vec!['a', 'c'])]);
-    // The round is under way: this poll needs another.
+    // The first round is in progress, so this poll waits for another round.
     assert!(batch.add("j-000001", 'd'));
     let ids: Vec<String> = batch.take_round(9).into_iter().map(|(id, _)| id).collect();
     assert_eq!(ids, ["j-000002", "j-000001"]);
     assert!(batch.take_round(9).is_empty());
-    // A flood is bounded, and the bound applies to waiting polls only.
+    // The number of waiting polls is bounded; polls in a round do not count.
     assert!((0..4).all(|n| batch.add("j-000003", char::from(b'0' + n))));
     assert!(!batch.add("j-000004", 'x'));
     batch.take_round(1);
     assert!(batch.add("j-000004", 'x'));
 }
 
-/// Guards against a job of which no poll is ever answered, as each arrives when
-/// the budget has just been used for others.
+/// Guards against a job whose polls are never answered because each of them arrives
+/// when the request budget has just been used for other jobs.
 #[test]
 fn job_goes_first_when_its_last_poll_was_shed() {
     let mut batch = PollBatch::new(1000);
-    let (mut unanswered, mut longest) = (vec![0; 90], 0);
+    let (mut unanswered_rounds, mut longest_wait) = (vec![0; 90], 0);
     for _ in 0..40 {
-        // All poll in the same order, and ten are answered in a round.
+        // All jobs are polled in the same order, and ten are answered in each round.
         for n in 0..90 {
             batch.add(&format!("j-{n:06}"), ());
         }
-        for (at, (id, _)) in batch.take_round(500).into_iter().enumerate() {
+        for (position, (id, _)) in batch.take_round(500).into_iter().enumerate() {
             let n: usize = id[2..].parse().unwrap();
-            if at < 10 {
+            if position < 10 {
                 batch.mark_answered(&id);
-                unanswered[n] = 0;
+                unanswered_rounds[n] = 0;
             } else {
                 batch.mark_shed(&id);
-                unanswered[n] += 1;
-                longest = longest.max(unanswered[n]);
+                unanswered_rounds[n] += 1;
+                longest_wait = longest_wait.max(unanswered_rounds[n]);
             }
         }
     }
-    assert!(longest <= 10, "{longest} rounds without an answer");
+    assert!(
+        longest_wait <= 10,
+        "{longest_wait} rounds without an answer"
+    );
 }
