--- a/src/control/election/tests.rs
+++ b/src/control/election/tests.rs
@@ -167,18 +167,18 @@
 #[test]
 fn leader_hint_of_peers_is_used_when_the_store_was_not_read_lately() {
     let mut election = new_election("n0");
-    let of = |name: &str, term| Some((name.to_owned(), term));
-    election.observe_leader(of("n1", 5), 100);
-    election.receive_leader_hint(of("n2", 9), 200);
+    let leader_in_term = |name: &str, term| Some((name.to_owned(), term));
+    election.observe_leader(leader_in_term("n1", 5), 100);
+    election.receive_leader_hint(leader_in_term("n2", 9), 200);
     assert_eq!(
         election.leader(1000),
         Some(("n1", 5)),
         "the leader's key was read recently"
     );
-    election.receive_leader_hint(of("n2", 9), 3000);
+    election.receive_leader_hint(leader_in_term("n2", 9), 3000);
     assert_eq!(election.leader(3000), Some(("n2", 9)));
     // Neither an outdated hint nor a peer without a hint replaces the later one.
-    election.receive_leader_hint(of("n1", 5), 3100);
+    election.receive_leader_hint(leader_in_term("n1", 5), 3100);
     election.receive_leader_hint(None, 3100);
     assert_eq!(election.leader(3100), Some(("n2", 9)));
     assert_eq!(
--- a/src/control/polls.rs
+++ b/src/control/polls.rs
@@ -14,8 +14,8 @@
 #[derive(Debug)]
 pub struct PollBatch<T> {
     waiters_by_job: HashMap<String, Vec<T>>,
-    order: VecDeque<String>,
-    waiting: usize,
+    job_order: VecDeque<String>,
+    waiter_count: usize,
     max_waiters: usize,
     /// Jobs whose latest poll was shed, with their sequence number of shedding. These
     /// jobs are answered first.
@@ -31,8 +31,8 @@
     pub fn new(max_waiters: usize) -> Self {
         PollBatch {
             waiters_by_job: HashMap::new(),
-            order: VecDeque::new(),
-            waiting: 0,
+            job_order: VecDeque::new(),
+            waiter_count: 0,
             max_waiters,
             shed_jobs: HashMap::new(),
             shed_count: 0,
@@ -55,15 +55,15 @@
 
     /// Adds a poll of the job. Returns `false` if too many polls are waiting already.
     pub fn add(&mut self, id: &str, waiter: T) -> bool {
-        if self.waiting >= self.max_waiters {
+        if self.waiter_count >= self.max_waiters {
             return false;
         }
-        self.waiting += 1;
+        self.waiter_count += 1;
         match self.waiters_by_job.get_mut(id) {
             Some(waiters) => waiters.push(waiter),
             None => {
                 self.waiters_by_job.insert(id.to_owned(), vec![waiter]);
-                self.order.push_back(id.to_owned());
+                self.job_order.push_back(id.to_owned());
             }
         }
         true
@@ -71,22 +71,22 @@
 
     /// Whether no poll is waiting.
     pub fn is_empty(&self) -> bool {
-        self.order.is_empty()
+        self.job_order.is_empty()
     }
 
     /// Takes the next round of at most `max_jobs` jobs: first those that were shed,
     /// then the others in the order of their first poll.
     pub fn take_round(&mut self, max_jobs: usize) -> Vec<(String, Vec<T>)> {
-        let job_count = max_jobs.min(self.order.len());
+        let job_count = max_jobs.min(self.job_order.len());
         let mut round = Vec::with_capacity(job_count);
         if !self.shed_jobs.is_empty() {
             // The sort is stable, so the other jobs keep the order of their polls.
             let shed_number = |id: &String| self.shed_jobs.get(id).copied().unwrap_or(u64::MAX);
-            self.order.make_contiguous().sort_by_key(shed_number);
+            self.job_order.make_contiguous().sort_by_key(shed_number);
         }
-        for id in self.order.drain(..job_count) {
+        for id in self.job_order.drain(..job_count) {
             if let Some(waiters) = self.waiters_by_job.remove(&id) {
-                self.waiting -= waiters.len();
+                self.waiter_count -= waiters.len();
                 round.push((id, waiters));
             }
         }
--- a/src/control/requests/submit.rs
+++ b/src/control/requests/submit.rs
@@ -57,12 +57,12 @@
     Indeterminate(u64),
 }
 
-/// A submission under way.
+/// A submission in progress.
 #[derive(Debug)]
 pub(super) struct Submit {
     parsed: Result<JobSpec, String>,
     /// Whether this node led when the request began.
-    leads: bool,
+    led_at_start: bool,
     stage: Stage,
 }
 
@@ -70,7 +70,7 @@
     pub(super) fn new(parsed: Result<JobSpec, String>) -> Submit {
         Submit {
             parsed,
-            leads: false,
+            led_at_start: false,
             stage: Stage::Start,
         }
     }
@@ -92,13 +92,13 @@
     ) -> Next {
         match (std::mem::replace(&mut self.stage, Stage::Start), event) {
             (_, Event::Begin) => self.begin(id, forwarded, view),
-            (_, Event::Versions(true)) if self.leads => self.check_dependencies(id, view),
+            (_, Event::Versions(true)) if self.led_at_start => self.check_dependencies(id, view),
             (_, Event::Versions(true)) => self.forward(),
             (_, Event::Versions(false)) => Next::Answer(Answer::later(NOT_UPGRADED)),
             (Stage::Forwarded, Event::Forwarded(Some(answer))) => Next::Answer(answer),
             (Stage::Forwarded, Event::Forwarded(None)) => self.submit_without_leader(id, view),
             (_, Event::OverBudget) => Next::Answer(Answer::later(BUSY)),
-            (_, Event::LookupResults(_)) if self.leads && !view.may_act => {
+            (_, Event::LookupResults(_)) if self.led_at_start && !view.may_act => {
                 Next::Answer(Answer::later(LEADERSHIP_CHANGING))
             }
             (Stage::JobLookup(answer_if_unknown), Event::LookupResults(results)) => {
@@ -129,8 +129,8 @@
         if let Some(status) = view.known_final_status(id) {
             return Next::Answer(Answer::known(status));
         }
-        self.leads = view.may_act && view.leader.is_some();
-        let (leads, upgraded) = (self.leads, view.upgraded);
+        self.led_at_start = view.may_act && view.leader.is_some();
+        let (led_at_start, upgraded) = (self.led_at_start, view.upgraded);
         match view.acting_leader().map(|leader| leader.loaded()) {
             Some(false) => return Next::Answer(Answer::later(RECORDS_LOADING)),
             None if forwarded => return Next::NotLeading,
@@ -140,7 +140,7 @@
             .parsed
             .as_ref()
             .is_ok_and(|s| !s.dependencies.is_empty());
-        match (leads, has_dependencies && !upgraded) {
+        match (led_at_start, has_dependencies && !upgraded) {
             (true, _) => self.submit_as_leader(id, view),
             // A leader of an older version would accept the job and start it at once,
             // ignoring its dependencies.
@@ -157,7 +157,7 @@
     /// Returns the reason to refuse a submission whose job is not known, if any.
     fn refusal(&self, view: &NodeView) -> Option<Answer> {
         match &self.parsed {
-            Err(e) => Some(Answer::Refused(400, e.clone())),
+            Err(error) => Some(Answer::Refused(400, error.clone())),
             Ok(spec) => admission::reject_reason(view.settings, view.types, spec)
                 .map(|reason| Answer::Refused(422, reason)),
         }
@@ -171,7 +171,7 @@
         answer_if_unknown: Answer,
         view: &mut NodeView,
     ) -> Next {
-        if self.leads {
+        if self.led_at_start {
             let Some(leader) = view.acting_leader() else {
                 return Next::Answer(Answer::later(LEADERSHIP_CHANGING));
             };
@@ -260,7 +260,7 @@
         let Ok(spec) = &self.parsed else {
             return Next::Answer(Answer::later(LEADERSHIP_CHANGING));
         };
-        let pending: Vec<String> = match (self.leads, view.acting_leader()) {
+        let pending: Vec<String> = match (self.led_at_start, view.acting_leader()) {
             (true, Some(leader)) => leader.unknown_dependencies(spec).unwrap_or_default(),
             _ => spec.dependencies.clone(),
         };
@@ -280,7 +280,7 @@
             };
             return self.answer_unless_known(id, refusal, view);
         }
-        match self.leads {
+        match self.led_at_start {
             // The leader may have learned in the meantime that a dependency is a
             // service.
             true => match view
