--- a/src/control/election.rs
+++ b/src/control/election.rs
@@ -16,7 +16,7 @@
 //! renewal of the lease; campaign before the expiry of a promise that an earlier
 //! process of this node may have granted.
 
-use super::safety_bounds::{SafetyBounds, at_least, at_most};
+use super::safety_bounds::{SafetyBounds, max_local_duration, min_local_duration};
 use crate::state::Millis;
 
 /// Time to live of the lease under the leader's key.
@@ -178,7 +178,7 @@
         if promises.no_later_term {
             self.cancellations_known_until = self.cancellations_known_until.max(sent);
         }
-        let promised_until = (sent + at_least(PROMISE_MS))
+        let promised_until = (sent + min_local_duration(PROMISE_MS))
             .min(promises.exclusions_until)
             .min(self.cancellations_known_until + max_staleness);
         if promised_until > self.valid_until {
@@ -322,7 +322,7 @@
     pub fn may_campaign(&self, now: Millis) -> Option<u64> {
         // An earlier process of this node may have granted a promise just before
         // this one started.
-        let restart_pause_until = self.process_started + at_most(PROMISE_MS);
+        let restart_pause_until = self.process_started + max_local_duration(PROMISE_MS);
         if self.leadership.is_some()
             || self.indeterminate_lease.is_some()
             || now < self.promised_until
@@ -382,7 +382,7 @@
         self.leadership = Some(Leadership {
             term,
             lease,
-            valid_until: lease_requested + at_least(LEASE_TTL_MS),
+            valid_until: lease_requested + min_local_duration(LEASE_TTL_MS),
             cancellations_known_until: lease_requested,
             peer_reached_store_at: None,
             basis: AuthorityBasis::LeaseRenewal,
@@ -398,7 +398,9 @@
             return;
         };
         self.last_led_at = self.last_led_at.max(sent);
-        leadership.valid_until = leadership.valid_until.max(sent + at_least(LEASE_TTL_MS));
+        leadership.valid_until = leadership
+            .valid_until
+            .max(sent + min_local_duration(LEASE_TTL_MS));
         leadership.cancellations_known_until = leadership.cancellations_known_until.max(sent);
         leadership.peer_reached_store_at = None;
         leadership.basis = AuthorityBasis::LeaseRenewal;
@@ -452,7 +454,7 @@
     /// started if it reported an `uptime` by its own clock in an answer received at
     /// `received` or earlier.
     pub fn process_started_by(uptime: Millis, received: Millis) -> Millis {
-        received.saturating_sub(at_least(uptime))
+        received.saturating_sub(min_local_duration(uptime))
     }
 
     /// Time since this process started.
@@ -494,7 +496,7 @@
             return false;
         }
         self.highest_term = term;
-        self.promised_until = self.promised_until.max(now + at_most(duration));
+        self.promised_until = self.promised_until.max(now + max_local_duration(duration));
         true
     }
 
--- a/src/control/exclusions.rs
+++ b/src/control/exclusions.rs
@@ -19,7 +19,7 @@
 //! Must never: count an exclusion whose lease may have ended, whose deletion has begun,
 //! or which was written in another term; exclude more than half of the peers.
 
-use super::{failure_detector::FailureDetector, safety_bounds::at_least};
+use super::{failure_detector::FailureDetector, safety_bounds::min_local_duration};
 use crate::{
     protocol::state::{Condition, Txn, Write},
     state::{
@@ -167,7 +167,7 @@
             self.indeterminate.clear();
         }
         self.lease = Some(lease);
-        self.lease_valid_until = sent + at_least(LEASE_TTL_MS);
+        self.lease_valid_until = sent + min_local_duration(LEASE_TTL_MS);
         self.lease_renewal_due = sent + LEASE_RENEWAL_INTERVAL_MS;
     }
 
--- a/src/control/safety_bounds.rs
+++ b/src/control/safety_bounds.rs
@@ -2,7 +2,7 @@
 //!
 //! Some of these durations are measured by the clock of another machine. The monotonic
 //! clocks of two machines drift apart by up to 0.05%, so such a duration is lengthened
-//! ([`at_most`]) or shortened ([`at_least`]) by more than that.
+//! ([`max_local_duration`]) or shortened ([`min_local_duration`]) by more than that.
 //!
 //! Owns: the margins for clock drift and late timers, and the bounds that follow from
 //! the worker lease and the cancellation deadline in the settings. Called by the
@@ -31,7 +31,7 @@
 /// this time, every older answer has been sent by every node, and has reached its user
 /// unless the network was unusually slow.
 pub fn final_state_hold_ms() -> Millis {
-    at_most(MAX_READING_AGE_MS)
+    max_local_duration(MAX_READING_AGE_MS)
 }
 
 fn clock_margin(duration: Millis) -> Millis {
@@ -40,13 +40,13 @@
 
 /// Returns the time after which, by the local clock, a `duration` measured by any other
 /// clock has certainly passed.
-pub fn at_most(duration: Millis) -> Millis {
+pub fn max_local_duration(duration: Millis) -> Millis {
     duration + clock_margin(duration)
 }
 
 /// Returns the time for which, by the local clock, a `duration` measured by any other
 /// clock has certainly not passed yet.
-pub fn at_least(duration: Millis) -> Millis {
+pub fn min_local_duration(duration: Millis) -> Millis {
     duration.saturating_sub(clock_margin(duration))
 }
 
@@ -70,7 +70,7 @@
     /// Time after the last response to a worker by which its tasks have certainly
     /// ended.
     pub fn lease_expiry(&self) -> Millis {
-        at_most(self.worker_lease)
+        max_local_duration(self.worker_lease)
     }
 
     /// How long a leader may respond to workers, or start tasks, after the last moment
@@ -80,7 +80,7 @@
     /// heartbeat was sent, and a response may be in transit for
     /// [`RESPONSE_TIMEOUT_MS`]. 0 means that a leader may not do so at all.
     pub fn max_staleness(&self) -> Millis {
-        at_least(self.cancellation_deadline)
+        min_local_duration(self.cancellation_deadline)
             .saturating_sub(self.lease_expiry() + RESPONSE_TIMEOUT_MS)
     }
 
@@ -90,7 +90,7 @@
     /// `cancel_s` later, no answer with an older state may reach any user, and an
     /// answer may be in transit for [`ANSWER_TIMEOUT_MS`].
     pub fn max_dependency_reading_age(&self) -> Millis {
-        at_least(self.cancellation_deadline).saturating_sub(ANSWER_TIMEOUT_MS)
+        min_local_duration(self.cancellation_deadline).saturating_sub(ANSWER_TIMEOUT_MS)
     }
 
     /// How long a new leader may respond to workers before it has loaded the records. A
--- a/src/control/safety_bounds/tests.rs
+++ b/src/control/safety_bounds/tests.rs
@@ -44,8 +44,8 @@
 fn duration_margins_exceed_clock_drift_on_either_side() {
     for duration in [1_300, 4_000, 26_500, 120_000] {
         let drift = duration as f64 * 0.0005;
-        assert!(at_most(duration) as f64 > duration as f64 + drift);
-        assert!((at_least(duration) as f64) < duration as f64 - drift);
+        assert!(max_local_duration(duration) as f64 > duration as f64 + drift);
+        assert!((min_local_duration(duration) as f64) < duration as f64 - drift);
     }
-    assert_eq!(at_least(100), 0);
+    assert_eq!(min_local_duration(100), 0);
 }
