--- a/src/control/standby/failover_checks.rs
+++ b/src/control/standby/failover_checks.rs
@@ -1,7 +1,7 @@
 //! Checks that a new leader makes before its first decision. The checks are made in
-//! order and each must pass; any failure means a cold failover, in which no work from
-//! before the term is placed until every machine has sent a heartbeat or its lease has
-//! expired.
+//! order and each must pass; any failure means a cold failover, in which no job from
+//! before the term is placed until every machine is confirmed by a heartbeat or its
+//! lease has expired.
 //!
 //! Called once by the leader's failover. The result is a pure function of the claim.
 //! The checks must never pass a replica that may lack a running task.
