--- a/src/control/leader/failover.rs
+++ b/src/control/leader/failover.rs
@@ -1,9 +1,9 @@
-//! Failover: taking over from the previous leader by a standby's replica, and keeping
-//! standbys warm in turn.
+//! Failover: restoring the previous leader's assignments from the replica that this node
+//! kept as a standby, and keeping the standbys of this leader warm.
 //!
-//! Owns `Failover`. The server hands over what this node replicated, and carries the
-//! replication stream. A replica must never be used unless all failover checks pass, and
-//! never against a machine's own heartbeat.
+//! Owns `Failover`. The server passes in the replica of this node and transports the
+//! replication stream. Invariants: a replica is used only if all failover checks pass,
+//! and never overrides a machine's own heartbeat.
 
 use super::Leader;
 use crate::{
@@ -23,17 +23,18 @@
     },
 };
 
-/// What this node had when it became leader.
+/// The state from which this node became leader, and the outcome of the failover.
 #[derive(Default)]
 pub(super) struct Failover {
-    /// Its incarnation, and its replica.
+    /// The incarnation of this node, and its replica. Taken when the failover is done.
     inherited: Option<(u64, Option<Replica>)>,
     record: Option<StandbyRecord>,
-    /// All that may run is known, confirmed by a heartbeat or not.
+    /// Whether this leader took over warm: it knows all tasks that may run, whether or
+    /// not a heartbeat has confirmed them.
     pub(super) warm: bool,
-    /// Why it is not.
+    /// Why this leader took over cold.
     cold_reason: Option<&'static str>,
-    /// Starts may be sent that waited for a confirmation.
+    /// Whether starts may be sent now that waited for the confirmation of a standby.
     pub(super) starts_released: bool,
 }
 
@@ -41,20 +42,19 @@
     pub(super) fn text(&self) -> String {
         match (self.warm, self.cold_reason) {
             (true, _) => "warm".into(),
-            (false, Some(why)) => format!("cold: {why}"),
+            (false, Some(reason)) => format!("cold: {reason}"),
             (false, None) => String::new(),
         }
     }
 }
 
 impl Leader {
-    /// Hands over the incarnation of this node, and the replica that it kept as a
-    /// standby.
+    /// Sets the incarnation of this node and the replica that it kept as a standby.
     pub fn inherit(&mut self, incarnation: u64, replica: Option<Replica>) {
         self.recovery.failover.inherited = Some((incarnation, replica));
     }
 
-    /// The standby record, as read in this term.
+    /// Loads the standby record as it was read in this term.
     pub fn load_standbys(&mut self, found: Option<(StandbyRecord, u64)>) {
         self.recovery.failover.record = found.as_ref().map(|(r, _)| r.clone());
         self.standbys.loaded(found);
@@ -65,22 +65,22 @@
         self.recovery.failover.warm
     }
 
-    /// No task of the job is on a machine that is not confirmed yet, where its state is
-    /// not known.
+    /// Whether the state of every task of the job is known: no task is on a machine that
+    /// has not been confirmed in this term.
     pub(super) fn hears_all_tasks_of(&self, job_handle: JobHandle) -> bool {
         if self.recovery.settled || !self.recovery.failover.warm {
             return self.recovery.settled;
         }
-        let mut on = self.cluster.live_tasks_of(job_handle);
-        on.all(|(machine_handle, _)| {
+        let mut live_tasks = self.cluster.live_tasks_of(job_handle);
+        live_tasks.all(|(machine_handle, _)| {
             self.cluster
                 .machine(machine_handle)
                 .is_some_and(|m| !m.contents_unknown)
         })
     }
 
-    /// Fails over, warm or cold: the first step with authority once the records are
-    /// read.
+    /// Fails over, warm or cold. Done once per term, as the first step after the records
+    /// have been read.
     pub(super) fn fail_over(&mut self, now: Millis) {
         self.recovery.failover.starts_released = false;
         let Some((incarnation, replica)) = self.recovery.failover.inherited.take() else {
@@ -94,56 +94,61 @@
         };
         match (failover_checks::check_failover(&claim), replica) {
             (Ok(()), Some(replica)) => {
-                let (held, machines) = self.restore_from_replica(&replica, now);
+                let (restored_tasks, unconfirmed_machines) =
+                    self.restore_from_replica(&replica, now);
                 self.recovery.failover.warm = true;
                 self.changed = true;
                 self.events.tally.took_over = Some("warm");
                 log::info!(
-                    "term {} fails over warm from {}: {held} tasks on {machines} machines not heard from yet",
+                    "term {} takes over warm from term {}: restored {restored_tasks} tasks, {unconfirmed_machines} machines not confirmed yet",
                     self.term,
                     replica.term,
                 );
             }
             (Ok(()), None) => {}
-            (Err(why), _) => {
-                self.recovery.failover.cold_reason = Some(why.text());
-                self.events.tally.took_over = Some(why.text());
-                log::info!("term {} fails over cold: {}", self.term, why.text());
+            (Err(reason), _) => {
+                self.recovery.failover.cold_reason = Some(reason.text());
+                self.events.tally.took_over = Some(reason.text());
+                log::info!("term {} takes over cold: {}", self.term, reason.text());
             }
         }
     }
 
-    /// Adds to the cluster state what may run on unconfirmed machines, and what has
-    /// completed. Confirmed machines have reported their tasks themselves. Returns how
-    /// many tasks on how many machines.
+    /// Adds completed tasks, and tasks that may run on unconfirmed machines, to the
+    /// cluster state. Confirmed machines have reported their tasks themselves. Returns
+    /// the number of restored tasks and the number of unconfirmed machines.
     fn restore_from_replica(&mut self, replica: &Replica, now: Millis) -> (usize, usize) {
         let all = replica.latest_first();
-        // Guards against doing once more what ended before the old leader
-        // could record it.
-        for (_, job, ReplicatedTask(task, ..)) in
-            all.iter().filter(|(.., t)| t.3 == ReplicatedPhase::Done)
+        // Guards against running a task again that completed before the previous
+        // leader could record it.
+        for (_, job, ReplicatedTask(task, ..)) in all
+            .iter()
+            .filter(|(.., entry)| entry.3 == ReplicatedPhase::Done)
         {
             let job = self
                 .cluster
                 .job_handle(job)
                 .and_then(|handle| self.cluster.job_mut(handle));
-            if let Some(j) = job.filter(|j| *task < j.spec.tasks && !j.cancelled) {
-                j.mark_done(*task);
+            if let Some(job_state) =
+                job.filter(|job_state| *task < job_state.spec.tasks && !job_state.cancelled)
+            {
+                job_state.mark_done(*task);
             }
         }
-        let mut held = 0;
+        let mut restored = 0;
         for (machine, job, may_run) in all
             .into_iter()
-            .filter(|(.., t)| t.3 != ReplicatedPhase::Done)
+            .filter(|(.., entry)| entry.3 != ReplicatedPhase::Done)
         {
-            held += usize::from(self.restore_task(machine, job, may_run, now));
+            restored += usize::from(self.restore_task(machine, job, may_run, now));
         }
-        let unheard = self.cluster.each_machine().filter(|m| m.contents_unknown);
-        (held, unheard.count())
+        let unconfirmed_machines = self.cluster.each_machine().filter(|m| m.contents_unknown);
+        (restored, unconfirmed_machines.count())
     }
 
-    /// A machine that is not in the registry, or is recorded as empty, runs nothing any
-    /// more; the same holds for a job without a record.
+    /// Adds one task that may run on an unconfirmed machine; returns whether it was
+    /// added. Nothing is added for a machine that is not in the registry or is recorded
+    /// as empty, as nothing runs there any more, nor for a job without a record.
     fn restore_task(
         &mut self,
         machine: &str,
@@ -151,28 +156,29 @@
         may_run: ReplicatedTask,
         now: Millis,
     ) -> bool {
-        let ReplicatedTask(task, attempt, _, seen) = may_run;
+        let ReplicatedTask(task, attempt, _, last_phase) = may_run;
         let (Some(machine_handle), Some(job_handle)) = (
             self.cluster.machine_handle(machine),
             self.cluster.job_handle(job),
         ) else {
             return false;
         };
-        let unheard = self
+        let unconfirmed = self
             .cluster
             .machine(machine_handle)
             .is_some_and(|m| m.contents_unknown);
-        let Some(j) = self.cluster.job_mut(job_handle).filter(|_| unheard) else {
+        let Some(job_state) = self.cluster.job_mut(job_handle).filter(|_| unconfirmed) else {
             return false;
         };
-        let phase = match seen {
+        let phase = match last_phase {
             ReplicatedPhase::Running => Phase::Running,
             _ => Phase::Sent,
         };
-        match j.placement(task) {
-            _ if task >= j.spec.tasks => return false,
+        match job_state.placement(task) {
+            _ if task >= job_state.spec.tasks => return false,
             Placement::Unplaced => {}
-            // It completed elsewhere while it was started again.
+            // The task completed elsewhere while it was started again: this attempt is a
+            // duplicate.
             Placement::Done => {
                 self.cluster.assign_duplicate(
                     job_handle,
@@ -184,57 +190,58 @@
                 );
                 return true;
             }
-            // Placed there later than here, so it was gone from here by then.
+            // The replica is read latest first: the other placement is later, so the
+            // task had left this machine by then.
             Placement::On(_) => return false,
         }
-        j.has_run = true;
-        let gone = j.cancelled || j.cancel_requested;
+        job_state.has_run = true;
+        let job_cancelled = job_state.cancelled || job_state.cancel_requested;
         self.cluster
             .assign(job_handle, task, machine_handle, attempt, phase, now);
-        if gone
-            && let Some(a) = self
+        if job_cancelled
+            && let Some(assignment) = self
                 .cluster
                 .machine_mut(machine_handle)
                 .and_then(|m| m.tasks.last_mut())
         {
-            a.stop_grace_s = Some(0.0);
+            assignment.stop_grace_s = Some(0.0);
         }
         true
     }
 
-    /// Selects the standbys; returns the write of their record that is due.
+    /// Selects the standbys. Returns the write of the standby record if one is due.
     pub fn update_standbys(&mut self, answers: impl Fn(usize) -> bool, now: Millis) -> Option<Txn> {
         if !self.recovery.loaded {
             return None;
         }
-        let complete = self.recovery.knows_all_tasks();
+        let all_tasks_known = self.recovery.knows_all_tasks();
         self.standbys
-            .step(&mut self.cluster, complete, answers, now)
+            .step(&mut self.cluster, all_tasks_known, answers, now)
     }
 
     /// Applies the outcome of the write of the standby record.
-    pub fn standbys_written(&mut self, how: RegistryWriteOutcome, now: Millis) {
-        self.recovery.failover.starts_released |= self.standbys.written(how, now);
+    pub fn standbys_written(&mut self, outcome: RegistryWriteOutcome, now: Millis) {
+        self.recovery.failover.starts_released |= self.standbys.written(outcome, now);
     }
 
-    /// How many standbys are warm.
+    /// Returns the number of standbys that are warm.
     pub fn warm_standbys(&self, now: Millis) -> usize {
         let all = self.standbys.status(now);
         all.iter().filter(|s| s.warm).count()
     }
 
-    /// Indices of the peers.
+    /// Returns the indices of the peers.
     pub fn standby_peers(&self) -> std::ops::Range<usize> {
         self.standbys.peers()
     }
 
-    /// The next part of the replication stream to a peer.
+    /// Returns the next part of the replication stream to a peer, if there is one to send.
     pub fn next_replication_part(&mut self, peer: usize, now: Millis) -> Option<ReplicationPart> {
         self.standbys.next(peer, &mut self.cluster, now)
     }
 
-    /// Applies the answer to a part: the incarnation, and whether it applied the part;
-    /// `None`: no answer.
+    /// Applies a peer's response to a part: the peer's incarnation, and whether it applied
+    /// the part. `None` if there was no response.
     pub fn replication_answered(&mut self, peer: usize, answer: Option<(u64, bool)>, now: Millis) {
         self.recovery.failover.starts_released |=
             self.standbys.answered(peer, answer, &self.cluster, now);
--- a/src/control/leader/loading.rs
+++ b/src/control/leader/loading.rs
@@ -1,8 +1,9 @@
-//! Records that become cluster state: those read at the start of a term, and
-//! jobs accepted during it.
+//! Loading of records into the cluster state: the records read at the start of a
+//! term, and those of jobs accepted during it.
 //!
 //! Called by the server while it reads the state service and after it accepts a
-//! submission. It writes nothing itself; leftovers are queued for deletion.
+//! submission. This module writes nothing itself; orphaned keys are queued for
+//! deletion in the `WriteQueue`.
 
 use super::Leader;
 use crate::{
@@ -18,50 +19,51 @@
 };
 
 impl Leader {
-    /// Adds the job of a record, with the tasks it lists as completed.
+    /// Adds the job of a record, with the tasks that the record lists as completed.
     pub fn load_job(&mut self, record: JobRecord, version: u64, now: Millis) -> JobHandle {
-        let mut done = TaskBitmap::with_len(record.spec.tasks);
-        done.load(0, &record.completed);
+        let mut completed_tasks = TaskBitmap::with_len(record.spec.tasks);
+        completed_tasks.load(0, &record.completed);
         self.learn_shape(&record.spec);
         self.changed = true;
-        let (at_ms, suspected) = (record.accepted_at_ms, record.suspected);
-        let pieces = record.spec_chunks;
-        let away = OffloadState::recorded(record.offloaded_to);
-        let new = NewJob {
+        let (acceptance_ms, suspected) = (record.accepted_at_ms, record.suspected);
+        let recorded_chunks = record.spec_chunks;
+        let recorded_offload = OffloadState::recorded(record.offloaded_to);
+        let new_job = NewJob {
             spec: record.spec,
-            accepted_at_ms: at_ms,
+            accepted_at_ms: acceptance_ms,
             record_version: version,
-            completed: done,
+            completed: completed_tasks,
             cancelled: record.cancelled,
         };
-        let handle = self.cluster.insert_job(new, now);
-        if let Some(j) = self.cluster.job_mut(handle) {
-            j.accepted_this_term |= version > self.term;
-            if j.record_version == version {
-                j.spec_chunks = pieces;
+        let handle = self.cluster.insert_job(new_job, now);
+        if let Some(loaded_job) = self.cluster.job_mut(handle) {
+            loaded_job.accepted_this_term |= version > self.term;
+            if loaded_job.record_version == version {
+                loaded_job.spec_chunks = recorded_chunks;
             }
-            if !away.is_local() && j.record_version == version {
-                j.offload = away;
-                j.reason = PendingReason::Lent;
+            if !recorded_offload.is_local() && loaded_job.record_version == version {
+                loaded_job.offload = recorded_offload;
+                loaded_job.reason = PendingReason::Lent;
             }
-            if suspected && !j.failures.has_succeeded && !j.failures.suspected {
-                j.failures = JobFailures::inherited_suspicion(now);
+            if suspected && !loaded_job.failures.has_succeeded && !loaded_job.failures.suspected {
+                loaded_job.failures = JobFailures::inherited_suspicion(now);
             }
         }
         self.link(handle);
-        let age = self.wall_ms.saturating_sub(at_ms);
+        let age_ms = self.wall_ms.saturating_sub(acceptance_ms);
         if self
             .cluster
             .job(handle)
-            .is_some_and(|j| j.readiness == Readiness::Ready)
+            .is_some_and(|loaded_job| loaded_job.readiness == Readiness::Ready)
         {
-            self.record_arrival(handle, now.saturating_sub(age));
+            self.record_arrival(handle, now.saturating_sub(age_ms));
         }
         handle
     }
 
-    /// Adds a completion bitmap segment; one whose job is gone is deleted.
-    pub fn load_segment(&mut self, id: &str, chunk: usize, text: &str) {
+    /// Adds a segment of a job's completion bitmap. A segment whose job no longer
+    /// exists is queued for deletion.
+    pub fn load_segment(&mut self, id: &str, segment: usize, text: &str) {
         let Some(job) = self
             .cluster
             .job_handle(id)
@@ -69,70 +71,72 @@
         else {
             self.write_queue
                 .unconditional_deletes
-                .push(segment_key(id, chunk));
+                .push(segment_key(id, segment));
             return;
         };
-        let mut bits = TaskBitmap::with_len(job.spec.tasks);
-        bits.load(chunk, text);
-        for t in 0..job.spec.tasks {
-            if bits.get(t) {
-                job.mark_done(t);
+        let mut completed = TaskBitmap::with_len(job.spec.tasks);
+        completed.load(segment, text);
+        for task in 0..job.spec.tasks {
+            if completed.get(task) {
+                job.mark_done(task);
             }
         }
-        if let Some(d) = job.dirty_segments.get_mut(chunk) {
-            *d = false;
+        if let Some(dirty) = job.dirty_segments.get_mut(segment) {
+            *dirty = false;
         }
     }
 
-    /// Adds a machine of the machine registry.
+    /// Adds a machine from its record in the machine registry.
     pub fn load_machine(&mut self, name: &str, record: MachineRecord, version: u64, now: Millis) {
-        let new = NewMachine {
+        let new_machine = NewMachine {
             name,
             addr: &record.addr,
             type_name: &record.type_name,
             zone: &record.zone,
             spot: record.spot,
         };
-        let machine_handle = self.cluster.insert_machine(new, now);
-        if let Some(m) =
+        let machine_handle = self.cluster.insert_machine(new_machine, now);
+        if let Some(machine) =
             machine_handle.and_then(|machine_handle| self.cluster.machine_mut(machine_handle))
         {
-            m.registration = Registration::Present;
-            m.record_version = version;
-            m.releasing = record.releasing && !record.lease_expired;
-            m.release_recorded = m.releasing;
-            m.recorded_empty = record.releasing;
+            machine.registration = Registration::Present;
+            machine.record_version = version;
+            machine.releasing = record.releasing && !record.lease_expired;
+            machine.release_recorded = machine.releasing;
+            machine.recorded_empty = record.releasing;
             if record.quarantined {
-                m.failures = MachineFailures::inherited_quarantine(now);
+                machine.failures = MachineFailures::inherited_quarantine(now);
             }
             // `releasing` and `lease_expired` are recorded only when nothing
-            // runs there, until something may start: no lease is waited for.
-            m.contents_unknown = !record.releasing;
-            m.last_answered = self.recovery.elected_at;
+            // runs on the machine, and hold until a task may start there. So
+            // there is no lease to wait for.
+            machine.contents_unknown = !record.releasing;
+            machine.last_answered = self.recovery.elected_at;
         }
         if let Some(machine_handle) = machine_handle {
             let images: Vec<u32> = record
                 .images
                 .iter()
-                .map(|i| self.cluster.images.intern(i))
+                .map(|image| self.cluster.images.intern(image))
                 .collect();
-            if let Some(m) = self.cluster.machine_mut(machine_handle) {
-                m.images = images;
+            if let Some(machine) = self.cluster.machine_mut(machine_handle) {
+                machine.images = images;
             }
         }
     }
 
-    /// All records have been read. Workers were answered meanwhile, so their
-    /// leases count from now.
+    /// Ends loading, after all records have been read. Heartbeats were answered
+    /// during loading, so the leases of all machines count from now.
     pub fn finish_loading(&mut self, now: Millis) {
         self.recovery.loaded = true;
         self.scheduling.arrivals.make_contiguous().sort_unstable();
-        for m in self.cluster.each_machine_mut() {
-            m.last_answered = now;
+        for machine in self.cluster.each_machine_mut() {
+            machine.last_answered = now;
         }
     }
 
-    /// Adds a job accepted in this term, unless its final state is known.
+    /// Adds a job that was accepted in this term, unless its final state is
+    /// already known.
     pub fn accepted(&mut self, record: JobRecord, version: u64, now: Millis) {
         if self.final_states.get(&record.spec.id).is_none() {
             log::debug!(
@@ -148,7 +152,8 @@
         }
     }
 
-    /// The job behind an entry of the acceptance feed is known: deletes the entry.
+    /// Queues the deletion of an entry of the acceptance feed, after its job has
+    /// been added.
     pub fn acceptance_handled(&mut self, key: String) {
         self.write_queue.unconditional_deletes.push(key);
     }
--- a/src/control/leader/mod.rs
+++ b/src/control/leader/mod.rs
@@ -1,10 +1,11 @@
-//! The leader of one term: the state machine that binds cluster state,
+//! The leader of one term: the state machine that combines cluster state,
 //! scheduling, scaling and persistence.
 //!
-//! The server reports events to it (heartbeats, outcomes of commands and of
-//! writes, the cloud's answers, time) and asks what to do next. It makes no
-//! I/O and reads no clock: `now` is passed in. Each concern has a module; this
-//! one holds the parts together and drives them from `tick`.
+//! The server reports events to the leader (heartbeats, outcomes of commands
+//! and of writes, responses of the cloud API, the passage of time) and asks
+//! what to do next. The leader performs no I/O and reads no clock: `now` is
+//! passed in. Each concern has its own module; this one owns `Leader` and
+//! drives the other modules from `tick`.
 
 mod dependencies;
 mod direct_commands;
@@ -60,33 +61,37 @@
 use std::rc::Rc;
 use write_queue::WriteQueue;
 
-/// Bits of a fencing token below the term: raised for one machine.
+/// Number of low bits of a fencing token that hold the epoch of one machine;
+/// the term is in the bits above. The epoch is incremented to invalidate the
+/// earlier tokens of that machine alone.
 const MACHINE_TOKEN_BITS: u32 = 20;
 
-/// A cycle runs at least this often.
+/// Longest time between the starts of two scheduling cycles.
 const CYCLE_INTERVAL_MS: Millis = 2_000;
 
-fn millis(s: f64) -> Millis {
-    (s.max(0.0) * 1000.0) as Millis
+fn millis(seconds: f64) -> Millis {
+    (seconds.max(0.0) * 1000.0) as Millis
 }
 
-/// The leader of one term. It makes no I/O; see the module.
+/// The leader of one term. Performs no I/O; see the module documentation.
 pub struct Leader {
     settings: Rc<Settings>,
     options: Options,
-    /// The cluster state: jobs, machines, and what is or may be on them.
+    /// The cluster state: jobs, machines, and the tasks that run or may run on them.
     pub cluster: ClusterState,
-    /// Its term, which is also the version of the leader record.
+    /// The term of this leader, which is also the version of the leader record.
     pub term: u64,
-    /// Final states reported or learned; they outlast the term.
+    /// Final states of jobs that this node has reported or learned. They are kept
+    /// beyond the end of the term.
     pub final_states: FinalStates,
     /// Which jobs depend on which.
     dependencies: DependencyGraph,
-    /// Since when there are dependencies of which the end has not been read.
+    /// When this leader first had dependencies whose final states it has not
+    /// read; `None` if there are none.
     dependencies_unread_since: Option<Millis>,
-    /// Job specs whose chunks are being written.
+    /// Job specs that are being written in chunks.
     spec_uploads: spec_chunks::SpecUploads,
-    /// Something changed since the last scheduling cycle began.
+    /// Whether the cluster state changed since the last scheduling cycle began.
     changed: bool,
     wall_ms: u64,
     recovery: recovery::Recovery,
@@ -98,7 +103,7 @@
 }
 
 impl Leader {
-    /// A leader that has read no record yet.
+    /// Creates a leader that has not read any records yet.
     pub fn new(
         settings: Rc<Settings>,
         options: Options,
@@ -110,7 +115,7 @@
         let zones = cluster.zones.len();
         let peers = settings.peers.iter();
         let peers = peers.map(|p| (p.name.clone(), p.zone != settings.zone));
-        let report = millis(settings.cluster.workers.report_s);
+        let report_interval_ms = millis(settings.cluster.workers.report_s);
         let standbys = Standbys::new(term, options.warm, peers);
         let policy = Policy {
             threshold: options.threshold,
@@ -128,9 +133,10 @@
             spec_uploads: spec_chunks::SpecUploads::default(),
             changed: true,
             wall_ms: 0,
-            recovery: recovery::Recovery::started(now, report),
+            recovery: recovery::Recovery::started(now, report_interval_ms),
             scheduling: Scheduling::new(policy),
-            // Workers need some time to find a new leader.
+            // Workers need up to `WORKER_REDIRECT_MS` to find a new leader; until
+            // then missing heartbeats say nothing about a zone.
             scaling: Scaling::new(vec![
                 zone_health::ZoneHealth::since(now + WORKER_REDIRECT_MS);
                 zones
@@ -157,24 +163,26 @@
         SafetyBounds::of(&self.settings.cluster.workers).lease_expiry()
     }
 
-    /// Jobs and machine registry have been read.
+    /// Whether the jobs and the machine registry have been read.
     pub fn loaded(&self) -> bool {
         self.recovery.loaded
     }
 
-    /// Every machine sent a heartbeat in this term, or its lease expired.
+    /// Whether every machine has sent a heartbeat in this term or its lease has
+    /// expired.
     pub fn settled(&self) -> bool {
         self.recovery.settled
     }
 
-    /// Something happened that should not wait for the next tick.
+    /// Whether there is work that should not wait for the next tick.
     pub fn has_work(&self) -> bool {
         self.changed
             || self.recovery.failover.starts_released
             || self.scheduling.interrupted_cycle.is_some()
     }
 
-    /// What time brings: failover, lease expiry, readiness, scheduling.
+    /// Does the work that is due at `now`: failover, lease expiry, dependency
+    /// changes, stops, and scheduling cycles.
     pub fn tick(&mut self, now: Millis, wall_ms: u64) {
         self.wall_ms = wall_ms;
         if !self.recovery.loaded {
@@ -199,21 +207,21 @@
         self.note_unread_dependencies(now);
         self.stop_cancelled_and_broken_gangs();
         self.checkpoint_before_reclaim();
-        let backoff = self
+        let backoff_expired = self
             .cluster
             .jobs
             .values()
             .any(|j| j.backoff_until != 0 && j.backoff_until <= now);
         self.retry_quarantined(now);
-        // Arrival rates and reservations change with time alone, so a cycle runs
-        // at least every `CYCLE_INTERVAL_MS`.
-        let due = now >= self.scheduling.next_cycle_at;
-        let resumes = self.scheduling.interrupted_cycle.is_some();
-        if !resumes && (self.changed || backoff || due) {
+        // Arrival rates and reservations change with the passage of time alone,
+        // so a cycle runs at least every `CYCLE_INTERVAL_MS`.
+        let cycle_due = now >= self.scheduling.next_cycle_at;
+        let has_interrupted_cycle = self.scheduling.interrupted_cycle.is_some();
+        if !has_interrupted_cycle && (self.changed || backoff_expired || cycle_due) {
             self.changed = false;
             self.scheduling.next_cycle_at = now + CYCLE_INTERVAL_MS;
             self.schedule(now);
-        } else if resumes {
+        } else if has_interrupted_cycle {
             self.schedule(now);
         }
         self.advance_recovery(now);
--- a/src/control/leader/persistence.rs
+++ b/src/control/leader/persistence.rs
@@ -1,11 +1,11 @@
-//! What the leader writes to the state service, and what it learns when a
-//! transaction had no answer.
+//! Writes of the leader to the state service, and reconciliation after an
+//! indeterminate write.
 //!
-//! Owns the order in which records are written, the budget of a transaction
-//! and what its outcome changes in the cluster state. Called by the control
-//! loop, which sends the transactions, one at a time. Must never write without
-//! the condition on the leader's own key, nor treat an unknown outcome as a
-//! failure.
+//! Owns the order in which records are written, the size budget of a
+//! transaction and the changes that its outcome makes to the cluster state.
+//! Called by the control loop, which sends one transaction at a time.
+//! Invariants: each transaction holds the condition on the leader's own key,
+//! and an unknown outcome is never treated as a failure.
 
 use super::Leader;
 use crate::{
@@ -26,15 +26,17 @@
     },
 };
 
-/// Bytes of keys and values after which a transaction takes nothing more: of
-/// its 64 KiB, so that one more record and the conditions fit.
+/// Bytes of keys and values after which nothing more is added to a
+/// transaction. The limit of a transaction is 64 KiB; the rest leaves space for
+/// one more record and the conditions.
 const MAX_PLAN_BYTES: usize = 48 * 1024;
-/// What a write takes beside its key and value.
+/// Encoded size of a write in bytes, without its key and value.
 const WRITE_OVERHEAD_BYTES: usize = 40;
-/// What the list of images takes in a machine's record beside their names.
+/// Encoded size of the image list in a machine's record in bytes, without the
+/// image names.
 const IMAGE_LIST_BYTES: usize = 20;
 
-/// What one part of a transaction is to do, so that its outcome can be applied
+/// The purpose of one part of a transaction, from which the outcome is applied
 /// to the cluster state.
 #[derive(Debug, Clone, PartialEq)]
 pub enum WriteIntent {
@@ -50,12 +52,12 @@
         /// The job.
         job: JobHandle,
     },
-    /// Records that the job is not offloaded any more.
+    /// Records that the job is no longer offloaded.
     EndOffload {
         /// The job.
         job: JobHandle,
     },
-    /// Replaces the job's record by that of its terminal state.
+    /// Replaces the job's record by the record of its terminal state.
     Finish {
         /// The job.
         job: JobHandle,
@@ -64,11 +66,11 @@
         /// The terminal state.
         state: JobState,
     },
-    /// Records complete tasks.
+    /// Records completed tasks.
     RecordProgress {
         /// The job.
         job: JobHandle,
-        /// Segments of the completion bitmap that are written.
+        /// Indices of the completion bitmap segments that are written.
         segments: Vec<usize>,
     },
     /// Writes the record of a machine that is in use.
@@ -86,7 +88,7 @@
         /// The machine.
         machine: MachineHandle,
     },
-    /// Deletes a key that no record names.
+    /// Deletes a key that no record refers to.
     Delete {
         /// The key.
         key: String,
@@ -95,23 +97,24 @@
     UploadSpec {
         /// The job.
         job: JobHandle,
-        /// How many chunks are written after it.
+        /// Number of chunks that are written once the transaction is applied,
+        /// counted from the first chunk.
         chunks_written: usize,
     },
 }
 
-/// One transaction, and what its parts are to do.
+/// One transaction, with the intent of each of its parts.
 #[derive(Debug, Clone)]
 pub struct WritePlan {
-    /// As it is sent.
+    /// The transaction as it is sent to the state service.
     pub txn: Txn,
-    /// What it is to do.
+    /// The intents that are applied to the cluster state once the outcome is known.
     pub intents: Vec<WriteIntent>,
 }
 
-/// How much one transaction may hold. Writes are counted by the plan itself,
-/// bytes only of what is put through the budget: job records, segments, final
-/// records and spec chunks.
+/// Limits the size of one transaction. The number of writes is taken from the
+/// plan itself; bytes are counted only for writes that are put through the
+/// budget: job records, segments, final records and spec chunks.
 pub(super) struct WriteBudget {
     max_writes: usize,
     used_bytes: usize,
@@ -125,12 +128,12 @@
         }
     }
 
-    /// How many writes the plan may still take.
+    /// Returns the number of writes that may still be added to the plan.
     pub(super) fn writes_left(&self, plan: &WritePlan) -> usize {
         self.max_writes.saturating_sub(plan.txn.writes.len())
     }
 
-    /// Whether it may take one more write.
+    /// Whether one more write may be added to the plan.
     pub(super) fn has_write(&self, plan: &WritePlan) -> bool {
         self.writes_left(plan) > 0
     }
@@ -139,19 +142,19 @@
         self.used_bytes <= MAX_PLAN_BYTES
     }
 
-    /// Whether it may take what a job needs at most before it is cut short:
-    /// two writes.
+    /// Whether the writes of one more job may be added to the plan. A job needs
+    /// at most two writes, beside bitmap segments that can wait.
     fn has_job(&self, plan: &WritePlan) -> bool {
         self.writes_left(plan) >= 2 && self.has_bytes()
     }
 
-    /// Adds a write of this value to the plan, and counts its bytes.
+    /// Adds a write of the value to the plan and counts its bytes.
     fn put(&mut self, plan: &mut WritePlan, key: String, value: serde_json::Value) {
         let value_bytes = value.to_string().len();
         self.put_sized(plan, key, value, value_bytes);
     }
 
-    /// The same for a value of known size.
+    /// Adds a write of a value whose encoded size is known, and counts its bytes.
     pub(super) fn put_sized(
         &mut self,
         plan: &mut WritePlan,
@@ -168,7 +171,7 @@
     }
 }
 
-/// In which order the writes of jobs are planned.
+/// The passes in which the writes of jobs are planned, in this order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum JobPass {
     Cancellations,
@@ -176,7 +179,7 @@
     Progress,
 }
 
-/// What is to be written of one job.
+/// The write that is due for one job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum JobWrite {
     Cancel,
@@ -185,7 +188,7 @@
 }
 
 impl Leader {
-    /// That this leader's term is still the current one.
+    /// Returns the condition that this leader's term is still the current one.
     pub(super) fn leader_condition(&self) -> Condition {
         Condition {
             key: LEADER.into(),
@@ -193,7 +196,7 @@
         }
     }
 
-    /// The transaction that accepts a job, and the job's record in it.
+    /// Returns the transaction that accepts a job, and the job's record in it.
     pub fn acceptance(
         &self,
         spec: &JobSpec,
@@ -207,7 +210,7 @@
         (txn, record)
     }
 
-    /// A plan with nothing but that condition.
+    /// Returns a plan that holds only the condition on this leader's term.
     pub(super) fn empty_plan(&self) -> WritePlan {
         WritePlan {
             txn: Txn {
@@ -218,9 +221,10 @@
         }
     }
 
-    /// What is to be written next, at most `max_writes` changes. Cancellations
-    /// come first, as users wait for them, then machine records, as starts
-    /// wait for them, then terminal states, then progress.
+    /// Plans the next transaction, with at most `max_writes` writes.
+    /// Cancellations come first, because users wait for them, then machine
+    /// records, because starts wait for them, then terminal states, then
+    /// progress. Returns `None` if there is nothing to write.
     pub fn plan_writes(&mut self, max_writes: usize) -> Option<WritePlan> {
         if !self.recovery.loaded {
             return None;
@@ -231,11 +235,11 @@
             return Some(offloads);
         }
         let limits = self.settings.cluster.state.always();
-        let rate_to_spare = max_writes as f64 > limits.write_rps / 2.0;
+        let has_spare_rate = max_writes as f64 > limits.write_rps / 2.0;
         let mut budget = WriteBudget::new(max_writes.min(limits.txn_ops));
         let mut plan = self.empty_plan();
         self.plan_job_writes(JobPass::Cancellations, &mut plan, &mut budget);
-        let expired = self.plan_machine_records(&mut plan, &budget, rate_to_spare);
+        let expired = self.plan_machine_records(&mut plan, &budget, has_spare_rate);
         self.plan_job_writes(JobPass::Endings, &mut plan, &mut budget);
         self.plan_job_writes(JobPass::Progress, &mut plan, &mut budget);
         self.plan_offload_removals(&mut plan, &budget);
@@ -252,11 +256,11 @@
         (!plan.txn.writes.is_empty()).then_some(plan)
     }
 
-    /// Adds the writes of this pass for all jobs, as far as the budget goes;
-    /// in the first also spec chunks that a record has to wait for.
+    /// Adds the writes of one pass for all jobs, within the budget. The first
+    /// pass also adds spec chunks that must be written before a job's record.
     fn plan_job_writes(&mut self, pass: JobPass, plan: &mut WritePlan, budget: &mut WriteBudget) {
         let value_kb = self.settings.cluster.state.always().value_kb;
-        let knows_all = self.recovery.knows_all_tasks();
+        let all_tasks_known = self.recovery.knows_all_tasks();
         for (handle, job) in self.cluster.jobs.iter_mut() {
             if !budget.has_job(plan) {
                 break;
@@ -264,8 +268,9 @@
             if job.write_in_flight {
                 continue;
             }
-            let (due, write) = JobWrite::due(job, knows_all);
-            // The record can't be written as it is: first the spec chunks.
+            let (due, write) = JobWrite::due(job, all_tasks_known);
+            // The record is too large to be written with the spec inline: the spec
+            // chunks have to be written first.
             if write.keeps_record(job) && self.spec_uploads.is_due(job, value_kb) {
                 if pass == JobPass::Cancellations {
                     self.spec_uploads.plan(handle, job, plan, budget);
@@ -286,14 +291,15 @@
         }
     }
 
-    /// Adds machine records that something waits for, and deletions of keys
-    /// that no record names. Returns the machines whose lease expiry remains
-    /// to be recorded, which nothing waits for.
+    /// Adds machine records that starts or releases wait for, other due updates
+    /// of registered machines, and deletions of keys that no record refers to.
+    /// Returns the machines whose lease expiry remains to be recorded, which
+    /// nothing waits for.
     fn plan_machine_records(
         &mut self,
         plan: &mut WritePlan,
         budget: &WriteBudget,
-        rate_to_spare: bool,
+        has_spare_rate: bool,
     ) -> Vec<MachineHandle> {
         let mut expired = Vec::new();
         for index in self.cluster.machine_range() {
@@ -311,11 +317,12 @@
                 continue;
             }
             let registered = machine.registration == Registration::Present;
-            let release = machine.releasing && !machine.release_recorded;
-            // Not urgent, so only while much of the rate budget is left.
-            let images = machine.images_unrecorded && machine.up && rate_to_spare;
-            let update = release || images || machine.quarantine_unrecorded;
-            if machine.awaits_record() || registered && update {
+            let release_due = machine.releasing && !machine.release_recorded;
+            // Image lists are not urgent: they are written only while the plan
+            // may hold more writes than half of `write_rps`.
+            let images_due = machine.images_unrecorded && machine.up && has_spare_rate;
+            let update_due = release_due || images_due || machine.quarantine_unrecorded;
+            if machine.awaits_record() || registered && update_due {
                 self.plan_machine(machine_handle, plan);
             }
         }
@@ -339,7 +346,7 @@
         }
     }
 
-    /// Adds a machine's record to what is to be written.
+    /// Adds the write of a machine's record to the plan.
     fn plan_machine(&mut self, machine_handle: MachineHandle, plan: &mut WritePlan) {
         let Some(machine) = self.cluster.machine(machine_handle) else {
             return;
@@ -383,19 +390,22 @@
             machine.write_in_flight = true;
             machine.images_unrecorded = false;
             machine.quarantine_unrecorded = false;
-            // From now on, as an indeterminate write may be applied late.
+            // Set before the outcome is known, because an indeterminate write may
+            // be applied late.
             machine.recorded_empty |= recorded_empty;
         }
     }
 
-    /// The images used last, as many as its value has room for.
+    /// Adds the most recently used images to the record, as many as fit into its
+    /// value.
     fn with_images(&self, mut record: MachineRecord, images: &[u32]) -> MachineRecord {
         let limit = self.settings.cluster.state.always().value_kb * 1024.0;
         let without_images = serde_json::to_value(&record).map_or(0, |v| v.to_string().len());
         let mut bytes_left = (limit as usize).saturating_sub(without_images + IMAGE_LIST_BYTES);
         for image in images.iter().rev() {
             let name = self.cluster.images.name(*image as usize);
-            // As text in the value, however it is escaped there.
+            // The size of the name as it is encoded in the value, with escapes and
+            // a separator.
             let bytes = serde_json::to_string(name).map_or(usize::MAX, |text| text.len() + 1);
             if bytes > bytes_left {
                 break;
@@ -406,7 +416,7 @@
         record
     }
 
-    /// The transaction was applied at this revision.
+    /// Applies a transaction that succeeded at this revision to the cluster state.
     pub fn writes_applied(&mut self, plan: &WritePlan, revision: u64, now: Millis) {
         for intent in &plan.intents {
             match intent {
@@ -447,7 +457,8 @@
                         machine.record_version = revision;
                         machine.release_recorded |=
                             matches!(intent, WriteIntent::MarkReleasing { .. });
-                        // Whatever was written before it can't be applied now.
+                        // An earlier indeterminate write can't be applied any
+                        // more, as this one changed the record's version.
                         machine.recorded_empty &=
                             !matches!(intent, WriteIntent::Registration { .. });
                     }
@@ -472,14 +483,15 @@
         job.ending_in_flight = false;
         job.cancelled = true;
         let status = job.status();
-        // An offload write that was in flight can't be applied any more.
+        // An offload write that was in flight can't be applied any more, as the
+        // record's version has changed.
         job.offload.mark_refused();
-        log::info!("job {id} cancelled, by its record at revision {revision} in term {term}");
+        log::info!("job {id} cancelled: recorded at revision {revision} in term {term}");
         self.final_states.learn(&status, now);
         self.dependencies.job_cancelled(handle);
     }
 
-    /// The record of its terminal state is in force, at this revision.
+    /// Removes a job whose terminal state has been recorded at this revision.
     pub(super) fn job_ended(
         &mut self,
         handle: JobHandle,
@@ -498,9 +510,7 @@
             done: job.completed_count,
             running: 0,
         };
-        log::info!(
-            "job {id} is over, {state}, by its record at revision {revision} in term {term}"
-        );
+        log::info!("job {id} ended as {state}: recorded at revision {revision} in term {term}");
         let segments = job.dirty_segments.len();
         let spec_chunks = job.spec_chunks.clone();
         let deletes = &mut self.write_queue.unconditional_deletes;
@@ -515,16 +525,17 @@
         self.changed = true;
     }
 
-    /// The transaction had no answer: it may be in force, or be applied later,
-    /// and it may take long until its keys can be read. Until then its jobs are
-    /// handled as if their endings were in force, as a user may have read them
-    /// in the records: tasks of a cancelled job must not run on through an
-    /// outage, nor may a job that was read as over be answered as unfinished.
+    /// Notes that a transaction got no response, so that its outcome is unknown:
+    /// it may have been applied or may be applied later, and it may take long
+    /// until its keys can be read. Until then the jobs that it ends are handled
+    /// as ended, because a user may have read the records already: tasks of a
+    /// cancelled job must not keep running through an outage, and a job whose
+    /// terminal state was read must not be reported as unfinished.
     pub fn outcome_unknown(&mut self, plan: &WritePlan) {
         log::info!(
-            "write with unknown outcome in term {}: {}",
+            "outcome of a write in term {} is unknown: {}",
             self.term,
-            describe_endings(plan).unwrap_or_else(|| "it ends no job".to_owned())
+            describe_endings(plan).unwrap_or_else(|| "no job is ended by it".to_owned())
         );
         for intent in &plan.intents {
             let (job, cancels) = match intent {
@@ -540,14 +551,15 @@
         self.changed = true;
     }
 
-    /// Keys to read again after a transaction that had no answer or failed.
+    /// Returns the keys to read again after a transaction that failed or whose
+    /// outcome is unknown.
     pub fn keys_to_reread(plan: &WritePlan) -> Vec<String> {
         let keys = plan.txn.conditions.iter().map(|c| &c.key);
         keys.filter(|key| *key != LEADER).cloned().collect()
     }
 
-    /// A key of such a transaction as it stands now. All keys must have been
-    /// read before `reconciled` is called.
+    /// Applies the current value and version of one of the `keys_to_reread`. All
+    /// of these keys must have been read before `reconciled` is called.
     pub fn reconcile_key(
         &mut self,
         key: &str,
@@ -626,28 +638,29 @@
         }
     }
 
-    /// What was found of a transaction that was indeterminate, for the log.
+    /// Logs how many of the job endings of an indeterminate transaction were
+    /// applied.
     pub fn log_reconciliation(&self, plan: &WritePlan) {
         let Some(endings) = describe_endings(plan) else {
             return;
         };
-        let in_force = |intent: &&WriteIntent| match intent {
+        let is_applied = |intent: &&WriteIntent| match intent {
             WriteIntent::Cancel { id, .. } | WriteIntent::Finish { id, .. } => {
                 self.status(id).is_some_and(|s| s.state.is_final())
             }
             _ => false,
         };
-        let count = plan.intents.iter().filter(in_force).count();
+        let count = plan.intents.iter().filter(is_applied).count();
         log::info!(
-            "reconciled in term {}: {endings}: {count} in force",
+            "reconciled an indeterminate write in term {}: {endings}: {count} applied",
             self.term
         );
     }
 
-    /// All keys of such a transaction have been read: what it did not write is
-    /// to be planned again.
+    /// Ends the reconciliation of a transaction, after all of its keys have been
+    /// read: writes that were not applied can be planned again.
     pub fn reconciled(&mut self, plan: &WritePlan) {
-        // What was found may have made machines or jobs ready.
+        // The values that were read may have made machines or jobs ready.
         self.changed = true;
         for intent in &plan.intents {
             match intent {
@@ -684,7 +697,8 @@
     }
 }
 
-/// Jobs that a transaction cancels or ends, the first few by name.
+/// Describes the jobs that a transaction cancels or ends, the first few by id.
+/// Returns `None` if it ends no job.
 fn describe_endings(plan: &WritePlan) -> Option<String> {
     const MAX_NAMED_JOBS: usize = 5;
     let endings = plan.intents.iter().filter_map(|intent| match intent {
@@ -703,12 +717,13 @@
 }
 
 impl JobWrite {
-    /// What is to be written of the job, and in which pass. `knows_all`: this
-    /// leader knows of each task that an earlier one may have started.
-    fn due(job: &Job, knows_all: bool) -> (JobPass, JobWrite) {
-        let nothing_runs = job.live_count == 0 && knows_all;
-        // A job that is to be cancelled and has no task anywhere is ended at
-        // once, without a cancellation in its record before that.
+    /// Returns the write that is due for the job, and the pass it belongs to.
+    /// `all_tasks_known` tells whether this leader knows every task that an
+    /// earlier leader may have started.
+    fn due(job: &Job, all_tasks_known: bool) -> (JobPass, JobWrite) {
+        let nothing_runs = job.live_count == 0 && all_tasks_known;
+        // A job that is to be cancelled and has no live task is ended at once,
+        // without first recording the cancellation in its record.
         let to_cancel = job.cancelled || job.cancel_requested && job.offload.is_local();
         let ending = if job.is_complete() && !job.cancelled {
             Some(JobState::Done)
@@ -717,8 +732,9 @@
         } else {
             None
         };
-        let awaited = job.cancel_requested && !job.cancelled && ending != Some(JobState::Done);
-        match (ending, awaited) {
+        let cancellation_awaited =
+            job.cancel_requested && !job.cancelled && ending != Some(JobState::Done);
+        match (ending, cancellation_awaited) {
             (Some(state), true) => (JobPass::Cancellations, JobWrite::End(state)),
             (Some(state), false) => (JobPass::Endings, JobWrite::End(state)),
             (None, true) => (JobPass::Cancellations, JobWrite::Cancel),
@@ -726,8 +742,8 @@
         }
     }
 
-    /// Whether the job's record is to be written anew and kept, by this write
-    /// or for its offload state.
+    /// Whether this write, or a pending change of the offload state, rewrites the
+    /// job's record instead of deleting it.
     fn keeps_record(self, job: &Job) -> bool {
         match self {
             JobWrite::Cancel => true,
@@ -784,14 +800,14 @@
     job.ending_in_flight = true;
 }
 
-/// The job's record goes with its dirty segments, as many as the budget
-/// allows, so that its version moves on: an older state of a segment that is
-/// applied late can't overwrite a newer one.
+/// Plans the write of the job's record and of its dirty segments, as many as the
+/// budget allows. The record is always included so that its version advances: an
+/// older state of a segment that is applied late can't overwrite a newer one.
 fn plan_progress(handle: JobHandle, job: &mut Job, plan: &mut WritePlan, budget: &mut WriteBudget) {
     plan.txn.conditions.push(job.record_condition());
     let record = job_record(job, false, job.offload.recorded_target());
     budget.put(plan, job_key(&job.id), record);
-    // The first segment is in the record.
+    // The first segment is stored in the record itself.
     let mut segments = vec![0];
     for segment in 1..job.dirty_segments.len() {
         if job.dirty_segments[segment] && budget.has_write(plan) {
@@ -810,8 +826,8 @@
     job.write_in_flight = true;
 }
 
-/// The transaction that accepts a job on a node that can't reach a leader,
-/// with an entry in the feed that the next leader reads.
+/// Returns the transaction that accepts a job on a node that can't reach a
+/// leader, with an entry in the acceptance feed that the next leader reads.
 pub fn acceptance_with_feed_entry(record: &JobRecord) -> Txn {
     let mut txn = acceptance(record);
     txn.writes.push(Write::Put {
@@ -822,7 +838,7 @@
     txn
 }
 
-/// The transaction that accepts a job, by any node.
+/// Returns the part of an acceptance transaction that is the same on all nodes.
 fn acceptance(record: &JobRecord) -> Txn {
     let id = &record.spec.id;
     Txn {
@@ -844,7 +860,7 @@
     }
 }
 
-/// The job's record as it is to be written.
+/// Encodes the job's record for writing.
 pub(super) fn job_record(
     job: &Job,
     cancelled: bool,
--- a/src/control/leader/recovery.rs
+++ b/src/control/leader/recovery.rs
@@ -1,9 +1,9 @@
-//! Recovery after an election: how far this leader has come, and how long each phase
-//! took, for the log and for metrics.
+//! Recovery after an election: the phase that this leader has reached, and how long each
+//! phase took, for the log and for metrics.
 //!
-//! Owns `Recovery`. Read by all that may only act once the records are read or every
-//! machine is confirmed; changed by loading, expiry and failover. A phase is never left
-//! before its condition holds.
+//! Owns `Recovery`. Read by the modules that may act only once the records are read or
+//! every machine is confirmed; changed by loading, lease expiry and failover. Invariant:
+//! a phase is never left before its condition holds.
 
 use super::Leader;
 use crate::{
@@ -11,19 +11,20 @@
     state::Millis,
 };
 
-/// How long workers take to find a new leader at most, where no node is unresponsive.
-const FIRST: Millis = 1_500;
+/// Longest time in which a worker finds a new leader if no node is unresponsive.
+const LEADER_DISCOVERY_MS: Millis = 1_500;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// Reads jobs and machine registry.
+    /// The jobs and the machine registry are being read.
     Loading,
-    /// Waits for a heartbeat of every machine, or for its lease to expire, unless what
-    /// may run there is known.
+    /// The leader waits until every machine has sent a heartbeat or its lease has expired.
+    /// After a warm failover this phase ends at once, as all tasks that may run are known.
     Settling,
-    /// Starts what waited meanwhile and is urgent: services and gangs.
+    /// Services and gangs that waited during recovery are started, as these are urgent.
     Starting,
-    Whole,
+    /// Recovery is complete.
+    Recovered,
 }
 
 impl Phase {
@@ -32,7 +33,7 @@
             Phase::Loading => "loading",
             Phase::Settling => "settling",
             Phase::Starting => "starting",
-            Phase::Whole => "whole",
+            Phase::Recovered => "whole",
         }
     }
 
@@ -40,106 +41,115 @@
         match self {
             Phase::Loading => Phase::Settling,
             Phase::Settling => Phase::Starting,
-            Phase::Starting | Phase::Whole => Phase::Whole,
+            Phase::Starting | Phase::Recovered => Phase::Recovered,
         }
     }
 }
 
-/// How far this leader has recovered, and what it may rely on until every machine is
+/// The progress of recovery, and what this leader may rely on until every machine is
 /// confirmed.
 pub(super) struct Recovery {
     pub(super) elected_at: Millis,
-    /// Jobs and machine registry have been read.
+    /// Whether the jobs and the machine registry have been read.
     pub(super) loaded: bool,
-    /// Every machine is confirmed by a heartbeat, or its lease has expired.
+    /// Whether every machine is confirmed by a heartbeat or its lease has expired.
     pub(super) settled: bool,
-    /// When this process last resumed after a pause.
+    /// When this process last resumed after a pause or a delay.
     pub(super) resumed_at: Millis,
     pub(super) failover: super::failover::Failover,
-    /// Machines that are up, and those that are not confirmed yet.
+    /// Number of machines that are up.
     pub(super) responsive_machines: usize,
+    /// Number of machines whose tasks have not been confirmed yet.
     pub(super) unconfirmed_machines: usize,
-    /// By when a worker that can send a heartbeat has sent one.
-    pub(super) heartbeats_due_by: Millis,
+    /// Time by which every worker that can reach this leader has sent a heartbeat.
+    pub(super) heartbeats_due_at: Millis,
     phase: Phase,
-    since: Millis,
+    phase_started_at: Millis,
 }
 
 impl Recovery {
-    pub(super) fn started(now: Millis, report: Millis) -> Self {
+    pub(super) fn started(now: Millis, report_interval_ms: Millis) -> Self {
         Recovery {
             responsive_machines: 0,
             unconfirmed_machines: 0,
-            heartbeats_due_by: now + report + report / 4 + FIRST,
+            heartbeats_due_at: now
+                + report_interval_ms
+                + report_interval_ms / 4
+                + LEADER_DISCOVERY_MS,
             elected_at: now,
             loaded: false,
             settled: false,
             resumed_at: now,
             failover: Default::default(),
             phase: Phase::Loading,
-            since: now,
+            phase_started_at: now,
         }
     }
 
-    /// Enough machines are confirmed to judge that capacity is short. Guards against
-    /// preempting for work that fits on a machine confirmed a second later.
+    /// Whether enough machines are confirmed to conclude that capacity is short: no more
+    /// unconfirmed machines than a tenth of those that are up, or all heartbeats are due.
+    /// Guards against preempting for work that fits on a machine confirmed a second later.
     pub(super) fn heard_from_most(&self, now: Millis) -> bool {
         self.settled
             || 10 * self.unconfirmed_machines <= self.responsive_machines
-            || now >= self.heartbeats_due_by
+            || now >= self.heartbeats_due_at
     }
 
-    /// All that may run is in the cluster state, confirmed or not.
+    /// Whether all tasks that may run are in the cluster state, confirmed or not.
     pub(super) fn knows_all_tasks(&self) -> bool {
         self.settled || self.failover.warm
     }
 }
 
 impl Leader {
-    /// For how long no leader was observed before this term.
-    pub fn set_leaderless_time(&mut self, ms: Millis) {
-        self.record_phase_duration("leaderless", ms);
+    /// Records for how long no leader was observed before this term.
+    pub fn set_leaderless_time(&mut self, duration_ms: Millis) {
+        self.record_phase_duration("leaderless", duration_ms);
     }
 
-    fn record_phase_duration(&mut self, phase: &'static str, ms: Millis) {
-        log::info!("term {}: {phase} took {ms} ms", self.term);
-        self.events.tally.phases.push((phase, ms as f64 / 1000.0));
+    fn record_phase_duration(&mut self, phase: &'static str, duration_ms: Millis) {
+        log::info!("term {}: {phase} phase took {duration_ms} ms", self.term);
+        self.events
+            .tally
+            .phases
+            .push((phase, duration_ms as f64 / 1000.0));
     }
 
-    /// Notes which phases are over.
+    /// Ends each phase whose condition holds, and records its duration.
     pub(super) fn advance_recovery(&mut self, now: Millis) {
         loop {
             let phase = self.recovery.phase;
-            let over = match phase {
+            let ended = match phase {
                 Phase::Loading => self.recovery.loaded,
                 Phase::Settling => self.recovery.knows_all_tasks(),
                 Phase::Starting => !self.has_urgent_starts(),
-                Phase::Whole => return,
+                Phase::Recovered => return,
             };
-            if !over {
+            if !ended {
                 return;
             }
-            self.record_phase_duration(phase.name(), now - self.recovery.since);
-            (self.recovery.phase, self.recovery.since) = (phase.next(), now);
-            if self.recovery.phase == Phase::Whole {
+            self.record_phase_duration(phase.name(), now - self.recovery.phase_started_at);
+            (self.recovery.phase, self.recovery.phase_started_at) = (phase.next(), now);
+            if self.recovery.phase == Phase::Recovered {
                 let all = now - self.recovery.elected_at;
                 log::info!("term {}: recovered after {all} ms", self.term);
             }
         }
     }
 
-    /// Services or gangs from before it settled wait for capacity that they may use.
-    /// Batches do not count: they may wait for minutes on any day.
+    /// Whether services or gangs that were known when the starting phase began still wait
+    /// for capacity that they may use. Arrays do not count: they may wait for minutes in
+    /// normal operation.
     fn has_urgent_starts(&self) -> bool {
-        let since = self.recovery.since;
-        self.cluster.jobs.values().any(|j| {
-            j.spec.kind != Kind::Array
-                && j.waiting_count() > 0
-                && j.known_since <= since
-                && !j.cancelled
-                && !j.cancel_requested
+        let phase_started_at = self.recovery.phase_started_at;
+        self.cluster.jobs.values().any(|job| {
+            job.spec.kind != Kind::Array
+                && job.waiting_count() > 0
+                && job.known_since <= phase_started_at
+                && !job.cancelled
+                && !job.cancel_requested
                 && !matches!(
-                    j.reason,
+                    job.reason,
                     PendingReason::TeamLimit | PendingReason::FailsEverywhere
                 )
         })
