--- a/src/control/leader/direct_commands.rs
+++ b/src/control/leader/direct_commands.rs
@@ -1,9 +1,10 @@
-//! Commands sent to machines at once, between their heartbeats.
+//! Direct commands: commands sent to machines immediately, without waiting for
+//! their next heartbeat.
 //!
-//! The server sends what `direct_deliveries` returns and reports each outcome
-//! to `direct_delivery_finished`. At most one is in flight for a machine, and
-//! one of unknown outcome is never taken for refused: the machine's fencing
-//! token is raised instead.
+//! The server sends the deliveries that `direct_deliveries` returns and reports
+//! each outcome to `direct_delivery_finished`. Invariants: at most one delivery
+//! is in flight per machine, and a delivery of unknown outcome is never treated
+//! as refused; instead the machine's fencing token is raised.
 
 use super::{Leader, millis};
 use crate::{
@@ -16,40 +17,40 @@
 /// Commands to be sent to one machine now.
 #[derive(Debug, Clone)]
 pub struct DirectDelivery {
-    /// Its name.
+    /// Name of the machine.
     pub machine: String,
-    /// Where its worker listens.
+    /// Address on which the machine's worker listens.
     pub addr: SocketAddr,
-    /// The commands, with the fencing token they are sent under.
+    /// The commands, with the fencing token under which they are sent.
     pub commands: DirectCommands,
 }
 
 /// Outcome of a direct delivery.
 pub enum DirectDeliveryOutcome {
-    /// Executed; the status that came back.
+    /// The commands were executed. Holds the status that came back.
     Executed(Heartbeat),
-    /// Refused, with a status if one came back.
+    /// The commands were refused. Holds the status if one came back.
     Refused(Option<Heartbeat>),
-    /// It never left this process.
+    /// The delivery was never sent.
     NotSent,
-    /// Outcome unknown: it may still be executed.
+    /// No response was received: the commands may have been executed, or may still be.
     NoAnswer,
 }
 
 impl Leader {
-    /// Deliveries to send now, each recorded as in flight.
+    /// Returns the deliveries to send now, and marks each as in flight.
     pub fn direct_deliveries(&mut self, now: Millis) -> Vec<DirectDelivery> {
-        let mut out = Vec::new();
+        let mut deliveries = Vec::new();
         if !self.recovery.loaded {
-            return out;
+            return deliveries;
         }
         let confirmed = self.standbys.confirmed_change();
         for index in self.cluster.machine_range() {
-            let Some((machine_handle, m)) = self.cluster.machine_at(index) else {
+            let Some((machine_handle, machine)) = self.cluster.machine_at(index) else {
                 continue;
             };
-            let ready = m.up && !m.command_in_flight && now >= m.command_retry_at;
-            if !ready || !reconciliation::needs_direct_commands(m, confirmed) {
+            let ready = machine.up && !machine.command_in_flight && now >= machine.command_retry_at;
+            if !ready || !reconciliation::needs_direct_commands(machine, confirmed) {
                 continue;
             }
             let token = self.fencing_token(machine_handle);
@@ -61,29 +62,29 @@
                 confirmed,
             );
             self.count_commands(&commands);
-            if let Some(m) = self.cluster.machine_mut(machine_handle)
-                && let Some(addr) = m.addr
+            if let Some(machine) = self.cluster.machine_mut(machine_handle)
+                && let Some(addr) = machine.addr
             {
-                m.command_in_flight = true;
-                let starts = |c: &Command| matches!(c, Command::Start { .. });
-                if commands.iter().any(starts) {
-                    m.start_sent_at = Some(now);
+                machine.command_in_flight = true;
+                let is_start = |c: &Command| matches!(c, Command::Start { .. });
+                if commands.iter().any(is_start) {
+                    machine.start_sent_at = Some(now);
                 }
-                out.push(DirectDelivery {
-                    machine: m.name.clone(),
+                deliveries.push(DirectDelivery {
+                    machine: machine.name.clone(),
                     addr,
                     commands: DirectCommands {
                         fencing_token: token,
-                        incarnation: m.incarnation,
+                        incarnation: machine.incarnation,
                         commands,
                     },
                 });
             }
         }
-        out
+        deliveries
     }
 
-    /// Applies the outcome of a delivery made under `token`.
+    /// Applies the outcome of a delivery that was sent under `token`.
     pub fn direct_delivery_finished(
         &mut self,
         machine: &str,
@@ -94,18 +95,18 @@
         let Some(machine_handle) = self.cluster.machine_handle(machine) else {
             return;
         };
-        let retry = millis(self.settings.cluster.workers.report_s) * 2;
-        if let Some(m) = self.cluster.machine_mut(machine_handle) {
-            m.command_in_flight = false;
-            if let Some(sent) = m.start_sent_at.take() {
+        let retry_delay_ms = millis(self.settings.cluster.workers.report_s) * 2;
+        if let Some(machine_state) = self.cluster.machine_mut(machine_handle) {
+            machine_state.command_in_flight = false;
+            if let Some(sent_at) = machine_state.start_sent_at.take() {
                 match &outcome {
-                    // Its sequence number does not show whether this worker
-                    // process is the one answered last: a restarted one may
-                    // have counted further, and so may a new incarnation that
-                    // was never answered.
-                    DirectDeliveryOutcome::Executed(_) => m.latest_possible_start = now,
+                    // The sequence number in the status does not show whether
+                    // this worker process is the one that was answered last: a
+                    // restarted one may have counted further, and so may a new
+                    // incarnation that was never answered.
+                    DirectDeliveryOutcome::Executed(_) => machine_state.latest_possible_start = now,
                     DirectDeliveryOutcome::NoAnswer => {
-                        m.latest_possible_start = sent + DIRECT_COMMAND_TIMEOUT_MS
+                        machine_state.latest_possible_start = sent_at + DIRECT_COMMAND_TIMEOUT_MS
                     }
                     DirectDeliveryOutcome::Refused(_) | DirectDeliveryOutcome::NotSent => {}
                 }
@@ -128,8 +129,8 @@
                     token,
                     false,
                 );
-                if let Some(m) = self.cluster.machine_mut(machine_handle) {
-                    m.command_retry_at = now + retry;
+                if let Some(machine_state) = self.cluster.machine_mut(machine_handle) {
+                    machine_state.command_retry_at = now + retry_delay_ms;
                 }
                 if let Some(report) = report {
                     self.apply_heartbeat(machine_handle, &report, StatusSource::DirectCommand, now);
@@ -142,16 +143,16 @@
                     token,
                     false,
                 );
-                if let Some(m) = self.cluster.machine_mut(machine_handle) {
-                    m.command_retry_at = now + retry;
+                if let Some(machine_state) = self.cluster.machine_mut(machine_handle) {
+                    machine_state.command_retry_at = now + retry_delay_ms;
                 }
             }
             DirectDeliveryOutcome::NoAnswer => {
-                // It may be executed minutes later: raise the fencing token, so
-                // that the machine refuses it once it has seen the new one.
-                if let Some(m) = self.cluster.machine_mut(machine_handle) {
-                    m.token_epoch += 1;
-                    m.command_retry_at = now + retry;
+                // The delivery may be executed minutes later. Raising the fencing
+                // token makes the machine refuse it once it has seen the new token.
+                if let Some(machine_state) = self.cluster.machine_mut(machine_handle) {
+                    machine_state.token_epoch += 1;
+                    machine_state.command_retry_at = now + retry_delay_ms;
                 }
                 self.require_new_token(machine_handle);
             }
--- a/src/control/leader/expiry.rs
+++ b/src/control/leader/expiry.rs
@@ -1,8 +1,9 @@
-//! What time alone brings: lease expiry, reclaim notices, and stops of tasks that may
-//! not go on.
+//! Changes that follow from the passage of time: expiry of worker leases, checkpoints on
+//! reclaim notices, and stops of tasks that must not continue.
 //!
-//! Called from `tick`. It must never take missed heartbeats for a failed machine where
-//! this process paused, nor take its tasks for gone before its lease has expired.
+//! Called from `tick`. Invariants: heartbeats missed during a pause of this process never
+//! count as the failure of a machine, and the tasks of a machine are never treated as
+//! gone before its lease has expired.
 
 use super::{Leader, millis};
 use crate::{
@@ -13,163 +14,180 @@
     },
 };
 
-/// So many overdue machines at once, if they are most of all, show that this node
-/// receives nothing, not that they failed.
+/// Least number of machines that must be overdue at the same time, and be more than half
+/// of those that are up, to conclude that this node receives nothing rather than that the
+/// machines failed.
 const MIN_OVERDUE_MACHINES: usize = 3;
-/// For how long nothing is requested in their place: they may find their way to this
-/// leader.
+/// How long no replacements are requested after most machines were overdue, in
+/// milliseconds: their workers may still find this leader.
 const NO_SCALE_OUT_MS: Millis = 5_000;
 
 impl Leader {
-    /// This process paused, or could not keep up, until now. What arrived meanwhile is
-    /// still to be read, so no machine is taken for unresponsive before that.
+    /// Notes that this process was paused, or could not keep up, until now. Heartbeats that
+    /// arrived meanwhile are still to be read, so until then no machine counts as
+    /// unresponsive.
     ///
-    /// Lease expiry is another matter: nothing was answered during the pause, so leases
+    /// Lease expiry is not delayed: no heartbeat was answered during the pause, so the leases
     /// did expire.
     pub fn process_resumed(&mut self, now: Millis) {
         self.recovery.resumed_at = now;
     }
 
-    /// Machines whose heartbeats are overdue, and how many others are up.
+    /// Returns the machines whose heartbeats are overdue, at most 500 of them, and the number
+    /// of other machines that are up.
     pub fn overdue_machines(&self, now: Millis) -> (Vec<String>, usize) {
-        let report = millis(self.settings.cluster.workers.report_s);
-        let mut heard = 0;
+        let report_interval_ms = millis(self.settings.cluster.workers.report_s);
+        let mut responsive = 0;
         let mut names = Vec::new();
         for m in self.cluster.each_machine().filter(|m| m.up) {
-            if now > m.last_heartbeat.max(self.recovery.resumed_at) + report + report / 2 + 500 {
+            if now
+                > m.last_heartbeat.max(self.recovery.resumed_at)
+                    + report_interval_ms
+                    + report_interval_ms / 2
+                    + 500
+            {
                 names.push(m.name.clone());
             } else {
-                heard += 1;
+                responsive += 1;
             }
         }
         names.truncate(500);
-        (names, heard)
+        (names, responsive)
     }
 
     pub(super) fn expire_leases(&mut self, now: Millis) {
-        let after = self.lease_expiry();
-        let overdue = millis(self.settings.cluster.workers.report_s * 2.5) + 500;
+        let lease_expiry_ms = self.lease_expiry();
+        let overdue_ms = millis(self.settings.cluster.workers.report_s * 2.5) + 500;
         let resumed = self.recovery.resumed_at;
-        let mut silent = vec![0; self.cluster.zones.len()];
-        let (mut up, mut overdue_now, mut unheard) = (0, 0, 0);
+        let mut unresponsive_by_zone = vec![0; self.cluster.zones.len()];
+        let (mut up, mut overdue_count, mut unconfirmed) = (0, 0, 0);
         for index in self.cluster.machine_range() {
-            let Some((machine_handle, m)) = self.cluster.machine_at(index) else {
+            let Some((machine_handle, machine)) = self.cluster.machine_at(index) else {
                 continue;
             };
-            let suspect = m.up && now > m.last_heartbeat.max(resumed) + overdue;
-            if suspect || (!m.up && (m.incarnation > 0 || m.registration == Registration::Present))
+            let is_overdue = machine.up && now > machine.last_heartbeat.max(resumed) + overdue_ms;
+            if is_overdue
+                || (!machine.up
+                    && (machine.incarnation > 0 || machine.registration == Registration::Present))
             {
-                silent[m.zone] += 1;
+                unresponsive_by_zone[machine.zone] += 1;
             }
-            up += usize::from(m.up);
-            unheard += usize::from(m.contents_unknown);
-            overdue_now += usize::from(suspect || m.up && m.misses_responses());
-            let changed = m.overdue != suspect;
-            let lapsed = (m.up || m.contents_unknown) && now > m.lease_start() + after;
-            if !changed && !lapsed {
+            up += usize::from(machine.up);
+            unconfirmed += usize::from(machine.contents_unknown);
+            overdue_count += usize::from(is_overdue || machine.up && machine.misses_responses());
+            let overdue_changed = machine.overdue != is_overdue;
+            let lease_expired = (machine.up || machine.contents_unknown)
+                && now > machine.lease_start() + lease_expiry_ms;
+            if !overdue_changed && !lease_expired {
                 continue;
             }
-            let Some(m) = self.cluster.machine_mut(machine_handle) else {
+            let Some(machine) = self.cluster.machine_mut(machine_handle) else {
                 continue;
             };
-            if changed {
-                m.overdue = suspect;
-                m.overdue_since = now;
+            if overdue_changed {
+                machine.overdue = is_overdue;
+                machine.overdue_since = now;
                 self.changed = true;
-                log::debug!("machine {} overdue: {suspect}", m.name);
+                log::debug!("machine {}: heartbeats overdue: {is_overdue}", machine.name);
             }
-            if !lapsed {
+            if !lease_expired {
                 continue;
             }
             log::info!(
-                "machine {} unresponsive: its lease has expired, {} tasks gone",
-                m.name,
-                m.live_tasks()
+                "machine {} is unresponsive: its lease has expired, {} tasks lost",
+                machine.name,
+                machine.live_tasks()
             );
-            m.up = false;
-            m.contents_unknown = false;
-            // Also for one whose heartbeats were all out of date.
-            m.min_incarnation = m.incarnation.max(m.latest_heartbeat.0) + 1;
-            m.state_since = now;
+            machine.up = false;
+            machine.contents_unknown = false;
+            // Taken from the latest heartbeat too, for a machine whose heartbeats were all
+            // stale.
+            machine.min_incarnation = machine.incarnation.max(machine.latest_heartbeat.0) + 1;
+            machine.state_since = now;
             self.cluster.clear_machine(machine_handle);
             self.changed = true;
         }
         (
             self.recovery.responsive_machines,
             self.recovery.unconfirmed_machines,
-        ) = (up, unheard);
-        if overdue_now >= MIN_OVERDUE_MACHINES && 2 * overdue_now > up {
+        ) = (up, unconfirmed);
+        if overdue_count >= MIN_OVERDUE_MACHINES && 2 * overdue_count > up {
             self.scaling.no_scale_out_until = now + NO_SCALE_OUT_MS;
         }
-        self.update_zone_health(&silent, overdue, now);
+        self.update_zone_health(&unresponsive_by_zone, overdue_ms, now);
     }
 
-    /// The cloud reclaims a machine: tasks with checkpoints save now, as the notice may
-    /// be half as long as it says. The others may yet complete.
+    /// Stops the checkpointing tasks of machines that the cloud reclaims, so that they save
+    /// now: the notice may be half as long as it says. Tasks without checkpoints keep running,
+    /// as they may still complete.
     pub(super) fn checkpoint_before_reclaim(&mut self) {
         for index in self.cluster.machine_range() {
             let machine = self.cluster.machine_at(index);
             let Some((machine_handle, m)) = machine.filter(|(_, m)| m.reclaim_at.is_some()) else {
                 continue;
             };
-            let saving: Vec<usize> = m
+            let to_checkpoint: Vec<usize> = m
                 .tasks
                 .iter()
                 .enumerate()
-                .filter(|(_, a)| a.phase == Phase::Running && a.stop_grace_s.is_none())
-                .filter(|(_, a)| {
-                    a.job
+                .filter(|(_, task)| task.phase == Phase::Running && task.stop_grace_s.is_none())
+                .filter(|(_, task)| {
+                    task.job
                         .and_then(|job| self.cluster.job(job))
-                        .is_some_and(|j| j.spec.checkpoint_interval_s > 0.0)
+                        .is_some_and(|job_state| job_state.spec.checkpoint_interval_s > 0.0)
                 })
-                .map(|(at, _)| at)
+                .map(|(index_on_machine, _)| index_on_machine)
                 .collect();
-            for at in saving {
-                self.stop_gracefully(machine_handle, at);
+            for index_on_machine in to_checkpoint {
+                self.stop_gracefully(machine_handle, index_on_machine);
             }
         }
     }
 
-    /// Stops tasks of cancelled jobs, and the rest of gangs that lost a task.
+    /// Stops the tasks of cancelled jobs, and the remaining tasks of gangs that lost one and
+    /// can't be completed.
     pub(super) fn stop_cancelled_and_broken_gangs(&mut self) {
-        let mut stop = Vec::new();
-        for (handle, j) in self.cluster.jobs.iter() {
-            if j.live_count > 0
-                && (j.cancelled
-                    || j.cancel_indeterminate
-                    || j.spec.kind == Kind::Gang
-                        && j.waiting_count() > 0
+        let mut to_stop = Vec::new();
+        for (handle, job_state) in self.cluster.jobs.iter() {
+            if job_state.live_count > 0
+                && (job_state.cancelled
+                    || job_state.cancel_indeterminate
+                    || job_state.spec.kind == Kind::Gang
+                        && job_state.waiting_count() > 0
                         && self.hears_all_tasks_of(handle)
                         && self.gang_to_complete(handle).is_none())
             {
-                stop.push(handle);
+                to_stop.push(handle);
             }
         }
-        if stop.is_empty() {
+        if to_stop.is_empty() {
             return;
         }
-        for m in self.cluster.each_machine_mut() {
-            for a in m.tasks.iter_mut() {
-                if a.is_live()
-                    && a.stop_grace_s.is_none()
-                    && a.job.is_some_and(|job| stop.contains(&job))
+        for machine in self.cluster.each_machine_mut() {
+            for assignment in machine.tasks.iter_mut() {
+                if assignment.is_live()
+                    && assignment.stop_grace_s.is_none()
+                    && assignment.job.is_some_and(|job| to_stop.contains(&job))
                 {
-                    a.stop_grace_s = Some(0.0);
+                    assignment.stop_grace_s = Some(0.0);
                 }
             }
         }
         for index in self.cluster.machine_range() {
-            let Some((machine_handle, m)) = self.cluster.machine_at(index) else {
+            let Some((machine_handle, machine)) = self.cluster.machine_at(index) else {
                 continue;
             };
-            // Never sent, and of no unknown outcome: simply not launched.
-            for at in (0..m.tasks.len()).rev() {
-                let drop = self.cluster.machine(machine_handle).is_some_and(|m| {
-                    let a = &m.tasks[at];
-                    a.phase == Phase::New && a.stop_grace_s.is_some() && a.indeterminate_token == 0
+            // A start that was never sent, and of which no delivery is indeterminate, can
+            // be dropped.
+            for task_index in (0..machine.tasks.len()).rev() {
+                let drop = self.cluster.machine(machine_handle).is_some_and(|machine| {
+                    let assignment = &machine.tasks[task_index];
+                    assignment.phase == Phase::New
+                        && assignment.stop_grace_s.is_some()
+                        && assignment.indeterminate_token == 0
                 });
                 if drop {
-                    self.cluster.unassign(machine_handle, at);
+                    self.cluster.unassign(machine_handle, task_index);
                     self.changed = true;
                 }
             }
--- a/src/control/leader/faults.rs
+++ b/src/control/leader/faults.rs
@@ -1,8 +1,9 @@
-//! Fault attribution: whether the job or the machine is at fault when tasks fail, and
-//! what follows: retry delay, suspicion, quarantine.
+//! Fault attribution: decides whether the job or the machine is at fault when tasks fail,
+//! and applies the consequences: retry delay, suspicion of the job, quarantine of the
+//! machine.
 //!
-//! Called with the ends and starts of tasks that heartbeats report, and from `tick`.
-//! Failures of a suspected job must never count against a machine.
+//! Called with the task starts and ends that heartbeats report, and from `tick`.
+//! Invariant: failures of a suspected job never count against a machine.
 
 use super::Leader;
 use crate::{
@@ -19,24 +20,28 @@
         machine: MachineHandle,
         job_handle: JobHandle,
         task: u32,
-        why: ExitReason,
+        reason: ExitReason,
         now: Millis,
     ) {
         let Some(job) = self.cluster.job_mut(job_handle) else {
             return;
         };
-        match why {
+        match reason {
             ExitReason::Done => job.consecutive_refusals = 0,
             ExitReason::Error => {
                 job.failures.record_failure(machine, now);
                 job.failures.delay_retry(now);
-                let (id, proven) = (job.id.clone(), job.failures.has_succeeded);
+                let (id, has_succeeded) = (job.id.clone(), job.failures.has_succeeded);
                 let suspected = job.failures.suspected;
-                // Failures of a suspected job prove nothing.
-                if let Some(m) = self.cluster.machine_mut(machine).filter(|_| !suspected) {
-                    m.failures.record_failure(&id, proven, 1, now);
+                // Failures of a suspected job say nothing about the machine.
+                if let Some(machine_state) =
+                    self.cluster.machine_mut(machine).filter(|_| !suspected)
+                {
+                    machine_state
+                        .failures
+                        .record_failure(&id, has_succeeded, 1, now);
                 }
-                if !proven && !self.events.suspects.contains(&job_handle) {
+                if !has_succeeded && !self.events.suspects.contains(&job_handle) {
                     self.events.suspects.push(job_handle);
                 }
                 self.reevaluate_machine(machine, now);
@@ -48,70 +53,76 @@
             | ExitReason::DuplicateTask => {}
             ExitReason::Stopped | ExitReason::GangMemberLost | ExitReason::GangIncomplete => return,
         }
-        // Guards against starting again in a tight loop what comes to nothing
-        // each time, if only one task of a job that runs otherwise.
-        let counts = |j: &&mut Job| {
-            why != ExitReason::Done && (why != ExitReason::Error || j.failures.has_succeeded)
+        // Guards against restarting in a tight loop a task that fails to run each time,
+        // even if it is the only such task of a job whose other tasks run.
+        let counts_as_refusal = |j: &&mut Job| {
+            reason != ExitReason::Done && (reason != ExitReason::Error || j.failures.has_succeeded)
         };
-        if let Some(j) = self.cluster.job_mut(job_handle).filter(counts) {
+        if let Some(j) = self.cluster.job_mut(job_handle).filter(counts_as_refusal) {
             j.consecutive_refusals += 1;
             if j.consecutive_refusals > 2 {
                 j.backoff_until = now + (500 << j.consecutive_refusals.min(7));
             }
         }
-        if why != ExitReason::Done
-            && let (Some(j), Some(m)) =
+        if reason != ExitReason::Done
+            && let (Some(j), Some(machine_state)) =
                 (self.cluster.job(job_handle), self.cluster.machine(machine))
         {
-            let (task, machine) = (format!("{}/{task}", j.id), m.name.clone());
-            log::debug!("task {task} failed on {machine}: {why:?}");
-            self.note_failure(task, machine, why, now);
+            let (task, machine) = (format!("{}/{task}", j.id), machine_state.name.clone());
+            log::debug!("task {task} failed on {machine}: {reason:?}");
+            self.note_failure(task, machine, reason, now);
         }
     }
 
-    /// A task of the job, started then, runs there or has completed.
+    /// Records that a task of the job, started at `started_at`, is running on the machine or has
+    /// completed there.
     pub(super) fn on_task_running(
         &mut self,
         machine: MachineHandle,
         job: Option<JobHandle>,
-        started: Millis,
+        started_at: Millis,
         now: Millis,
     ) {
-        if let Some(m) = self.cluster.machine_mut(machine) {
-            m.failures.record_success(started);
+        if let Some(machine_state) = self.cluster.machine_mut(machine) {
+            machine_state.failures.record_success(started_at);
         }
         if let Some(job_handle) = job
             && let Some(j) = self.cluster.job_mut(job_handle)
             && !j.failures.has_succeeded
         {
-            let suspects = j.failures.failures().to_vec();
-            let was = j.failures.suspected;
+            let earlier_failures = j.failures.failures().to_vec();
+            let was_suspected = j.failures.suspected;
             j.failures.record_success();
             let id = j.id.clone();
-            if was {
+            if was_suspected {
                 self.record_suspicion_change(job_handle);
             }
             self.events.suspects.retain(|a| *a != job_handle);
-            // It runs, so what failed it is the machine, unless one that was
-            // started there later runs too.
-            for f in suspects {
-                if let Some(m) = self.cluster.machine_mut(f.machine)
-                    && m.failures
+            // As the job can run, its earlier failures are attributed to the machines on
+            // which it failed, except those on which a task has succeeded since the failure.
+            for failure in earlier_failures {
+                if let Some(machine_state) = self.cluster.machine_mut(failure.machine)
+                    && machine_state
+                        .failures
                         .last_success()
-                        .is_none_or(|good| good <= f.last_failure)
+                        .is_none_or(|success_at| success_at <= failure.last_failure)
                 {
-                    m.failures.clear_job(&id);
-                    m.failures
-                        .record_failure(&id, true, f.count, f.last_failure);
+                    machine_state.failures.clear_job(&id);
+                    machine_state.failures.record_failure(
+                        &id,
+                        true,
+                        failure.count,
+                        failure.last_failure,
+                    );
                 }
-                self.reevaluate_machine(f.machine, now);
+                self.reevaluate_machine(failure.machine, now);
             }
         }
-        // Where one runs, others that failed there are suspected.
+        // A task runs on this machine, so other jobs that failed on it become suspects.
         self.reevaluate_suspects(machine, now);
     }
 
-    /// Judges again all jobs that failed on the machine.
+    /// Reevaluates all suspect jobs that failed on the machine.
     fn reevaluate_suspects(&mut self, machine: MachineHandle, now: Millis) {
         let mut suspects = std::mem::take(&mut self.events.suspects);
         suspects.retain(|j| {
@@ -119,8 +130,8 @@
             job.is_some_and(|j| !j.failures.has_succeeded && !j.failures.failures().is_empty())
         });
         for &j in &suspects {
-            let there = self.cluster.job(j).map(|j| j.failures.failed_on(machine));
-            if there == Some(true) {
+            let failed_there = self.cluster.job(j).map(|j| j.failures.failed_on(machine));
+            if failed_there == Some(true) {
                 self.reevaluate_job(j, now);
             }
         }
@@ -131,39 +142,40 @@
         let Some(j) = self.cluster.job(job_handle) else {
             return;
         };
-        let mut file = j.failures.clone();
-        let changed = file.reevaluate(now, |m| {
+        let mut failures = j.failures.clone();
+        let changed = failures.reevaluate(now, |m| {
             let m = self.cluster.machine(m);
             m.map_or((false, None), |m| {
                 (m.failures.is_confirmed_faulty(), m.failures.last_success())
             })
         });
-        let (id, suspected) = (j.id.clone(), file.suspected);
-        let suspects = file.failures().to_vec();
+        let (id, suspected) = (j.id.clone(), failures.suspected);
+        let recorded_failures = failures.failures().to_vec();
         if let Some(j) = self.cluster.job_mut(job_handle) {
-            j.failures = file;
+            j.failures = failures;
         }
         if !changed {
             return;
         }
         self.record_suspicion_change(job_handle);
-        for f in suspects.iter().filter(|_| suspected) {
-            if let Some(m) = self.cluster.machine_mut(f.machine) {
+        for failure in recorded_failures.iter().filter(|_| suspected) {
+            if let Some(m) = self.cluster.machine_mut(failure.machine) {
                 m.failures.clear_job(&id);
             }
-            self.reevaluate_machine(f.machine, now);
+            self.reevaluate_machine(failure.machine, now);
         }
     }
 
-    /// Notes and records that a job is suspected, or no longer.
+    /// Logs that a job is suspected or no longer suspected, and marks its record for writing.
     fn record_suspicion_change(&mut self, job_handle: JobHandle) {
         self.changed = true;
         if let Some(j) = self.cluster.job_mut(job_handle) {
             match j.failures.suspected {
-                true => log::info!("job {} is suspected: it fails wherever it starts", j.id),
+                true => log::info!("job {} is suspected: it fails wherever it is started", j.id),
                 false => log::info!("job {} is no longer suspected", j.id),
             }
-            // It is written with the first tasks done.
+            // The suspicion is stored in the job's record, like the first segment of the
+            // completion bitmap.
             if let Some(first) = j.dirty_segments.first_mut() {
                 *first = true;
             }
@@ -181,9 +193,10 @@
         self.changed = true;
         match m.failures.quarantined {
             true => log::info!("machine {} quarantined: tasks fail on it", m.name),
-            false => log::info!("machine {} leaves quarantine: a job was at fault", m.name),
+            false => log::info!("machine {} left quarantine: a job was at fault", m.name),
         }
-        // What failed there says nothing of the jobs, also once it is gone.
+        // Failures on a machine that is at fault say nothing about the jobs. They are cleared
+        // from the jobs, so that they do not count after the machine is gone either.
         if m.failures.is_confirmed_faulty() {
             for j in self.events.suspects.clone() {
                 if let Some(j) = self.cluster.job_mut(j) {
@@ -195,16 +208,19 @@
         self.reevaluate_suspects(machine, now);
     }
 
-    /// Machines that are quarantined, but can't be returned, are retried.
+    /// Ends the quarantine, when it is due, of machines that can't be released because tasks
+    /// still run on them.
     pub(super) fn retry_quarantined(&mut self, now: Millis) {
         let all = self.cluster.machines_by_handle();
-        let aside = all.filter(|(_, m)| m.failures.quarantined && m.live_tasks() > 0);
-        let aside: Vec<MachineHandle> = aside.map(|(machine_handle, _)| machine_handle).collect();
-        for machine_handle in aside {
+        let quarantined = all.filter(|(_, m)| m.failures.quarantined && m.live_tasks() > 0);
+        let quarantined: Vec<MachineHandle> = quarantined
+            .map(|(machine_handle, _)| machine_handle)
+            .collect();
+        for machine_handle in quarantined {
             if let Some(m) = self.cluster.machine_mut(machine_handle)
                 && m.failures.end_quarantine_if_due(now)
             {
-                log::info!("machine {} leaves quarantine on probation", m.name);
+                log::info!("machine {} left quarantine on probation", m.name);
                 m.quarantine_unrecorded = true;
             }
         }
--- a/src/control/leader/fleet_view.rs
+++ b/src/control/leader/fleet_view.rs
@@ -1,8 +1,8 @@
-//! The fleet as placement sees it: brings machine views up to date, and states what a
-//! job asks of a machine.
+//! The placement view of the fleet: keeps the machine views up to date, and translates a
+//! job into a placement request.
 //!
-//! Called before every decision that ranks machines. While a scheduling cycle is under
-//! way it must never offer capacity that became free after the cycle began.
+//! Called before every decision that ranks machines. Invariant: capacity that became free
+//! after a scheduling cycle began is not offered during that cycle.
 
 use super::Leader;
 use crate::{
@@ -19,45 +19,45 @@
     },
 };
 
-/// Ranks of machine types a doubling of the price is apart.
+/// Number of ranks by which two machine types differ if one costs twice as much.
 const RANKS_PER_DOUBLING: f64 = 2.0;
 
-fn machine_view(m: &Machine) -> MachineView {
-    let free = m.free();
+fn machine_view(machine: &Machine) -> MachineView {
+    let free = machine.free();
     MachineView {
-        type_ix: m.type_ix,
-        zone: m.zone,
-        spot: m.spot,
-        capacity: m.capacity,
+        type_ix: machine.type_ix,
+        zone: machine.zone,
+        spot: machine.spot,
+        capacity: machine.capacity,
         free,
-        images: m.images.clone(),
-        idle_since: (free == m.capacity).then_some(m.idle_since),
+        images: machine.images.clone(),
+        idle_since: (free == machine.capacity).then_some(machine.idle_since),
     }
 }
 
 impl Leader {
-    /// Applies changes of machines since the last call. Capacity that becomes free
-    /// during a cycle is offered from the next one on. Guards against giving it to
-    /// whoever is next in an interrupted cycle, ahead of earlier jobs that found none.
+    /// Applies the changes of machines since the last call. Capacity that becomes free
+    /// during a scheduling cycle is offered from the next cycle on. Guards against giving
+    /// it to the next job of an interrupted cycle, ahead of earlier jobs that found none.
     pub(super) fn refresh_fleet(&mut self, now: Millis) {
-        let planning = &mut self.scheduling;
-        planning.fleet.set_policy(&planning.policy);
-        // The fleet has the machines at the indices of the cluster state, and is
-        // brought up to date before each use.
+        let scheduling = &mut self.scheduling;
+        scheduling.fleet.set_policy(&scheduling.policy);
+        // The fleet uses the same machine indices as the cluster state, and is updated
+        // before each use.
         for index in self.cluster.take_stale() {
             let machine = self.cluster.machine_handle_at(index);
-            let usable = machine.and_then(|machine| self.cluster.machine(machine));
-            let room = usable.filter(|m| m.schedulable()).map(machine_view);
-            if !planning.in_cycle {
-                planning.fleet.set(index, room, now);
-            } else if planning.fleet.set_without_gain(index, room, now) {
-                planning.machines_with_gain.extend(machine);
+            let present = machine.and_then(|machine| self.cluster.machine(machine));
+            let view = present.filter(|m| m.schedulable()).map(machine_view);
+            if !scheduling.in_cycle {
+                scheduling.fleet.set(index, view, now);
+            } else if scheduling.fleet.set_without_gain(index, view, now) {
+                scheduling.machines_with_gain.extend(machine);
             }
         }
-        planning.fleet.advance(now);
+        scheduling.fleet.advance(now);
     }
 
-    /// The cycle is over: capacity that became free meanwhile counts.
+    /// Ends the scheduling cycle: capacity that became free during it is offered again.
     pub(super) fn end_cycle(&mut self) {
         self.scheduling.in_cycle = false;
         self.scheduling.fleet.release_withheld();
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Machines with capacity for a task of the job, ranked, up to date.
+    /// Returns an up-to-date ranking of the machines with capacity for a task of the job.
     pub(super) fn ranking_for(&mut self, job_handle: JobHandle, now: Millis) -> Option<RankingId> {
         self.refresh_fleet(now);
         let request = self.request_of(self.cluster.job(job_handle)?, now);
@@ -74,26 +74,26 @@
     }
 
     fn request_of(&self, job: &Job, now: Millis) -> Request {
-        let time_left = self.time_to_aim(job, now);
-        let late = self.cluster.types.iter().map(|t| {
-            let fetch_s = job.spec.image_gb / t.fetch_gb_per_s.max(0.001);
-            time_left.is_some_and(|left| fetch_s > left)
+        let time_left = self.time_to_start_objective(job, now);
+        let too_late = self.cluster.types.iter().map(|machine_type| {
+            let fetch_s = job.spec.image_gb / machine_type.fetch_gb_per_s.max(0.001);
+            time_left.is_some_and(|left_s| fetch_s > left_s)
         });
         let ranks = (0..self.cluster.types.len())
-            .map(|ix| [false, true].map(|spot| self.task_price(&job.need, ix, spot)));
+            .map(|ix| [false, true].map(|spot| self.task_price_rank(&job.need, ix, spot)));
         Request {
             need: job.need,
             types: job.types.clone(),
             spot: job.spec.spot,
             image: job.image,
-            late: late.collect(),
+            late: too_late.collect(),
             type_ranks: ranks.collect(),
         }
     }
 
-    /// Seconds left to the nearest objective for starting that can still be met.
-    pub(super) fn time_to_aim(&self, job: &Job, now: Millis) -> Option<f64> {
-        let age = (now - job.known_since) as f64 / 1000.0;
+    /// Returns the seconds left until the nearest start objective that can still be met.
+    pub(super) fn time_to_start_objective(&self, job: &Job, now: Millis) -> Option<f64> {
+        let age_s = (now - job.known_since) as f64 / 1000.0;
         let team = self.cluster.teams.get(job.team);
         let guaranteed = team.is_some_and(|t| {
             (job.need.gpus > 0 && t.gpus > 0.0) || (job.need.gpus == 0 && t.cpus > 0.0)
@@ -108,25 +108,32 @@
                 _ => false,
             })
             .filter_map(|o| o.within_s)
-            .map(|within| within - age)
+            .map(|within| within - age_s)
             .filter(|left| *left > 0.0)
             .min_by(f64::total_cmp)
-            // A service that lost a replica is short of it while it fetches.
+            // A service that lost a replica lacks it while the image is fetched, so there is
+            // no time for a fetch.
             .or((job.spec.kind == Kind::Service).then_some(0.0))
     }
 
-    /// What a task costs on a kind of machine, by the share it takes, in
-    /// thousandths of the price unit. Which node a job should run on is left
-    /// open by the paper; cheaper kinds go first here, and its method chooses
-    /// among machines of a kind.
-    pub(super) fn task_price(&self, need: &Resources, type_ix: usize, spot: bool) -> u32 {
-        let Some(t) = self.cluster.types.get(type_ix) else {
+    /// Returns the rank of a kind of machine by the cost of a task on it: the logarithm of the
+    /// machine's price times the share that the task takes, in thousandths of the price unit.
+    /// The paper on which placement is based leaves open which kind of machine a job should
+    /// run on; here cheaper kinds go first, and the method of the paper chooses among machines
+    /// of one kind.
+    pub(super) fn task_price_rank(&self, need: &Resources, type_ix: usize, spot: bool) -> u32 {
+        let Some(machine_type) = self.cluster.types.get(type_ix) else {
             return u32::MAX;
         };
-        let whole = Resources::offer(t.cpus, t.gpus, t.memory_gb);
-        let share = placement::load(&whole, &whole.minus(*need), LoadResource::Scarcest);
-        // Current prices move by a third; steps keep the order steady.
-        (t.price_of(spot) * share * 1000.0)
+        let whole_machine =
+            Resources::offer(machine_type.cpus, machine_type.gpus, machine_type.memory_gb);
+        let share = placement::load(
+            &whole_machine,
+            &whole_machine.minus(*need),
+            LoadResource::Scarcest,
+        );
+        // Prices vary by a third; the coarse ranks keep the order stable.
+        (machine_type.price_of(spot) * share * 1000.0)
             .max(1.0)
             .log2()
             .mul_add(RANKS_PER_DOUBLING, 0.5) as u32
--- a/src/control/leader/headroom.rs
+++ b/src/control/leader/headroom.rs
@@ -1,8 +1,8 @@
-//! Headroom: capacity kept free for work of high priority, by what arrived lately and by
-//! what the loss of a machine would need.
+//! Headroom: capacity kept free for work of high priority, derived from recent arrivals and
+//! from the capacity that services need after the loss of a machine.
 //!
 //! Owns `Class` and `Headroom`. Called by the scheduling cycle, scale-in and scale-out.
-//! It only counts: it places and reserves nothing.
+//! This module only counts; it does not place tasks or reserve capacity.
 
 use super::Leader;
 use crate::{
@@ -14,13 +14,13 @@
     },
 };
 
-/// Over how long arrivals are counted.
+/// Period over which arrivals are counted.
 pub(super) const ARRIVAL_WINDOW_MS: Millis = 180_000;
 
-/// Tasks counted on one machine at most.
+/// Largest number of tasks counted on one machine.
 const MAX_COUNTED_TASKS: i64 = 1_000;
 
-/// Jobs whose tasks ask for the same capacity.
+/// A class of jobs: jobs of one kind and priority whose tasks need the same capacity.
 #[derive(Debug, PartialEq)]
 pub(super) struct Class {
     pub(super) kind: Kind,
@@ -30,19 +30,20 @@
     pub(super) spot: bool,
 }
 
-/// Capacity kept free of work of lower priority.
+/// Capacity that is kept free of work of lower priority.
 pub(super) struct Headroom {
     pub(super) priority: Priority,
     pub(super) need: Resources,
     pub(super) types: Vec<bool>,
     pub(super) spot: bool,
-    /// Tasks that still fit, and how many should.
+    /// Number of tasks that still fit.
     pub(super) fits: i64,
+    /// Number of tasks that should fit.
     pub(super) wanted: i64,
 }
 
 impl Class {
-    /// Headroom for so many of its tasks, none of it found yet.
+    /// Returns the headroom for `wanted` tasks of this class, with no capacity counted yet.
     fn headroom_for(&self, wanted: i64) -> Headroom {
         Headroom {
             priority: self.priority,
@@ -60,13 +61,14 @@
         self.types.get(type_ix).copied().unwrap_or(false) && (self.spot || !spot)
     }
 
-    /// How many of its tasks fit into so much, up to a bound for tasks that need
-    /// next to nothing.
+    /// Returns the number of tasks that fit into `free`, at most `MAX_COUNTED_TASKS`, which
+    /// matters for tasks with very small needs.
     pub(super) fn tasks_in(&self, free: &Resources) -> i64 {
         free.count(&self.need).min(MAX_COUNTED_TASKS)
     }
 
-    /// How many fewer would fit with this task placed.
+    /// Returns how many fewer tasks would fit into `free` if a task with this need were placed
+    /// there.
     pub(super) fn loss(&self, free: &Resources, need: &Resources) -> i64 {
         self.tasks_in(free) - self.tasks_in(&free.minus(*need))
     }
@@ -74,101 +76,118 @@
 
 impl Leader {
     pub(super) fn record_arrival(&mut self, handle: JobHandle, now: Millis) {
-        let Some(j) = self.cluster.job(handle) else {
+        let Some(job) = self.cluster.job(handle) else {
             return;
         };
         let class = Class {
-            kind: j.spec.kind,
-            priority: j.spec.priority,
-            need: j.need,
-            types: j.types.clone(),
-            spot: j.spec.spot,
+            kind: job.spec.kind,
+            priority: job.spec.priority,
+            need: job.need,
+            types: job.types.clone(),
+            spot: job.spec.spot,
         };
-        let tasks = j.spec.tasks;
-        let at = match self.scheduling.classes.iter().position(|c| *c == class) {
-            Some(at) => at,
+        let tasks = job.spec.tasks;
+        let class_index = match self.scheduling.classes.iter().position(|c| *c == class) {
+            Some(class_index) => class_index,
             None if self.scheduling.classes.len() < 256 => {
                 self.scheduling.classes.push(class);
                 self.scheduling.classes.len() - 1
             }
             None => return,
         };
-        self.scheduling.arrivals.push_back((now, at, tasks));
+        self.scheduling
+            .arrivals
+            .push_back((now, class_index, tasks));
         if self.scheduling.arrivals.len() > 1000 {
             self.scheduling.arrivals.pop_front();
         }
     }
 
-    /// Spare capacity for services: for as many as run on the machine with most of them,
-    /// so that it may be lost. Batches may use that capacity meanwhile.
+    /// Returns the spare capacity for services. For each class, as many tasks should fit as run
+    /// on the machine with most tasks of the class, so that any machine may be lost. Batches may
+    /// use this capacity meanwhile.
     pub(super) fn spare_capacity(&self) -> Vec<Headroom> {
         let mut out = Vec::new();
-        for c in self
+        for class in self
             .scheduling
             .classes
             .iter()
-            .filter(|c| c.kind == Kind::Service)
+            .filter(|class| class.kind == Kind::Service)
         {
-            let mut r = c.headroom_for(0);
-            // Not at any price: on kinds that cost up to twice the cheapest.
-            let price = |ix: usize| {
-                let t = &self.cluster.types[ix];
-                let per = t.price_of(c.spot);
-                let whole = Resources::offer(t.cpus, t.gpus, t.memory_gb);
-                per / (whole.count(&c.need).max(1) as f64)
+            let mut headroom = class.headroom_for(0);
+            // Spare capacity is kept only on machine types whose price per task is at most
+            // twice that of the cheapest one.
+            let price = |type_ix: usize| {
+                let machine_type = &self.cluster.types[type_ix];
+                let machine_price = machine_type.price_of(class.spot);
+                let whole_machine =
+                    Resources::offer(machine_type.cpus, machine_type.gpus, machine_type.memory_gb);
+                machine_price / (whole_machine.count(&class.need).max(1) as f64)
             };
-            let least = (0..self.cluster.types.len())
-                .filter(|ix| c.types.get(*ix) == Some(&true))
+            let lowest_price = (0..self.cluster.types.len())
+                .filter(|type_ix| class.types.get(*type_ix) == Some(&true))
                 .map(price)
                 .min_by(f64::total_cmp)
                 .unwrap_or(0.0);
-            for (ix, allowed) in r.types.iter_mut().enumerate() {
-                *allowed &= price(ix) <= 2.0 * least;
+            for (type_ix, allowed) in headroom.types.iter_mut().enumerate() {
+                *allowed &= price(type_ix) <= 2.0 * lowest_price;
             }
             let mut most = 0;
-            for m in self.cluster.each_machine() {
-                let of_class = |a: &&Assignment| {
-                    a.is_live()
-                        && a.job
+            for machine in self.cluster.each_machine() {
+                let of_class = |assignment: &&Assignment| {
+                    assignment.is_live()
+                        && assignment
+                            .job
                             .and_then(|job| self.cluster.job(job))
                             .is_some_and(|j| {
                                 j.spec.kind == Kind::Service
-                                    && j.need == c.need
-                                    && j.types == c.types
+                                    && j.need == class.need
+                                    && j.types == class.types
                             })
                 };
-                most = most.max(m.tasks.iter().filter(of_class).count() as i64);
-                if m.schedulable() && r.covers(m.type_ix, m.spot) {
-                    let mut free = m.free();
-                    free += self.held_by_batches(m);
-                    r.fits += r.tasks_in(&free);
+                most = most.max(machine.tasks.iter().filter(of_class).count() as i64);
+                if machine.schedulable() && headroom.covers(machine.type_ix, machine.spot) {
+                    let mut free = machine.free();
+                    free += self.held_by_batches(machine);
+                    headroom.fits += headroom.tasks_in(&free);
                 }
             }
-            // The machine that is lost has capacity of its own, which does not count.
-            r.wanted = most;
+            // The free capacity of the machine that may be lost is counted in `fits` like
+            // that of any other.
+            headroom.wanted = most;
             if most > 0 {
-                out.push(r);
+                out.push(headroom);
             }
         }
         out
     }
 
-    pub(super) fn held_by_batches(&self, m: &Machine) -> Resources {
+    pub(super) fn held_by_batches(&self, machine: &Machine) -> Resources {
         let mut held = Resources::default();
-        for a in m.tasks.iter().filter(|a| a.is_live()) {
-            if a.job
+        for assignment in machine
+            .tasks
+            .iter()
+            .filter(|assignment| assignment.is_live())
+        {
+            if assignment
+                .job
                 .and_then(|job| self.cluster.job(job))
                 .is_some_and(|j| j.spec.kind == Kind::Array)
             {
-                held += a.need;
+                held += assignment.need;
             }
         }
         held
     }
 
-    /// Headroom for work of high priority that is expected within `ahead`, by what
-    /// arrived during the last `over`.
-    pub(super) fn headroom(&mut self, over: Millis, ahead: Millis, now: Millis) -> Vec<Headroom> {
+    /// Returns the headroom for work of high priority that is expected to arrive within the
+    /// next `ahead_ms`, estimated from the arrivals of the last `window_ms`.
+    pub(super) fn headroom(
+        &mut self,
+        window_ms: Millis,
+        ahead_ms: Millis,
+        now: Millis,
+    ) -> Vec<Headroom> {
         while self
             .scheduling
             .arrivals
@@ -177,30 +196,30 @@
         {
             self.scheduling.arrivals.pop_front();
         }
-        let window = over.min(now - self.recovery.elected_at).max(30_000);
+        let observed_ms = window_ms.min(now - self.recovery.elected_at).max(30_000);
         let mut out = Vec::new();
-        for (ix, c) in self.scheduling.classes.iter().enumerate() {
-            if c.priority < Priority::High {
+        for (class_index, class) in self.scheduling.classes.iter().enumerate() {
+            if class.priority < Priority::High {
                 continue;
             }
-            let recent: u64 = self
+            let recent_tasks: u64 = self
                 .scheduling
                 .arrivals
                 .iter()
-                .filter(|(t, at, _)| *at == ix && *t + over >= now)
+                .filter(|(t, at, _)| *at == class_index && *t + window_ms >= now)
                 .map(|(_, _, n)| u64::from(*n).min(64))
                 .sum();
-            let wanted = (recent * ahead).div_ceil(window) as i64;
+            let wanted = (recent_tasks * ahead_ms).div_ceil(observed_ms) as i64;
             if wanted == 0 {
                 continue;
             }
-            let mut r = c.headroom_for(wanted);
-            for (_, room) in self.scheduling.fleet.machine_views() {
-                if r.covers(room.type_ix, room.spot) {
-                    r.fits += r.tasks_in(&room.free);
+            let mut headroom = class.headroom_for(wanted);
+            for (_, machine) in self.scheduling.fleet.machine_views() {
+                if headroom.covers(machine.type_ix, machine.spot) {
+                    headroom.fits += headroom.tasks_in(&machine.free);
                 }
             }
-            out.push(r);
+            out.push(headroom);
         }
         out
     }
@@ -216,7 +235,7 @@
             .iter()
             .position(|(s, _)| *s == need)
         {
-            Some(at) => self.scheduling.seen_shapes[at].1 += 1,
+            Some(position) => self.scheduling.seen_shapes[position].1 += 1,
             None if self.scheduling.seen_shapes.len() < 64 => {
                 self.scheduling.seen_shapes.push((need, 1))
             }
--- a/src/control/leader/heartbeats.rs
+++ b/src/control/leader/heartbeats.rs
@@ -1,9 +1,10 @@
-//! Heartbeats of workers: whether one counts, what it changes, the answer.
+//! Heartbeats of workers: whether a heartbeat is accepted, the changes it makes to the
+//! cluster state, and the response.
 //!
 //! Called by the server for each heartbeat, and by `direct_commands` for the
-//! status that comes back with a direct command. It must never answer a machine
-//! whose lease could be renewed wrongly: before the records are read only for a
-//! bounded time, and never one that has been released.
+//! status that comes back with a direct command. A response renews the worker's
+//! lease, so before the records are read heartbeats are answered only for a
+//! bounded time, and a machine that has been released is never answered.
 
 use super::Leader;
 use crate::{
@@ -16,13 +17,16 @@
 };
 
 impl Leader {
-    /// Applies a heartbeat and returns the response; `None`: it gets none.
+    /// Applies a heartbeat and returns the response. `None` if the heartbeat must not be
+    /// answered.
     pub fn on_heartbeat(&mut self, report: &Heartbeat, now: Millis) -> Option<HeartbeatResponse> {
         if !self.recovery.loaded {
-            // Leases must not expire while the records are being read; nor may they be
-            // renewed for long, as the records hold cancellations.
-            let unread = SafetyBounds::of(&self.settings.cluster.workers).max_answering_unloaded();
-            return (now < self.recovery.elected_at + unread).then(|| HeartbeatResponse {
+            // Leases must not expire while the records are being read. They must not be
+            // renewed for long either, because the records that are still unread may hold
+            // cancellations.
+            let limit_ms =
+                SafetyBounds::of(&self.settings.cluster.workers).max_answering_unloaded();
+            return (now < self.recovery.elected_at + limit_ms).then(|| HeartbeatResponse {
                 fencing_token: self.term_token(),
                 commands: Vec::new(),
             });
@@ -35,9 +39,10 @@
             return None;
         }
         self.apply_heartbeat(machine_handle, report, StatusSource::Heartbeat, now);
-        let m = self.cluster.machine_mut(machine_handle)?;
-        let fresh = m.up && (report.incarnation, report.seq) == (m.incarnation, m.heartbeat_seq);
-        let commands = if fresh {
+        let machine = self.cluster.machine_mut(machine_handle)?;
+        let is_latest = machine.up
+            && (report.incarnation, report.seq) == (machine.incarnation, machine.heartbeat_seq);
+        let commands = if is_latest {
             let confirmed = self.standbys.confirmed_change();
             let commands = reconciliation::commands(
                 &mut self.cluster,
@@ -64,34 +69,47 @@
         source: StatusSource,
         now: Millis,
     ) {
-        let floor = self.term_token();
+        let term_token = self.term_token();
         let effects = reconciliation::apply_heartbeat(
             &mut self.cluster,
             machine_handle,
             report,
-            floor,
+            term_token,
             source,
             now,
         );
         self.changed |= effects.cluster_changed;
         self.detect_one_way_partition(machine_handle, &effects);
-        if let Some(m) = self.cluster.machine(machine_handle)
-            && m.last_heartbeat == now
+        if let Some(machine) = self.cluster.machine(machine_handle)
+            && machine.last_heartbeat == now
         {
-            self.zone_responded(m.zone, now);
+            self.zone_responded(machine.zone, now);
         }
         for job_handle in effects.started_jobs {
-            if let Some(j) = self.cluster.job_mut(job_handle).filter(|j| !j.has_run) {
-                j.has_run = true;
-                let waited = (now - j.known_since) as f64 / 1000.0;
-                self.events.tally.waits.push((j.spec.class.clone(), waited));
+            if let Some(job_state) = self
+                .cluster
+                .job_mut(job_handle)
+                .filter(|job_state| !job_state.has_run)
+            {
+                job_state.has_run = true;
+                let waited_s = (now - job_state.known_since) as f64 / 1000.0;
+                self.events
+                    .tally
+                    .waits
+                    .push((job_state.spec.class.clone(), waited_s));
             }
         }
         for task in effects.confirmed_running {
             self.on_task_running(machine_handle, task.job, task.since, now);
         }
-        for ended in effects.ended_tasks {
-            self.on_task_ended(machine_handle, ended.job, ended.task, ended.reason, now);
+        for ended_task in effects.ended_tasks {
+            self.on_task_ended(
+                machine_handle,
+                ended_task.job,
+                ended_task.task,
+                ended_task.reason,
+                now,
+            );
         }
     }
 
--- a/src/control/leader/inventory.rs
+++ b/src/control/leader/inventory.rs
@@ -1,9 +1,10 @@
-//! Machine inventory: the cloud's machine list, scale-in, and draining machines that run
-//! nothing but a few services.
+//! Machine inventory: the cloud's machine list, scale-in, and draining of machines that run
+//! only a few services.
 //!
-//! The server calls it with each list it has read, and asks `cloud_ops` what to request
-//! and release. It must never scale in a machine whose tasks it does not know, nor
-//! request the deletion of a registered one before its release is recorded.
+//! The server passes in each machine list it has read, and calls `cloud_ops` for the
+//! requests and releases to send. Invariants: a machine whose tasks are not known is never
+//! scaled in, and the deletion of a registered machine is never requested before its
+//! release is recorded.
 
 use super::{Leader, headroom::Headroom, millis};
 use crate::{
@@ -15,46 +16,49 @@
     },
 };
 
-/// Added to twice the lag of the machine list.
+/// Margin added to twice the lag of the machine list, before a list is relied on.
 const LIST_MARGIN_MS: Millis = 1_000;
-/// For how long ahead an idle machine is kept for recent arrivals.
+/// Period of expected arrivals for which idle machines are kept.
 const KEEP_IDLE_MS: Millis = 25_000;
-/// How long capacity is kept for services that move.
+/// How long a machine stays closed to batch tasks for services that move to it.
 const SERVICE_MOVE_MS: Millis = 5_000;
-/// Arrivals for which idle machines are kept.
+/// Period of recent arrivals from which the arrivals to keep idle machines for are
+/// estimated.
 const IDLE_ARRIVAL_WINDOW_MS: Millis = 60_000;
-/// Beyond several times the usual boot time, for a machine that never came up.
+/// Margin added to four times the usual boot time, before a machine that has not come up is
+/// released.
 const BOOT_MARGIN_MS: Millis = 60_000;
-/// Beyond several times the list's lag, for a machine that is not listed.
+/// Margin added to four times the lag of the machine list, before a machine that is not
+/// listed counts as deleted.
 const UNLISTED_MARGIN_MS: Millis = 30_000;
-/// How often the machine list is read.
+/// Interval between reads of the machine list.
 const LIST_INTERVAL_MS: Millis = 4_000;
-/// How often scaling is considered.
+/// Interval between scaling rounds.
 const SCALING_INTERVAL_MS: Millis = 1_000;
-/// How often a machine to drain is looked for.
+/// Interval between searches for a machine to drain.
 const DRAIN_INTERVAL_MS: Millis = 2_000;
-/// A fetch that a service may be moved for. Longer ones cost more of its
-/// replica time than the machine is worth (tried without this bound).
+/// Longest image fetch, in seconds, that a move of a service may cause. A longer one costs
+/// more replica time than the drained machine is worth.
 const SHORT_FETCH_S: f64 = 4.0;
-/// How long a worker may take to find a new leader: a heartbeat that times out and a
-/// pause.
+/// How long a worker may take to find a new leader: a heartbeat that times out, and a
+/// pause before the next one.
 pub(super) const WORKER_REDIRECT_MS: Millis = 5_000;
 
-/// What is to be asked of the cloud.
+/// An operation to send to the cloud.
 #[derive(Debug, Clone)]
 pub enum CloudOp {
-    /// Machines to be added.
+    /// Adds machines.
     MachineRequest(MachineRequest),
-    /// Machines to be deleted, by name.
+    /// Deletes the machines with these names.
     Release(Vec<String>),
 }
 
-/// Names that one request to delete machines may hold.
+/// Largest number of machines in one request to delete machines.
 const MAX_RELEASED_MACHINES: usize = 100;
-/// Machines whose prices are no further apart than this cost the same.
+/// Largest ratio of two prices that count as equal.
 const SAME_PRICE_RATIO: f64 = 1.01;
 
-/// A machine that services may move to.
+/// A machine that services may be moved to.
 struct MoveTarget {
     machine: MachineHandle,
     free: Resources,
@@ -62,178 +66,183 @@
 }
 
 impl Leader {
-    /// Whether the machine list is due; if so, it is taken as requested now.
+    /// Whether the machine list has to be read now. If so, the read counts as started, and the
+    /// next one is scheduled.
     pub fn list_due(&mut self, now: Millis) -> bool {
         let due = self.recovery.loaded && now >= self.scaling.next_list_at;
         if due {
-            let telling = self.list_reliable_from();
+            let reliable_from = self.list_reliable_from();
             self.scaling.next_list_at = now + LIST_INTERVAL_MS;
-            if !self.recovery.settled && now < telling {
-                self.scaling.next_list_at = self.scaling.next_list_at.min(telling);
+            if !self.recovery.settled && now < reliable_from {
+                self.scaling.next_list_at = self.scaling.next_list_at.min(reliable_from);
             }
         }
         due
     }
 
-    /// A list requested from then on shows the machines as they were after this term
-    /// began.
+    /// Returns the time from which a requested list shows the machines as they were after this
+    /// term began.
     fn list_reliable_from(&self) -> Millis {
         let lag = millis(self.settings.cluster.cloud.list_lag_s);
         self.recovery.elected_at + 2 * lag + LIST_MARGIN_MS
     }
 
-    /// The whole list was read, requested at `asked`. What was in the machine registry
-    /// when this term began was up, so it has been or would be listed until it is
-    /// deleted: a list of a later time that lacks it shows that it is. Guards against
-    /// waiting for the leases of machines that were reclaimed.
-    pub fn full_list_received(&mut self, asked: Millis, now: Millis) {
-        if self.recovery.settled || asked < self.list_reliable_from() {
+    /// Applies the fact that the whole machine list has been read, requested at
+    /// `requested_at`. A machine that was in the registry when this term began was up, so the
+    /// cloud lists it until it is deleted: if a list of a later time lacks the machine, it has
+    /// been deleted. Guards against waiting for the leases of machines that were reclaimed.
+    pub fn full_list_received(&mut self, requested_at: Millis, now: Millis) {
+        if self.recovery.settled || requested_at < self.list_reliable_from() {
             return;
         }
         let machines = self.cluster.machines_by_handle();
         let gone: Vec<MachineHandle> = machines
-            .filter(|(_, m)| m.contents_unknown && m.last_listed < asked)
+            .filter(|(_, machine)| machine.contents_unknown && machine.last_listed < requested_at)
             .map(|(machine_handle, _)| machine_handle)
             .collect();
         for machine_handle in &gone {
-            if let Some(m) = self.cluster.machine_mut(*machine_handle) {
-                m.contents_unknown = false;
-                m.state_since = now;
+            if let Some(machine) = self.cluster.machine_mut(*machine_handle) {
+                machine.contents_unknown = false;
+                machine.state_since = now;
             }
-            // What an earlier leader placed there.
+            // Removes the assignments that an earlier leader made.
             self.cluster.clear_machine(*machine_handle);
         }
         if !gone.is_empty() {
             let gone = gone.len();
-            log::info!("{gone} registered machines are not listed any more: they are gone");
+            log::info!(
+                "{gone} registered machines are no longer listed by the cloud: treated as deleted"
+            );
             self.changed = true;
         }
     }
 
     /// Applies a page of the machine list.
-    pub fn machines_listed(&mut self, list: &[ListedMachine], now: Millis) {
-        for l in list {
-            if self.scaling.released.contains_key(&l.id) {
+    pub fn machines_listed(&mut self, machines: &[ListedMachine], now: Millis) {
+        for listed in machines {
+            if self.scaling.released.contains_key(&listed.id) {
                 continue;
             }
-            if l.state == ListedState::Failed {
-                if let Some(machine_handle) = self.cluster.machine_handle(&l.id) {
-                    // It stopped by itself: nothing runs there any more.
+            if listed.state == ListedState::Failed {
+                if let Some(machine_handle) = self.cluster.machine_handle(&listed.id) {
+                    // A failed machine has stopped: nothing runs there any more.
                     self.cluster.clear_machine(machine_handle);
                     self.release(machine_handle, "failed", now);
-                    if let Some(m) = self.cluster.machine_mut(machine_handle) {
-                        m.up = false;
-                        m.contents_unknown = false;
-                        m.min_incarnation = m.incarnation + 1;
+                    if let Some(machine) = self.cluster.machine_mut(machine_handle) {
+                        machine.up = false;
+                        machine.contents_unknown = false;
+                        machine.min_incarnation = machine.incarnation + 1;
                     }
                     self.changed = true;
-                } else if let Some(machine_handle) = self.cluster.insert_machine(l.into(), now) {
+                } else if let Some(machine_handle) = self.cluster.insert_machine(listed.into(), now)
+                {
                     self.release(machine_handle, "failed", now);
                 }
                 continue;
             }
-            let machine_handle = self.cluster.insert_machine(l.into(), now);
-            if let Some(m) =
+            let machine_handle = self.cluster.insert_machine(listed.into(), now);
+            if let Some(machine) =
                 machine_handle.and_then(|machine_handle| self.cluster.machine_mut(machine_handle))
             {
-                m.last_listed = now;
-                if m.state_since == now && l.state == ListedState::Booting {
-                    m.state_since = now.saturating_sub(millis(l.age_s));
+                machine.last_listed = now;
+                if machine.state_since == now && listed.state == ListedState::Booting {
+                    machine.state_since = now.saturating_sub(millis(listed.age_s));
                 }
             }
         }
     }
 
-    pub(super) fn release(&mut self, machine_handle: MachineHandle, why: &str, now: Millis) {
-        if let Some(m) = self.cluster.machine_mut(machine_handle)
-            && !m.releasing
+    pub(super) fn release(&mut self, machine_handle: MachineHandle, reason: &str, now: Millis) {
+        if let Some(machine) = self.cluster.machine_mut(machine_handle)
+            && !machine.releasing
         {
-            log::info!("machine {} to be released: {why}", m.name);
-            m.releasing = true;
-            m.state_since = now;
+            log::info!("machine {} will be released: {reason}", machine.name);
+            machine.releasing = true;
+            machine.state_since = now;
         }
     }
 
-    /// What to ask of the cloud now.
+    /// Returns the operations to send to the cloud now.
     pub fn cloud_ops(&mut self, now: Millis, wall_ms: u64) -> Vec<CloudOp> {
         let mut ops = Vec::new();
-        if !self.recovery.loaded || now < self.scaling.next_look_at {
+        if !self.recovery.loaded || now < self.scaling.next_scaling_at {
             return ops;
         }
-        self.scaling.next_look_at = now + SCALING_INTERVAL_MS;
+        self.scaling.next_scaling_at = now + SCALING_INTERVAL_MS;
         self.cluster.record_batch_activity(now);
         self.scale_in(now);
         self.drain(now);
-        let names = self.take_due_releases();
-        if !names.is_empty() {
-            ops.push(CloudOp::Release(names));
+        let names_to_release = self.take_due_releases();
+        if !names_to_release.is_empty() {
+            ops.push(CloudOp::Release(names_to_release));
         }
         if self.knows_enough_to_scale(now)
             && now >= self.scaling.no_scale_out_until
             && self.scaling.requests_in_flight == 0
         {
-            for rent in self.plan_scale_out(now, wall_ms) {
+            for request in self.plan_scale_out(now, wall_ms) {
                 self.scaling.requests_in_flight += 1;
-                ops.push(CloudOp::MachineRequest(rent));
+                ops.push(CloudOp::MachineRequest(request));
             }
         }
         ops
     }
 
-    /// Machines to be deleted now, marked as requested.
+    /// Returns the names of the machines to delete now, and marks their deletion as requested.
     fn take_due_releases(&mut self) -> Vec<String> {
-        let due = |m: &Machine| {
-            m.releasing
-                && !m.release_requested
-                && (m.registration == Registration::Absent || m.release_recorded)
-                && !m.write_in_flight
-                && m.live_tasks() == 0
+        let due = |machine: &Machine| {
+            machine.releasing
+                && !machine.release_requested
+                && (machine.registration == Registration::Absent || machine.release_recorded)
+                && !machine.write_in_flight
+                && machine.live_tasks() == 0
         };
         let all = self.cluster.machines_by_handle();
         let all = all
-            .filter(|(_, m)| due(m))
+            .filter(|(_, machine)| due(machine))
             .map(|(machine_handle, _)| machine_handle);
         let due: Vec<MachineHandle> = all.take(MAX_RELEASED_MACHINES).collect();
         let mut names = Vec::with_capacity(due.len());
         for machine_handle in due {
-            if let Some(m) = self.cluster.machine_mut(machine_handle) {
-                m.release_requested = true;
-                names.push(m.name.clone());
+            if let Some(machine) = self.cluster.machine_mut(machine_handle) {
+                machine.release_requested = true;
+                names.push(machine.name.clone());
             }
         }
         names
     }
 
-    /// Every machine is confirmed, or those that can send a heartbeat have had the time
-    /// to. Guards against waiting for a lease before anything is requested, as a few
-    /// machines are unresponsive when a new leader begins.
+    /// Whether every machine is confirmed, or every worker that can send a heartbeat has had
+    /// the time to. Guards against waiting for leases to expire before any machine is
+    /// requested, as a few machines are unresponsive when a new leader starts.
     fn knows_enough_to_scale(&self, now: Millis) -> bool {
         self.recovery.settled || !self.workers_may_be_redirecting(now)
     }
 
-    /// Workers may still be on their way to this leader.
+    /// Whether workers may still be in the process of finding this leader.
     pub(super) fn workers_may_be_redirecting(&self, now: Millis) -> bool {
-        let report = millis(self.settings.cluster.workers.report_s * 1.25);
-        now < self.recovery.elected_at + WORKER_REDIRECT_MS + report
+        let report_interval_ms = millis(self.settings.cluster.workers.report_s * 1.25);
+        now < self.recovery.elected_at + WORKER_REDIRECT_MS + report_interval_ms
     }
 
-    fn price(&self, m: &Machine) -> f64 {
-        self.cluster.types[m.type_ix].price_of(m.spot)
+    fn price(&self, machine: &Machine) -> f64 {
+        self.cluster.types[machine.type_ix].price_of(machine.spot)
     }
 
-    /// An expensive machine is kept idle for less long than a cheap one of its type.
-    pub(super) fn idle_allowance(&self, m: &Machine, idle: Millis) -> Millis {
-        let t = &self.cluster.types[m.type_ix];
-        if m.spot || t.price <= t.spot_price {
-            return idle;
+    /// Returns how long a machine is kept idle. An on-demand machine is kept for less time than
+    /// a spot machine of its type, in proportion to their prices.
+    pub(super) fn idle_allowance(&self, machine: &Machine, idle_ms: Millis) -> Millis {
+        let machine_type = &self.cluster.types[machine.type_ix];
+        if machine.spot || machine_type.price <= machine_type.spot_price {
+            return idle_ms;
         }
-        (idle as f64 * t.spot_price / t.price) as Millis
+        (idle_ms as f64 * machine_type.spot_price / machine_type.price) as Millis
     }
 
-    /// Releases machines that are not needed or of no use, and removes those that
-    /// are neither registered nor listed any more.
+    /// Releases machines that are not needed or not usable, and removes those that are neither
+    /// registered nor listed any more.
     pub(super) fn scale_in(&mut self, now: Millis) {
-        // What arrives often and must start soon finds an idle machine.
+        // Idle machines are kept for work that arrives often and must start soon.
         self.refresh_fleet(now);
         let mut headroom = self.headroom(IDLE_ARRIVAL_WINDOW_MS, KEEP_IDLE_MS, now);
         headroom.extend(self.spare_capacity());
@@ -260,8 +269,8 @@
         }
     }
 
-    /// Why a machine that is up is to be released. An idle one no longer counts
-    /// for the headroom.
+    /// Returns why a machine that is up should be released, if it should. An idle machine that
+    /// is released is subtracted from the headroom.
     fn reason_to_release_up(
         &self,
         machine: &Machine,
@@ -294,17 +303,17 @@
         Some("idle")
     }
 
-    /// An empty machine has been idle for longer than it is kept for.
+    /// Whether an empty machine has been idle for longer than idle machines are kept.
     fn is_idle_too_long(&self, machine: &Machine, now: Millis) -> bool {
         let idle_ms = millis(self.options.idle_s);
         self.recovery.settled
             && now >= machine.idle_since + self.idle_allowance(machine, idle_ms)
-            // Where most machines get no responses, the fault is here.
+            // If most machines get no responses, the fault is on the side of this node.
             && !(machine.misses_responses() && now < self.scaling.no_scale_out_until)
             && !machine.command_in_flight
     }
 
-    /// Why a machine that is not up is to be released.
+    /// Returns why a machine that is not up should be released, if it should.
     fn reason_to_release_down(&self, machine: &Machine, now: Millis) -> Option<&'static str> {
         let boot_ms = millis(self.cluster.types[machine.type_ix].boot_s);
         let registered = machine.registration == Registration::Present;
@@ -315,13 +324,14 @@
         {
             return Some("never came up");
         }
-        // A registered one that sent no heartbeat in this term is as
-        // unresponsive: left there, each new leader would wait for it.
+        // A registered machine that sent no heartbeat in this term counts as unresponsive
+        // too: if its record were kept, each new leader would wait for the machine.
         let unresponsive = now > machine.state_since + self.lease_expiry();
         ((has_run || registered) && unresponsive).then_some("silent")
     }
 
-    /// Neither registered nor listed for so long that the cloud has deleted it.
+    /// Whether a machine is not registered, and has not been listed for so long that the cloud
+    /// must have deleted it.
     fn is_gone(&self, machine: &Machine, now: Millis) -> bool {
         let list_lag_ms = millis(self.settings.cluster.cloud.list_lag_s);
         let unlisted_ms = UNLISTED_MARGIN_MS + 4 * list_lag_ms;
@@ -332,7 +342,8 @@
     }
 
     fn remove_gone_machine(&mut self, machine_handle: MachineHandle, now: Millis) {
-        // Names are never used again: a heartbeat of one that ran is late.
+        // The cloud never reuses names, so any further heartbeat of a machine that ran is
+        // late and has to be ignored.
         if let Some(machine) = self
             .cluster
             .machine(machine_handle)
@@ -343,18 +354,18 @@
         self.cluster.remove_machine(machine_handle);
     }
 
-    /// Drains a machine that runs nothing but a few services, if these fit on machines
-    /// that are kept anyway.
+    /// Drains a machine that runs only a few services, if they fit on machines that are kept
+    /// anyway.
     pub(super) fn drain(&mut self, now: Millis) {
         if !self.recovery.settled || now < self.scheduling.next_drain_at {
             return;
         }
         self.scheduling.next_drain_at = now + DRAIN_INTERVAL_MS;
-        let idle = millis(self.options.idle_s);
-        let mut order: Vec<MachineHandle> = Vec::new();
+        let idle_ms = millis(self.options.idle_s);
+        let mut candidates: Vec<MachineHandle> = Vec::new();
         for (machine_handle, m) in self.cluster.machines_by_handle() {
             if m.draining && m.up && !m.releasing {
-                // One at a time.
+                // Only one machine is drained at a time.
                 if m.live_tasks() > 0 {
                     return;
                 }
@@ -362,13 +373,13 @@
             }
             if m.schedulable()
                 && m.live_tasks() > 0
-                && now >= m.last_batch_activity + idle
+                && now >= m.last_batch_activity + idle_ms
                 && !m.command_in_flight
             {
-                order.push(machine_handle);
+                candidates.push(machine_handle);
             }
         }
-        order.sort_by(|a, b| {
+        candidates.sort_by(|a, b| {
             let key = |machine_handle: &MachineHandle| {
                 self.cluster
                     .machine(*machine_handle)
@@ -378,28 +389,28 @@
             b.0.total_cmp(&a.0).then(a.1.cmp(&b.1))
         });
         let targets = self.move_targets();
-        for machine_handle in order {
+        for machine_handle in candidates {
             if let Some(targets) = self.can_empty(machine_handle, &targets, now) {
-                // Otherwise batch tasks take the capacity with the image while the
-                // services stop, and these have to fetch.
-                for to in targets {
-                    if let Some(m) = self.cluster.machine_mut(to) {
+                // Otherwise batch tasks would take the capacity on the machines that hold the
+                // image while the services stop, and the services would have to fetch it.
+                for target in targets {
+                    if let Some(m) = self.cluster.machine_mut(target) {
                         m.closed_to_batches_until = now + SERVICE_MOVE_MS;
                     }
                 }
                 if let Some(m) = self.cluster.machine_mut(machine_handle) {
                     log::info!(
-                        "machine {} drained: {} services move",
+                        "machine {} is being drained: {} services move to other machines",
                         m.name,
                         m.live_tasks()
                     );
                     m.draining = true;
-                    for a in m
+                    for task in m
                         .tasks
                         .iter_mut()
-                        .filter(|a| a.is_live() && a.stop_grace_s.is_none())
+                        .filter(|task| task.is_live() && task.stop_grace_s.is_none())
                     {
-                        a.stop_grace_s = Some(0.0);
+                        task.stop_grace_s = Some(0.0);
                     }
                 }
                 return;
@@ -407,7 +418,7 @@
         }
     }
 
-    /// Machines that services may move to.
+    /// Returns the machines that services may be moved to.
     fn move_targets(&self) -> Vec<MoveTarget> {
         let all = self.cluster.machines_by_handle();
         let open =
@@ -420,50 +431,63 @@
         open.map(target).collect()
     }
 
-    /// Where the services of a machine would go, if all of them can.
+    /// Returns the machines to which the services of a machine can be moved, or `None` if one of
+    /// its tasks can't be moved.
     fn can_empty(
         &self,
         machine_handle: MachineHandle,
         targets: &[MoveTarget],
         now: Millis,
     ) -> Option<Vec<MachineHandle>> {
-        let from = self.cluster.machine(machine_handle)?;
-        let price = self.price(from);
-        // One that has long been of no other use, and is dear, may cost its
-        // services a short fetch. Between machines of one price that was
-        // tried: 4 s of two replicas are 2% of what the worst 30 s counts.
-        let long = now >= from.last_batch_activity + 3 * millis(self.options.idle_s);
-        let mut moved: Vec<(MachineHandle, Resources)> = Vec::new();
-        for a in from.tasks.iter().filter(|a| a.is_live()) {
-            let job = self.cluster.job(a.job?)?;
-            if a.phase != Phase::Running || job.cancelled || job.cancel_requested {
+        let source = self.cluster.machine(machine_handle)?;
+        let price = self.price(source);
+        // A short image fetch is accepted only for a machine that has long run nothing else and
+        // costs at least twice as much as the target. Between machines of the same price it does
+        // not pay: 4 s of two replicas are 2% of what the worst 30 s counts.
+        let long_without_batches =
+            now >= source.last_batch_activity + 3 * millis(self.options.idle_s);
+        let mut moves: Vec<(MachineHandle, Resources)> = Vec::new();
+        for assignment in source
+            .tasks
+            .iter()
+            .filter(|assignment| assignment.is_live())
+        {
+            let job = self.cluster.job(assignment.job?)?;
+            if assignment.phase != Phase::Running || job.cancelled || job.cancel_requested {
                 return None;
             }
-            let may_move = |to: &MoveTarget| {
-                self.cluster.machine(to.machine).is_some_and(|m| {
-                    job.allows(m)
-                        && (m.zone == from.zone || !(job.spec.single_zone || job.spec.spread))
-                        && (m.images.contains(&job.image)
-                            || long
-                                && price >= 2.0 * to.price
-                                && job.spec.image_gb
-                                    <= self.cluster.types[m.type_ix].fetch_gb_per_s * SHORT_FETCH_S)
-                })
+            let may_move = |target: &MoveTarget| {
+                self.cluster
+                    .machine(target.machine)
+                    .is_some_and(|target_machine| {
+                        job.allows(target_machine)
+                            && (target_machine.zone == source.zone
+                                || !(job.spec.single_zone || job.spec.spread))
+                            && (target_machine.images.contains(&job.image)
+                                || long_without_batches
+                                    && price >= 2.0 * target.price
+                                    && job.spec.image_gb
+                                        <= self.cluster.types[target_machine.type_ix]
+                                            .fetch_gb_per_s
+                                            * SHORT_FETCH_S)
+                    })
             };
-            let has_room = |to: &MoveTarget| {
-                let taken = moved.iter().filter(|(machine, _)| *machine == to.machine);
-                let free = taken.fold(to.free, |free, (_, need)| free.minus(*need));
-                a.need.fits(&free)
+            let has_room = |target: &MoveTarget| {
+                let taken = moves
+                    .iter()
+                    .filter(|(machine, _)| *machine == target.machine);
+                let free = taken.fold(target.free, |free, (_, need)| free.minus(*need));
+                assignment.need.fits(&free)
             };
-            let found = targets.iter().find(|to| {
-                to.machine != machine_handle
-                    && to.price <= price * SAME_PRICE_RATIO
-                    && a.need.fits(&to.free)
-                    && has_room(to)
-                    && may_move(to)
+            let found = targets.iter().find(|target| {
+                target.machine != machine_handle
+                    && target.price <= price * SAME_PRICE_RATIO
+                    && assignment.need.fits(&target.free)
+                    && has_room(target)
+                    && may_move(target)
             });
-            moved.push((found?.machine, a.need));
+            moves.push((found?.machine, assignment.need));
         }
-        Some(moved.into_iter().map(|(machine, _)| machine).collect())
+        Some(moves.into_iter().map(|(machine, _)| machine).collect())
     }
 }
--- a/src/control/leader/mod.rs
+++ b/src/control/leader/mod.rs
@@ -84,7 +84,7 @@
     /// Final states of jobs that this node has reported or learned. They are kept
     /// beyond the end of the term.
     pub final_states: FinalStates,
-    /// Which jobs depend on which.
+    /// The dependencies between jobs.
     dependencies: DependencyGraph,
     /// When this leader first had dependencies whose final states it has not
     /// read; `None` if there are none.
--- a/src/control/leader/partitions.rs
+++ b/src/control/leader/partitions.rs
@@ -1,9 +1,9 @@
-//! One-way partitions and restarted agents: machines whose heartbeats arrive while
-//! responses and commands do not reach them, and heartbeats that are late or of a new
-//! incarnation.
+//! Detection of one-way partitions and of restarted agents: machines whose heartbeats
+//! arrive although responses and commands do not reach them, and heartbeats that are late
+//! or come from a new incarnation.
 //!
-//! Called for each heartbeat. What counts is the token that a machine acknowledges,
-//! raised for it alone.
+//! Called for each heartbeat. Decisions depend on the fencing token that a machine has
+//! acknowledged; the token can be raised for one machine alone.
 
 use super::Leader;
 use crate::{
@@ -15,115 +15,123 @@
     },
 };
 
-/// So many heartbeats in a row without a token of this term, each sent after the one
-/// before it was answered, show that the machine does not receive the responses.
+/// Number of consecutive heartbeats without a token of this term that a machine may send.
+/// As each is sent after the one before it was answered, more of them show that the machine
+/// does not receive the responses.
 const MAX_UNACKNOWLEDGED_HEARTBEATS: u32 = 2;
 
-/// Heartbeats of a restarted agent come at least as often, one of them redirected.
+/// Longest interval between two heartbeats of a restarted agent, even if one of them is
+/// redirected.
 const RESTART_HEARTBEAT_WINDOW_MS: Millis = 8_000;
 
 impl Leader {
-    /// Checks a heartbeat before it is applied. `false`: it gets no response, so that
-    /// the lease surely expires and a new leader need not wait for ever for the machine.
+    /// Checks a heartbeat before it is applied. Returns `false` if it must not be answered, so
+    /// that the machine's lease expires and a new leader does not wait forever for it.
     pub(super) fn accepts_heartbeat(
         &mut self,
         machine_handle: MachineHandle,
         report: &Heartbeat,
         now: Millis,
     ) -> bool {
-        let (floor, token) = (self.term_token(), self.fencing_token(machine_handle));
-        // By then the lease of a machine without a response in this term has expired, so
-        // nothing is lost. Guards against a leader that is too slow for a while, and
-        // would give up machines that receive its responses.
-        let over = self.recovery.elected_at + self.lease_expiry();
-        let Some(m) = self.cluster.machine_mut(machine_handle) else {
+        let (term_token, token) = (self.term_token(), self.fencing_token(machine_handle));
+        // After this time, the lease of a machine that received no response in this term has
+        // expired, so nothing is lost by not answering it. Before that time, a leader that is
+        // slow for a while would give up machines that do receive its responses.
+        let leases_expired_at = self.recovery.elected_at + self.lease_expiry();
+        let Some(machine) = self.cluster.machine_mut(machine_handle) else {
             return false;
         };
-        let this = (report.incarnation, report.seq);
-        // From a confirmed machine, a heartbeat that has not seen this term is an old
-        // one.
-        let least = if m.up { floor } else { 0 };
-        if this <= m.latest_heartbeat || report.acknowledged_token < least.max(m.min_token) {
-            // A late heartbeat changes nothing, and a response to it would be counted as
-            // a lease. Two in order may be of a restarted agent that counts from one
-            // again: a token raised for it shows that.
-            let in_order = m.last_stale_heartbeat.0 != (0, 0)
-                && this > m.last_stale_heartbeat.0
-                && now < m.last_stale_heartbeat.1 + RESTART_HEARTBEAT_WINDOW_MS;
-            m.last_stale_heartbeat = (this, now);
+        let heartbeat_id = (report.incarnation, report.seq);
+        // A heartbeat of a confirmed machine that does not acknowledge this term is stale.
+        let lowest_accepted_token = if machine.up { term_token } else { 0 };
+        if heartbeat_id <= machine.latest_heartbeat
+            || report.acknowledged_token < lowest_accepted_token.max(machine.min_token)
+        {
+            // A late heartbeat changes nothing, and a response to it would be counted as a
+            // renewed lease. But two stale heartbeats in order may come from a restarted
+            // agent that counts from one again: raising the machine's token shows whether
+            // they do.
+            let in_order = machine.last_stale_heartbeat.0 != (0, 0)
+                && heartbeat_id > machine.last_stale_heartbeat.0
+                && now < machine.last_stale_heartbeat.1 + RESTART_HEARTBEAT_WINDOW_MS;
+            machine.last_stale_heartbeat = (heartbeat_id, now);
             if !in_order {
                 return false;
             }
-            if m.restart_token == 0 {
-                m.token_epoch += 1;
-                m.restart_token = token + 1;
+            if machine.restart_token == 0 {
+                machine.token_epoch += 1;
+                machine.restart_token = token + 1;
             }
-            m.last_answered = now;
+            machine.last_answered = now;
             return true;
         }
-        m.latest_heartbeat = this;
-        m.unacknowledged_heartbeats = match m.contents_unknown && report.acknowledged_token < floor
+        machine.latest_heartbeat = heartbeat_id;
+        machine.unacknowledged_heartbeats =
+            match machine.contents_unknown && report.acknowledged_token < term_token {
+                true => machine.unacknowledged_heartbeats + 1,
+                false => 0,
+            };
+        if machine.unacknowledged_heartbeats > MAX_UNACKNOWLEDGED_HEARTBEATS
+            && now > leases_expired_at
         {
-            true => m.unacknowledged_heartbeats + 1,
-            false => 0,
-        };
-        if m.unacknowledged_heartbeats > MAX_UNACKNOWLEDGED_HEARTBEATS && now > over {
             log::debug!(
-                "machine {} sends heartbeats, but receives no responses",
-                m.name
+                "machine {} sends heartbeats but receives no responses: its heartbeats are not answered",
+                machine.name
             );
             return false;
         }
-        m.last_answered = now;
+        machine.last_answered = now;
         true
     }
 
-    /// Nothing new is placed there before it shows a token that is newer than
-    /// all it can have seen.
+    /// Keeps new tasks off a machine until it acknowledges its current fencing token, which is
+    /// newer than any token it can have received so far.
     pub(super) fn require_new_token(&mut self, machine_handle: MachineHandle) {
         let token = self.fencing_token(machine_handle);
-        if let Some(m) = self.cluster.machine_mut(machine_handle) {
-            m.required_token = token;
+        if let Some(machine) = self.cluster.machine_mut(machine_handle) {
+            machine.required_token = token;
         }
     }
 
-    /// Called after a heartbeat was applied.
+    /// Suspects a one-way partition if commands sent to the machine were lost or it has a new
+    /// incarnation. Called after a heartbeat was applied.
     pub(super) fn detect_one_way_partition(
         &mut self,
         machine_handle: MachineHandle,
         effects: &reconciliation::HeartbeatEffects,
     ) {
-        // Had its lease expired for lack of heartbeats, it would not count as up.
-        let lost = effects.lost_commands > 0 || effects.new_incarnation;
-        let Some(m) = self.cluster.machine_mut(machine_handle) else {
+        // If its lease had expired for lack of heartbeats, the machine would not count as up.
+        let responses_lost = effects.lost_commands > 0 || effects.new_incarnation;
+        let Some(machine) = self.cluster.machine_mut(machine_handle) else {
             return;
         };
-        if !lost || m.misses_responses() {
+        if !responses_lost || machine.misses_responses() {
             return;
         }
         log::info!(
-            "machine {} may not receive responses: no new tasks there",
-            m.name
+            "machine {} may not receive responses: no new tasks are placed there",
+            machine.name
         );
-        m.token_epoch += 1;
+        machine.token_epoch += 1;
         self.require_new_token(machine_handle);
         self.changed = true;
-        // What was ordered in an answer that it did not get never runs there.
-        for at in self.never_delivered(machine_handle) {
-            self.cluster.unassign(machine_handle, at);
+        // Starts that were sent in a response the machine did not receive never run there.
+        for task_index in self.never_delivered(machine_handle) {
+            self.cluster.unassign(machine_handle, task_index);
         }
     }
 
-    /// Orders that were given and are surely not carried out, last first.
+    /// Returns the indices of tasks whose start was certainly not delivered, the last first.
     fn never_delivered(&self, machine_handle: MachineHandle) -> Vec<usize> {
         let tasks = self
             .cluster
             .machine(machine_handle)
             .map_or(&[][..], |m| &m.tasks);
-        let new = tasks.iter().enumerate();
-        let new = new.filter(|(_, a)| a.phase == Phase::New && a.indeterminate_token == 0);
-        let mut at: Vec<usize> = new.map(|(at, _)| at).collect();
-        at.reverse();
-        at
+        let candidates = tasks.iter().enumerate();
+        let candidates =
+            candidates.filter(|(_, a)| a.phase == Phase::New && a.indeterminate_token == 0);
+        let mut indices: Vec<usize> = candidates.map(|(index, _)| index).collect();
+        indices.reverse();
+        indices
     }
 }
--- a/src/control/leader/persistence.rs
+++ b/src/control/leader/persistence.rs
@@ -42,60 +42,60 @@
 pub enum WriteIntent {
     /// Records a cancellation in the job's record.
     Cancel {
-        /// The job.
+        /// Handle of the job.
         job: JobHandle,
-        /// Its id.
+        /// Id of the job.
         id: String,
     },
     /// Records that the job is offloaded.
     Offload {
-        /// The job.
+        /// Handle of the job.
         job: JobHandle,
     },
     /// Records that the job is no longer offloaded.
     EndOffload {
-        /// The job.
+        /// Handle of the job.
         job: JobHandle,
     },
     /// Replaces the job's record by the record of its terminal state.
     Finish {
-        /// The job.
+        /// Handle of the job.
         job: JobHandle,
-        /// Its id.
+        /// Id of the job.
         id: String,
-        /// The terminal state.
+        /// The terminal state of the job.
         state: JobState,
     },
     /// Records completed tasks.
     RecordProgress {
-        /// The job.
+        /// Handle of the job.
         job: JobHandle,
         /// Indices of the completion bitmap segments that are written.
         segments: Vec<usize>,
     },
     /// Writes the record of a machine that is in use.
     Registration {
-        /// The machine.
+        /// Handle of the machine.
         machine: MachineHandle,
     },
     /// Records that the machine's lease has expired.
     ExpireMachine {
-        /// The machine.
+        /// Handle of the machine.
         machine: MachineHandle,
     },
     /// Records that the machine is being released.
     MarkReleasing {
-        /// The machine.
+        /// Handle of the machine.
         machine: MachineHandle,
     },
     /// Deletes a key that no record refers to.
     Delete {
-        /// The key.
+        /// Key to delete.
         key: String,
     },
     /// Writes chunks of the job's spec.
     UploadSpec {
-        /// The job.
+        /// Handle of the job.
         job: JobHandle,
         /// Number of chunks that are written once the transaction is applied,
         /// counted from the first chunk.
--- a/src/control/leader/scale_out.rs
+++ b/src/control/leader/scale_out.rs
@@ -1,10 +1,10 @@
-//! Scale-out: which machines to request from the cloud, and what the answers to requests
-//! and releases change.
+//! Scale-out: planning requests for new machines, and applying the cloud's responses to
+//! requests and releases.
 //!
 //! Owns `Scaling`. `inventory` calls `plan_scale_out` while no request is in flight; the
-//! server reports each answer. A request without an answer counts as refused for a
-//! while, and its machines, if any, show in the machine list; nothing may assume that
-//! there are none.
+//! server reports each response. A request without a response counts as refused for
+//! `CLOUD_REFUSAL_MS`. Its machines, if there are any, appear in the machine list; no code
+//! may assume that there are none.
 
 use super::{Leader, millis, zone_health::ZoneHealth};
 use crate::{
@@ -23,45 +23,50 @@
 };
 use std::collections::HashMap;
 
-/// How long a kind of machine that was refused is not requested again.
+/// How long a kind of machine that the cloud refused is not requested again.
 const CLOUD_REFUSAL_MS: Millis = 10_000;
-/// A machine that has been overdue for no longer than this may just be late:
-/// it is not replaced.
+/// A machine whose heartbeat is overdue by no more than this is not replaced, as the
+/// heartbeat may only be late.
 const LATE_HEARTBEAT_MS: Millis = 2_000;
-/// A machine is charged for at least a minute; this is just under.
+/// Age after which a booting machine that is not needed is released. The cloud charges for
+/// at least one minute, so this is just under a minute.
 const MIN_CHARGE_MS: Millis = 57_000;
-/// A job refused more often in a row than this gets no new machines.
+/// Number of consecutive refused starts beyond which no machines are requested for a job.
 const MAX_CONSECUTIVE_REFUSALS: u32 = 5;
-/// From a machine's boot to the first start on it.
+/// Time from a machine's boot to the first task start on it, in seconds.
 const START_MARGIN_S: f64 = 5.0;
-/// Released machines are remembered for this long, once they are many.
+/// How long released machines are remembered once there are more than
+/// `MAX_RELEASED_REMEMBERED` of them.
 const RELEASED_MEMORY_MS: Millis = 600_000;
 const MAX_RELEASED_REMEMBERED: usize = 5_000;
 
-/// State of scaling that is not cluster state.
+/// The state of scaling that is not part of the cluster state.
 pub(super) struct Scaling {
-    /// When scaling is considered next.
-    pub(super) next_look_at: Millis,
-    /// When the machine list is read next.
+    /// When the next scaling round is due.
+    pub(super) next_scaling_at: Millis,
+    /// When the next read of the machine list is due.
     pub(super) next_list_at: Millis,
-    /// Kinds that the cloud refused lately.
+    /// Kinds of machines that the cloud refused recently, with the time until which they
+    /// are not requested.
     refused_until: HashMap<MachineKind, Millis>,
-    /// Requests that have not been answered yet.
+    /// Number of requests that have not been answered yet.
     pub(super) requests_in_flight: u32,
-    /// Request ids given out in this term.
+    /// Number of request ids assigned in this term.
     request_count: u64,
-    /// Machines released or removed; their late heartbeats are ignored.
+    /// Machines that were released or removed, with the time; their late heartbeats are
+    /// ignored.
     pub(super) released: HashMap<String, Millis>,
-    /// By zone index.
+    /// Health of each zone, by zone index.
     pub(super) zone_health: Vec<ZoneHealth>,
-    /// Most machines were overdue at once: they are not replaced until then.
+    /// No machines are requested before this time, because most machines were overdue at
+    /// once.
     pub(super) no_scale_out_until: Millis,
 }
 
 impl Scaling {
     pub(super) fn new(zone_health: Vec<ZoneHealth>) -> Self {
         Scaling {
-            next_look_at: 0,
+            next_scaling_at: 0,
             next_list_at: 0,
             refused_until: HashMap::new(),
             requests_in_flight: 0,
@@ -84,7 +89,7 @@
     }
 }
 
-/// A line of the price list.
+/// A kind of machine: one entry of the price list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct MachineKind {
     type_ix: usize,
@@ -92,8 +97,8 @@
     spot: bool,
 }
 
-/// Capacity that exists or is expected. `bins` and `held_by_batches` are in the
-/// same order.
+/// Capacity that exists or is expected. `bins` and `held_by_batches` have one entry per
+/// machine, in the same order.
 #[derive(Default)]
 struct Supply {
     bins: Vec<Bin>,
@@ -101,37 +106,38 @@
     held_by_batches: Vec<Resources>,
 }
 
-/// A machine that still boots, and the index of its bin.
+/// A machine that is still booting, and the index of its bin.
 struct BootingBin {
     bin: usize,
     machine: MachineHandle,
 }
 
-/// Demand of waiting jobs, in the order in which it is planned for.
+/// Demand of waiting jobs, in the order in which machines are planned for it.
 #[derive(Default)]
 struct WaitingDemand {
-    /// Of services and gangs.
+    /// Demand of services and gangs.
     urgent: JobDemand,
-    /// Of arrays.
+    /// Demand of job arrays.
     batches: JobDemand,
 }
 
-/// A job, and the index of the demand that it is part of, if any.
+/// A job, and the index of the demand to which it contributes, if any.
 struct JobDemandIndex {
     job: JobHandle,
     demand: Option<usize>,
 }
 
-/// Distinct demands considered in a round: arrays whose tasks differ in size are
-/// one each.
+/// Largest number of distinct demands considered in a round. Arrays whose tasks differ in
+/// size are distinct demands.
 const MAX_DEMANDS: usize = 200;
 
-/// Waiting jobs, aggregated by what their tasks need of which machines. Guards
-/// against a bound on the jobs considered: with more than that waiting at high
-/// priority, no machine was requested for any job after them.
+/// Waiting jobs, aggregated by the resources their tasks need and the machines they allow.
+/// The aggregation makes a bound on the number of jobs unnecessary: with such a bound, and
+/// more jobs than that waiting at high priority, no machine was requested for any job after
+/// them.
 #[derive(Default)]
 struct JobDemand {
-    /// In the order of service of their first jobs.
+    /// Demands, in the queue order of the first job of each.
     demands: Vec<Demand>,
     jobs: Vec<JobDemandIndex>,
 }
@@ -148,7 +154,8 @@
         });
     }
 
-    /// The index of the demand; `None`: there are too many already.
+    /// Adds the job's tasks to the matching demand and returns its index. Returns `None` if
+    /// there is no such demand and `MAX_DEMANDS` is reached.
     fn add_demand(&mut self, job: &Job, count: i64) -> Option<usize> {
         let per_zone = job
             .spec
@@ -185,7 +192,7 @@
 }
 
 impl Leader {
-    /// The shortest boot time of the types allowed.
+    /// Returns the shortest boot time of the allowed machine types, in seconds.
     fn boot_s(&self, types: &[bool]) -> f64 {
         self.cluster
             .types
@@ -197,8 +204,8 @@
             .unwrap_or(0.0)
     }
 
-    /// Plans the requests for new machines: first for services and gangs, then
-    /// for batches, then for the headroom that is kept spare.
+    /// Plans the requests for new machines: first for services and gangs, then for batches,
+    /// then for the spare capacity.
     pub(super) fn plan_scale_out(&mut self, now: Millis, wall_ms: u64) -> Vec<MachineRequest> {
         let Supply {
             mut bins,
@@ -214,7 +221,7 @@
             &offers,
             provision::MAX_NEW,
         );
-        // Batches may use what high priority leaves.
+        // Batches may use the capacity that services and gangs leave.
         let mut spare_bins = bins.clone();
         planned.extend(provision::plan(
             &mut demand.batches.demands,
@@ -224,7 +231,7 @@
         ));
         self.record_supply_reasons(&demand.urgent);
         self.record_supply_reasons(&demand.batches);
-        // What batches hold becomes free soon.
+        // Capacity that batches hold counts as spare, as it becomes free soon.
         for (bin, held) in spare_bins.iter_mut().zip(held_by_batches) {
             bin.free += held;
         }
@@ -241,7 +248,7 @@
         self.machine_requests(planned)
     }
 
-    /// Capacity of the machines that exist, or are expected to come up.
+    /// Returns the capacity of the machines that exist or are expected to come up.
     fn supply(&self, now: Millis) -> Supply {
         let mut supply = Supply::default();
         for (handle, machine) in self.cluster.machines_by_handle() {
@@ -267,7 +274,7 @@
         supply
     }
 
-    /// The machine boots, and not for so long that it is no longer relied on.
+    /// Whether the machine is booting, and not for longer than 1.7 times its usual boot time.
     fn is_expected_to_boot(&self, machine: &Machine, now: Millis) -> bool {
         let boot_ms = millis(self.cluster.types[machine.type_ix].boot_s);
         !machine.up
@@ -279,22 +286,23 @@
             && now < machine.state_since + boot_ms + boot_ms * 7 / 10
     }
 
-    /// What is free on the machine can be relied on, although it may not be
-    /// schedulable at this moment.
+    /// Whether the free capacity of the machine can be relied on, even if the machine is not
+    /// schedulable at the moment.
     fn counts_as_supply(&self, machine: &Machine, now: Millis) -> bool {
         let late = machine.overdue
             && now < machine.overdue_since + LATE_HEARTBEAT_MS
             && machine.schedulable_once_heard();
-        // While its contents are unknown all of it counts as free, as what may
-        // run there still looks like waiting. After a warm failover they are
-        // known: one that stays unresponsive counts for no more than it runs.
+        // While the tasks of a machine are unknown, all of its capacity counts as free,
+        // because the tasks that may run there still count as waiting. After a warm failover
+        // the tasks are known: a machine that stays unresponsive then offers no capacity
+        // beyond the tasks it runs.
         let unconfirmed = machine.contents_unknown
             && !machine.releasing
             && (!self.recovery.failover.warm || self.workers_may_be_redirecting(now));
         machine.schedulable() || late || machine.awaits_record() || unconfirmed
     }
 
-    /// Every kind of machine on the price list.
+    /// Returns every kind of machine on the price list.
     fn offers(&self, now: Millis) -> Vec<Offer> {
         let mut offers = Vec::new();
         for (type_ix, machine_type) in self.cluster.types.iter().enumerate() {
@@ -322,7 +330,7 @@
         offers
     }
 
-    /// Demand of the jobs that wait, as far as their teams' limits allow.
+    /// Returns the demand of the waiting jobs, within the limits of their teams.
     fn waiting_demand(&mut self, now: Millis, wall_ms: u64) -> WaitingDemand {
         let order = self.queue(now);
         let mut demand = WaitingDemand::default();
@@ -334,7 +342,7 @@
             if job.failures.suspected || job.consecutive_refusals > MAX_CONSECUTIVE_REFUSALS {
                 continue;
             }
-            // What the team may not run yet needs no machine yet.
+            // Tasks beyond the team's limit need no machine yet.
             let usage = planned_usage.entry(job.team).or_default();
             let count = self.most_within_limit(job.team, &job.need, job.waiting_count(), *usage);
             *usage += job.need.scaled(count);
@@ -352,7 +360,8 @@
         demand
     }
 
-    /// How many more of a batch's waiting tasks must run at once.
+    /// Returns how many more of a batch's waiting tasks must run at the same time for it to
+    /// meet its deadline.
     fn batch_parallelism(&self, job: &Job, waiting: i64, wall_ms: u64) -> i64 {
         let age_s = wall_ms.saturating_sub(job.accepted_at_ms) as f64 / 1000.0;
         let time_left_s = job
@@ -363,8 +372,8 @@
         provision::parallel(waiting, live, job.spec.estimate_s, time_left_s)
     }
 
-    /// Records what each job of the demand waits for. Jobs of no demand are not
-    /// hurried: they will be in time without a new machine.
+    /// Records what each job of the demand waits for. No supply reason is recorded for a job
+    /// without a demand, as it will finish in time without a new machine.
     fn record_supply_reasons(&mut self, demand: &JobDemand) {
         for job_demand in &demand.jobs {
             if let Some(job) = self.cluster.job_mut(job_demand.job) {
@@ -379,7 +388,7 @@
         }
     }
 
-    /// The headroom that is kept spare, as demand.
+    /// Returns the spare capacity for services as demand.
     fn spare_demands(&self) -> Vec<Demand> {
         let spare = self.spare_capacity().into_iter();
         let demand = spare.map(|headroom| Demand {
@@ -394,8 +403,8 @@
         demand.collect()
     }
 
-    /// A machine that still boots when its work is gone is released, once the
-    /// least that it costs is spent.
+    /// Releases machines that are still booting although they are no longer needed, once
+    /// the minimum charge has been incurred anyway.
     fn release_unneeded(&mut self, unused: impl Iterator<Item = BootingBin>, now: Millis) {
         for booting in unused {
             if let Some(machine) = self.cluster.machine(booting.machine)
@@ -406,14 +415,14 @@
         }
     }
 
-    /// Splits what was planned into requests that the cloud accepts.
+    /// Splits the planned machines into requests of the size that the cloud accepts.
     fn machine_requests(&mut self, planned: Vec<PlannedMachines>) -> Vec<MachineRequest> {
         let mut requests = Vec::new();
         for machines in planned {
-            let mut left = machines.count;
-            while left > 0 {
-                let count = left.min(MAX_MACHINES_PER_REQUEST);
-                left -= count;
+            let mut remaining = machines.count;
+            while remaining > 0 {
+                let count = remaining.min(MAX_MACHINES_PER_REQUEST);
+                remaining -= count;
                 self.scaling.request_count += 1;
                 requests.push(MachineRequest {
                     request_id: format!("r-{}-{}", self.term, self.scaling.request_count),
@@ -427,13 +436,13 @@
         requests
     }
 
-    /// The request was not sent after all.
+    /// Notes that a planned request was not sent.
     pub fn scale_out_not_sent(&mut self) {
         self.scaling.requests_in_flight = self.scaling.requests_in_flight.saturating_sub(1);
     }
 
-    /// Applies the answer to a request. `None`: there was none; the machines, if
-    /// any, show in the machine list.
+    /// Applies the response to a request: the names of the new machines. `None` if there was
+    /// no response; the machines, if there are any, then appear in the machine list.
     pub fn scale_out_answered(
         &mut self,
         request: &MachineRequest,
@@ -443,7 +452,7 @@
         self.scaling.requests_in_flight = self.scaling.requests_in_flight.saturating_sub(1);
         let names = names.unwrap_or(&[]);
         log::info!(
-            "scaled out by {} of {} {} in {}{}",
+            "cloud added {} of {} requested machines of type {} in zone {}{}",
             names.len(),
             request.count,
             request.type_name,
@@ -452,14 +461,14 @@
         );
         self.events.tally.rented += names.len() as u64;
         for name in names {
-            let new = NewMachine {
+            let new_machine = NewMachine {
                 name,
                 addr: "",
                 type_name: &request.type_name,
                 zone: &request.zone,
                 spot: request.spot,
             };
-            self.cluster.insert_machine(new, now);
+            self.cluster.insert_machine(new_machine, now);
         }
         if (names.len() as u32) < request.count
             && let (Some(type_ix), Some(zone)) = (
@@ -478,24 +487,24 @@
         }
     }
 
-    /// The cloud answered a release; if `ok`, the machines are gone.
+    /// Applies the cloud's response to a release. If `ok`, the machines have been deleted.
     pub fn released(&mut self, names: &[String], ok: bool, now: Millis) {
         for name in names {
             let Some(handle) = self.cluster.machine_handle(name) else {
                 continue;
             };
             if !ok {
-                if let Some(m) = self.cluster.machine_mut(handle) {
-                    m.release_requested = false;
+                if let Some(machine) = self.cluster.machine_mut(handle) {
+                    machine.release_requested = false;
                 }
                 continue;
             }
-            if let Some(m) = self.cluster.machine(handle)
-                && m.registration == Registration::Present
+            if let Some(machine) = self.cluster.machine(handle)
+                && machine.registration == Registration::Present
             {
                 self.write_queue
                     .conditional_deletes
-                    .push((machine_key(name), m.record_version));
+                    .push((machine_key(name), machine.record_version));
             }
             self.events.tally.released += 1;
             self.cluster.remove_machine(handle);
--- a/src/control/leader/spec_chunks.rs
+++ b/src/control/leader/spec_chunks.rs
@@ -1,10 +1,12 @@
-//! Specs too long for one value: written in chunks before a record is written
-//! that names them. Nothing waits for it: an older record can be read as it
-//! is, and its job be ended; only a change of the record needs the chunks first.
+//! Chunked job specs: a spec that is too long for one value is written in chunks
+//! before the record that refers to them. For an older record that holds its spec
+//! inline, nothing waits for this: the record can be read and its job ended as
+//! before, and only a change of the record requires the chunks first.
 //!
-//! Owns which chunks of which job are written. Called by persistence, which
-//! plans the writes, and by submission. Must never let a record name a chunk
-//! that is not surely written, nor delete one that a record may name.
+//! Owns the uploads in progress: the chunks of each job that have been written.
+//! Called by persistence, which plans the writes, and by submission. Invariants: a
+//! record never refers to a chunk that may not have been written, and a chunk to
+//! which a record may refer is never deleted.
 
 use super::{
     Leader,
@@ -23,34 +25,34 @@
 };
 use std::collections::{HashMap, hash_map::Entry};
 
-/// Chunks in one transaction, which then stays well under 64 KiB.
+/// Largest number of chunks in one transaction, which keeps it well under 64 KiB.
 const MAX_CHUNKS_PER_TRANSACTION: usize = 24;
 
-/// A spec of which chunks are being written.
+/// A spec whose chunks are being written.
 struct SpecUpload {
     spec_chunks: SpecChunks,
     /// Keys and values of the chunks, in order.
     values: Vec<(String, String)>,
-    /// How many of them are written.
+    /// Number of chunks that have been written.
     written: usize,
 }
 
-/// Specs of known jobs that are being written in chunks.
+/// Specs of accepted jobs that are being written in chunks.
 #[derive(Default)]
 pub(super) struct SpecUploads {
-    /// Every controller can read chunks.
+    /// Whether every controller can read chunks.
     pub(super) allowed: bool,
-    /// By job.
-    open: HashMap<JobHandle, SpecUpload>,
+    /// Uploads in progress, by job.
+    uploads: HashMap<JobHandle, SpecUpload>,
 }
 
 impl SpecUploads {
-    /// Whether the job's record can't be written before its spec's chunks are.
+    /// Whether the chunks of the job's spec must be written before its record.
     pub(super) fn is_due(&self, job: &Job, value_kb: f64) -> bool {
         self.allowed && job.spec_chunks.is_none() && !keys::fits(job.inline_size, value_kb)
     }
 
-    /// Adds the next chunks of a job's spec to what is to be written.
+    /// Adds the next chunks of a job's spec to the plan, within the budget.
     pub(super) fn plan(
         &mut self,
         handle: JobHandle,
@@ -58,15 +60,15 @@
         plan: &mut WritePlan,
         budget: &mut WriteBudget,
     ) {
-        let upload = match self.open.entry(handle) {
-            Entry::Occupied(known) => known.into_mut(),
-            Entry::Vacant(place) => match spec_chunks::cut(&job.spec) {
-                Ok((spec_chunks, values)) => place.insert(SpecUpload {
+        let upload = match self.uploads.entry(handle) {
+            Entry::Occupied(entry) => entry.into_mut(),
+            Entry::Vacant(entry) => match spec_chunks::cut(&job.spec) {
+                Ok((spec_chunks, values)) => entry.insert(SpecUpload {
                     spec_chunks,
                     values,
                     written: 0,
                 }),
-                Err(e) => return log::error!("job {}: {e}", job.id),
+                Err(e) => return log::error!("job {}: cannot chunk its spec: {e}", job.id),
             },
         };
         let chunks_written = upload
@@ -86,14 +88,16 @@
 }
 
 impl Leader {
-    /// Whether every controller runs this version, once it is known.
+    /// Notes whether every controller runs this version. Once it has been `true`, specs may be
+    /// written in chunks.
     pub fn upgraded(&mut self, complete: bool) {
         self.spec_uploads.allowed |= complete;
     }
 
-    /// So many chunks of the job's spec are written.
+    /// Notes that the first `chunks_written` chunks of the job's spec have been written. After
+    /// the last chunk, the job's record can refer to them.
     pub(super) fn spec_chunks_written(&mut self, handle: JobHandle, chunks_written: usize) {
-        let uploads = &mut self.spec_uploads.open;
+        let uploads = &mut self.spec_uploads.uploads;
         let Some(upload) = uploads.get_mut(&handle) else {
             return;
         };
@@ -110,9 +114,9 @@
         }
     }
 
-    /// The job is over: chunks of an upload that is not complete are deleted.
+    /// Queues the written chunks of an incomplete upload for deletion, after the job has ended.
     pub(super) fn drop_spec_upload(&mut self, handle: JobHandle) {
-        if let Some(upload) = self.spec_uploads.open.remove(&handle) {
+        if let Some(upload) = self.spec_uploads.uploads.remove(&handle) {
             let keys = upload.values.into_iter().map(|(key, _)| key);
             self.write_queue
                 .unconditional_deletes
@@ -120,9 +124,9 @@
         }
     }
 
-    /// What is written before a job with a long spec is accepted. Each
-    /// transaction is on condition of this term, so that none can undo what a
-    /// later leader deletes.
+    /// Returns the chunks of a long spec and the transactions that write them before the job
+    /// is accepted, or `None` if the spec is stored inline. Each transaction holds the
+    /// condition on this term, so that none can rewrite a chunk that a later leader deleted.
     pub fn pieces_first(&self, spec: &JobSpec) -> anyhow::Result<Option<(SpecChunks, Vec<Txn>)>> {
         let limits = self.settings.cluster.state.always();
         if !self.spec_uploads.allowed || keys::fits(keys::inline_record_size(spec), limits.value_kb)
@@ -147,15 +151,14 @@
         Ok(Some((spec_chunks, txns.collect())))
     }
 
-    /// Whether the chunk with this key is named by its job's record, or is
-    /// being written: then it must not be deleted as left over, even if it once
-    /// was.
+    /// Whether the job's record refers to the chunk with this key, or the chunk is being
+    /// written. Such a chunk must not be deleted as an orphan, even if it was one before.
     pub(super) fn spec_chunk_in_use(&self, key: &str) -> bool {
         let Some(handle) = SpecChunks::job_of(key).and_then(|id| self.cluster.job_handle(id))
         else {
             return false;
         };
-        let upload = self.spec_uploads.open.get(&handle);
+        let upload = self.spec_uploads.uploads.get(&handle);
         if upload.is_some_and(|upload| upload.values.iter().any(|(other, _)| other == key)) {
             return true;
         }
@@ -165,8 +168,9 @@
         })
     }
 
-    /// Chunks as they were found in this term: those that no record names are
-    /// left from a submission that was given up, or from a job that is over.
+    /// Queues orphaned chunks for deletion. `found` holds the chunks that were read in this
+    /// term; those to which no record refers are left over from an abandoned submission or
+    /// from a job that has ended.
     pub fn load_spec_chunks(&mut self, found: Vec<(String, u64)>) {
         for (key, version) in found {
             let id = SpecChunks::job_of(&key).unwrap_or_default();
--- a/src/control/leader/status.rs
+++ b/src/control/leader/status.rs
@@ -1,8 +1,8 @@
-//! Status for operators and figures for metrics, computed only when asked for.
+//! Status for operators and counts for metrics.
 //!
-//! Owns `Events` and `Tally`. Called by the request handlers and the metrics loop.
-//! Answers must fit a frame, so names are clipped and rows limited. It must never change
-//! a decision.
+//! Owns `Events` and `Tally`. Called by the request handlers and the metrics loop; status
+//! is computed only on request. Responses must fit into a frame, so names are truncated and
+//! the number of rows is limited. This module never influences a decision of the leader.
 
 use super::{Leader, millis};
 use crate::{
@@ -24,63 +24,66 @@
 };
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// Events of this term, for operators and for fault attribution.
+/// Events of this term, kept for status, metrics and fault attribution.
 #[derive(Default)]
 pub(super) struct Events {
     pub(super) tally: Tally,
-    pub(super) recent_failures: VecDeque<Failed>,
-    /// Jobs of which a task failed and none has run.
+    pub(super) recent_failures: VecDeque<TaskFailureEvent>,
+    /// Jobs that have a failed task and of which no task has run.
     pub(super) suspects: Vec<JobHandle>,
 }
 
-/// Recent failures kept for operators.
-const FAILURES: usize = 20;
-/// Unfinished dependencies that are listed one by one.
-const NEEDS: usize = 20;
-/// A machine that boots for so many times its usual boot time is listed.
-const SLOW_BOOT: u64 = 3;
+/// Number of recent failures that are kept for operators.
+const MAX_RECENT_FAILURES: usize = 20;
+/// Largest number of unfinished dependencies that are listed individually.
+const MAX_LISTED_DEPENDENCIES: usize = 20;
+/// A machine that has been booting for longer than this many times its usual boot time is
+/// listed as a problem.
+const SLOW_BOOT_FACTOR: u64 = 3;
 
-/// Counts since they were last taken, for metrics.
+/// Counts for metrics, accumulated since the last call of `take_tally`.
 #[derive(Debug, Default)]
 pub struct Tally {
-    /// Tasks that failed.
+    /// Number of tasks that failed.
     pub failed: u64,
-    /// Tasks stopped for other work.
+    /// Number of tasks stopped to make room for other work.
     pub preempted: u64,
-    /// Machines that the cloud added.
+    /// Number of machines that the cloud added.
     pub rented: u64,
-    /// Machines that the cloud deleted.
+    /// Number of machines that the cloud deleted.
     pub released: u64,
-    /// Class, and seconds from acceptance to a task's first run.
+    /// For each job that started to run for the first time: its class, and the seconds from
+    /// when this leader learned of it.
     pub waits: Vec<(String, f64)>,
-    /// Finished phases of the recovery, and their seconds.
+    /// Completed phases of the recovery, with their durations in seconds.
     pub phases: Vec<(&'static str, f64)>,
-    /// How this leader took over: `warm`, or why not.
+    /// How this leader took over: `warm`, or the reason why it took over cold.
     pub took_over: Option<&'static str>,
-    /// Jobs cancelled as a job that they depend on was.
+    /// Number of jobs that were cancelled because a job they depend on was cancelled.
     pub cancelled_with_dependency: u64,
-    /// Start commands sent.
+    /// Number of start commands sent.
     pub starts: u64,
-    /// Stop commands sent.
+    /// Number of stop commands sent.
     pub stops: u64,
 }
 
-/// A task that failed: when, which, where, why.
-pub(super) type Failed = (Millis, String, String, ExitReason);
+/// A failed task: the time of the failure, the task, the machine and the reason.
+pub(super) type TaskFailureEvent = (Millis, String, String, ExitReason);
 
-/// Names come from the users: answers must stay within a frame.
-fn clipped(name: &str) -> String {
+/// Truncates a name to 60 characters. Names come from users, and a response must fit into a
+/// frame.
+fn truncate_name(name: &str) -> String {
     name.chars().take(60).collect()
 }
 
-fn units(v: i64) -> f64 {
-    v as f64 / 1000.0
+fn from_thousandths(thousandths: i64) -> f64 {
+    thousandths as f64 / 1000.0
 }
 
 impl Leader {
     pub(super) fn set_reason(&mut self, job_handle: JobHandle, reason: PendingReason) {
-        if let Some(j) = self.cluster.job_mut(job_handle) {
-            j.reason = reason;
+        if let Some(job) = self.cluster.job_mut(job_handle) {
+            job.reason = reason;
         }
     }
 
@@ -88,19 +91,19 @@
         &mut self,
         task: String,
         machine: String,
-        why: ExitReason,
+        reason: ExitReason,
         now: Millis,
     ) {
         self.events.tally.failed += 1;
-        if self.events.recent_failures.len() >= FAILURES {
+        if self.events.recent_failures.len() >= MAX_RECENT_FAILURES {
             self.events.recent_failures.pop_front();
         }
         self.events
             .recent_failures
-            .push_back((now, task, machine, why));
+            .push_back((now, task, machine, reason));
     }
 
-    /// The counts since the last call.
+    /// Returns the counts accumulated since the last call, and resets them.
     pub fn take_tally(&mut self) -> Tally {
         std::mem::take(&mut self.events.tally)
     }
@@ -115,26 +118,29 @@
         }
     }
 
-    /// Seconds until it has to be done: by its own deadline, or by that of a job that
-    /// depends on it, whichever is sooner.
+    /// Returns the seconds until the job has to be done: by its own deadline or by that of a
+    /// job that depends on it, whichever is sooner.
     fn left_s(
         &self,
         handle: JobHandle,
         job: &Job,
-        in_chains: &HashMap<JobHandle, u64>,
+        dependent_deadlines: &HashMap<JobHandle, u64>,
     ) -> Option<f64> {
-        let own = job.spec.deadline_s.map(|d| d - self.age_s(job));
-        let chain = in_chains.get(&handle);
-        let chain = chain.map(|due| (*due as f64 - self.wall_ms as f64) / 1000.0);
-        own.into_iter().chain(chain).min_by(f64::total_cmp)
+        let own_left_s = job.spec.deadline_s.map(|d| d - self.age_s(job));
+        let chain_due = dependent_deadlines.get(&handle);
+        let chain_due = chain_due.map(|due| (*due as f64 - self.wall_ms as f64) / 1000.0);
+        own_left_s
+            .into_iter()
+            .chain(chain_due)
+            .min_by(f64::total_cmp)
     }
 
-    fn due_of(&self, job: &Job, left_s: Option<f64>) -> Option<Due> {
-        let left = left_s?;
-        let starts = job.waiting_count() > 0 || job.readiness != Readiness::Ready;
-        Some(if left < 0.0 {
+    fn due_of(&self, job: &Job, time_left_s: Option<f64>) -> Option<Due> {
+        let remaining_s = time_left_s?;
+        let must_start = job.waiting_count() > 0 || job.readiness != Readiness::Ready;
+        Some(if remaining_s < 0.0 {
             Due::Late
-        } else if starts && left < job.spec.estimate_s {
+        } else if must_start && remaining_s < job.spec.estimate_s {
             Due::AtRisk
         } else {
             Due::InTime
@@ -145,15 +151,15 @@
         self.wall_ms.saturating_sub(job.accepted_at_ms) as f64 / 1000.0
     }
 
-    /// The status of the cluster, for `status`.
+    /// Returns the status of the cluster, for the `status` request.
     pub fn picture(&self, now: Millis) -> ClusterStatus {
-        let mut picture = ClusterStatus {
+        let mut status = ClusterStatus {
             term: self.term,
             since_s: (now - self.recovery.elected_at) as f64 / 1000.0,
             settled: self.recovery.settled,
             jobs: self.cluster.live_jobs() as u32,
             groups: self.groups(),
-            lent: self.at_markets(),
+            lent: self.offloaded_jobs_by_market(),
             standbys: self.standbys.status(now),
             took_over: self.recovery.failover.text(),
             failures: self
@@ -170,217 +176,228 @@
                 .collect(),
             ..ClusterStatus::default()
         };
-        for (t, used) in self.cluster.teams.iter().zip(&self.cluster.team_usage) {
-            picture.teams.push(TeamUsage {
-                name: clipped(&t.name),
-                cpus: units(used.cpus),
-                gpus: units(used.gpus),
-                cpus_guaranteed: t.cpus,
-                gpus_guaranteed: t.gpus,
-                cpus_max: t.cpus_max,
-                gpus_max: t.gpus_max,
+        for (team, used) in self.cluster.teams.iter().zip(&self.cluster.team_usage) {
+            status.teams.push(TeamUsage {
+                name: truncate_name(&team.name),
+                cpus: from_thousandths(used.cpus),
+                gpus: from_thousandths(used.gpus),
+                cpus_guaranteed: team.cpus,
+                gpus_guaranteed: team.gpus,
+                cpus_max: team.cpus_max,
+                gpus_max: team.gpus_max,
             });
         }
-        // Those that use most, where not all can be shown.
-        picture.teams.sort_by(|a, b| {
-            let used = |t: &TeamUsage| t.cpus + t.gpus;
+        // If not all teams can be shown, those that use most are.
+        status.teams.sort_by(|a, b| {
+            let used = |team: &TeamUsage| team.cpus + team.gpus;
             used(b).total_cmp(&used(a))
         });
-        picture.teams.truncate(MOST_ROWS);
-        self.fleet(&mut picture, now);
-        picture
+        status.teams.truncate(MOST_ROWS);
+        self.add_machine_groups(&mut status, now);
+        status
     }
 
     fn groups(&self) -> Vec<JobGroup> {
         let mut groups: HashMap<(&str, &str), JobGroup> = HashMap::new();
-        let in_chains = self.inherited_deadlines();
-        for (handle, j) in self.cluster.jobs.iter() {
-            let key = (j.spec.class.as_str(), j.spec.team.as_str());
-            let g = groups.entry(key).or_insert_with(|| JobGroup {
-                class: clipped(&j.spec.class),
-                team: clipped(&j.spec.team),
+        let dependent_deadlines = self.inherited_deadlines();
+        for (handle, job) in self.cluster.jobs.iter() {
+            let key = (job.spec.class.as_str(), job.spec.team.as_str());
+            let group = groups.entry(key).or_insert_with(|| JobGroup {
+                class: truncate_name(&job.spec.class),
+                team: truncate_name(&job.spec.team),
                 ..JobGroup::default()
             });
-            g.running += j.running_count;
-            match self.due_of(j, self.left_s(handle, j, &in_chains)) {
-                Some(Due::Late) => g.late_jobs += 1,
-                Some(Due::AtRisk) => g.at_risk_jobs += 1,
+            group.running += job.running_count;
+            match self.due_of(job, self.left_s(handle, job, &dependent_deadlines)) {
+                Some(Due::Late) => group.late_jobs += 1,
+                Some(Due::AtRisk) => group.at_risk_jobs += 1,
                 _ => {}
             }
-            // What is offloaded waits as well, for its market, and what is blocked waits
-            // for its dependencies.
-            let waiting = match j.offload.is_local() && j.readiness == Readiness::Ready {
-                true => j.waiting_count(),
-                false => j.spec.tasks - j.completed_count,
+            // All unfinished tasks of an offloaded job count as waiting, for its market, as do
+            // those of a blocked job, for its dependencies.
+            let waiting = match job.offload.is_local() && job.readiness == Readiness::Ready {
+                true => job.waiting_count(),
+                false => job.spec.tasks - job.completed_count,
             };
-            if waiting == 0 || j.cancelled {
+            if waiting == 0 || job.cancelled {
                 continue;
             }
-            g.waiting += waiting;
-            g.oldest_wait_s = g.oldest_wait_s.max(self.age_s(j));
-            let reason = self.reason_of(j);
-            match g.reasons.iter_mut().find(|(r, _)| *r == reason) {
+            group.waiting += waiting;
+            group.oldest_wait_s = group.oldest_wait_s.max(self.age_s(job));
+            let reason = self.reason_of(job);
+            match group.reasons.iter_mut().find(|(r, _)| *r == reason) {
                 Some((_, n)) => *n += waiting,
-                None => g.reasons.push((reason, waiting)),
+                None => group.reasons.push((reason, waiting)),
             }
         }
         let mut groups: Vec<JobGroup> = groups.into_values().collect();
         groups.sort_by(|a, b| {
-            let key = |g: &JobGroup| (g.class.clone(), g.team.clone());
+            let key = |group: &JobGroup| (group.class.clone(), group.team.clone());
             b.waiting.cmp(&a.waiting).then(key(a).cmp(&key(b)))
         });
         groups.truncate(MOST_ROWS);
         groups
     }
 
-    fn fleet(&self, picture: &mut ClusterStatus, now: Millis) {
-        let mut kinds: Vec<((usize, usize, bool), MachineGroup, f64)> = Vec::new();
-        for m in self.cluster.each_machine() {
-            let key = (m.type_ix, m.zone, m.spot);
-            let at = match kinds.iter().position(|(k, ..)| *k == key) {
-                Some(at) => at,
+    fn add_machine_groups(&self, status: &mut ClusterStatus, now: Millis) {
+        let mut groups: Vec<((usize, usize, bool), MachineGroup, f64)> = Vec::new();
+        for machine in self.cluster.each_machine() {
+            let key = (machine.type_ix, machine.zone, machine.spot);
+            let group_index = match groups.iter().position(|(k, ..)| *k == key) {
+                Some(group_index) => group_index,
                 None => {
-                    let fleet = MachineGroup {
-                        type_name: clipped(&self.cluster.types[m.type_ix].name),
-                        zone: clipped(self.cluster.zones.name(m.zone)),
-                        spot: m.spot,
+                    let group = MachineGroup {
+                        type_name: truncate_name(&self.cluster.types[machine.type_ix].name),
+                        zone: truncate_name(self.cluster.zones.name(machine.zone)),
+                        spot: machine.spot,
                         ..MachineGroup::default()
                     };
-                    kinds.push((key, fleet, 0.0));
-                    kinds.len() - 1
+                    groups.push((key, group, 0.0));
+                    groups.len() - 1
                 }
             };
-            let (_, fleet, load) = &mut kinds[at];
-            if m.releasing {
-                fleet.leaving += 1;
-            } else if m.up {
-                fleet.up += 1;
-                *load += placement::load(&m.capacity, &m.free(), LoadResource::Scarcest);
-            } else if m.incarnation == 0 && !m.contents_unknown {
-                fleet.booting += 1;
+            let (_, group, load) = &mut groups[group_index];
+            if machine.releasing {
+                group.leaving += 1;
+            } else if machine.up {
+                group.up += 1;
+                *load +=
+                    placement::load(&machine.capacity, &machine.free(), LoadResource::Scarcest);
+            } else if machine.incarnation == 0 && !machine.contents_unknown {
+                group.booting += 1;
             }
-            let boot = millis(self.cluster.types[m.type_ix].boot_s);
-            let why = if m.failures.quarantined {
+            let boot_ms = millis(self.cluster.types[machine.type_ix].boot_s);
+            let reason = if machine.failures.quarantined {
                 "set aside: jobs that run elsewhere, or several, fail on it"
-            } else if m.contents_unknown {
+            } else if machine.contents_unknown {
                 "not heard in this term"
-            } else if m.up && m.misses_responses() {
+            } else if machine.up && machine.misses_responses() {
                 "reports, but does not get answers or orders"
-            } else if m.overdue {
+            } else if machine.overdue {
                 "its reports are overdue"
-            } else if m.reclaim_at.is_some() {
+            } else if machine.reclaim_at.is_some() {
                 "about to be taken away"
-            } else if m.draining {
+            } else if machine.draining {
                 "its services are being moved off"
-            } else if !m.up && m.incarnation > 0 {
+            } else if !machine.up && machine.incarnation > 0 {
                 "silent: its lease has lapsed"
-            } else if !m.up && !m.releasing && now > m.state_since + SLOW_BOOT * boot {
+            } else if !machine.up
+                && !machine.releasing
+                && now > machine.state_since + SLOW_BOOT_FACTOR * boot_ms
+            {
                 "boots for long"
             } else {
                 continue;
             };
-            if picture.troubles.len() < MOST_ROWS {
-                picture.troubles.push(MachineProblem {
-                    machine: clipped(&m.name),
-                    why: why.to_owned(),
+            if status.troubles.len() < MOST_ROWS {
+                status.troubles.push(MachineProblem {
+                    machine: truncate_name(&machine.name),
+                    why: reason.to_owned(),
                 });
             }
         }
-        for (_, mut fleet, load) in kinds {
-            fleet.load = load / f64::from(fleet.up.max(1));
-            picture.fleet.push(fleet);
+        for (_, mut group, load) in groups {
+            group.load = load / f64::from(group.up.max(1));
+            status.fleet.push(group);
         }
-        picture
+        status
             .fleet
             .sort_by(|a, b| (&a.type_name, &a.zone, a.spot).cmp(&(&b.type_name, &b.zone, b.spot)));
-        picture.fleet.truncate(MOST_ROWS);
+        status.fleet.truncate(MOST_ROWS);
     }
 
-    fn at_markets(&self) -> Vec<(String, u32)> {
-        let mut list: BTreeMap<&str, u32> = BTreeMap::new();
-        for lent in self
+    fn offloaded_jobs_by_market(&self) -> Vec<(String, u32)> {
+        let mut jobs_by_market: BTreeMap<&str, u32> = BTreeMap::new();
+        for target in self
             .cluster
             .jobs
             .values()
             .filter_map(|j| j.offload.target())
         {
-            *list.entry(&lent.market).or_default() += 1;
+            *jobs_by_market.entry(&target.market).or_default() += 1;
         }
-        let rows = list.into_iter().take(MOST_ROWS);
-        rows.map(|(market, jobs)| (clipped(market), jobs)).collect()
+        let rows = jobs_by_market.into_iter().take(MOST_ROWS);
+        rows.map(|(market, jobs)| (truncate_name(market), jobs))
+            .collect()
     }
 
-    fn lent_to(&self, job: &Job) -> Option<String> {
-        let lent = job.offload.target()?;
-        let how = match job.offload {
+    fn describe_offload(&self, job: &Job) -> Option<String> {
+        let target = job.offload.target()?;
+        let state = match job.offload {
             OffloadState::Offloading { .. } => "about to be lent to",
             OffloadState::Returning(_) => "coming back from",
             _ => "lent to",
         };
-        let market = clipped(&lent.market);
-        Some(format!("{how} market {market}, award {}", lent.award))
+        let market = truncate_name(&target.market);
+        Some(format!("{state} market {market}, award {}", target.award))
     }
 
-    fn verdict_on(&self, job: &Job, now: Millis) -> Option<String> {
+    fn describe_failures(&self, job: &Job, now: Millis) -> Option<String> {
         let machines = job.failures.failures().len();
-        let times = |n| if n == 1 { "machine" } else { "machines" };
+        let machine_noun = |n| if n == 1 { "machine" } else { "machines" };
         if job.failures.suspected {
-            let of = match machines {
+            let where_failed = match machines {
                 0 => "as an earlier leader found".to_owned(),
-                n => format!("on {n} {} or more", times(n)),
+                n => format!("on {n} {} or more", machine_noun(n)),
             };
-            let next = job
+            let next_retry_s = job
                 .failures
                 .next_retry_at()
                 .saturating_sub(now)
                 .div_ceil(1000);
             return Some(format!(
-                "suspected: its tasks failed {of} and none has run; the next try in {next} s"
+                "suspected: its tasks failed {where_failed} and none has run; the next try in {next_retry_s} s"
             ));
         }
         (machines > 0).then(|| {
             format!(
                 "tasks of it failed on {machines} {}, not taken for its own fault",
-                times(machines)
+                machine_noun(machines)
             )
         })
     }
 
-    /// The state of one job, for `explain`. `None`: not a live job.
+    /// Returns the state of one job, for the `explain` request, or `None` if there is no live
+    /// job with this id.
     pub fn explain(&self, id: &str, now: Millis) -> Option<JobExplanation> {
         let handle = self.cluster.job_handle(id)?;
-        let j = self.cluster.job(handle)?;
-        let waiting = j.waiting_count();
-        let (needs, needs_all) = self.unfinished_dependencies(handle, NEEDS);
-        let left_s = self.left_s(handle, j, &self.inherited_deadlines());
-        let held = !j.offload.is_local() || j.readiness != Readiness::Ready;
+        let job = self.cluster.job(handle)?;
+        let waiting = job.waiting_count();
+        let (needs, needs_all) = self.unfinished_dependencies(handle, MAX_LISTED_DEPENDENCIES);
+        let left_s = self.left_s(handle, job, &self.inherited_deadlines());
+        let blocked = !job.offload.is_local() || job.readiness != Readiness::Ready;
         let places = self.cluster.each_machine().flat_map(|m| {
-            let own = m.tasks.iter().filter(|a| a.job == Some(handle));
-            own.map(|a| {
-                let stop = if a.stop_grace_s.is_some() {
+            let own_tasks = m
+                .tasks
+                .iter()
+                .filter(|assignment| assignment.job == Some(handle));
+            own_tasks.map(|assignment| {
+                let stop = if assignment.stop_grace_s.is_some() {
                     ", to stop"
                 } else {
                     ""
                 };
-                let phase = format!("{}{stop}", a.phase);
-                (a.task, clipped(&m.name), phase)
+                let phase = format!("{}{stop}", assignment.phase);
+                (assignment.task, truncate_name(&m.name), phase)
             })
         });
         Some(JobExplanation {
             id: id.to_owned(),
-            class: clipped(&j.spec.class),
-            team: clipped(&j.spec.team),
-            state: j.status().state.to_string(),
-            tasks: j.spec.tasks,
-            done: j.completed_count,
-            running: j.running_count,
+            class: truncate_name(&job.spec.class),
+            team: truncate_name(&job.spec.team),
+            state: job.status().state.to_string(),
+            tasks: job.spec.tasks,
+            done: job.completed_count,
+            running: job.running_count,
             waiting,
-            age_s: self.age_s(j),
-            reason: ((waiting > 0 || held) && !j.cancelled).then(|| self.reason_of(j)),
-            verdict: self.lent_to(j).or_else(|| self.verdict_on(j, now)),
-            due: self.due_of(j, left_s),
+            age_s: self.age_s(job),
+            reason: ((waiting > 0 || blocked) && !job.cancelled).then(|| self.reason_of(job)),
+            verdict: self
+                .describe_offload(job)
+                .or_else(|| self.describe_failures(job, now)),
+            due: self.due_of(job, left_s),
             left_s,
-            deadline_s: j.spec.deadline_s,
+            deadline_s: job.spec.deadline_s,
             places: places.take(MOST_ROWS).collect(),
             needs,
             needs_all: needs_all as u32,
