--- a/src/control/leader/expiry.rs
+++ b/src/control/leader/expiry.rs
@@ -39,14 +39,14 @@
         let report_interval_ms = millis(self.settings.cluster.workers.report_s);
         let mut responsive = 0;
         let mut names = Vec::new();
-        for m in self.cluster.each_machine().filter(|m| m.up) {
+        for machine in self.cluster.each_machine().filter(|machine| machine.up) {
             if now
-                > m.last_heartbeat.max(self.recovery.resumed_at)
+                > machine.last_heartbeat.max(self.recovery.resumed_at)
                     + report_interval_ms
                     + report_interval_ms / 2
                     + 500
             {
-                names.push(m.name.clone());
+                names.push(machine.name.clone());
             } else {
                 responsive += 1;
             }
--- a/src/control/leader/faults.rs
+++ b/src/control/leader/faults.rs
@@ -55,20 +55,24 @@
         }
         // Guards against restarting in a tight loop a task that fails to run each time,
         // even if it is the only such task of a job whose other tasks run.
-        let counts_as_refusal = |j: &&mut Job| {
-            reason != ExitReason::Done && (reason != ExitReason::Error || j.failures.has_succeeded)
+        let counts_as_refusal = |job_state: &&mut Job| {
+            reason != ExitReason::Done
+                && (reason != ExitReason::Error || job_state.failures.has_succeeded)
         };
-        if let Some(j) = self.cluster.job_mut(job_handle).filter(counts_as_refusal) {
-            j.consecutive_refusals += 1;
-            if j.consecutive_refusals > 2 {
-                j.backoff_until = now + (500 << j.consecutive_refusals.min(7));
+        if let Some(job_state) = self.cluster.job_mut(job_handle).filter(counts_as_refusal) {
+            job_state.consecutive_refusals += 1;
+            if job_state.consecutive_refusals > 2 {
+                job_state.backoff_until = now + (500 << job_state.consecutive_refusals.min(7));
             }
         }
         if reason != ExitReason::Done
-            && let (Some(j), Some(machine_state)) =
+            && let (Some(job_state), Some(machine_state)) =
                 (self.cluster.job(job_handle), self.cluster.machine(machine))
         {
-            let (task, machine) = (format!("{}/{task}", j.id), machine_state.name.clone());
+            let (task, machine) = (
+                format!("{}/{task}", job_state.id),
+                machine_state.name.clone(),
+            );
             log::debug!("task {task} failed on {machine}: {reason:?}");
             self.note_failure(task, machine, reason, now);
         }
@@ -87,13 +91,13 @@
             machine_state.failures.record_success(started_at);
         }
         if let Some(job_handle) = job
-            && let Some(j) = self.cluster.job_mut(job_handle)
-            && !j.failures.has_succeeded
+            && let Some(job_state) = self.cluster.job_mut(job_handle)
+            && !job_state.failures.has_succeeded
         {
-            let earlier_failures = j.failures.failures().to_vec();
-            let was_suspected = j.failures.suspected;
-            j.failures.record_success();
-            let id = j.id.clone();
+            let earlier_failures = job_state.failures.failures().to_vec();
+            let was_suspected = job_state.failures.suspected;
+            job_state.failures.record_success();
+            let id = job_state.id.clone();
             if was_suspected {
                 self.record_suspicion_change(job_handle);
             }
@@ -118,7 +122,8 @@
                 self.reevaluate_machine(failure.machine, now);
             }
         }
-        // A task runs on this machine, so other jobs that failed on it become suspects.
+        // A task runs on this machine, so other jobs that failed on it may be at fault
+        // themselves.
         self.reevaluate_suspects(machine, now);
     }
 
@@ -139,20 +144,20 @@
     }
 
     fn reevaluate_job(&mut self, job_handle: JobHandle, now: Millis) {
-        let Some(j) = self.cluster.job(job_handle) else {
+        let Some(job) = self.cluster.job(job_handle) else {
             return;
         };
-        let mut failures = j.failures.clone();
+        let mut failures = job.failures.clone();
         let changed = failures.reevaluate(now, |m| {
             let m = self.cluster.machine(m);
             m.map_or((false, None), |m| {
                 (m.failures.is_confirmed_faulty(), m.failures.last_success())
             })
         });
-        let (id, suspected) = (j.id.clone(), failures.suspected);
+        let (id, suspected) = (job.id.clone(), failures.suspected);
         let recorded_failures = failures.failures().to_vec();
-        if let Some(j) = self.cluster.job_mut(job_handle) {
-            j.failures = failures;
+        if let Some(job) = self.cluster.job_mut(job_handle) {
+            job.failures = failures;
         }
         if !changed {
             return;
@@ -183,21 +188,27 @@
     }
 
     fn reevaluate_machine(&mut self, machine: MachineHandle, now: Millis) {
-        let Some(m) = self.cluster.machine_mut(machine) else {
+        let Some(machine_state) = self.cluster.machine_mut(machine) else {
             return;
         };
-        if !m.failures.reevaluate(now) {
+        if !machine_state.failures.reevaluate(now) {
             return;
         }
-        m.quarantine_unrecorded = true;
+        machine_state.quarantine_unrecorded = true;
         self.changed = true;
-        match m.failures.quarantined {
-            true => log::info!("machine {} quarantined: tasks fail on it", m.name),
-            false => log::info!("machine {} left quarantine: a job was at fault", m.name),
+        match machine_state.failures.quarantined {
+            true => log::info!(
+                "machine {} quarantined: tasks fail on it",
+                machine_state.name
+            ),
+            false => log::info!(
+                "machine {} left quarantine: a job was at fault",
+                machine_state.name
+            ),
         }
         // Failures on a machine that is at fault say nothing about the jobs. They are cleared
         // from the jobs, so that they do not count after the machine is gone either.
-        if m.failures.is_confirmed_faulty() {
+        if machine_state.failures.is_confirmed_faulty() {
             for j in self.events.suspects.clone() {
                 if let Some(j) = self.cluster.job_mut(j) {
                     j.failures.clear_machine(machine);
@@ -212,16 +223,17 @@
     /// still run on them.
     pub(super) fn retry_quarantined(&mut self, now: Millis) {
         let all = self.cluster.machines_by_handle();
-        let quarantined = all.filter(|(_, m)| m.failures.quarantined && m.live_tasks() > 0);
+        let quarantined =
+            all.filter(|(_, machine)| machine.failures.quarantined && machine.live_tasks() > 0);
         let quarantined: Vec<MachineHandle> = quarantined
             .map(|(machine_handle, _)| machine_handle)
             .collect();
         for machine_handle in quarantined {
-            if let Some(m) = self.cluster.machine_mut(machine_handle)
-                && m.failures.end_quarantine_if_due(now)
+            if let Some(machine) = self.cluster.machine_mut(machine_handle)
+                && machine.failures.end_quarantine_if_due(now)
             {
-                log::info!("machine {} left quarantine on probation", m.name);
-                m.quarantine_unrecorded = true;
+                log::info!("machine {} left quarantine on probation", machine.name);
+                machine.quarantine_unrecorded = true;
             }
         }
     }
--- a/src/control/leader/inventory.rs
+++ b/src/control/leader/inventory.rs
@@ -246,7 +246,7 @@
         self.refresh_fleet(now);
         let mut headroom = self.headroom(IDLE_ARRIVAL_WINDOW_MS, KEEP_IDLE_MS, now);
         headroom.extend(self.spare_capacity());
-        let mut gone = Vec::new();
+        let mut gone_machines = Vec::new();
         for index in self.cluster.machine_range() {
             let Some((machine_handle, machine)) = self.cluster.machine_at(index) else {
                 continue;
@@ -261,10 +261,10 @@
             if let Some(reason) = reason {
                 self.release(machine_handle, reason, now);
             } else if self.is_gone(machine, now) {
-                gone.push(machine_handle);
+                gone_machines.push(machine_handle);
             }
         }
-        for machine_handle in gone {
+        for machine_handle in gone_machines {
             self.remove_gone_machine(machine_handle, now);
         }
     }
@@ -363,18 +363,18 @@
         self.scheduling.next_drain_at = now + DRAIN_INTERVAL_MS;
         let idle_ms = millis(self.options.idle_s);
         let mut candidates: Vec<MachineHandle> = Vec::new();
-        for (machine_handle, m) in self.cluster.machines_by_handle() {
-            if m.draining && m.up && !m.releasing {
+        for (machine_handle, machine) in self.cluster.machines_by_handle() {
+            if machine.draining && machine.up && !machine.releasing {
                 // Only one machine is drained at a time.
-                if m.live_tasks() > 0 {
+                if machine.live_tasks() > 0 {
                     return;
                 }
                 continue;
             }
-            if m.schedulable()
-                && m.live_tasks() > 0
-                && now >= m.last_batch_activity + idle_ms
-                && !m.command_in_flight
+            if machine.schedulable()
+                && machine.live_tasks() > 0
+                && now >= machine.last_batch_activity + idle_ms
+                && !machine.command_in_flight
             {
                 candidates.push(machine_handle);
             }
@@ -390,22 +390,22 @@
         });
         let targets = self.move_targets();
         for machine_handle in candidates {
-            if let Some(targets) = self.can_empty(machine_handle, &targets, now) {
+            if let Some(targets) = self.plan_service_moves(machine_handle, &targets, now) {
                 // Otherwise batch tasks would take the capacity on the machines that hold the
                 // image while the services stop, and the services would have to fetch it.
                 for target in targets {
-                    if let Some(m) = self.cluster.machine_mut(target) {
-                        m.closed_to_batches_until = now + SERVICE_MOVE_MS;
+                    if let Some(machine) = self.cluster.machine_mut(target) {
+                        machine.closed_to_batches_until = now + SERVICE_MOVE_MS;
                     }
                 }
-                if let Some(m) = self.cluster.machine_mut(machine_handle) {
+                if let Some(machine) = self.cluster.machine_mut(machine_handle) {
                     log::info!(
                         "machine {} is being drained: {} services move to other machines",
-                        m.name,
-                        m.live_tasks()
+                        machine.name,
+                        machine.live_tasks()
                     );
-                    m.draining = true;
-                    for task in m
+                    machine.draining = true;
+                    for task in machine
                         .tasks
                         .iter_mut()
                         .filter(|task| task.is_live() && task.stop_grace_s.is_none())
@@ -433,7 +433,7 @@
 
     /// Returns the machines to which the services of a machine can be moved, or `None` if one of
     /// its tasks can't be moved.
-    fn can_empty(
+    fn plan_service_moves(
         &self,
         machine_handle: MachineHandle,
         targets: &[MoveTarget],
@@ -472,7 +472,7 @@
                                             * SHORT_FETCH_S)
                     })
             };
-            let has_room = |target: &MoveTarget| {
+            let fits_beside_moves = |target: &MoveTarget| {
                 let taken = moves
                     .iter()
                     .filter(|(machine, _)| *machine == target.machine);
@@ -483,7 +483,7 @@
                 target.machine != machine_handle
                     && target.price <= price * SAME_PRICE_RATIO
                     && assignment.need.fits(&target.free)
-                    && has_room(target)
+                    && fits_beside_moves(target)
                     && may_move(target)
             });
             moves.push((found?.machine, assignment.need));
--- a/src/control/leader/partitions.rs
+++ b/src/control/leader/partitions.rs
@@ -116,13 +116,13 @@
         self.require_new_token(machine_handle);
         self.changed = true;
         // Starts that were sent in a response the machine did not receive never run there.
-        for task_index in self.never_delivered(machine_handle) {
+        for task_index in self.undelivered_starts(machine_handle) {
             self.cluster.unassign(machine_handle, task_index);
         }
     }
 
     /// Returns the indices of tasks whose start was certainly not delivered, the last first.
-    fn never_delivered(&self, machine_handle: MachineHandle) -> Vec<usize> {
+    fn undelivered_starts(&self, machine_handle: MachineHandle) -> Vec<usize> {
         let tasks = self
             .cluster
             .machine(machine_handle)
--- a/src/control/leader/persistence.rs
+++ b/src/control/leader/persistence.rs
@@ -138,14 +138,14 @@
         self.writes_left(plan) > 0
     }
 
-    fn has_bytes(&self) -> bool {
+    fn has_bytes_left(&self) -> bool {
         self.used_bytes <= MAX_PLAN_BYTES
     }
 
     /// Whether the writes of one more job may be added to the plan. A job needs
     /// at most two writes, beside bitmap segments that can wait.
-    fn has_job(&self, plan: &WritePlan) -> bool {
-        self.writes_left(plan) >= 2 && self.has_bytes()
+    fn can_take_job(&self, plan: &WritePlan) -> bool {
+        self.writes_left(plan) >= 2 && self.has_bytes_left()
     }
 
     /// Adds a write of the value to the plan and counts its bytes.
@@ -244,7 +244,7 @@
         self.plan_job_writes(JobPass::Progress, &mut plan, &mut budget);
         self.plan_offload_removals(&mut plan, &budget);
         for machine_handle in expired {
-            if budget.has_write(&plan) && budget.has_bytes() {
+            if budget.has_write(&plan) && budget.has_bytes_left() {
                 self.plan_machine(machine_handle, &mut plan);
             }
         }
@@ -262,7 +262,7 @@
         let value_kb = self.settings.cluster.state.always().value_kb;
         let all_tasks_known = self.recovery.knows_all_tasks();
         for (handle, job) in self.cluster.jobs.iter_mut() {
-            if !budget.has_job(plan) {
+            if !budget.can_take_job(plan) {
                 break;
             }
             if job.write_in_flight {
--- a/src/control/leader/recovery.rs
+++ b/src/control/leader/recovery.rs
@@ -15,7 +15,7 @@
 const LEADER_DISCOVERY_MS: Millis = 1_500;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Phase {
+pub(super) enum RecoveryPhase {
     /// The jobs and the machine registry are being read.
     Loading,
     /// The leader waits until every machine has sent a heartbeat or its lease has expired.
@@ -27,21 +27,21 @@
     Recovered,
 }
 
-impl Phase {
+impl RecoveryPhase {
     fn name(self) -> &'static str {
         match self {
-            Phase::Loading => "loading",
-            Phase::Settling => "settling",
-            Phase::Starting => "starting",
-            Phase::Recovered => "whole",
+            RecoveryPhase::Loading => "loading",
+            RecoveryPhase::Settling => "settling",
+            RecoveryPhase::Starting => "starting",
+            RecoveryPhase::Recovered => "whole",
         }
     }
 
-    fn next(self) -> Phase {
+    fn next(self) -> RecoveryPhase {
         match self {
-            Phase::Loading => Phase::Settling,
-            Phase::Settling => Phase::Starting,
-            Phase::Starting | Phase::Recovered => Phase::Recovered,
+            RecoveryPhase::Loading => RecoveryPhase::Settling,
+            RecoveryPhase::Settling => RecoveryPhase::Starting,
+            RecoveryPhase::Starting | RecoveryPhase::Recovered => RecoveryPhase::Recovered,
         }
     }
 }
@@ -63,7 +63,7 @@
     pub(super) unconfirmed_machines: usize,
     /// Time by which every worker that can reach this leader has sent a heartbeat.
     pub(super) heartbeats_due_at: Millis,
-    phase: Phase,
+    phase: RecoveryPhase,
     phase_started_at: Millis,
 }
 
@@ -81,7 +81,7 @@
             settled: false,
             resumed_at: now,
             failover: Default::default(),
-            phase: Phase::Loading,
+            phase: RecoveryPhase::Loading,
             phase_started_at: now,
         }
     }
@@ -120,17 +120,17 @@
         loop {
             let phase = self.recovery.phase;
             let ended = match phase {
-                Phase::Loading => self.recovery.loaded,
-                Phase::Settling => self.recovery.knows_all_tasks(),
-                Phase::Starting => !self.has_urgent_starts(),
-                Phase::Recovered => return,
+                RecoveryPhase::Loading => self.recovery.loaded,
+                RecoveryPhase::Settling => self.recovery.knows_all_tasks(),
+                RecoveryPhase::Starting => !self.has_urgent_starts(),
+                RecoveryPhase::Recovered => return,
             };
             if !ended {
                 return;
             }
             self.record_phase_duration(phase.name(), now - self.recovery.phase_started_at);
             (self.recovery.phase, self.recovery.phase_started_at) = (phase.next(), now);
-            if self.recovery.phase == Phase::Recovered {
+            if self.recovery.phase == RecoveryPhase::Recovered {
                 let all = now - self.recovery.elected_at;
                 log::info!("term {}: recovered after {all} ms", self.term);
             }
--- a/src/control/leader/status.rs
+++ b/src/control/leader/status.rs
@@ -108,7 +108,7 @@
         std::mem::take(&mut self.events.tally)
     }
 
-    fn reason_of(&self, job: &Job) -> PendingReason {
+    fn pending_reason(&self, job: &Job) -> PendingReason {
         if job.readiness != Readiness::Ready {
             return PendingReason::NeedsOthers;
         }
@@ -120,7 +120,7 @@
 
     /// Returns the seconds until the job has to be done: by its own deadline or by that of a
     /// job that depends on it, whichever is sooner.
-    fn left_s(
+    fn time_to_deadline_s(
         &self,
         handle: JobHandle,
         job: &Job,
@@ -135,7 +135,7 @@
             .min_by(f64::total_cmp)
     }
 
-    fn due_of(&self, job: &Job, time_left_s: Option<f64>) -> Option<Due> {
+    fn deadline_status(&self, job: &Job, time_left_s: Option<f64>) -> Option<Due> {
         let remaining_s = time_left_s?;
         let must_start = job.waiting_count() > 0 || job.readiness != Readiness::Ready;
         Some(if remaining_s < 0.0 {
@@ -208,7 +208,10 @@
                 ..JobGroup::default()
             });
             group.running += job.running_count;
-            match self.due_of(job, self.left_s(handle, job, &dependent_deadlines)) {
+            match self.deadline_status(
+                job,
+                self.time_to_deadline_s(handle, job, &dependent_deadlines),
+            ) {
                 Some(Due::Late) => group.late_jobs += 1,
                 Some(Due::AtRisk) => group.at_risk_jobs += 1,
                 _ => {}
@@ -224,7 +227,7 @@
             }
             group.waiting += waiting;
             group.oldest_wait_s = group.oldest_wait_s.max(self.age_s(job));
-            let reason = self.reason_of(job);
+            let reason = self.pending_reason(job);
             match group.reasons.iter_mut().find(|(r, _)| *r == reason) {
                 Some((_, n)) => *n += waiting,
                 None => group.reasons.push((reason, waiting)),
@@ -364,7 +367,7 @@
         let job = self.cluster.job(handle)?;
         let waiting = job.waiting_count();
         let (needs, needs_all) = self.unfinished_dependencies(handle, MAX_LISTED_DEPENDENCIES);
-        let left_s = self.left_s(handle, job, &self.inherited_deadlines());
+        let left_s = self.time_to_deadline_s(handle, job, &self.inherited_deadlines());
         let blocked = !job.offload.is_local() || job.readiness != Readiness::Ready;
         let places = self.cluster.each_machine().flat_map(|m| {
             let own_tasks = m
@@ -391,11 +394,11 @@
             running: job.running_count,
             waiting,
             age_s: self.age_s(job),
-            reason: ((waiting > 0 || blocked) && !job.cancelled).then(|| self.reason_of(job)),
+            reason: ((waiting > 0 || blocked) && !job.cancelled).then(|| self.pending_reason(job)),
             verdict: self
                 .describe_offload(job)
                 .or_else(|| self.describe_failures(job, now)),
-            due: self.due_of(job, left_s),
+            due: self.deadline_status(job, left_s),
             left_s,
             deadline_s: job.spec.deadline_s,
             places: places.take(MOST_ROWS).collect(),
