--- a/src/control/leader/inventory.rs
+++ b/src/control/leader/inventory.rs
@@ -87,10 +87,11 @@
         self.recovery.elected_at + 2 * lag + LIST_MARGIN_MS
     }
 
-    /// Applies the fact that the whole machine list has been read, requested at
-    /// `requested_at`. A machine that was in the registry when this term began was up, so the
-    /// cloud lists it until it is deleted: if a list of a later time lacks the machine, it has
-    /// been deleted. Guards against waiting for the leases of machines that were reclaimed.
+    /// Called when the whole machine list, requested at `requested_at`, has been read: treats
+    /// unconfirmed machines that it lacks as deleted. A machine that was in the registry when
+    /// this term began was up, so the cloud lists it until it is deleted, and a list of a later
+    /// time that lacks it shows that it has been. Guards against waiting for the leases of
+    /// machines that were reclaimed.
     pub fn full_list_received(&mut self, requested_at: Millis, now: Millis) {
         if self.recovery.settled || requested_at < self.list_reliable_from() {
             return;
--- a/src/control/leader/scale_out.rs
+++ b/src/control/leader/scale_out.rs
@@ -373,7 +373,7 @@
     }
 
     /// Records what each job of the demand waits for. No supply reason is recorded for a job
-    /// without a demand, as it will finish in time without a new machine.
+    /// that needs no new machine to finish in time, or for which `MAX_DEMANDS` left no demand.
     fn record_supply_reasons(&mut self, demand: &JobDemand) {
         for job_demand in &demand.jobs {
             if let Some(job) = self.cluster.job_mut(job_demand.job) {
