--- a/src/server/audit_log.rs
+++ b/src/server/audit_log.rs
@@ -54,7 +54,7 @@
 
 impl AuditLog {
     /// Whether this node last logged another state of the job, or none.
-    fn is_news(&self, id: &str, state: JobState) -> bool {
+    fn is_new_state(&self, id: &str, state: JobState) -> bool {
         let mut last_answers = self.last_answers.borrow_mut();
         if last_answers.get(id) == Some(&state) {
             return false;
@@ -66,12 +66,12 @@
 
 impl Node {
     /// Logs a line if the bound allows it; lines that are left out are counted.
-    fn log_bounded(&self, line: impl FnOnce() -> String) {
+    fn log_rate_limited(&self, line: impl FnOnce() -> String) {
         let fits = (self.audit_log.lines.borrow_mut()).take(self.now(), 1.0, 0.0);
         match fits {
             true => log::info!("{}", line()),
             false => {
-                self.metrics.borrow().lines_left_out.inc();
+                self.metrics.borrow().dropped_log_lines.inc();
             }
         }
     }
@@ -79,7 +79,7 @@
     /// Records an answer that is about to be sent to a user.
     pub(super) fn log_answer(&self, id: &str, answer: &Answer, basis: Provenance) {
         if let Some(reason) = answer.withheld_reason() {
-            self.metrics.borrow().state_withheld(reason);
+            self.metrics.borrow().count_withheld_state(reason);
         }
         let Answer::State(_, status) = answer else {
             return;
@@ -88,11 +88,11 @@
         let source = basis.source.text();
         self.metrics
             .borrow()
-            .answer_given(status.state, source, age);
-        if !self.audit_log.is_news(id, status.state) {
+            .count_answer(status.state, source, age);
+        if !self.audit_log.is_new_state(id, status.state) {
             return;
         }
-        self.log_bounded(|| {
+        self.log_rate_limited(|| {
             let state = status.state;
             let revision = basis.revision.map(|r| format!(" at revision {r}"));
             let revision = revision.unwrap_or_default();
--- a/src/server/client_api.rs
+++ b/src/server/client_api.rs
@@ -57,7 +57,7 @@
 
 impl Node {
     /// Answers a user's request.
-    pub(super) async fn user(
+    pub(super) async fn handle_user_request(
         self: &Rc<Self>,
         method: &str,
         path: &str,
@@ -123,17 +123,17 @@
                     return Some(answer);
                 }
                 Next::NotLeading | Next::Over => return None,
-                Next::AskLeader => match self.polls.leader.ask(id).await {
+                Next::AskLeader => match self.polls.leader.wait_for_answer(id).await {
                     Ok(reading) => Event::LeaderReplied(reading),
                     // Too many wait.
                     Err(e) => Event::Read(Err(e)),
                 },
-                Next::ReadState => Event::Read(self.polls.records.ask(id).await),
+                Next::ReadState => Event::Read(self.polls.records.wait_for_answer(id).await),
                 Next::Forward => Event::Forwarded(match forwarded_request {
                     Some(forwarded) => self.forward(forwarded, request.forward_limit()).await,
                     None => None,
                 }),
-                Next::Versions => Event::Versions(self.upgraded().await),
+                Next::Versions => Event::Versions(self.check_upgrade_complete().await),
                 Next::Look(ids) => Event::LookupResults(match &ids[..] {
                     [one] => {
                         let found = self
@@ -147,7 +147,7 @@
                 Next::Write(txn, waits) => {
                     let changes = txn.writes.len() as f64;
                     match self.has_budget(changes, waits).await {
-                        true => Event::Wrote(self.txn(&txn, WRITE_TIMEOUT).await),
+                        true => Event::Wrote(self.run_txn(&txn, WRITE_TIMEOUT).await),
                         false => Event::OverBudget,
                     }
                 }
@@ -160,11 +160,11 @@
     }
 
     fn step(&self, request: &mut UserRequest, event: Event) -> Next {
-        self.view(|view| request.step(event, view))
+        self.with_view(|view| request.step(event, view))
     }
 
     /// Runs `f` on what this node knows now for users' requests.
-    pub(super) fn view<T>(&self, f: impl FnOnce(&mut NodeView) -> T) -> T {
+    pub(super) fn with_view<T>(&self, f: impl FnOnce(&mut NodeView) -> T) -> T {
         let (now, wall_ms) = (self.now(), self.wall_ms());
         let term = self.election.borrow().authority(now);
         let mut leader = self.leader.borrow_mut();
@@ -188,7 +188,7 @@
     async fn forward(self: &Rc<Self>, request: &Request, timeout_ms: Millis) -> Option<Answer> {
         let leader = self.answering_leader()?;
         let timeout = Duration::from_millis(timeout_ms);
-        match self.ask(leader, request, timeout).await {
+        match self.call_peer(leader, request, timeout).await {
             Ok(Reply::Forwarded { status, body, .. }) => Some(Answer::relayed(status, &body)),
             Ok(_) => None,
             Err(e) => {
--- a/src/server/cloud.rs
+++ b/src/server/cloud.rs
@@ -75,7 +75,7 @@
 }
 
 /// Keeps machine types and prices current, for as long as the process runs.
-pub async fn types(node: Rc<Node>) {
+pub async fn refresh_machine_types(node: Rc<Node>) {
     loop {
         let known = !node.machine_types.borrow().is_empty();
         match node.fetch_types().await {
@@ -113,7 +113,7 @@
 
     /// One call, once the request budget allows it. `term`: only as long as this node
     /// has authority in that term.
-    async fn cloud(
+    async fn call_cloud(
         &self,
         term: Option<u64>,
         method: Method,
@@ -148,7 +148,7 @@
 
     async fn fetch_types(&self) -> Result<Vec<MachineType>, CloudError> {
         let answer = self
-            .cloud(None, Method::Get, "/machine_types", None)
+            .call_cloud(None, Method::Get, "/machine_types", None)
             .await?;
         let types: MachineTypes = serde_json::from_slice(&answer.success()?)?;
         Ok(types.types)
@@ -170,13 +170,15 @@
                     return;
                 }
             };
-            self.of_term(term, |leader, now| {
+            self.with_leader_of_term(term, |leader, now| {
                 leader.machines_listed(&page.machines, now);
             });
             match page.machines.last() {
                 Some(last) if page.more => from = last.id.clone(),
                 _ => {
-                    self.of_term(term, |leader, now| leader.full_list_received(began, now));
+                    self.with_leader_of_term(term, |leader, now| {
+                        leader.full_list_received(began, now)
+                    });
                     return;
                 }
             }
@@ -185,12 +187,14 @@
 
     async fn list_page(&self, term: u64, from: &str) -> Result<MachineList, CloudError> {
         let path = format!("/hosts?from={from}&most={LIST_PAGE_MACHINES}");
-        let answer = self.cloud(Some(term), Method::Get, &path, None).await?;
+        let answer = self
+            .call_cloud(Some(term), Method::Get, &path, None)
+            .await?;
         Ok(serde_json::from_slice(&answer.success()?)?)
     }
 
     /// Requests or releases machines, and reports the result to the leader.
-    pub(super) async fn cloud_op(self: Rc<Self>, term: u64, op: CloudOp) {
+    pub(super) async fn run_cloud_op(self: Rc<Self>, term: u64, op: CloudOp) {
         match op {
             CloudOp::MachineRequest(request) => self.request_machines(term, request).await,
             CloudOp::Release(names) => self.release_machines(term, names).await,
@@ -200,7 +204,7 @@
     async fn request_machines(&self, term: u64, request: MachineRequest) {
         let body = serde_json::to_vec(&request).unwrap_or_default();
         let result = self
-            .cloud(Some(term), Method::Post, "/hosts", Some(body))
+            .call_cloud(Some(term), Method::Post, "/hosts", Some(body))
             .await;
         let names = match result.and_then(CloudAnswer::success) {
             Ok(body) => serde_json::from_slice::<MachineNames>(&body)
@@ -213,13 +217,13 @@
             Err(e) => {
                 log::info!("rental {}: {e}", request.request_id);
                 if e == CloudError::AuthorityEnded {
-                    self.of_term(term, |leader, _| leader.scale_out_not_sent());
+                    self.with_leader_of_term(term, |leader, _| leader.scale_out_not_sent());
                     return;
                 }
                 None
             }
         };
-        self.of_term(term, |leader, now| {
+        self.with_leader_of_term(term, |leader, now| {
             leader.scale_out_answered(&request, names.as_deref(), now)
         });
     }
@@ -230,9 +234,11 @@
         };
         let body = serde_json::to_vec(&request).unwrap_or_default();
         let path = "/hosts/release";
-        let result = self.cloud(Some(term), Method::Post, path, Some(body)).await;
+        let result = self
+            .call_cloud(Some(term), Method::Post, path, Some(body))
+            .await;
         let is_released = result.and_then(CloudAnswer::success).is_ok();
-        self.of_term(term, |leader, now| {
+        self.with_leader_of_term(term, |leader, now| {
             leader.released(&names, is_released, now)
         });
     }
--- a/src/server/control_loop.rs
+++ b/src/server/control_loop.rs
@@ -3,7 +3,7 @@
 //!
 //! Owns: the pace of control rounds, the direct commands to workers, the lookups of
 //! dependencies and the leader's writes. Started once by the process; woken by
-//! [`Node::of_term`] when there is work.
+//! [`Node::with_leader_of_term`] when there is work.
 //!
 //! Must never: begin anything without authority, wait for a call within a round, or
 //! have two writes of the leader's records under way.
@@ -103,7 +103,7 @@
         log::info!("this process was paused for {paused_ms} ms");
         let leadership = self.election.borrow().leadership();
         if let Some(leadership) = leadership {
-            self.of_term(leadership.term, |leader, now| leader.process_resumed(now));
+            self.with_leader_of_term(leadership.term, |leader, now| leader.process_resumed(now));
         }
     }
 
@@ -116,9 +116,9 @@
         let term = plan.term;
         let leadership = self.election.borrow().leadership();
         self.log_commands(leadership, plan.tally.starts, plan.tally.stops);
-        self.metrics.borrow_mut().add(plan.tally);
+        self.metrics.borrow_mut().add_tally(plan.tally);
         let seconds = round_began.elapsed().as_secs_f64();
-        self.metrics.borrow().control_round(seconds);
+        self.metrics.borrow().observe_round_time(seconds);
         self.update_standbys(term);
         for delivery in plan.direct_deliveries {
             self.executor
@@ -127,7 +127,7 @@
         }
         for op in plan.cloud_ops {
             self.executor
-                .spawn_high(self.clone().cloud_op(term, op))
+                .spawn_high(self.clone().run_cloud_op(term, op))
                 .detach();
         }
         if plan.machine_list_due {
@@ -140,7 +140,7 @@
     fn plan_round(&self) -> Option<RoundPlan> {
         let wall_ms = self.wall_ms();
         let upgraded = self.upgrade.is_complete();
-        self.acting(|leader, now| {
+        self.with_authority(|leader, now| {
             leader.upgraded(upgraded);
             leader.tick(now, wall_ms);
             RoundPlan {
@@ -166,7 +166,7 @@
             return;
         };
         let ids = self
-            .acting(|leader, _| leader.dependencies_to_look_up())
+            .with_authority(|leader, _| leader.dependencies_to_look_up())
             .unwrap_or_default();
         if !ids.is_empty() {
             self.executor
@@ -187,7 +187,7 @@
             return;
         }
         let plan = self
-            .acting(|leader, _| leader.plan_writes(max_changes))
+            .with_authority(|leader, _| leader.plan_writes(max_changes))
             .flatten();
         if let Some(plan) = plan {
             self.executor
@@ -202,7 +202,7 @@
         let timeout = Duration::from_millis(DIRECT_COMMAND_TIMEOUT_MS);
         // Decided with authority, which may have ended since. Once the commands
         // are sent, the fencing token makes late ones harmless.
-        let may_act = || self.acting(|leader, _| leader.term) == Some(term);
+        let may_act = || self.with_authority(|leader, _| leader.term) == Some(term);
         let result = if may_act() {
             self.http
                 .call_if(
@@ -238,7 +238,7 @@
             }
         };
         let token = delivery.commands.fencing_token;
-        self.of_term(term, |leader, now| {
+        self.with_leader_of_term(term, |leader, now| {
             leader.direct_delivery_finished(machine, token, outcome, now);
         });
     }
@@ -253,17 +253,17 @@
         let mut results = self
             .lookup_ended(&ids, RequestPriority::DependencyLookup)
             .await;
-        let unresolved = self.of_term(term, |leader, now| {
+        let unresolved = self.with_leader_of_term(term, |leader, now| {
             let metrics = self.metrics.borrow();
             let mut unresolved = Vec::new();
             for id in ids {
                 match results.remove(&id) {
                     Some(Ok(Found::Live(record, version))) => {
-                        metrics.dependency_looked_up("live");
+                        metrics.count_dependency_lookup("live");
                         leader.accepted(*record, version, now);
                     }
                     Some(Ok(Found::Final(record, version))) => {
-                        metrics.dependency_looked_up(record.state.name());
+                        metrics.count_dependency_lookup(record.state.name());
                         leader.dependency_ended(&final_status(&id, &record), version, now);
                     }
                     Some(Ok(Found::Nothing)) | None => {
@@ -282,7 +282,7 @@
             return;
         }
         for _ in &unresolved {
-            self.metrics.borrow().dependency_looked_up("unread");
+            self.metrics.borrow().count_dependency_lookup("unread");
         }
         // Only the jobs that depend on them wait.
         let reason = unresolved[0].reason.clone();
@@ -294,7 +294,7 @@
         let node = self.clone();
         let retry = async move {
             Timer::after(LOOKUP_RETRY_PAUSE).await;
-            node.of_term(term, |leader, _| {
+            node.with_leader_of_term(term, |leader, _| {
                 leader.requeue_dependency_lookups(unresolved);
             });
         };
@@ -308,10 +308,10 @@
         self.budgets
             .charge_requests(now, RequestPriority::Leadership, 1);
         self.budgets.charge_changes(now, changes as f64);
-        match self.txn(&plan.txn, STATE_TIMEOUT).await {
+        match self.run_txn(&plan.txn, STATE_TIMEOUT).await {
             TxnResult::Done(revision) => {
                 self.budgets.txn_applied();
-                self.of_term(term, |leader, now| {
+                self.with_leader_of_term(term, |leader, now| {
                     leader.writes_applied(&plan, revision, now);
                 });
             }
@@ -322,12 +322,12 @@
                 if matches!(refused, TxnResult::Rejected) {
                     self.budgets.txn_rejected(changes);
                 }
-                self.of_term(term, |leader, _| leader.reconciled(&plan));
+                self.with_leader_of_term(term, |leader, _| leader.reconciled(&plan));
                 Timer::after(REFUSED_WRITE_PAUSE).await;
             }
             TxnResult::Conflict(_) | TxnResult::Unknown => {
                 self.metrics.borrow().indeterminate_writes.inc();
-                self.of_term(term, |leader, _| leader.outcome_unknown(&plan));
+                self.with_leader_of_term(term, |leader, _| leader.outcome_unknown(&plan));
                 self.reread(term, &plan).await;
             }
         }
@@ -339,7 +339,7 @@
         let mut found = Vec::new();
         for key in Leader::keys_to_reread(plan) {
             loop {
-                if self.of_term(term, |_, _| ()).is_none() {
+                if self.with_leader_of_term(term, |_, _| ()).is_none() {
                     return;
                 }
                 if self.may_request(RequestPriority::Acceptance)
@@ -351,7 +351,7 @@
                 Timer::after(REREAD_PAUSE).await;
             }
         }
-        self.of_term(term, |leader, now| {
+        self.with_leader_of_term(term, |leader, now| {
             for (key, item) in found {
                 leader.reconcile_key(&key, item, now);
             }
--- a/src/server/dependency_reads.rs
+++ b/src/server/dependency_reads.rs
@@ -88,7 +88,7 @@
     /// Whether a job that depends on others may be called unfinished.
     pub(super) fn dependency_verdict(&self, id: &str) -> DependencyVerdict {
         let evidence = self.dependency_reads.evidence.borrow();
-        self.view(|view| view.dependency_verdict(&evidence, id))
+        self.with_view(|view| view.dependency_verdict(&evidence, id))
     }
 
     fn unread_dependencies(&self, id: &str) -> BTreeSet<String> {
@@ -100,7 +100,7 @@
 
     /// Remembers the final state of a job.
     pub(super) fn learn_final(&self, id: &str, record: &FinalRecord) {
-        self.view(|view| view.remember(&final_status(id, record)));
+        self.with_view(|view| view.remember(&final_status(id, record)));
     }
 
     /// Reads the dependencies of a job that was read, and theirs, as far as they are
@@ -170,7 +170,7 @@
             dependencies,
         } = job;
         if status.state.is_final() {
-            self.view(|view| view.remember(&status));
+            self.with_view(|view| view.remember(&status));
         } else {
             self.dependency_reads
                 .read_unfinished(&status.id, dependencies, read_at);
--- a/src/server/exclusions.rs
+++ b/src/server/exclusions.rs
@@ -41,7 +41,7 @@
     loop {
         Timer::after(CHECK_INTERVAL).await;
         while let Some(term) = node
-            .acting(|leader, _| leader.loaded().then_some(leader.term))
+            .with_authority(|leader, _| leader.loaded().then_some(leader.term))
             .flatten()
         {
             let Some(step) = node.next_exclusion_step() else {
@@ -75,12 +75,16 @@
             .iter()
             .filter_map(|item| Some((peer_of(&item.key)?, item.version)));
         let exclusions = Exclusions::new(term, recorded);
-        self.of_term(term, |_, _| self.exclusions.replace(exclusions));
+        self.with_leader_of_term(term, |_, _| self.exclusions.replace(exclusions));
         Ok(())
     }
 
     /// Reports to the exclusions of `term`; `None` when that term is over.
-    fn exclusions_of<T>(&self, term: u64, report: impl FnOnce(&mut Exclusions) -> T) -> Option<T> {
+    fn with_exclusions_of_term<T>(
+        &self,
+        term: u64,
+        report: impl FnOnce(&mut Exclusions) -> T,
+    ) -> Option<T> {
         self.exclusions.borrow_mut().of_term(term).map(report)
     }
 
@@ -99,7 +103,7 @@
         let Some(lease) = self.grant_lease(LEASE_TTL_MS, STATE_TIMEOUT).await else {
             return StepResult::Failed;
         };
-        self.exclusions_of(term, |exclusions| exclusions.lease_granted(lease, sent));
+        self.with_exclusions_of_term(term, |exclusions| exclusions.lease_granted(lease, sent));
         StepResult::Done
     }
 
@@ -107,11 +111,13 @@
         let sent = self.now();
         match self.renew_lease(lease, STATE_TIMEOUT).await {
             LeaseRenewal::Renewed => {
-                self.exclusions_of(term, |exclusions| exclusions.lease_granted(lease, sent));
+                self.with_exclusions_of_term(term, |exclusions| {
+                    exclusions.lease_granted(lease, sent)
+                });
                 StepResult::Done
             }
             LeaseRenewal::Expired => {
-                self.exclusions_of(term, Exclusions::lease_lost);
+                self.with_exclusions_of_term(term, Exclusions::lease_lost);
                 StepResult::Done
             }
             LeaseRenewal::Throttled | LeaseRenewal::Failed(_) => StepResult::Failed,
@@ -121,7 +127,7 @@
     async fn exclude(&self, term: u64, peer: usize, lease: u64) -> StepResult {
         let name = &self.settings.peers[peer].name;
         let Some(repeated) =
-            self.exclusions_of(term, |exclusions| exclusions.begin_exclusion(peer))
+            self.with_exclusions_of_term(term, |exclusions| exclusions.begin_exclusion(peer))
         else {
             return StepResult::Failed;
         };
@@ -131,14 +137,14 @@
         {
             TxnResult::Done(version) => {
                 log::info!("{name} hangs: excluded from elections until it answers");
-                self.exclusions_of(term, |exclusions| {
+                self.with_exclusions_of_term(term, |exclusions| {
                     exclusions.excluded(peer, version, repeated)
                 });
                 StepResult::Done
             }
             TxnResult::Unknown => StepResult::Failed,
             TxnResult::Conflict(_) | TxnResult::Refused | TxnResult::Rejected => {
-                self.exclusions_of(term, |exclusions| {
+                self.with_exclusions_of_term(term, |exclusions| {
                     exclusions.exclusion_failed(peer, repeated)
                 });
                 StepResult::Failed
@@ -148,7 +154,7 @@
 
     async fn readmit(&self, term: u64, peer: usize, version: u64) -> StepResult {
         let name = &self.settings.peers[peer].name;
-        self.exclusions_of(term, |exclusions| exclusions.begin_readmission(peer));
+        self.with_exclusions_of_term(term, |exclusions| exclusions.begin_readmission(peer));
         match self
             .change_exclusion(readmission_txn(term, name, version))
             .await
@@ -159,22 +165,22 @@
             _ => return StepResult::Failed,
         }
         log::info!("{name} is readmitted to elections");
-        self.exclusions_of(term, |exclusions| exclusions.readmitted(peer));
+        self.with_exclusions_of_term(term, |exclusions| exclusions.readmitted(peer));
         StepResult::Done
     }
 
     async fn end_exclusion_lease(&self, term: u64, lease: u64) -> StepResult {
-        self.exclusions_of(term, Exclusions::begin_lease_end);
+        self.with_exclusions_of_term(term, Exclusions::begin_lease_end);
         if !self.end_lease(lease, STATE_TIMEOUT).await {
             return StepResult::Failed;
         }
-        self.exclusions_of(term, Exclusions::lease_lost);
+        self.with_exclusions_of_term(term, Exclusions::lease_lost);
         StepResult::Done
     }
 
     async fn change_exclusion(&self, txn: Txn) -> TxnResult {
         let now = self.now();
         self.budgets.charge_changes(now, 1.0);
-        self.txn(&txn, STATE_TIMEOUT).await
+        self.run_txn(&txn, STATE_TIMEOUT).await
     }
 }
--- a/src/server/heartbeats.rs
+++ b/src/server/heartbeats.rs
@@ -61,7 +61,7 @@
         };
         log::debug!("heartbeat of {}: {target:?}", heartbeat.machine);
         let RedirectTarget::Leader(leader) = target else {
-            return self.redirect(target);
+            return self.redirect_worker(target);
         };
         if !self
             .heartbeats
@@ -69,7 +69,7 @@
             .borrow_mut()
             .should_relay(&heartbeat.machine, now)
         {
-            return self.redirect(target);
+            return self.redirect_worker(target);
         }
         // The leader may be unreachable for this worker alone.
         let request = Request::Forward {
@@ -77,7 +77,7 @@
             path: super::HEARTBEAT_PATH.into(),
             body,
         };
-        match self.ask(leader, &request, RELAY_TIMEOUT).await {
+        match self.call_peer(leader, &request, RELAY_TIMEOUT).await {
             Ok(Reply::Forwarded {
                 status: 200, body, ..
             }) => HttpResponse {
@@ -92,13 +92,13 @@
                     .failure_detector
                     .borrow_mut()
                     .redirect_target(None, self.now());
-                self.redirect(other)
+                self.redirect_worker(other)
             }
         }
     }
 
     /// Redirects a worker to another node.
-    fn redirect(&self, target: RedirectTarget) -> HttpResponse {
+    fn redirect_worker(&self, target: RedirectTarget) -> HttpResponse {
         match target {
             RedirectTarget::Leader(peer) | RedirectTarget::Healthy(peer) => {
                 let name = &self.settings.peers[peer].name;
@@ -110,7 +110,7 @@
 
     /// Answers a heartbeat as leader. `None`: this node may not act.
     pub(super) fn answer_heartbeat(&self, heartbeat: &Heartbeat) -> Option<HttpResponse> {
-        let reply = self.acting(|leader, now| leader.on_heartbeat(heartbeat, now))??;
+        let reply = self.with_authority(|leader, now| leader.on_heartbeat(heartbeat, now))??;
         self.heartbeats.last_answered.set(self.now());
         Some(HttpResponse::json(200, &reply))
     }
--- a/src/server/leadership/campaign.rs
+++ b/src/server/leadership/campaign.rs
@@ -97,7 +97,7 @@
         }
         if changed {
             self.heartbeats.relays.borrow_mut().clear();
-            self.set_shares();
+            self.update_budgets();
         }
         Ok(())
     }
@@ -136,7 +136,7 @@
         self.election.borrow_mut().indeterminate_lease = Some(attempt.lease);
         let exclusion = records::exclusion_key(&attempt.record.node);
         let txn = attempt.txn(&exclusion);
-        match self.txn(&txn, STEP_TIMEOUT).await {
+        match self.run_txn(&txn, STEP_TIMEOUT).await {
             TxnResult::Done(term) => self.begin_term(term, &attempt),
             TxnResult::Unknown => {
                 // Without proof that it succeeded, the outcome stays unknown.
@@ -192,7 +192,7 @@
             attempt.replaced_version,
             self.now() - attempt.lease_requested
         );
-        self.set_shares();
+        self.update_budgets();
         let mut leader = Leader::new(
             self.settings.clone(),
             self.options.clone(),
--- a/src/server/leadership/load_state.rs
+++ b/src/server/leadership/load_state.rs
@@ -56,7 +56,7 @@
 
 impl Node {
     fn leads_term(&self, term: u64) -> bool {
-        self.of_term(term, |_, _| ()).is_some()
+        self.with_leader_of_term(term, |_, _| ()).is_some()
     }
 
     /// Learns of jobs that other nodes accepted, until the term ends.
@@ -72,7 +72,7 @@
                 if !self.accept_from_feed(term, id).await {
                     return;
                 }
-                self.of_term(term, |leader, _| leader.acceptance_handled(key));
+                self.with_leader_of_term(term, |leader, _| leader.acceptance_handled(key));
             }
         }
     }
@@ -83,7 +83,7 @@
         self.budgets
             .charge_requests(now, RequestPriority::Leadership, 1);
         let answer = self
-            .state(Method::Get, &feed.path(WATCH_WAIT_MS), None, WATCH_TIMEOUT)
+            .call_store(Method::Get, &feed.path(WATCH_WAIT_MS), None, WATCH_TIMEOUT)
             .await
             .ok()?;
         match feed.answered(answer.status, &answer.body) {
@@ -106,7 +106,9 @@
         loop {
             match self.lookup(id, RequestPriority::Acceptance).await {
                 Ok(Found::Live(record, version)) => {
-                    self.of_term(term, |leader, now| leader.accepted(*record, version, now));
+                    self.with_leader_of_term(term, |leader, now| {
+                        leader.accepted(*record, version, now)
+                    });
                     return true;
                 }
                 Ok(_) => return true,
@@ -142,7 +144,7 @@
             .await?;
         let standbys = self.read_standby_record().await?;
         self.read_exclusions(term).await?;
-        self.of_term(term, |leader, now| {
+        self.with_leader_of_term(term, |leader, now| {
             leader.load_standbys(standbys);
             load_machines(leader, machines.items, now);
             let unreadable = load_jobs(leader, jobs, &chunks, now);
--- a/src/server/leadership/mod.rs
+++ b/src/server/leadership/mod.rs
@@ -100,7 +100,7 @@
             self.final_states.replace(leader.final_states);
         }
         self.leadership.renewals_failing.set(false);
-        self.set_shares();
+        self.update_budgets();
         let (now, authority) = (self.now(), resigned.authority());
         log::info!(
             "leader of term {} steps down: {}; its authority, by {}, lasts until {} ms from now",
@@ -112,7 +112,7 @@
         self.leadership
             .last_step_down
             .set(Some((self.now(), reason)));
-        self.metrics.borrow().stepped_down(reason.text());
+        self.metrics.borrow().count_step_down(reason.text());
         // Nothing is done in this term any more, so the key need not outlast it.
         let node = self.clone();
         self.executor
@@ -124,7 +124,9 @@
             let request = Request::Resigned {
                 term: resigned.term,
             };
-            self.ask_all(&request).into_iter().for_each(Task::detach);
+            self.call_all_peers(&request)
+                .into_iter()
+                .for_each(Task::detach);
         }
     }
 }
--- a/src/server/leadership/renew.rs
+++ b/src/server/leadership/renew.rs
@@ -75,7 +75,7 @@
         if let (Some(before), Some(after)) = (before, election.leadership()) {
             let (was, is) = (before.authority(), after.authority());
             if is.valid_until > was.valid_until {
-                self.metrics.borrow().authority_extended(is.basis);
+                self.metrics.borrow().count_authority_extension(is.basis);
             }
             if was.basis != is.basis {
                 log::info!("term {} is extended by {}", after.term, is.basis.text());
@@ -110,7 +110,7 @@
             .borrow()
             .unfavourable_failover_position(now);
         let warm_standby = self
-            .of_term(term, |leader, now| leader.warm_standbys(now) > 0)
+            .with_leader_of_term(term, |leader, now| leader.warm_standbys(now) > 0)
             .unwrap_or(false);
         self.election
             .borrow_mut()
@@ -156,14 +156,14 @@
     }
 
     /// Sends a request to all peers at once.
-    pub(super) fn ask_all(
+    pub(super) fn call_all_peers(
         self: &Rc<Self>,
         request: &Request,
     ) -> Vec<Task<Result<Reply, CallError>>> {
-        self.ask_all_except(&[], request)
+        self.call_peers_except(&[], request)
     }
 
-    fn ask_all_except(
+    fn call_peers_except(
         self: &Rc<Self>,
         skipped_peers: &[usize],
         request: &Request,
@@ -173,7 +173,7 @@
             .map(|peer| {
                 let (node, request) = (self.clone(), request.clone());
                 self.executor
-                    .spawn_high(async move { node.ask(peer, &request, PROBE_TIMEOUT).await })
+                    .spawn_high(async move { node.call_peer(peer, &request, PROBE_TIMEOUT).await })
             })
             .collect()
     }
@@ -186,9 +186,13 @@
         for (index, peer) in peers.filter(|(_, peer)| peer.zone != *own_zone) {
             let (node, zone) = (self.clone(), peer.zone.clone());
             let probe = async move {
-                let reply = node.ask(index, &Request::greeting(), PROBE_TIMEOUT).await;
+                let reply = node
+                    .call_peer(index, &Request::greeting(), PROBE_TIMEOUT)
+                    .await;
                 if reply.is_ok() {
-                    node.of_term(term, |leader, now| leader.controller_responded(&zone, now));
+                    node.with_leader_of_term(term, |leader, now| {
+                        leader.controller_responded(&zone, now)
+                    });
                 }
             };
             self.executor.spawn_high(probe).detach();
@@ -202,7 +206,7 @@
     /// reachable.
     async fn is_isolated(self: &Rc<Self>, term: u64) -> bool {
         let Some((machines, responsive)) =
-            self.of_term(term, |leader, now| leader.overdue_machines(now))
+            self.with_leader_of_term(term, |leader, now| leader.overdue_machines(now))
         else {
             return false;
         };
@@ -214,7 +218,7 @@
             for_ms: HEARTBEAT_RELAY_MS,
         };
         let mut reaches_anybody = responsive > 0 || self.settings.peers.is_empty();
-        for reply in self.ask_all(&request) {
+        for reply in self.call_all_peers(&request) {
             reaches_anybody |= reply.await.is_ok();
         }
         let heartbeat_interval_ms = (self.settings.cluster.workers.report_s * 1000.0) as Millis;
@@ -268,7 +272,7 @@
             (excluded, exclusions.lease_until())
         };
         let mut responses = vec![PromiseResponse::Excluded { until }; excluded.len()];
-        for reply in self.ask_all_except(&excluded, &request) {
+        for reply in self.call_peers_except(&excluded, &request) {
             responses.push(match reply.await {
                 Ok(Reply::Promise {
                     granted: true,
@@ -301,7 +305,11 @@
     }
 
     /// Answers a leader that asks for a promise.
-    pub(in crate::server) async fn promise(&self, term: u64, duration: Millis) -> Reply {
+    pub(in crate::server) async fn handle_promise_request(
+        &self,
+        term: u64,
+        duration: Millis,
+    ) -> Reply {
         let store_answers = self.store_answers().await;
         let now = self.now();
         let granted = self
--- a/src/server/leases.rs
+++ b/src/server/leases.rs
@@ -30,7 +30,7 @@
     pub(super) async fn grant_lease(&self, ttl_ms: Millis, timeout: Duration) -> Option<u64> {
         let body = serde_json::json!({ "life_ms": ttl_ms }).to_string();
         let answer = self
-            .state(Method::Post, "/leases", Some(body.into_bytes()), timeout)
+            .call_store(Method::Post, "/leases", Some(body.into_bytes()), timeout)
             .await
             .ok()?;
         if answer.status != 200 {
@@ -43,7 +43,7 @@
     /// Renews a lease.
     pub(super) async fn renew_lease(&self, lease: u64, timeout: Duration) -> LeaseRenewal {
         let path = format!("/leases/{lease}/touch");
-        match self.state(Method::Post, &path, None, timeout).await {
+        match self.call_store(Method::Post, &path, None, timeout).await {
             Ok(answer) => match answer.status {
                 200 => LeaseRenewal::Renewed,
                 404 => LeaseRenewal::Expired,
@@ -57,7 +57,7 @@
     /// Ends a lease. Returns whether it has surely ended.
     pub(super) async fn end_lease(&self, lease: u64, timeout: Duration) -> bool {
         let path = format!("/leases/{lease}");
-        let answer = self.state(Method::Delete, &path, None, timeout).await;
+        let answer = self.call_store(Method::Delete, &path, None, timeout).await;
         answer.is_ok_and(|answer| answer.status == 404 || (200..300).contains(&answer.status))
     }
 }
--- a/src/server/market.rs
+++ b/src/server/market.rs
@@ -23,8 +23,8 @@
 
 impl Node {
     /// The jobs that may be offloaded, and those offloaded ones to be recalled.
-    pub(super) fn lendable(&self, lent: &[(String, u64)]) -> Reply {
-        self.acting(|leader, _| {
+    pub(super) fn offload_candidates(&self, lent: &[(String, u64)]) -> Reply {
+        self.with_authority(|leader, _| {
             leader.loaded().then(|| Reply::OffloadCandidates {
                 jobs: leader.lendable(MAX_OFFLOAD_CANDIDATES),
                 recall: leader.not_needed(lent),
@@ -47,9 +47,9 @@
     }
 
     /// Offloads a job to another cluster.
-    pub(super) async fn lend(&self, id: &str, lent: OffloadTarget, version: u64) -> Reply {
+    pub(super) async fn offload(&self, id: &str, lent: OffloadTarget, version: u64) -> Reply {
         let ask = || {
-            self.acting(|leader, _| {
+            self.with_authority(|leader, _| {
                 if !leader.loaded() {
                     return None;
                 }
@@ -63,9 +63,9 @@
     }
 
     /// Takes an offloaded job back, with the tasks that are done.
-    pub(super) async fn take_back(&self, id: &str, award: u64, done: &[(u32, u32)]) -> Reply {
+    pub(super) async fn end_offload(&self, id: &str, award: u64, done: &[(u32, u32)]) -> Reply {
         let ask = || {
-            self.acting(|leader, _| {
+            self.with_authority(|leader, _| {
                 if !leader.loaded() {
                     return None;
                 }
--- a/src/server/metrics.rs
+++ b/src/server/metrics.rs
@@ -106,7 +106,7 @@
     ages: Histogram,
     authority: Family<AuthorityLabel, Counter>,
     pub(super) indeterminate_writes: Counter,
-    pub(super) lines_left_out: Counter,
+    pub(super) dropped_log_lines: Counter,
     dependency_lookups: Family<DependencyLookupLabel, Counter>,
     cancelled_with_dependency: Counter,
     request_budget: Family<RequestPriorityLabels, Counter>,
@@ -164,7 +164,7 @@
             ages: Histogram::new([0.001, 0.005, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0]),
             authority: Family::default(),
             indeterminate_writes: Counter::default(),
-            lines_left_out: Counter::default(),
+            dropped_log_lines: Counter::default(),
             dependency_lookups: Family::default(),
             cancelled_with_dependency: Counter::default(),
             request_budget: Family::default(),
@@ -217,7 +217,7 @@
         let help = "The leader's transactions of which the fate had to be read";
         r.register("writes_in_doubt", help, m.indeterminate_writes.clone());
         let help = "Lines on answers that were left out of the log, past its bound";
-        r.register("log_lines_left_out", help, m.lines_left_out.clone());
+        r.register("log_lines_left_out", help, m.dropped_log_lines.clone());
         let help = "Lookups of dependencies that only the records know, by what was found";
         r.register("dependency_lookups", help, m.dependency_lookups.clone());
         let help = "Jobs cancelled as a job that they depend on was";
@@ -234,13 +234,13 @@
         m
     }
 
-    pub(super) fn answered(&self, request: &'static str, seconds: f64) {
+    pub(super) fn observe_answer_time(&self, request: &'static str, seconds: f64) {
         let kind = RequestLabel { request };
         self.answers.get_or_create(&kind).observe(seconds);
     }
 
     /// A user is told this state, as it was read so many milliseconds ago.
-    pub(super) fn answer_given(&self, state: JobState, source: &'static str, age: Millis) {
+    pub(super) fn count_answer(&self, state: JobState, source: &'static str, age: Millis) {
         if !state.is_final() {
             self.ages.observe(age as f64 / 1000.0);
         }
@@ -251,7 +251,7 @@
     }
 
     /// Its authority was prolonged.
-    pub(super) fn authority_extended(&self, right: AuthorityBasis) {
+    pub(super) fn count_authority_extension(&self, right: AuthorityBasis) {
         let right = right.text();
         self.authority
             .get_or_create(&AuthorityLabel { right })
@@ -259,18 +259,18 @@
     }
 
     /// A round of the leader's loop took so many seconds.
-    pub(super) fn control_round(&self, seconds: f64) {
+    pub(super) fn observe_round_time(&self, seconds: f64) {
         self.rounds.observe(seconds);
     }
 
     /// The totals of what was exchanged with other controllers.
-    fn exchanged(&self, requests: u64, bytes: u64) {
+    fn set_peer_traffic(&self, requests: u64, bytes: u64) {
         raise_to(&self.peer_requests, requests);
         raise_to(&self.peer_bytes, bytes);
     }
 
     /// The totals of requests of one priority.
-    fn requests_counted(&self, priority: RequestPriority, counts: RequestCounts) {
+    fn set_request_counts(&self, priority: RequestPriority, counts: RequestCounts) {
         let priority = priority.name();
         for (outcome, total) in [("taken", counts.taken), ("refused", counts.refused)] {
             let labels = RequestPriorityLabels { priority, outcome };
@@ -279,22 +279,22 @@
     }
 
     /// A dependency was looked up in the records.
-    pub(super) fn dependency_looked_up(&self, found: &'static str) {
+    pub(super) fn count_dependency_lookup(&self, found: &'static str) {
         self.dependency_lookups
             .get_or_create(&DependencyLookupLabel { found })
             .inc();
     }
 
     /// A user is told to ask later, as the job's dependencies forbid to give its state.
-    pub(super) fn state_withheld(&self, reason: &'static str) {
+    pub(super) fn count_withheld_state(&self, reason: &'static str) {
         self.withheld.get_or_create(&WithheldLabel { reason }).inc();
     }
 
-    pub(super) fn stepped_down(&self, why: &'static str) {
+    pub(super) fn count_step_down(&self, why: &'static str) {
         self.step_downs.get_or_create(&StepDownLabel { why }).inc();
     }
 
-    pub(super) fn add(&mut self, tally: Tally) {
+    pub(super) fn add_tally(&mut self, tally: Tally) {
         self.failures.inc_by(tally.failed);
         self.preemptions.inc_by(tally.preempted);
         self.rentals.inc_by(tally.rented);
@@ -326,7 +326,7 @@
 
 impl Node {
     pub(super) fn metrics(&self) -> HttpResponse {
-        let led = self.acting(|l, now| {
+        let led = self.with_authority(|l, now| {
             let warm = l.warm_standbys(now);
             let unread_ms = l.dependencies_unread_ms(now);
             (
@@ -338,9 +338,9 @@
         });
         let m = self.metrics.borrow();
         let (requests, bytes) = self.peers.exchanged();
-        m.exchanged(requests, bytes);
+        m.set_peer_traffic(requests, bytes);
         for (priority, counts) in self.budgets.request_counts() {
-            m.requests_counted(priority, counts);
+            m.set_request_counts(priority, counts);
         }
         m.leading.set(i64::from(led.is_some()));
         let (jobs, machines, warm, unread_ms) = led.unwrap_or_default();
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -5,8 +5,8 @@
 //! the dispatch of HTTP requests. Called by the program's `main`.
 //!
 //! Must never: hold a `RefCell` borrow across an await; act on the leader's state
-//! except through [`Node::acting`] or, for the results of what began with
-//! authority, [`Node::of_term`].
+//! except through [`Node::with_authority`] or, for the results of what began with
+//! authority, [`Node::with_leader_of_term`].
 
 mod audit_log;
 mod budgets;
@@ -98,7 +98,7 @@
 
 /// How the sockets that the settings allow are divided. What is left must do for
 /// calls under way.
-struct SocketShares {
+struct SocketLimits {
     /// Calls of this node to workers and services.
     calls: usize,
     /// Connections from workers and users.
@@ -109,9 +109,9 @@
     controllers: usize,
 }
 
-impl SocketShares {
+impl SocketLimits {
     fn new(max_connections: usize) -> Self {
-        SocketShares {
+        SocketLimits {
             calls: max_connections / 5,
             callers: max_connections * 5 / 8,
             users: max_connections / 4,
@@ -123,7 +123,7 @@
 /// Runs a controller until it can no longer listen.
 pub fn run(settings: Settings, options: Options) -> Result<()> {
     let executor = Rc::new(PriorityExecutor::default());
-    let shares = SocketShares::new(settings.cluster.quota.max_connections);
+    let shares = SocketLimits::new(settings.cluster.quota.max_connections);
     let node = Rc::new(Node::new(settings, options, executor.clone(), &shares));
     async_io::block_on(executor.run(async {
         node.spawn_loops();
@@ -136,7 +136,7 @@
         settings: Settings,
         options: Options,
         executor: Rc<PriorityExecutor>,
-        shares: &SocketShares,
+        shares: &SocketLimits,
     ) -> Self {
         let peer_names: Vec<&str> = settings.peers.iter().map(|p| p.name.as_str()).collect();
         let failure_detector = FailureDetector::new(&settings.name, &peer_names);
@@ -183,26 +183,26 @@
         let high = [
             executor.spawn_high(leadership::run(self.clone())),
             executor.spawn_high(control_loop::run(self.clone())),
-            executor.spawn_high(cloud::types(self.clone())),
-            executor.spawn_high(peers::watch(self.clone())),
+            executor.spawn_high(cloud::refresh_machine_types(self.clone())),
+            executor.spawn_high(peers::run_probes(self.clone())),
             executor.spawn_high(exclusions::run(self.clone())),
             executor.spawn_high(upgrade::run(self.clone())),
         ];
         let low = [
-            executor.spawn_low(polls::ask_leader(self.clone())),
-            executor.spawn_low(poll_records::ask_records(self.clone())),
+            executor.spawn_low(polls::run_leader_polls(self.clone())),
+            executor.spawn_low(poll_records::run_record_polls(self.clone())),
         ];
         high.into_iter().chain(low).for_each(Task::detach);
     }
 
     /// Serves controllers, workers and users, until either socket fails.
-    async fn listen(self: &Rc<Self>, shares: &SocketShares) -> Result<()> {
+    async fn listen(self: &Rc<Self>, shares: &SocketLimits) -> Result<()> {
         let node = self.clone();
         let controllers = self.executor.spawn_high(frames::serve(
             self.executor.clone(),
             self.settings.peer_listen,
             shares.controllers,
-            move |request| node.clone().peer(request),
+            move |request| node.clone().handle_peer_request(request),
         ));
         let limits = server::Limits {
             connections: shares.callers,
@@ -214,7 +214,7 @@
             self.executor.clone(),
             self.settings.listen,
             limits,
-            move |request| node.clone().http(request),
+            move |request| node.clone().handle_http(request),
         ));
         log::info!(
             "{} listens on {}, to controllers on {}",
@@ -246,13 +246,13 @@
     }
 
     /// Runs `f` on the leader's state if this process has authority right now.
-    fn acting<T>(&self, f: impl FnOnce(&mut Leader, Millis) -> T) -> Option<T> {
+    fn with_authority<T>(&self, f: impl FnOnce(&mut Leader, Millis) -> T) -> Option<T> {
         let term = self.election.borrow().authority(self.now())?;
-        self.of_term(term, f)
+        self.with_leader_of_term(term, f)
     }
 
     /// Adjusts the request budgets to this node's role.
-    fn set_shares(&self) {
+    fn update_budgets(&self) {
         let role = {
             let election = self.election.borrow();
             match (election.leadership(), &election.observed_leader) {
@@ -266,7 +266,11 @@
 
     /// Runs `f` on the leader's state of `term`, whether authority still holds or
     /// not: for the results of what began with authority.
-    fn of_term<T>(&self, term: u64, f: impl FnOnce(&mut Leader, Millis) -> T) -> Option<T> {
+    fn with_leader_of_term<T>(
+        &self,
+        term: u64,
+        f: impl FnOnce(&mut Leader, Millis) -> T,
+    ) -> Option<T> {
         let now = self.now();
         let mut leader = self.leader.borrow_mut();
         let leader = leader.as_mut().filter(|l| l.term == term)?;
@@ -277,7 +281,7 @@
         Some(result)
     }
 
-    async fn http(self: Rc<Self>, request: HttpRequest) -> HttpResponse {
+    async fn handle_http(self: Rc<Self>, request: HttpRequest) -> HttpResponse {
         let kind = match route(&request.method, &request.path) {
             Route::Ready => return self.ready(),
             Route::Metrics => return self.metrics(),
@@ -291,10 +295,10 @@
         };
         let began = Instant::now();
         let response = self
-            .user(request.method.as_ref(), &request.path, body)
+            .handle_user_request(request.method.as_ref(), &request.path, body)
             .await;
         let seconds = began.elapsed().as_secs_f64();
-        self.metrics.borrow().answered(kind, seconds);
+        self.metrics.borrow().observe_answer_time(kind, seconds);
         response
     }
 
--- a/src/server/peers.rs
+++ b/src/server/peers.rs
@@ -25,7 +25,7 @@
 const LEADER_PROBE_INTERVAL_MS: Millis = 700;
 
 /// Probes the peers whose health matters now, for as long as the process runs.
-pub async fn watch(node: Rc<Node>) {
+pub async fn run_probes(node: Rc<Node>) {
     loop {
         Timer::after(PROBE_CHECK_INTERVAL).await;
         let now = node.now();
@@ -52,7 +52,7 @@
             let probe = async move {
                 let timeout = Duration::from_millis(2 * RESPONSE_PATIENCE_MS);
                 // The result goes to the failure detector.
-                let _ = prober.ask(peer, &Request::greeting(), timeout).await;
+                let _ = prober.call_peer(peer, &Request::greeting(), timeout).await;
             };
             node.executor.spawn_high(probe).detach();
         }
@@ -79,7 +79,7 @@
     }
 
     /// Sends a request to a peer.
-    pub(super) async fn ask(
+    pub(super) async fn call_peer(
         &self,
         peer: usize,
         request: &Request,
@@ -108,7 +108,7 @@
     }
 
     /// Answers a request of another controller.
-    pub(super) async fn peer(self: Rc<Self>, request: Request) -> Reply {
+    pub(super) async fn handle_peer_request(self: Rc<Self>, request: Request) -> Reply {
         match request {
             Request::RelayHeartbeats { machines, for_ms } => {
                 let now = self.now();
@@ -147,23 +147,25 @@
             }
             Request::Replicate(part) => self.receive_replication_part(part),
             Request::Polls { ids } => self.answer_polls(&ids),
-            Request::Promise { term, for_ms, .. } => self.promise(term, for_ms).await,
+            Request::Promise { term, for_ms, .. } => {
+                self.handle_promise_request(term, for_ms).await
+            }
             Request::Status => Reply::Status(Box::new(self.status().await)),
             Request::LeaderStatus => self.leader_status().await,
             Request::Explain { id, forwarded } => {
                 Reply::Explained(self.explain(&id, !forwarded).await)
             }
-            Request::OffloadCandidates { lent } => self.lendable(&lent),
+            Request::OffloadCandidates { lent } => self.offload_candidates(&lent),
             Request::Offload {
                 id,
                 award,
                 market,
                 version,
             } => {
-                self.lend(&id, OffloadTarget { award, market }, version)
+                self.offload(&id, OffloadTarget { award, market }, version)
                     .await
             }
-            Request::EndOffload { id, award, done } => self.take_back(&id, award, &done).await,
+            Request::EndOffload { id, award, done } => self.end_offload(&id, award, &done).await,
             Request::Resigned { term } => {
                 self.election.borrow_mut().peer_resigned(term);
                 Reply::Ok
--- a/src/server/poll_records.rs
+++ b/src/server/poll_records.rs
@@ -52,7 +52,7 @@
 }
 
 /// Answers the polls that wait for the records, a round at a time.
-pub async fn ask_records(node: Rc<Node>) {
+pub async fn run_record_polls(node: Rc<Node>) {
     // Live jobs in the last list.
     let mut listed_jobs = 0;
     loop {
@@ -209,7 +209,7 @@
                 .map(|record| (final_status(id, &record), item.version))
                 .map_err(StoreError::from);
             if let Ok((status, _)) = &found {
-                self.view(|view| view.remember(status));
+                self.with_view(|view| view.remember(status));
             }
             records.found.insert(id.to_owned(), found);
         }
--- a/src/server/polls.rs
+++ b/src/server/polls.rs
@@ -69,7 +69,7 @@
     }
 
     /// Waits for the answer to a poll of the job.
-    pub(super) async fn ask(&self, id: &str) -> Answer {
+    pub(super) async fn wait_for_answer(&self, id: &str) -> Answer {
         let (waiter, receiver) = async_channel::bounded(1);
         self.add(id, waiter);
         let answer = receiver.recv().await;
@@ -107,7 +107,7 @@
 }
 
 /// Answers the polls that wait for the leader, a round at a time.
-pub async fn ask_leader(node: Rc<Node>) {
+pub async fn run_leader_polls(node: Rc<Node>) {
     loop {
         node.polls.leader.wait_for_polls().await;
         let round = node.polls.leader.take_round();
@@ -115,7 +115,7 @@
         if let Some(leader) = node.answering_leader() {
             let ids = round.iter().map(|(id, _)| id.clone()).collect();
             match node
-                .ask(leader, &Request::Polls { ids }, LEADER_POLL_TIMEOUT)
+                .call_peer(leader, &Request::Polls { ids }, LEADER_POLL_TIMEOUT)
                 .await
             {
                 Ok(Reply::Polled(answers)) => statuses = answers,
@@ -145,7 +145,7 @@
     /// Answers polls that another node forwards.
     pub(super) fn answer_polls(&self, ids: &[String]) -> Reply {
         let ids = &ids[..ids.len().min(MAX_ROUND_JOBS)];
-        match self.view(|view| polled(view, ids)) {
+        match self.with_view(|view| polled(view, ids)) {
             Some(answers) => Reply::Polled(answers),
             None => Reply::NotLeader,
         }
--- a/src/server/standby.rs
+++ b/src/server/standby.rs
@@ -47,7 +47,7 @@
     /// replication to each standby.
     pub(super) fn update_standbys(self: &Rc<Self>, term: u64) {
         let now = self.now();
-        let due = self.acting(|leader, now| {
+        let due = self.with_authority(|leader, now| {
             let failure_detector = self.failure_detector.borrow();
             leader.update_standbys(|peer| failure_detector.is_healthy(peer, now), now)
         });
@@ -56,9 +56,10 @@
                 .spawn_high(self.clone().write_standbys(term, txn))
                 .detach();
         }
-        let peers = self.of_term(term, |leader, _| leader.standby_peers());
+        let peers = self.with_leader_of_term(term, |leader, _| leader.standby_peers());
         for peer in peers.unwrap_or_default() {
-            let part = self.of_term(term, |leader, _| leader.next_replication_part(peer, now));
+            let part =
+                self.with_leader_of_term(term, |leader, _| leader.next_replication_part(peer, now));
             if let Some(part) = part.flatten() {
                 let sending = self.clone().send_replication_part(term, peer, part);
                 self.executor.spawn_high(sending).detach();
@@ -71,7 +72,7 @@
         let mut next = Some(part);
         while let Some(part) = next.take() {
             let reply = self
-                .ask(peer, &Request::Replicate(part), REPLICATE_TIMEOUT)
+                .call_peer(peer, &Request::Replicate(part), REPLICATE_TIMEOUT)
                 .await;
             let answer = match reply {
                 Ok(Reply::Replicated {
@@ -80,7 +81,7 @@
                 }) => Some((incarnation, taken)),
                 _ => None,
             };
-            let following = self.of_term(term, |leader, now| {
+            let following = self.with_leader_of_term(term, |leader, now| {
                 leader.replication_answered(peer, answer, now);
                 leader.next_replication_part(peer, now)
             });
@@ -121,7 +122,7 @@
         self.budgets
             .charge_requests(now, RequestPriority::Leadership, 1);
         self.budgets.charge_changes(now, 1.0);
-        let outcome = match self.txn(&txn, STATE_TIMEOUT).await {
+        let outcome = match self.run_txn(&txn, STATE_TIMEOUT).await {
             TxnResult::Done(version) => RegistryWriteOutcome::Done(version),
             TxnResult::Refused | TxnResult::Rejected => RegistryWriteOutcome::Refused,
             TxnResult::Conflict(failed) if failed.iter().any(|key| key == LEADER) => {
@@ -129,7 +130,7 @@
                 return;
             }
             TxnResult::Conflict(_) | TxnResult::Unknown => loop {
-                if self.of_term(term, |_, _| ()).is_none() {
+                if self.with_leader_of_term(term, |_, _| ()).is_none() {
                     return;
                 }
                 match self.read_standby_record().await {
@@ -138,7 +139,7 @@
                 };
             },
         };
-        self.of_term(term, |leader, now| leader.standbys_written(outcome, now));
+        self.with_leader_of_term(term, |leader, now| leader.standbys_written(outcome, now));
     }
 
     /// Whether another node is in the standby registry and healthy, and this one
--- a/src/server/status.rs
+++ b/src/server/status.rs
@@ -29,7 +29,7 @@
     /// The status of this node and of the cluster, as far as it is known here.
     pub(super) async fn status(&self) -> Status {
         let now = self.now();
-        if self.acting(|l, _| l.loaded()) == Some(true) {
+        if self.with_authority(|l, _| l.loaded()) == Some(true) {
             let term = self.election.borrow().authority(now);
             let last = self
                 .last_cluster_status
@@ -38,12 +38,12 @@
                 .map(|(at, p)| (*at, p.term));
             let fresh =
                 last.is_some_and(|(at, of)| now < at + MIN_REBUILD_INTERVAL_MS && Some(of) == term);
-            if !fresh && let Some(picture) = self.acting(|l, now| l.picture(now)) {
+            if !fresh && let Some(picture) = self.with_authority(|l, now| l.picture(now)) {
                 *self.last_cluster_status.borrow_mut() = Some((now, picture));
             }
         } else if let Some(leader) = self.leader_peer()
             && let Ok(Reply::Status(answer)) = self
-                .ask(leader, &Request::LeaderStatus, LEADER_STATUS_TIMEOUT)
+                .call_peer(leader, &Request::LeaderStatus, LEADER_STATUS_TIMEOUT)
                 .await
             && let Some(picture) = answer.cluster
         {
@@ -78,7 +78,7 @@
 
     /// Answers the status request of a node that doesn't lead.
     pub(super) async fn leader_status(&self) -> Reply {
-        match self.acting(|l, _| l.loaded()) {
+        match self.with_authority(|l, _| l.loaded()) {
             Some(true) => Reply::Status(Box::new(self.status().await)),
             _ => Reply::NotLeader,
         }
@@ -86,14 +86,14 @@
 
     /// Explains why a job is in its state. `forward`: the leader may be asked.
     pub(super) async fn explain(self: &Rc<Self>, id: &str, forward: bool) -> Explanation {
-        if self.acting(|l, _| l.loaded()) == Some(true) {
-            if let Some(job) = self.acting(|l, now| l.explain(id, now)).flatten() {
+        if self.with_authority(|l, _| l.loaded()) == Some(true) {
+            if let Some(job) = self.with_authority(|l, now| l.explain(id, now)).flatten() {
                 return Explanation::Job(Box::new(job));
             }
         } else if forward
             && let Some(leader) = self.leader_peer()
             && let Ok(Reply::Explained(answer)) = self
-                .ask(
+                .call_peer(
                     leader,
                     &Request::Explain {
                         id: id.to_owned(),
--- a/src/server/store.rs
+++ b/src/server/store.rs
@@ -141,7 +141,7 @@
     }
 
     /// One HTTP call to the store. The caller charges the budgets.
-    pub(super) async fn state(
+    pub(super) async fn call_store(
         &self,
         method: Method,
         path: &str,
@@ -164,7 +164,7 @@
         timeout: Duration,
     ) -> Result<Option<Item>, StoreError> {
         let answer = self
-            .state(Method::Get, &format!("/kv/{key}"), None, timeout)
+            .call_store(Method::Get, &format!("/kv/{key}"), None, timeout)
             .await?;
         match answer.status {
             200 => Ok(Some(serde_json::from_slice(&answer.body)?)),
@@ -198,7 +198,7 @@
                 .map_or(String::new(), |item| format!("&from={}", item.key));
             let path = format!("/kv?under={prefix}{from}&most={LIST_PAGE_KEYS}");
             let answer = self
-                .state(Method::Get, &path, None, LIST_PAGE_TIMEOUT)
+                .call_store(Method::Get, &path, None, LIST_PAGE_TIMEOUT)
                 .await?;
             if answer.status != 200 {
                 return Err(StoreError::Status(answer.status));
@@ -384,7 +384,9 @@
         max_keys: usize,
     ) -> Result<Page, StoreError> {
         let path = format!("/kv?under={prefix}&from={after}&most={max_keys}");
-        let answer = self.state(Method::Get, &path, None, LOOKUP_TIMEOUT).await?;
+        let answer = self
+            .call_store(Method::Get, &path, None, LOOKUP_TIMEOUT)
+            .await?;
         match answer.status {
             200 => Ok(serde_json::from_slice(&answer.body)?),
             429 => Err(StoreError::OverLimit),
@@ -393,11 +395,14 @@
     }
 
     /// Sends a transaction. The caller charges the budgets.
-    pub(super) async fn txn(&self, txn: &Txn, timeout: Duration) -> TxnResult {
+    pub(super) async fn run_txn(&self, txn: &Txn, timeout: Duration) -> TxnResult {
         let changes = txn.writes.len() as u64;
         self.metrics.borrow().state_changes.inc_by(changes);
         let body = serde_json::to_vec(txn).unwrap_or_default();
-        match self.state(Method::Post, "/txn", Some(body), timeout).await {
+        match self
+            .call_store(Method::Post, "/txn", Some(body), timeout)
+            .await
+        {
             Ok(answer) => self.txn_result(&answer, changes),
             Err(CallError::NotSent(_)) => TxnResult::Refused,
             Err(CallError::NoAnswer(_) | CallError::TooLong) => TxnResult::Unknown,
--- a/src/server/upgrade.rs
+++ b/src/server/upgrade.rs
@@ -87,7 +87,7 @@
         log::debug!("recording this version: {e}");
         Timer::after(RETRY_PAUSE).await;
     }
-    while !node.upgraded().await {
+    while !node.check_upgrade_complete().await {
         let jitter_ms = fastrand::u64(0..READ_INTERVAL_MS);
         Timer::after(Duration::from_millis(READ_INTERVAL_MS + jitter_ms)).await;
     }
@@ -95,14 +95,14 @@
 
 impl Node {
     /// The names of all controllers.
-    fn names(&self) -> impl Iterator<Item = &str> {
+    fn controller_names(&self) -> impl Iterator<Item = &str> {
         let peers = self.settings.peers.iter().map(|peer| peer.name.as_str());
         peers.chain([self.settings.name.as_str()])
     }
 
     /// Controllers and their versions, as far as this node knows.
     pub(super) fn versions(&self) -> Vec<(String, Option<String>)> {
-        let mut list = self.upgrade.versions(self.names());
+        let mut list = self.upgrade.versions(self.controller_names());
         list.sort();
         list
     }
@@ -139,7 +139,7 @@
                 lease: None,
             }],
         };
-        match self.txn(&txn, STATE_TIMEOUT).await {
+        match self.run_txn(&txn, STATE_TIMEOUT).await {
             TxnResult::Done(_) => Ok(()),
             _ => Err(StoreError::NotWritten),
         }
@@ -147,7 +147,7 @@
 
     /// Whether every controller has run this version; reads the records unless that
     /// is known.
-    pub(super) async fn upgraded(&self) -> bool {
+    pub(super) async fn check_upgrade_complete(&self) -> bool {
         if self.upgrade.is_complete() {
             return true;
         }
@@ -157,7 +157,8 @@
                     let node = item.key.strip_prefix(VERSIONS)?.to_owned();
                     Some((node, serde_json::from_value(item.value).ok()?))
                 });
-                self.upgrade.learned(records.collect(), self.names());
+                self.upgrade
+                    .learned(records.collect(), self.controller_names());
             }
             Err(e) => log::debug!("reading the versions of the controllers: {e}"),
         }
