--- a/src/server/audit_log.rs
+++ b/src/server/audit_log.rs
@@ -1,11 +1,13 @@
-//! Audit log, for inquiries into incidents: who acted in which term and on which
-//! basis, what answers to users were based on, what was commanded. Its lines are at
-//! level info and bounded in number; metrics count all of it.
+//! Audit log for the analysis of incidents: which node acted in which term and on which
+//! basis of authority, which source the answers to users were read from, and which
+//! commands were sent to workers. Lines are logged at level info and are rate limited;
+//! metrics count all events, also those without a line.
 //!
-//! Owns: the bound on the lines, and what was logged last. Called by the steps of
-//! users' requests and by the control loop.
+//! This module owns the rate limit of the lines, the last logged state of each job, and
+//! the commands not logged yet. It is called by the handlers of users' requests and by
+//! the control loop.
 //!
-//! Must never: delay or fail what it reports.
+//! Invariant: logging never delays or fails the operation that it reports.
 
 use super::Node;
 use crate::{
@@ -18,23 +20,23 @@
 };
 use std::cell::{Cell, RefCell};
 
-/// Lines on answers to users, per second.
+/// Rate limit of lines about answers to users, in lines per second.
 const LINES_PER_S: f64 = 20.0;
-/// Seconds' worth of these lines that may come at once.
+/// Burst of lines about answers to users, in seconds of [`LINES_PER_S`].
 const BURST_S: f64 = 10.0;
-/// Jobs whose last reported state is remembered.
+/// Maximum number of jobs whose last logged state is kept.
 const MAX_REMEMBERED_ANSWERS: usize = 4_000;
-/// Shortest time between two lines on commands.
+/// Minimum interval in milliseconds between two lines about commands to workers.
 const COMMANDS_INTERVAL_MS: Millis = 1_000;
 
-/// The state behind the bounds of the log.
+/// Rate limits and deduplication of the audit log.
 pub(super) struct AuditLog {
     lines: RefCell<TokenBucket>,
     last_answers: RefCell<Recent<Box<str>, JobState>>,
     commands: Cell<CommandCounts>,
 }
 
-/// Starts and stops that were commanded since the last line on them.
+/// Start and stop commands sent to workers since the last logged line about commands.
 #[derive(Debug, Clone, Copy, Default)]
 struct CommandCounts {
     starts: u64,
@@ -53,7 +55,8 @@
 }
 
 impl AuditLog {
-    /// Whether this node last logged another state of the job, or none.
+    /// Whether the state differs from the last logged state of the job, or none of that
+    /// job is kept. Records the state as logged.
     fn is_new_state(&self, id: &str, state: JobState) -> bool {
         let mut last_answers = self.last_answers.borrow_mut();
         if last_answers.get(id) == Some(&state) {
@@ -65,10 +68,10 @@
 }
 
 impl Node {
-    /// Logs a line if the bound allows it; lines that are left out are counted.
+    /// Logs a line if the rate limit allows it; otherwise counts it as dropped.
     fn log_rate_limited(&self, line: impl FnOnce() -> String) {
-        let fits = (self.audit_log.lines.borrow_mut()).take(self.now(), 1.0, 0.0);
-        match fits {
+        let is_allowed = (self.audit_log.lines.borrow_mut()).take(self.now(), 1.0, 0.0);
+        match is_allowed {
             true => log::info!("{}", line()),
             false => {
                 self.metrics.borrow().dropped_log_lines.inc();
@@ -76,7 +79,8 @@
         }
     }
 
-    /// Records an answer that is about to be sent to a user.
+    /// Counts an answer that is about to be sent to a user, and logs it if the job's
+    /// state differs from the last one logged.
     pub(super) fn log_answer(&self, id: &str, answer: &Answer, basis: Provenance) {
         if let Some(reason) = answer.withheld_reason() {
             self.metrics.borrow().count_withheld_state(reason);
@@ -98,13 +102,17 @@
             let revision = revision.unwrap_or_default();
             let term = match self.election.borrow().leader(self.now()) {
                 Some((leader, term)) => format!("term {term} of {leader}"),
-                None => "no leader known".to_owned(),
+                None => "leader unknown".to_owned(),
             };
-            format!("answered {id} {state}: {source}{revision}, read {age} ms before, {term}")
+            format!(
+                "answered that {id} is {state}: from {source}{revision}, read {age} ms ago, {term}"
+            )
         });
     }
 
-    /// Records commands to workers, with the basis of this node's authority.
+    /// Counts commands to workers, and logs the counts with the basis of this node's
+    /// authority at most once per [`COMMANDS_INTERVAL_MS`]. `lead`: this node's current
+    /// leadership.
     pub(super) fn log_commands(&self, lead: Option<Leadership>, starts: u64, stops: u64) {
         let mut commands = self.audit_log.commands.get();
         commands.starts += starts;
@@ -115,16 +123,16 @@
             let basis = lead.map(|lead| {
                 let authority = lead.authority();
                 format!(
-                    "term {}, by {} for {} ms more, cancellations known up to {} ms ago",
+                    "term {}, authority by {} for another {} ms, cancellations known up to {} ms ago",
                     lead.term,
                     authority.basis.text(),
                     authority.valid_until.saturating_sub(now),
                     now.saturating_sub(lead.cancellations_known_until())
                 )
             });
-            let basis = basis.unwrap_or_else(|| "leadership has been given up since".to_owned());
+            let basis = basis.unwrap_or_else(|| "this node has stepped down since".to_owned());
             log::info!(
-                "commanded {} starts and {} stops: {basis}",
+                "sent commands to workers: {} starts and {} stops; {basis}",
                 commands.starts,
                 commands.stops
             );
--- a/src/server/client_api.rs
+++ b/src/server/client_api.rs
@@ -1,11 +1,11 @@
-//! Submissions, polls and cancellations of users: carries out the steps that
-//! `control::requests` asks for.
+//! Submissions, polls and cancellations of users: performs the I/O of the steps that
+//! `control::requests` decides on.
 //!
-//! Owns: the translation between HTTP and these requests, and the I/O of their
-//! steps. Called by the HTTP dispatch and, for requests that other nodes forward, by
-//! `server::peers`.
+//! This module owns the translation between HTTP and these requests, and the I/O of
+//! their steps. It is called by the HTTP dispatch and, for requests that other nodes
+//! forward, by `server::peers`.
 //!
-//! Must never: decide an answer; that is up to `control::requests`.
+//! Invariant: `control::requests` alone decides the content of an answer.
 
 use super::Node;
 use crate::{
@@ -17,14 +17,14 @@
 use async_io::Timer;
 use std::{rc::Rc, time::Duration};
 
-/// How long a write that a user waits for may take.
+/// Timeout of a transaction that a user's request waits for.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// How often, and at what interval, a write that may wait checks the budget of
-/// changes.
+/// Number of times, and interval at which, a write that may wait checks the budget of
+/// changes and requests.
 const BUDGET_CHECKS: u32 = 20;
 const BUDGET_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What a path below `/v1/jobs/` names.
+/// The resource that a path below `/v1/jobs/` identifies.
 enum Target<'a> {
     Job(&'a str),
     Cancellation(&'a str),
@@ -56,7 +56,7 @@
 }
 
 impl Node {
-    /// Answers a user's request.
+    /// Answers a request that a user sent to this node.
     pub(super) async fn handle_user_request(
         self: &Rc<Self>,
         method: &str,
@@ -65,10 +65,11 @@
     ) -> HttpResponse {
         self.answer(method, path, body, false)
             .await
-            .unwrap_or_else(|| HttpResponse::later("no leader can be reached"))
+            .unwrap_or_else(|| HttpResponse::later("no leader is reachable"))
     }
 
-    /// Answers a request that another node forwards. `None`: this node doesn't lead.
+    /// Answers a request that another node forwarded. Returns `None` if this node
+    /// doesn't lead.
     pub(super) async fn handle_as_leader(
         self: &Rc<Self>,
         method: &str,
@@ -99,16 +100,17 @@
             .await;
         if let Some(mut remaining) = request.unfinished_work() {
             let node = self.clone();
-            let settle = async move {
+            let complete_work = async move {
                 node.carry_out(&mut remaining, "", None).await;
             };
-            self.executor.spawn_high(settle).detach();
+            self.executor.spawn_high(complete_work).detach();
         }
         answer.map(|a| response(&a))
     }
 
     /// Carries out the steps of a request until it is answered. `forwarded_request`:
-    /// how it is forwarded to the leader, if that may be done.
+    /// the message that forwards the request to the leader, or `None` if it must not be
+    /// forwarded.
     async fn carry_out(
         self: &Rc<Self>,
         request: &mut UserRequest,
@@ -125,7 +127,7 @@
                 Next::NotLeading | Next::Over => return None,
                 Next::AskLeader => match self.polls.leader.wait_for_answer(id).await {
                     Ok(reading) => Event::LeaderReplied(reading),
-                    // Too many wait.
+                    // The queue of polls is full.
                     Err(e) => Event::Read(Err(e)),
                 },
                 Next::ReadState => Event::Read(self.polls.records.wait_for_answer(id).await),
@@ -163,7 +165,8 @@
         self.with_view(|view| request.step(event, view))
     }
 
-    /// Runs `f` on what this node knows now for users' requests.
+    /// Runs `f` on the state of this node that decisions about users' requests depend
+    /// on, and wakes the control loop if the leader has work after that.
     pub(super) fn with_view<T>(&self, f: impl FnOnce(&mut NodeView) -> T) -> T {
         let (now, wall_ms) = (self.now(), self.wall_ms());
         let term = self.election.borrow().authority(now);
@@ -192,14 +195,15 @@
             Ok(Reply::Forwarded { status, body, .. }) => Some(Answer::relayed(status, &body)),
             Ok(_) => None,
             Err(e) => {
-                log::debug!("forwarding: {e}");
+                log::debug!("failed to forward a user's request to the leader: {e}");
                 None
             }
         }
     }
 
-    /// Takes these changes and a request from the budgets. With `waits` it waits for
-    /// them, though no longer than users do.
+    /// Takes the given number of changes and one request from the budgets; returns
+    /// whether both were available. If `waits` is set, the budgets are checked up to
+    /// [`BUDGET_CHECKS`] times, which takes no longer than a user waits.
     async fn has_budget(&self, changes: f64, waits: bool) -> bool {
         for _ in 0..if waits { BUDGET_CHECKS } else { 1 } {
             if self.budgets.take_changes(self.now(), changes)
--- a/src/server/cloud.rs
+++ b/src/server/cloud.rs
@@ -1,10 +1,11 @@
-//! Client of the cloud: machine types and prices, the list of machines, requests for
-//! machines and releases.
+//! Client of the cloud API: machine types and prices, the list of machines, machine
+//! requests and releases.
 //!
-//! Owns: the paths, bodies and status codes of the cloud's calls. Its loop over the
-//! machine types is started once by the process; the control loop begins the rest.
+//! This module owns the paths, bodies and status codes of calls to the cloud. The
+//! process starts the loop that refreshes the machine types; the control loop starts
+//! all other calls.
 //!
-//! Must never: request or release machines without authority.
+//! Invariant: machines are requested and released only with authority.
 
 use super::{Node, signals::InFlight};
 use crate::{
@@ -16,17 +17,18 @@
 use http_types::Method;
 use std::{fmt, rc::Rc, time::Duration};
 
-/// How long a call to the cloud may take.
+/// Timeout of a call to the cloud.
 const CALL_TIMEOUT: Duration = Duration::from_secs(4);
-/// Machines asked for in one page of the list.
+/// Maximum number of machines in one page of the machine list.
 const LIST_PAGE_MACHINES: usize = 500;
-/// Pause before the request budget is checked again.
+/// Pause before the request budget of the cloud is checked again.
 const BUDGET_PAUSE: Duration = Duration::from_millis(100);
-/// Time between two reads of the machine types, and until the first succeeds.
+/// Interval between two reads of the machine types once some are known, and before
+/// that.
 const TYPES_INTERVAL: Duration = Duration::from_secs(30);
 const FIRST_TYPES_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Why a call to the cloud gave no result.
+/// Error of a call to the cloud.
 #[derive(Debug, Clone, PartialEq)]
 enum CloudError {
     /// Authority ended before the call was sent.
@@ -44,7 +46,7 @@
         match self {
             CloudError::AuthorityEnded => f.write_str("not sent: authority has ended"),
             CloudError::Call(e) => e.fmt(f),
-            CloudError::Status(status) => write!(f, "status {status}"),
+            CloudError::Status(status) => write!(f, "the cloud answered with HTTP status {status}"),
             CloudError::Decode(reason) => f.write_str(reason),
         }
     }
@@ -58,14 +60,14 @@
     }
 }
 
-/// An HTTP answer of the cloud.
+/// An HTTP response of the cloud.
 struct CloudAnswer {
     status: u16,
     body: Vec<u8>,
 }
 
 impl CloudAnswer {
-    /// The body, if the call succeeded.
+    /// Returns the body if the status is 200.
     fn success(self) -> Result<Vec<u8>, CloudError> {
         match self.status {
             200 => Ok(self.body),
@@ -74,13 +76,13 @@
     }
 }
 
-/// Keeps machine types and prices current, for as long as the process runs.
+/// Refreshes machine types and prices periodically, for as long as the process runs.
 pub async fn refresh_machine_types(node: Rc<Node>) {
     loop {
         let known = !node.machine_types.borrow().is_empty();
         match node.fetch_types().await {
             Ok(types) => node.update_types(types),
-            Err(e) => log::info!("machine types: {e}"),
+            Err(e) => log::info!("failed to read the machine types from the cloud: {e}"),
         }
         let interval = if known {
             TYPES_INTERVAL
@@ -100,19 +102,20 @@
                 None => known.push(machine_type),
             }
         }
-        // A leader takes new prices; its list of types is fixed for a term.
+        // The leader updates only the prices: its list of machine types is fixed for
+        // the term.
         if let Some(leader) = self.leader.borrow_mut().as_mut() {
-            for led_type in leader.cluster.types.iter_mut() {
-                if let Some(current) = known.iter().find(|t| t.name == led_type.name) {
-                    led_type.price = current.price;
-                    led_type.spot_price = current.spot_price;
+            for leader_type in leader.cluster.types.iter_mut() {
+                if let Some(current) = known.iter().find(|t| t.name == leader_type.name) {
+                    leader_type.price = current.price;
+                    leader_type.spot_price = current.spot_price;
                 }
             }
         }
     }
 
-    /// One call, once the request budget allows it. `term`: only as long as this node
-    /// has authority in that term.
+    /// Sends one request to the cloud as soon as the request budget allows it. With
+    /// `term`, the request is sent only while this node has authority in that term.
     async fn call_cloud(
         &self,
         term: Option<u64>,
@@ -154,7 +157,8 @@
         Ok(types.types)
     }
 
-    /// Reads the list of machines, page by page.
+    /// Reads the list of machines page by page, and reports each page to the leader of
+    /// `term`.
     pub(super) async fn list_machines(self: Rc<Self>, term: u64, _in_flight: InFlight) {
         let began = self.now();
         let mut from = String::new();
@@ -162,23 +166,21 @@
             let page = match self.list_page(term, &from).await {
                 Ok(page) => page,
                 Err(e @ CloudError::Decode(_)) => {
-                    log::info!("machine list: {e}");
+                    log::info!("failed to decode the machine list of the cloud: {e}");
                     return;
                 }
                 Err(e) => {
-                    log::debug!("machine list: {e}");
+                    log::debug!("failed to read the machine list from the cloud: {e}");
                     return;
                 }
             };
-            self.with_leader_of_term(term, |leader, now| {
+            self.in_term(term, |leader, now| {
                 leader.machines_listed(&page.machines, now);
             });
             match page.machines.last() {
                 Some(last) if page.more => from = last.id.clone(),
                 _ => {
-                    self.with_leader_of_term(term, |leader, now| {
-                        leader.full_list_received(began, now)
-                    });
+                    self.in_term(term, |leader, now| leader.full_list_received(began, now));
                     return;
                 }
             }
@@ -193,7 +195,7 @@
         Ok(serde_json::from_slice(&answer.success()?)?)
     }
 
-    /// Requests or releases machines, and reports the result to the leader.
+    /// Requests or releases machines, and reports the result to the leader of `term`.
     pub(super) async fn run_cloud_op(self: Rc<Self>, term: u64, op: CloudOp) {
         match op {
             CloudOp::MachineRequest(request) => self.request_machines(term, request).await,
@@ -211,19 +213,19 @@
                 .ok()
                 .map(|names| names.machines),
             Err(e @ CloudError::Status(_)) => {
-                log::debug!("rental {}: {e}", request.request_id);
+                log::debug!("machine request {} failed: {e}", request.request_id);
                 None
             }
             Err(e) => {
-                log::info!("rental {}: {e}", request.request_id);
+                log::info!("machine request {} failed: {e}", request.request_id);
                 if e == CloudError::AuthorityEnded {
-                    self.with_leader_of_term(term, |leader, _| leader.scale_out_not_sent());
+                    self.in_term(term, |leader, _| leader.scale_out_not_sent());
                     return;
                 }
                 None
             }
         };
-        self.with_leader_of_term(term, |leader, now| {
+        self.in_term(term, |leader, now| {
             leader.scale_out_answered(&request, names.as_deref(), now)
         });
     }
@@ -238,7 +240,7 @@
             .call_cloud(Some(term), Method::Post, path, Some(body))
             .await;
         let is_released = result.and_then(CloudAnswer::success).is_ok();
-        self.with_leader_of_term(term, |leader, now| {
+        self.in_term(term, |leader, now| {
             leader.released(&names, is_released, now)
         });
     }
--- a/src/server/control_loop.rs
+++ b/src/server/control_loop.rs
@@ -1,12 +1,13 @@
-//! The control loop: advances the leader's state with time, and begins what the
-//! leader wants done.
+//! The control loop: advances the leader's state with time, and starts the operations
+//! that the leader requests.
 //!
-//! Owns: the pace of control rounds, the direct commands to workers, the lookups of
-//! dependencies and the leader's writes. Started once by the process; woken by
-//! [`Node::with_leader_of_term`] when there is work.
+//! This module owns the schedule of control rounds, the direct commands to workers, the
+//! lookups of dependencies, and the leader's writes to the key-value store. The loop is
+//! started once by the process, and is woken by [`Node::in_term`] when
+//! there is work.
 //!
-//! Must never: begin anything without authority, wait for a call within a round, or
-//! have two writes of the leader's records under way.
+//! Invariants: no operation is started without authority. A round never waits for a
+//! network call. At most one write of the leader's records is in progress at a time.
 
 use super::{
     Node,
@@ -31,26 +32,27 @@
     time::{Duration, Instant},
 };
 
-/// Longest time between two rounds. Events wake the loop sooner, but not without
-/// the pause, so that a batch of heartbeats takes one round.
+/// Maximum time between two rounds, and the pause before each round. Events start a
+/// round sooner, but always after the pause, so that a batch of heartbeats is handled
+/// in one round.
 const TICK_INTERVAL: Duration = Duration::from_millis(200);
 const MIN_TICK_PAUSE: Duration = Duration::from_millis(15);
 
-/// A round that begins this much after the last shows that the process was paused
-/// or had no processor.
+/// Time between two rounds in milliseconds above which the process counts as having
+/// been paused, or as having got no processor time.
 const PROCESS_PAUSE_MS: Millis = 700;
 
-/// The fewest changes, and requests, for which a write of the leader's records is
-/// begun.
+/// Minimum numbers of changes and of requests in the budgets for which a write of the
+/// leader's records is started.
 const MIN_WRITE_CHANGES: usize = 2;
 const MIN_WRITE_REQUESTS: f64 = 2.0;
-/// Pauses before a read is repeated, before failed dependency lookups are, and
-/// after a refused write.
+/// Pauses before a failed read is repeated, before failed dependency lookups are
+/// repeated, and after a refused write.
 const REREAD_PAUSE: Duration = Duration::from_millis(200);
 const LOOKUP_RETRY_PAUSE: Duration = Duration::from_millis(500);
 const REFUSED_WRITE_PAUSE: Duration = Duration::from_millis(300);
 
-/// Operations of the control loop that exclude another of their kind.
+/// Operations of the control loop of which at most one per kind is in progress.
 #[derive(Default)]
 pub(super) struct Operations {
     writes: SingleFlight,
@@ -58,7 +60,7 @@
     machine_lists: SingleFlight,
 }
 
-/// A dependency whose record was not read, and why.
+/// A dependency whose record could not be read, and the reason.
 struct UnreadDependency {
     id: String,
     reason: String,
@@ -71,7 +73,7 @@
     }
 }
 
-/// What one round wants done.
+/// Operations to start after one round, and the counts of events since the last round.
 struct RoundPlan {
     term: u64,
     direct_deliveries: Vec<DirectDelivery>,
@@ -80,7 +82,8 @@
     tally: Tally,
 }
 
-/// Runs rounds for as long as the process runs; without authority they do nothing.
+/// Runs control rounds for as long as the process runs. A round without authority has
+/// no effect.
 pub async fn run(node: Rc<Node>) {
     let mut last_round = node.now();
     loop {
@@ -90,7 +93,7 @@
         last_round = node.now();
         if since_last_round > PROCESS_PAUSE_MS {
             node.process_resumed(since_last_round);
-            // What has arrived meanwhile is handled first.
+            // Messages that arrived during the pause are handled before the round.
             Timer::after(TICK_INTERVAL).await;
             last_round = node.now();
         }
@@ -100,14 +103,14 @@
 
 impl Node {
     fn process_resumed(&self, paused_ms: Millis) {
-        log::info!("this process was paused for {paused_ms} ms");
+        log::info!("control loop: the process was paused for {paused_ms} ms");
         let leadership = self.election.borrow().leadership();
         if let Some(leadership) = leadership {
-            self.with_leader_of_term(leadership.term, |leader, now| leader.process_resumed(now));
+            self.in_term(leadership.term, |leader, now| leader.process_resumed(now));
         }
     }
 
-    /// One round of the leader; nothing without authority.
+    /// Runs one round of the leader; has no effect without authority.
     fn control_round(self: &Rc<Self>) {
         let round_began = Instant::now();
         let Some(plan) = self.plan_round() else {
@@ -196,12 +199,12 @@
         }
     }
 
-    /// Sends commands to a worker without waiting for its heartbeat.
+    /// Sends commands to a worker without waiting for the worker's next heartbeat.
     async fn deliver_directly(self: Rc<Self>, term: u64, delivery: DirectDelivery) {
         let body = serde_json::to_vec(&delivery.commands).unwrap_or_default();
         let timeout = Duration::from_millis(DIRECT_COMMAND_TIMEOUT_MS);
-        // Decided with authority, which may have ended since. Once the commands
-        // are sent, the fencing token makes late ones harmless.
+        // The commands were decided with authority, which may have ended since. Once
+        // they are sent, the fencing token makes commands that arrive late harmless.
         let may_act = || self.with_authority(|leader, _| leader.term) == Some(term);
         let result = if may_act() {
             self.http
@@ -229,21 +232,23 @@
                 }
             }
             Err(CallError::NotSent(e)) => {
-                log::debug!("direct commands to {machine}: {e}");
+                log::debug!("direct commands to worker {machine} failed: {e}");
                 DirectDeliveryOutcome::NotSent
             }
             Err(e @ (CallError::NoAnswer(_) | CallError::TooLong)) => {
-                log::debug!("direct commands to {machine}: {e}");
+                log::debug!("direct commands to worker {machine} failed: {e}");
                 DirectDeliveryOutcome::NoAnswer
             }
         };
         let token = delivery.commands.fencing_token;
-        self.with_leader_of_term(term, |leader, now| {
+        self.in_term(term, |leader, now| {
             leader.direct_delivery_finished(machine, token, outcome, now);
         });
     }
 
-    /// Looks up the jobs on which others depend.
+    /// Looks up jobs that other jobs depend on, and reports what was found to the
+    /// leader of `term`. Lookups that failed are queued again after
+    /// [`LOOKUP_RETRY_PAUSE`].
     async fn look_up_dependencies(
         self: Rc<Self>,
         term: u64,
@@ -253,7 +258,7 @@
         let mut results = self
             .lookup_ended(&ids, RequestPriority::DependencyLookup)
             .await;
-        let unresolved = self.with_leader_of_term(term, |leader, now| {
+        let unresolved = self.in_term(term, |leader, now| {
             let metrics = self.metrics.borrow();
             let mut unresolved = Vec::new();
             for id in ids {
@@ -275,7 +280,7 @@
             unresolved
         });
         let Some(unresolved) = unresolved else {
-            log::info!("lookups of dependencies dropped: term {term} has ended");
+            log::info!("dropped the results of dependency lookups: term {term} has ended");
             return;
         };
         if unresolved.is_empty() {
@@ -284,24 +289,26 @@
         for _ in &unresolved {
             self.metrics.borrow().count_dependency_lookup("unread");
         }
-        // Only the jobs that depend on them wait.
+        // Only the jobs that depend on the unread jobs wait for the retry.
         let reason = unresolved[0].reason.clone();
         let unresolved: Vec<String> = unresolved.into_iter().map(|unread| unread.id).collect();
         let budget = self.budgets.describe_requests(self.now());
         log::info!(
-            "dependencies could not be read in term {term}: {unresolved:?}, {reason}; {budget}"
+            "dependencies could not be read in term {term}: {unresolved:?}, \
+            first reason: {reason}; request budget: {budget}"
         );
         let node = self.clone();
         let retry = async move {
             Timer::after(LOOKUP_RETRY_PAUSE).await;
-            node.with_leader_of_term(term, |leader, _| {
+            node.in_term(term, |leader, _| {
                 leader.requeue_dependency_lookups(unresolved);
             });
         };
         self.executor.spawn_high(retry).detach();
     }
 
-    /// Writes the leader's records.
+    /// Writes changes of the leader's records and reports the outcome to the leader.
+    /// After an indeterminate outcome the written keys are read first.
     async fn apply_writes(self: Rc<Self>, term: u64, plan: WritePlan, _in_flight: InFlight) {
         let now = self.now();
         let changes = plan.txn.writes.len();
@@ -311,7 +318,7 @@
         match self.run_txn(&plan.txn, STATE_TIMEOUT).await {
             TxnResult::Done(revision) => {
                 self.budgets.txn_applied();
-                self.with_leader_of_term(term, |leader, now| {
+                self.in_term(term, |leader, now| {
                     leader.writes_applied(&plan, revision, now);
                 });
             }
@@ -322,24 +329,24 @@
                 if matches!(refused, TxnResult::Rejected) {
                     self.budgets.txn_rejected(changes);
                 }
-                self.with_leader_of_term(term, |leader, _| leader.reconciled(&plan));
+                self.in_term(term, |leader, _| leader.reconciled(&plan));
                 Timer::after(REFUSED_WRITE_PAUSE).await;
             }
             TxnResult::Conflict(_) | TxnResult::Unknown => {
                 self.metrics.borrow().indeterminate_writes.inc();
-                self.with_leader_of_term(term, |leader, _| leader.outcome_unknown(&plan));
+                self.in_term(term, |leader, _| leader.outcome_unknown(&plan));
                 self.reread(term, &plan).await;
             }
         }
     }
 
-    /// Reads the keys of a write whose outcome is unknown, before any of them is
-    /// written again.
+    /// Reads the keys of a write whose outcome is unknown. None of these keys is
+    /// written again before that.
     async fn reread(&self, term: u64, plan: &WritePlan) {
         let mut found = Vec::new();
         for key in Leader::keys_to_reread(plan) {
             loop {
-                if self.with_leader_of_term(term, |_, _| ()).is_none() {
+                if self.in_term(term, |_, _| ()).is_none() {
                     return;
                 }
                 if self.may_request(RequestPriority::Acceptance)
@@ -351,7 +358,7 @@
                 Timer::after(REREAD_PAUSE).await;
             }
         }
-        self.with_leader_of_term(term, |leader, now| {
+        self.in_term(term, |leader, now| {
             for (key, item) in found {
                 leader.reconcile_key(&key, item, now);
             }
--- a/src/server/dependency_reads.rs
+++ b/src/server/dependency_reads.rs
@@ -1,10 +1,12 @@
-//! Reads of the jobs that others depend on, for answers from the records.
+//! Reads of jobs that other jobs depend on, for polls that are answered from the
+//! records.
 //!
-//! Owns: what this node has read of such jobs. Called by the polls that only the
-//! records can answer (`server::polls`).
+//! This module owns the dependency records that this node has read. It is called for
+//! polls that only the records can answer (`server::poll_records`).
 //!
-//! Must never: call a job unfinished whose dependencies were not read lately enough,
-//! or read more of them for one poll than is bounded here.
+//! Invariants: a job is reported as unfinished only if its dependencies were read
+//! recently enough. The number of dependencies that are read for one poll, or for one
+//! round of polls, is bounded.
 
 use super::{Node, store::StoreError};
 use crate::{
@@ -26,28 +28,31 @@
     collections::{BTreeSet, HashMap},
 };
 
-/// How many levels of dependencies are read for one poll. What was read is kept, so
-/// that the next poll of the job goes on from there.
+/// Maximum number of levels of dependencies that are read for one poll. The
+/// dependencies that were read are kept, so that the next poll of the job continues
+/// from them.
 const MAX_LEVELS: usize = 8;
-/// The same of a list that was read, where a level costs no request. A list that is
-/// too old by now, or longer than what is kept, never becomes known however often it
-/// is followed.
+/// Maximum number of levels of dependencies that are followed in a list of the live
+/// records. A level costs no request there, but the bound is still needed: if the list
+/// is already too old, or has more dependencies than this node keeps, they stay unread
+/// however often the list is followed.
 const MAX_LISTED_LEVELS: usize = 64;
-/// Most dependencies that are read for one poll, and for one round of polls.
+/// Maximum number of dependencies that are read per level for one poll, and in total
+/// for one round of polls.
 const MAX_READS: usize = 500;
 
-/// Values and versions of the live records that were listed, by key.
+/// Values and versions of all live records in a list, by key.
 pub(super) type ListedRecords = HashMap<String, (Value, u64)>;
 
-/// A listed job by its record.
+/// Status and dependencies of a job, as decoded from its record.
 pub(super) struct ListedJob {
     pub(super) status: JobStatus,
-    /// The jobs with which it may be cancelled: none once a task of it is complete, as
-    /// it was started when all of them were done.
+    /// Jobs whose cancellation may cancel this job. Empty once a task of this job is
+    /// complete, as a job is started only after all jobs that it depends on are done.
     pub(super) dependencies: Vec<String>,
 }
 
-/// What this node has read of jobs that others depend on.
+/// Evidence that this node has read about jobs that other jobs depend on.
 pub(super) struct DependencyReads {
     evidence: RefCell<DependencyEvidence>,
 }
@@ -85,7 +90,8 @@
 }
 
 impl Node {
-    /// Whether a job that depends on others may be called unfinished.
+    /// Returns whether a job that depends on other jobs may be reported as unfinished,
+    /// and if not, why.
     pub(super) fn dependency_verdict(&self, id: &str) -> DependencyVerdict {
         let evidence = self.dependency_reads.evidence.borrow();
         self.with_view(|view| view.dependency_verdict(&evidence, id))
@@ -98,13 +104,13 @@
         }
     }
 
-    /// Remembers the final state of a job.
+    /// Stores the final state of a job.
     pub(super) fn learn_final(&self, id: &str, record: &FinalRecord) {
         self.with_view(|view| view.remember(&final_status(id, record)));
     }
 
-    /// Reads the dependencies of a job that was read, and theirs, as far as they are
-    /// not known.
+    /// Reads the direct and transitive dependencies of a job that are not known yet, up
+    /// to [`MAX_LEVELS`] levels. The job itself must have been read before.
     pub(super) async fn read_dependencies(&self, id: &str) {
         for _ in 0..MAX_LEVELS {
             let unread = self.unread_dependencies(id);
@@ -145,7 +151,8 @@
                 dependencies,
             });
         }
-        // A long spec need not be read again for what never changes in it.
+        // The dependencies in a spec never change: a spec that is kept in chunks isn't
+        // read again if they are known.
         let known = match stored.spec {
             Some(_) => None,
             None => self.dependency_reads.known_dependencies(id),
@@ -163,7 +170,8 @@
         })
     }
 
-    /// Remembers what a read that began at `read_at` found of a job.
+    /// Stores the state and the dependencies of a job that a read begun at `read_at`
+    /// found.
     pub(super) fn learn_job(&self, job: ListedJob, read_at: Millis) {
         let ListedJob {
             status,
@@ -177,15 +185,16 @@
         }
     }
 
-    /// Follows the dependencies of these jobs through a list of all live ones that
-    /// was begun at `read_at`. Returns those that are not live: they are over.
+    /// Follows the dependencies of the given jobs through a list of all live jobs whose
+    /// read began at `read_at`. Returns the dependencies that are not in the list:
+    /// these jobs have ended.
     pub(super) async fn follow_listed_dependencies(
         &self,
         ids: &[&str],
         listed: &ListedRecords,
         read_at: Millis,
     ) -> BTreeSet<String> {
-        let mut over = BTreeSet::new();
+        let mut ended = BTreeSet::new();
         for id in ids {
             let mut unread = self.unread_dependencies(id);
             for _ in 0..MAX_LISTED_LEVELS {
@@ -195,15 +204,16 @@
                 unread = self.unread_dependencies(id);
             }
             unread.retain(|id| !listed.contains_key(&job_key(id)));
-            over.extend(unread);
-            if over.len() >= MAX_READS {
+            ended.extend(unread);
+            if ended.len() >= MAX_READS {
                 break;
             }
         }
-        over.into_iter().take(MAX_READS).collect()
+        ended.into_iter().take(MAX_READS).collect()
     }
 
-    /// Takes in those of the jobs that are listed; returns whether one was.
+    /// Stores each of the given jobs that is in the list. Returns whether any was
+    /// stored.
     async fn learn_all_listed(
         &self,
         ids: &BTreeSet<String>,
--- a/src/server/exclusions.rs
+++ b/src/server/exclusions.rs
@@ -1,11 +1,11 @@
 //! Carries out the steps of `control::exclusions` while this node leads.
 //!
-//! Owns: the loop that excludes unresponsive peers from elections and readmits
-//! healthy ones. Started once by the process; the leadership loop reads the
-//! resulting exclusions.
+//! This module owns the loop that excludes unresponsive peers from elections and
+//! readmits peers that respond again. The loop is started once by the process; the
+//! leadership loop reads the resulting exclusions.
 //!
-//! Must never: carry out two steps at once, or report the result of a step to the
-//! exclusions of a later term.
+//! Invariants: one step is carried out at a time. The result of a step is never
+//! reported to the exclusions of a later term.
 
 use super::{
     Node,
@@ -26,17 +26,18 @@
 use async_io::Timer;
 use std::{rc::Rc, time::Duration};
 
-/// Time between two checks for a step that is due.
+/// Interval between two checks for a step that is due.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Whether a step was carried out, so that the next may follow at once.
+/// Whether a step was carried out. Only after `Done` the next step follows without a
+/// pause.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum StepResult {
     Done,
     Failed,
 }
 
-/// Carries out due steps, for as long as the process runs.
+/// Carries out due steps while this node leads, for as long as the process runs.
 pub async fn run(node: Rc<Node>) {
     loop {
         Timer::after(CHECK_INTERVAL).await;
@@ -64,7 +65,7 @@
             .next_step(&self.failure_detector.borrow(), now)
     }
 
-    /// Reads the exclusions of earlier terms for a new leader.
+    /// Reads the exclusions that earlier leaders wrote, at the start of `term`.
     pub(super) async fn read_exclusions(&self, term: u64) -> Result<(), StoreError> {
         let items = self.list(EXCLUSIONS, RequestPriority::Acceptance).await?;
         let peer_of = |key: &str| {
@@ -75,16 +76,12 @@
             .iter()
             .filter_map(|item| Some((peer_of(&item.key)?, item.version)));
         let exclusions = Exclusions::new(term, recorded);
-        self.with_leader_of_term(term, |_, _| self.exclusions.replace(exclusions));
+        self.in_term(term, |_, _| self.exclusions.replace(exclusions));
         Ok(())
     }
 
-    /// Reports to the exclusions of `term`; `None` when that term is over.
-    fn with_exclusions_of_term<T>(
-        &self,
-        term: u64,
-        report: impl FnOnce(&mut Exclusions) -> T,
-    ) -> Option<T> {
+    /// Runs `report` on the exclusions of `term`; returns `None` if that term is over.
+    fn exclusions_of<T>(&self, term: u64, report: impl FnOnce(&mut Exclusions) -> T) -> Option<T> {
         self.exclusions.borrow_mut().of_term(term).map(report)
     }
 
@@ -103,7 +100,7 @@
         let Some(lease) = self.grant_lease(LEASE_TTL_MS, STATE_TIMEOUT).await else {
             return StepResult::Failed;
         };
-        self.with_exclusions_of_term(term, |exclusions| exclusions.lease_granted(lease, sent));
+        self.exclusions_of(term, |exclusions| exclusions.lease_granted(lease, sent));
         StepResult::Done
     }
 
@@ -111,13 +108,11 @@
         let sent = self.now();
         match self.renew_lease(lease, STATE_TIMEOUT).await {
             LeaseRenewal::Renewed => {
-                self.with_exclusions_of_term(term, |exclusions| {
-                    exclusions.lease_granted(lease, sent)
-                });
+                self.exclusions_of(term, |exclusions| exclusions.lease_granted(lease, sent));
                 StepResult::Done
             }
             LeaseRenewal::Expired => {
-                self.with_exclusions_of_term(term, Exclusions::lease_lost);
+                self.exclusions_of(term, Exclusions::lease_lost);
                 StepResult::Done
             }
             LeaseRenewal::Throttled | LeaseRenewal::Failed(_) => StepResult::Failed,
@@ -127,7 +122,7 @@
     async fn exclude(&self, term: u64, peer: usize, lease: u64) -> StepResult {
         let name = &self.settings.peers[peer].name;
         let Some(repeated) =
-            self.with_exclusions_of_term(term, |exclusions| exclusions.begin_exclusion(peer))
+            self.exclusions_of(term, |exclusions| exclusions.begin_exclusion(peer))
         else {
             return StepResult::Failed;
         };
@@ -136,15 +131,17 @@
             .await
         {
             TxnResult::Done(version) => {
-                log::info!("{name} hangs: excluded from elections until it answers");
-                self.with_exclusions_of_term(term, |exclusions| {
+                log::info!(
+                    "excluded unresponsive controller {name} from elections until it responds"
+                );
+                self.exclusions_of(term, |exclusions| {
                     exclusions.excluded(peer, version, repeated)
                 });
                 StepResult::Done
             }
             TxnResult::Unknown => StepResult::Failed,
             TxnResult::Conflict(_) | TxnResult::Refused | TxnResult::Rejected => {
-                self.with_exclusions_of_term(term, |exclusions| {
+                self.exclusions_of(term, |exclusions| {
                     exclusions.exclusion_failed(peer, repeated)
                 });
                 StepResult::Failed
@@ -154,27 +151,28 @@
 
     async fn readmit(&self, term: u64, peer: usize, version: u64) -> StepResult {
         let name = &self.settings.peers[peer].name;
-        self.with_exclusions_of_term(term, |exclusions| exclusions.begin_readmission(peer));
+        self.exclusions_of(term, |exclusions| exclusions.begin_readmission(peer));
         match self
             .change_exclusion(readmission_txn(term, name, version))
             .await
         {
             TxnResult::Done(_) => {}
-            // The exclusion is gone, or has another version than was counted.
+            // The exclusion no longer exists, or its version differs from the one that
+            // this leader counted.
             TxnResult::Conflict(failed) if !failed.iter().any(|key| key == LEADER) => {}
             _ => return StepResult::Failed,
         }
-        log::info!("{name} is readmitted to elections");
-        self.with_exclusions_of_term(term, |exclusions| exclusions.readmitted(peer));
+        log::info!("readmitted controller {name} to elections");
+        self.exclusions_of(term, |exclusions| exclusions.readmitted(peer));
         StepResult::Done
     }
 
     async fn end_exclusion_lease(&self, term: u64, lease: u64) -> StepResult {
-        self.with_exclusions_of_term(term, Exclusions::begin_lease_end);
+        self.exclusions_of(term, Exclusions::begin_lease_end);
         if !self.end_lease(lease, STATE_TIMEOUT).await {
             return StepResult::Failed;
         }
-        self.with_exclusions_of_term(term, Exclusions::lease_lost);
+        self.exclusions_of(term, Exclusions::lease_lost);
         StepResult::Done
     }
 
--- a/src/server/heartbeats.rs
+++ b/src/server/heartbeats.rs
@@ -1,11 +1,12 @@
-//! Heartbeats of workers: answered by the leader, and relayed to it for workers
-//! that can't reach it themselves.
+//! Heartbeats of workers: the leader answers them; other nodes relay them to the leader
+//! for workers that can't reach it.
 //!
-//! Owns: when this node last answered a heartbeat, and which workers it relays.
-//! Called by the HTTP dispatch and, for relayed heartbeats, by `server::peers`.
+//! This module owns the time at which this node last answered a heartbeat, and the set
+//! of workers whose heartbeats it relays. It is called by the HTTP dispatch and, for
+//! relayed heartbeats, by `server::peers`.
 //!
-//! Must never: answer a heartbeat without authority, or redirect a worker to an
-//! unresponsive node.
+//! Invariants: a heartbeat is answered only with authority. A worker is never
+//! redirected to an unresponsive node.
 
 use super::Node;
 use crate::{
@@ -23,23 +24,24 @@
     time::Duration,
 };
 
-/// How long the leader may take to answer a relayed heartbeat.
+/// Timeout of a heartbeat that is relayed to the leader.
 const RELAY_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Heartbeats of workers at this node.
+/// State of the heartbeats that arrive at this node.
 #[derive(Default)]
 pub(super) struct Heartbeats {
-    /// When this node last answered one as leader.
+    /// When this node last answered a heartbeat as leader.
     pub(super) last_answered: Cell<Millis>,
     /// Workers whose heartbeats are relayed to the leader.
     pub(super) relays: RefCell<HeartbeatRelays>,
 }
 
 impl Node {
-    /// Answers a heartbeat, relays it, or redirects the worker.
+    /// Answers a heartbeat, relays it to the leader, or redirects the worker to another
+    /// node.
     pub(super) async fn handle_heartbeat(self: &Rc<Self>, body: Option<Vec<u8>>) -> HttpResponse {
         let Some(body) = body else {
-            return HttpResponse::error(400, "body is incomplete or over 64 KiB");
+            return HttpResponse::error(400, "request body is incomplete or larger than 64 KiB");
         };
         let heartbeat: Heartbeat = match serde_json::from_slice(&body) {
             Ok(heartbeat) => heartbeat,
@@ -49,17 +51,20 @@
             return answer;
         }
         let now = self.now();
-        let leads = self.election.borrow().leadership().is_some();
-        let target = match leads {
-            // Its authority has ended for the moment: workers return soonest if they
-            // choose the next controller themselves.
+        let has_leadership = self.election.borrow().leadership().is_some();
+        let target = match has_leadership {
+            // This node leads, but its authority has lapsed for the moment. The worker
+            // comes back to it soonest if it chooses the next controller itself.
             true => RedirectTarget::Any,
             false => self
                 .failure_detector
                 .borrow_mut()
                 .redirect_target(self.leader_peer(), now),
         };
-        log::debug!("heartbeat of {}: {target:?}", heartbeat.machine);
+        log::debug!(
+            "heartbeat of worker {} is not answered here: target {target:?}",
+            heartbeat.machine
+        );
         let RedirectTarget::Leader(leader) = target else {
             return self.redirect_worker(target);
         };
@@ -71,7 +76,8 @@
         {
             return self.redirect_worker(target);
         }
-        // The leader may be unreachable for this worker alone.
+        // The leader may be unreachable from this worker only, so the heartbeat is
+        // relayed.
         let request = Request::Forward {
             method: "POST".into(),
             path: super::HEARTBEAT_PATH.into(),
@@ -86,7 +92,8 @@
                 content: JSON,
                 body,
             },
-            // Not to whichever controller it tries next, which may be unresponsive.
+            // The worker is redirected to a healthy node rather than left to try the
+            // next controller, which may be unresponsive.
             _ => {
                 let other = self
                     .failure_detector
@@ -97,7 +104,7 @@
         }
     }
 
-    /// Redirects a worker to another node.
+    /// Returns the response that redirects a worker to another node.
     fn redirect_worker(&self, target: RedirectTarget) -> HttpResponse {
         match target {
             RedirectTarget::Leader(peer) | RedirectTarget::Healthy(peer) => {
@@ -108,7 +115,8 @@
         }
     }
 
-    /// Answers a heartbeat as leader. `None`: this node may not act.
+    /// Answers a heartbeat as leader. Returns `None` if this node has no authority or
+    /// the leader's state yields no answer.
     pub(super) fn answer_heartbeat(&self, heartbeat: &Heartbeat) -> Option<HttpResponse> {
         let reply = self.with_authority(|leader, now| leader.on_heartbeat(heartbeat, now))??;
         self.heartbeats.last_answered.set(self.now());
--- a/src/server/leadership/campaign.rs
+++ b/src/server/leadership/campaign.rs
@@ -1,11 +1,13 @@
-//! Campaign of a node that doesn't lead: it watches the leader's key and tries to
-//! become leader when nobody holds it.
+//! Campaign of a node that doesn't lead: the node reads the leader's key periodically
+//! and tries to become leader when no node holds the key.
 //!
-//! Owns: the reads of the leader's key, the attempt to write it, and the start of
-//! a new term in this process. Called by the leadership loop of the parent module.
+//! This module owns the reads of the leader's key, the attempt to write it, and the
+//! start of a new term in this process. It is called by the leadership loop of the
+//! parent module.
 //!
-//! Must never: attempt to become leader while an earlier attempt may still
-//! succeed, or without a fresh check of `Election::may_campaign`.
+//! Invariants: this node doesn't attempt to become leader while one of its earlier
+//! attempts may still succeed, nor without having just checked
+//! `Election::may_campaign`.
 
 use super::{
     super::{Node, store::StoreError},
@@ -27,44 +29,49 @@
 };
 use std::{rc::Rc, time::Duration};
 
-/// How long an excluded node waits before it campaigns again.
+/// Time in milliseconds after which an excluded node campaigns again.
 const EXCLUDED_PAUSE_MS: Millis = 1_000;
-/// How long one request of a campaign may take.
+/// Timeout of one request of a campaign.
 const STEP_TIMEOUT: Duration = Duration::from_millis(CAMPAIGN_STEP_TIMEOUT_MS);
 
-/// Pause of a node that waits for a vacancy it could fill, or has just tried.
+/// Pause of a node while no node leads, and after an attempt to become leader.
 const VACANT_PAUSE: Duration = Duration::from_millis(150);
-/// Pause of a counted standby while another node leads.
+/// Pause of a standby that the leader counts as such, while another node leads.
 const STANDBY_PAUSE: Duration = Duration::from_millis(250);
-/// Pause of any other node while another node leads.
+/// Pause of all other nodes while another node leads.
 const FOLLOWER_PAUSE: Duration = Duration::from_millis(500);
-/// Pause after a failed read of the leader's key, and the random part of it.
+/// Minimum pause after a failed read of the leader's key, and the maximum random time
+/// that is added to it, in milliseconds.
 const READ_FAILED_PAUSE_MS: u64 = 250;
 const READ_FAILED_JITTER_MS: u64 = 100;
 
-/// An attempt to become leader whose lease was granted.
+/// An attempt to become leader, for which the key-value store has granted a lease.
 struct Attempt {
     record: LeaderRecord,
-    /// Version of the leader's key that is replaced.
+    /// Version of the leader's key that the attempt replaces; 0 if there is no such
+    /// key.
     replaced_version: u64,
     lease: u64,
-    /// When the lease was requested, from which it counts.
+    /// When the lease was requested. The time to live of the lease is counted from
+    /// then.
     lease_requested: Millis,
 }
 
 impl Node {
-    /// One step of a node that doesn't lead; returns when to do the next.
+    /// Runs one step of a node that doesn't lead. Returns the pause before the next
+    /// step.
     pub(super) async fn campaign(self: &Rc<Self>) -> Duration {
         let indeterminate_lease = self.election.borrow().indeterminate_lease;
         if let Some(lease) = indeterminate_lease {
-            // Once the attempt's lease has ended, it can't succeed late.
+            // Once the lease of an indeterminate attempt has ended, that attempt can no
+            // longer succeed.
             if self.end_lease(lease, PROBE_TIMEOUT).await {
                 self.election.borrow_mut().indeterminate_lease = None;
             }
             return VACANT_PAUSE;
         }
         if let Err(e) = self.read_leader_key().await {
-            log::debug!("reading the leader's key: {e}");
+            log::debug!("campaign: failed to read the leader's key: {e}");
             let jitter_ms = fastrand::u64(0..READ_FAILED_JITTER_MS);
             return Duration::from_millis(READ_FAILED_PAUSE_MS + jitter_ms);
         }
@@ -102,8 +109,8 @@
         Ok(())
     }
 
-    /// How long a node that may not campaign waits. A standby that is counted
-    /// reads the leader's key more often.
+    /// Returns the pause of a node that may not campaign. A standby that the leader
+    /// counts reads the leader's key more often than other nodes.
     fn follower_pause(&self) -> Duration {
         let is_vacant = self.election.borrow().observed_leader.is_none();
         let is_counted = self
@@ -118,15 +125,18 @@
         }
     }
 
-    /// Nodes in a favourable failover position go first, and warm standbys.
+    /// Whether this node delays its candidacy, so that nodes in a more favourable
+    /// failover position and warm standbys can campaign first.
     async fn leaves_candidacy_to_others(&self) -> bool {
         let now = self.now();
         let unfavourable = self
             .failure_detector
             .borrow()
             .unfavourable_failover_position(now);
-        let defers = unfavourable || self.other_standbys_are_counted().await;
-        self.election.borrow_mut().delays_candidacy(now, || defers)
+        let others_first = unfavourable || self.other_standbys_are_counted().await;
+        self.election
+            .borrow_mut()
+            .delays_candidacy(now, || others_first)
     }
 
     async fn become_leader(self: &Rc<Self>, replaced_version: u64) {
@@ -139,7 +149,8 @@
         match self.run_txn(&txn, STEP_TIMEOUT).await {
             TxnResult::Done(term) => self.begin_term(term, &attempt),
             TxnResult::Unknown => {
-                // Without proof that it succeeded, the outcome stays unknown.
+                // Unless the leader's key proves that the attempt succeeded, its
+                // outcome stays unknown.
                 if let Ok(Some(item)) = self.get(LEADER, STEP_TIMEOUT).await
                     && attempt.wrote(&item)
                 {
@@ -150,22 +161,24 @@
                 let mut election = self.election.borrow_mut();
                 election.indeterminate_lease = None;
                 if matches!(&failed, TxnResult::Conflict(keys) if keys.contains(&exclusion)) {
-                    log::info!("excluded from elections, as this node hung");
+                    log::info!(
+                        "campaign: this node is excluded from elections, as it was unresponsive"
+                    );
                     election.abstain(self.now() + EXCLUDED_PAUSE_MS);
                 }
             }
         }
     }
 
-    /// Requests the lease for an attempt. `None` if there is none, or if this node
-    /// may no longer campaign.
+    /// Requests the lease for an attempt. Returns `None` if no lease was granted or
+    /// this node may no longer campaign.
     async fn prepare_attempt(&self, replaced_version: u64) -> Option<Attempt> {
         let lease_requested = self.now();
         self.budgets
             .charge_requests(lease_requested, RequestPriority::Leadership, 2);
         let lease = self.grant_lease(LEASE_TTL_MS, STEP_TIMEOUT).await?;
         let election = self.election.borrow();
-        // A promise may have been granted meanwhile.
+        // This node may have granted a promise to a leader in the meantime.
         if election.may_campaign(self.now()) != Some(replaced_version) {
             return None;
         }
@@ -187,8 +200,8 @@
             .borrow_mut()
             .elected(term, lease, attempt.lease_requested);
         log::info!(
-            "leading, term {term}, under lease {lease}, in place of key version {}, \
-             asked for {} ms ago",
+            "elected leader of term {term} under lease {lease}, replacing version {} \
+            of the leader's key; the lease was requested {} ms ago",
             attempt.replaced_version,
             self.now() - attempt.lease_requested
         );
@@ -215,7 +228,8 @@
 }
 
 impl Attempt {
-    /// Replaces the leader's key, unless this node is excluded.
+    /// Returns the transaction that replaces the leader's key unless this node is
+    /// excluded from elections.
     fn txn(&self, exclusion_key: &str) -> Txn {
         Txn {
             conditions: vec![
@@ -236,7 +250,7 @@
         }
     }
 
-    /// Whether the leader's key holds what this process wrote.
+    /// Whether the leader's key has the value that this attempt writes.
     fn wrote(&self, item: &Item) -> bool {
         serde_json::from_value::<LeaderRecord>(item.value.clone())
             .is_ok_and(|record| record == self.record)
--- a/src/server/leadership/load_state.rs
+++ b/src/server/leadership/load_state.rs
@@ -1,11 +1,11 @@
-//! Loads the records for a new term, then follows the feed of jobs that other nodes
-//! accept.
+//! Loads the records at the start of a term, then watches the feed of jobs that other
+//! nodes accept.
 //!
-//! Owns: the order in which the records are read, and the loop over the feed. Started
-//! by the campaign when a term begins; ends with the term.
+//! This module owns the order in which the records are read, and the loop over the
+//! feed. The campaign starts it when a term begins; it ends with the term.
 //!
-//! Must never: finish loading from records that are older than the term, or remove
-//! a feed entry whose job has not been looked up.
+//! Invariants: loading never finishes with records that are older than the term. A feed
+//! entry is removed only after its job was looked up.
 
 use super::super::{Node, store::StoreError};
 use crate::{
@@ -30,15 +30,16 @@
     time::Duration,
 };
 
-/// How long the store is asked to wait for new entries of the feed.
+/// Time in milliseconds for which the store holds a watch request open while the feed
+/// has no new entries.
 const WATCH_WAIT_MS: Millis = 20_000;
-/// How long a watch may take, more than the store waits.
+/// Timeout of a watch request; longer than [`WATCH_WAIT_MS`].
 const WATCH_TIMEOUT: Duration = Duration::from_secs(25);
-/// Pause after a failed watch, and after a failed read.
+/// Pauses after a failed watch request, and after a failed read.
 const WATCH_RETRY_PAUSE: Duration = Duration::from_millis(300);
 const READ_RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// Loads the records of a new term and follows the feed, until the term ends.
+/// Loads the records at the start of `term`, then watches the feed until the term ends.
 pub(super) async fn load(node: Rc<Node>, term: u64) {
     loop {
         let led_term = node.election.borrow().leadership().map(|held| held.term);
@@ -47,7 +48,7 @@
         }
         match node.read_records(term).await {
             Ok(()) => break,
-            Err(e) => log::info!("reading the records: {e}"),
+            Err(e) => log::info!("term {term}: failed to load the records, retrying: {e}"),
         }
         Timer::after(READ_RETRY_PAUSE).await;
     }
@@ -56,10 +57,10 @@
 
 impl Node {
     fn leads_term(&self, term: u64) -> bool {
-        self.with_leader_of_term(term, |_, _| ()).is_some()
+        self.in_term(term, |_, _| ()).is_some()
     }
 
-    /// Learns of jobs that other nodes accepted, until the term ends.
+    /// Adds jobs that other nodes accepted to the leader's state, until the term ends.
     async fn watch_acceptances(&self, term: u64) {
         let mut feed = AcceptanceFeed::new(term);
         while self.leads_term(term) {
@@ -72,12 +73,12 @@
                 if !self.accept_from_feed(term, id).await {
                     return;
                 }
-                self.with_leader_of_term(term, |leader, _| leader.acceptance_handled(key));
+                self.in_term(term, |leader, _| leader.acceptance_handled(key));
             }
         }
     }
 
-    /// Waits for entries of the feed. `None`: they can't be read now.
+    /// Waits for new entries of the feed. Returns `None` if the feed can't be read now.
     async fn next_feed_entries(&self, feed: &mut AcceptanceFeed) -> Option<Vec<String>> {
         let now = self.now();
         self.budgets
@@ -100,15 +101,13 @@
         }
     }
 
-    /// Looks up a job of the feed until that succeeds. Returns whether the term still
-    /// lasts.
+    /// Looks up a job of the feed, with retries until the lookup succeeds or the term
+    /// ends. Returns `false` if the term has ended.
     async fn accept_from_feed(&self, term: u64, id: &str) -> bool {
         loop {
             match self.lookup(id, RequestPriority::Acceptance).await {
                 Ok(Found::Live(record, version)) => {
-                    self.with_leader_of_term(term, |leader, now| {
-                        leader.accepted(*record, version, now)
-                    });
+                    self.in_term(term, |leader, now| leader.accepted(*record, version, now));
                     return true;
                 }
                 Ok(_) => return true,
@@ -120,9 +119,9 @@
         }
     }
 
-    /// Reads all records and loads them into the leader's state.
+    /// Reads all records and loads them into the leader's state of `term`.
     async fn read_records(&self, term: u64) -> Result<(), StoreError> {
-        // The machine registry first: the leases of workers depend on it.
+        // The machine registry is read first, as the leases of workers depend on it.
         let machines = self
             .list_as_of(records::MACHINES, RequestPriority::Acceptance)
             .await?;
@@ -144,14 +143,15 @@
             .await?;
         let standbys = self.read_standby_record().await?;
         self.read_exclusions(term).await?;
-        self.with_leader_of_term(term, |leader, now| {
+        self.in_term(term, |leader, now| {
             leader.load_standbys(standbys);
             load_machines(leader, machines.items, now);
             let unreadable = load_jobs(leader, jobs, &chunks, now);
             load_spec_chunks(leader, &chunks, &unreadable);
             load_segments(leader, segments, &unreadable);
-            // The jobs of these entries are loaded, unless they were accepted after
-            // the jobs were read; the watch reports those again.
+            // The jobs of these entries are among the loaded jobs, unless they were
+            // accepted after the jobs were read. The watch reports entries of the
+            // latter again.
             for entry in feed_entries
                 .into_iter()
                 .filter(|entry| entry.version <= term)
@@ -160,7 +160,7 @@
             }
             leader.finish_loading(now);
             log::info!(
-                "term {term} read {} jobs and {} machines, as of revision {revision} or later",
+                "term {term}: loaded {} jobs and {} machines, as of revision {revision} or later",
                 leader.cluster.live_jobs(),
                 leader.cluster.machine_count(),
             );
@@ -174,13 +174,14 @@
         let name = item.key.trim_start_matches(records::MACHINES).to_owned();
         match serde_json::from_value::<MachineRecord>(item.value) {
             Ok(record) => leader.load_machine(&name, record, item.version, now),
-            Err(e) => log::error!("record {}: {e}", item.key),
+            Err(e) => log::error!("failed to decode machine record {}: {e}", item.key),
         }
     }
 }
 
-/// Returns the jobs whose records can't be read. Polls of those are answered with
-/// 503, and the next leader tries again; what else is stored of them must stay.
+/// Loads the job records, and returns the ids of jobs whose records can't be decoded.
+/// Polls of these jobs are answered with 503, and the next leader tries again, so their
+/// spec chunks and segments must not be removed.
 fn load_jobs(
     leader: &mut Leader,
     jobs: Vec<Item>,
@@ -208,7 +209,7 @@
                 leader.load_job(record, item.version, now);
             }
             Err(e) => {
-                log::error!("record {}: {e:#}", item.key);
+                log::error!("failed to decode job record {}: {e:#}", item.key);
                 unreadable.insert(id.to_owned());
             }
         }
--- a/src/server/leadership/mod.rs
+++ b/src/server/leadership/mod.rs
@@ -1,13 +1,13 @@
-//! Leadership of this node: the loop that campaigns for it, holds it, and steps
+//! Leadership of this node: the loop that campaigns for leadership, holds it, and steps
 //! down.
 //!
-//! Owns: the requests behind each transition of `control::election`, and the steps
-//! a node takes when its term ends. Its loop is started once by the process; the
-//! control loop and the standby registry call [`Node::step_down`] when they learn
+//! This module owns the requests behind each transition of `control::election`, and the
+//! steps that a node takes when its term ends. The loop is started once by the process.
+//! The control loop and the standby registry call [`Node::step_down`] when they learn
 //! that another node leads.
 //!
-//! Must never: announce that a term has ended, or give back its lease, before this
-//! process has stopped acting in it.
+//! Invariant: the end of a term is announced, and its lease revoked, only after this
+//! process has stopped acting in that term.
 
 mod campaign;
 mod load_state;
@@ -19,38 +19,41 @@
 use async_io::Timer;
 use std::{cell::Cell, rc::Rc, time::Duration};
 
-/// How long a request to all peers may take, and how long a renewal is waited for
-/// before the peers are asked for promises.
+/// Timeout of a request to all peers, and the time after which a pending renewal counts
+/// as failing, so that the peers are asked for promises.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// This node's leadership apart from the election's own state.
+/// State of this node's leadership that is not part of `control::election`.
 #[derive(Default)]
 pub(super) struct LeadershipStatus {
-    /// While this node leads: the last renewal failed.
+    /// Whether the last renewal of this leader's lease failed.
     renewals_failing: Cell<bool>,
     /// When and why this node last stepped down.
     pub(super) last_step_down: Cell<Option<(Millis, StepDownReason)>>,
 }
 
-/// Why a leader steps down, for the log, `status` and the metrics.
+/// The reason why a leader steps down, as reported in the log, in `status` and in the
+/// metrics.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum StepDownReason {
-    /// The key-value store no longer holds its lease.
+    /// The leader's lease has ended in the key-value store.
     LeaseEnded,
-    /// A write failed, as another node holds the leader's key.
+    /// A write failed because another node holds the leader's key.
     Replaced,
-    /// The key-value store fails this node but serves a peer.
+    /// The key-value store fails for this node but serves a peer.
     RefusedAlone,
-    /// Its authority ended at the staleness bound.
+    /// The leader could not show for too long that it knows all cancellations: its
+    /// authority ended at the staleness bound.
     CancellationsUnknown,
-    /// Neither workers nor controllers are reachable.
+    /// The leader reaches neither workers nor controllers.
     Isolated,
-    /// It yields, as its successor in the failover order is unresponsive.
+    /// The leader yields because its successor in the failover order is unresponsive.
     UnfavourablePosition,
 }
 
 impl StepDownReason {
-    /// Label value of metrics and log text. Dashboards depend on it.
+    /// Returns the text of the reason in the log and in `status`, which is also its
+    /// label value in the metrics. Dashboards depend on these texts.
     pub(super) fn text(self) -> &'static str {
         match self {
             StepDownReason::LeaseEnded => "its lease has ended",
@@ -66,7 +69,8 @@
         }
     }
 
-    /// Whether the peers are notified, so that they may replace the key at once.
+    /// Whether the peers are notified of the resignation, so that they may replace the
+    /// leader's key at once.
     fn is_announced(self) -> bool {
         matches!(
             self,
@@ -77,7 +81,8 @@
     }
 }
 
-/// Campaigns for leadership or holds it, for as long as the process runs.
+/// Campaigns for leadership while this node doesn't lead, and holds it while it leads,
+/// for as long as the process runs.
 pub async fn run(node: Rc<Node>) {
     loop {
         let leadership = node.election.borrow().leadership();
@@ -90,8 +95,8 @@
 }
 
 impl Node {
-    /// Stops acting in `term`, then gives back its lease and notifies the peers.
-    /// Without effect if this process doesn't lead that term.
+    /// Stops acting in `term`, then revokes its lease and notifies the peers. Has no
+    /// effect if this process doesn't lead in that term.
     pub(super) fn step_down(self: &Rc<Self>, term: u64, reason: StepDownReason) {
         let Some(resigned) = self.election.borrow_mut().resign(term) else {
             return;
@@ -103,7 +108,7 @@
         self.update_budgets();
         let (now, authority) = (self.now(), resigned.authority());
         log::info!(
-            "leader of term {} steps down: {}; its authority, by {}, lasts until {} ms from now",
+            "leader of term {} steps down: {}; its authority by {} was to last {} ms from now",
             resigned.term,
             reason.text(),
             authority.basis.text(),
@@ -113,7 +118,8 @@
             .last_step_down
             .set(Some((self.now(), reason)));
         self.metrics.borrow().count_step_down(reason.text());
-        // Nothing is done in this term any more, so the key need not outlast it.
+        // This process no longer acts in the term, so the leader's key can be removed
+        // with its lease.
         let node = self.clone();
         self.executor
             .spawn_high(async move {
--- a/src/server/leadership/renew.rs
+++ b/src/server/leadership/renew.rs
@@ -1,13 +1,13 @@
-//! A node that leads: it renews its lease and, while the key-value store fails,
-//! asks its peers for promises.
+//! Renewal of leadership: a leader renews its lease and, while the key-value store
+//! fails, asks its peers for promises not to campaign.
 //!
-//! Owns: the requests that extend the leader's authority, the checks that follow a
-//! renewal (isolation, failover position), and this node's answer to a leader that
-//! asks for a promise. Called by the leadership loop of the parent module and, for
-//! promises, by `server::peers`.
+//! This module owns the requests that extend the leader's authority, the checks after
+//! each renewal (isolation, failover position), and this node's answer to a leader that
+//! asks for a promise. It is called by the leadership loop of the parent module and,
+//! for promises, by `server::peers`.
 //!
-//! Must never: extend authority except through `control::election`, or grant a
-//! promise on anything but a fresh request to the key-value store.
+//! Invariants: authority is extended only through `control::election`. A promise is
+//! granted only after a new request to the key-value store.
 
 use super::{
     super::{Node, leases::LeaseRenewal, store::StoreError},
@@ -25,34 +25,37 @@
 use async_executor::Task;
 use std::{rc::Rc, time::Duration};
 
-/// How long an isolated node abstains after it stepped down.
+/// Time in milliseconds for which an isolated node doesn't campaign after it stepped
+/// down.
 const ISOLATED_ABSTAIN_MS: Millis = 15_000;
-/// How long the peers relay the heartbeats of machines that the leader misses.
+/// Time in milliseconds for which the peers relay heartbeats of machines whose
+/// heartbeats are overdue at the leader.
 const HEARTBEAT_RELAY_MS: Millis = 15_000;
-/// How long the last renewal may take once a peer reported that it reaches the
+/// Timeout of the last renewal attempt after a peer reported that it reaches the
 /// key-value store.
 const LAST_RENEWAL_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Pause after a renewal.
+/// Pause after a successful renewal.
 const RENEWAL_INTERVAL: Duration = Duration::from_millis(LEASE_TTL_MS / 4);
-/// Pause after a renewal that failed, or a round of promises.
+/// Pause after a throttled renewal, or after a round of promise requests.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 /// Pause after stepping down.
 const STEPPED_DOWN_PAUSE: Duration = Duration::from_millis(500);
 
-/// Without a heartbeat for this many heartbeat intervals, and this margin, the
-/// leader counts as cut off from all workers.
+/// Number of heartbeat intervals, and additional margin in milliseconds, without any
+/// heartbeat after which the leader counts as cut off from all workers.
 const ISOLATION_INTERVALS: Millis = 3;
 const ISOLATION_MARGIN_MS: Millis = 2000;
 
 impl Node {
-    /// One step of the leader; returns when to do the next.
+    /// Runs one step of the leader. Returns the pause before the next step.
     pub(super) async fn hold_leadership(self: &Rc<Self>) -> Duration {
         let Some(leadership) = self.election.borrow().leadership() else {
             return Duration::ZERO;
         };
-        // While renewals fail, the peers are asked at once and each renewal runs
-        // beside that: a promise is too short to wait for a renewal first.
+        // While renewals fail, the peers are asked for promises immediately, with a
+        // renewal running concurrently: promises are too short to wait for a renewal
+        // first.
         if !self.leadership.renewals_failing.get() {
             let mut renewal = self.start_renewal(leadership);
             match within(PROBE_TIMEOUT, &mut renewal).await {
@@ -67,7 +70,8 @@
         self.ask_promises(leadership).await
     }
 
-    /// Applies what may extend the authority, and records a change of its basis.
+    /// Runs `extend`, which may extend the leader's authority. Counts an extension in
+    /// the metrics, and logs a change of the basis of authority.
     fn extend_authority<T>(&self, extend: impl FnOnce(&mut Election) -> T) -> T {
         let mut election = self.election.borrow_mut();
         let before = election.leadership();
@@ -78,13 +82,18 @@
                 self.metrics.borrow().count_authority_extension(is.basis);
             }
             if was.basis != is.basis {
-                log::info!("term {} is extended by {}", after.term, is.basis.text());
+                log::info!(
+                    "term {}: authority is now extended by {}",
+                    after.term,
+                    is.basis.text()
+                );
             }
         }
         result
     }
 
-    /// The checks that follow each renewal.
+    /// Runs the checks that follow each successful renewal. Returns the pause before
+    /// the next step.
     async fn after_renewal(self: &Rc<Self>, leadership: Leadership) -> Duration {
         let term = leadership.term;
         self.probe_other_zones(term);
@@ -110,15 +119,15 @@
             .borrow()
             .unfavourable_failover_position(now);
         let warm_standby = self
-            .with_leader_of_term(term, |leader, now| leader.warm_standbys(now) > 0)
+            .in_term(term, |leader, now| leader.warm_standbys(now) > 0)
             .unwrap_or(false);
         self.election
             .borrow_mut()
             .yields_leadership(unfavourable, warm_standby, now)
     }
 
-    /// Starts a renewal. Its result takes effect whether it is waited for or not,
-    /// also if it comes late.
+    /// Starts a renewal of the lease. The result is applied whether or not the caller
+    /// waits for it, also if it arrives late.
     fn start_renewal(self: &Rc<Self>, leadership: Leadership) -> Task<LeaseRenewal> {
         let node = self.clone();
         self.executor.spawn_high(async move {
@@ -128,7 +137,7 @@
             let timeout = Duration::from_millis(RENEWAL_TIMEOUT_MS);
             let renewal = node.renew_lease(leadership.lease, timeout).await;
             if let LeaseRenewal::Failed(e) = &renewal {
-                log::debug!("renewing leadership: {e}");
+                log::debug!("failed to renew the leader's lease: {e}");
             }
             node.apply_renewal(leadership, sent, &renewal);
             renewal
@@ -155,7 +164,7 @@
         }
     }
 
-    /// Sends a request to all peers at once.
+    /// Sends a request to all peers concurrently.
     pub(super) fn call_all_peers(
         self: &Rc<Self>,
         request: &Request,
@@ -178,8 +187,8 @@
             .collect()
     }
 
-    /// Asks the controllers of other zones for a sign of life: whether a zone is
-    /// unreachable shows in its controllers as well as in its machines.
+    /// Probes the controllers of other zones: whether a zone is unreachable shows in
+    /// its controllers as well as in its machines.
     fn probe_other_zones(self: &Rc<Self>, term: u64) {
         let own_zone = &self.settings.zone;
         let peers = self.settings.peers.iter().enumerate();
@@ -190,23 +199,20 @@
                     .call_peer(index, &Request::greeting(), PROBE_TIMEOUT)
                     .await;
                 if reply.is_ok() {
-                    node.with_leader_of_term(term, |leader, now| {
-                        leader.controller_responded(&zone, now)
-                    });
+                    node.in_term(term, |leader, now| leader.controller_responded(&zone, now));
                 }
             };
             self.executor.spawn_high(probe).detach();
         }
     }
 
-    /// Asks the peers to relay heartbeats of machines that have become
-    /// unresponsive, as the fault may lie between them and this node alone. A
-    /// worker tries another node after 5 s of its lease, so there is no time to
-    /// find out first. Returns whether neither workers nor controllers are
-    /// reachable.
+    /// Asks the peers to relay heartbeats of machines whose heartbeats are overdue, as
+    /// the fault may lie only between these machines and this node. A worker tries
+    /// another node after 5 s of its lease, which leaves no time to diagnose the fault
+    /// first. Returns whether this node reaches neither workers nor controllers.
     async fn is_isolated(self: &Rc<Self>, term: u64) -> bool {
         let Some((machines, responsive)) =
-            self.with_leader_of_term(term, |leader, now| leader.overdue_machines(now))
+            self.in_term(term, |leader, now| leader.overdue_machines(now))
         else {
             return false;
         };
@@ -217,20 +223,21 @@
             machines,
             for_ms: HEARTBEAT_RELAY_MS,
         };
-        let mut reaches_anybody = responsive > 0 || self.settings.peers.is_empty();
+        let mut is_reachable = responsive > 0 || self.settings.peers.is_empty();
         for reply in self.call_all_peers(&request) {
-            reaches_anybody |= reply.await.is_ok();
+            is_reachable |= reply.await.is_ok();
         }
         let heartbeat_interval_ms = (self.settings.cluster.workers.report_s * 1000.0) as Millis;
         let since_heartbeat = self
             .now()
             .saturating_sub(self.heartbeats.last_answered.get());
-        !reaches_anybody
+        !is_reachable
             && since_heartbeat > ISOLATION_INTERVALS * heartbeat_interval_ms + ISOLATION_MARGIN_MS
     }
 
-    /// The key-value store fails this node; the peers' answers show whether it
-    /// fails them too. A renewal runs meanwhile, as one answer may just be late.
+    /// Asks the peers for promises while renewals fail for this node. The responses
+    /// also show whether the key-value store fails for the peers. A renewal runs
+    /// concurrently, as the store's last response may merely have been late.
     async fn ask_promises(self: &Rc<Self>, leadership: Leadership) -> Duration {
         let sent = self.now();
         let renewal = self.start_renewal(leadership);
@@ -256,8 +263,8 @@
         RETRY_PAUSE
     }
 
-    /// Asks all peers for a promise. Excluded ones can't be elected and would only
-    /// cost a time-out.
+    /// Asks all peers for a promise, except those excluded from elections: these can't
+    /// be elected, and asking them would only take until the timeout.
     async fn collect_promises(self: &Rc<Self>, term: u64, sent: Millis) -> Vec<PromiseResponse> {
         let request = Request::Promise {
             term,
@@ -289,8 +296,8 @@
         responses
     }
 
-    /// A peer reaches the key-value store: one more renewal shows whether the
-    /// store fails this node alone.
+    /// Attempts one more renewal after a peer reported that it reaches the key-value
+    /// store. Returns whether the store fails for this node alone.
     async fn last_renewal_fails(self: &Rc<Self>, leadership: Leadership) -> bool {
         let sent = self.now();
         let mut renewal = self.start_renewal(leadership);
@@ -304,12 +311,8 @@
         self.election.borrow().is_refused_alone(sent)
     }
 
-    /// Answers a leader that asks for a promise.
-    pub(in crate::server) async fn handle_promise_request(
-        &self,
-        term: u64,
-        duration: Millis,
-    ) -> Reply {
+    /// Answers a leader that asks this node for a promise not to campaign.
+    pub(in crate::server) async fn answer_promise(&self, term: u64, duration: Millis) -> Reply {
         let store_answers = self.store_answers().await;
         let now = self.now();
         let granted = self
@@ -323,9 +326,9 @@
         }
     }
 
-    /// Whether the key-value store answers this node right now. An earlier answer
-    /// proves nothing; an answer that refuses for load shows that there is no
-    /// outage.
+    /// Whether the key-value store responds to this node now. An earlier response
+    /// proves nothing. A response that rejects the request because of load shows that
+    /// there is no outage.
     async fn store_answers(&self) -> bool {
         let now = self.now();
         self.budgets
@@ -334,7 +337,7 @@
         match self.get(LEADER, timeout).await {
             Ok(_) => true,
             Err(e) => {
-                log::debug!("asked for a promise: {e}");
+                log::debug!("promise request: the key-value store can't be read: {e}");
                 e == StoreError::OverLimit
             }
         }
--- a/src/server/leases.rs
+++ b/src/server/leases.rs
@@ -1,11 +1,11 @@
-//! Leases of the key-value store: grant, renewal and end.
+//! Leases of the key-value store: grant, renewal and revocation.
 //!
-//! Owns: the paths, bodies and status codes of the lease calls. Called by the
-//! campaign and the renewals of leadership, and by the exclusions, each of which
+//! This module owns the paths, bodies and status codes of the lease calls. It is called
+//! by the campaign and the renewals of leadership, and by the exclusions; each caller
 //! charges the request budget itself.
 //!
-//! Must never: decide what a lost lease means, or take an error for the end of a
-//! lease.
+//! Invariants: callers alone decide what a lost lease means. An error is never reported
+//! as the end of a lease.
 
 use super::{Node, store::StoreError};
 use crate::{protocol::state::LeaseGranted, state::Millis};
@@ -15,18 +15,19 @@
 /// Result of an attempt to renew a lease.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) enum LeaseRenewal {
-    /// The lease lives for its time to live from when the request was sent.
+    /// The lease is valid for its time to live, counted from when the request was sent.
     Renewed,
     /// The lease has ended.
     Expired,
-    /// The store answers, but all controllers together exceed its request limit.
+    /// The store responds, but all controllers together exceed its request limit.
     Throttled,
     /// The outcome is unknown, or the store is unavailable.
     Failed(StoreError),
 }
 
 impl Node {
-    /// Requests a lease; `None` if the store granted none, or its answer was lost.
+    /// Requests a lease. Returns `None` if the store granted none or its response was
+    /// lost.
     pub(super) async fn grant_lease(&self, ttl_ms: Millis, timeout: Duration) -> Option<u64> {
         let body = serde_json::json!({ "life_ms": ttl_ms }).to_string();
         let answer = self
@@ -40,7 +41,7 @@
         Some(granted.lease)
     }
 
-    /// Renews a lease.
+    /// Renews a lease for its time to live.
     pub(super) async fn renew_lease(&self, lease: u64, timeout: Duration) -> LeaseRenewal {
         let path = format!("/leases/{lease}/touch");
         match self.call_store(Method::Post, &path, None, timeout).await {
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Ends a lease. Returns whether it has surely ended.
+    /// Revokes a lease. Returns `true` only if the lease has certainly ended.
     pub(super) async fn end_lease(&self, lease: u64, timeout: Duration) -> bool {
         let path = format!("/leases/{lease}");
         let answer = self.call_store(Method::Delete, &path, None, timeout).await;
--- a/src/server/market.rs
+++ b/src/server/market.rs
@@ -1,9 +1,11 @@
-//! Requests of a market's broker, which only the leader answers.
+//! Requests of the broker of a market, through which jobs are offloaded to other
+//! clusters. Only the leader answers them.
 //!
-//! Owns: how long such a request waits until the leader's decision is recorded.
-//! Called by `server::peers`.
+//! This module owns the time for which such a request waits until the leader's decision
+//! is recorded. It is called by `server::peers`.
 //!
-//! Must never: answer before the decision is recorded, except that it is not yet.
+//! Invariant: a decision is reported as made only after it was recorded. A request that
+//! waits longer than [`MAX_WAIT_MS`] is told that the decision is not recorded yet.
 
 use super::Node;
 use crate::{
@@ -16,13 +18,14 @@
 use async_io::Timer;
 use std::time::Duration;
 
-/// How long a broker's request waits for a write.
+/// Maximum time in milliseconds for which a broker's request waits for a write.
 const MAX_WAIT_MS: Millis = 1_500;
-/// Time between two checks whether the write was applied.
+/// Interval between two checks whether the write was applied.
 const CHECK_INTERVAL: Duration = Duration::from_millis(15);
 
 impl Node {
-    /// The jobs that may be offloaded, and those offloaded ones to be recalled.
+    /// Returns the jobs that may be offloaded, and those of the offloaded jobs that are
+    /// to be recalled.
     pub(super) fn offload_candidates(&self, lent: &[(String, u64)]) -> Reply {
         self.with_authority(|leader, _| {
             leader.loaded().then(|| Reply::OffloadCandidates {
@@ -34,11 +37,12 @@
         .unwrap_or(Reply::NotLeader)
     }
 
-    /// Repeats `ask` until its answer is decided. `None`: this node doesn't lead.
-    async fn decided<T>(&self, ask: impl Fn() -> Option<(T, bool)>) -> Option<T> {
+    /// Repeats `query` until its result is final or [`MAX_WAIT_MS`] have passed, and
+    /// returns the last result. Returns `None` if this node doesn't lead.
+    async fn wait_until_decided<T>(&self, query: impl Fn() -> Option<(T, bool)>) -> Option<T> {
         let began = self.now();
         loop {
-            let (answer, decided) = ask()?;
+            let (answer, decided) = query()?;
             if decided || self.now() > began + MAX_WAIT_MS {
                 return Some(answer);
             }
@@ -46,9 +50,9 @@
         }
     }
 
-    /// Offloads a job to another cluster.
+    /// Marks a job as offloaded to another cluster.
     pub(super) async fn offload(&self, id: &str, lent: OffloadTarget, version: u64) -> Reply {
-        let ask = || {
+        let query = || {
             self.with_authority(|leader, _| {
                 if !leader.loaded() {
                     return None;
@@ -58,13 +62,13 @@
             })
             .flatten()
         };
-        let marked = self.decided(ask).await;
+        let marked = self.wait_until_decided(query).await;
         marked.map_or(Reply::NotLeader, Reply::OffloadMark)
     }
 
-    /// Takes an offloaded job back, with the tasks that are done.
+    /// Ends the offload of a job, with the tasks that are done.
     pub(super) async fn end_offload(&self, id: &str, award: u64, done: &[(u32, u32)]) -> Reply {
-        let ask = || {
+        let query = || {
             self.with_authority(|leader, _| {
                 if !leader.loaded() {
                     return None;
@@ -74,7 +78,7 @@
             })
             .flatten()
         };
-        let taken = self.decided(ask).await;
+        let taken = self.wait_until_decided(query).await;
         taken.map_or(Reply::NotLeader, Reply::OffloadEnded)
     }
 }
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -1,12 +1,13 @@
-//! One controller process: binds the decisions of `control` to sockets and the
-//! clock. It has one thread and one executor.
+//! One controller process: connects the decision logic in `control` to sockets and the
+//! clock. The process has one thread and one executor.
 //!
-//! Owns: the [`Node`] that all loops share, their start, the listening sockets, and
-//! the dispatch of HTTP requests. Called by the program's `main`.
+//! This module owns the [`Node`] that all loops share, starts the loops, owns the
+//! listening sockets, and dispatches HTTP requests. It is called by the program's
+//! `main`.
 //!
-//! Must never: hold a `RefCell` borrow across an await; act on the leader's state
-//! except through [`Node::with_authority`] or, for the results of what began with
-//! authority, [`Node::with_leader_of_term`].
+//! Invariants: no `RefCell` borrow is held across an await. The leader's state is
+//! accessed only through [`Node::with_authority`] or, for the results of operations
+//! that began with authority, [`Node::in_term`].
 
 mod audit_log;
 mod budgets;
@@ -55,14 +56,15 @@
 };
 
 const HEARTBEAT_PATH: &str = "/agent/beat";
-/// Incarnations are random numbers of this many bits, which any JSON reader takes.
+/// Number of random bits in an incarnation. Any JSON parser represents integers of this
+/// size exactly.
 const INCARNATION_BITS: u32 = 53;
-/// How long after an answer of the key-value store a node without authority is
-/// ready.
+/// For how many milliseconds after a response of the key-value store a node without
+/// authority reports itself as ready.
 const READY_AFTER_ANSWER_MS: Millis = 3000;
 
-/// One controller process. Each group of state has an owner in the module of its
-/// type; the rest is shared by all loops.
+/// The state of one controller process. A field whose type is defined in a submodule is
+/// managed by that submodule; all loops share the other fields.
 pub struct Node {
     settings: Rc<Settings>,
     options: Options,
@@ -75,17 +77,17 @@
     election: RefCell<Election>,
     exclusions: RefCell<Exclusions>,
     leadership: leadership::LeadershipStatus,
-    /// The leader's state, while this node leads.
+    /// The leader's state; `None` unless this node leads.
     leader: RefCell<Option<Leader>>,
     standby: standby::Standby,
     budgets: budgets::Budgets,
     in_flight: control_loop::Operations,
     machine_types: RefCell<Vec<MachineType>>,
-    /// When the key-value store last answered.
+    /// When the key-value store last responded with a status other than 429 or 503.
     state_answered_at: Cell<Option<Millis>>,
     upgrade: upgrade::Upgrade,
     polls: polls::Polls,
-    /// Terminal states that this node has learned while it did not lead.
+    /// Final job states that this node learned while it did not lead.
     final_states: RefCell<FinalStates>,
     dependency_reads: dependency_reads::DependencyReads,
     heartbeats: heartbeats::Heartbeats,
@@ -96,16 +98,16 @@
     wake: signals::WakeSignal,
 }
 
-/// How the sockets that the settings allow are divided. What is left must do for
-/// calls under way.
+/// How the sockets that the settings allow are divided. The sockets that no field
+/// counts are a reserve for calls in progress.
 struct SocketLimits {
-    /// Calls of this node to workers and services.
+    /// Outgoing connections of this node to workers and services.
     calls: usize,
-    /// Connections from workers and users.
+    /// Incoming connections from workers and users.
     callers: usize,
-    /// Of the callers, those that are not workers.
+    /// Part of `callers` that may be used by clients other than workers.
     users: usize,
-    /// Connections from other controllers.
+    /// Incoming connections from other controllers.
     controllers: usize,
 }
 
@@ -120,7 +122,7 @@
     }
 }
 
-/// Runs a controller until it can no longer listen.
+/// Runs a controller until one of its listening sockets fails.
 pub fn run(settings: Settings, options: Options) -> Result<()> {
     let executor = Rc::new(PriorityExecutor::default());
     let shares = SocketLimits::new(settings.cluster.quota.max_connections);
@@ -195,7 +197,7 @@
         high.into_iter().chain(low).for_each(Task::detach);
     }
 
-    /// Serves controllers, workers and users, until either socket fails.
+    /// Serves controllers, workers and users until either listening socket fails.
     async fn listen(self: &Rc<Self>, shares: &SocketLimits) -> Result<()> {
         let node = self.clone();
         let controllers = self.executor.spawn_high(frames::serve(
@@ -217,7 +219,7 @@
             move |request| node.clone().handle_http(request),
         ));
         log::info!(
-            "{} listens on {}, to controllers on {}",
+            "controller {} listens on {} for workers and users, and on {} for controllers",
             self.settings.name,
             self.settings.listen,
             self.settings.peer_listen
@@ -225,33 +227,39 @@
         let controllers = async {
             controllers
                 .await
-                .context("listening for controllers (back)")
+                .context("failed to listen for controllers (setting `back`)")
+        };
+        let callers = async {
+            callers
+                .await
+                .context("failed to listen for workers and users (setting `listen`)")
         };
-        let callers = async { callers.await.context("listening for users (listen)") };
         futures_lite::future::or(controllers, callers).await
     }
 }
 
 impl Node {
-    /// Milliseconds since the process started, by the monotonic clock.
+    /// Returns the milliseconds since the process started, by the monotonic clock.
     pub fn now(&self) -> Millis {
         self.started.elapsed().as_millis() as Millis
     }
 
-    /// Milliseconds since the Unix epoch, for records and users only.
+    /// Returns the milliseconds since the Unix epoch. Used only in records and in
+    /// output for users, as the wall clock may jump.
     fn wall_ms(&self) -> u64 {
         SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .map_or(0, |d| d.as_millis() as u64)
     }
 
-    /// Runs `f` on the leader's state if this process has authority right now.
+    /// Runs `f` on the leader's state if this process has authority at this moment;
+    /// otherwise returns `None`.
     fn with_authority<T>(&self, f: impl FnOnce(&mut Leader, Millis) -> T) -> Option<T> {
         let term = self.election.borrow().authority(self.now())?;
-        self.with_leader_of_term(term, f)
+        self.in_term(term, f)
     }
 
-    /// Adjusts the request budgets to this node's role.
+    /// Adjusts the request budgets to this node's current role in the election.
     fn update_budgets(&self) {
         let role = {
             let election = self.election.borrow();
@@ -264,13 +272,10 @@
         self.budgets.set_role(role, &self.settings, self.now());
     }
 
-    /// Runs `f` on the leader's state of `term`, whether authority still holds or
-    /// not: for the results of what began with authority.
-    fn with_leader_of_term<T>(
-        &self,
-        term: u64,
-        f: impl FnOnce(&mut Leader, Millis) -> T,
-    ) -> Option<T> {
+    /// Runs `f` on the leader's state of `term`, whether or not authority still holds;
+    /// returns `None` once that term is over. Used to apply the results of operations
+    /// that began with authority.
+    fn in_term<T>(&self, term: u64, f: impl FnOnce(&mut Leader, Millis) -> T) -> Option<T> {
         let now = self.now();
         let mut leader = self.leader.borrow_mut();
         let leader = leader.as_mut().filter(|l| l.term == term)?;
@@ -291,7 +296,7 @@
             Route::NotFound => return HttpResponse::error(404, "no such path"),
         };
         let Some(body) = request.body else {
-            return HttpResponse::error(400, "body is incomplete or over 64 KiB");
+            return HttpResponse::error(400, "request body is incomplete or larger than 64 KiB");
         };
         let began = Instant::now();
         let response = self
@@ -304,25 +309,25 @@
 
     fn ready(&self) -> HttpResponse {
         let now = self.now();
-        let fresh = self
+        let answered_recently = self
             .state_answered_at
             .get()
             .is_some_and(|at| now < at + READY_AFTER_ANSWER_MS);
-        if fresh || self.election.borrow().authority(now).is_some() {
+        if answered_recently || self.election.borrow().authority(now).is_some() {
             HttpResponse::json(200, &serde_json::json!({ "ready": true }))
         } else {
-            HttpResponse::later("the state service can't be reached")
+            HttpResponse::later("the state service is unreachable")
         }
     }
 }
 
-/// Where an HTTP request is handled.
+/// The handler of an HTTP request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Route {
     Ready,
     Metrics,
     Heartbeat,
-    /// A user's request, with the label of its kind in the metrics.
+    /// A user's request, with the value of its `request` label in the metrics.
     User(&'static str),
     MethodNotAllowed,
     NotFound,
--- a/src/server/peers.rs
+++ b/src/server/peers.rs
@@ -147,9 +147,7 @@
             }
             Request::Replicate(part) => self.receive_replication_part(part),
             Request::Polls { ids } => self.answer_polls(&ids),
-            Request::Promise { term, for_ms, .. } => {
-                self.handle_promise_request(term, for_ms).await
-            }
+            Request::Promise { term, for_ms, .. } => self.answer_promise(term, for_ms).await,
             Request::Status => Reply::Status(Box::new(self.status().await)),
             Request::LeaderStatus => self.leader_status().await,
             Request::Explain { id, forwarded } => {
--- a/src/server/standby.rs
+++ b/src/server/standby.rs
@@ -56,10 +56,9 @@
                 .spawn_high(self.clone().write_standbys(term, txn))
                 .detach();
         }
-        let peers = self.with_leader_of_term(term, |leader, _| leader.standby_peers());
+        let peers = self.in_term(term, |leader, _| leader.standby_peers());
         for peer in peers.unwrap_or_default() {
-            let part =
-                self.with_leader_of_term(term, |leader, _| leader.next_replication_part(peer, now));
+            let part = self.in_term(term, |leader, _| leader.next_replication_part(peer, now));
             if let Some(part) = part.flatten() {
                 let sending = self.clone().send_replication_part(term, peer, part);
                 self.executor.spawn_high(sending).detach();
@@ -81,7 +80,7 @@
                 }) => Some((incarnation, taken)),
                 _ => None,
             };
-            let following = self.with_leader_of_term(term, |leader, now| {
+            let following = self.in_term(term, |leader, now| {
                 leader.replication_answered(peer, answer, now);
                 leader.next_replication_part(peer, now)
             });
@@ -130,7 +129,7 @@
                 return;
             }
             TxnResult::Conflict(_) | TxnResult::Unknown => loop {
-                if self.with_leader_of_term(term, |_, _| ()).is_none() {
+                if self.in_term(term, |_, _| ()).is_none() {
                     return;
                 }
                 match self.read_standby_record().await {
@@ -139,7 +138,7 @@
                 };
             },
         };
-        self.with_leader_of_term(term, |leader, now| leader.standbys_written(outcome, now));
+        self.in_term(term, |leader, now| leader.standbys_written(outcome, now));
     }
 
     /// Whether another node is in the standby registry and healthy, and this one
