--- a/src/command.rs
+++ b/src/command.rs
@@ -1,5 +1,6 @@
-//! What can be asked of pathwinch, and what is said in return: one line on
-//! standard error and an exit code for each kind of failure.
+//! The commands of the program `pathwinch`: parses the arguments, runs the command, and
+//! prints its result to standard output. A failed command prints one line to standard
+//! error and ends with the exit code of the kind of failure.
 
 use anyhow::Result;
 use clap::{Args, Parser, Subcommand};
@@ -33,82 +34,85 @@
 #[derive(Subcommand)]
 enum Command {
     /// Run a controller until it is killed.
-    Serve(Files),
-    /// Check the settings and say what is wrong with them.
-    CheckConfig(Files),
-    /// Say how things stand: who leads, what waits and why, machines, teams.
-    Status(Ask),
-    /// Say the same of one job.
+    Serve(ConfigArgs),
+    /// Validate the settings and print what is wrong with them.
+    CheckConfig(ConfigArgs),
+    /// Show the state of the cluster: the leader, pending jobs and why they wait,
+    /// machines, teams.
+    Status(StatusArgs),
+    /// Explain the state of one job.
     Explain {
         /// The job's id, such as j-000412.
         job: String,
         #[command(flatten)]
-        ask: Ask,
+        target: StatusArgs,
     },
-    /// Submit a job, written as JSON in a file.
+    /// Submit a job that is described as JSON in a file.
     Submit {
-        /// The job; - for standard input.
+        /// JSON file that describes the job; - for standard input.
         #[arg(value_name = "FILE")]
         job: PathBuf,
-        /// Go on until it is over, telling how it stands.
+        /// Wait until the job has ended, and print its progress.
         #[arg(long)]
         wait: bool,
         #[command(flatten)]
-        users: Users,
+        job_args: JobArgs,
     },
-    /// Say how a job stands, or follow it until it is over.
+    /// Show the status of a job, or wait until the job has ended.
     Poll {
         /// The job's id, such as j-000412.
         job: String,
         #[arg(long)]
         wait: bool,
         #[command(flatten)]
-        users: Users,
+        job_args: JobArgs,
     },
-    /// Withdraw a job.
+    /// Cancel a job.
     Abort {
         /// The job's id, such as j-000412.
         job: String,
         #[command(flatten)]
-        users: Users,
+        job_args: JobArgs,
     },
-    /// Say that a controller which is down will not run an older version again,
-    /// so that what only this version knows may be used without its own word.
+    /// Declare that a controller which is down will not run an older version again, so
+    /// that record formats of this version may be used before that controller has run
+    /// it.
     Upgraded {
-        /// Its name in the settings.
+        /// Name of the controller in the settings.
         node: String,
         /// The platform's JSON settings file of any controller.
         #[arg(long, value_name = "FILE")]
         config: PathBuf,
     },
-    /// Any other command NAME is the program pathwinch-NAME beside this one.
+    /// Any other command NAME runs the program pathwinch-NAME in the directory of this
+    /// program.
     #[command(external_subcommand)]
-    Other(Vec<OsString>),
+    External(Vec<OsString>),
 }
 
 #[derive(Args)]
-struct Ask {
-    /// Address of any controller's `back`, such as 10.0.0.1:8081.
+struct StatusArgs {
+    /// Address of any controller in its setting `back`, such as 10.0.0.1:8081.
     #[arg(long, value_name = "ADDR")]
     at: String,
-    /// Print JSON.
+    /// Print the result as JSON.
     #[arg(long)]
     json: bool,
 }
 
 #[derive(Args)]
-struct Users {
-    /// Address of a controller's `listen` or of the balancer before them, such
-    /// as 10.0.0.1:8080; may be given several times.
+struct JobArgs {
+    /// Address of a controller in its setting `listen`, or of a load balancer for the
+    /// controllers, such as 10.0.0.1:8080; may be given several times.
     #[arg(long, value_name = "ADDR", required = true)]
     at: Vec<String>,
-    /// Print JSON.
+    /// Print the result as JSON.
     #[arg(long)]
     json: bool,
 }
 
 #[derive(Args)]
-struct Files {
+struct ConfigArgs {
     /// The platform's JSON settings file.
     #[arg(long, value_name = "FILE")]
     config: PathBuf,
@@ -117,7 +121,7 @@
     options: Option<PathBuf>,
 }
 
-impl Files {
+impl ConfigArgs {
     fn load(&self) -> Result<(Settings, Options)> {
         let settings = Settings::load(&self.config)?;
         let options = match &self.options {
@@ -128,45 +132,49 @@
     }
 }
 
-/// One line for the user, and the exit code.
-struct Stop(u8, String);
+/// A failed command: its exit code, and one line for standard error.
+struct CommandError(u8, String);
 
-const WRONG: u8 = 2;
-const UNREACHABLE: u8 = 3;
-const NO_SUCH_JOB: u8 = 4;
-const REFUSED: u8 = 5;
+/// Exit code for arguments or input files that are invalid.
+const EXIT_USAGE: u8 = 2;
+/// Exit code if no controller answered, or the outcome is unknown.
+const EXIT_UNREACHABLE: u8 = 3;
+/// Exit code if the job does not exist.
+const EXIT_NO_SUCH_JOB: u8 = 4;
+/// Exit code if the request was refused.
+const EXIT_REFUSED: u8 = 5;
 
-impl From<operator::Failure> for Stop {
-    fn from(f: operator::Failure) -> Self {
-        Stop(f.code(), f.text().to_owned())
+impl From<operator::Failure> for CommandError {
+    fn from(failure: operator::Failure) -> Self {
+        CommandError(failure.code(), failure.text().to_owned())
     }
 }
 
-impl From<Failure> for Stop {
-    fn from(f: Failure) -> Self {
-        let code = match f {
-            Failure::Refused { .. } => REFUSED,
-            Failure::NoSuchJob => NO_SUCH_JOB,
-            Failure::GivenUp { .. } | Failure::Unknown { .. } => UNREACHABLE,
+impl From<Failure> for CommandError {
+    fn from(failure: Failure) -> Self {
+        let code = match failure {
+            Failure::Refused { .. } => EXIT_REFUSED,
+            Failure::NoSuchJob => EXIT_NO_SUCH_JOB,
+            Failure::GivenUp { .. } | Failure::Unknown { .. } => EXIT_UNREACHABLE,
         };
-        Stop(code, f.to_string())
+        CommandError(code, failure.to_string())
     }
 }
 
-impl Users {
-    fn client(&self) -> Result<Client, Stop> {
-        let mut nodes = Vec::new();
+impl JobArgs {
+    fn client(&self) -> Result<Client, CommandError> {
+        let mut addresses = Vec::new();
         for at in &self.at {
             let addr: SocketAddr = at.parse().map_err(|_| {
                 let text = format!("--at: {at:?} is not an address like 10.0.0.1:8080");
-                Stop(WRONG, text)
+                CommandError(EXIT_USAGE, text)
             })?;
-            nodes.push(addr);
+            addresses.push(addr);
         }
-        Ok(Client::new(nodes, RetryPolicy::default()))
+        Ok(Client::new(addresses, RetryPolicy::default()))
     }
 
-    fn line(&self, status: &JobStatus) -> String {
+    fn format_status(&self, status: &JobStatus) -> String {
         if self.json {
             return serde_json::to_string(status).unwrap_or_default() + "\n";
         }
@@ -182,90 +190,105 @@
         )
     }
 
-    fn follow(&self, client: &Client, id: &str) -> Result<String, Stop> {
-        // What changes on the way is progress; the last state is the answer.
-        let told = |s: &JobStatus| {
-            if !s.state.is_final() {
-                eprint!("{}", self.line(s));
+    fn wait_for_end(&self, client: &Client, id: &str) -> Result<String, CommandError> {
+        // Progress is printed to standard error; only the final status is the result.
+        let print_progress = |status: &JobStatus| {
+            if !status.state.is_final() {
+                eprint!("{}", self.format_status(status));
             }
         };
-        let over = async_io::block_on(client.wait(id, Duration::from_secs(1), told))?;
-        Ok(self.line(&over))
+        let last_status =
+            async_io::block_on(client.wait(id, Duration::from_secs(1), print_progress))?;
+        Ok(self.format_status(&last_status))
     }
 }
 
-fn read_job(path: &PathBuf) -> Result<JobSpec, Stop> {
+fn read_job(path: &PathBuf) -> Result<JobSpec, CommandError> {
     let mut body = Vec::new();
-    let read = if path.as_os_str() == "-" {
+    let result = if path.as_os_str() == "-" {
         std::io::stdin().read_to_end(&mut body).map(|_| ())
     } else {
-        std::fs::read(path).map(|b| body = b)
+        std::fs::read(path).map(|bytes| body = bytes)
     };
     let name = path.display();
-    read.map_err(|e| Stop(WRONG, format!("{name}: {e}")))?;
-    JobSpec::parse(&body).map_err(|e| Stop(WRONG, format!("{name}: {e}")))
+    result.map_err(|e| CommandError(EXIT_USAGE, format!("{name}: {e}")))?;
+    JobSpec::parse(&body).map_err(|e| CommandError(EXIT_USAGE, format!("{name}: {e}")))
 }
 
-/// Runs the program of that name which stands beside this one.
-fn other(words: &[OsString]) -> Result<ExitCode, Stop> {
-    let (name, args) = words
+/// Runs the program pathwinch-NAME in the directory of this program. The first argument
+/// is NAME; the others are passed on to that program.
+fn run_external(arguments: &[OsString]) -> Result<ExitCode, CommandError> {
+    let (name, args) = arguments
         .split_first()
-        .ok_or_else(|| Stop(WRONG, "no command given".into()))?;
+        .ok_or_else(|| CommandError(EXIT_USAGE, "no command given".into()))?;
     let name = name.to_string_lossy();
-    let plain = |c: char| c.is_ascii_lowercase() || c == '-';
-    let beside = std::env::current_exe()
+    let is_name_char = |c: char| c.is_ascii_lowercase() || c == '-';
+    let installed = std::env::current_exe()
         .ok()
-        .filter(|_| name.chars().all(plain))
+        .filter(|_| name.chars().all(is_name_char))
         .and_then(|exe| Some(exe.parent()?.join(format!("pathwinch-{name}"))))
-        .filter(|p| p.is_file());
-    let Some(program) = beside else {
-        let text = format!("{name}: no such command; pathwinch --help lists them");
-        return Err(Stop(WRONG, text));
+        .filter(|path| path.is_file());
+    let Some(program) = installed else {
+        let text = format!("{name}: no such command; pathwinch --help lists the commands");
+        return Err(CommandError(EXIT_USAGE, text));
     };
-    let ended = std::process::Command::new(&program)
+    let exit_status = std::process::Command::new(&program)
         .args(args)
         .status()
-        .map_err(|e| Stop(1, format!("{}: {e}", program.display())))?;
-    Ok(ExitCode::from(ended.code().unwrap_or(1).clamp(0, 255) as u8))
+        .map_err(|e| CommandError(1, format!("{}: {e}", program.display())))?;
+    Ok(ExitCode::from(
+        exit_status.code().unwrap_or(1).clamp(0, 255) as u8,
+    ))
 }
 
-fn answer(command: &Command) -> Result<String, Stop> {
+/// Runs a command that sends requests to controllers, and returns its output.
+fn run_client_command(command: &Command) -> Result<String, CommandError> {
     match command {
-        Command::Status(ask) => Ok(operator::status(&ask.at, ask.json)?),
-        Command::Explain { job, ask } => Ok(operator::explain(&ask.at, job, ask.json)?),
-        Command::Submit { job, wait, users } => {
+        Command::Status(target) => Ok(operator::status(&target.at, target.json)?),
+        Command::Explain { job, target } => Ok(operator::explain(&target.at, job, target.json)?),
+        Command::Submit {
+            job,
+            wait,
+            job_args,
+        } => {
             let spec = read_job(job)?;
-            let client = users.client()?;
-            let taken = async_io::block_on(client.submit(&spec))?;
+            let client = job_args.client()?;
+            let accepted = async_io::block_on(client.submit(&spec))?;
             match wait {
-                true => users.follow(&client, &spec.id),
-                false => Ok(users.line(&taken)),
+                true => job_args.wait_for_end(&client, &spec.id),
+                false => Ok(job_args.format_status(&accepted)),
             }
         }
-        Command::Poll { job, wait, users } => {
-            let client = users.client()?;
+        Command::Poll {
+            job,
+            wait,
+            job_args,
+        } => {
+            let client = job_args.client()?;
             match wait {
-                true => users.follow(&client, job),
-                false => Ok(users.line(&async_io::block_on(client.poll(job))?)),
+                true => job_args.wait_for_end(&client, job),
+                false => Ok(job_args.format_status(&async_io::block_on(client.poll(job))?)),
             }
         }
-        Command::Abort { job, users } => {
-            let client = users.client()?;
-            Ok(users.line(&async_io::block_on(client.cancel(job))?))
+        Command::Abort { job, job_args } => {
+            let client = job_args.client()?;
+            Ok(job_args.format_status(&async_io::block_on(client.cancel(job))?))
         }
         _ => Ok(String::new()),
     }
 }
 
-pub fn start(cli: Cli) -> Result<ExitCode> {
-    let said = match &cli.command {
-        Command::Serve(files) => {
-            let (settings, options) = files.load()?;
+/// Runs the command and returns the exit code of the program. Settings and options files
+/// that can't be loaded, and failures of `serve` and `upgraded`, are returned as errors.
+pub fn execute(cli: Cli) -> Result<ExitCode> {
+    let outcome = match &cli.command {
+        Command::Serve(config_args) => {
+            let (settings, options) = config_args.load()?;
             server::run(settings, options)?;
             return Ok(ExitCode::SUCCESS);
         }
-        Command::CheckConfig(files) => {
-            let (settings, _) = files.load()?;
+        Command::CheckConfig(config_args) => {
+            let (settings, _) = config_args.load()?;
             Ok(format!("{}: settings are sound\n", settings.name))
         }
         Command::Upgraded { node, config } => {
@@ -274,19 +297,20 @@
                 &settings, node,
             ))?)
         }
-        Command::Other(words) => match other(words) {
+        Command::External(arguments) => match run_external(arguments) {
             Ok(code) => return Ok(code),
-            Err(stop) => Err(stop),
+            Err(error) => Err(error),
         },
-        command => answer(command),
+        command => run_client_command(command),
     };
-    match said {
+    match outcome {
         Ok(text) => {
-            // A reader that has seen enough closes the pipe: no failure.
+            // A write error is ignored: a reader such as `head` may close the pipe
+            // early.
             let _ = std::io::stdout().write_all(text.as_bytes());
             Ok(ExitCode::SUCCESS)
         }
-        Err(Stop(code, text)) => {
+        Err(CommandError(code, text)) => {
             eprintln!("pathwinch: {text}");
             Ok(ExitCode::from(code))
         }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,7 @@
-//! pathwinch: a cluster scheduler for small sites. Modules depend downwards:
-//! `node` binds `coordination` to `transport`; both use `bookkeeping` and
-//! `protocol`.
+//! pathwinch: a cluster scheduler for small sites.
+//!
+//! Modules depend downwards: `server` connects the decision logic of `control` to the
+//! network through `transport`; `server` and `control` both use `state` and `protocol`.
 
 pub mod control;
 pub mod declare_upgraded;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,5 @@
-//! Command line of pathwinch.
+//! Entry point of the program `pathwinch`: sets up logging, parses the command line and
+//! runs the command.
 
 mod command;
 
@@ -7,7 +8,7 @@
 
 fn main() -> ExitCode {
     pathwinch_cli::log("info");
-    match command::start(command::Cli::parse()) {
+    match command::execute(command::Cli::parse()) {
         Ok(code) => code,
         Err(e) => {
             eprintln!("pathwinch: {e:#}");
--- a/src/options.rs
+++ b/src/options.rs
@@ -1,6 +1,6 @@
-//! The operators' own INI file: what is tuned rather than handed over by the
-//! platform. Every key has a default; an unknown section or key, or a value
-//! out of range, stops the start.
+//! Options in the operators' INI file: parameters that operators tune, as opposed to
+//! the settings file that the platform provides. Every key has a default. An unknown
+//! section or key, or a value out of range, is an error that prevents the start.
 
 use anyhow::{Context, Result, bail, ensure};
 use ini::Ini;
@@ -8,15 +8,17 @@
 use std::path::Path;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
+/// The resource that determines the load of a machine.
 pub enum LoadResource {
-    /// Whichever resource of the machine is used most.
+    /// The resource of the machine of which the largest fraction is used.
     Scarcest,
     Cpu,
     Gpu,
     Memory,
 }
 
-/// A common task shape that fragmentation cost is averaged over.
+/// Resources of a common kind of task. The fragmentation cost of a placement is
+/// averaged over these shapes.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Shape {
     pub cpus: f64,
@@ -28,17 +30,17 @@
 pub struct Options {
     pub threshold: f64,
     pub load: LoadResource,
-    /// Empty: learned from the jobs seen.
+    /// Common task shapes. If empty, they are learned from the submitted jobs.
     pub shapes: Vec<Shape>,
-    /// For how many seconds of expected arrivals of high priority batches
-    /// leave places free. Room is made by preemption too, so by default none.
+    /// Number of seconds of expected high-priority arrivals for which batch jobs leave
+    /// capacity free. 0 by default, as preemption makes room too.
     pub keep_s: f64,
-    /// After so many seconds in line a job of which nothing has run goes first,
-    /// until something does; 0: never.
+    /// Number of seconds in the queue after which a job none of whose tasks has run is
+    /// placed first, until one of its tasks runs. 0 disables this.
     pub begin_s: f64,
-    /// Seconds that an idle machine is kept.
+    /// Number of seconds for which an idle machine is kept before it is released.
     pub idle_s: f64,
-    /// So many standbys are kept warm.
+    /// Number of standbys that are kept warm.
     pub warm: usize,
 }
 
@@ -59,20 +61,20 @@
 impl Options {
     pub fn load(path: &Path) -> Result<Self> {
         let text = std::fs::read_to_string(path)
-            .with_context(|| format!("cannot read options file {}", path.display()))?;
+            .with_context(|| format!("failed to read options file {}", path.display()))?;
         Self::parse(&text).with_context(|| format!("options file {}", path.display()))
     }
 
     pub fn parse(text: &str) -> Result<Self> {
         let ini = Ini::load_from_str(text)?;
-        let mut o = Options::default();
+        let mut options = Options::default();
         for (section, props) in &ini {
             for (key, value) in props.iter() {
                 let name = format!("{}.{key}", section.unwrap_or(""));
                 match name.as_str() {
-                    "placement.threshold" => o.threshold = number(&name, value, 0.0, 1.0)?,
+                    "placement.threshold" => options.threshold = number(&name, value, 0.0, 1.0)?,
                     "placement.load" => {
-                        o.load = match value.trim() {
+                        options.load = match value.trim() {
                             "scarcest" => LoadResource::Scarcest,
                             "cpu" => LoadResource::Cpu,
                             "gpu" => LoadResource::Gpu,
@@ -83,29 +85,29 @@
                         }
                     }
                     "placement.shapes" => {
-                        o.shapes.clear();
+                        options.shapes.clear();
                         for part in value.split(',') {
-                            let n: Vec<&str> = part.split('/').collect();
+                            let fields: Vec<&str> = part.split('/').collect();
                             ensure!(
-                                n.len() == 3,
+                                fields.len() == 3,
                                 "{name}: {part:?} is not of the form CPUS/GPUS/GB"
                             );
-                            o.shapes.push(Shape {
-                                cpus: number(&name, n[0], 0.0, 1e6)?,
-                                gpus: number(&name, n[1], 0.0, 1e6)?,
-                                memory_gb: number(&name, n[2], 0.0, 1e6)?,
+                            options.shapes.push(Shape {
+                                cpus: number(&name, fields[0], 0.0, 1e6)?,
+                                gpus: number(&name, fields[1], 0.0, 1e6)?,
+                                memory_gb: number(&name, fields[2], 0.0, 1e6)?,
                             });
                         }
-                        ensure!(o.shapes.len() <= 16, "{name}: at most 16 shapes");
+                        ensure!(options.shapes.len() <= 16, "{name}: at most 16 shapes");
                     }
-                    "placement.keep_s" => o.keep_s = number(&name, value, 0.0, 3600.0)?,
-                    "placement.begin_s" => o.begin_s = number(&name, value, 0.0, 86_400.0)?,
-                    "provision.idle_s" => o.idle_s = number(&name, value, 0.0, 86_400.0)?,
-                    "standby.warm" => o.warm = number(&name, value, 0.0, 6.0)? as usize,
+                    "placement.keep_s" => options.keep_s = number(&name, value, 0.0, 3600.0)?,
+                    "placement.begin_s" => options.begin_s = number(&name, value, 0.0, 86_400.0)?,
+                    "provision.idle_s" => options.idle_s = number(&name, value, 0.0, 86_400.0)?,
+                    "standby.warm" => options.warm = number(&name, value, 0.0, 6.0)? as usize,
                     _ => bail!("{name}: unknown section or key"),
                 }
             }
         }
-        Ok(o)
+        Ok(options)
     }
 }
--- a/src/server/control_loop.rs
+++ b/src/server/control_loop.rs
@@ -3,8 +3,8 @@
 //!
 //! This module owns the schedule of control rounds, the direct commands to workers, the
 //! lookups of dependencies, and the leader's writes to the key-value store. The loop is
-//! started once by the process, and is woken by [`Node::in_term`] when
-//! there is work.
+//! started once by the process, and is woken by [`Node::in_term`] when there
+//! is work.
 //!
 //! Invariants: no operation is started without authority. A round never waits for a
 //! network call. At most one write of the leader's records is in progress at a time.
--- a/src/server/metrics.rs
+++ b/src/server/metrics.rs
@@ -1,4 +1,11 @@
-//! Figures for the operators' monitoring, at one read-only path of `listen`.
+//! Metrics of this node for the operators' monitoring, in OpenMetrics text format at
+//! the read-only path [`PATH`] of the `listen` address.
+//!
+//! This module owns the registry of metrics. The HTTP dispatch serves them; the other
+//! modules of the server count events through the methods of [`Metrics`].
+//!
+//! Invariant: metric names, label names and label values stay the same, as dashboards
+//! depend on them.
 
 use super::Node;
 use crate::{
@@ -18,8 +25,10 @@
 use std::sync::atomic::AtomicU64;
 
 pub(super) const PATH: &str = "/metrics";
-/// Classes come from the users: past this many, waits are not told apart.
-const MOST_CLASSES: usize = 64;
+/// Maximum number of values of the `class` label, apart from `other`. The number is
+/// bounded because users choose the classes; the waits of all further classes are
+/// counted under `other`.
+const MAX_CLASSES: usize = 64;
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 struct ClassLabel {
@@ -43,7 +52,7 @@
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 struct FailoverLabel {
-    /// `warm`, or why it was cold.
+    /// `warm`, or the reason why the failover was cold.
     how: &'static str,
 }
 
@@ -60,7 +69,7 @@
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 struct DependencyLookupLabel {
-    /// `done`, `cancelled`, `live`, or `unread`.
+    /// `done`, `cancelled`, `live` or `unread`.
     found: &'static str,
 }
 
@@ -73,7 +82,7 @@
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 struct WithheldLabel {
-    /// Why the state was withheld.
+    /// The reason why the state was withheld.
     reason: &'static str,
 }
 
@@ -81,17 +90,17 @@
 
 pub(super) struct Metrics {
     registry: Registry,
-    answers: Histograms<RequestLabel>,
-    waits: Histograms<ClassLabel>,
-    recoveries: Histograms<RecoveryPhaseLabel>,
-    failovers: Family<FailoverLabel, Counter>,
+    answer_seconds: Histograms<RequestLabel>,
+    wait_seconds: Histograms<ClassLabel>,
+    recovery_seconds: Histograms<RecoveryPhaseLabel>,
+    takeovers: Family<FailoverLabel, Counter>,
     step_downs: Family<StepDownLabel, Counter>,
-    warm: Gauge,
+    warm_standbys: Gauge,
     classes: std::collections::BTreeSet<String>,
-    failures: Counter,
+    task_failures: Counter,
     preemptions: Counter,
-    rentals: Counter,
-    releases: Counter,
+    machines_rented: Counter,
+    machines_released: Counter,
     leading: Gauge,
     jobs: Gauge,
     machines: Gauge,
@@ -101,16 +110,16 @@
     pub(super) cloud_requests: Counter,
     peer_requests: Counter,
     peer_bytes: Counter,
-    rounds: Histogram,
-    answers_given: Family<AnswerLabels, Counter>,
-    ages: Histogram,
-    authority: Family<AuthorityLabel, Counter>,
+    round_seconds: Histogram,
+    answer_counts: Family<AnswerLabels, Counter>,
+    answer_age_seconds: Histogram,
+    authority_extensions: Family<AuthorityLabel, Counter>,
     pub(super) indeterminate_writes: Counter,
     pub(super) dropped_log_lines: Counter,
     dependency_lookups: Family<DependencyLookupLabel, Counter>,
     cancelled_with_dependency: Counter,
     request_budget: Family<RequestPriorityLabels, Counter>,
-    withheld: Family<WithheldLabel, Counter>,
+    withheld_states: Family<WithheldLabel, Counter>,
     dependencies_unread_seconds: Gauge<f64, AtomicU64>,
 }
 
@@ -130,26 +139,26 @@
     Histogram::new([0.001, 0.005, 0.02, 0.05, 0.1, 0.3, 1.0, 3.0])
 }
 
-/// Counters only grow: what has been counted elsewhere is added.
+/// Raises a counter to a total that is counted elsewhere. A counter never decreases.
 fn raise_to(counter: &Counter, total: u64) {
     counter.inc_by(total.saturating_sub(counter.get()));
 }
 
 impl Metrics {
     pub(super) fn new() -> Self {
-        let mut m = Metrics {
+        let mut metrics = Metrics {
             registry: Registry::with_prefix("pathwinch"),
-            answers: Family::new_with_constructor(answer_times as fn() -> Histogram),
-            waits: Family::new_with_constructor(wait_times as fn() -> Histogram),
-            recoveries: Family::new_with_constructor(recovery_times as fn() -> Histogram),
-            failovers: Family::default(),
+            answer_seconds: Family::new_with_constructor(answer_times as fn() -> Histogram),
+            wait_seconds: Family::new_with_constructor(wait_times as fn() -> Histogram),
+            recovery_seconds: Family::new_with_constructor(recovery_times as fn() -> Histogram),
+            takeovers: Family::default(),
             step_downs: Family::default(),
-            warm: Gauge::default(),
+            warm_standbys: Gauge::default(),
             classes: Default::default(),
-            failures: Counter::default(),
+            task_failures: Counter::default(),
             preemptions: Counter::default(),
-            rentals: Counter::default(),
-            releases: Counter::default(),
+            machines_rented: Counter::default(),
+            machines_released: Counter::default(),
             leading: Gauge::default(),
             jobs: Gauge::default(),
             machines: Gauge::default(),
@@ -159,117 +168,153 @@
             cloud_requests: Counter::default(),
             peer_requests: Counter::default(),
             peer_bytes: Counter::default(),
-            rounds: round_times(),
-            answers_given: Family::default(),
-            ages: Histogram::new([0.001, 0.005, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0]),
-            authority: Family::default(),
+            round_seconds: round_times(),
+            answer_counts: Family::default(),
+            answer_age_seconds: Histogram::new([0.001, 0.005, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0]),
+            authority_extensions: Family::default(),
             indeterminate_writes: Counter::default(),
             dropped_log_lines: Counter::default(),
             dependency_lookups: Family::default(),
             cancelled_with_dependency: Counter::default(),
             request_budget: Family::default(),
-            withheld: Family::default(),
+            withheld_states: Family::default(),
             dependencies_unread_seconds: Gauge::default(),
         };
-        let r = &mut m.registry;
-        let help = "Time to answer users, in seconds";
-        r.register("answer_seconds", help, m.answers.clone());
-        let help = "Seconds from a job's acceptance to the first run of a task, by class";
-        r.register("wait_seconds", help, m.waits.clone());
-        let help = "Seconds that a phase took until the service was whole under a new leader";
-        r.register("recovery_seconds", help, m.recoveries.clone());
-        let help = "Takeovers by this node: warm, or why it had to hear all machines first";
-        r.register("takeovers", help, m.failovers.clone());
-        let help = "Times that this node gave up the lead, by cause";
-        r.register("stops", help, m.step_downs.clone());
-        let help = "Standbys that would take over warm, while this node leads";
-        r.register("warm_standbys", help, m.warm.clone());
-        r.register("task_failures", "Tasks that failed", m.failures.clone());
-        let help = "Tasks told to stop for others";
-        r.register("preemptions", help, m.preemptions.clone());
-        r.register("machines_rented", "Machines rented", m.rentals.clone());
-        r.register("machines_released", "Machines returned", m.releases.clone());
-        r.register("leading", "1 while this node leads", m.leading.clone());
+        let registry = &mut metrics.registry;
+        let help = "Time to answer a user's request, in seconds";
+        registry.register("answer_seconds", help, metrics.answer_seconds.clone());
+        let help = "Seconds from the acceptance of a job to the first run of a task, by class";
+        registry.register("wait_seconds", help, metrics.wait_seconds.clone());
+        let help = "Seconds that a phase of the recovery under a new leader took";
+        registry.register("recovery_seconds", help, metrics.recovery_seconds.clone());
+        let help = "Failovers to this node: warm, or why it had to wait for all machines first";
+        registry.register("takeovers", help, metrics.takeovers.clone());
+        let help = "Times that this node stepped down as leader, by cause";
+        registry.register("stops", help, metrics.step_downs.clone());
+        let help = "Standbys that can take over warm, while this node leads";
+        registry.register("warm_standbys", help, metrics.warm_standbys.clone());
+        registry.register(
+            "task_failures",
+            "Tasks that failed",
+            metrics.task_failures.clone(),
+        );
+        let help = "Tasks preempted by other tasks";
+        registry.register("preemptions", help, metrics.preemptions.clone());
+        registry.register(
+            "machines_rented",
+            "Machines rented",
+            metrics.machines_rented.clone(),
+        );
+        registry.register(
+            "machines_released",
+            "Machines released",
+            metrics.machines_released.clone(),
+        );
+        registry.register(
+            "leading",
+            "1 while this node leads",
+            metrics.leading.clone(),
+        );
         let help = "Unfinished jobs, while this node leads";
-        r.register("jobs", help, m.jobs.clone());
-        let help = "Machines known, while this node leads";
-        r.register("machines", help, m.machines.clone());
+        registry.register("jobs", help, metrics.jobs.clone());
+        let help = "Known machines, while this node leads";
+        registry.register("machines", help, metrics.machines.clone());
         let help = "Requests to the state service";
-        r.register("state_requests", help, m.state_requests.clone());
+        registry.register("state_requests", help, metrics.state_requests.clone());
         let help = "Changes written to the state service";
-        r.register("state_changes", help, m.state_changes.clone());
-        let help = "Transactions that the state service refused: over a limit, or out of order";
-        r.register("state_refused", help, m.state_refused.clone());
+        registry.register("state_changes", help, metrics.state_changes.clone());
+        let help =
+            "Transactions that the state service refused: over a limit, unavailable or invalid";
+        registry.register("state_refused", help, metrics.state_refused.clone());
         let help = "Requests to the cloud";
-        r.register("cloud_requests", help, m.cloud_requests.clone());
+        registry.register("cloud_requests", help, metrics.cloud_requests.clone());
         let help = "Requests to other controllers";
-        r.register("peer_requests", help, m.peer_requests.clone());
+        registry.register("peer_requests", help, metrics.peer_requests.clone());
         let help = "Bytes sent to other controllers as requests, and received as replies";
-        r.register("peer_bytes", help, m.peer_bytes.clone());
-        let help = "Time of a round of the leader's loop, placement included, in seconds";
-        r.register("round_seconds", help, m.rounds.clone());
-        let help = "States told to users, by state and by what the answer rested on";
-        r.register("answers_told", help, m.answers_given.clone());
-        let help = "Age of what was read as an unfinished state was told, in seconds";
-        r.register("answer_age_seconds", help, m.ages.clone());
-        let help = "Times that this node's authority was prolonged, by what";
-        r.register("authority", help, m.authority.clone());
-        let help = "The leader's transactions of which the fate had to be read";
-        r.register("writes_in_doubt", help, m.indeterminate_writes.clone());
-        let help = "Lines on answers that were left out of the log, past its bound";
-        r.register("log_lines_left_out", help, m.dropped_log_lines.clone());
-        let help = "Lookups of dependencies that only the records know, by what was found";
-        r.register("dependency_lookups", help, m.dependency_lookups.clone());
-        let help = "Jobs cancelled as a job that they depend on was";
-        let cancelled = m.cancelled_with_dependency.clone();
-        r.register("cancelled_with_dependency", help, cancelled);
-        let help = "Requests to the state service by priority: made, or held back by the budget";
-        r.register("request_budget", help, m.request_budget.clone());
+        registry.register("peer_bytes", help, metrics.peer_bytes.clone());
+        let help =
+            "Duration of a round of the leader's control loop, including placement, in seconds";
+        registry.register("round_seconds", help, metrics.round_seconds.clone());
+        let help = "Job states returned to users, by state and by source of the answer";
+        registry.register("answers_told", help, metrics.answer_counts.clone());
+        let help = "Age of the data from which an unfinished state was returned, in seconds";
+        registry.register(
+            "answer_age_seconds",
+            help,
+            metrics.answer_age_seconds.clone(),
+        );
+        let help = "Extensions of this node's authority, by basis";
+        registry.register("authority", help, metrics.authority_extensions.clone());
+        let help = "Transactions of the leader whose outcome had to be determined by a read";
+        registry.register(
+            "writes_in_doubt",
+            help,
+            metrics.indeterminate_writes.clone(),
+        );
+        let help = "Log lines about answers that were dropped by the rate limit";
+        registry.register(
+            "log_lines_left_out",
+            help,
+            metrics.dropped_log_lines.clone(),
+        );
+        let help = "Lookups of dependencies in the stored records, by what was found";
+        registry.register(
+            "dependency_lookups",
+            help,
+            metrics.dependency_lookups.clone(),
+        );
+        let help = "Jobs cancelled because a job that they depend on was cancelled";
+        let cancelled = metrics.cancelled_with_dependency.clone();
+        registry.register("cancelled_with_dependency", help, cancelled);
+        let help = "Requests to the state service by priority: made, or denied by the budget";
+        registry.register("request_budget", help, metrics.request_budget.clone());
         let help =
-            "Answers of \"later\" to users as a job's dependencies forbade to give its state";
-        r.register("states_withheld", help, m.withheld.clone());
-        let help = "For how long the end of some dependency is unread, while this node leads";
-        let unread = m.dependencies_unread_seconds.clone();
-        r.register("dependencies_unread_seconds", help, unread);
-        m
+            "Requests of users answered with \"retry later\" because of a job's dependencies";
+        registry.register("states_withheld", help, metrics.withheld_states.clone());
+        let help =
+            "Seconds for which the final state of a dependency is unread, while this node leads";
+        let unread = metrics.dependencies_unread_seconds.clone();
+        registry.register("dependencies_unread_seconds", help, unread);
+        metrics
     }
 
     pub(super) fn observe_answer_time(&self, request: &'static str, seconds: f64) {
         let kind = RequestLabel { request };
-        self.answers.get_or_create(&kind).observe(seconds);
+        self.answer_seconds.get_or_create(&kind).observe(seconds);
     }
 
-    /// A user is told this state, as it was read so many milliseconds ago.
+    /// Counts a job state returned to a user, and observes the age of the read if the
+    /// state is unfinished. `age`: milliseconds since the read began.
     pub(super) fn count_answer(&self, state: JobState, source: &'static str, age: Millis) {
         if !state.is_final() {
-            self.ages.observe(age as f64 / 1000.0);
+            self.answer_age_seconds.observe(age as f64 / 1000.0);
         }
         let state = state.name();
-        self.answers_given
+        self.answer_counts
             .get_or_create(&AnswerLabels { state, source })
             .inc();
     }
 
-    /// Its authority was prolonged.
+    /// Counts an extension of this node's authority.
     pub(super) fn count_authority_extension(&self, right: AuthorityBasis) {
         let right = right.text();
-        self.authority
+        self.authority_extensions
             .get_or_create(&AuthorityLabel { right })
             .inc();
     }
 
-    /// A round of the leader's loop took so many seconds.
+    /// Observes the duration of a round of the leader's control loop.
     pub(super) fn observe_round_time(&self, seconds: f64) {
-        self.rounds.observe(seconds);
+        self.round_seconds.observe(seconds);
     }
 
-    /// The totals of what was exchanged with other controllers.
+    /// Sets the total numbers of requests and bytes exchanged with other controllers.
     fn set_peer_traffic(&self, requests: u64, bytes: u64) {
         raise_to(&self.peer_requests, requests);
         raise_to(&self.peer_bytes, bytes);
     }
 
-    /// The totals of requests of one priority.
+    /// Sets the total numbers of requests of one priority.
     fn set_request_counts(&self, priority: RequestPriority, counts: RequestCounts) {
         let priority = priority.name();
         for (outcome, total) in [("taken", counts.taken), ("refused", counts.refused)] {
@@ -278,16 +323,19 @@
         }
     }
 
-    /// A dependency was looked up in the records.
+    /// Counts a lookup of a dependency in the records.
     pub(super) fn count_dependency_lookup(&self, found: &'static str) {
         self.dependency_lookups
             .get_or_create(&DependencyLookupLabel { found })
             .inc();
     }
 
-    /// A user is told to ask later, as the job's dependencies forbid to give its state.
+    /// Counts a request of a user that was answered with "retry later" because the
+    /// job's dependencies don't allow to return its state.
     pub(super) fn count_withheld_state(&self, reason: &'static str) {
-        self.withheld.get_or_create(&WithheldLabel { reason }).inc();
+        self.withheld_states
+            .get_or_create(&WithheldLabel { reason })
+            .inc();
     }
 
     pub(super) fn count_step_down(&self, why: &'static str) {
@@ -295,29 +343,29 @@
     }
 
     pub(super) fn add_tally(&mut self, tally: Tally) {
-        self.failures.inc_by(tally.failed);
+        self.task_failures.inc_by(tally.failed);
         self.preemptions.inc_by(tally.preempted);
-        self.rentals.inc_by(tally.rented);
-        self.releases.inc_by(tally.released);
+        self.machines_rented.inc_by(tally.rented);
+        self.machines_released.inc_by(tally.released);
         self.cancelled_with_dependency
             .inc_by(tally.cancelled_with_dependency);
         for (phase, seconds) in tally.phases {
             let phase = RecoveryPhaseLabel { phase };
-            self.recoveries.get_or_create(&phase).observe(seconds);
+            self.recovery_seconds.get_or_create(&phase).observe(seconds);
         }
         if let Some(how) = tally.took_over {
-            self.failovers.get_or_create(&FailoverLabel { how }).inc();
+            self.takeovers.get_or_create(&FailoverLabel { how }).inc();
         }
         for (class, waited) in tally.waits {
             let known = self.classes.contains(&class);
-            let class = match known || self.classes.len() < MOST_CLASSES {
+            let class = match known || self.classes.len() < MAX_CLASSES {
                 true => class,
                 false => "other".into(),
             };
             if !known {
                 self.classes.insert(class.clone());
             }
-            self.waits
+            self.wait_seconds
                 .get_or_create(&ClassLabel { class })
                 .observe(waited);
         }
@@ -336,20 +384,22 @@
                 unread_ms,
             )
         });
-        let m = self.metrics.borrow();
+        let node_metrics = self.metrics.borrow();
         let (requests, bytes) = self.peers.exchanged();
-        m.set_peer_traffic(requests, bytes);
+        node_metrics.set_peer_traffic(requests, bytes);
         for (priority, counts) in self.budgets.request_counts() {
-            m.set_request_counts(priority, counts);
+            node_metrics.set_request_counts(priority, counts);
         }
-        m.leading.set(i64::from(led.is_some()));
+        node_metrics.leading.set(i64::from(led.is_some()));
         let (jobs, machines, warm, unread_ms) = led.unwrap_or_default();
-        m.dependencies_unread_seconds.set(unread_ms as f64 / 1000.0);
-        m.warm.set(warm as i64);
-        m.jobs.set(jobs as i64);
-        m.machines.set(machines as i64);
+        node_metrics
+            .dependencies_unread_seconds
+            .set(unread_ms as f64 / 1000.0);
+        node_metrics.warm_standbys.set(warm as i64);
+        node_metrics.jobs.set(jobs as i64);
+        node_metrics.machines.set(machines as i64);
         let mut text = String::new();
-        match encode(&mut text, &m.registry) {
+        match encode(&mut text, &node_metrics.registry) {
             Ok(()) => HttpResponse {
                 status: 200,
                 retry_after_s: None,
--- a/src/server/peers.rs
+++ b/src/server/peers.rs
@@ -1,10 +1,10 @@
 //! Requests from and to the other controllers.
 //!
-//! Owns: the probes of the failure detector, and the dispatch of what other
-//! controllers request. Called by every module that asks a peer.
+//! This module owns the probes of the failure detector, and the dispatch of requests
+//! from other controllers. It is called by every module that sends a request to a peer.
 //!
-//! Must never: send a request to a peer without reporting its start and its result
-//! to the failure detector.
+//! Invariant: the start and the result of each request to a peer are reported to the
+//! failure detector.
 
 use super::{HEARTBEAT_PATH, Node};
 use crate::{
@@ -17,14 +17,16 @@
 use async_io::Timer;
 use std::{rc::Rc, time::Duration};
 
-/// Time between two checks for probes that are due.
+/// Interval between two checks for probes that are due.
 const PROBE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Time between two probes of a peer.
+/// Time in milliseconds between two probes of a peer by a node that doesn't lead.
 const PROBE_INTERVAL_MS: Millis = 300;
-/// The same for the leader, which probes all peers.
+/// Time in milliseconds between two probes of a peer by the leader, which probes all
+/// peers.
 const LEADER_PROBE_INTERVAL_MS: Millis = 700;
 
-/// Probes the peers whose health matters now, for as long as the process runs.
+/// Probes the peers whose health this node currently needs to know, for as long as the
+/// process runs.
 pub async fn run_probes(node: Rc<Node>) {
     loop {
         Timer::after(PROBE_CHECK_INTERVAL).await;
@@ -32,7 +34,7 @@
         let due: Vec<usize> = {
             let failure_detector = node.failure_detector.borrow();
             let leads = node.election.borrow().leadership().is_some();
-            // A follower with a healthy leader probes only that.
+            // A follower with a healthy leader probes only the leader.
             let leader = node.leader_peer().filter(|_| !leads);
             let healthy_leader = leader.filter(|peer| failure_detector.is_healthy(*peer, now));
             let interval = if leads {
@@ -51,7 +53,7 @@
             let prober = node.clone();
             let probe = async move {
                 let timeout = Duration::from_millis(2 * RESPONSE_PATIENCE_MS);
-                // The result goes to the failure detector.
+                // `call_peer` reports the result to the failure detector.
                 let _ = prober.call_peer(peer, &Request::greeting(), timeout).await;
             };
             node.executor.spawn_high(probe).detach();
@@ -60,25 +62,27 @@
 }
 
 impl Node {
-    /// The node that leads, if that is another, as an index into the peers.
+    /// Returns the index of the peer that leads, or `None` if this node leads or the
+    /// leader is unknown.
     pub(super) fn leader_peer(&self) -> Option<usize> {
         let election = self.election.borrow();
         let (name, _) = election.leader(self.now())?;
         self.settings.peers.iter().position(|p| p.name == name)
     }
 
-    /// How the peer responds.
+    /// Returns the health of the peer as seen by the failure detector.
     pub(super) fn peer_health(&self, peer: usize) -> PeerHealth {
         self.failure_detector.borrow().health(peer, self.now())
     }
 
-    /// The leader, if it is another node and answers.
+    /// Returns the index of the peer that leads, if that peer is healthy.
     pub(super) fn answering_leader(&self) -> Option<usize> {
         self.leader_peer()
             .filter(|peer| self.peer_health(*peer) == PeerHealth::Healthy)
     }
 
-    /// Sends a request to a peer.
+    /// Sends a request to a peer, and reports its start and result to the failure
+    /// detector.
     pub(super) async fn call_peer(
         &self,
         peer: usize,
--- a/src/server/poll_records.rs
+++ b/src/server/poll_records.rs
@@ -1,11 +1,12 @@
-//! Polls that are answered from the records, in rounds.
+//! Polls that are answered from the records in the key-value store, in rounds.
 //!
-//! Owns: the reads of a round of polls, and how they become answers. Called by the
-//! process for as long as it runs; the polls come through `server::polls`, and what
-//! their jobs depend on is read by `server::dependency_reads`.
+//! This module owns the reads of a round of polls, and the translation of these reads
+//! into answers. Its loop is started once by the process. The polls are queued by
+//! `server::polls`; `server::dependency_reads` reads the dependencies of their jobs.
 //!
-//! Must never: answer a poll from a read that began before the poll arrived, or call
-//! a job unfinished without knowing of the jobs that it depends on.
+//! Invariants: a poll is never answered from a read that began before the poll arrived.
+//! A job is reported as unfinished only if the state of the jobs that it depends on is
+//! known.
 
 use super::{
     Node,
@@ -30,37 +31,43 @@
     time::Duration,
 };
 
-/// Up to this many jobs are looked up one by one; for more, all live ones are
-/// listed.
+/// Maximum number of jobs in a round for which each job is always looked up
+/// individually. For larger rounds, all live jobs may be listed instead.
 const MAX_SINGLE_LOOKUPS: usize = 4;
-/// Lookups are preferred to a list of more than this many live jobs for each.
+/// Individual lookups are preferred to a list if the list has more than this many live
+/// jobs per polled job.
 const LIST_COST_DIVISOR: usize = 16;
-/// Requests that a lookup may take.
+/// Maximum number of requests to the store that one lookup takes.
 const LOOKUP_REQUESTS: usize = 2;
-/// How often, and at what interval, a round waits for the request budget.
+/// Number of times, and interval at which, a round checks the request budget before it
+/// begins.
 const BUDGET_CHECKS: u32 = 10;
 const BUDGET_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Why a poll can't be answered from the records.
+/// Reason why a poll can't be answered from the records.
 #[derive(Debug, Clone, thiserror::Error)]
 enum RecordsError {
-    #[error("records can't be read: {0}")]
+    #[error("failed to read the job records: {0}")]
     Unread(#[from] StoreError),
-    /// The job's own record is not enough.
+    /// The job's record can't be used alone, as the job may be cancelled with a
+    /// dependency.
     #[error("{0}")]
     Withheld(&'static str),
 }
 
-/// Answers the polls that wait for the records, a round at a time.
+/// Answers the polls that wait for the records, one round after another, for as long as
+/// the process runs.
 pub async fn run_record_polls(node: Rc<Node>) {
-    // Live jobs in the last list.
+    // Number of live jobs in the last list.
     let mut listed_jobs = 0;
     loop {
         node.polls.records.wait_for_polls().await;
-        // While requests are scarce more polls arrive, which share one list.
+        // Polls that arrive during the wait for the budget join the round and share its
+        // list.
         let budget = node.wait_for_read_budget().await;
         let (round, began) = (node.polls.records.take_round(), node.now());
-        // A list costs by the number of live jobs, lookups by the number of polls.
+        // The cost of a list depends on the number of live jobs, the cost of lookups on
+        // the number of polled jobs.
         let lookups_are_cheaper =
             round.len() * LIST_COST_DIVISOR < listed_jobs && LOOKUP_REQUESTS * round.len() < budget;
         if round.len() <= MAX_SINGLE_LOOKUPS || lookups_are_cheaper {
@@ -87,25 +94,27 @@
     }
 }
 
-/// What was read of the jobs of a round.
+/// Results of the reads for one round of polls.
 struct RoundRecords {
-    /// How many live jobs were listed.
+    /// Number of live jobs in the list.
     listed_jobs: usize,
-    /// Status and version of each record, by the job's id. One that is missing has no
-    /// record.
+    /// Status and version of each record that was read, or the error of its read, by
+    /// job id. A job that is missing here has no record.
     found: HashMap<String, Result<(JobStatus, u64), StoreError>>,
-    /// Unfinished jobs that may be cancelled with a job that they depend on.
+    /// Ids of unfinished jobs that may be cancelled with a job that they depend on.
     dependent: HashSet<String>,
 }
 
-/// A job's status by its record. `dependent`: it may have to be withheld.
+/// The status of a job according to its record. `dependent`: the job may be cancelled
+/// with a dependency, so that its status may have to be withheld.
 struct RecordReading {
     reading: Reading,
     dependent: bool,
 }
 
 impl RoundRecords {
-    /// The reading of a job of the round.
+    /// Removes and returns the reading of a job of the round. `began`: when the reads
+    /// began.
     fn take_reading(&mut self, id: &str, began: Millis) -> Result<RecordReading, RecordsError> {
         let reading = match self.found.remove(id).transpose()? {
             Some((status, version)) => reading(began, status, version),
@@ -124,7 +133,7 @@
     }
 }
 
-/// Looks up one job by itself, and the jobs that it depends on.
+/// Looks up one job individually, and the jobs that it depends on.
 async fn look_up(node: &Node, id: &str) -> Result<Reading, RecordsError> {
     let began = node.now();
     let (record, version) = match node.lookup(id, RequestPriority::Poll).await? {
@@ -145,9 +154,9 @@
 }
 
 impl Node {
-    /// Reads the records of a round: all live ones, and the final ones of the jobs
-    /// that are not live, be they of the round or on the way to what its jobs depend
-    /// on.
+    /// Reads the records for a round: lists all live records, then reads the final
+    /// records of jobs that are not live. These are polled jobs as well as direct and
+    /// transitive dependencies of polled jobs.
     async fn read_round(&self, round: &Round, began: Millis) -> Result<RoundRecords, StoreError> {
         let listed = self.list(JOBS, RequestPriority::Poll).await?;
         let listed: ListedRecords = listed
@@ -218,8 +227,8 @@
         }
     }
 
-    /// The reading of a job, unless it may be cancelled with a job that it depends on:
-    /// then its own record is not enough.
+    /// Returns the reading of a job, or an error if the status must be withheld because
+    /// of the job's dependencies.
     fn confirm(&self, read: Result<RecordReading, RecordsError>) -> Result<Reading, RecordsError> {
         let RecordReading { reading, dependent } = read?;
         let Some(status) = reading.status.as_ref().filter(|_| dependent) else {
@@ -245,8 +254,9 @@
         send_answer(waiters, &answer);
     }
 
-    /// Waits, though no longer than users do, until some requests may be made.
-    /// Returns how many.
+    /// Waits until the budget allows [`MAX_SINGLE_LOOKUPS`] lookups, for at most
+    /// [`BUDGET_CHECKS`] checks, which takes no longer than a user waits. Returns the
+    /// number of requests that may be sent now.
     async fn wait_for_read_budget(&self) -> usize {
         let level = || self.budgets.request_level(self.now()) as usize;
         for _ in 0..BUDGET_CHECKS {
--- a/src/server/polls.rs
+++ b/src/server/polls.rs
@@ -1,10 +1,11 @@
-//! Polls that are answered by the leader or from the records, in rounds.
+//! Polls that are answered in rounds, by the leader or from the records.
 //!
-//! Owns: the two queues of waiting polls, and the loop that asks the leader
-//! (`server::poll_records` asks the records). Called by the steps of users' requests
-//! (`server::client_api`) and, for polls that other nodes forward, by `server::peers`.
+//! This module owns the two queues of waiting polls, and the loop that sends rounds of
+//! polls to the leader (`server::poll_records` answers polls from the records). It is
+//! called by the handlers of users' requests (`server::client_api`) and, for polls that
+//! other nodes forward, by `server::peers`.
 //!
-//! Must never: answer a poll from a read that began before the poll arrived.
+//! Invariant: a poll is never answered from a read that began before the poll arrived.
 
 use super::{Node, signals::WakeSignal};
 use crate::{
@@ -20,29 +21,29 @@
 use async_channel::Sender;
 use std::{cell::RefCell, rc::Rc, time::Duration};
 
-/// How long the leader may take to answer a round of polls.
+/// Timeout of a round of polls that is sent to the leader.
 const LEADER_POLL_TIMEOUT: Duration = Duration::from_millis(500);
-/// Most jobs in a round.
+/// Maximum number of jobs in a round.
 const MAX_ROUND_JOBS: usize = 500;
-/// What a poll read, or why it could not be answered.
+/// Result of a poll: the reading, or the reason why the poll could not be answered.
 pub(super) type Answer = Result<Reading, String>;
 
-/// Polls that wait for the same source of answers.
+/// Queue of polls that wait for the same source of answers.
 pub(super) struct PollQueue {
     batch: RefCell<PollBatch<Sender<Answer>>>,
     wake: WakeSignal,
 }
 
-/// Polls of users, by where they are answered.
+/// The queues of users' polls, by the source that answers them.
 pub(super) struct Polls {
-    /// Those that wait for the leader.
+    /// Polls that wait for an answer of the leader.
     pub(super) leader: PollQueue,
-    /// Those that wait for the records in the key-value store.
+    /// Polls that wait for a read of the records in the key-value store.
     pub(super) records: PollQueue,
 }
 
 impl Polls {
-    /// For a process that serves at most this many users at once.
+    /// Creates the queues for a process that serves at most `max_users` users at once.
     pub(super) fn new(max_users: usize) -> Self {
         Polls {
             leader: PollQueue::new(max_users),
@@ -62,31 +63,33 @@
         }
     }
 
-    /// Where too many wait already, the waiter is dropped, which closes its channel.
+    /// Adds a poll to the queue. If the queue is full the waiter is dropped, which
+    /// closes its channel.
     fn add(&self, id: &str, waiter: Sender<Answer>) {
         self.batch.borrow_mut().add(id, waiter);
         self.wake.notify();
     }
 
-    /// Waits for the answer to a poll of the job.
+    /// Adds a poll of the job to the queue and waits for the answer.
     pub(super) async fn wait_for_answer(&self, id: &str) -> Answer {
         let (waiter, receiver) = async_channel::bounded(1);
         self.add(id, waiter);
         let answer = receiver.recv().await;
-        answer.unwrap_or_else(|_| Err("too many polls at once".into()))
+        answer.unwrap_or_else(|_| Err("too many polls are waiting".into()))
     }
 
-    /// The polls of this job got no answer.
+    /// Records that the polls of this job got no answer, so that the job goes first in
+    /// a later round.
     pub(super) fn mark_shed(&self, id: &str) {
         self.batch.borrow_mut().mark_shed(id);
     }
 
-    /// The polls of this job were answered.
+    /// Records that the polls of this job were answered.
     pub(super) fn mark_answered(&self, id: &str) {
         self.batch.borrow_mut().mark_answered(id);
     }
 
-    /// Waits until there are polls.
+    /// Waits until at least one poll is queued.
     pub(super) async fn wait_for_polls(&self) {
         while self.batch.borrow().is_empty() {
             self.wake.wait().await;
@@ -98,15 +101,16 @@
     }
 }
 
-/// Answers all polls of a job.
+/// Sends the answer to all polls of a job.
 pub(super) fn send_answer(waiters: Vec<Sender<Answer>>, answer: &Answer) {
     for waiter in waiters {
-        // The user may have gone meanwhile.
+        // The send fails if the user's request has ended in the meantime.
         let _ = waiter.try_send(answer.clone());
     }
 }
 
-/// Answers the polls that wait for the leader, a round at a time.
+/// Answers the polls that wait for the leader, one round after another, for as long as
+/// the process runs.
 pub async fn run_leader_polls(node: Rc<Node>) {
     loop {
         node.polls.leader.wait_for_polls().await;
@@ -120,7 +124,7 @@
             {
                 Ok(Reply::Polled(answers)) => statuses = answers,
                 Ok(_) => {}
-                Err(e) => log::debug!("asking the leader: {e}"),
+                Err(e) => log::debug!("polls: the leader did not answer: {e}"),
             }
         }
         statuses.resize(round.len(), None);
@@ -142,7 +146,7 @@
 }
 
 impl Node {
-    /// Answers polls that another node forwards.
+    /// Answers polls that another node forwarded.
     pub(super) fn answer_polls(&self, ids: &[String]) -> Reply {
         let ids = &ids[..ids.len().min(MAX_ROUND_JOBS)];
         match self.with_view(|view| polled(view, ids)) {
--- a/src/server/signals.rs
+++ b/src/server/signals.rs
@@ -1,9 +1,10 @@
-//! Signals between the tasks of the process: one operation of a kind at a time,
-//! and the wake-up of a loop.
+//! Synchronisation between the tasks of the process: a guard that admits one operation
+//! of a kind at a time, and a signal that wakes a loop.
 //!
-//! Called by the control loop and the poll queues.
+//! Both are used by the control loop; the poll queues use the wake signal.
 //!
-//! Must never: block, or lose a wake-up that is sent while the loop is busy.
+//! Invariants: sending a signal never blocks. A wake-up that is sent while the loop is
+//! busy is never lost.
 
 use async_channel::{Receiver, Sender};
 use std::{cell::Cell, rc::Rc};
@@ -14,14 +15,15 @@
     in_flight: Rc<Cell<bool>>,
 }
 
-/// An operation under way; dropped when it ends, however it ends.
+/// Guard of an operation in progress. The operation counts as ended when the guard is
+/// dropped, also if the operation fails or is cancelled.
 #[derive(Debug)]
 pub(super) struct InFlight {
     in_flight: Rc<Cell<bool>>,
 }
 
 impl SingleFlight {
-    /// Begins an operation, unless one is under way.
+    /// Begins an operation. Returns `None` if one is already in progress.
     pub(super) fn try_begin(&self) -> Option<InFlight> {
         if self.in_flight.replace(true) {
             return None;
@@ -38,7 +40,8 @@
     }
 }
 
-/// Wakes a loop. Signals that arrive while it is busy count as one.
+/// Signal that wakes a loop. Signals that arrive while the loop is busy are merged into
+/// one.
 #[derive(Debug)]
 pub(super) struct WakeSignal {
     sender: Sender<()>,
@@ -53,7 +56,7 @@
 }
 
 impl WakeSignal {
-    /// Wakes the loop now, or when it next waits.
+    /// Wakes the loop if it waits; otherwise its next wait returns at once.
     pub(super) fn notify(&self) {
         // A full channel already holds a signal.
         let _ = self.sender.try_send(());
@@ -61,7 +64,7 @@
 
     /// Waits for a signal.
     pub(super) async fn wait(&self) {
-        // The sender lives as long as the receiver.
+        // Can't fail: the sender lives as long as the receiver.
         let _ = self.receiver.recv().await;
     }
 }
--- a/src/server/standby.rs
+++ b/src/server/standby.rs
@@ -1,10 +1,11 @@
-//! Replication to the standbys while this node leads, and the replica it keeps while
-//! another does.
+//! Replication to the standbys while this node leads, and the replica that this node
+//! keeps while another node leads.
 //!
-//! Owns: the requests of the replication stream and the writes of the standby
-//! registry. Called by the control loop, by the campaign and by `server::peers`.
+//! This module owns the requests of the replication stream and the writes of the
+//! standby registry. It is called by the control loop, by the campaign and by
+//! `server::peers`.
 //!
-//! Must never: accept a part of the stream while this node leads.
+//! Invariant: a part of the stream is never accepted while this node leads.
 
 use super::{
     Node,
@@ -28,23 +29,23 @@
 use async_io::Timer;
 use std::{cell::RefCell, rc::Rc, time::Duration};
 
-/// A part of the stream that is not answered by then counts as lost.
+/// Time after which a part of the stream that was not answered counts as lost.
 const REPLICATE_TIMEOUT: Duration = Duration::from_millis(900);
 /// Pause before a failed read of the standby registry is repeated.
 const REREAD_PAUSE: Duration = Duration::from_millis(200);
 
-/// What this node keeps while another leads, to take over from it.
+/// State that this node keeps while another node leads, so that it can take over.
 #[derive(Default)]
 pub(super) struct Standby {
-    /// The replica of the leader's state, as far as it was received.
+    /// The part of the replica of the leader's state that was received so far.
     pub(super) replica_receiver: RefCell<ReplicaReceiver>,
-    /// The registry of standbys, as read since nobody leads.
+    /// The standby registry, as read since there has been no leader.
     pub(super) last_record: RefCell<Option<StandbyRecord>>,
 }
 
 impl Node {
-    /// One round of the leader: updates the standby registry and goes on with the
-    /// replication to each standby.
+    /// Updates the standby registry and continues the replication to each standby.
+    /// Called once per control round of the leader.
     pub(super) fn update_standbys(self: &Rc<Self>, term: u64) {
         let now = self.now();
         let due = self.with_authority(|leader, now| {
@@ -66,7 +67,8 @@
         }
     }
 
-    /// Sends a part of the stream, and each part that follows its answer.
+    /// Sends a part of the stream, then each next part once the previous one was
+    /// answered.
     async fn send_replication_part(self: Rc<Self>, term: u64, peer: usize, part: ReplicationPart) {
         let mut next = Some(part);
         while let Some(part) = next.take() {
@@ -76,8 +78,8 @@
             let answer = match reply {
                 Ok(Reply::Replicated {
                     incarnation,
-                    applied: taken,
-                }) => Some((incarnation, taken)),
+                    applied: is_applied,
+                }) => Some((incarnation, is_applied)),
                 _ => None,
             };
             let following = self.in_term(term, |leader, now| {
@@ -88,24 +90,24 @@
         }
     }
 
-    /// Takes a part of the stream from the leader, as its standby.
+    /// Applies a part of the stream that the leader sent to this node as its standby.
     pub(super) fn receive_replication_part(&self, part: ReplicationPart) -> Reply {
         if self.election.borrow().leadership().is_some() {
             return Reply::NotLeader;
         }
         let incarnation = self.election.borrow().incarnation;
-        let taken = self
+        let is_applied = self
             .standby
             .replica_receiver
             .borrow_mut()
             .apply_part(part, self.now());
         Reply::Replicated {
             incarnation,
-            applied: taken,
+            applied: is_applied,
         }
     }
 
-    /// Reads the standby registry, with its version.
+    /// Reads the standby registry and its version.
     pub(super) async fn read_standby_record(
         &self,
     ) -> Result<Option<(StandbyRecord, u64)>, StoreError> {
@@ -141,10 +143,11 @@
         self.in_term(term, |leader, now| leader.standbys_written(outcome, now));
     }
 
-    /// Whether another node is in the standby registry and healthy, and this one
-    /// isn't registered. It only delays a candidacy, so the registry may be old.
+    /// Whether this node is missing in the standby registry and another node in it is
+    /// healthy. The result only delays a candidacy, so the registry may be outdated.
     pub(super) async fn other_standbys_are_counted(&self) -> bool {
-        // Read once while nobody leads, as the request budget is scarce then.
+        // The registry is read only once while there is no leader, as the request
+        // budget is small then.
         if self.standby.last_record.borrow().is_none() {
             let Ok(found) = self.read_standby_record().await else {
                 return false;
--- a/src/server/status.rs
+++ b/src/server/status.rs
@@ -1,10 +1,12 @@
-//! Status requests of operators: answered by the leader, and by the other nodes with
-//! the leader's last answer and its age.
+//! Status requests of operators: the leader answers them itself, the other nodes answer
+//! with the leader's last answer and its age.
 //!
-//! Owns: the cluster status last built or fetched. Called by `server::peers`, through
-//! which the command line asks.
+//! This module owns the cluster status that was last built or fetched. It is called by
+//! `server::peers`, to which the command line sends its requests.
 //!
-//! Must never: build a status more often than it may, or hide the age of one.
+//! Invariants: the leader builds a cluster status at most once per
+//! [`MIN_REBUILD_INTERVAL_MS`] and term. The age of a cluster status is always reported
+//! with it.
 
 use super::Node;
 use crate::{
@@ -17,16 +19,19 @@
 };
 use std::{rc::Rc, time::Duration};
 
-/// How long the leader may take to answer.
+/// Timeout of a status request to the leader.
 const LEADER_STATUS_TIMEOUT: Duration = Duration::from_millis(800);
-/// A cluster status is built at most this often, however many ask.
+/// Minimum time in milliseconds between two builds of the cluster status, however many
+/// requests arrive.
 const MIN_REBUILD_INTERVAL_MS: Millis = 500;
 
-/// The cluster status last built or fetched, and when.
+/// The cluster status that was last built or fetched, and the time at which the leader
+/// built it.
 pub(super) type LastClusterStatus = Option<(Millis, ClusterStatus)>;
 
 impl Node {
-    /// The status of this node and of the cluster, as far as it is known here.
+    /// Returns the status of this node, and the status of the cluster as far as this
+    /// node knows it.
     pub(super) async fn status(&self) -> Status {
         let now = self.now();
         if self.with_authority(|l, _| l.loaded()) == Some(true) {
@@ -36,9 +41,9 @@
                 .borrow()
                 .as_ref()
                 .map(|(at, p)| (*at, p.term));
-            let fresh =
+            let is_fresh =
                 last.is_some_and(|(at, of)| now < at + MIN_REBUILD_INTERVAL_MS && Some(of) == term);
-            if !fresh && let Some(picture) = self.with_authority(|l, now| l.picture(now)) {
+            if !is_fresh && let Some(picture) = self.with_authority(|l, now| l.picture(now)) {
                 *self.last_cluster_status.borrow_mut() = Some((now, picture));
             }
         } else if let Some(leader) = self.leader_peer()
@@ -76,7 +81,7 @@
         }
     }
 
-    /// Answers the status request of a node that doesn't lead.
+    /// Answers a status request that a node which doesn't lead sends to the leader.
     pub(super) async fn leader_status(&self) -> Reply {
         match self.with_authority(|l, _| l.loaded()) {
             Some(true) => Reply::Status(Box::new(self.status().await)),
@@ -84,7 +89,8 @@
         }
     }
 
-    /// Explains why a job is in its state. `forward`: the leader may be asked.
+    /// Explains why a job is in its state. `forward`: whether the request may be
+    /// forwarded to the leader.
     pub(super) async fn explain(self: &Rc<Self>, id: &str, forward: bool) -> Explanation {
         if self.with_authority(|l, _| l.loaded()) == Some(true) {
             if let Some(job) = self.with_authority(|l, now| l.explain(id, now)).flatten() {
@@ -115,9 +121,10 @@
             },
             Ok(Found::Nothing) => Explanation::NoSuchJob,
             Ok(Found::Live(..)) => Explanation::Unknown(
-                "the job is recorded, but no leader that knows more can be reached".into(),
+                "the job has a record, but no leader that can explain its state is reachable"
+                    .into(),
             ),
-            Err(e) => Explanation::Unknown(format!("the records can't be read: {e}")),
+            Err(e) => Explanation::Unknown(format!("failed to read the job records: {e}")),
         }
     }
 }
--- a/src/server/store.rs
+++ b/src/server/store.rs
@@ -1,11 +1,11 @@
-//! Client of the key-value store that holds all durable state.
+//! Client of the key-value store (the state service) that holds all durable state.
 //!
-//! Owns: the paths, bodies and status codes of reads and transactions (leases are
-//! in `leases`), and the reads of job records built on them. Called by every loop
-//! of the process that reads or writes records.
+//! This module owns the paths, bodies and status codes of reads and transactions
+//! (leases are in `server::leases`), and the reads of job records that are built on
+//! them. It is called by every loop of the process that reads or writes records.
 //!
-//! Must never: report a transaction as not applied when its outcome is unknown;
-//! report a key as absent when it could not be read.
+//! Invariants: a transaction whose outcome is unknown is never reported as not applied.
+//! A key that could not be read is never reported as absent.
 
 use super::Node;
 use crate::{
@@ -24,39 +24,39 @@
 use http_types::Method;
 use std::{fmt, time::Duration};
 
-/// How long an ordinary call to the store may take.
+/// Timeout of a call to the store, unless the call has a timeout of its own.
 pub const STATE_TIMEOUT: Duration = Duration::from_millis(1500);
-/// How long the read of one key or one short page for a user's request may take.
+/// Timeout of the read of one key or one page in a lookup of records.
 const LOOKUP_TIMEOUT: Duration = Duration::from_millis(900);
-/// How long the read of one page of a complete list may take.
+/// Timeout of the read of one page of a complete list.
 const LIST_PAGE_TIMEOUT: Duration = Duration::from_secs(3);
-/// Keys asked for in one page of a complete list.
+/// Maximum number of keys in one page of a complete list.
 const LIST_PAGE_KEYS: usize = 500;
-/// How often, and at what interval, a list or a dependency lookup asks the request
-/// budget for its next page.
+/// Number of times, and interval at which, a list or a dependency lookup checks the
+/// request budget for its next request.
 const BUDGET_CHECKS: u32 = 20;
 const BUDGET_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Up to this many records are read one by one; more are read in pages.
+/// Maximum number of records that are read one by one; more records are read in pages.
 const MAX_SINGLE_READS: usize = 4;
-/// How much of the answer to a rejected transaction is logged.
+/// Maximum number of bytes of the response to a rejected transaction that are logged.
 const MAX_LOGGED_BODY_BYTES: usize = 200;
 
-/// Why a read of the store, or a write that needs no outcome, did not succeed.
+/// Error of a read of the store, or of a write whose caller needs no exact outcome.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum StoreError {
-    /// All controllers together exceed the store's request limit. The store
-    /// answers, so there is no outage.
+    /// All controllers together exceed the store's request limit. The store responds,
+    /// so there is no outage.
     OverLimit,
-    /// This node's share of the request limit is used up.
+    /// This node's share of the store's request limit is exhausted.
     OverRequestBudget,
-    /// This node's share of the limit of changes is used up.
+    /// This node's share of the store's limit of changes is exhausted.
     OverWriteBudget,
     /// The store answered with this HTTP status.
     Status(u16),
     /// The call failed.
     Call(String),
-    /// An answer or a record could not be decoded.
+    /// A response or a record could not be decoded.
     Decode(String),
     /// A job's record could not be joined with its spec chunks.
     IncompleteRecord {
@@ -65,7 +65,7 @@
         /// What was wrong.
         reason: String,
     },
-    /// The records were read as of a revision before this leader's term.
+    /// The records were read at this revision, which is older than the leader's term.
     BeforeTerm(u64),
     /// A transaction was not applied, or its outcome is unknown.
     NotWritten,
@@ -74,18 +74,21 @@
 impl fmt::Display for StoreError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            StoreError::OverLimit => f.write_str("over its request limit"),
-            StoreError::OverRequestBudget => f.write_str("over the request budget"),
-            StoreError::OverWriteBudget => f.write_str("over the change budget"),
-            StoreError::Status(status) => write!(f, "status {status}"),
+            StoreError::OverLimit => f.write_str("state service is over its request limit"),
+            StoreError::OverRequestBudget => f.write_str("this node's request budget is exhausted"),
+            StoreError::OverWriteBudget => f.write_str("this node's write budget is exhausted"),
+            StoreError::Status(status) => write!(f, "state service: HTTP status {status}"),
             StoreError::Call(reason) | StoreError::Decode(reason) => f.write_str(reason),
             StoreError::IncompleteRecord { id, reason } => {
-                write!(f, "record of {id}: {reason}")
+                write!(f, "incomplete record of job {id}: {reason}")
             }
             StoreError::BeforeTerm(revision) => {
-                write!(f, "they are of revision {revision}, before the term")
+                write!(
+                    f,
+                    "records were read at revision {revision}, before the term"
+                )
             }
-            StoreError::NotWritten => f.write_str("not written"),
+            StoreError::NotWritten => f.write_str("write was not confirmed"),
         }
     }
 }
@@ -104,7 +107,7 @@
     }
 }
 
-/// A name that could not be read, and why.
+/// A name whose key could not be read, and the error.
 #[derive(Debug, Clone)]
 pub(super) struct UnreadName {
     pub(super) name: String,
@@ -115,32 +118,34 @@
 #[derive(Debug)]
 pub(super) struct Listing {
     pub(super) items: Vec<Item>,
-    /// Revision of the first page. Later changes may be contained or not.
+    /// Revision of the first page. Changes after this revision may or may not be
+    /// included.
     pub(super) revision: u64,
 }
 
-/// What was read of some names under a prefix.
+/// Result of reading the keys of some names under a prefix.
 #[derive(Debug, Default)]
 pub(super) struct NamedRead {
-    /// Names that were read. One that has no key may be contained with version 0.
+    /// Items of the names that were read. A name without a key may be included with
+    /// version 0.
     pub(super) items: Vec<Item>,
     pub(super) unread: Vec<UnreadName>,
 }
 
-/// Those of the jobs that the results lack.
-fn not_contained<'a>(ids: &'a [String], results: &LookupResults) -> Vec<&'a str> {
+/// Returns the ids of the jobs that have no result yet.
+fn without_result<'a>(ids: &'a [String], results: &LookupResults) -> Vec<&'a str> {
     let ids = ids.iter().map(String::as_str);
     ids.filter(|id| !results.contains_key(*id)).collect()
 }
 
 impl Node {
-    /// Takes a request from the budget. Returns whether it may be made.
+    /// Takes one request to the store from the budget. Returns whether it may be sent.
     pub(super) fn may_request(&self, priority: RequestPriority) -> bool {
         let now = self.now();
         self.budgets.take_request(now, priority)
     }
 
-    /// One HTTP call to the store. The caller charges the budgets.
+    /// Sends one HTTP request to the store. The caller charges the budgets.
     pub(super) async fn call_store(
         &self,
         method: Method,
@@ -157,7 +162,7 @@
         Ok(answer)
     }
 
-    /// Reads one key; `None` if it doesn't exist.
+    /// Reads one key. Returns `None` if the key doesn't exist.
     pub(super) async fn get(
         &self,
         key: &str,
@@ -183,7 +188,8 @@
         Ok(self.list_as_of(prefix, priority).await?.items)
     }
 
-    /// Reads all keys under a prefix, with the revision of the first page.
+    /// Reads all keys under a prefix, and returns them with the revision of the first
+    /// page.
     pub(super) async fn list_as_of(
         &self,
         prefix: &str,
@@ -213,7 +219,8 @@
         }
     }
 
-    /// Takes a request from the budget, and waits for it for a while.
+    /// Takes one request from the budget; while the budget is exhausted, checks it
+    /// again up to [`BUDGET_CHECKS`] times.
     async fn wait_for_request(&self, priority: RequestPriority) -> Result<(), StoreError> {
         for _ in 0..BUDGET_CHECKS {
             if self.take_request(priority).is_ok() {
@@ -231,8 +238,8 @@
         }
     }
 
-    /// Takes a request for one page of a lookup. No user waits for a dependency lookup,
-    /// so that one waits for the budget instead of failing.
+    /// Takes one request of a lookup from the budget. A dependency lookup waits for the
+    /// budget instead of failing, as no user waits for its result.
     async fn take_lookup_request(&self, priority: RequestPriority) -> Result<(), StoreError> {
         match priority {
             RequestPriority::DependencyLookup => self.wait_for_request(priority).await,
@@ -240,10 +247,10 @@
         }
     }
 
-    /// Reads the records of these jobs; those that are not in the result were
-    /// never accepted. Live records are read first, so that a job which ends
-    /// meanwhile is found among the final ones. A record that can't be read is an
-    /// error for its job alone and must not hold up the others.
+    /// Reads the records of the given jobs. Jobs that are not in the result were never
+    /// accepted. Live records are read first, so that a job which ends between the
+    /// reads is found among the final records. A record that can't be read is an error
+    /// for its job alone and doesn't affect the other jobs.
     pub(super) async fn lookup_all(
         &self,
         ids: &[String],
@@ -257,8 +264,8 @@
         results
     }
 
-    /// The same for jobs that are most likely over: their final records are read
-    /// first, and all is read only of those that have none.
+    /// Reads the records of jobs that have probably ended: final records are read
+    /// first, and [`Self::lookup_all`] is used only for jobs that have none.
     pub(super) async fn lookup_ended(
         &self,
         ids: &[String],
@@ -267,7 +274,7 @@
         let mut results = LookupResults::new();
         self.read_records_of(FINALS, ids, priority, &mut results)
             .await;
-        let remaining = not_contained(ids, &results);
+        let remaining = without_result(ids, &results);
         if !remaining.is_empty() {
             let remaining: Vec<String> = remaining.into_iter().map(str::to_owned).collect();
             results.extend(self.lookup_all(&remaining, priority).await);
@@ -275,8 +282,8 @@
         results
     }
 
-    /// Reads the records under the prefix of those jobs that the results lack. One
-    /// that has none there stays without a result.
+    /// Reads the records under the prefix for the jobs that have no result yet. A job
+    /// without a record there stays without a result.
     async fn read_records_of(
         &self,
         prefix: &str,
@@ -284,25 +291,26 @@
         priority: RequestPriority,
         results: &mut LookupResults,
     ) {
-        let remaining = not_contained(ids, results);
+        let remaining = without_result(ids, results);
         let NamedRead { items, unread } = self.read_some(prefix, remaining, priority).await;
         for UnreadName { name, error } in unread {
             results.insert(name, Err(error.to_string()));
         }
-        // A key that doesn't exist has no version.
+        // Items with version 0 stand for keys that don't exist.
         for item in items.into_iter().filter(|item| item.version > 0) {
             let id = item.key[prefix.len()..].to_owned();
             let found = self
                 .decode_record(prefix, &id, item.value, item.version, priority)
                 .await;
             if let Err(e) = &found {
-                log::error!("record {}: {e}", item.key);
+                log::error!("failed to decode record {}: {e}", item.key);
             }
             results.insert(id, found.map_err(|e| e.to_string()));
         }
     }
 
-    /// The record of a job under [`JOBS`] or [`FINALS`].
+    /// Decodes the record of a job. `prefix`: [`JOBS`] for a live record, [`FINALS`]
+    /// for a final one.
     async fn decode_record(
         &self,
         prefix: &str,
@@ -319,8 +327,8 @@
         }
     }
 
-    /// Reads those of the names that exist under the prefix: one by one if they
-    /// are few, else in pages.
+    /// Reads the keys of the given names under the prefix: one by one up to
+    /// [`MAX_SINGLE_READS`] names, otherwise in pages.
     pub(super) async fn read_some(
         &self,
         prefix: &str,
@@ -361,8 +369,8 @@
         result
     }
 
-    /// Reads one key, as a page that ends with it. A key that doesn't exist has
-    /// version 0 there.
+    /// Reads one key, and returns it as a page that ends with this key. If the key
+    /// doesn't exist, its item has version 0.
     async fn read_key(&self, key: &str) -> Result<Page, StoreError> {
         let item = self.get(key, LOOKUP_TIMEOUT).await?;
         let item = item.unwrap_or_else(|| Item {
@@ -422,7 +430,7 @@
                 self.metrics.borrow().state_refused.inc();
                 let logged_bytes = answer.body.len().min(MAX_LOGGED_BODY_BYTES);
                 log::error!(
-                    "the state service refused a transaction of {changes} changes: {}",
+                    "the state service rejected a transaction of {changes} changes: {}",
                     String::from_utf8_lossy(&answer.body[..logged_bytes])
                 );
                 TxnResult::Rejected
@@ -442,7 +450,8 @@
         self.with_spec(id, stored, priority).await
     }
 
-    /// The same of a record that was decoded.
+    /// Joins a job's record that was decoded with its spec, which may be kept in
+    /// chunks.
     pub(super) async fn with_spec(
         &self,
         id: &str,
@@ -462,7 +471,7 @@
             })
     }
 
-    /// Reads the record of one job, live or final.
+    /// Reads the record of one job, first the live one and then the final one.
     pub(super) async fn lookup(
         &self,
         id: &str,
--- a/src/server/upgrade.rs
+++ b/src/server/upgrade.rs
@@ -1,12 +1,14 @@
-//! Which controllers run this version. Each writes a version record to the
-//! key-value store when it first runs it; what older versions can't read is written
-//! only once all controllers have done so.
+//! Progress of an upgrade: which controllers run this version. Each controller writes a
+//! version record to the key-value store when it first runs a version. Records in a
+//! format that older versions can't read are written only once all controllers have
+//! written a version record of this format.
 //!
-//! Owns: the version records as last read. Its loop is started once by the process;
-//! the steps of users' requests ask whether the upgrade is complete.
+//! This module owns the version records as last read. Its loop is started once by the
+//! process; the handlers of users' requests and the control loop check whether the
+//! upgrade is complete.
 //!
-//! Must never: take the upgrade for complete while a controller's record is missing
-//! or of an older format.
+//! Invariant: the upgrade never counts as complete while the version record of a
+//! controller is missing or of an older format.
 
 use super::{
     Node,
@@ -30,27 +32,29 @@
 
 /// Pause after a failed attempt to write the version record.
 const RETRY_PAUSE: Duration = Duration::from_millis(500);
-/// Shortest time between two reads of the version records; up to as much again is
-/// added at random, so that the controllers don't read at the same moment.
+/// Minimum time in milliseconds between two reads of the version records. A random time
+/// of up to the same length is added, so that the controllers don't read
+/// simultaneously.
 const READ_INTERVAL_MS: u64 = 1_500;
 
-/// How far the upgrade to this version has come.
+/// Progress of the upgrade of all controllers to this version.
 #[derive(Default)]
 pub(super) struct Upgrade {
-    /// Every controller has run this version. It stays so: one that has is not
-    /// started in an older version again.
+    /// Whether every controller has run this version. Stays set once it is, as a
+    /// controller that ran this version is not started in an older version again.
     complete: Cell<bool>,
     /// Version records by controller, as last read.
     records: RefCell<BTreeMap<String, VersionRecord>>,
 }
 
 impl Upgrade {
-    /// What only this version can read may be written.
+    /// Whether records that only this version can read may be written.
     pub(super) fn is_complete(&self) -> bool {
         self.complete.get()
     }
 
-    /// The version that each controller runs; `None`: an older one.
+    /// Returns the version that each of the given controllers runs; `None` stands for a
+    /// version that writes no version record.
     pub(super) fn versions<'a>(
         &self,
         nodes: impl Iterator<Item = &'a str>,
@@ -64,27 +68,32 @@
             .collect()
     }
 
-    fn learned<'a>(
+    /// Replaces the version records, and marks the upgrade as complete if each of the
+    /// given controllers has a record of this format or a newer one.
+    fn update_records<'a>(
         &self,
         records: BTreeMap<String, VersionRecord>,
         mut nodes: impl Iterator<Item = &'a str>,
     ) {
-        let all_run_it = nodes.all(|node| {
+        let all_upgraded = nodes.all(|node| {
             records
                 .get(node)
                 .is_some_and(|record| record.format >= FORMAT)
         });
-        if all_run_it && !self.complete.replace(true) {
-            log::info!("all controllers run this version: its records may be used");
+        if all_upgraded && !self.complete.replace(true) {
+            log::info!(
+                "upgrade complete: all controllers run this version, its record formats are now used"
+            );
         }
         *self.records.borrow_mut() = records;
     }
 }
 
-/// Writes this version's record, then waits until all controllers have done so.
+/// Writes this controller's version record, then reads the records until the upgrade is
+/// complete.
 pub async fn run(node: Rc<Node>) {
     while let Err(e) = node.write_version_record().await {
-        log::debug!("recording this version: {e}");
+        log::debug!("failed to write the version record of this controller: {e}");
         Timer::after(RETRY_PAUSE).await;
     }
     while !node.check_upgrade_complete().await {
@@ -94,13 +103,14 @@
 }
 
 impl Node {
-    /// The names of all controllers.
+    /// Returns the names of all controllers.
     fn controller_names(&self) -> impl Iterator<Item = &str> {
         let peers = self.settings.peers.iter().map(|peer| peer.name.as_str());
         peers.chain([self.settings.name.as_str()])
     }
 
-    /// Controllers and their versions, as far as this node knows.
+    /// Returns the names of all controllers, with their versions as far as this node
+    /// knows them.
     pub(super) fn versions(&self) -> Vec<(String, Option<String>)> {
         let mut list = self.upgrade.versions(self.controller_names());
         list.sort();
@@ -145,8 +155,8 @@
         }
     }
 
-    /// Whether every controller has run this version; reads the records unless that
-    /// is known.
+    /// Whether every controller has run this version. Reads the version records unless
+    /// the upgrade is known to be complete.
     pub(super) async fn check_upgrade_complete(&self) -> bool {
         if self.upgrade.is_complete() {
             return true;
@@ -158,9 +168,9 @@
                     Some((node, serde_json::from_value(item.value).ok()?))
                 });
                 self.upgrade
-                    .learned(records.collect(), self.controller_names());
+                    .update_records(records.collect(), self.controller_names());
             }
-            Err(e) => log::debug!("reading the versions of the controllers: {e}"),
+            Err(e) => log::debug!("failed to read the version records of the controllers: {e}"),
         }
         self.upgrade.is_complete()
     }
--- a/src/server/upgrade/tests.rs
+++ b/src/server/upgrade/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn mark(format: u32) -> VersionRecord {
+fn version_record(format: u32) -> VersionRecord {
     VersionRecord {
         format,
         program: "1".into(),
@@ -8,21 +8,23 @@
 }
 
 #[test]
-fn new_records_wait_for_the_last_controller_and_then_stay_in_use() {
+fn upgrade_completes_for_good_when_all_controllers_have_current_records() {
     let nodes = || ["n0", "n1"].into_iter();
-    let marks = |list: &[(&str, u32)]| {
-        let all = list.iter().map(|(n, f)| (n.to_string(), mark(*f)));
+    let records = |list: &[(&str, u32)]| {
+        let all = list
+            .iter()
+            .map(|(n, f)| (n.to_string(), version_record(*f)));
         all.collect::<BTreeMap<_, _>>()
     };
-    let u = Upgrade::default();
-    // A mark of a controller that is not one of these says nothing.
-    u.learned(marks(&[("n0", FORMAT), ("n7", FORMAT)]), nodes());
-    assert!(!u.is_complete());
-    assert_eq!(u.versions(nodes())[1], ("n1".to_owned(), None));
-    u.learned(marks(&[("n0", FORMAT), ("n1", FORMAT - 1)]), nodes());
-    assert!(!u.is_complete());
-    u.learned(marks(&[("n0", FORMAT), ("n1", FORMAT + 1)]), nodes());
-    assert!(u.is_complete());
-    u.learned(marks(&[]), nodes());
-    assert!(u.is_complete());
+    let upgrade = Upgrade::default();
+    // The record of a controller that isn't in the settings is ignored.
+    upgrade.update_records(records(&[("n0", FORMAT), ("n7", FORMAT)]), nodes());
+    assert!(!upgrade.is_complete());
+    assert_eq!(upgrade.versions(nodes())[1], ("n1".to_owned(), None));
+    upgrade.update_records(records(&[("n0", FORMAT), ("n1", FORMAT - 1)]), nodes());
+    assert!(!upgrade.is_complete());
+    upgrade.update_records(records(&[("n0", FORMAT), ("n1", FORMAT + 1)]), nodes());
+    assert!(upgrade.is_complete());
+    upgrade.update_records(records(&[]), nodes());
+    assert!(upgrade.is_complete());
 }
