--- a/src/server/audit_log.rs
+++ b/src/server/audit_log.rs
@@ -36,7 +36,7 @@
     commands: Cell<CommandCounts>,
 }
 
-/// Start and stop commands sent to workers since the last logged line about commands.
+/// Start and stop commands issued to workers since the last logged line about commands.
 #[derive(Debug, Clone, Copy, Default)]
 struct CommandCounts {
     starts: u64,
@@ -111,28 +111,28 @@
     }
 
     /// Counts commands to workers, and logs the counts with the basis of this node's
-    /// authority at most once per [`COMMANDS_INTERVAL_MS`]. `lead`: this node's current
-    /// leadership.
-    pub(super) fn log_commands(&self, lead: Option<Leadership>, starts: u64, stops: u64) {
+    /// authority at most once per [`COMMANDS_INTERVAL_MS`]. `leadership`: this node's
+    /// current leadership.
+    pub(super) fn log_commands(&self, leadership: Option<Leadership>, starts: u64, stops: u64) {
         let mut commands = self.audit_log.commands.get();
         commands.starts += starts;
         commands.stops += stops;
         let now = self.now();
         let due = now >= commands.logged_at + COMMANDS_INTERVAL_MS;
         if due && commands.starts + commands.stops > 0 {
-            let basis = lead.map(|lead| {
-                let authority = lead.authority();
+            let basis = leadership.map(|leadership| {
+                let authority = leadership.authority();
                 format!(
                     "term {}, authority by {} for another {} ms, cancellations known up to {} ms ago",
-                    lead.term,
+                    leadership.term,
                     authority.basis.text(),
                     authority.valid_until.saturating_sub(now),
-                    now.saturating_sub(lead.cancellations_known_until())
+                    now.saturating_sub(leadership.cancellations_known_until())
                 )
             });
             let basis = basis.unwrap_or_else(|| "this node has stepped down since".to_owned());
             log::info!(
-                "sent commands to workers: {} starts and {} stops; {basis}",
+                "issued commands to workers: {} starts and {} stops; {basis}",
                 commands.starts,
                 commands.stops
             );
--- a/src/server/market.rs
+++ b/src/server/market.rs
@@ -26,11 +26,11 @@
 impl Node {
     /// Returns the jobs that may be offloaded, and those of the offloaded jobs that are
     /// to be recalled.
-    pub(super) fn offload_candidates(&self, lent: &[(String, u64)]) -> Reply {
+    pub(super) fn offload_candidates(&self, offloaded: &[(String, u64)]) -> Reply {
         self.with_authority(|leader, _| {
             leader.loaded().then(|| Reply::OffloadCandidates {
                 jobs: leader.lendable(MAX_OFFLOAD_CANDIDATES),
-                recall: leader.not_needed(lent),
+                recall: leader.not_needed(offloaded),
             })
         })
         .flatten()
@@ -51,19 +51,19 @@
     }
 
     /// Marks a job as offloaded to another cluster.
-    pub(super) async fn offload(&self, id: &str, lent: OffloadTarget, version: u64) -> Reply {
+    pub(super) async fn offload(&self, id: &str, target: OffloadTarget, version: u64) -> Reply {
         let query = || {
             self.with_authority(|leader, _| {
                 if !leader.loaded() {
                     return None;
                 }
-                let marked = leader.lend(id, lent.clone(), version);
-                Some((marked, marked != OffloadMark::NotYet))
+                let mark = leader.lend(id, target.clone(), version);
+                Some((mark, mark != OffloadMark::NotYet))
             })
             .flatten()
         };
-        let marked = self.wait_until_decided(query).await;
-        marked.map_or(Reply::NotLeader, Reply::OffloadMark)
+        let mark = self.wait_until_decided(query).await;
+        mark.map_or(Reply::NotLeader, Reply::OffloadMark)
     }
 
     /// Ends the offload of a job, with the tasks that are done.
@@ -73,12 +73,12 @@
                 if !leader.loaded() {
                     return None;
                 }
-                let taken = leader.take_back(id, award, done);
-                Some((taken, taken))
+                let ended = leader.take_back(id, award, done);
+                Some((ended, ended))
             })
             .flatten()
         };
-        let taken = self.wait_until_decided(query).await;
-        taken.map_or(Reply::NotLeader, Reply::OffloadEnded)
+        let ended = self.wait_until_decided(query).await;
+        ended.map_or(Reply::NotLeader, Reply::OffloadEnded)
     }
 }
--- a/src/server/metrics.rs
+++ b/src/server/metrics.rs
@@ -185,7 +185,7 @@
         registry.register("answer_seconds", help, metrics.answer_seconds.clone());
         let help = "Seconds from the acceptance of a job to the first run of a task, by class";
         registry.register("wait_seconds", help, metrics.wait_seconds.clone());
-        let help = "Seconds that a phase of the recovery under a new leader took";
+        let help = "Seconds that each phase of the recovery under a new leader took";
         registry.register("recovery_seconds", help, metrics.recovery_seconds.clone());
         let help = "Failovers to this node: warm, or why it had to wait for all machines first";
         registry.register("takeovers", help, metrics.takeovers.clone());
--- a/src/server/status.rs
+++ b/src/server/status.rs
@@ -43,17 +43,19 @@
                 .map(|(at, p)| (*at, p.term));
             let is_fresh =
                 last.is_some_and(|(at, of)| now < at + MIN_REBUILD_INTERVAL_MS && Some(of) == term);
-            if !is_fresh && let Some(picture) = self.with_authority(|l, now| l.picture(now)) {
-                *self.last_cluster_status.borrow_mut() = Some((now, picture));
+            if !is_fresh && let Some(cluster_status) = self.with_authority(|l, now| l.picture(now))
+            {
+                *self.last_cluster_status.borrow_mut() = Some((now, cluster_status));
             }
         } else if let Some(leader) = self.leader_peer()
             && let Ok(Reply::Status(answer)) = self
                 .call_peer(leader, &Request::LeaderStatus, LEADER_STATUS_TIMEOUT)
                 .await
-            && let Some(picture) = answer.cluster
+            && let Some(cluster_status) = answer.cluster
         {
             let age = (answer.age_s.max(0.0) * 1000.0) as Millis;
-            *self.last_cluster_status.borrow_mut() = Some((now.saturating_sub(age), picture));
+            *self.last_cluster_status.borrow_mut() =
+                Some((now.saturating_sub(age), cluster_status));
         }
         self.own_status(self.now())
     }
@@ -115,9 +117,9 @@
             return Explanation::NoSuchJob;
         }
         match self.lookup(id, RequestPriority::Listing).await {
-            Ok(Found::Final(f, _)) => Explanation::Over {
-                state: f.state.to_string(),
-                done: f.done,
+            Ok(Found::Final(record, _)) => Explanation::Over {
+                state: record.state.to_string(),
+                done: record.done,
             },
             Ok(Found::Nothing) => Explanation::NoSuchJob,
             Ok(Found::Live(..)) => Explanation::Unknown(
