--- a/src/options.rs
+++ b/src/options.rs
@@ -26,9 +26,12 @@
     pub memory_gb: f64,
 }
 
+/// Options of a controller; see `examples/pathwinch.ini`.
 #[derive(Debug, Clone)]
 pub struct Options {
+    /// Load, from 0 to 1, below which a machine is preferred for placement.
     pub threshold: f64,
+    /// Resource that determines the load of a machine.
     pub load: LoadResource,
     /// Common task shapes. If empty, they are learned from the submitted jobs.
     pub shapes: Vec<Shape>,
@@ -59,12 +62,14 @@
 }
 
 impl Options {
+    /// Reads and parses an options file.
     pub fn load(path: &Path) -> Result<Self> {
         let text = std::fs::read_to_string(path)
             .with_context(|| format!("failed to read options file {}", path.display()))?;
         Self::parse(&text).with_context(|| format!("options file {}", path.display()))
     }
 
+    /// Parses the text of an options file. Keys that are missing keep their defaults.
     pub fn parse(text: &str) -> Result<Self> {
         let ini = Ini::load_from_str(text)?;
         let mut options = Options::default();
--- a/src/server/audit_log.rs
+++ b/src/server/audit_log.rs
@@ -1,6 +1,6 @@
 //! Audit log for the analysis of incidents: which node acted in which term and on which
 //! basis of authority, which source the answers to users were read from, and which
-//! commands were sent to workers. Lines are logged at level info and are rate limited;
+//! commands were issued to workers. Lines are logged at level info and are rate limited;
 //! metrics count all events, also those without a line.
 //!
 //! This module owns the rate limit of the lines, the last logged state of each job, and
--- a/src/server/control_loop.rs
+++ b/src/server/control_loop.rs
@@ -3,8 +3,7 @@
 //!
 //! This module owns the schedule of control rounds, the direct commands to workers, the
 //! lookups of dependencies, and the leader's writes to the key-value store. The loop is
-//! started once by the process, and is woken by [`Node::in_term`] when there
-//! is work.
+//! started once by the process, and is woken by [`Node::in_term`] when there is work.
 //!
 //! Invariants: no operation is started without authority. A round never waits for a
 //! network call. At most one write of the leader's records is in progress at a time.
@@ -54,7 +53,7 @@
 
 /// Operations of the control loop of which at most one per kind is in progress.
 #[derive(Default)]
-pub(super) struct Operations {
+pub(super) struct InFlightOperations {
     writes: SingleFlight,
     dependency_lookups: SingleFlight,
     machine_lists: SingleFlight,
--- a/src/server/heartbeats.rs
+++ b/src/server/heartbeats.rs
@@ -53,8 +53,9 @@
         let now = self.now();
         let has_leadership = self.election.borrow().leadership().is_some();
         let target = match has_leadership {
-            // This node leads, but its authority has lapsed for the moment. The worker
-            // comes back to it soonest if it chooses the next controller itself.
+            // This node leads but can't answer now, for instance because its authority
+            // has lapsed. The worker returns to this node soonest if it chooses the
+            // next controller itself.
             true => RedirectTarget::Any,
             false => self
                 .failure_detector
--- a/src/server/leadership/mod.rs
+++ b/src/server/leadership/mod.rs
@@ -19,8 +19,9 @@
 use async_io::Timer;
 use std::{cell::Cell, rc::Rc, time::Duration};
 
-/// Timeout of a request to all peers, and the time after which a pending renewal counts
-/// as failing, so that the peers are asked for promises.
+/// Timeout of a request to all peers and of the revocation of a lease. Also the time
+/// after which a pending renewal counts as failing, so that the peers are asked for
+/// promises.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// State of this node's leadership that is not part of `control::election`.
--- a/src/server/leadership/renew.rs
+++ b/src/server/leadership/renew.rs
@@ -264,7 +264,7 @@
     }
 
     /// Asks all peers for a promise, except those excluded from elections: these can't
-    /// be elected, and asking them would only take until the timeout.
+    /// be elected, and asking them would only add the delay of a timeout.
     async fn collect_promises(self: &Rc<Self>, term: u64, sent: Millis) -> Vec<PromiseResponse> {
         let request = Request::Promise {
             term,
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -81,7 +81,7 @@
     leader: RefCell<Option<Leader>>,
     standby: standby::Standby,
     budgets: budgets::Budgets,
-    in_flight: control_loop::Operations,
+    in_flight: control_loop::InFlightOperations,
     machine_types: RefCell<Vec<MachineType>>,
     /// When the key-value store last responded with a status other than 429 or 503.
     state_answered_at: Cell<Option<Millis>>,
@@ -163,7 +163,7 @@
             leadership: leadership::LeadershipStatus::default(),
             leader: RefCell::new(None),
             standby: standby::Standby::default(),
-            in_flight: control_loop::Operations::default(),
+            in_flight: control_loop::InFlightOperations::default(),
             machine_types: RefCell::new(Vec::new()),
             state_answered_at: Cell::new(None),
             upgrade: upgrade::Upgrade::default(),
--- a/src/server/poll_records.rs
+++ b/src/server/poll_records.rs
@@ -11,7 +11,7 @@
 use super::{
     Node,
     dependency_reads::{ListedJob, ListedRecords},
-    polls::{Answer, Round, send_answer},
+    polls::{PollResult, PollRound, send_answer},
     store::{StoreError, UnreadName},
 };
 use crate::{
@@ -81,7 +81,7 @@
             Ok(mut records) => {
                 listed_jobs = records.listed_jobs;
                 for (id, waiters) in round {
-                    let answer = node.confirm(records.take_reading(&id, began));
+                    let answer = node.check_withheld(records.take_reading(&id, began));
                     node.answer_from_records(&id, waiters, answer);
                 }
             }
@@ -150,14 +150,18 @@
         node.learn_job(job, began);
         node.read_dependencies(id).await;
     }
-    node.confirm(Ok(RecordReading { reading, dependent }))
+    node.check_withheld(Ok(RecordReading { reading, dependent }))
 }
 
 impl Node {
     /// Reads the records for a round: lists all live records, then reads the final
     /// records of jobs that are not live. These are polled jobs as well as direct and
     /// transitive dependencies of polled jobs.
-    async fn read_round(&self, round: &Round, began: Millis) -> Result<RoundRecords, StoreError> {
+    async fn read_round(
+        &self,
+        round: &PollRound,
+        began: Millis,
+    ) -> Result<RoundRecords, StoreError> {
         let listed = self.list(JOBS, RequestPriority::Poll).await?;
         let listed: ListedRecords = listed
             .into_iter()
@@ -173,7 +177,7 @@
             match listed.get(&job_key(id)) {
                 Some((value, version)) => {
                     let job = self.decode_listed(id, value).await;
-                    self.take_listed(&mut records, id, job, *version, began);
+                    self.add_listed_job(&mut records, id, job, *version, began);
                 }
                 None => {
                     names.insert(id.clone());
@@ -189,7 +193,7 @@
         Ok(records)
     }
 
-    fn take_listed(
+    fn add_listed_job(
         &self,
         records: &mut RoundRecords,
         id: &str,
@@ -229,7 +233,10 @@
 
     /// Returns the reading of a job, or an error if the status must be withheld because
     /// of the job's dependencies.
-    fn confirm(&self, read: Result<RecordReading, RecordsError>) -> Result<Reading, RecordsError> {
+    fn check_withheld(
+        &self,
+        read: Result<RecordReading, RecordsError>,
+    ) -> Result<Reading, RecordsError> {
         let RecordReading { reading, dependent } = read?;
         let Some(status) = reading.status.as_ref().filter(|_| dependent) else {
             return Ok(reading);
@@ -243,7 +250,7 @@
     fn answer_from_records(
         &self,
         id: &str,
-        waiters: Vec<Sender<Answer>>,
+        waiters: Vec<Sender<PollResult>>,
         answer: Result<Reading, RecordsError>,
     ) {
         match &answer {
--- a/src/server/polls.rs
+++ b/src/server/polls.rs
@@ -26,11 +26,11 @@
 /// Maximum number of jobs in a round.
 const MAX_ROUND_JOBS: usize = 500;
 /// Result of a poll: the reading, or the reason why the poll could not be answered.
-pub(super) type Answer = Result<Reading, String>;
+pub(super) type PollResult = Result<Reading, String>;
 
 /// Queue of polls that wait for the same source of answers.
 pub(super) struct PollQueue {
-    batch: RefCell<PollBatch<Sender<Answer>>>,
+    batch: RefCell<PollBatch<Sender<PollResult>>>,
     wake: WakeSignal,
 }
 
@@ -53,7 +53,7 @@
 }
 
 /// The jobs of a round, with the polls of each.
-pub(super) type Round = Vec<(String, Vec<Sender<Answer>>)>;
+pub(super) type PollRound = Vec<(String, Vec<Sender<PollResult>>)>;
 
 impl PollQueue {
     pub(super) fn new(max_waiters: usize) -> Self {
@@ -65,13 +65,13 @@
 
     /// Adds a poll to the queue. If the queue is full the waiter is dropped, which
     /// closes its channel.
-    fn add(&self, id: &str, waiter: Sender<Answer>) {
+    fn add(&self, id: &str, waiter: Sender<PollResult>) {
         self.batch.borrow_mut().add(id, waiter);
         self.wake.notify();
     }
 
     /// Adds a poll of the job to the queue and waits for the answer.
-    pub(super) async fn wait_for_answer(&self, id: &str) -> Answer {
+    pub(super) async fn wait_for_answer(&self, id: &str) -> PollResult {
         let (waiter, receiver) = async_channel::bounded(1);
         self.add(id, waiter);
         let answer = receiver.recv().await;
@@ -96,13 +96,13 @@
         }
     }
 
-    pub(super) fn take_round(&self) -> Round {
+    pub(super) fn take_round(&self) -> PollRound {
         self.batch.borrow_mut().take_round(MAX_ROUND_JOBS)
     }
 }
 
 /// Sends the answer to all polls of a job.
-pub(super) fn send_answer(waiters: Vec<Sender<Answer>>, answer: &Answer) {
+pub(super) fn send_answer(waiters: Vec<Sender<PollResult>>, answer: &PollResult) {
     for waiter in waiters {
         // The send fails if the user's request has ended in the meantime.
         let _ = waiter.try_send(answer.clone());
--- a/src/server/store.rs
+++ b/src/server/store.rs
@@ -26,7 +26,7 @@
 
 /// Timeout of a call to the store, unless the call has a timeout of its own.
 pub const STATE_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Timeout of the read of one key or one page in a lookup of records.
+/// Timeout of the read of one key or one short page in a lookup of records.
 const LOOKUP_TIMEOUT: Duration = Duration::from_millis(900);
 /// Timeout of the read of one page of a complete list.
 const LIST_PAGE_TIMEOUT: Duration = Duration::from_secs(3);
