--- a/src/server/polls.rs
+++ b/src/server/polls.rs
@@ -52,7 +52,7 @@
     }
 }
 
-/// The jobs of a round, with the polls of each.
+/// The jobs of a round, with the waiting polls of each job.
 pub(super) type PollRound = Vec<(String, Vec<Sender<PollResult>>)>;
 
 impl PollQueue {
--- a/src/server/store.rs
+++ b/src/server/store.rs
@@ -62,7 +62,7 @@
     IncompleteRecord {
         /// The job's id.
         id: String,
-        /// What was wrong.
+        /// Why the record is incomplete.
         reason: String,
     },
     /// The records were read at this revision, which is older than the leader's term.
