--- a/src/server/exclusions.rs
+++ b/src/server/exclusions.rs
@@ -1,11 +1,11 @@
 //! Carries out the steps of `control::exclusions` while this node leads.
 //!
-//! Owns: the loop that excludes unresponsive peers from elections and readmits
-//! healthy ones. Started once by the process; the leadership loop reads the
-//! resulting exclusions.
+//! This module owns the loop that excludes unresponsive peers from elections and
+//! readmits peers that respond again. The loop is started once by the process; the
+//! leadership loop reads the resulting exclusions.
 //!
-//! Must never: carry out two steps at once, or report the result of a step to the
-//! exclusions of a later term.
+//! Invariants: one step is carried out at a time. The result of a step is never
+//! reported to the exclusions of a later term.
 
 use super::{
     Node,
@@ -26,22 +26,23 @@
 use async_io::Timer;
 use std::{rc::Rc, time::Duration};
 
-/// Time between two checks for a step that is due.
+/// Interval between two checks for a step that is due.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Whether a step was carried out, so that the next may follow at once.
+/// Whether a step was carried out. Only after `Done` the next step follows without a
+/// pause.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum StepResult {
     Done,
     Failed,
 }
 
-/// Carries out due steps, for as long as the process runs.
+/// Carries out due steps while this node leads, for as long as the process runs.
 pub async fn run(node: Rc<Node>) {
     loop {
         Timer::after(CHECK_INTERVAL).await;
         while let Some(term) = node
-            .acting(|leader, _| leader.loaded().then_some(leader.term))
+            .with_authority(|leader, _| leader.loaded().then_some(leader.term))
             .flatten()
         {
             let Some(step) = node.next_exclusion_step() else {
@@ -64,7 +65,7 @@
             .next_step(&self.failure_detector.borrow(), now)
     }
 
-    /// Reads the exclusions of earlier terms for a new leader.
+    /// Reads the exclusions that earlier leaders wrote, at the start of `term`.
     pub(super) async fn read_exclusions(&self, term: u64) -> Result<(), StoreError> {
         let items = self.list(EXCLUSIONS, RequestPriority::Acceptance).await?;
         let peer_of = |key: &str| {
@@ -75,11 +76,11 @@
             .iter()
             .filter_map(|item| Some((peer_of(&item.key)?, item.version)));
         let exclusions = Exclusions::new(term, recorded);
-        self.of_term(term, |_, _| self.exclusions.replace(exclusions));
+        self.in_term(term, |_, _| self.exclusions.replace(exclusions));
         Ok(())
     }
 
-    /// Reports to the exclusions of `term`; `None` when that term is over.
+    /// Runs `report` on the exclusions of `term`; returns `None` if that term is over.
     fn exclusions_of<T>(&self, term: u64, report: impl FnOnce(&mut Exclusions) -> T) -> Option<T> {
         self.exclusions.borrow_mut().of_term(term).map(report)
     }
@@ -130,7 +131,9 @@
             .await
         {
             TxnResult::Done(version) => {
-                log::info!("{name} hangs: excluded from elections until it answers");
+                log::info!(
+                    "excluded unresponsive controller {name} from elections until it responds"
+                );
                 self.exclusions_of(term, |exclusions| {
                     exclusions.excluded(peer, version, repeated)
                 });
@@ -154,11 +157,12 @@
             .await
         {
             TxnResult::Done(_) => {}
-            // The exclusion is gone, or has another version than was counted.
+            // The exclusion no longer exists, or its version differs from the one that
+            // this leader counted.
             TxnResult::Conflict(failed) if !failed.iter().any(|key| key == LEADER) => {}
             _ => return StepResult::Failed,
         }
-        log::info!("{name} is readmitted to elections");
+        log::info!("readmitted controller {name} to elections");
         self.exclusions_of(term, |exclusions| exclusions.readmitted(peer));
         StepResult::Done
     }
@@ -175,6 +179,6 @@
     async fn change_exclusion(&self, txn: Txn) -> TxnResult {
         let now = self.now();
         self.budgets.charge_changes(now, 1.0);
-        self.txn(&txn, STATE_TIMEOUT).await
+        self.run_txn(&txn, STATE_TIMEOUT).await
     }
 }
--- a/src/server/standby.rs
+++ b/src/server/standby.rs
@@ -1,10 +1,11 @@
-//! Replication to the standbys while this node leads, and the replica it keeps while
-//! another does.
+//! Replication to the standbys while this node leads, and the replica that this node
+//! keeps while another node leads.
 //!
-//! Owns: the requests of the replication stream and the writes of the standby
-//! registry. Called by the control loop, by the campaign and by `server::peers`.
+//! This module owns the requests of the replication stream and the writes of the
+//! standby registry. It is called by the control loop, by the campaign and by
+//! `server::peers`.
 //!
-//! Must never: accept a part of the stream while this node leads.
+//! Invariant: a part of the stream is never accepted while this node leads.
 
 use super::{
     Node,
@@ -28,26 +29,26 @@
 use async_io::Timer;
 use std::{cell::RefCell, rc::Rc, time::Duration};
 
-/// A part of the stream that is not answered by then counts as lost.
+/// Time after which a part of the stream that was not answered counts as lost.
 const REPLICATE_TIMEOUT: Duration = Duration::from_millis(900);
 /// Pause before a failed read of the standby registry is repeated.
 const REREAD_PAUSE: Duration = Duration::from_millis(200);
 
-/// What this node keeps while another leads, to take over from it.
+/// State that this node keeps while another node leads, so that it can take over.
 #[derive(Default)]
 pub(super) struct Standby {
-    /// The replica of the leader's state, as far as it was received.
+    /// The part of the replica of the leader's state that was received so far.
     pub(super) replica_receiver: RefCell<ReplicaReceiver>,
-    /// The registry of standbys, as read since nobody leads.
+    /// The standby registry, as read since there has been no leader.
     pub(super) last_record: RefCell<Option<StandbyRecord>>,
 }
 
 impl Node {
-    /// One round of the leader: updates the standby registry and goes on with the
-    /// replication to each standby.
+    /// Updates the standby registry and continues the replication to each standby.
+    /// Called once per control round of the leader.
     pub(super) fn update_standbys(self: &Rc<Self>, term: u64) {
         let now = self.now();
-        let due = self.acting(|leader, now| {
+        let due = self.with_authority(|leader, now| {
             let failure_detector = self.failure_detector.borrow();
             leader.update_standbys(|peer| failure_detector.is_healthy(peer, now), now)
         });
@@ -56,9 +57,9 @@
                 .spawn_high(self.clone().write_standbys(term, txn))
                 .detach();
         }
-        let peers = self.of_term(term, |leader, _| leader.standby_peers());
+        let peers = self.in_term(term, |leader, _| leader.standby_peers());
         for peer in peers.unwrap_or_default() {
-            let part = self.of_term(term, |leader, _| leader.next_replication_part(peer, now));
+            let part = self.in_term(term, |leader, _| leader.next_replication_part(peer, now));
             if let Some(part) = part.flatten() {
                 let sending = self.clone().send_replication_part(term, peer, part);
                 self.executor.spawn_high(sending).detach();
@@ -66,21 +67,22 @@
         }
     }
 
-    /// Sends a part of the stream, and each part that follows its answer.
+    /// Sends a part of the stream, then each next part once the previous one was
+    /// answered.
     async fn send_replication_part(self: Rc<Self>, term: u64, peer: usize, part: ReplicationPart) {
         let mut next = Some(part);
         while let Some(part) = next.take() {
             let reply = self
-                .ask(peer, &Request::Replicate(part), REPLICATE_TIMEOUT)
+                .call_peer(peer, &Request::Replicate(part), REPLICATE_TIMEOUT)
                 .await;
             let answer = match reply {
                 Ok(Reply::Replicated {
                     incarnation,
-                    applied: taken,
-                }) => Some((incarnation, taken)),
+                    applied: is_applied,
+                }) => Some((incarnation, is_applied)),
                 _ => None,
             };
-            let following = self.of_term(term, |leader, now| {
+            let following = self.in_term(term, |leader, now| {
                 leader.replication_answered(peer, answer, now);
                 leader.next_replication_part(peer, now)
             });
@@ -88,24 +90,24 @@
         }
     }
 
-    /// Takes a part of the stream from the leader, as its standby.
+    /// Applies a part of the stream that the leader sent to this node as its standby.
     pub(super) fn receive_replication_part(&self, part: ReplicationPart) -> Reply {
         if self.election.borrow().leadership().is_some() {
             return Reply::NotLeader;
         }
         let incarnation = self.election.borrow().incarnation;
-        let taken = self
+        let is_applied = self
             .standby
             .replica_receiver
             .borrow_mut()
             .apply_part(part, self.now());
         Reply::Replicated {
             incarnation,
-            applied: taken,
+            applied: is_applied,
         }
     }
 
-    /// Reads the standby registry, with its version.
+    /// Reads the standby registry and its version.
     pub(super) async fn read_standby_record(
         &self,
     ) -> Result<Option<(StandbyRecord, u64)>, StoreError> {
@@ -121,7 +123,7 @@
         self.budgets
             .charge_requests(now, RequestPriority::Leadership, 1);
         self.budgets.charge_changes(now, 1.0);
-        let outcome = match self.txn(&txn, STATE_TIMEOUT).await {
+        let outcome = match self.run_txn(&txn, STATE_TIMEOUT).await {
             TxnResult::Done(version) => RegistryWriteOutcome::Done(version),
             TxnResult::Refused | TxnResult::Rejected => RegistryWriteOutcome::Refused,
             TxnResult::Conflict(failed) if failed.iter().any(|key| key == LEADER) => {
@@ -129,7 +131,7 @@
                 return;
             }
             TxnResult::Conflict(_) | TxnResult::Unknown => loop {
-                if self.of_term(term, |_, _| ()).is_none() {
+                if self.in_term(term, |_, _| ()).is_none() {
                     return;
                 }
                 match self.read_standby_record().await {
@@ -138,13 +140,14 @@
                 };
             },
         };
-        self.of_term(term, |leader, now| leader.standbys_written(outcome, now));
+        self.in_term(term, |leader, now| leader.standbys_written(outcome, now));
     }
 
-    /// Whether another node is in the standby registry and healthy, and this one
-    /// isn't registered. It only delays a candidacy, so the registry may be old.
+    /// Whether this node is missing in the standby registry and another node in it is
+    /// healthy. The result only delays a candidacy, so the registry may be outdated.
     pub(super) async fn other_standbys_are_counted(&self) -> bool {
-        // Read once while nobody leads, as the request budget is scarce then.
+        // The registry is read only once while there is no leader, as the request
+        // budget is small then.
         if self.standby.last_record.borrow().is_none() {
             let Ok(found) = self.read_standby_record().await else {
                 return false;
