--- a/crates/lab/src/base.rs
+++ b/crates/lab/src/base.rs
@@ -1,5 +1,6 @@
-//! What every lab has: stand-ins on loopback with real controllers beside
-//! them, and workers on what the controllers rent.
+//! The common part of every testbed: simulated services on loopback, the settings
+//! files and start commands of real controllers, and simulated workers on the
+//! machines that the controllers rent. `up` and `scale` build on it.
 
 use crate::{
     children::Program,
@@ -20,12 +21,13 @@
     rc::Rc,
 };
 
-/// Connections that each stand-in takes.
-const CONNECTIONS: usize = 1024;
-/// The path whose connections the stand-ins serve first.
-const FIRST_PATH: &str = "/leases";
+/// Maximum number of open connections to each simulated service.
+const MAX_CONNECTIONS: usize = 1024;
+/// Connections that request this path are served with high priority.
+const HIGH_PRIORITY_PATH: &str = "/leases";
 
-/// Stand-ins that listen but don't serve yet.
+/// A testbed whose simulated services are bound to their ports but do not serve
+/// requests yet.
 pub struct Base {
     pub testbed: Rc<Testbed>,
     pub users: SocketAddr,
@@ -37,17 +39,19 @@
 }
 
 impl Base {
-    /// Writes the controllers' settings to `dir`, which is made if need be.
+    /// Binds the ports and writes the settings of the controllers to `dir`, which is
+    /// created if it does not exist.
     pub fn new(site: Site, dir: &Path) -> Result<Self> {
-        std::fs::create_dir_all(dir).with_context(|| format!("cannot make {}", dir.display()))?;
+        std::fs::create_dir_all(dir)
+            .with_context(|| format!("cannot create directory {}", dir.display()))?;
         let (state_listener, state) = loopback()?;
         let (cloud_listener, cloud) = loopback()?;
         let (users_listener, users) = loopback()?;
         let services = Services { cloud, state };
-        let list = controllers::configure(&site, &services, dir)?;
+        let configured = controllers::configure(&site, &services, dir)?;
         let executor = Rc::new(PriorityExecutor::default());
         Ok(Base {
-            testbed: Rc::new(Testbed::new(site, executor, list)),
+            testbed: Rc::new(Testbed::new(site, executor, configured)),
             users,
             state,
             cloud,
@@ -57,23 +61,27 @@
         })
     }
 
-    /// How the controllers are started.
+    /// Returns the commands that start the controllers with `program`.
     pub fn programs(&self, program: &Path) -> Vec<Program> {
-        let of = |c: &crate::installation::Controller| Program {
+        let to_program = |c: &crate::installation::Controller| Program {
             name: c.name.clone(),
             path: program.to_owned(),
             arguments: vec!["serve".into(), "--config".into(), c.settings.clone().into()],
         };
-        self.testbed.controllers.iter().map(of).collect()
+        self.testbed.controllers.iter().map(to_program).collect()
     }
 
-    /// Serves all paths, hosts the workers and probes the controllers from now
-    /// on.
+    /// Starts the background tasks that serve all HTTP paths, run the workers and
+    /// probe the controllers.
     pub fn serve(self) {
         let testbed = self.testbed;
         serve_on(&testbed, self.state_listener, services::state);
         serve_on(&testbed, self.cloud_listener, services::cloud);
-        serve_on(&testbed, self.users_listener, load_balancer::front);
+        serve_on(
+            &testbed,
+            self.users_listener,
+            load_balancer::handle_user_request,
+        );
         testbed
             .executor
             .spawn_high(hosts::run(testbed.clone()))
@@ -91,12 +99,12 @@
     Fut: Future<Output = HttpResponse> + 'static,
 {
     let limits = Limits {
-        connections: CONNECTIONS,
-        others: CONNECTIONS,
-        first: FIRST_PATH,
+        connections: MAX_CONNECTIONS,
+        others: MAX_CONNECTIONS,
+        first: HIGH_PRIORITY_PATH,
     };
-    let shared = testbed.clone();
-    let handle = move |request| handler(shared.clone(), request);
+    let shared_testbed = testbed.clone();
+    let handle = move |request| handler(shared_testbed.clone(), request);
     let serve = server::serve_on(testbed.executor.clone(), listener, limits, handle);
     testbed.executor.spawn_high(serve).detach();
 }
--- a/crates/lab/src/children.rs
+++ b/crates/lab/src/children.rs
@@ -1,5 +1,6 @@
-//! Child processes: started, kept up, rolled to another program, and ended with
-//! this one.
+//! Child processes of the testbed: starts them, restarts those that exit, upgrades
+//! the controllers to another program one by one, and kills all of them when
+//! [`Children`] is dropped.
 
 use crate::installation::Testbed;
 use anyhow::{Context, Result};
@@ -12,25 +13,26 @@
     time::Duration,
 };
 
-/// A roll of the controllers to another program while they serve.
+/// A rolling upgrade of the controllers to another program while they serve requests.
 #[derive(Debug, Clone)]
 pub struct RollingUpgrade {
     pub program: PathBuf,
-    /// From the start to the first, and from one to the next.
-    pub after: Duration,
-    pub every: Duration,
+    /// From the start to the upgrade of the first controller.
+    pub first_after: Duration,
+    /// From the upgrade of one controller to that of the next.
+    pub interval: Duration,
 }
 
-/// A process to be kept up.
+/// The command of a process that is restarted whenever it exits.
 #[derive(Debug, Clone)]
 pub struct Program {
-    /// For its log.
+    /// Names the log file, `NAME.log`.
     pub name: String,
     pub path: PathBuf,
     pub arguments: Vec<OsString>,
 }
 
-/// Processes that end with this one.
+/// Supervised processes, which are killed when this value is dropped.
 pub struct Children {
     dir: PathBuf,
     commands: RefCell<Vec<Program>>,
@@ -38,7 +40,7 @@
 }
 
 impl Children {
-    /// Nothing is started yet; logs go to `dir`.
+    /// Starts no process yet; see [`Children::keep_up`]. The log files go to `dir`.
     pub fn new(dir: PathBuf, programs: Vec<Program>) -> Self {
         Children {
             dir,
@@ -47,7 +49,8 @@
         }
     }
 
-    /// The process ids of those that run, in the order of the programs.
+    /// Returns the process id of each program, in their order; `None` if it does not
+    /// run.
     pub fn process_ids(&self) -> Vec<Option<u32>> {
         let running = self.running.borrow();
         running.iter().map(|c| c.as_ref().map(Child::id)).collect()
@@ -56,21 +59,22 @@
     fn start(&self, index: usize) -> Result<Child> {
         let program = &self.commands.borrow()[index];
         let log = self.dir.join(format!("{}.log", program.name));
-        let out = std::fs::OpenOptions::new()
+        let log_file = std::fs::OpenOptions::new()
             .create(true)
             .append(true)
             .open(&log)
-            .with_context(|| format!("cannot write {}", log.display()))?;
+            .with_context(|| format!("cannot open log file {}", log.display()))?;
         Command::new(&program.path)
             .args(&program.arguments)
             .stdin(std::process::Stdio::null())
-            .stdout(out.try_clone()?)
-            .stderr(out)
+            .stdout(log_file.try_clone()?)
+            .stderr(log_file)
             .spawn()
             .with_context(|| format!("cannot start {}", program.path.display()))
     }
 
-    /// Starts what isn't running, as a platform would.
+    /// Starts every program that does not run, once a second, as the service manager
+    /// of a real installation would. Never returns.
     pub async fn keep_up(&self) {
         loop {
             let names: Vec<String> = self
@@ -79,18 +83,18 @@
                 .iter()
                 .map(|c| c.name.clone())
                 .collect();
-            for (i, name) in names.iter().enumerate() {
-                let ended = match &mut self.running.borrow_mut()[i] {
+            for (index, name) in names.iter().enumerate() {
+                let exit_status = match &mut self.running.borrow_mut()[index] {
                     Some(child) => child.try_wait().ok().flatten(),
                     None => None,
                 };
-                if let Some(how) = ended {
-                    log::warn!("{name} ended ({how}), starting it again");
-                    self.running.borrow_mut()[i] = None;
+                if let Some(status) = exit_status {
+                    log::warn!("child process {name} exited ({status}), restarting it");
+                    self.running.borrow_mut()[index] = None;
                 }
-                if self.running.borrow()[i].is_none() {
-                    match self.start(i) {
-                        Ok(child) => self.running.borrow_mut()[i] = Some(child),
+                if self.running.borrow()[index].is_none() {
+                    match self.start(index) {
+                        Ok(child) => self.running.borrow_mut()[index] = Some(child),
                         Err(e) => log::error!("{e:#}"),
                     }
                 }
@@ -99,27 +103,32 @@
         }
     }
 
-    /// Ends one, as a fault would. It is kept up.
-    pub fn end(&self, index: usize) {
+    /// Kills a process to simulate a crash; [`Children::keep_up`] restarts it.
+    pub fn kill_process(&self, index: usize) {
         if let Some(Some(child)) = self.running.borrow_mut().get_mut(index) {
             let _ = child.kill();
         }
     }
 
-    /// Kills the controllers one after the other; each comes back with the new
-    /// program. Then the state service has its new limits.
+    /// Kills the controllers one after the other, so that each is restarted with the
+    /// new program. Then applies the next limits to the state service.
     pub async fn roll(&self, testbed: &Testbed, roll: &RollingUpgrade) {
-        Timer::after(roll.after).await;
-        for i in 0..testbed.controllers.len() {
-            self.commands.borrow_mut()[i].path = roll.program.clone();
-            if let Some(child) = &mut self.running.borrow_mut()[i] {
+        Timer::after(roll.first_after).await;
+        for index in 0..testbed.controllers.len() {
+            self.commands.borrow_mut()[index].path = roll.program.clone();
+            if let Some(child) = &mut self.running.borrow_mut()[index] {
                 let _ = child.kill();
             }
-            log::warn!("{} is upgraded", testbed.controllers[i].name);
-            Timer::after(roll.every).await;
+            log::warn!(
+                "rolling upgrade: killed {} to restart it with the new program",
+                testbed.controllers[index].name
+            );
+            Timer::after(roll.interval).await;
         }
         testbed.state.borrow_mut().apply_next_limits(testbed.now());
-        log::warn!("the state service has its limits to come, if the site names any");
+        log::warn!(
+            "rolling upgrade: the next limits of the state service apply now, if the site sets any"
+        );
     }
 }
 
@@ -132,15 +141,15 @@
     }
 }
 
-/// The program of controllers that stands beside this one.
-pub fn program_beside() -> Result<PathBuf> {
-    let own = std::env::current_exe().context("where is this program?")?;
-    let beside = own.with_file_name("pathwinch");
+/// Returns the path of the controller program in the directory of this program.
+pub fn program_in_own_directory() -> Result<PathBuf> {
+    let own_path = std::env::current_exe().context("cannot determine the path of this program")?;
+    let controller_program = own_path.with_file_name("pathwinch");
     anyhow::ensure!(
-        beside.is_file(),
-        "no pathwinch beside {}: build it (cargo build --release --workspace) \
-         or name it with --program",
-        own.display()
+        controller_program.is_file(),
+        "no pathwinch in the directory of {}: build it (cargo build --release --workspace) \
+         or pass its path with --program",
+        own_path.display()
     );
-    Ok(beside)
+    Ok(controller_program)
 }
--- a/crates/lab/src/hosts.rs
+++ b/crates/lab/src/hosts.rs
@@ -1,6 +1,6 @@
-//! Hosts the workers of all rented machines in this process: each has an
-//! address of its own for direct commands and a connection of its own for its
-//! reports; one loop lets time pass for all of them.
+//! Runs the simulated workers of all rented machines in this process. Each worker
+//! has its own address for direct commands and its own connection for its
+//! heartbeats; one loop advances all of them.
 
 use crate::{
     Millis,
@@ -22,40 +22,42 @@
     time::Duration,
 };
 
-/// Between two looks at all workers.
-const STEP: Duration = Duration::from_millis(50);
-/// How long a worker waits for the answer to a report.
-const REPORT_TIMEOUT: Duration = Duration::from_secs(4);
-/// After a report that failed, and after one that named another controller.
-const RETRY_MS: Millis = 1_000;
-const REDIRECT_MS: Millis = 100;
-/// A controller keeps one connection for direct commands, and a new one may
-/// come while the old one closes.
-const DIRECT_CONNECTIONS: usize = 64;
+/// Interval at which all workers are advanced.
+const STEP_INTERVAL: Duration = Duration::from_millis(50);
+/// How long a worker waits for the answer to a heartbeat.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(4);
+/// Delay before the next heartbeat after one that failed.
+const RETRY_DELAY_MS: Millis = 1_000;
+/// Delay before the next heartbeat after a redirect to another controller.
+const REDIRECT_DELAY_MS: Millis = 100;
+/// Maximum number of connections for direct commands to a worker. A controller keeps
+/// one open, and a new one may arrive while the old one closes.
+const MAX_DIRECT_CONNECTIONS: usize = 64;
 
-/// A worker and its side of the connections.
+/// A worker with the state of its heartbeat connection.
 struct Hosted {
     worker: RefCell<Worker>,
     client: Client,
-    /// The controller that it reports to.
+    /// Index of the controller that gets the heartbeats, modulo their number.
     target: Cell<usize>,
     in_flight: Cell<bool>,
-    wait_until: Cell<Millis>,
+    next_heartbeat_at: Cell<Millis>,
 }
 
-/// A hosted worker, and what serves its address.
-struct Running {
+/// A worker and the task that serves its address.
+struct RunningWorker {
     hosted: Rc<Hosted>,
-    _direct_orders: Task<std::io::Result<()>>,
+    _direct_command_task: Task<std::io::Result<()>>,
 }
 
-/// Brings up workers as their machines come up; they end with them.
+/// Starts a worker on each machine that has booted, and ends it when the machine is
+/// gone. Never returns.
 pub async fn run(testbed: Rc<Testbed>) {
-    let mut running: HashMap<String, Running> = HashMap::new();
+    let mut running: HashMap<String, RunningWorker> = HashMap::new();
     loop {
         let now = testbed.now();
-        let ready = testbed.cloud.borrow().ready(now);
-        for id in ready {
+        let booted = testbed.cloud.borrow().booted_machines(now);
+        for id in booted {
             running
                 .entry(id)
                 .or_insert_with_key(|id| start(&testbed, id));
@@ -64,11 +66,11 @@
         for hosted in running.values().map(|r| &r.hosted) {
             step(&testbed, hosted);
         }
-        Timer::after(STEP).await;
+        Timer::after(STEP_INTERVAL).await;
     }
 }
 
-fn end_workers_of_lost_machines(testbed: &Testbed, running: &mut HashMap<String, Running>) {
+fn end_workers_of_lost_machines(testbed: &Testbed, running: &mut HashMap<String, RunningWorker>) {
     let now = testbed.now();
     running.retain(|id, r| {
         let exists = testbed.cloud.borrow().machine(id).is_some();
@@ -83,11 +85,11 @@
     });
 }
 
-fn start(testbed: &Rc<Testbed>, id: &str) -> Running {
+fn start(testbed: &Rc<Testbed>, id: &str) -> RunningWorker {
     let (listener, addr) = match loopback() {
         Ok((listener, addr)) => (Some(listener), addr.to_string()),
         Err(e) => {
-            log::warn!("{id}: its worker can't listen for direct orders: {e}");
+            log::warn!("machine {id}: the worker cannot listen for direct commands: {e}");
             (None, String::new())
         }
     };
@@ -97,25 +99,26 @@
         client: Client::new(1),
         target: Cell::new(fastrand::usize(..testbed.controllers.len())),
         in_flight: Cell::new(false),
-        wait_until: Cell::new(0),
+        next_heartbeat_at: Cell::new(0),
     });
-    let (shared, own) = (testbed.clone(), hosted.clone());
-    let direct_orders = testbed.executor.spawn_high(async move {
+    let (server_testbed, hosted_worker) = (testbed.clone(), hosted.clone());
+    let direct_command_server = testbed.executor.spawn_high(async move {
         let Some(listener) = listener else {
             return Ok(());
         };
         let limits = Limits {
-            connections: DIRECT_CONNECTIONS,
-            others: DIRECT_CONNECTIONS,
+            connections: MAX_DIRECT_CONNECTIONS,
+            others: MAX_DIRECT_CONNECTIONS,
             first: "/do",
         };
-        let executor = shared.executor.clone();
-        let handle = move |request| direct(shared.clone(), own.clone(), request);
+        let executor = server_testbed.executor.clone();
+        let handle =
+            move |request| serve_direct(server_testbed.clone(), hosted_worker.clone(), request);
         server::serve_on(executor, listener, limits, handle).await
     });
-    Running {
+    RunningWorker {
         hosted,
-        _direct_orders: direct_orders,
+        _direct_command_task: direct_command_server,
     }
 }
 
@@ -123,13 +126,17 @@
     let cloud = testbed.cloud.borrow();
     let (machine_type, zone, spot) = match cloud.machine(id) {
         Some(m) => (cloud.type_of(m).clone(), m.zone.clone(), m.spot),
-        None => unreachable!("only machines that exist are ready"),
+        None => unreachable!("only machines that exist have booted"),
     };
     let limits = testbed.site.cluster.workers.clone();
     Worker::new(id, addr, machine_type, &zone, spot, limits, testbed.now())
 }
 
-async fn direct(testbed: Rc<Testbed>, hosted: Rc<Hosted>, request: HttpRequest) -> HttpResponse {
+async fn serve_direct(
+    testbed: Rc<Testbed>,
+    hosted: Rc<Hosted>,
+    request: HttpRequest,
+) -> HttpResponse {
     let now = testbed.now();
     let answer = match (request.method, request.path.as_str()) {
         (Method::Get, "/inspect") => HttpResponse::json(200, &hosted.worker.borrow_mut().report()),
@@ -137,16 +144,16 @@
             let body = request.body.unwrap_or_default();
             testbed.traffic.borrow_mut().direct_orders += 1;
             testbed.traffic.borrow_mut().received(body.len());
-            let Ok(order) = serde_json::from_slice::<DirectCommands>(&body) else {
-                return HttpResponse::error(400, "malformed");
+            let Ok(commands) = serde_json::from_slice::<DirectCommands>(&body) else {
+                return HttpResponse::error(400, "malformed direct commands");
             };
             let mut object_store = testbed.object_store.borrow_mut();
-            let (status, report) =
+            let (status, heartbeat) =
                 hosted
                     .worker
                     .borrow_mut()
-                    .ordered(order, &mut object_store, now);
-            HttpResponse::json(status, &report)
+                    .ordered(commands, &mut object_store, now);
+            HttpResponse::json(status, &heartbeat)
         }
         _ => HttpResponse::error(404, "no such path"),
     };
@@ -154,33 +161,34 @@
     answer
 }
 
-/// Lets time pass for a worker, and begins a report if one is due.
+/// Advances a worker to the current time, and sends a heartbeat if one is due.
 fn step(testbed: &Rc<Testbed>, hosted: &Rc<Hosted>) {
     let now = testbed.now();
     let mut worker = hosted.worker.borrow_mut();
     worker.step(&mut testbed.object_store.borrow_mut(), now);
-    let may_report = !hosted.in_flight.get() && now >= hosted.wait_until.get();
-    if !may_report || !worker.report_due(now, fastrand::f64()) {
+    let may_send = !hosted.in_flight.get() && now >= hosted.next_heartbeat_at.get();
+    if !may_send || !worker.report_due(now, fastrand::f64()) {
         return;
     }
     hosted.in_flight.set(true);
-    let (testbed, own) = (testbed.clone(), hosted.clone());
+    let (testbed, hosted_worker) = (testbed.clone(), hosted.clone());
     let executor = testbed.executor.clone();
     executor
         .spawn_high(async move {
-            let pause = report(&testbed, &own).await;
-            own.wait_until.set(testbed.now() + pause);
-            own.in_flight.set(false);
+            let delay = send_heartbeat(&testbed, &hosted_worker).await;
+            hosted_worker.next_heartbeat_at.set(testbed.now() + delay);
+            hosted_worker.in_flight.set(false);
         })
         .detach();
 }
 
-/// One report; returns how long to wait at least before the next.
-async fn report(testbed: &Testbed, hosted: &Hosted) -> Millis {
+/// Sends one heartbeat and handles its answer. Returns the minimum delay before the
+/// next one.
+async fn send_heartbeat(testbed: &Testbed, hosted: &Hosted) -> Millis {
     let sent = testbed.now();
-    let report = hosted.worker.borrow_mut().report();
-    let session = report.incarnation;
-    let body = serde_json::to_vec(&report).unwrap_or_default();
+    let heartbeat = hosted.worker.borrow_mut().report();
+    let incarnation = heartbeat.incarnation;
+    let body = serde_json::to_vec(&heartbeat).unwrap_or_default();
     {
         let mut traffic = testbed.traffic.borrow_mut();
         traffic.reports += 1;
@@ -188,44 +196,54 @@
     }
     let target = hosted.target.get() % testbed.controllers.len();
     let to = testbed.controllers[target].listen;
-    let call = hosted
-        .client
-        .call(to, Method::Post, "/agent/beat", Some(body), REPORT_TIMEOUT);
+    let call = hosted.client.call(
+        to,
+        Method::Post,
+        "/agent/beat",
+        Some(body),
+        HEARTBEAT_TIMEOUT,
+    );
     let answer = call.await;
     if let Ok(a) = &answer {
         testbed.traffic.borrow_mut().received(a.body.len());
     }
     match answer {
         Ok(a) if a.status == 200 => {
-            accept(testbed, hosted, sent, session, &a);
+            accept_answer(testbed, hosted, sent, incarnation, &a);
             0
         }
         Ok(a) if a.status == 421 => redirect(testbed, hosted, target, &a),
         Ok(_) | Err(CallError::NotSent(_) | CallError::NoAnswer(_) | CallError::TooLong) => {
             testbed.traffic.borrow_mut().unanswered += 1;
             hosted.target.set(target + 1);
-            RETRY_MS
+            RETRY_DELAY_MS
         }
     }
 }
 
-fn accept(testbed: &Testbed, hosted: &Hosted, sent: Millis, session: u64, answer: &Answer) {
+fn accept_answer(
+    testbed: &Testbed,
+    hosted: &Hosted,
+    sent: Millis,
+    incarnation: u64,
+    answer: &Answer,
+) {
     let Ok(reply) = serde_json::from_slice::<HeartbeatResponse>(&answer.body) else {
         return;
     };
     let now = testbed.now();
     let mut worker = hosted.worker.borrow_mut();
     let mut object_store = testbed.object_store.borrow_mut();
-    let counts = worker.answered(
+    let valid = worker.answered(
         sent,
-        session,
+        incarnation,
         reply.fencing_token,
         reply.commands,
         &mut object_store,
         now,
     );
     let mut traffic = testbed.traffic.borrow_mut();
-    match counts {
+    match valid {
         true => {
             traffic.answered += 1;
             crate::traffic::record(&mut traffic.answer_times, now - sent);
@@ -234,13 +252,14 @@
     }
 }
 
-/// The controller names another; returns the pause before the next report.
+/// Switches to the controller that a redirect names, or to the next one if it names
+/// none. Returns the delay before the next heartbeat.
 fn redirect(testbed: &Testbed, hosted: &Hosted, target: usize, answer: &Answer) -> Millis {
-    let named = serde_json::from_slice::<serde_json::Value>(&answer.body)
+    let redirect_target = serde_json::from_slice::<serde_json::Value>(&answer.body)
         .ok()
         .and_then(|v| v.get("foreman")?.as_str().map(str::to_owned))
         .and_then(|name| testbed.controllers.iter().position(|c| c.name == name))
         .filter(|index| *index != target);
-    hosted.target.set(named.unwrap_or(target + 1));
-    named.map_or(RETRY_MS, |_| REDIRECT_MS)
+    hosted.target.set(redirect_target.unwrap_or(target + 1));
+    redirect_target.map_or(RETRY_DELAY_MS, |_| REDIRECT_DELAY_MS)
 }
--- a/crates/lab/src/installation.rs
+++ b/crates/lab/src/installation.rs
@@ -1,5 +1,5 @@
-//! What the parts of a lab share: the stand-ins, where the controllers listen,
-//! and the clock that all of them are told.
+//! The state that all parts of a testbed share: the simulated services, the addresses
+//! of the controllers, and the clock from which every part takes the time.
 
 use crate::{
     Millis, cloud::Cloud, millis, object_store::ObjectStore, site::Site, state::StateService,
@@ -15,19 +15,22 @@
     time::Instant,
 };
 
-/// Connections that the stand-ins keep open to controllers between requests.
-const KEPT_CONNECTIONS: usize = 256;
+/// Maximum number of idle connections to controllers that the testbed's HTTP client
+/// keeps open.
+const MAX_IDLE_CONNECTIONS: usize = 256;
 
 /// A controller's name, addresses and settings file.
 #[derive(Debug, Clone)]
 pub struct Controller {
     pub name: String,
+    /// Address for users and workers.
     pub listen: SocketAddr,
-    pub back: SocketAddr,
+    /// Address for the other controllers.
+    pub peer_listen: SocketAddr,
     pub settings: PathBuf,
 }
 
-/// Everything of a lab that its parts share.
+/// The shared state of a testbed.
 pub struct Testbed {
     pub site: Site,
     pub executor: Rc<PriorityExecutor>,
@@ -36,21 +39,22 @@
     pub cloud: RefCell<Cloud>,
     pub object_store: RefCell<ObjectStore>,
     pub controllers: Vec<Controller>,
-    /// Messages and bytes of workers, as the workers count them.
+    /// Messages and bytes exchanged by the workers, counted on their side.
     pub traffic: RefCell<Traffic>,
-    /// Which of the controllers said last that they can take requests.
+    /// Whether each controller reported itself ready in its last probe.
     pub ready: RefCell<Vec<bool>>,
     next_controller: Cell<usize>,
     start: Instant,
 }
 
 impl Testbed {
-    /// A lab of these controllers, with nothing rented and nothing stored.
+    /// Creates a testbed for these controllers, with no machine rented and an empty state
+    /// service.
     pub fn new(site: Site, executor: Rc<PriorityExecutor>, controllers: Vec<Controller>) -> Self {
         let workers = &site.cluster.workers;
         Testbed {
             executor,
-            http: Client::new(KEPT_CONNECTIONS),
+            http: Client::new(MAX_IDLE_CONNECTIONS),
             state: RefCell::new(StateService::new(site.cluster.state.clone())),
             cloud: RefCell::new(Cloud::new(&site)),
             object_store: RefCell::new(ObjectStore::new(
@@ -68,27 +72,28 @@
         }
     }
 
-    /// Milliseconds since the lab began.
+    /// Milliseconds since the testbed was created.
     pub fn now(&self) -> Millis {
         self.start.elapsed().as_millis() as Millis
     }
 
-    /// The users' address of a controller that is ready, each in its turn.
+    /// Returns the user-facing address of a ready controller, in round-robin order;
+    /// `None` if none is ready.
     pub fn ready_controller(&self) -> Option<SocketAddr> {
         let ready = self.ready.borrow();
         let count = ready.len();
         let first = self.next_controller.get();
         self.next_controller.set(first.wrapping_add(1));
         let index = (0..count)
-            .map(|step| (first.wrapping_add(step)) % count)
+            .map(|offset| (first.wrapping_add(offset)) % count)
             .find(|index| ready[*index])?;
         Some(self.controllers[index].listen)
     }
 }
 
-/// A listener on a port of loopback that the system chose.
+/// Binds a listener to a loopback port that the operating system chooses.
 pub fn loopback() -> Result<(TcpListener, SocketAddr)> {
-    let listener = TcpListener::bind("127.0.0.1:0").context("no port on loopback")?;
+    let listener = TcpListener::bind("127.0.0.1:0").context("cannot bind a port on 127.0.0.1")?;
     let addr = listener.local_addr()?;
     Ok((listener, addr))
 }
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,7 +1,9 @@
-//! Stand-ins of everything that a controller talks to, written from the
-//! published protocols. `state`, `cloud`, `object_store` and `worker` have neither
-//! clock nor sockets: they are told the time. `base` binds them to loopback;
-//! `up` and `scale` run whole installations.
+//! The testbed behind the program `pathwinch-lab`: simulated services for everything
+//! that a controller talks to, written from the published protocols.
+//!
+//! `state`, `cloud`, `object_store` and `worker` have neither a clock nor sockets;
+//! the caller passes the current time to each call. `base` serves them on loopback
+//! next to real controller processes. `up` and `scale` run whole testbeds.
 
 pub mod base;
 pub mod children;
@@ -21,10 +23,10 @@
 pub mod up;
 pub mod worker;
 
-/// Milliseconds on a clock of the caller's.
+/// A time or a duration in milliseconds, on the clock of the caller.
 pub type Millis = u64;
 
-/// Seconds as settings state them.
+/// Converts seconds, the unit of the settings, to milliseconds; negative values give 0.
 pub fn millis(seconds: f64) -> Millis {
     (seconds.max(0.0) * 1000.0) as Millis
 }
--- a/crates/lab/src/load_balancer.rs
+++ b/crates/lab/src/load_balancer.rs
@@ -1,5 +1,6 @@
-//! The users' front door: passes requests on to a controller that is ready, and
-//! keeps what users upload for the workers.
+//! Simulated load balancer for users: forwards requests to a ready controller, and
+//! stores the job descriptions that users submit in the object store for the workers.
+//! Also probes the readiness of the controllers.
 
 use crate::installation::Testbed;
 use async_io::Timer;
@@ -12,18 +13,19 @@
 use serde_json::json;
 use std::{rc::Rc, time::Duration};
 
-/// How long a user waits for an answer.
+/// How long the load balancer waits for the answer of a controller.
 const USER_TIMEOUT: Duration = Duration::from_secs(5);
 const PROBE_INTERVAL: Duration = Duration::from_millis(300);
 const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The users' side: passed on to a controller that is ready.
-pub async fn front(testbed: Rc<Testbed>, request: HttpRequest) -> HttpResponse {
+/// Handles a user request: forwards it to a ready controller, or returns the summary
+/// for `GET /lab`.
+pub async fn handle_user_request(testbed: Rc<Testbed>, request: HttpRequest) -> HttpResponse {
     if (request.method, request.path.as_str()) == (Method::Get, "/lab") {
         return summary(&testbed);
     }
     let Some(body) = request.body else {
-        return HttpResponse::error(400, "body is incomplete or over 64 KiB");
+        return HttpResponse::error(400, "request body is incomplete or over 64 KiB");
     };
     if request.path == "/v1/jobs"
         && let Ok(spec) = JobSpec::parse(&body)
@@ -44,7 +46,7 @@
         );
         match call.await {
             Ok(a) => {
-                note_cancelled(&testbed, &a.body);
+                record_cancellation(&testbed, &a.body);
                 return HttpResponse {
                     status: a.status,
                     retry_after_s: a.retry_after_s,
@@ -52,26 +54,27 @@
                     body: a.body,
                 };
             }
-            // A refused connection goes to another; anything else is unknown.
+            // The request was not sent, so another controller may get it. Any other
+            // error leaves unknown whether the request was executed.
             Err(CallError::NotSent(_)) => {}
             Err(e) => return HttpResponse::error(504, &e.to_string()),
         }
     }
-    HttpResponse::later("controllers refuse connections")
+    HttpResponse::later("no connection to a ready controller in 3 attempts")
 }
 
-fn note_cancelled(testbed: &Testbed, body: &[u8]) {
-    if let Ok(told) = serde_json::from_slice::<JobStatus>(body)
-        && told.state == JobState::Cancelled
+fn record_cancellation(testbed: &Testbed, body: &[u8]) {
+    if let Ok(status) = serde_json::from_slice::<JobStatus>(body)
+        && status.state == JobState::Cancelled
     {
         testbed
             .object_store
             .borrow_mut()
-            .cancelled(&told.id, testbed.now());
+            .cancelled(&status.id, testbed.now());
     }
 }
 
-/// What the stand-ins have seen.
+/// Returns the counters of the simulated services.
 fn summary(testbed: &Testbed) -> HttpResponse {
     let (now, cloud, object_store) = (
         testbed.now(),
@@ -83,7 +86,7 @@
         200,
         &json!({
             "seconds": now as f64 / 1000.0,
-            "machines": cloud.present(),
+            "machines": cloud.machine_count(),
             "spent": cloud.spent(now),
             "tasks_finished": object_store.finished(),
             "tasks_on_machines": object_store.on_machines(),
@@ -96,16 +99,16 @@
     )
 }
 
-/// Asks each controller again and again whether it is ready.
+/// Probes the readiness of each controller periodically. Never returns.
 pub async fn probe(testbed: Rc<Testbed>) {
     loop {
-        for i in 0..testbed.controllers.len() {
-            let to = testbed.controllers[i].listen;
+        for index in 0..testbed.controllers.len() {
+            let to = testbed.controllers[index].listen;
             let call = testbed
                 .http
                 .call(to, Method::Get, "/ready", None, PROBE_TIMEOUT);
-            let ok = call.await.is_ok_and(|a| a.status == 200);
-            testbed.ready.borrow_mut()[i] = ok;
+            let is_ready = call.await.is_ok_and(|a| a.status == 200);
+            testbed.ready.borrow_mut()[index] = is_ready;
         }
         Timer::after(PROBE_INTERVAL).await;
     }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,4 +1,4 @@
-//! Command line of the lab.
+//! Command line of `pathwinch-lab`.
 
 use anyhow::{Context, Result};
 use async_signal::{Signal, Signals};
@@ -13,8 +13,8 @@
 };
 use std::{path::PathBuf, process::ExitCode, time::Duration};
 
-/// A whole installation on this machine: stand-ins of the state service, the
-/// cloud and workers, and real controllers.
+/// A whole cluster on this machine: a simulated state service, cloud and
+/// workers, and real controllers.
 #[derive(Parser)]
 #[command(name = "pathwinch-lab", version, about)]
 struct Cli {
@@ -26,66 +26,68 @@
 enum Command {
     /// Start everything on loopback and run until Ctrl-C.
     Up(Up),
-    /// Print the site that `up` uses when it is given none, to be edited.
+    /// Print the default site of `up` as JSON, as a starting point for a site file.
     Site,
-    /// Run a plan's fleet and load against real controllers, measure what each
-    /// role spends, and end.
+    /// Run the machines and the load of a plan against real controllers, measure
+    /// the resource usage of each role, and exit.
     Scale(Scale),
 }
 
 #[derive(Args)]
 struct Scale {
-    /// The plan, as TOML (see examples/scale.toml).
+    /// The plan file, in TOML (see examples/scale.toml).
     #[arg(value_name = "PLAN")]
     plan: PathBuf,
-    /// Scale all counts of the plan to so many machines.
+    /// Scale all counts of the plan to this number of machines.
     #[arg(long, value_name = "COUNT")]
     machines: Option<u32>,
-    /// The controllers' program; by default the one beside this.
+    /// The controller program; by default `pathwinch` in the directory of this
+    /// program.
     #[arg(long, value_name = "FILE")]
     program: Option<PathBuf>,
-    /// Where the controllers' settings and logs go; by default a directory of
-    /// its own among the system's temporary files.
+    /// Directory for the settings and logs of the controllers; by default a
+    /// directory for this process under the system's temporary directory.
     #[arg(long, value_name = "DIR")]
     dir: Option<PathBuf>,
-    /// Write the figures to this file, as JSON.
+    /// Write the report to this file, as JSON.
     #[arg(long, value_name = "FILE")]
     json: Option<PathBuf>,
 }
 
 #[derive(Args)]
 struct Up {
-    /// The site, as JSON (see `pathwinch-testbed site`).
+    /// The site file, in JSON (see `pathwinch-lab site`).
     #[arg(long, value_name = "FILE")]
     site: Option<PathBuf>,
-    /// The controllers' program; by default the one beside this.
+    /// The controller program; by default `pathwinch` in the directory of this
+    /// program.
     #[arg(long, value_name = "FILE")]
     program: Option<PathBuf>,
-    /// Where the controllers' settings and logs go; by default a directory of
-    /// its own among the system's temporary files.
+    /// Directory for the settings and logs of the controllers; by default a
+    /// directory for this process under the system's temporary directory.
     #[arg(long, value_name = "DIR")]
     dir: Option<PathBuf>,
-    /// Also start so many stand-in markets, and two brokers that lend jobs of
-    /// class slice to them (see docs/markets.md).
+    /// Also start this number of simulated markets, and two brokers that offload
+    /// jobs of class `slice` to them (see docs/markets.md).
     #[arg(long, value_name = "COUNT", default_value_t = 0)]
     markets: usize,
-    /// After a while the controllers are killed one by one and come back with
-    /// this program; then the state service has the limits that the site's
-    /// `state.next` names (see docs/upgrade.md).
+    /// Upgrade to this controller program while the testbed runs: the controllers
+    /// are killed one by one and restarted with it; then the limits in
+    /// `state.next` of the site apply to the state service (see docs/upgrade.md).
     #[arg(long, value_name = "FILE")]
     upgrade_to: Option<PathBuf>,
-    /// Seconds from the start to the first of them.
+    /// Seconds from the start to the upgrade of the first controller.
     #[arg(long, value_name = "S", default_value_t = 20, requires = "upgrade_to")]
     after: u64,
-    /// Seconds from one to the next.
+    /// Seconds between the upgrades of two controllers.
     #[arg(long, value_name = "S", default_value_t = 8, requires = "upgrade_to")]
     every: u64,
-    /// Print the addresses as JSON.
+    /// Print the addresses as one line of JSON.
     #[arg(long)]
     json: bool,
 }
 
-fn tell(addresses: &Addresses, json: bool) {
+fn print_addresses(addresses: &Addresses, json: bool) {
     use std::io::Write;
     let mut out = std::io::stdout().lock();
     if json {
@@ -106,7 +108,7 @@
     let _ = writeln!(out, "settings, logs {}", addresses.dir.display());
     let _ = writeln!(
         out,
-        "\nTry: pathwinch submit examples/job.json --wait --at {}\nCtrl-C ends everything.",
+        "\nTry: pathwinch submit examples/job.json --wait --at {}\nCtrl-C stops everything.",
         addresses.users
     );
     let _ = out.flush();
@@ -114,8 +116,8 @@
 
 fn start(cli: Cli) -> Result<()> {
     match cli.command {
-        Command::Up(asked) => start_up(asked),
-        Command::Scale(asked) => start_scale(asked),
+        Command::Up(args) => start_up(args),
+        Command::Scale(args) => start_scale(args),
         Command::Site => {
             println!("{}", serde_json::to_string_pretty(&Site::default())?);
             Ok(())
@@ -123,29 +125,31 @@
     }
 }
 
-/// The program named, or the one beside this.
-fn controllers_program(named: Option<PathBuf>) -> Result<PathBuf> {
-    match named {
+/// Returns the given program, or by default the one in the directory of this
+/// program.
+fn controllers_program(given: Option<PathBuf>) -> Result<PathBuf> {
+    match given {
         Some(path) => Ok(path),
-        None => children::program_beside(),
+        None => children::program_in_own_directory(),
     }
 }
 
-/// The directory named, or one of this process among the temporary files.
-fn working_directory(named: Option<PathBuf>) -> PathBuf {
-    let own = format!("pathwinch-lab-{}", std::process::id());
-    named.unwrap_or_else(|| std::env::temp_dir().join(own))
+/// Returns the given directory, or by default one for this process under the
+/// system's temporary directory.
+fn working_directory(given: Option<PathBuf>) -> PathBuf {
+    let default_name = format!("pathwinch-lab-{}", std::process::id());
+    given.unwrap_or_else(|| std::env::temp_dir().join(default_name))
 }
 
-fn start_scale(asked: Scale) -> Result<()> {
-    let mut plan = Plan::load(&asked.plan)?;
-    if let Some(machines) = asked.machines {
+fn start_scale(args: Scale) -> Result<()> {
+    let mut plan = Plan::load(&args.plan)?;
+    if let Some(machines) = args.machines {
         plan = plan.scaled(machines).context("--machines")?;
     }
-    let program = controllers_program(asked.program)?;
-    let dir = working_directory(asked.dir);
+    let program = controllers_program(args.program)?;
+    let dir = working_directory(args.dir);
     let report = scale::run(plan, &program, &dir)?;
-    if let Some(path) = &asked.json {
+    if let Some(path) = &args.json {
         let text = serde_json::to_string_pretty(&report)?;
         std::fs::write(path, text + "\n")
             .with_context(|| format!("cannot write {}", path.display()))?;
@@ -154,30 +158,38 @@
     report.verdict()
 }
 
-fn start_up(asked: Up) -> Result<()> {
-    let site = match &asked.site {
+fn start_up(args: Up) -> Result<()> {
+    let site = match &args.site {
         Some(path) => Site::load(path)?,
         None => Site::default(),
     };
-    let program = controllers_program(asked.program)?;
-    let dir = working_directory(asked.dir);
-    let mut signals =
-        Signals::new([Signal::Int, Signal::Term]).context("signals can't be received")?;
-    let over = async {
+    let program = controllers_program(args.program)?;
+    let dir = working_directory(args.dir);
+    let mut signals = Signals::new([Signal::Int, Signal::Term])
+        .context("cannot install the handler for SIGINT and SIGTERM")?;
+    let shutdown = async {
         signals.next().await;
     };
     anyhow::ensure!(
-        asked.markets <= markets::MOST,
-        "--markets: at most {}",
+        args.markets <= markets::MOST,
+        "--markets: must be at most {}",
         markets::MOST
     );
-    let told = |a: &Addresses| tell(a, asked.json);
-    let roll = asked.upgrade_to.map(|program| RollingUpgrade {
+    let on_ready = |a: &Addresses| print_addresses(a, args.json);
+    let upgrade = args.upgrade_to.map(|program| RollingUpgrade {
         program,
-        after: Duration::from_secs(asked.after),
-        every: Duration::from_secs(asked.every),
+        first_after: Duration::from_secs(args.after),
+        interval: Duration::from_secs(args.every),
     });
-    up::run(site, program, dir, asked.markets, roll, told, over)
+    up::run(
+        site,
+        program,
+        dir,
+        args.markets,
+        upgrade,
+        on_ready,
+        shutdown,
+    )
 }
 
 fn main() -> ExitCode {
--- a/crates/lab/src/scale/measure.rs
+++ b/crates/lab/src/scale/measure.rs
@@ -101,7 +101,9 @@
 pub async fn status(testbed: &Testbed) -> Option<Status> {
     let peers = PeerClient::default();
     for controller in &testbed.controllers {
-        let answer = peers.call(controller.back, &Request::Status, TIMEOUT).await;
+        let answer = peers
+            .call(controller.peer_listen, &Request::Status, TIMEOUT)
+            .await;
         if let Ok(Reply::Status(status)) = answer
             && status.leader.is_some()
         {
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -159,7 +159,7 @@
             let leads = leads.filter(|_| self.ended.get().is_multiple_of(2));
             let index = leads.unwrap_or_else(|| rng.usize(..count));
             eprintln!("{} ends", self.testbed.controllers[index].name);
-            self.children.end(index);
+            self.children.kill_process(index);
             self.ended.set(self.ended.get() + 1);
         }
     }
@@ -182,7 +182,7 @@
         eprintln!(
             "{what}: {:.0} s, {} machines, {} tasks on them, {} open jobs",
             self.testbed.now() as f64 / 1000.0,
-            self.testbed.cloud.borrow().present(),
+            self.testbed.cloud.borrow().machine_count(),
             self.testbed.object_store.borrow().on_machines(),
             self.users.open_jobs(),
         );
@@ -320,7 +320,12 @@
 
     fn worker_row(&self, seconds: f64) -> WorkerRow {
         let traffic = self.testbed.traffic.borrow();
-        let workers = self.testbed.cloud.borrow().ready(self.testbed.now()).len();
+        let workers = self
+            .testbed
+            .cloud
+            .borrow()
+            .booted_machines(self.testbed.now())
+            .len();
         let each = |count: u64| count as f64 / seconds / workers.max(1) as f64;
         WorkerRow {
             workers,
--- a/crates/lab/src/services.rs
+++ b/crates/lab/src/services.rs
@@ -1,6 +1,6 @@
-//! The HTTP paths of the state service and the cloud.
+//! HTTP interfaces of the simulated state service and cloud.
 
-use crate::{Millis, cloud::Refused, installation::Testbed, state::Answer};
+use crate::{Millis, cloud::CloudError, installation::Testbed, state::Answer};
 use async_io::Timer;
 use http_types::Method;
 use pathwinch_protocol::cloud::{MachineNames, MachineRequest, MachineTypes};
@@ -8,13 +8,13 @@
 use serde_json::json;
 use std::{collections::HashMap, rc::Rc, time::Duration};
 
-/// Between two looks of a watch at what has changed.
-const WATCH_STEP: Duration = Duration::from_millis(20);
-/// The longest that a watch may ask to wait.
-const MOST_WATCH_MS: u64 = 60_000;
+/// Interval at which a watch checks for changes.
+const WATCH_INTERVAL: Duration = Duration::from_millis(20);
+/// Maximum time that a watch may wait.
+const MAX_WATCH_MS: u64 = 60_000;
 
-fn answer(a: Answer) -> HttpResponse {
-    HttpResponse::json(a.status, &a.body)
+fn answer(response: Answer) -> HttpResponse {
+    HttpResponse::json(response.status, &response.body)
 }
 
 fn query(request: &HttpRequest) -> HashMap<String, String> {
@@ -24,31 +24,31 @@
         .collect()
 }
 
-/// The state service's paths.
+/// Handles a request to the state service.
 pub async fn state(testbed: Rc<Testbed>, request: HttpRequest) -> HttpResponse {
     let now = testbed.now();
     if let Some(refusal) = testbed.state.borrow_mut().admit(now) {
         return answer(refusal);
     }
     let Some(body) = &request.body else {
-        return HttpResponse::error(400, "body is incomplete or over 64 KiB");
+        return HttpResponse::error(400, "request body is incomplete or over 64 KiB");
     };
     let path = request.path.as_str();
-    let asked = query(&request);
-    let text = |name: &str| asked.get(name).map(String::as_str).unwrap_or_default();
+    let parameters = query(&request);
+    let text = |name: &str| parameters.get(name).map(String::as_str).unwrap_or_default();
     let number = |name: &str| text(name).parse::<u64>().ok();
     let lease = path.strip_prefix("/leases/");
     match (request.method, path) {
         (Method::Get, "/kv") => {
-            let most = number("most").unwrap_or(1000) as usize;
+            let limit = number("most").unwrap_or(1000) as usize;
             let state = testbed.state.borrow();
-            answer(state.list(text("under"), text("from"), most))
+            answer(state.list(text("under"), text("from"), limit))
         }
         (Method::Get, "/watch") => {
             let Some(from) = number("from") else {
-                return HttpResponse::error(400, "from: missing");
+                return HttpResponse::error(400, "from: missing or not a number");
             };
-            let wait = number("wait_ms").unwrap_or(0).min(MOST_WATCH_MS);
+            let wait = number("wait_ms").unwrap_or(0).min(MAX_WATCH_MS);
             watch(&testbed, text("under"), from, now + wait).await
         }
         (Method::Post, "/txn") => answer(testbed.state.borrow_mut().txn(body, now)),
@@ -57,12 +57,12 @@
             answer(testbed.state.borrow().get(&path["/kv/".len()..]))
         }
         (Method::Post | Method::Delete, _) => {
-            let touch = request.method == Method::Post;
+            let is_renewal = request.method == Method::Post;
             let id = lease
-                .map(|l| l.strip_suffix("/touch").filter(|_| touch).unwrap_or(l))
+                .map(|l| l.strip_suffix("/touch").filter(|_| is_renewal).unwrap_or(l))
                 .and_then(|l| l.parse().ok());
             match id {
-                Some(id) if touch => answer(testbed.state.borrow_mut().renew_lease(id, now)),
+                Some(id) if is_renewal => answer(testbed.state.borrow_mut().renew_lease(id, now)),
                 Some(id) => answer(testbed.state.borrow_mut().drop_lease(id)),
                 None => HttpResponse::error(404, "no such path"),
             }
@@ -75,17 +75,17 @@
     loop {
         let now = testbed.now();
         testbed.state.borrow_mut().pass_time(now);
-        if let Some(found) = testbed.state.borrow().changes(under, from) {
-            return answer(found);
+        if let Some(changed) = testbed.state.borrow().changes(under, from) {
+            return answer(changed);
         }
         if now >= until {
             return answer(testbed.state.borrow().watch_answer(Vec::new()));
         }
-        Timer::after(WATCH_STEP).await;
+        Timer::after(WATCH_INTERVAL).await;
     }
 }
 
-/// The cloud's paths.
+/// Handles a request to the cloud.
 pub async fn cloud(testbed: Rc<Testbed>, request: HttpRequest) -> HttpResponse {
     let now = testbed.now();
     if !testbed.cloud.borrow_mut().admit(now) {
@@ -93,9 +93,9 @@
     }
     let body = request.body.as_deref().unwrap_or_default();
     let mut cloud = testbed.cloud.borrow_mut();
-    let refused = |r: Refused| match r {
-        Refused::NoCapacity => HttpResponse::error(503, "no capacity"),
-        Refused::Malformed(why) => HttpResponse::error(400, why),
+    let error_response = |r: CloudError| match r {
+        CloudError::NoCapacity => HttpResponse::error(503, "no capacity"),
+        CloudError::Malformed(why) => HttpResponse::error(400, why),
     };
     match (request.method, request.path.as_str()) {
         (Method::Get, "/machine_types") => {
@@ -103,22 +103,25 @@
             HttpResponse::json(200, &MachineTypes { types })
         }
         (Method::Get, "/hosts") => {
-            let asked = query(&request);
-            let from = asked.get("from").map(String::as_str).unwrap_or_default();
-            let most = asked.get("most").and_then(|m| m.parse().ok());
-            HttpResponse::json(200, &cloud.list(from, most.unwrap_or(500), now))
+            let parameters = query(&request);
+            let from = parameters
+                .get("from")
+                .map(String::as_str)
+                .unwrap_or_default();
+            let limit = parameters.get("most").and_then(|m| m.parse().ok());
+            HttpResponse::json(200, &cloud.list(from, limit.unwrap_or(500), now))
         }
         (Method::Post, "/hosts") => match serde_json::from_slice::<MachineRequest>(body) {
-            Ok(rent) => match cloud.rent(&rent, now) {
+            Ok(machine_request) => match cloud.rent(&machine_request, now) {
                 Ok(machines) => HttpResponse::json(200, &MachineNames { machines }),
-                Err(r) => refused(r),
+                Err(r) => error_response(r),
             },
             Err(e) => HttpResponse::error(400, &e.to_string()),
         },
         (Method::Post, "/hosts/release") => match serde_json::from_slice(body) {
             Ok(names) => match cloud.release(&names, now) {
                 Ok(_) => HttpResponse::json(200, &json!({})),
-                Err(r) => refused(r),
+                Err(r) => error_response(r),
             },
             Err(e) => HttpResponse::error(400, &e.to_string()),
         },
--- a/crates/lab/src/up.rs
+++ b/crates/lab/src/up.rs
@@ -70,7 +70,7 @@
         controllers: testbed
             .controllers
             .iter()
-            .map(|c| (c.name.clone(), c.listen, c.back))
+            .map(|c| (c.name.clone(), c.listen, c.peer_listen))
             .collect(),
         markets: Vec::new(),
         dir,
