--- a/crates/lab/src/base.rs
+++ b/crates/lab/src/base.rs
@@ -28,7 +28,7 @@
 
 /// A testbed whose simulated services are bound to their ports but do not serve
 /// requests yet.
-pub struct Base {
+pub struct PreparedTestbed {
     pub testbed: Rc<Testbed>,
     pub users: SocketAddr,
     pub state: SocketAddr,
@@ -38,7 +38,7 @@
     users_listener: TcpListener,
 }
 
-impl Base {
+impl PreparedTestbed {
     /// Binds the ports and writes the settings of the controllers to `dir`, which is
     /// created if it does not exist.
     pub fn new(site: Site, dir: &Path) -> Result<Self> {
@@ -50,7 +50,7 @@
         let services = Services { cloud, state };
         let configured = controllers::configure(&site, &services, dir)?;
         let executor = Rc::new(PriorityExecutor::default());
-        Ok(Base {
+        Ok(PreparedTestbed {
             testbed: Rc::new(Testbed::new(site, executor, configured)),
             users,
             state,
--- a/crates/lab/src/children.rs
+++ b/crates/lab/src/children.rs
@@ -40,7 +40,7 @@
 }
 
 impl Children {
-    /// Starts no process yet; see [`Children::keep_up`]. The log files go to `dir`.
+    /// Starts no process yet; see [`Children::supervise`]. The log files go to `dir`.
     pub fn new(dir: PathBuf, programs: Vec<Program>) -> Self {
         Children {
             dir,
@@ -75,7 +75,7 @@
 
     /// Starts every program that does not run, once a second, as the service manager
     /// of a real installation would. Never returns.
-    pub async fn keep_up(&self) {
+    pub async fn supervise(&self) {
         loop {
             let names: Vec<String> = self
                 .commands
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Kills a process to simulate a crash; [`Children::keep_up`] restarts it.
+    /// Kills a process to simulate a crash; [`Children::supervise`] restarts it.
     pub fn kill_process(&self, index: usize) {
         if let Some(Some(child)) = self.running.borrow_mut().get_mut(index) {
             let _ = child.kill();
@@ -112,10 +112,10 @@
 
     /// Kills the controllers one after the other, so that each is restarted with the
     /// new program. Then applies the next limits to the state service.
-    pub async fn roll(&self, testbed: &Testbed, roll: &RollingUpgrade) {
-        Timer::after(roll.first_after).await;
+    pub async fn upgrade_controllers(&self, testbed: &Testbed, upgrade: &RollingUpgrade) {
+        Timer::after(upgrade.first_after).await;
         for index in 0..testbed.controllers.len() {
-            self.commands.borrow_mut()[index].path = roll.program.clone();
+            self.commands.borrow_mut()[index].path = upgrade.program.clone();
             if let Some(child) = &mut self.running.borrow_mut()[index] {
                 let _ = child.kill();
             }
@@ -123,7 +123,7 @@
                 "rolling upgrade: killed {} to restart it with the new program",
                 testbed.controllers[index].name
             );
-            Timer::after(roll.interval).await;
+            Timer::after(upgrade.interval).await;
         }
         testbed.state.borrow_mut().apply_next_limits(testbed.now());
         log::warn!(
--- a/crates/lab/src/cloud.rs
+++ b/crates/lab/src/cloud.rs
@@ -13,7 +13,7 @@
 
 /// A machine that was rented, until some time after its release.
 #[derive(Debug, Clone)]
-pub struct RentedMachine {
+pub struct Rental {
     pub type_index: usize,
     pub zone: String,
     pub spot: bool,
@@ -39,12 +39,12 @@
     /// Delay with which the listing shows changes.
     list_lag: Millis,
     request_limit: TokenBucket,
-    machines: BTreeMap<String, RentedMachine>,
+    machines: BTreeMap<String, Rental>,
     /// Machine names returned for each request id, so that a repeated request does
     /// not rent again.
     names_by_request_id: HashMap<String, Vec<String>>,
     /// Number in the name of the machine rented last.
-    last_number: u64,
+    last: u64,
     rng: Rng,
     /// Cost of the machines that were released, in the currency of the price list.
     spent: f64,
@@ -77,7 +77,7 @@
             request_limit: TokenBucket::new(site.cluster.cloud.rps, 2.0),
             machines: BTreeMap::new(),
             names_by_request_id: HashMap::new(),
-            last_number: 0,
+            last: 0,
             rng: Rng::with_seed(site.seed),
             spent: 0.0,
         }
@@ -92,12 +92,12 @@
         &self.types
     }
 
-    pub fn type_of(&self, machine: &RentedMachine) -> &MachineType {
+    pub fn type_of(&self, machine: &Rental) -> &MachineType {
         &self.types[machine.type_index]
     }
 
     /// Returns the machine with this name unless it was released.
-    pub fn machine(&self, id: &str) -> Option<&RentedMachine> {
+    pub fn machine(&self, id: &str) -> Option<&Rental> {
         self.machines.get(id).filter(|m| m.released_at.is_none())
     }
 
@@ -110,11 +110,9 @@
 
     /// Names of the machines that have booted and were not released.
     pub fn booted_machines(&self, now: Millis) -> Vec<String> {
-        let has_booted = |m: &RentedMachine| {
-            m.released_at.is_none() && m.up_at.is_some_and(|up_at| up_at <= now)
-        };
-        let booted = self.machines.iter().filter(|(_, m)| has_booted(m));
-        booted.map(|(id, _)| id.clone()).collect()
+        let booted = |m: &Rental| m.released_at.is_none() && m.up_at.is_some_and(|at| at <= now);
+        let booted_machines = self.machines.iter().filter(|(_, m)| booted(m));
+        booted_machines.map(|(id, _)| id.clone()).collect()
     }
 
     /// Number of machines that were not released.
@@ -156,13 +154,13 @@
         let boot_ms = millis(machine_type.boot_s) as f64;
         let mut names = Vec::new();
         for _ in 0..rent.count.min(free) {
-            self.last_number += 1;
-            let id = format!("i-{:06}", self.last_number);
+            self.last += 1;
+            let id = format!("i-{:06}", self.last);
             let fails_to_boot = self.rng.f64() < self.boot_failure_share;
             let boot_delay_ms = boot_ms * (0.6 + 0.9 * self.rng.f64());
             self.machines.insert(
                 id.clone(),
-                RentedMachine {
+                Rental {
                     type_index,
                     zone: rent.zone.clone(),
                     spot: rent.spot,
@@ -206,10 +204,8 @@
         }
         // Removes machines that the delayed listing no longer shows.
         let horizon = now.saturating_sub(4 * self.list_lag + 60_000);
-        self.machines.retain(|_, m| {
-            m.released_at
-                .is_none_or(|released_at| released_at > horizon)
-        });
+        self.machines
+            .retain(|_, m| m.released_at.is_none_or(|at| at > horizon));
         Ok(released)
     }
 
@@ -221,8 +217,7 @@
         for (id, m) in self.machines.range(from.to_owned()..) {
             if id.as_str() <= from
                 || m.rented_at > listed_at
-                || m.released_at
-                    .is_some_and(|released_at| released_at <= listed_at)
+                || m.released_at.is_some_and(|at| at <= listed_at)
             {
                 continue;
             }
@@ -232,7 +227,7 @@
                     more: true,
                 };
             }
-            let is_running = m.up_at.is_some_and(|up_at| up_at <= listed_at) && !m.addr.is_empty();
+            let is_running = m.up_at.is_some_and(|at| at <= listed_at) && !m.addr.is_empty();
             machines.push(ListedMachine {
                 id: id.clone(),
                 addr: m.addr.clone(),
@@ -255,7 +250,7 @@
     /// Cost of all machines so far, in the currency of the price list.
     pub fn spent(&self, now: Millis) -> f64 {
         let running = self.machines.values().filter(|m| m.released_at.is_none());
-        let cost = |m: &RentedMachine| {
+        let cost = |m: &Rental| {
             let price = self.types[m.type_index].price_of(m.spot);
             price * now.saturating_sub(m.rented_at) as f64 / 3_600_000.0
         };
--- a/crates/lab/src/hosts.rs
+++ b/crates/lab/src/hosts.rs
@@ -152,7 +152,7 @@
                 hosted
                     .worker
                     .borrow_mut()
-                    .ordered(commands, &mut object_store, now);
+                    .on_direct_commands(commands, &mut object_store, now);
             HttpResponse::json(status, &heartbeat)
         }
         _ => HttpResponse::error(404, "no such path"),
@@ -234,7 +234,7 @@
     let now = testbed.now();
     let mut worker = hosted.worker.borrow_mut();
     let mut object_store = testbed.object_store.borrow_mut();
-    let valid = worker.answered(
+    let valid = worker.on_heartbeat_answer(
         sent,
         incarnation,
         reply.fencing_token,
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -171,9 +171,9 @@
         signals.next().await;
     };
     anyhow::ensure!(
-        args.markets <= markets::MOST,
+        args.markets <= markets::MAX_MARKETS,
         "--markets: must be at most {}",
-        markets::MOST
+        markets::MAX_MARKETS
     );
     let on_ready = |a: &Addresses| print_addresses(a, args.json);
     let upgrade = args.upgrade_to.map(|program| RollingUpgrade {
--- a/crates/lab/src/market.rs
+++ b/crates/lab/src/market.rs
@@ -1,4 +1,7 @@
-//! A market as the protocol wants it, and ways in which it may fail.
+//! Simulated market: implements the market's side of the protocol in
+//! `pathwinch_market::wire`, and can be set to fail in several ways. Used by the
+//! testbed and by the market crate's simulation. It has no clock of its own; the
+//! caller passes the time.
 
 use crate::Millis;
 use fastrand::Rng;
@@ -11,56 +14,70 @@
 };
 use std::collections::BTreeMap;
 
+/// A job that runs at the market.
 #[derive(Debug, Clone)]
 struct Run {
     job: String,
-    began: Millis,
-    ends: Millis,
+    started_at: Millis,
+    ends_at: Millis,
     tasks: u32,
     gang: bool,
     slots: u32,
+    /// Maximum charge that the award allows, in millionths of the currency.
     cap: u64,
+    /// Charge for the complete run, in millionths of the currency.
     price: u64,
 }
 
+/// What the market knows of an award.
 #[derive(Debug, Clone)]
-enum Held {
+enum AwardStatus {
     Void,
     Running(Run),
     Over(State),
 }
 
-/// Jobs that started or ended here.
+/// A job started or ended at the market.
 #[derive(Debug, PartialEq)]
 pub enum Did {
     Start(String),
     End(String),
 }
 
+/// A market that serves one home cluster.
 pub struct MarketSim {
     pub name: String,
+    /// Price of a slot for an hour, in millionths of the currency.
     pub price: u64,
     pub slots: u32,
-    /// How fast its clock goes.
+    /// Rate of the market's clock; 1.0 is exact.
     pub rate: f64,
-    /// Chance that it takes a running job back, each second.
+    /// Probability per second that the market withdraws a running job.
     pub withdraws: f64,
-    /// Chance that it refuses an award whose bid it accepted.
+    /// Probability that the market refuses an award whose bid it accepted.
     pub refuses: f64,
-    /// It says what isn't so.
+    /// Whether some of the answers are false, to test the checks of the broker.
     pub lies: bool,
+    /// Whether the market is unreachable; evaluated by the caller.
     pub down: bool,
+    /// Changes when the market restarts without its memory.
     epoch: u64,
-    boot: Millis,
+    /// When the epoch began; the market's clock counts from here.
+    epoch_start: Millis,
+    /// Highest term of the broker seen so far; requests of lower terms are fenced.
     term: u64,
-    tenancy: u64,
-    awards: BTreeMap<u64, Held>,
-    /// Runs on from an epoch that was forgotten, until then.
+    /// Time on the market's clock until which awarded jobs may run.
+    tenancy_ends_at: u64,
+    awards: BTreeMap<u64, AwardStatus>,
+    /// Jobs of an earlier epoch that still run although the market forgot them, with the
+    /// time when they end.
     orphans: Vec<(Millis, String)>,
     rng: Rng,
+    /// Number of awards accepted.
     pub accepted: u64,
-    /// Bids accepted, and let go by the home.
+    /// Number of bids accepted.
     pub held: u64,
+    /// Number of bids released by the home.
     pub released: u64,
 }
 
@@ -76,9 +93,9 @@
             lies: false,
             down: false,
             epoch: seed * 1000 + 1,
-            boot: 0,
+            epoch_start: 0,
             term: 0,
-            tenancy: 0,
+            tenancy_ends_at: 0,
             awards: BTreeMap::new(),
             orphans: Vec::new(),
             rng: Rng::with_seed(seed),
@@ -89,19 +106,19 @@
     }
 
     fn clock(&self, now: Millis) -> u64 {
-        ((now - self.boot) as f64 * self.rate) as u64
+        ((now - self.epoch_start) as f64 * self.rate) as u64
     }
 
     fn free(&self) -> u32 {
         let used = self.awards.values().map(|h| match h {
-            Held::Running(r) => r.slots,
+            AwardStatus::Running(r) => r.slots,
             _ => 0,
         });
         self.slots.saturating_sub(used.sum())
     }
 
-    fn cut(&self, r: &Run, now: Millis) -> State {
-        let share = (now - r.began) as f64 / (r.ends - r.began).max(1) as f64;
+    fn withdrawn_state(&self, r: &Run, now: Millis) -> State {
+        let share = (now - r.started_at) as f64 / (r.ends_at - r.started_at).max(1) as f64;
         let done = match r.gang {
             true => 0,
             false => (f64::from(r.tasks) * share.min(0.99)) as u32,
@@ -112,22 +129,25 @@
         }
     }
 
-    /// Loses what it knew, or keeps it.
+    /// Restarts the market. Without `memory` it forgets all awards and begins a new
+    /// epoch; jobs that ran go on until the tenancy would have ended.
     pub fn restart(&mut self, memory: bool, now: Millis) {
         if memory {
             return;
         }
-        let left = self.tenancy.saturating_sub(self.clock(now));
+        let left = self.tenancy_ends_at.saturating_sub(self.clock(now));
         for held in std::mem::take(&mut self.awards).into_values() {
-            if let Held::Running(r) = held {
+            if let AwardStatus::Running(r) = held {
                 self.orphans.push((now + left, r.job));
             }
         }
         self.epoch += 1;
-        self.boot = now;
-        self.tenancy = 0;
+        self.epoch_start = now;
+        self.tenancy_ends_at = 0;
     }
 
+    /// Ends the jobs that are finished, withdrawn or past the tenancy. `passed` is the
+    /// time in milliseconds since the last call.
     pub fn step(&mut self, now: Millis, passed: Millis) -> Vec<Did> {
         let mut did = Vec::new();
         self.orphans.retain(|(until, job)| {
@@ -136,16 +156,16 @@
             }
             *until > now
         });
-        let lapsed = self.clock(now) > self.tenancy;
+        let tenancy_expired = self.clock(now) > self.tenancy_ends_at;
         let ids: Vec<u64> = self.awards.keys().copied().collect();
         for id in ids {
-            let Some(Held::Running(r)) = self.awards.get(&id).cloned() else {
+            let Some(AwardStatus::Running(r)) = self.awards.get(&id).cloned() else {
                 continue;
             };
-            let taken = self.rng.f64() < self.withdraws * passed as f64 / 1000.0;
-            let state = if lapsed || taken {
-                self.cut(&r, now)
-            } else if now >= r.ends {
+            let is_withdrawn = self.rng.f64() < self.withdraws * passed as f64 / 1000.0;
+            let state = if tenancy_expired || is_withdrawn {
+                self.withdrawn_state(&r, now)
+            } else if now >= r.ends_at {
                 State::Done {
                     result: format!("{}@{}", r.job, self.name),
                     charge: r.price.min(r.cap),
@@ -153,7 +173,7 @@
             } else {
                 continue;
             };
-            self.awards.insert(id, Held::Over(state));
+            self.awards.insert(id, AwardStatus::Over(state));
             did.push(Did::End(r.job));
         }
         did
@@ -162,17 +182,18 @@
     fn state(&self, award: u64, now: Millis) -> State {
         match self.awards.get(&award) {
             None => State::Unknown,
-            Some(Held::Void) => State::Void,
-            Some(Held::Running(r)) => {
-                let share = (now - r.began) as f64 / (r.ends - r.began).max(1) as f64;
+            Some(AwardStatus::Void) => State::Void,
+            Some(AwardStatus::Running(r)) => {
+                let share = (now - r.started_at) as f64 / (r.ends_at - r.started_at).max(1) as f64;
                 State::Running {
                     done: (f64::from(r.tasks) * share.min(1.0)) as u32,
                 }
             }
-            Some(Held::Over(s)) => s.clone(),
+            Some(AwardStatus::Over(s)) => s.clone(),
         }
     }
 
+    /// Handles a request; also returns the jobs that it started or ended.
     pub fn handle(&mut self, request: &Request, now: Millis) -> (Reply, Vec<Did>) {
         let mut did = Vec::new();
         let say = if request.term < self.term {
@@ -181,7 +202,7 @@
             self.term = request.term;
             match &request.ask {
                 Ask::Sync(sync) => Say::Synced(self.sync(sync, now, &mut did)),
-                Ask::Bids(bids) => Say::Bids(bids.iter().map(|b| self.bid(b, now)).collect()),
+                Ask::Bids(bids) => Say::Bids(bids.iter().map(|bid| self.bid(bid, now)).collect()),
                 Ask::Award(award) => Say::Award(self.award(award, now, &mut did)),
             }
         };
@@ -196,8 +217,8 @@
         (reply, did)
     }
 
-    fn bid(&mut self, b: &Bid, now: Millis) -> BidSaid {
-        if b.slots > self.free() || b.price < self.price {
+    fn bid(&mut self, bid: &Bid, now: Millis) -> BidSaid {
+        if bid.slots > self.free() || bid.price < self.price {
             return BidSaid::Refused;
         }
         self.held += 1;
@@ -212,16 +233,16 @@
             && until.epoch == self.epoch
             && self.clock(now) <= until.clock_ms
         {
-            self.tenancy = self.tenancy.max(until.clock_ms);
+            self.tenancy_ends_at = self.tenancy_ends_at.max(until.clock_ms);
         }
         for award in &sync.recall {
             match self.awards.get(award).cloned() {
                 None => {
-                    self.awards.insert(*award, Held::Void);
+                    self.awards.insert(*award, AwardStatus::Void);
                 }
-                Some(Held::Running(r)) => {
-                    let state = self.cut(&r, now);
-                    self.awards.insert(*award, Held::Over(state));
+                Some(AwardStatus::Running(r)) => {
+                    let state = self.withdrawn_state(&r, now);
+                    self.awards.insert(*award, AwardStatus::Over(state));
                     did.push(Did::End(r.job));
                 }
                 Some(_) => {}
@@ -237,7 +258,7 @@
             })
             .collect();
         if self.lies && self.rng.f64() < 0.1 {
-            self.lie(&mut awards);
+            self.falsify(&mut awards);
         }
         let offers = vec![Offer {
             offer: "spare".into(),
@@ -253,18 +274,18 @@
         Synced { offers, awards }
     }
 
-    fn lie(&mut self, awards: &mut Vec<AwardSaid>) {
+    fn falsify(&mut self, awards: &mut Vec<AwardSaid>) {
         let false_end = State::Done {
             result: "something else".into(),
             charge: u64::MAX,
         };
         match self.rng.u32(0..3) {
-            // A job it never had.
+            // Reports an award that was never given.
             0 => awards.push(AwardSaid {
                 award: self.rng.u64(..),
                 state: false_end,
             }),
-            // Two results for one.
+            // Reports a second result for an award that is done.
             1 => {
                 if let Some(first) = awards
                     .iter()
@@ -277,7 +298,7 @@
                     });
                 }
             }
-            // A higher price than awarded.
+            // Charges more than the award allows.
             _ => {
                 for a in awards.iter_mut() {
                     if let State::Done { charge, .. } = &mut a.state {
@@ -288,38 +309,39 @@
         }
     }
 
-    fn award(&mut self, a: &Award, now: Millis, did: &mut Vec<Did>) -> State {
-        if self.awards.contains_key(&a.award) {
-            return self.state(a.award, now);
+    fn award(&mut self, award: &Award, now: Millis, did: &mut Vec<Did>) -> State {
+        if self.awards.contains_key(&award.award) {
+            return self.state(award.award, now);
         }
-        // From an epoch that is forgotten: it can't tell what became of it.
-        if a.start_by.epoch != self.epoch {
+        // The award is for an earlier epoch, which the market forgot, so it cannot tell
+        // whether the job ran.
+        if award.start_by.epoch != self.epoch {
             return State::Unknown;
         }
-        let slots = a.job.tasks - a.job.done.count();
+        let slots = award.job.tasks - award.job.done.count();
         let clock = self.clock(now);
-        let late = clock > a.start_by.clock_ms || clock > self.tenancy;
+        let late = clock > award.start_by.clock_ms || clock > self.tenancy_ends_at;
         if late || slots > self.free() || self.rng.f64() < self.refuses {
-            self.awards.insert(a.award, Held::Void);
+            self.awards.insert(award.award, AwardStatus::Void);
             return State::Void;
         }
-        let run = (a.job.estimate_s * 1000.0 * (0.5 + self.rng.f64())) as Millis;
+        let run = (award.job.estimate_s * 1000.0 * (0.5 + self.rng.f64())) as Millis;
         let price = u64::from(slots) * run * self.price / 3_600_000;
         self.awards.insert(
-            a.award,
-            Held::Running(Run {
-                job: a.job.id.clone(),
-                began: now,
-                ends: now + run.max(1),
-                tasks: a.job.tasks,
-                gang: a.job.gang,
+            award.award,
+            AwardStatus::Running(Run {
+                job: award.job.id.clone(),
+                started_at: now,
+                ends_at: now + run.max(1),
+                tasks: award.job.tasks,
+                gang: award.job.gang,
                 slots,
-                cap: a.cap,
+                cap: award.cap,
                 price,
             }),
         );
         self.accepted += 1;
-        did.push(Did::Start(a.job.id.clone()));
+        did.push(Did::Start(award.job.id.clone()));
         State::Running { done: 0 }
     }
 }
--- a/crates/lab/src/markets.rs
+++ b/crates/lab/src/markets.rs
@@ -1,5 +1,5 @@
-//! Stand-in markets on loopback, over mutual TLS with keys made for the
-//! occasion, and the INI file of a broker that knows them.
+//! Serves simulated markets on loopback over mutual TLS, with keys issued for each run,
+//! and writes the INI file of the brokers that use them.
 
 use crate::{
     installation::Testbed,
@@ -28,11 +28,16 @@
     time::{Duration, SystemTime, UNIX_EPOCH},
 };
 
+/// Names of the markets, also used in their certificates.
 const NAMES: [&str; 5] = ["north", "south", "west", "east", "harbour"];
-pub const MOST: usize = NAMES.len();
-const STEP: u64 = 100;
-const CONNECTIONS: usize = 64;
+/// Maximum number of simulated markets.
+pub const MAX_MARKETS: usize = NAMES.len();
+/// Interval in milliseconds at which a market is advanced.
+const STEP_MS: u64 = 100;
+/// Maximum number of connections to a market.
+const MAX_CONNECTIONS: usize = 64;
 
+/// A market that is bound to its port but does not serve requests yet.
 pub struct Market {
     pub name: &'static str,
     pub addr: SocketAddr,
@@ -40,14 +45,24 @@
     keys: Followed,
 }
 
-/// Keys for a home and so many markets, and the broker's files.
-pub struct Made {
+/// The markets, and the files that the brokers need.
+pub struct PreparedMarkets {
     pub markets: Vec<Market>,
+    /// INI file of the brokers.
     pub options: PathBuf,
+    /// Directory with the keys of the brokers.
     pub home_keys: PathBuf,
 }
 
-pub fn make(dir: &Path, count: usize, classes: &str, teams: &[String]) -> Result<Made> {
+/// Creates an authority, issues keys to the home and to `count` markets, binds the
+/// markets to ports, and writes the brokers' INI file. Replaces the directory `keys`
+/// in `dir`.
+pub fn prepare(
+    dir: &Path,
+    count: usize,
+    classes: &str,
+    teams: &[String],
+) -> Result<PreparedMarkets> {
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0, |d| d.as_secs());
@@ -57,57 +72,61 @@
     }
     let authority = Authority::make(&dir.join("authority"), "lab", 90, now)?;
     let install = |name: &str| -> Result<PathBuf> {
-        let to = dir.join(name);
+        let key_dir = dir.join(name);
         let issued = authority.issue(name, 60, now)?;
         keys::install(
-            &to,
+            &key_dir,
             &issued,
             &authority.certificate()?,
             &authority.revoked()?,
         )?;
-        Ok(to)
+        Ok(key_dir)
     };
     let home_keys = install("home")?;
     let mut markets = Vec::new();
-    let mut ini = format!(
+    let mut options_text = format!(
         "[lend]\nclasses = {classes}\nafter_s = 5\n\n[award]\ntenancy_s = 30\nevery_s = 1\n\n[budget]\n"
     );
     for team in teams {
-        ini.push_str(&format!("{team} = 1000\n"));
+        options_text.push_str(&format!("{team} = 1000\n"));
     }
-    ini.push_str("\n[market]\n");
+    options_text.push_str("\n[market]\n");
     for name in NAMES.into_iter().take(count) {
-        let listener = TcpListener::bind("127.0.0.1:0").context("no port on loopback")?;
+        let listener =
+            TcpListener::bind("127.0.0.1:0").context("cannot bind a port on 127.0.0.1")?;
         let addr = listener.local_addr()?;
-        ini.push_str(&format!("{name} = {addr}\n"));
-        let texts = Texts::read(&install(name)?)?;
+        options_text.push_str(&format!("{name} = {addr}\n"));
+        let key_texts = Texts::read(&install(name)?)?;
         markets.push(Market {
             name,
             addr,
             listener,
-            keys: Followed::new(texts, system_time())?,
+            keys: Followed::new(key_texts, system_time())?,
         });
     }
     let options = dir.join("market.ini");
-    std::fs::write(&options, ini).with_context(|| options.display().to_string())?;
-    Ok(Made {
+    std::fs::write(&options, options_text).with_context(|| options.display().to_string())?;
+    Ok(PreparedMarkets {
         markets,
         options,
         home_keys,
     })
 }
 
-fn did(testbed: &Testbed, market: &str, list: Vec<Did>) {
+/// Records jobs that started or ended at a market in the object store, which checks
+/// that no job runs in two places.
+fn record_changes(testbed: &Testbed, market: &str, changes: Vec<Did>) {
     let mut object_store = testbed.object_store.borrow_mut();
-    for d in list {
-        match d {
+    for change in changes {
+        match change {
             Did::Start(job) => object_store.job_offloaded(&job, market),
             Did::End(job) => object_store.job_returned(&job, market),
         }
     }
 }
 
-/// Runs one market until the lab ends.
+/// Serves and advances one market. Never returns, unless the request schema is not
+/// valid.
 pub async fn run(testbed: Rc<Testbed>, market: Market, number: u64) {
     let price = 10_000 + 2_000 * number;
     let sim = MarketSim::new(market.name, price, 64, testbed.site.seed + number);
@@ -116,9 +135,9 @@
         return;
     };
     let reader = Rc::new(reader);
-    let (l, s, name) = (testbed.clone(), sim.clone(), market.name);
-    let answer = move |peer: String, request: HttpRequest| {
-        let (testbed, sim, reader) = (l.clone(), s.clone(), reader.clone());
+    let (handler_testbed, handler_sim, name) = (testbed.clone(), sim.clone(), market.name);
+    let handler = move |peer: String, request: HttpRequest| {
+        let (testbed, sim, reader) = (handler_testbed.clone(), handler_sim.clone(), reader.clone());
         async move {
             if (request.method, request.path.as_str()) != (Method::Post, PATH) {
                 return HttpResponse::error(404, "no such path");
@@ -129,10 +148,13 @@
                 Err(why) => return HttpResponse::error(400, &why.0),
             };
             if request.home != peer {
-                return HttpResponse::error(403, "home: not the name in the certificate");
+                return HttpResponse::error(
+                    403,
+                    "home: differs from the name in the client certificate",
+                );
             }
-            let (reply, list) = sim.borrow_mut().handle(&request, testbed.now());
-            did(&testbed, name, list);
+            let (reply, changes) = sim.borrow_mut().handle(&request, testbed.now());
+            record_changes(&testbed, name, changes);
             HttpResponse::json(200, &reply)
         }
     };
@@ -140,14 +162,14 @@
         testbed.executor.clone(),
         market.listener,
         Rc::new(RefCell::new(market.keys)),
-        CONNECTIONS,
+        MAX_CONNECTIONS,
         MAX_BODY,
-        answer,
+        handler,
     );
     testbed.executor.spawn_high(serve).detach();
     loop {
-        let list = sim.borrow_mut().step(testbed.now(), STEP);
-        did(&testbed, name, list);
-        Timer::after(Duration::from_millis(STEP)).await;
+        let changes = sim.borrow_mut().step(testbed.now(), STEP_MS);
+        record_changes(&testbed, name, changes);
+        Timer::after(Duration::from_millis(STEP_MS)).await;
     }
 }
--- a/crates/lab/src/scale/measure.rs
+++ b/crates/lab/src/scale/measure.rs
@@ -1,5 +1,5 @@
-//! What the processes of a scale run spend, read from the system, and what the
-//! controllers say of themselves.
+//! Measurements of a scale run: resource usage of its processes, read from `/proc`, and
+//! metrics and status of the controllers.
 
 use crate::installation::{Controller, Testbed};
 use anyhow::{Context, Result};
@@ -12,21 +12,24 @@
 use procfs::process::{FDTarget, Process};
 use std::time::Duration;
 
-const TIMEOUT: Duration = Duration::from_secs(3);
+/// Time limit of a request to a controller.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// One look at a process.
+/// Resource usage of a process at one time.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Usage {
-    /// Processor time since its start, in seconds.
+    /// Processor time since the start of the process, in seconds.
     pub cpu_s: f64,
+    /// Resident memory.
     pub memory_bytes: u64,
+    /// Number of open sockets.
     pub sockets: usize,
 }
 
-/// Reads what a process has spent and holds.
+/// Reads the resource usage of a process.
 pub fn usage(process_id: u32) -> Result<Usage> {
     let process = Process::new(process_id as i32)
-        .with_context(|| format!("process {process_id} can't be read"))?;
+        .with_context(|| format!("cannot read /proc of process {process_id}"))?;
     let stat = process.stat()?;
     let ticks = (stat.utime + stat.stime) as f64;
     let sockets = process.fd()?.flatten();
@@ -38,21 +41,23 @@
     })
 }
 
-/// Counters that a controller publishes, as they stand.
+/// Values of counters in the metrics of a controller.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Counters {
     pub state_requests: f64,
     pub state_changes: f64,
     pub peer_requests: f64,
     pub peer_bytes: f64,
-    /// Rounds of the leader's loop, their time in seconds, and how many took
-    /// no more than 50 ms.
+    /// Number of rounds of the leader's loop.
     pub rounds: f64,
+    /// Total time of the rounds in seconds.
     pub round_seconds: f64,
+    /// Number of rounds that took at most 50 ms.
     pub rounds_within_50_ms: f64,
 }
 
 impl Counters {
+    /// Parses metrics in the Prometheus text format; a missing counter is 0.
     fn parse(text: &str) -> Self {
         let value = |name: &str| {
             let line = text.lines().find(|l| {
@@ -73,36 +78,42 @@
         }
     }
 
-    /// What was counted since `before`; all of it if the process began anew.
+    /// Returns the increase since `before`. A counter that is lower than before was reset
+    /// by a restart of the process, so its whole value counts.
     pub fn since(&self, before: &Counters) -> Counters {
-        let less = |now: f64, then: f64| if now >= then { now - then } else { now };
+        let increase = |now: f64, then: f64| if now >= then { now - then } else { now };
         Counters {
-            state_requests: less(self.state_requests, before.state_requests),
-            state_changes: less(self.state_changes, before.state_changes),
-            peer_requests: less(self.peer_requests, before.peer_requests),
-            peer_bytes: less(self.peer_bytes, before.peer_bytes),
-            rounds: less(self.rounds, before.rounds),
-            round_seconds: less(self.round_seconds, before.round_seconds),
-            rounds_within_50_ms: less(self.rounds_within_50_ms, before.rounds_within_50_ms),
+            state_requests: increase(self.state_requests, before.state_requests),
+            state_changes: increase(self.state_changes, before.state_changes),
+            peer_requests: increase(self.peer_requests, before.peer_requests),
+            peer_bytes: increase(self.peer_bytes, before.peer_bytes),
+            rounds: increase(self.rounds, before.rounds),
+            round_seconds: increase(self.round_seconds, before.round_seconds),
+            rounds_within_50_ms: increase(self.rounds_within_50_ms, before.rounds_within_50_ms),
         }
     }
 }
 
-/// Asks a controller for its counters.
+/// Reads the counters of a controller; `None` if it does not answer.
 pub async fn counters(testbed: &Testbed, controller: &Controller) -> Option<Counters> {
-    let call = testbed
-        .http
-        .call(controller.listen, Method::Get, "/metrics", None, TIMEOUT);
+    let call = testbed.http.call(
+        controller.listen,
+        Method::Get,
+        "/metrics",
+        None,
+        REQUEST_TIMEOUT,
+    );
     let answer = call.await.ok().filter(|a| a.status == 200)?;
     Some(Counters::parse(&String::from_utf8_lossy(&answer.body)))
 }
 
-/// Asks the controllers, one after the other, how things stand.
+/// Asks the controllers one after the other for their status, and returns the first one
+/// that names a leader.
 pub async fn status(testbed: &Testbed) -> Option<Status> {
     let peers = PeerClient::default();
     for controller in &testbed.controllers {
         let answer = peers
-            .call(controller.peer_listen, &Request::Status, TIMEOUT)
+            .call(controller.peer_listen, &Request::Status, REQUEST_TIMEOUT)
             .await;
         if let Ok(Reply::Status(status)) = answer
             && status.leader.is_some()
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -1,5 +1,6 @@
-//! `pathwinch-testbed scale`: real controllers with a plan's fleet of workers in
-//! this process and its load; measures what each role spends, and ends.
+//! `pathwinch-lab scale`: runs real controllers against the machines and the load of a
+//! plan, with all workers and users in this process; measures the resource usage of each
+//! role and reports it.
 
 pub mod history;
 pub mod measure;
@@ -7,7 +8,9 @@
 pub mod report;
 pub mod users;
 
-use crate::{base::Base, children::Children, installation::Testbed, traffic::Traffic, up};
+use crate::{
+    base::PreparedTestbed, children::Children, installation::Testbed, traffic::Traffic, up,
+};
 use anyhow::{Result, ensure};
 use async_io::Timer;
 use futures_lite::future;
@@ -22,17 +25,18 @@
 };
 use users::Users;
 
-/// Between two looks at the processes.
+/// Interval at which the resource usage of the processes is sampled.
 const SAMPLE_INTERVAL: Duration = Duration::from_secs(1);
-/// Between two times that starts are taken from the workers.
+/// Interval at which task starts are taken from the object store.
 const STARTS_INTERVAL: Duration = Duration::from_millis(100);
-/// Between two lines of progress.
+/// Interval between two lines of progress, in seconds.
 const PROGRESS_INTERVAL_S: u64 = 10;
 const MEGABYTE: f64 = 1_000_000.0;
 
-/// Runs the plan. The controllers' settings and logs go to `dir`.
+/// Runs the plan with the controller program `program` and returns the report. The
+/// settings and logs of the controllers go to `dir`.
 pub fn run(plan: Plan, program: &Path, dir: &Path) -> Result<Heartbeat> {
-    let base = Base::new(plan.site(), dir)?;
+    let base = PreparedTestbed::new(plan.site(), dir)?;
     let testbed = base.testbed.clone();
     let children = Children::new(dir.to_owned(), base.programs(program));
     let users = Users::new(testbed.clone(), plan.clone());
@@ -40,23 +44,23 @@
         testbed: testbed.clone(),
         children: &children,
         users,
-        ended: Cell::new(0),
+        controllers_killed: Cell::new(0),
         plan,
     };
     async_io::block_on(testbed.executor.run(async {
         base.serve();
         let measured = run.measure();
-        let faulty = async {
-            run.end_controllers().await;
+        let faults = async {
+            run.kill_controllers().await;
             future::pending::<()>().await;
             unreachable!("never completes")
         };
-        let kept_up = async {
-            children.keep_up().await;
+        let supervision = async {
+            children.supervise().await;
             future::pending::<()>().await;
             unreachable!("never completes")
         };
-        future::or(measured, future::or(faulty, kept_up)).await
+        future::or(measured, future::or(faults, supervision)).await
     }))
 }
 
@@ -65,38 +69,40 @@
     children: &'a Children,
     users: Rc<Users>,
     plan: Plan,
-    /// Controllers that were ended.
-    ended: Cell<u32>,
+    /// Number of controllers killed so far.
+    controllers_killed: Cell<u32>,
 }
 
-/// Looks at one process over the time measured.
+/// Samples of the resource usage of one process while measuring.
 #[derive(Debug, Clone, Default)]
-struct Watched {
+struct ProcessSamples {
     before: Usage,
     last: Usage,
-    largest_cpu: f64,
-    largest_memory: u64,
-    largest_sockets: usize,
+    max_cpu: f64,
+    max_memory: u64,
+    max_sockets: usize,
+    /// Whether the process was replaced while measuring.
     restarted: bool,
 }
 
-impl Watched {
+impl ProcessSamples {
     fn begin(usage: Usage) -> Self {
-        Watched {
+        ProcessSamples {
             before: usage,
             last: usage,
-            largest_memory: usage.memory_bytes,
-            largest_sockets: usage.sockets,
-            ..Watched::default()
+            max_memory: usage.memory_bytes,
+            max_sockets: usage.sockets,
+            ..ProcessSamples::default()
         }
     }
 
-    fn look(&mut self, usage: Usage, seconds: f64) {
-        let spent = usage.cpu_s - self.last.cpu_s;
-        self.restarted |= spent < 0.0;
-        self.largest_cpu = self.largest_cpu.max(spent / seconds);
-        self.largest_memory = self.largest_memory.max(usage.memory_bytes);
-        self.largest_sockets = self.largest_sockets.max(usage.sockets);
+    /// Adds a sample taken `seconds` after the last one.
+    fn add_sample(&mut self, usage: Usage, seconds: f64) {
+        let increase = usage.cpu_s - self.last.cpu_s;
+        self.restarted |= increase < 0.0;
+        self.max_cpu = self.max_cpu.max(increase / seconds);
+        self.max_memory = self.max_memory.max(usage.memory_bytes);
+        self.max_sockets = self.max_sockets.max(usage.sockets);
         self.last = usage;
     }
 
@@ -105,22 +111,23 @@
             name: name.to_owned(),
             role,
             cpu_mean: (self.last.cpu_s - self.before.cpu_s) / seconds,
-            cpu_largest: self.largest_cpu,
-            memory_mb: self.largest_memory as f64 / MEGABYTE,
-            sockets: self.largest_sockets,
+            cpu_largest: self.max_cpu,
+            memory_mb: self.max_memory as f64 / MEGABYTE,
+            sockets: self.max_sockets,
             ..RoleRow::default()
         }
     }
 }
 
 impl Run<'_> {
+    /// Starts the load, waits for the warm-up, measures and builds the report.
     async fn measure(&self) -> Result<Heartbeat> {
         up::until_ready(&self.testbed).await;
         self.testbed.object_store.borrow_mut().take_starts();
-        self.users.begin();
+        self.users.start();
         self.testbed
             .executor
-            .spawn_high(note_starts(self.users.clone(), self.testbed.clone()))
+            .spawn_high(forward_starts(self.users.clone(), self.testbed.clone()))
             .detach();
         self.warm_up().await?;
         let counters = self.counters().await;
@@ -128,50 +135,56 @@
         let leader_before = status.and_then(|s| s.leader);
         self.testbed.traffic.replace(Traffic::default());
         self.users.take_figures();
-        let begun = Instant::now();
-        let watched = self.watch().await?;
-        let seconds = begun.elapsed().as_secs_f64();
+        let started_at = Instant::now();
+        let samples = self.sample_while_measuring().await?;
+        let seconds = started_at.elapsed().as_secs_f64();
         let mut report = self.report(seconds);
         let status = measure::status(&self.testbed).await.unwrap_or_default();
         report.leader_changed = leader_before != status.leader;
-        report.roles = self.role_rows(&watched, seconds, &status);
+        report.roles = self.role_rows(&samples, seconds, &status);
         self.add_counters(&mut report.roles, &counters, seconds)
             .await;
-        report.processes = watched.len();
-        let memory: u64 = watched.iter().map(|w| w.largest_memory).sum();
+        report.processes = samples.len();
+        let memory: u64 = samples.iter().map(|process| process.max_memory).sum();
         report.memory_all_mb = memory as f64 / MEGABYTE;
         Ok(report)
     }
 
-    /// Ends the leader and another controller in turn, as the plan says.
-    async fn end_controllers(&self) {
-        let every = self.plan.faults.controller_ends_every_s;
-        if every <= 0.0 {
+    /// Kills a controller at the plan's interval: the leader and a random one in turn.
+    async fn kill_controllers(&self) {
+        let interval_s = self.plan.faults.controller_ends_every_s;
+        if interval_s <= 0.0 {
             return;
         }
         let mut rng = fastrand::Rng::with_seed(self.plan.seed);
         loop {
-            Timer::after(Duration::from_secs_f64(every)).await;
+            Timer::after(Duration::from_secs_f64(interval_s)).await;
             let count = self.testbed.controllers.len();
             let leader = measure::status(&self.testbed).await.and_then(|s| s.leader);
             let is_leader = |name: &str| leader.as_deref() == Some(name);
-            let leads = (self.testbed.controllers.iter()).position(|c| is_leader(&c.name));
-            let leads = leads.filter(|_| self.ended.get().is_multiple_of(2));
-            let index = leads.unwrap_or_else(|| rng.usize(..count));
-            eprintln!("{} ends", self.testbed.controllers[index].name);
+            let leader_index = (self.testbed.controllers.iter())
+                .position(|controller| is_leader(&controller.name));
+            let leader_index =
+                leader_index.filter(|_| self.controllers_killed.get().is_multiple_of(2));
+            let index = leader_index.unwrap_or_else(|| rng.usize(..count));
+            eprintln!(
+                "killing controller {}",
+                self.testbed.controllers[index].name
+            );
             self.children.kill_process(index);
-            self.ended.set(self.ended.get() + 1);
+            self.controllers_killed
+                .set(self.controllers_killed.get() + 1);
         }
     }
 
     async fn warm_up(&self) -> Result<()> {
         let end = Instant::now() + Duration::from_secs_f64(self.plan.warm_up_s);
-        let mut shown = Instant::now();
+        let mut last_progress = Instant::now();
         while Instant::now() < end {
             Timer::after(SAMPLE_INTERVAL).await;
-            self.look_at_all()?;
-            if shown.elapsed().as_secs() >= PROGRESS_INTERVAL_S {
-                shown = Instant::now();
+            self.sample_all()?;
+            if last_progress.elapsed().as_secs() >= PROGRESS_INTERVAL_S {
+                last_progress = Instant::now();
                 self.show_progress("warming up");
             }
         }
@@ -188,43 +201,46 @@
         );
     }
 
-    /// The controllers' processes in their order, and this one last.
-    fn look_at_all(&self) -> Result<Vec<Usage>> {
+    /// Samples the controllers in their order, and this process last. Fails if they use
+    /// more memory than the plan allows.
+    fn sample_all(&self) -> Result<Vec<Usage>> {
         let mut usages = Vec::new();
         for id in self.children.process_ids() {
-            // A process that ends meanwhile shows nothing.
+            // A process that is not running counts as zero.
             let usage = id.and_then(|id| measure::usage(id).ok());
             usages.push(usage.unwrap_or_default());
         }
         usages.push(measure::usage(std::process::id())?);
         let memory: u64 = usages.iter().map(|u| u.memory_bytes).sum();
-        let most = self.plan.most_memory_gb * 1e9;
+        let memory_limit = self.plan.most_memory_gb * 1e9;
         ensure!(
-            (memory as f64) < most,
-            "most_memory_gb: the run holds {:.1} GB, more than the plan allows",
+            (memory as f64) < memory_limit,
+            "most_memory_gb: all processes together use {:.1} GB, more than the plan allows",
             memory as f64 / 1e9
         );
         Ok(usages)
     }
 
-    async fn watch(&self) -> Result<Vec<Watched>> {
-        let first = self.look_at_all()?;
-        let mut watched: Vec<Watched> = first.into_iter().map(Watched::begin).collect();
+    /// Samples all processes for the time to be measured.
+    async fn sample_while_measuring(&self) -> Result<Vec<ProcessSamples>> {
+        let first = self.sample_all()?;
+        let mut samples: Vec<ProcessSamples> =
+            first.into_iter().map(ProcessSamples::begin).collect();
         let end = Instant::now() + Duration::from_secs_f64(self.plan.measure_s);
-        let (mut last, mut shown) = (Instant::now(), Instant::now());
+        let (mut last, mut last_progress) = (Instant::now(), Instant::now());
         while Instant::now() < end {
             Timer::after(SAMPLE_INTERVAL).await;
             let seconds = last.elapsed().as_secs_f64();
             last = Instant::now();
-            for (w, usage) in watched.iter_mut().zip(self.look_at_all()?) {
-                w.look(usage, seconds);
+            for (process, usage) in samples.iter_mut().zip(self.sample_all()?) {
+                process.add_sample(usage, seconds);
             }
-            if shown.elapsed().as_secs() >= PROGRESS_INTERVAL_S {
-                shown = Instant::now();
+            if last_progress.elapsed().as_secs() >= PROGRESS_INTERVAL_S {
+                last_progress = Instant::now();
                 self.show_progress("measuring");
             }
         }
-        Ok(watched)
+        Ok(samples)
     }
 
     async fn counters(&self) -> Vec<Option<Counters>> {
@@ -235,9 +251,10 @@
         all
     }
 
+    /// Builds the report's rows of the processes, with their roles at the end.
     fn role_rows(
         &self,
-        watched: &[Watched],
+        samples: &[ProcessSamples],
         seconds: f64,
         status: &pathwinch_protocol::status::Status,
     ) -> Vec<RoleRow> {
@@ -255,30 +272,31 @@
             .testbed
             .controllers
             .iter()
-            .zip(watched)
-            .map(|(c, w)| w.row(&c.name, role_of(&c.name), seconds))
+            .zip(samples)
+            .map(|(c, process)| process.row(&c.name, role_of(&c.name), seconds))
             .collect();
-        if let Some(own) = watched.get(rows.len()) {
-            rows.push(own.row("lab", "load and stand-ins", seconds));
+        if let Some(own_samples) = samples.get(rows.len()) {
+            rows.push(own_samples.row("lab", "load and stand-ins", seconds));
         }
         rows
     }
 
+    /// Adds the increase of the controllers' counters to their rows.
     async fn add_counters(&self, rows: &mut [RoleRow], before: &[Option<Counters>], seconds: f64) {
         let after = self.counters().await;
         for ((row, before), after) in rows.iter_mut().zip(before).zip(after) {
             let (Some(before), Some(after)) = (before, after) else {
                 continue;
             };
-            let spent = after.since(before);
-            row.state_requests = spent.state_requests / seconds;
-            row.state_changes = spent.state_changes / seconds;
-            row.peer_requests = spent.peer_requests / seconds;
-            row.peer_kb = spent.peer_bytes / 1000.0 / seconds;
-            row.rounds = spent.rounds / seconds;
-            if spent.rounds > 0.0 {
-                row.round_ms = 1000.0 * spent.round_seconds / spent.rounds;
-                row.rounds_over_50_ms = 1.0 - spent.rounds_within_50_ms / spent.rounds;
+            let increase = after.since(before);
+            row.state_requests = increase.state_requests / seconds;
+            row.state_changes = increase.state_changes / seconds;
+            row.peer_requests = increase.peer_requests / seconds;
+            row.peer_kb = increase.peer_bytes / 1000.0 / seconds;
+            row.rounds = increase.rounds / seconds;
+            if increase.rounds > 0.0 {
+                row.round_ms = 1000.0 * increase.round_seconds / increase.rounds;
+                row.rounds_over_50_ms = 1.0 - increase.rounds_within_50_ms / increase.rounds;
             }
         }
     }
@@ -290,14 +308,17 @@
             .class
             .iter()
             .zip(&figures.classes)
-            .map(|(class, seen)| class_row(class, seen, seconds))
+            .map(|(class, figures_of_class)| class_row(class, figures_of_class, seconds))
             .collect();
         Heartbeat {
             machines: self.plan.site_machines(),
             controllers: self.plan.controllers,
             teams: self.plan.teams,
             seconds,
-            starts_per_s: classes.iter().map(|c| c.starts_per_s).sum(),
+            starts_per_s: classes
+                .iter()
+                .map(|controller| controller.starts_per_s)
+                .sum(),
             open_jobs: self.users.open_jobs(),
             polls_per_s: figures.polls as f64 / seconds,
             polls_failed: figures.polls_failed,
@@ -306,7 +327,7 @@
             classes,
             worker: self.worker_row(seconds),
             answers_checked: self.users.answers_checked(),
-            controllers_ended: self.ended.get(),
+            controllers_ended: self.controllers_killed.get(),
             rules_broken: self.rules_broken(),
             ..Heartbeat::default()
         }
@@ -340,29 +361,34 @@
     }
 }
 
-fn class_row(class: &plan::Class, seen: &users::ClassFigures, seconds: f64) -> ClassRow {
-    let delays = &seen.start_delays;
+fn class_row(
+    class: &plan::Class,
+    figures_of_class: &users::ClassFigures,
+    seconds: f64,
+) -> ClassRow {
+    let delays = &figures_of_class.start_delays;
     let share = class.within_s.filter(|_| !delays.is_empty()).map(|s| {
-        let within = (s * 1000.0) as u64;
-        delays.count_between(0, within) as f64 / delays.len() as f64
+        let within_ms = (s * 1000.0) as u64;
+        delays.count_between(0, within_ms) as f64 / delays.len() as f64
     });
     ClassRow {
         name: class.name.clone(),
-        submitted: seen.submitted,
-        accepted: seen.accepted,
-        done: seen.done,
-        starts_per_s: seen.starts as f64 / seconds,
+        submitted: figures_of_class.submitted,
+        accepted: figures_of_class.accepted,
+        done: figures_of_class.done,
+        starts_per_s: figures_of_class.starts as f64 / seconds,
         start_delay: Times::of(delays),
         within_s: class.within_s,
         share_within: share,
     }
 }
 
-/// Hands what workers start to the users, again and again.
-async fn note_starts(users: Rc<Users>, testbed: Rc<Testbed>) {
+/// Passes the task starts in the object store on to the users periodically. Never
+/// returns.
+async fn forward_starts(users: Rc<Users>, testbed: Rc<Testbed>) {
     loop {
         let starts = testbed.object_store.borrow_mut().take_starts();
-        users.note_starts(starts);
+        users.record_starts(starts);
         Timer::after(STARTS_INTERVAL).await;
     }
 }
--- a/crates/lab/src/scale/report.rs
+++ b/crates/lab/src/scale/report.rs
@@ -1,11 +1,12 @@
-//! The figures of a scale run, as a table and as JSON.
+//! The report of a scale run, as text for the terminal and as JSON. The field names are
+//! those of the JSON.
 
 use anyhow::{Result, ensure};
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use std::fmt::Write;
 
-/// Times in milliseconds.
+/// Distribution of times in milliseconds.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct Times {
     pub count: u64,
@@ -27,47 +28,55 @@
     }
 }
 
-/// What a process spent over the time measured.
+/// Resource usage and counters of a process while measuring.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct RoleRow {
     pub name: String,
     /// `leader`, `standby`, `follower`, or `load and stand-ins`.
     pub role: &'static str,
-    /// Shares of one core: mean, and the largest over a second.
+    /// Mean processor usage, as a share of one core.
     pub cpu_mean: f64,
+    /// Maximum processor usage over a sample interval of one second, as a share of
+    /// one core.
     pub cpu_largest: f64,
-    /// The largest seen.
+    /// Maximum resident memory.
     pub memory_mb: f64,
+    /// Maximum number of open sockets.
     pub sockets: usize,
-    /// A second.
+    /// Requests to the state service per second.
     pub state_requests: f64,
+    /// Changes written to the state service per second.
     pub state_changes: f64,
+    /// Requests to other controllers per second.
     pub peer_requests: f64,
+    /// Kilobytes exchanged with other controllers per second.
     pub peer_kb: f64,
-    /// Rounds of the leader's loop a second, their mean time in milliseconds,
-    /// and the share of them that took over 50 ms.
+    /// Rounds of the leader's loop per second.
     pub rounds: f64,
+    /// Mean time of a round.
     pub round_ms: f64,
+    /// Share of rounds that took over 50 ms.
     pub rounds_over_50_ms: f64,
 }
 
-/// What users of a class saw.
+/// Figures of the users of a class.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct ClassRow {
     pub name: String,
     pub submitted: u64,
     pub accepted: u64,
     pub done: u64,
-    /// Starts of tasks a second, repeated ones included.
+    /// Task starts per second, including repeated ones.
     pub starts_per_s: f64,
-    /// From the first attempt to submit to a task's first start.
+    /// Times from the first attempt to submit a job to the first start of each task.
     pub start_delay: Times,
-    /// The aim for starting, and the share of starts within it.
+    /// Objective for the start delay.
     pub within_s: Option<f64>,
+    /// Share of first starts within the objective.
     pub share_within: Option<f64>,
 }
 
-/// What workers exchanged with controllers, a second and worker.
+/// Messages between workers and controllers, per second and worker.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct WorkerRow {
     pub workers: usize,
@@ -77,10 +86,11 @@
     pub direct_orders: f64,
     pub sent_bytes: f64,
     pub received_bytes: f64,
-    /// From sending a report to its answer.
+    /// Times from sending a heartbeat to its answer.
     pub answer: Times,
 }
 
+/// The report of a scale run.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct Heartbeat {
     pub machines: u32,
@@ -99,16 +109,17 @@
     pub worker: WorkerRow,
     pub processes: usize,
     pub memory_all_mb: f64,
-    /// Answers to users that were held against those before them, and ends of
-    /// controllers, over the whole run.
+    /// Number of answers to users that were checked against earlier ones, over the whole
+    /// run.
     pub answers_checked: u64,
+    /// Number of controllers killed over the whole run.
     pub controllers_ended: u32,
-    /// Rules that were seen broken, over the whole run.
+    /// Descriptions of the invariants violated over the whole run.
     pub rules_broken: Vec<String>,
 }
 
 impl Heartbeat {
-    /// The table that the terminal shows.
+    /// Returns the report as text for the terminal.
     pub fn text(&self) -> String {
         let mut out = String::new();
         // Writing to a string can't fail.
@@ -143,12 +154,12 @@
         if self.leader_changed {
             writeln!(
                 out,
-                "the lead changed while measuring: roles are those at the end"
+                "the leader changed while measuring: roles are those at the end"
             )?;
         }
         writeln!(
             out,
-            "{} answers to users held against those before them; {} ends of controllers",
+            "{} answers to users checked against earlier answers; {} controllers killed",
             self.answers_checked, self.controllers_ended
         )?;
         for rule in &self.rules_broken {
@@ -213,7 +224,7 @@
             "within aim"
         )?;
         for c in &self.classes {
-            let aim = match (c.within_s, c.share_within) {
+            let objective = match (c.within_s, c.share_within) {
                 (Some(s), Some(share)) => format!("{:.2}% in {s} s", share * 100.0),
                 _ => "-".into(),
             };
@@ -230,7 +241,7 @@
                 delay.p99_ms,
                 delay.p999_ms,
                 delay.largest_ms,
-                aim
+                objective
             )?;
         }
         Ok(())
@@ -256,11 +267,11 @@
         )
     }
 
-    /// An error if a rule was broken.
+    /// Returns an error if an invariant was violated.
     pub fn verdict(&self) -> Result<()> {
         ensure!(
             self.rules_broken.is_empty(),
-            "{} rules broken",
+            "{} invariants violated, see RULE BROKEN in the report",
             self.rules_broken.len()
         );
         Ok(())
--- a/crates/lab/src/scale/users.rs
+++ b/crates/lab/src/scale/users.rs
@@ -1,8 +1,8 @@
-//! The load: users who submit jobs at the plan's rates and poll them until
-//! they are over, and what they saw.
+//! The load of a scale run: users who submit jobs at the plan's rates, may cancel them,
+//! and poll them until they end. Records the users' figures and checks their answers.
 
 use super::{
-    history::{Answered, History, Said},
+    history::{AnswerContent, History, UserAnswer},
     plan::Plan,
 };
 use crate::{Millis, installation::Testbed, object_store::Started, traffic};
@@ -21,25 +21,27 @@
 
 const SUBMIT_TIMEOUT: Duration = Duration::from_secs(5);
 const POLL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Before a request that failed is repeated.
-const RETRY: Duration = Duration::from_secs(1);
-/// A job that is cancelled is so within this time after it was accepted.
-const MOST_BEFORE_WITHDRAWAL_S: f64 = 20.0;
-/// Close looks at each controller, and within how long.
-const LOOKS: usize = 2;
-const LOOKS_WITHIN_MS: u64 = 30;
-/// Submissions that are begun at once at the start, and how often.
-const INITIAL_BATCH: usize = 20;
+/// Delay before a failed request is repeated.
+const RETRY_DELAY: Duration = Duration::from_secs(1);
+/// Maximum time in seconds from the acceptance of a job to its cancellation.
+const MAX_CANCEL_DELAY_S: f64 = 20.0;
+/// Number of requests to each controller in a check of all controllers.
+const CHECKS_PER_CONTROLLER: usize = 2;
+/// Time within which these requests are sent, in milliseconds.
+const CHECK_WINDOW_MS: u64 = 30;
+/// Number of initial jobs that are submitted at once.
+const INITIAL_BATCH_SIZE: usize = 20;
+/// Interval between two batches of initial jobs.
 const INITIAL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What users of one class saw since the figures were last reset.
+/// Figures of the users of one class since the last reset.
 #[derive(Debug)]
 pub struct ClassFigures {
     pub submitted: u64,
     pub accepted: u64,
     pub done: u64,
     pub starts: u64,
-    /// From the first attempt to submit to a task's first start.
+    /// Times from the first attempt to submit a job to the first start of each task.
     pub start_delays: Histogram<u64>,
 }
 
@@ -50,12 +52,12 @@
             accepted: 0,
             done: 0,
             starts: 0,
-            start_delays: traffic::times(),
+            start_delays: traffic::time_histogram(),
         }
     }
 }
 
-/// What all users saw since the figures were last reset.
+/// Figures of all users since the last reset.
 #[derive(Debug)]
 pub struct Figures {
     pub classes: Vec<ClassFigures>,
@@ -69,7 +71,7 @@
     fn of(classes: usize) -> Self {
         Figures {
             classes: (0..classes).map(|_| ClassFigures::default()).collect(),
-            submit_times: traffic::times(),
+            submit_times: traffic::time_histogram(),
             polls: 0,
             polls_failed: 0,
             submissions_repeated: 0,
@@ -77,17 +79,19 @@
     }
 }
 
-/// A job whose user has not seen it end.
-struct Open {
+/// A job whose user has not been told yet that it ended.
+struct OpenJob {
     class: usize,
     submitted: Millis,
+    /// Tasks that have started at least once.
     started: HashSet<u32>,
 }
 
+/// The users of a scale run.
 pub struct Users {
     testbed: Rc<Testbed>,
     plan: Plan,
-    open: RefCell<HashMap<String, Open>>,
+    open: RefCell<HashMap<String, OpenJob>>,
     figures: RefCell<Figures>,
     next_job: RefCell<usize>,
     rng: RefCell<fastrand::Rng>,
@@ -107,33 +111,33 @@
         })
     }
 
-    /// Jobs whose users have not seen them end.
+    /// Number of jobs whose users have not been told yet that they ended.
     pub fn open_jobs(&self) -> usize {
         self.open.borrow().len()
     }
 
-    /// Answers that were held against those before them.
+    /// Number of answers that were checked against earlier ones.
     pub fn answers_checked(&self) -> u64 {
         self.history.borrow().answers()
     }
 
-    /// What users were told that they may not be.
+    /// Descriptions of the violations in the answers to users.
     pub fn rules_broken(&self) -> Vec<String> {
-        self.history.borrow().broken().to_vec()
+        self.history.borrow().violations().to_vec()
     }
 
-    /// Takes what was seen since the last call.
+    /// Returns the figures since the last call and resets them.
     pub fn take_figures(&self) -> Figures {
         self.figures.replace(Figures::of(self.plan.class.len()))
     }
 
-    /// Begins all arrivals; they go on until the lab ends.
-    pub fn begin(self: &Rc<Self>) {
+    /// Starts the users of all classes. They submit jobs until the testbed stops.
+    pub fn start(self: &Rc<Self>) {
         for class in 0..self.plan.class.len() {
             let users = self.clone();
             let arrivals = async move {
                 users.submit_initial(class).await;
-                users.arrive(class).await;
+                users.submit_at_rate(class).await;
             };
             self.testbed.executor.spawn_low(arrivals).detach();
         }
@@ -143,21 +147,22 @@
         let count = self.plan.class[class].initial.round() as usize;
         for number in 0..count {
             self.submit_one(class);
-            if number % INITIAL_BATCH == INITIAL_BATCH - 1 {
+            if number % INITIAL_BATCH_SIZE == INITIAL_BATCH_SIZE - 1 {
                 Timer::after(INITIAL_INTERVAL).await;
             }
         }
     }
 
-    async fn arrive(self: &Rc<Self>, class: usize) {
+    /// Submits jobs of a class at its rate, at exponentially distributed intervals.
+    async fn submit_at_rate(self: &Rc<Self>, class: usize) {
         let rate = self.plan.class[class].per_s;
         if rate <= 0.0 {
             return;
         }
         loop {
-            let chance = 1.0 - self.rng.borrow_mut().f64();
-            let gap = -chance.ln() / rate;
-            Timer::after(Duration::from_secs_f64(gap)).await;
+            let probability = 1.0 - self.rng.borrow_mut().f64();
+            let interval = -probability.ln() / rate;
+            Timer::after(Duration::from_secs_f64(interval)).await;
             self.submit_one(class);
         }
     }
@@ -168,7 +173,7 @@
             let mut rng = self.rng.borrow_mut();
             self.plan.class[class].job(number, self.plan.teams, &mut rng)
         };
-        let open = Open {
+        let open = OpenJob {
             class,
             submitted: self.testbed.now(),
             started: HashSet::new(),
@@ -177,16 +182,17 @@
         self.open.borrow_mut().insert(spec.id.clone(), open);
         self.figures.borrow_mut().classes[class].submitted += 1;
         let users = self.clone();
-        let user = async move { users.follow(class, spec).await };
+        let user = async move { users.run_user(class, spec).await };
         self.testbed.executor.spawn_low(user).detach();
     }
 
-    /// One user's part: submits until that is accepted, then polls.
-    async fn follow(self: Rc<Self>, class: usize, spec: JobSpec) {
+    /// Runs the user of a job: submits it until it is accepted, cancels it if the plan says
+    /// so, and polls it until it ends.
+    async fn run_user(self: Rc<Self>, class: usize, spec: JobSpec) {
         let body = serde_json::to_vec(&spec).unwrap_or_default();
-        let begun = self.testbed.now();
+        let submit_started = self.testbed.now();
         loop {
-            let answer = self.ask(
+            let answer = self.send_request(
                 &spec.id,
                 Method::Post,
                 "/v1/jobs",
@@ -196,83 +202,89 @@
             match answer.await {
                 Some(a) if matches!(a.status, 200 | 201) => break,
                 Some(a) if matches!(a.status, 400 | 422) => {
-                    log::error!("{} refused: {}", spec.id, String::from_utf8_lossy(&a.body));
+                    log::error!(
+                        "scale run: job {} was refused: {}",
+                        spec.id,
+                        String::from_utf8_lossy(&a.body)
+                    );
                     self.open.borrow_mut().remove(&spec.id);
                     return;
                 }
                 _ => {
                     self.figures.borrow_mut().submissions_repeated += 1;
-                    Timer::after(RETRY).await;
+                    Timer::after(RETRY_DELAY).await;
                 }
             }
         }
         {
-            let took = self.testbed.now() - begun;
+            let submit_time = self.testbed.now() - submit_started;
             let mut figures = self.figures.borrow_mut();
             figures.classes[class].accepted += 1;
-            traffic::record(&mut figures.submit_times, took);
+            traffic::record(&mut figures.submit_times, submit_time);
         }
-        self.look_closely(&spec.id);
-        if self.is_to_be_withdrawn() {
+        self.check_all_controllers(&spec.id);
+        if self.should_cancel() {
             self.cancel(&spec.id).await;
         }
         self.poll_until_over(class, &spec).await;
     }
 
-    /// Without that fault nothing is drawn: the load stays that of its seed.
-    fn is_to_be_withdrawn(&self) -> bool {
+    /// Whether the user cancels the job. Draws no random number if the plan has no
+    /// cancellations, so that the load of a seed does not change.
+    fn should_cancel(&self) -> bool {
         let share = self.plan.faults.withdrawn;
         share > 0.0 && self.rng.borrow_mut().f64() < share
     }
 
-    /// Cancels a job some time after it was accepted.
+    /// Cancels a job a random time after it was accepted.
     async fn cancel(self: &Rc<Self>, id: &str) {
-        let after = MOST_BEFORE_WITHDRAWAL_S * self.rng.borrow_mut().f64();
+        let after = MAX_CANCEL_DELAY_S * self.rng.borrow_mut().f64();
         Timer::after(Duration::from_secs_f64(after)).await;
-        self.history.borrow_mut().asked_to_withdraw(id);
+        self.history.borrow_mut().record_cancel_request(id);
         let path = format!("/v1/jobs/{id}/abort");
         loop {
             let answer = self
-                .ask(id, Method::Post, &path, None, SUBMIT_TIMEOUT)
+                .send_request(id, Method::Post, &path, None, SUBMIT_TIMEOUT)
                 .await;
             if answer.is_some_and(|a| a.status == 200) {
-                return self.look_closely(id);
+                return self.check_all_controllers(id);
             }
-            Timer::after(RETRY).await;
+            Timer::after(RETRY_DELAY).await;
         }
     }
 
-    /// Asks at all controllers within milliseconds, twice at each.
-    fn look_closely(self: &Rc<Self>, id: &str) {
+    /// Asks all controllers for the state of a job within milliseconds, each of them twice,
+    /// if the plan enables that.
+    fn check_all_controllers(self: &Rc<Self>, id: &str) {
         if !self.plan.faults.close_looks {
             return;
         }
         for controller in 0..self.testbed.controllers.len() {
-            for _ in 0..LOOKS {
-                let after = self.rng.borrow_mut().u64(0..LOOKS_WITHIN_MS);
+            for _ in 0..CHECKS_PER_CONTROLLER {
+                let after = self.rng.borrow_mut().u64(0..CHECK_WINDOW_MS);
                 let (users, id) = (self.clone(), id.to_owned());
-                let look = async move {
+                let check = async move {
                     Timer::after(Duration::from_millis(after)).await;
                     let path = format!("/v1/jobs/{id}");
                     let at = &users.testbed.controllers[controller];
-                    let asked = users.testbed.now();
+                    let sent_at = users.testbed.now();
                     let answer = users.call(at.listen, Method::Get, &path, None, POLL_TIMEOUT);
                     let answer = answer.await;
-                    users.note_answer(&id, &at.name, asked, answer.as_ref());
+                    users.check_answer(&id, &at.name, sent_at, answer.as_ref());
                 };
-                self.testbed.executor.spawn_low(look).detach();
+                self.testbed.executor.spawn_low(check).detach();
             }
         }
     }
 
     async fn poll_until_over(self: &Rc<Self>, class: usize, spec: &JobSpec) {
         let path = format!("/v1/jobs/{}", spec.id);
-        // The first polls are spread like the later ones.
+        // A random first delay spreads the polls of all users over time.
         let first = self.plan.poll_s * self.rng.borrow_mut().f64();
         Timer::after(Duration::from_secs_f64(first)).await;
         loop {
             let answer = self
-                .ask(&spec.id, Method::Get, &path, None, POLL_TIMEOUT)
+                .send_request(&spec.id, Method::Get, &path, None, POLL_TIMEOUT)
                 .await;
             self.figures.borrow_mut().polls += 1;
             let status = answer
@@ -285,28 +297,28 @@
             }
             Timer::after(Duration::from_secs_f64(self.plan.poll_s)).await;
         }
-        self.look_closely(&spec.id);
+        self.check_all_controllers(&spec.id);
         if spec.kind != Kind::Service {
             self.figures.borrow_mut().classes[class].done += 1;
         }
         self.open.borrow_mut().remove(&spec.id);
     }
 
-    /// Asks a controller that is ready about a job.
-    async fn ask(
+    /// Sends a request about a job to a ready controller, and records the answer.
+    async fn send_request(
         &self,
         id: &str,
         method: Method,
         path: &str,
         body: Option<&[u8]>,
-        limit: Duration,
+        timeout: Duration,
     ) -> Option<Answer> {
         let to = self.testbed.ready_controller()?;
         let controllers = &self.testbed.controllers;
         let name = controllers.iter().find(|c| c.listen == to)?.name.as_str();
-        let asked = self.testbed.now();
-        let answer = self.call(to, method, path, body, limit).await;
-        self.note_answer(id, name, asked, answer.as_ref());
+        let sent_at = self.testbed.now();
+        let answer = self.call(to, method, path, body, timeout).await;
+        self.check_answer(id, name, sent_at, answer.as_ref());
         answer
     }
 
@@ -316,41 +328,44 @@
         method: Method,
         path: &str,
         body: Option<&[u8]>,
-        limit: Duration,
+        timeout: Duration,
     ) -> Option<Answer> {
         let body = body.map(<[u8]>::to_vec);
         self.testbed
             .http
-            .call(to, method, path, body, limit)
+            .call(to, method, path, body, timeout)
             .await
             .ok()
     }
 
-    /// Holds an answer against those before it.
-    fn note_answer(&self, job: &str, controller: &str, sent: Millis, answer: Option<&Answer>) {
+    /// Checks an answer against earlier ones.
+    fn check_answer(&self, job: &str, controller: &str, sent: Millis, answer: Option<&Answer>) {
         let Some(answer) = answer else { return };
         let state = || serde_json::from_slice::<JobStatus>(&answer.body).ok();
-        let said = match answer.status {
-            200 | 201 => state().map(|status| Said::State(status.state)),
-            status @ (400 | 404 | 422) => Some(Said::Refused(status)),
+        let content = match answer.status {
+            200 | 201 => state().map(|status| AnswerContent::State(status.state)),
+            status @ (400 | 404 | 422) => Some(AnswerContent::Refused(status)),
             _ => None,
         };
-        let Some(said) = said else { return };
-        let came = self.testbed.now();
-        if said == Said::State(JobState::Cancelled) {
-            self.testbed.object_store.borrow_mut().cancelled(job, came);
+        let Some(content) = content else { return };
+        let received = self.testbed.now();
+        if content == AnswerContent::State(JobState::Cancelled) {
+            self.testbed
+                .object_store
+                .borrow_mut()
+                .cancelled(job, received);
         }
-        self.history.borrow_mut().answered(&Answered {
+        self.history.borrow_mut().record_answer(&UserAnswer {
             job,
             controller,
             sent,
-            came,
-            said,
+            received,
+            content,
         });
     }
 
-    /// Takes in the starts that workers saw.
-    pub fn note_starts(&self, starts: Vec<Started>) {
+    /// Records task starts in the figures.
+    pub fn record_starts(&self, starts: Vec<Started>) {
         let mut open = self.open.borrow_mut();
         let mut figures = self.figures.borrow_mut();
         for start in starts {
--- a/crates/lab/src/services.rs
+++ b/crates/lab/src/services.rs
@@ -63,7 +63,7 @@
                 .and_then(|l| l.parse().ok());
             match id {
                 Some(id) if is_renewal => answer(testbed.state.borrow_mut().renew_lease(id, now)),
-                Some(id) => answer(testbed.state.borrow_mut().drop_lease(id)),
+                Some(id) => answer(testbed.state.borrow_mut().revoke_lease(id)),
                 None => HttpResponse::error(404, "no such path"),
             }
         }
@@ -74,8 +74,8 @@
 async fn watch(testbed: &Rc<Testbed>, under: &str, from: u64, until: Millis) -> HttpResponse {
     loop {
         let now = testbed.now();
-        testbed.state.borrow_mut().pass_time(now);
-        if let Some(changed) = testbed.state.borrow().changes(under, from) {
+        testbed.state.borrow_mut().expire_leases(now);
+        if let Some(changed) = testbed.state.borrow().changes_since(under, from) {
             return answer(changed);
         }
         if now >= until {
--- a/crates/lab/src/site.rs
+++ b/crates/lab/src/site.rs
@@ -1,6 +1,6 @@
-//! What a lab is made of: the part of the settings that all controllers
-//! share, machine types and how much of each there is, and how things go
-//! wrong. Written as JSON; `pathwinch-testbed site` prints the default.
+//! The description of a testbed (the site file, in JSON): the settings that all
+//! controllers share, the machine types with the capacity of the simulated cloud, and
+//! the shares of machines and tasks that fail. `pathwinch-lab site` prints the default.
 
 use anyhow::{Context, Result, ensure};
 use pathwinch_protocol::{
@@ -10,35 +10,41 @@
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 
+/// The description of a testbed. The field names are those of the site file.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Site {
+    /// Number of controllers.
     pub controllers: usize,
     pub cluster: Cluster,
+    /// Machine types that the cloud rents out.
     pub rigs: Vec<MachineType>,
-    /// Machines of each type, zone and kind that the cloud has.
+    /// Number of machines that the cloud has of each type and zone, for spot and ordinary
+    /// machines each.
     pub capacity: u32,
-    /// The same by type, in the order of `rigs`; empty: `capacity` of each.
+    /// The same number by machine type, in the order of `rigs`. Types without an entry
+    /// have `capacity`.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub capacity_by_type: Vec<u32>,
-    /// Share of machines that never come up.
+    /// Share of machines that never boot, 0 to 1.
     #[serde(default)]
     pub stillborn: f64,
-    /// Share of tasks that fail on their first attempt.
+    /// Share of tasks that fail at their first start, 0 to 1.
     #[serde(default)]
     pub failing: f64,
-    /// Everything drawn comes from this.
+    /// Seed of all random numbers of the simulated services.
     #[serde(default)]
     pub seed: u64,
 }
 
-/// More listeners than this on one machine serve no purpose.
-const MOST_CAPACITY: u32 = 500;
-/// More controllers than this are not planned for.
-pub const MOST_CONTROLLERS: usize = 15;
+/// Maximum capacity per machine type, zone and spot or ordinary machines. Each machine
+/// needs a listener on this host, and more listeners serve no purpose.
+const MAX_CAPACITY: u32 = 500;
+/// Maximum number of controllers; larger installations are not planned for.
+pub const MAX_CONTROLLERS: usize = 15;
 
 impl Default for Site {
     fn default() -> Self {
-        let rig = |name: &str, cpus, gpus, price| MachineType {
+        let machine_type = |name: &str, cpus, gpus, price| MachineType {
             name: name.into(),
             cpus,
             gpus,
@@ -57,7 +63,7 @@
             cpus_max,
             gpus_max: 0.0,
         };
-        let aim = |kind: &str, class: &str, within_s| Objective {
+        let objective = |kind: &str, class: &str, within_s| Objective {
             kind: kind.into(),
             class: Some(class.into()),
             within_s: Some(within_s),
@@ -68,7 +74,7 @@
             cluster: Cluster {
                 zones: vec!["a".into(), "b".into()],
                 teams: vec![team("orders", 16.0, 0.0), team("graphics", 0.0, 64.0)],
-                objectives: vec![aim("start", "service", 30.0)],
+                objectives: vec![objective("start", "service", 30.0)],
                 workers: Workers {
                     report_s: 1.0,
                     lease_s: 30.0,
@@ -91,7 +97,10 @@
                     max_connections: 256,
                 },
             },
-            rigs: vec![rig("m8", 8.0, 0.0, 0.4), rig("g16", 16.0, 2.0, 2.0)],
+            rigs: vec![
+                machine_type("m8", 8.0, 0.0, 0.4),
+                machine_type("g16", 16.0, 2.0, 2.0),
+            ],
             capacity: 20,
             capacity_by_type: Vec::new(),
             stillborn: 0.0,
@@ -102,48 +111,51 @@
 }
 
 impl Site {
-    /// Machines of this type in each zone, ordinary ones and spot ones each.
+    /// Number of machines of a type that the cloud has in each zone, for spot and ordinary
+    /// machines each.
     pub fn capacity_of(&self, type_index: usize) -> u32 {
-        let own = self.capacity_by_type.get(type_index);
-        own.copied().unwrap_or(self.capacity)
+        let type_capacity = self.capacity_by_type.get(type_index);
+        type_capacity.copied().unwrap_or(self.capacity)
     }
 
+    /// Reads and checks a site file.
     pub fn load(path: &Path) -> Result<Self> {
         let text = std::fs::read_to_string(path)
-            .with_context(|| format!("cannot read {}", path.display()))?;
-        Self::parse(&text).with_context(|| format!("{}", path.display()))
+            .with_context(|| format!("cannot read site file {}", path.display()))?;
+        Self::parse(&text).with_context(|| format!("site file {}", path.display()))
     }
 
+    /// Parses and checks a site file. Errors name the field.
     pub fn parse(text: &str) -> Result<Self> {
         let site: Site = serde_json::from_str(text)?;
         ensure!(
-            (1..=MOST_CONTROLLERS).contains(&site.controllers),
-            "controllers: must be 1 to {MOST_CONTROLLERS}"
+            (1..=MAX_CONTROLLERS).contains(&site.controllers),
+            "controllers: must be 1 to {MAX_CONTROLLERS}"
         );
         ensure!(
-            (1..=MOST_CAPACITY).contains(&site.capacity),
-            "capacity: must be 1 to {MOST_CAPACITY}"
+            (1..=MAX_CAPACITY).contains(&site.capacity),
+            "capacity: must be 1 to {MAX_CAPACITY}"
         );
         ensure!(!site.rigs.is_empty(), "rigs: at least one machine type");
         ensure!(
-            site.capacity_by_type.iter().all(|c| *c <= MOST_CAPACITY),
-            "capacity_by_type: must be 0 to {MOST_CAPACITY}"
+            site.capacity_by_type.iter().all(|c| *c <= MAX_CAPACITY),
+            "capacity_by_type: must be 0 to {MAX_CAPACITY}"
         );
-        for (field, v) in [("stillborn", site.stillborn), ("failing", site.failing)] {
-            ensure!((0.0..=1.0).contains(&v), "{field}: must be 0 to 1");
+        for (field, value) in [("stillborn", site.stillborn), ("failing", site.failing)] {
+            ensure!((0.0..=1.0).contains(&value), "{field}: must be 0 to 1");
         }
-        for rig in &site.rigs {
-            for (field, v) in [
-                ("cores", rig.cpus),
-                ("memory_gb", rig.memory_gb),
-                ("fetch_gb_per_s", rig.fetch_gb_per_s),
-                ("price", rig.price),
-                ("startup_s", rig.boot_s),
+        for machine_type in &site.rigs {
+            for (field, value) in [
+                ("cores", machine_type.cpus),
+                ("memory_gb", machine_type.memory_gb),
+                ("fetch_gb_per_s", machine_type.fetch_gb_per_s),
+                ("price", machine_type.price),
+                ("startup_s", machine_type.boot_s),
             ] {
                 ensure!(
-                    v.is_finite() && v > 0.0 && v < 1e9,
+                    value.is_finite() && value > 0.0 && value < 1e9,
                     "rigs: {}.{field}: must be a positive number",
-                    rig.name
+                    machine_type.name
                 );
             }
         }
--- a/crates/lab/src/state.rs
+++ b/crates/lab/src/state.rs
@@ -1,5 +1,6 @@
-//! The state service: keys with versions, leases, transactions and watches,
-//! within the limits of the settings.
+//! Simulated state service: a key-value store with versions, leases, conditional
+//! transactions and watches, which enforces the limits of the settings. It has no clock;
+//! the caller passes the time. Served over HTTP by `services`.
 
 use crate::Millis;
 use pathwinch_protocol::{
@@ -10,13 +11,18 @@
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Changes that a watch can look back on.
-const KEPT_CHANGES: usize = 10_000;
-const MOST_ITEMS: usize = 1_000;
-const MOST_PAGE: usize = 512 * 1024;
-const MOST_TXN: usize = 64 * 1024;
-const LIFE_MS: std::ops::RangeInclusive<u64> = 100..=600_000;
+/// Number of changes that are kept for watches; older positions get 410.
+const MAX_KEPT_CHANGES: usize = 10_000;
+/// Maximum number of rows on a page of a listing.
+const MAX_ROWS_PER_PAGE: usize = 1_000;
+/// Maximum size in bytes of a page of a listing, unless one row alone exceeds it.
+const MAX_PAGE_BYTES: usize = 512 * 1024;
+/// Maximum size in bytes of a transaction.
+const MAX_TXN_BYTES: usize = 64 * 1024;
+/// Lease durations that may be asked for, in milliseconds.
+const LEASE_DURATION_MS: std::ops::RangeInclusive<u64> = 100..=600_000;
 
+/// An HTTP status and a JSON body.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Answer {
     pub status: u16,
@@ -34,14 +40,16 @@
 #[derive(Debug, Clone)]
 struct Stored {
     value: Value,
+    /// Revision of the transaction that wrote the value.
     version: u64,
     lease: Option<u64>,
 }
 
 #[derive(Debug)]
 struct Lease {
-    until: Millis,
-    life: Millis,
+    expires_at: Millis,
+    duration: Millis,
+    /// Keys that are deleted when the lease ends.
     keys: BTreeSet<String>,
 }
 
@@ -49,21 +57,27 @@
 struct Change {
     revision: u64,
     key: String,
-    /// `None`: deleted.
+    /// `None` if the key was deleted.
     value: Option<Value>,
 }
 
+/// The store and its limits.
 #[derive(Debug)]
 pub struct StateService {
     limits: StateLimits,
-    requests: TokenBucket,
-    changes: TokenBucket,
+    /// Rate limit of requests.
+    request_limit: TokenBucket,
+    /// Rate limit of puts and deletes.
+    write_limit: TokenBucket,
+    /// Number of transactions and lease ends that changed keys.
     revision: u64,
     keys: BTreeMap<String, Stored>,
     leases: BTreeMap<u64, Lease>,
     last_lease: u64,
+    /// The latest changes, for watches.
     log: VecDeque<Change>,
-    /// Out: everything is answered with 503, and leases stand still.
+    /// Whether there is an outage: all requests are answered with 503, and no lease
+    /// expires.
     down: bool,
 }
 
@@ -74,8 +88,8 @@
 impl StateService {
     pub fn new(limits: StateLimits) -> Self {
         StateService {
-            requests: TokenBucket::new(limits.rps, 1.0),
-            changes: TokenBucket::new(limits.write_rps, 1.0),
+            request_limit: TokenBucket::new(limits.rps, 1.0),
+            write_limit: TokenBucket::new(limits.write_rps, 1.0),
             limits,
             revision: 0,
             keys: BTreeMap::new(),
@@ -86,47 +100,50 @@
         }
     }
 
+    /// Current revision.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
+    /// Number of keys.
     pub fn keys(&self) -> usize {
         self.keys.len()
     }
 
-    /// The limits to come, if any, are there.
+    /// Lowers the limits to those announced in `next` of the settings, if there are any.
     pub fn apply_next_limits(&mut self, now: Millis) {
         self.limits = self.limits.always();
-        self.requests.set_rate(now, self.limits.rps, 1.0);
-        self.changes.set_rate(now, self.limits.write_rps, 1.0);
+        self.request_limit.set_rate(now, self.limits.rps, 1.0);
+        self.write_limit.set_rate(now, self.limits.write_rps, 1.0);
     }
 
-    /// Begins or ends an outage; afterwards all leases have their full time.
+    /// Begins or ends an outage. At its end all leases get their full duration again.
     pub fn set_down(&mut self, down: bool, now: Millis) {
         if self.down && !down {
             for lease in self.leases.values_mut() {
-                lease.until = now + lease.life;
+                lease.expires_at = now + lease.duration;
             }
         }
         self.down = down;
     }
 
-    /// Ends leases that were not renewed in time.
-    pub fn pass_time(&mut self, now: Millis) {
+    /// Ends the leases that have expired, unless there is an outage.
+    pub fn expire_leases(&mut self, now: Millis) {
         if self.down {
             return;
         }
-        let over: Vec<u64> = self
+        let expired: Vec<u64> = self
             .leases
             .iter()
-            .filter(|(_, l)| l.until <= now)
+            .filter(|(_, l)| l.expires_at <= now)
             .map(|(id, _)| *id)
             .collect();
-        for id in over {
+        for id in expired {
             self.end_lease(id);
         }
     }
 
+    /// Removes a lease and deletes its keys. Returns whether it existed.
     fn end_lease(&mut self, id: u64) -> bool {
         let Some(lease) = self.leases.remove(&id) else {
             return false;
@@ -136,13 +153,14 @@
         }
         for key in lease.keys {
             self.keys.remove(&key);
-            self.note(key, None);
+            self.log_change(key, None);
         }
         true
     }
 
-    fn note(&mut self, key: String, value: Option<Value>) {
-        if self.log.len() >= KEPT_CHANGES {
+    /// Appends a change to the log for watches.
+    fn log_change(&mut self, key: String, value: Option<Value>) {
+        if self.log.len() >= MAX_KEPT_CHANGES {
             self.log.pop_front();
         }
         self.log.push_back(Change {
@@ -152,18 +170,20 @@
         });
     }
 
-    /// Counts a request against the limits; the answer to give instead.
+    /// Takes a request from the rate limit. Returns the error to answer with if there is
+    /// an outage or the limit is exceeded, and `None` if the request may be handled.
     pub fn admit(&mut self, now: Millis) -> Option<Answer> {
-        self.pass_time(now);
+        self.expire_leases(now);
         if self.down {
             return Some(error(503, "outage"));
         }
-        if !self.requests.take(now, 1.0, 0.0) {
+        if !self.request_limit.take(now, 1.0, 0.0) {
             return Some(error(429, "too many requests"));
         }
         None
     }
 
+    /// Reads a key; 404 if it does not exist.
     pub fn get(&self, key: &str) -> Answer {
         match self.keys.get(key) {
             Some(s) => answer(
@@ -174,7 +194,8 @@
         }
     }
 
-    pub fn list(&self, under: &str, from: &str, most: usize) -> Answer {
+    /// Returns a page of the keys with prefix `under` after the key `from`.
+    pub fn list(&self, under: &str, from: &str, limit: usize) -> Answer {
         let begin = under.max(from).to_owned();
         let (mut rows, mut size, mut more) = (Vec::new(), 0, false);
         for (key, s) in self.keys.range(begin..) {
@@ -186,7 +207,9 @@
             }
             let row = json!({"key": key, "data": s.value, "key_rev": s.version});
             size += row.to_string().len();
-            if rows.len() >= most.clamp(1, MOST_ITEMS) || (size > MOST_PAGE && !rows.is_empty()) {
+            if rows.len() >= limit.clamp(1, MAX_ROWS_PER_PAGE)
+                || (size > MAX_PAGE_BYTES && !rows.is_empty())
+            {
                 more = true;
                 break;
             }
@@ -198,15 +221,16 @@
         )
     }
 
-    fn malformed(&self, txn: &Txn, size: usize) -> Option<&'static str> {
+    /// Returns what is wrong with a transaction of `size` bytes, if anything is.
+    fn validation_error(&self, txn: &Txn, size: usize) -> Option<&'static str> {
         if txn.writes.len() > self.limits.txn_ops {
             return Some("writes: too many");
         }
         if txn.conditions.len() > 4 * self.limits.txn_ops {
             return Some("guards: too many");
         }
-        if size > MOST_TXN {
-            return Some("over 64 KiB");
+        if size > MAX_TXN_BYTES {
+            return Some("transaction is over 64 KiB");
         }
         let mut seen = BTreeSet::new();
         for write in &txn.writes {
@@ -215,7 +239,7 @@
                 Write::Delete { key } => (key, 0),
             };
             if !valid_key(key) || !seen.insert(key) {
-                return Some("writes: a key is not valid or named twice");
+                return Some("writes: a key is not valid or is written twice");
             }
             if size as f64 > self.limits.value_kb * 1024.0 {
                 return Some("writes: a value is too large");
@@ -224,21 +248,26 @@
         None
     }
 
+    /// Executes a compare-and-swap transaction: applies all writes if all conditions
+    /// hold, and answers 409 with the keys of the failed conditions otherwise.
     pub fn txn(&mut self, body: &[u8], now: Millis) -> Answer {
         let Ok(txn) = serde_json::from_slice::<Txn>(body) else {
-            return error(400, "malformed");
+            return error(400, "malformed transaction");
         };
-        if let Some(why) = self.malformed(&txn, body.len()) {
-            return error(400, why);
+        if let Some(reason) = self.validation_error(&txn, body.len()) {
+            return error(400, reason);
         }
-        if !self.changes.take(now, txn.writes.len() as f64, 0.0) {
+        if !self.write_limit.take(now, txn.writes.len() as f64, 0.0) {
             return error(429, "too many changes");
         }
-        let held = txn.writes.iter().filter_map(|w| match w {
+        let lease_ids = txn.writes.iter().filter_map(|w| match w {
             Write::Put { lease, .. } => *lease,
             Write::Delete { .. } => None,
         });
-        if held.into_iter().any(|id| !self.leases.contains_key(&id)) {
+        if lease_ids
+            .into_iter()
+            .any(|id| !self.leases.contains_key(&id))
+        {
             return error(400, "no such lease");
         }
         let failed: Vec<&str> = txn
@@ -259,12 +288,13 @@
         answer(200, json!({ "ledger_rev": self.revision }))
     }
 
+    /// Applies one write at the current revision, and moves the key to its new lease.
     fn write(&mut self, write: Write) {
-        let (key, put) = match write {
+        let (key, new_value) = match write {
             Write::Put { key, value, lease } => (key, Some((value, lease))),
             Write::Delete { key } => (key, None),
         };
-        let old = match &put {
+        let old = match &new_value {
             Some((value, lease)) => self.keys.insert(
                 key.clone(),
                 Stored {
@@ -280,53 +310,57 @@
         {
             lease.keys.remove(&key);
         }
-        if let Some(id) = put.as_ref().and_then(|p| p.1)
+        if let Some(id) = new_value.as_ref().and_then(|p| p.1)
             && let Some(lease) = self.leases.get_mut(&id)
         {
             lease.keys.insert(key.clone());
         }
-        self.note(key, put.map(|p| p.0));
+        self.log_change(key, new_value.map(|p| p.0));
     }
 
+    /// Grants a lease.
     pub fn grant(&mut self, body: &[u8], now: Millis) -> Answer {
-        let life = serde_json::from_slice::<Value>(body)
+        let duration = serde_json::from_slice::<Value>(body)
             .ok()
             .and_then(|v| v.get("life_ms")?.as_u64())
-            .filter(|l| LIFE_MS.contains(l));
-        let Some(life) = life else {
-            return error(400, "life_ms: 100 to 600000");
+            .filter(|l| LEASE_DURATION_MS.contains(l));
+        let Some(duration) = duration else {
+            return error(400, "life_ms: must be 100 to 600000");
         };
         self.last_lease += 1;
         self.leases.insert(
             self.last_lease,
             Lease {
-                until: now + life,
-                life,
+                expires_at: now + duration,
+                duration,
                 keys: BTreeSet::new(),
             },
         );
         answer(200, json!({ "hold": self.last_lease }))
     }
 
+    /// Extends a lease to its full duration from now; 404 if it has ended.
     pub fn renew_lease(&mut self, id: u64, now: Millis) -> Answer {
         match self.leases.get_mut(&id) {
             Some(lease) => {
-                lease.until = now + lease.life;
+                lease.expires_at = now + lease.duration;
                 answer(200, json!({ "hold": id }))
             }
             None => error(404, "no such lease"),
         }
     }
 
-    pub fn drop_lease(&mut self, id: u64) -> Answer {
+    /// Ends a lease and deletes its keys; 404 if it has ended.
+    pub fn revoke_lease(&mut self, id: u64) -> Answer {
         match self.end_lease(id) {
             true => answer(200, json!({})),
             false => error(404, "no such lease"),
         }
     }
 
-    /// What has changed under a prefix since; `None`: nothing yet, wait.
-    pub fn changes(&self, under: &str, from: u64) -> Option<Answer> {
+    /// Returns the changes of keys with prefix `under` after revision `from`, or 410 if
+    /// some of them are no longer kept. `None` if there are none yet, or an outage.
+    pub fn changes_since(&self, under: &str, from: u64) -> Option<Answer> {
         if self.down {
             return None;
         }
@@ -347,7 +381,7 @@
         (!log.is_empty()).then(|| self.watch_answer(log))
     }
 
-    /// The answer to a watch.
+    /// Returns the answer to a watch with these changes.
     pub fn watch_answer(&self, log: Vec<Value>) -> Answer {
         answer(200, json!({"ledger_rev": self.revision, "log": log}))
     }
--- a/crates/lab/src/up.rs
+++ b/crates/lab/src/up.rs
@@ -1,8 +1,8 @@
-//! `pathwinch-testbed up`: a whole installation on loopback until it is told to
-//! end.
+//! `pathwinch-lab up`: runs a whole testbed on loopback, optionally with simulated
+//! markets and a rolling upgrade, until it is told to stop.
 
 use crate::{
-    base::Base,
+    base::PreparedTestbed,
     children::{Children, Program, RollingUpgrade},
     installation::Testbed,
     markets,
@@ -18,43 +18,44 @@
     time::Duration,
 };
 
-/// Jobs of this class may be offloaded, by two brokers, of which one acts.
-const LENT_CLASSES: &str = "slice";
+/// Classes of jobs that may be offloaded to the markets.
+const OFFLOADED_CLASSES: &str = "slice";
+/// Number of brokers; only one of them is active at a time.
 const BROKERS: usize = 2;
-/// Between two looks at whether a controller is ready.
+/// Interval at which the readiness of the controllers is checked.
 const READY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Where a lab can be reached.
+/// Addresses of a testbed. The field names are those of `up --json`.
 #[derive(Debug, Clone, serde::Serialize)]
 pub struct Addresses {
-    /// Users submit and poll here.
+    /// Address at which users submit and poll jobs.
     pub users: SocketAddr,
     pub state: SocketAddr,
     pub cloud: SocketAddr,
-    /// Each controller's name, `listen` and `back`.
+    /// Name, `listen` address and `back` address of each controller.
     pub controllers: Vec<(String, SocketAddr, SocketAddr)>,
-    /// Stand-in markets, by name.
+    /// Name and address of each simulated market.
     pub markets: Vec<(String, SocketAddr)>,
-    /// Settings and logs of the controllers.
+    /// Directory with the settings and logs of the controllers.
     pub dir: PathBuf,
 }
 
-/// Runs a lab until `over` completes; `told` is called once all stands.
+/// Runs a testbed until `shutdown` completes. Calls `on_ready` once a controller is ready.
 pub fn run(
     site: Site,
     program: PathBuf,
     dir: PathBuf,
     markets: usize,
-    roll: Option<RollingUpgrade>,
-    told: impl FnOnce(&Addresses),
-    over: impl Future<Output = ()>,
+    upgrade: Option<RollingUpgrade>,
+    on_ready: impl FnOnce(&Addresses),
+    shutdown: impl Future<Output = ()>,
 ) -> Result<()> {
-    let base = Base::new(site, &dir)?;
+    let base = PreparedTestbed::new(site, &dir)?;
     let testbed = base.testbed.clone();
     let mut programs = base.programs(&program);
-    let made = match markets {
+    let prepared = match markets {
         0 => None,
-        count => Some(make_markets(
+        count => Some(prepare_markets(
             &testbed,
             &program,
             &dir,
@@ -77,45 +78,45 @@
     };
     async_io::block_on(testbed.executor.run(async {
         base.serve();
-        for (number, market) in made.into_iter().flat_map(|m| m.markets).enumerate() {
-            let named = (market.name.to_owned(), market.addr);
-            addresses.markets.push(named);
+        for (number, market) in prepared.into_iter().flat_map(|m| m.markets).enumerate() {
+            let name_and_addr = (market.name.to_owned(), market.addr);
+            addresses.markets.push(name_and_addr);
             let run = markets::run(testbed.clone(), market, number as u64);
             testbed.executor.spawn_high(run).detach();
         }
-        let stands = async {
+        let announce = async {
             until_ready(&testbed).await;
-            told(&addresses);
+            on_ready(&addresses);
             future::pending::<()>().await
         };
-        let rolled = async {
-            if let Some(roll) = &roll {
-                children.roll(&testbed, roll).await;
+        let run_upgrade = async {
+            if let Some(upgrade) = &upgrade {
+                children.upgrade_controllers(&testbed, upgrade).await;
             }
             future::pending::<()>().await
         };
-        let work = future::or(stands, children.keep_up());
-        let work = future::or(work, rolled);
-        future::or(over, work).await
+        let work = future::or(announce, children.supervise());
+        let work = future::or(work, run_upgrade);
+        future::or(shutdown, work).await
     }));
     Ok(())
 }
 
-/// Waits for a controller that can take requests.
+/// Waits until at least one controller is ready.
 pub async fn until_ready(testbed: &Testbed) {
     while !testbed.ready.borrow().iter().any(|r| *r) {
         Timer::after(READY_INTERVAL).await;
     }
 }
 
-/// Makes keys for stand-in markets, and adds the brokers to the programs.
-fn make_markets(
+/// Prepares simulated markets with their keys, and adds the brokers to the programs.
+fn prepare_markets(
     testbed: &Rc<Testbed>,
     program: &Path,
     dir: &Path,
     count: usize,
     programs: &mut Vec<Program>,
-) -> Result<markets::Made> {
+) -> Result<markets::PreparedMarkets> {
     let teams: Vec<String> = testbed
         .site
         .cluster
@@ -123,18 +124,22 @@
         .iter()
         .map(|t| t.name.clone())
         .collect();
-    let made = markets::make(dir, count, LENT_CLASSES, &teams)?;
+    let prepared = markets::prepare(dir, count, OFFLOADED_CLASSES, &teams)?;
     let broker = program.with_file_name("pathwinch-market");
-    anyhow::ensure!(broker.is_file(), "no {}: build it", broker.display());
+    anyhow::ensure!(
+        broker.is_file(),
+        "no broker program at {}: build it (cargo build --release --workspace)",
+        broker.display()
+    );
     for number in 1..=BROKERS {
         let arguments = vec![
             "serve".into(),
             "--config".into(),
             testbed.controllers[0].settings.clone().into(),
             "--options".into(),
-            made.options.clone().into(),
+            prepared.options.clone().into(),
             "--keys".into(),
-            made.home_keys.clone().into(),
+            prepared.home_keys.clone().into(),
         ];
         programs.push(Program {
             name: format!("broker-{number}"),
@@ -142,5 +147,5 @@
             arguments,
         });
     }
-    Ok(made)
+    Ok(prepared)
 }
--- a/crates/lab/src/worker.rs
+++ b/crates/lab/src/worker.rs
@@ -1,4 +1,6 @@
-//! One worker: what it reports, how it takes commands, what its tasks do.
+//! Simulated worker (node agent) of one machine: sends heartbeats, executes commands,
+//! keeps its lease, and simulates its tasks, which fetch an image, run, save
+//! checkpoints and end. It has no clock and no sockets; `hosts` calls it with the time.
 
 use crate::{
     Millis, millis,
@@ -17,11 +19,12 @@
     name: String,
     attempt: u64,
     state: TaskState,
-    why: Option<ExitReason>,
+    exit_reason: Option<ExitReason>,
+    /// Whether the task saved a checkpoint when it was stopped.
     saved: bool,
-    /// When it came into this state.
+    /// When the task entered its state; while it saves, how long it had run before.
     since: Millis,
-    /// When what it does now is over, for fetching, running and saving.
+    /// When the state ends, for tasks that fetch, run or save.
     until: Millis,
 }
 
@@ -30,12 +33,12 @@
         self.name == name && self.attempt == attempt
     }
 
-    fn live(&self) -> bool {
+    fn is_live(&self) -> bool {
         self.state != TaskState::Exited
     }
 
-    /// Whether time may change anything about it. A gang's task waits for the
-    /// others, so only time tells that it does not.
+    /// Whether the task has to be advanced at this time. A task that waits for its gang
+    /// always has to be, since the other tasks of the gang decide when it goes on.
     fn may_change(&self, now: Millis) -> bool {
         match self.state {
             TaskState::Exited => false,
@@ -45,36 +48,42 @@
     }
 }
 
-/// Images kept on a machine.
-const CACHED: usize = 16;
-/// Commands taken from one answer.
-const MOST_ORDERS: usize = 10_000;
+/// Maximum number of images in a machine's cache.
+const MAX_CACHED_IMAGES: usize = 16;
+/// Maximum number of commands executed from one message; the rest is ignored.
+const MAX_COMMANDS_PER_MESSAGE: usize = 10_000;
 
+/// The state of a worker.
 pub struct Worker {
     pub id: String,
     pub addr: String,
-    rig: MachineType,
+    machine_type: MachineType,
     zone: String,
     spot: bool,
     limits: Workers,
-    session: u64,
+    /// Number of the incarnation; a new one begins when the lease expires.
+    incarnation: u64,
     seq: u64,
+    /// Highest fencing token seen.
     token: u64,
-    /// From when the lease counts.
-    renewed: Millis,
+    /// Start of the lease: when the last heartbeat with a valid answer was sent.
+    lease_start: Millis,
     tasks: Vec<Task>,
+    /// Cached images, the least recently fetched first.
     images: VecDeque<String>,
-    /// The state service of changes: something is to be reported.
+    /// Whether there are changes since the last heartbeat.
     changed: bool,
-    reported: Millis,
-    next: Millis,
+    /// When the last heartbeat was sent.
+    last_heartbeat: Millis,
+    /// When the next periodic heartbeat is due.
+    next_heartbeat: Millis,
 }
 
 impl Worker {
     pub fn new(
         id: &str,
         addr: String,
-        rig: MachineType,
+        machine_type: MachineType,
         zone: &str,
         spot: bool,
         limits: Workers,
@@ -83,31 +92,32 @@
         Worker {
             id: id.to_owned(),
             addr,
-            rig,
+            machine_type,
             zone: zone.to_owned(),
             spot,
             limits,
-            session: 1,
+            incarnation: 1,
             seq: 0,
             token: 0,
-            renewed: now,
+            lease_start: now,
             tasks: Vec::new(),
             images: VecDeque::new(),
             changed: true,
-            reported: 0,
-            next: now,
+            last_heartbeat: 0,
+            next_heartbeat: now,
         }
     }
 
+    /// Builds the next heartbeat.
     pub fn report(&mut self) -> Heartbeat {
         self.seq += 1;
         Heartbeat {
             machine: self.id.clone(),
             addr: self.addr.clone(),
-            type_name: self.rig.name.clone(),
+            type_name: self.machine_type.name.clone(),
             zone: self.zone.clone(),
             spot: self.spot,
-            incarnation: self.session,
+            incarnation: self.incarnation,
             seq: self.seq,
             acknowledged_token: self.token,
             reclaim_in_s: None,
@@ -118,46 +128,49 @@
                     task: t.name.clone(),
                     attempt: t.attempt,
                     state: t.state,
-                    exit_reason: t.why,
+                    exit_reason: t.exit_reason,
                     checkpointed: t.saved,
                 })
                 .collect(),
         }
     }
 
-    /// Whether a report is to be sent now; `chance` from 0 to 1 spreads the
-    /// next one.
+    /// Whether a heartbeat is due: periodically, or 500 ms after the last one if there are
+    /// changes. If so, schedules the next periodic one; `chance` from 0 to 1 adds jitter,
+    /// so that the workers do not send all at once.
     pub fn report_due(&mut self, now: Millis, chance: f64) -> bool {
-        let due = now >= self.next || (self.changed && now >= self.reported + 500);
+        let due = now >= self.next_heartbeat || (self.changed && now >= self.last_heartbeat + 500);
         if due {
-            let every = self.limits.report_s * (0.75 + 0.5 * chance);
-            self.next = now + millis(every);
-            self.reported = now;
+            let interval = self.limits.report_s * (0.75 + 0.5 * chance);
+            self.next_heartbeat = now + millis(interval);
+            self.last_heartbeat = now;
             self.changed = false;
         }
         due
     }
 
-    /// The answer to a report that was sent at `sent`, in session `session`.
-    /// Returns whether it counts.
-    pub fn answered(
+    /// Handles the answer to a heartbeat that was sent at `sent` in incarnation
+    /// `incarnation`: renews the lease and executes the commands. Ignores the answer and
+    /// returns `false` if the incarnation has changed or the fencing token is outdated.
+    pub fn on_heartbeat_answer(
         &mut self,
         sent: Millis,
-        session: u64,
+        incarnation: u64,
         token: u64,
         commands: Vec<Command>,
         object_store: &mut ObjectStore,
         now: Millis,
     ) -> bool {
-        if session != self.session || !self.saw(token) {
+        if incarnation != self.incarnation || !self.accept_token(token) {
             return false;
         }
-        self.renewed = self.renewed.max(sent);
+        self.lease_start = self.lease_start.max(sent);
         self.execute(commands, object_store, now);
         true
     }
 
-    fn saw(&mut self, token: u64) -> bool {
+    /// Whether a fencing token is not lower than the highest one seen; records it then.
+    fn accept_token(&mut self, token: u64) -> bool {
         if token < self.token {
             return false;
         }
@@ -168,54 +181,62 @@
         true
     }
 
-    /// A direct command. Returns the status; the body is the report.
-    pub fn ordered(
+    /// Executes direct commands, unless the incarnation or the fencing token is outdated.
+    /// Returns the HTTP status and a heartbeat for the body.
+    pub fn on_direct_commands(
         &mut self,
-        order: DirectCommands,
+        direct_commands: DirectCommands,
         object_store: &mut ObjectStore,
         now: Millis,
     ) -> (u16, Heartbeat) {
-        let fits = order.incarnation == self.session && self.saw(order.fencing_token);
-        if fits {
-            self.execute(order.commands, object_store, now);
+        let accepted = direct_commands.incarnation == self.incarnation
+            && self.accept_token(direct_commands.fencing_token);
+        if accepted {
+            self.execute(direct_commands.commands, object_store, now);
         }
-        (if fits { 200 } else { 409 }, self.report())
+        (if accepted { 200 } else { 409 }, self.report())
     }
 
     fn execute(&mut self, commands: Vec<Command>, object_store: &mut ObjectStore, now: Millis) {
-        for command in commands.into_iter().take(MOST_ORDERS) {
+        for command in commands.into_iter().take(MAX_COMMANDS_PER_MESSAGE) {
             self.changed = true;
             match command {
-                Command::Start { task, attempt } => self.launch(task, attempt, object_store, now),
+                Command::Start { task, attempt } => self.start(task, attempt, object_store, now),
                 Command::Stop {
                     task,
                     attempt,
                     grace_s,
-                } => self.halt(&task, attempt, millis(grace_s), object_store, now),
+                } => self.stop(&task, attempt, millis(grace_s), object_store, now),
                 Command::Reap { task, attempt } => {
-                    self.tasks.retain(|t| t.live() || !t.is(&task, attempt));
+                    self.tasks.retain(|t| t.is_live() || !t.is(&task, attempt));
                 }
             }
         }
     }
 
+    /// Returns the free processors, accelerators and memory.
     fn free(&self, object_store: &ObjectStore) -> (f64, f64, f64) {
-        let all = (self.rig.cpus, self.rig.gpus, self.rig.memory_gb);
-        let live = self.tasks.iter().filter(|t| t.live());
-        live.filter_map(|t| object_store.spec(&t.name))
+        let all = (
+            self.machine_type.cpus,
+            self.machine_type.gpus,
+            self.machine_type.memory_gb,
+        );
+        let live_tasks = self.tasks.iter().filter(|t| t.is_live());
+        live_tasks
+            .filter_map(|t| object_store.spec(&t.name))
             .fold(all, |(c, g, m), s| {
                 (c - s.cpus, g - s.gpus, m - s.memory_gb)
             })
     }
 
-    fn launch(&mut self, name: String, attempt: u64, object_store: &mut ObjectStore, now: Millis) {
+    fn start(&mut self, name: String, attempt: u64, object_store: &mut ObjectStore, now: Millis) {
         if self.tasks.iter().any(|t| t.is(&name, attempt)) {
             return;
         }
         let (cpus, gpus, memory) = self.free(object_store);
         const SLACK: f64 = 1e-6;
         let refused = match object_store.spec(&name) {
-            _ if self.tasks.iter().any(|t| t.live() && t.name == name) => {
+            _ if self.tasks.iter().any(|t| t.is_live() && t.name == name) => {
                 Some(ExitReason::DuplicateTask)
             }
             None => Some(ExitReason::UnknownTask),
@@ -230,13 +251,13 @@
         };
         let fetch = match object_store.spec(&name) {
             Some(s) if !self.images.contains(&s.image) => {
-                millis(s.image_gb / self.rig.fetch_gb_per_s)
+                millis(s.image_gb / self.machine_type.fetch_gb_per_s)
             }
             _ => 0,
         };
-        // A fetch that is under way serves this task too.
+        // A fetch of the same image that is under way serves this task too.
         let image = object_store.spec(&name).map(|s| s.image.clone());
-        let under_way = self
+        let fetch_end = self
             .tasks
             .iter()
             .filter(|t| t.state == TaskState::Fetching)
@@ -249,14 +270,14 @@
                 Some(_) => TaskState::Exited,
                 None => TaskState::Fetching,
             },
-            why: refused,
+            exit_reason: refused,
             saved: false,
             since: now,
-            until: under_way.unwrap_or(now + fetch),
+            until: fetch_end.unwrap_or(now + fetch),
         });
     }
 
-    fn halt(
+    fn stop(
         &mut self,
         name: &str,
         attempt: u64,
@@ -267,7 +288,7 @@
         let Some(i) = self
             .tasks
             .iter()
-            .position(|t| t.live() && t.is(name, attempt))
+            .position(|t| t.is_live() && t.is(name, attempt))
         else {
             return;
         };
@@ -286,7 +307,8 @@
                     object_store.gang_stopping(name, attempt, now);
                 }
                 let task = &mut self.tasks[i];
-                // How long it had run is needed when it has saved.
+                // `since` holds the run time from here on; it is stored with the
+                // checkpoint.
                 task.state = TaskState::Saving;
                 task.until = now + save;
                 task.since = now.saturating_sub(task.since);
@@ -295,31 +317,38 @@
         }
     }
 
-    /// A task ends on this machine, however it came to it.
-    fn exit(&mut self, i: usize, why: ExitReason, object_store: &mut ObjectStore, now: Millis) {
+    /// Ends a task on this machine for the given reason.
+    fn exit(
+        &mut self,
+        i: usize,
+        exit_reason: ExitReason,
+        object_store: &mut ObjectStore,
+        now: Millis,
+    ) {
         let task = &mut self.tasks[i];
         let kind = object_store.spec(&task.name).map(|s| s.kind);
-        let was = task.state;
+        let old_state = task.state;
         task.state = TaskState::Exited;
-        task.why = Some(why);
+        task.exit_reason = Some(exit_reason);
         self.changed = true;
         let name = task.name.clone();
-        if why == ExitReason::Done {
+        if exit_reason == ExitReason::Done {
             object_store.finish(&name);
         } else if kind == Some(Kind::Gang) {
-            if !matches!(was, TaskState::Fetching) && !task.saved {
+            if !matches!(old_state, TaskState::Fetching) && !task.saved {
                 object_store.gang_lost(&name, task.attempt, now);
             }
-        } else if was == TaskState::Running {
+        } else if old_state == TaskState::Running {
             object_store.ran(&name, now.saturating_sub(task.since), false);
         }
         object_store.task_left(&name, &self.id);
     }
 
-    /// Lets time pass: tasks go on, the lease may expire.
+    /// Advances the worker to the current time: expires the lease if it was not renewed,
+    /// and advances the tasks.
     pub fn step(&mut self, object_store: &mut ObjectStore, now: Millis) {
-        if now > self.renewed + millis(self.limits.lease_s) {
-            self.lapse(object_store, now);
+        if now > self.lease_start + millis(self.limits.lease_s) {
+            self.expire_lease(object_store, now);
         }
         for i in 0..self.tasks.len() {
             if self.tasks[i].may_change(now) {
@@ -328,23 +357,25 @@
         }
     }
 
-    fn lapse(&mut self, object_store: &mut ObjectStore, now: Millis) {
+    /// Kills all tasks because the lease has expired, and begins a new incarnation.
+    fn expire_lease(&mut self, object_store: &mut ObjectStore, now: Millis) {
         self.lose_all(object_store, now);
         self.tasks.clear();
-        self.session += 1;
-        self.renewed = now;
+        self.incarnation += 1;
+        self.lease_start = now;
         self.changed = true;
     }
 
-    /// Everything on it is gone, as when the machine is deleted.
+    /// Ends all tasks, as when the machine is lost.
     pub fn lose_all(&mut self, object_store: &mut ObjectStore, now: Millis) {
         for i in 0..self.tasks.len() {
-            if self.tasks[i].live() {
+            if self.tasks[i].is_live() {
                 self.exit(i, ExitReason::Stopped, object_store, now);
             }
         }
     }
 
+    /// Advances a task to the current time.
     fn advance(&mut self, i: usize, object_store: &mut ObjectStore, now: Millis) {
         let (name, attempt) = (self.tasks[i].name.clone(), self.tasks[i].attempt);
         let Some(kind) = object_store.spec(&name).map(|s| s.kind) else {
@@ -352,7 +383,7 @@
         };
         match self.tasks[i].state {
             TaskState::Fetching if now >= self.tasks[i].until => {
-                self.has_image(i, kind, object_store, now);
+                self.on_image_fetched(i, kind, object_store, now);
             }
             TaskState::WaitingForGang => match object_store.gang_state(&name, attempt, now) {
                 GangState::Waiting => {
@@ -361,7 +392,7 @@
                         self.exit(i, ExitReason::GangIncomplete, object_store, now);
                     }
                 }
-                GangState::Running => self.becomes(i, TaskState::Running, now),
+                GangState::Running => self.set_state(i, TaskState::Running, now),
                 GangState::Done => self.exit(i, ExitReason::Done, object_store, now),
                 GangState::PeersGone => self.exit(i, ExitReason::GangMemberLost, object_store, now),
             },
@@ -378,24 +409,31 @@
                 self.exit(i, ExitReason::Done, object_store, now);
             }
             TaskState::Saving if now >= self.tasks[i].until => {
-                self.saved(i, kind, object_store, now)
+                self.finish_checkpoint(i, kind, object_store, now)
             }
             _ => {}
         }
     }
 
-    fn becomes(&mut self, i: usize, state: TaskState, now: Millis) {
+    fn set_state(&mut self, i: usize, state: TaskState, now: Millis) {
         self.tasks[i].state = state;
         self.tasks[i].since = now;
         self.changed = true;
     }
 
-    fn has_image(&mut self, i: usize, kind: Kind, object_store: &mut ObjectStore, now: Millis) {
+    /// Starts a task whose image has been fetched.
+    fn on_image_fetched(
+        &mut self,
+        i: usize,
+        kind: Kind,
+        object_store: &mut ObjectStore,
+        now: Millis,
+    ) {
         let (name, attempt) = (self.tasks[i].name.clone(), self.tasks[i].attempt);
         if let Some(image) = object_store.spec(&name).map(|s| s.image.clone()) {
             self.images.retain(|o| *o != image);
             self.images.push_back(image);
-            if self.images.len() > CACHED {
+            if self.images.len() > MAX_CACHED_IMAGES {
                 self.images.pop_front();
             }
         }
@@ -407,17 +445,25 @@
             return self.exit(i, ExitReason::Error, object_store, now);
         }
         if kind == Kind::Gang {
-            self.becomes(i, TaskState::WaitingForGang, now);
+            self.set_state(i, TaskState::WaitingForGang, now);
             object_store.gang_task_waits(&name, attempt, now);
         } else {
-            self.becomes(i, TaskState::Running, now);
+            self.set_state(i, TaskState::Running, now);
             self.tasks[i].until = object_store
                 .left_ms(&name)
                 .map_or(Millis::MAX, |left| now + left);
         }
     }
 
-    fn saved(&mut self, i: usize, kind: Kind, object_store: &mut ObjectStore, now: Millis) {
+    /// Ends a task that has saved a checkpoint; a gang task waits until that of the
+    /// whole gang is complete.
+    fn finish_checkpoint(
+        &mut self,
+        i: usize,
+        kind: Kind,
+        object_store: &mut ObjectStore,
+        now: Millis,
+    ) {
         let (name, attempt) = (self.tasks[i].name.clone(), self.tasks[i].attempt);
         if kind == Kind::Gang {
             match object_store.gang_saved(&name, attempt, now) {
--- a/crates/lab/src/worker/tests.rs
+++ b/crates/lab/src/worker/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of the parent module.
+//! Unit tests of the simulated worker.
 
 use super::*;
 use crate::site::Site;
@@ -32,11 +32,11 @@
 
 fn worker(id: &str, now: Millis) -> Worker {
     let site = Site::default();
-    let rig = site.rigs[0].clone();
+    let machine_type = site.rigs[0].clone();
     Worker::new(
         id,
         String::new(),
-        rig,
+        machine_type,
         "a",
         false,
         site.cluster.workers,
@@ -51,7 +51,7 @@
     }]
 }
 
-fn halt(task: &str, grace_s: f64) -> Vec<Command> {
+fn stop(task: &str, grace_s: f64) -> Vec<Command> {
     vec![Command::Stop {
         task: task.into(),
         attempt: 1,
@@ -65,8 +65,8 @@
     object_store
 }
 
-fn states(w: &mut Worker) -> Vec<(TaskState, Option<ExitReason>)> {
-    let report = w.report();
+fn states(agent: &mut Worker) -> Vec<(TaskState, Option<ExitReason>)> {
+    let report = agent.report();
     report
         .tasks
         .iter()
@@ -75,69 +75,85 @@
 }
 
 #[test]
-fn a_task_fetches_runs_saves_and_goes_on_from_there() {
-    let mut d = object_store(&job(Kind::Array, 4));
-    let mut w = worker("i-1", 0);
-    assert!(w.answered(0, 1, 7, start("j-000001/0"), &mut d, 0));
-    // Two tasks fill its 8 cores; a third is refused, as is an unknown one.
-    w.answered(0, 1, 7, start("j-000001/1"), &mut d, 0);
-    w.answered(0, 1, 7, start("j-000001/2"), &mut d, 0);
-    w.answered(0, 1, 7, start("j-000001/9"), &mut d, 0);
-    w.step(&mut d, 1000);
-    let seen = states(&mut w);
+fn task_fetches_runs_and_saves_its_progress_when_stopped() {
+    let mut store = object_store(&job(Kind::Array, 4));
+    let mut agent = worker("i-1", 0);
+    assert!(agent.on_heartbeat_answer(0, 1, 7, start("j-000001/0"), &mut store, 0));
+    // Two tasks fill the 8 cores; the third task and an unknown task are refused.
+    agent.on_heartbeat_answer(0, 1, 7, start("j-000001/1"), &mut store, 0);
+    agent.on_heartbeat_answer(0, 1, 7, start("j-000001/2"), &mut store, 0);
+    agent.on_heartbeat_answer(0, 1, 7, start("j-000001/9"), &mut store, 0);
+    agent.step(&mut store, 1000);
+    let seen = states(&mut agent);
     assert_eq!(seen[0].0, TaskState::Running);
     assert_eq!(
         seen[2],
         (TaskState::Exited, Some(ExitReason::InsufficientResources))
     );
     assert_eq!(seen[3], (TaskState::Exited, Some(ExitReason::UnknownTask)));
-    let all = d.left_ms("j-000001/0").unwrap();
-    w.answered(1000, 1, 7, halt("j-000001/0", 5.0), &mut d, 4000);
-    w.answered(1000, 1, 7, halt("j-000001/1", 0.0), &mut d, 4000);
-    w.step(&mut d, 5000);
-    assert_eq!(d.left_ms("j-000001/0"), Some(all - 3000), "saved as it was");
-    let seen = w.report();
+    let all = store.left_ms("j-000001/0").unwrap();
+    agent.on_heartbeat_answer(1000, 1, 7, stop("j-000001/0", 5.0), &mut store, 4000);
+    agent.on_heartbeat_answer(1000, 1, 7, stop("j-000001/1", 0.0), &mut store, 4000);
+    agent.step(&mut store, 5000);
+    assert_eq!(
+        store.left_ms("j-000001/0"),
+        Some(all - 3000),
+        "the checkpoint holds all progress"
+    );
+    let seen = agent.report();
     assert!(seen.tasks[0].checkpointed && !seen.tasks[1].checkpointed);
     assert!(
-        !w.answered(4000, 1, 6, start("j-000001/3"), &mut d, 5000),
-        "old token"
+        !agent.on_heartbeat_answer(4000, 1, 6, start("j-000001/3"), &mut store, 5000),
+        "outdated fencing token"
     );
 }
 
 #[test]
-fn a_gang_starts_together_and_falls_back_when_a_machine_is_lost() {
-    let mut d = object_store(&job(Kind::Gang, 2));
-    let (mut one, mut two) = (worker("i-1", 0), worker("i-2", 0));
-    one.answered(0, 1, 1, start("j-000001/0"), &mut d, 0);
-    one.step(&mut d, 1000);
-    assert_eq!(states(&mut one)[0].0, TaskState::WaitingForGang);
-    two.answered(0, 1, 1, start("j-000001/1"), &mut d, 2000);
-    two.step(&mut d, 3000);
-    one.step(&mut d, 3000);
-    assert_eq!(states(&mut one)[0].0, TaskState::Running);
-    let all = d.left_ms("j-000001/0").unwrap();
-    // The second machine's lease expires; it had run for 3 s of 2 s steps.
-    one.renewed = 31_000;
-    two.lose_all(&mut d, 6000);
-    one.step(&mut d, 8000);
-    assert_eq!(states(&mut one)[0].0, TaskState::Running, "not noticed yet");
-    one.step(&mut d, 8500);
-    assert_eq!(states(&mut one)[0].1, Some(ExitReason::GangMemberLost));
-    assert_eq!(d.left_ms("j-000001/0"), Some(all - 2000));
-    assert!(d.violations().is_empty());
+fn gang_starts_together_and_loses_progress_since_checkpoint_when_a_machine_is_lost() {
+    let mut store = object_store(&job(Kind::Gang, 2));
+    let (mut first_worker, mut second_worker) = (worker("i-1", 0), worker("i-2", 0));
+    first_worker.on_heartbeat_answer(0, 1, 1, start("j-000001/0"), &mut store, 0);
+    first_worker.step(&mut store, 1000);
+    assert_eq!(states(&mut first_worker)[0].0, TaskState::WaitingForGang);
+    second_worker.on_heartbeat_answer(0, 1, 1, start("j-000001/1"), &mut store, 2000);
+    second_worker.step(&mut store, 3000);
+    first_worker.step(&mut store, 3000);
+    assert_eq!(states(&mut first_worker)[0].0, TaskState::Running);
+    let all = store.left_ms("j-000001/0").unwrap();
+    // The second machine is lost after 3 s of run time; its checkpoints are 2 s apart, so
+    // that 2 s of progress remain.
+    first_worker.lease_start = 31_000;
+    second_worker.lose_all(&mut store, 6000);
+    first_worker.step(&mut store, 8000);
+    assert_eq!(
+        states(&mut first_worker)[0].0,
+        TaskState::Running,
+        "not noticed yet"
+    );
+    first_worker.step(&mut store, 8500);
+    assert_eq!(
+        states(&mut first_worker)[0].1,
+        Some(ExitReason::GangMemberLost)
+    );
+    assert_eq!(store.left_ms("j-000001/0"), Some(all - 2000));
+    assert!(store.violations().is_empty());
 }
 
 #[test]
-fn a_lapsed_lease_kills_and_a_task_in_two_places_is_noticed() {
-    let mut d = object_store(&job(Kind::Service, 1));
-    let (mut one, mut two) = (worker("i-1", 0), worker("i-2", 0));
-    one.answered(0, 1, 1, start("j-000001/0"), &mut d, 0);
-    one.step(&mut d, 1000);
-    two.answered(0, 1, 1, start("j-000001/0"), &mut d, 1000);
-    two.step(&mut d, 2000);
-    assert_eq!(d.violations().len(), 1, "the checker sees it");
-    one.step(&mut d, 31_000);
-    assert_eq!(one.session, 2);
-    assert!(states(&mut one).is_empty());
-    assert!(!one.answered(0, 1, 1, start("j-000001/0"), &mut d, 31_000));
+fn expired_lease_kills_tasks_and_duplicate_task_is_recorded() {
+    let mut store = object_store(&job(Kind::Service, 1));
+    let (mut first_worker, mut second_worker) = (worker("i-1", 0), worker("i-2", 0));
+    first_worker.on_heartbeat_answer(0, 1, 1, start("j-000001/0"), &mut store, 0);
+    first_worker.step(&mut store, 1000);
+    second_worker.on_heartbeat_answer(0, 1, 1, start("j-000001/0"), &mut store, 1000);
+    second_worker.step(&mut store, 2000);
+    assert_eq!(
+        store.violations().len(),
+        1,
+        "the duplicate task is recorded"
+    );
+    first_worker.step(&mut store, 31_000);
+    assert_eq!(first_worker.incarnation, 2);
+    assert!(states(&mut first_worker).is_empty());
+    assert!(!first_worker.on_heartbeat_answer(0, 1, 1, start("j-000001/0"), &mut store, 31_000));
 }
--- a/crates/lab/tests/history.rs
+++ b/crates/lab/tests/history.rs
@@ -1,76 +1,97 @@
-//! The history of what users were told: each broken rule that it names.
+//! Tests of the check that answers to users are monotonic: each kind of violation that
+//! it reports.
 
-use pathwinch_lab::scale::history::{Answered, History, Said};
+use pathwinch_lab::scale::history::{AnswerContent, History, UserAnswer};
 use pathwinch_protocol::users::JobState;
 
 const JOB: &str = "j-000001";
 
-fn answered(history: &mut History, controller: &str, sent: u64, came: u64, said: Said) {
-    history.answered(&Answered {
+fn record_answer(
+    history: &mut History,
+    controller: &str,
+    sent: u64,
+    received: u64,
+    content: AnswerContent,
+) {
+    history.record_answer(&UserAnswer {
         job: JOB,
         controller,
         sent,
-        came,
-        said,
+        received,
+        content,
     });
 }
 
-fn told(history: &mut History, sent: u64, came: u64, state: JobState) {
-    answered(history, "c1", sent, came, Said::State(state));
+fn report_state(history: &mut History, sent: u64, received: u64, state: JobState) {
+    record_answer(history, "c1", sent, received, AnswerContent::State(state));
 }
 
 #[test]
-fn an_answer_older_than_one_before_it_is_named_also_where_the_questions_overlapped() {
+fn older_state_is_reported_when_a_later_one_was_read_even_if_requests_overlap() {
     let mut history = History::default();
-    told(&mut history, 0, 10, JobState::Queued);
-    told(&mut history, 20, 30, JobState::Done);
-    told(&mut history, 31, 40, JobState::Done);
-    assert!(history.broken().is_empty(), "{:?}", history.broken());
-    let late = Said::State(JobState::Running);
-    answered(&mut history, "c2", 25, 35, late);
-    let named = "went_back: j-000001 was Done by c1 at 30 ms, then Running; \
-                 asked of c2 at 25 ms, answered at 35 ms";
-    assert_eq!(history.broken(), [named]);
+    report_state(&mut history, 0, 10, JobState::Queued);
+    report_state(&mut history, 20, 30, JobState::Done);
+    report_state(&mut history, 31, 40, JobState::Done);
+    assert!(
+        history.violations().is_empty(),
+        "{:?}",
+        history.violations()
+    );
+    let outdated = AnswerContent::State(JobState::Running);
+    record_answer(&mut history, "c2", 25, 35, outdated);
+    let expected = "went_back: j-000001 was reported Done by c1 at 30 ms, then Running; \
+                 requested from c2 at 25 ms, answered at 35 ms";
+    assert_eq!(history.violations(), [expected]);
     assert_eq!(history.answers(), 4);
 }
 
 #[test]
-fn a_job_is_called_cancelled_only_if_its_user_asked() {
+fn cancelled_state_is_reported_when_the_user_did_not_ask_for_it() {
     let mut history = History::default();
-    history.asked_to_withdraw(JOB);
-    told(&mut history, 0, 10, JobState::Cancelled);
-    assert!(history.broken().is_empty());
+    history.record_cancel_request(JOB);
+    report_state(&mut history, 0, 10, JobState::Cancelled);
+    assert!(history.violations().is_empty());
     let mut history = History::default();
-    told(&mut history, 0, 10, JobState::Cancelled);
-    assert!(history.broken()[0].contains("nobody asked"));
+    report_state(&mut history, 0, 10, JobState::Cancelled);
+    assert!(history.violations()[0].contains("without a request to cancel it"));
 }
 
 #[test]
-fn a_refusal_may_cross_the_acceptance_but_not_come_after_it() {
-    for (sent, came, wrong) in [(5, 15, false), (5, 2_000, true), (11, 15, true)] {
+fn refusal_is_reported_when_it_follows_the_acceptance_or_is_too_late() {
+    for (sent, received, violates) in [(5, 15, false), (5, 2_000, true), (11, 15, true)] {
         let mut history = History::default();
-        told(&mut history, 0, 10, JobState::Queued);
-        answered(&mut history, "c2", sent, came, Said::Refused(404));
-        assert_eq!(history.broken().len(), usize::from(wrong), "{sent} {came}");
+        report_state(&mut history, 0, 10, JobState::Queued);
+        record_answer(
+            &mut history,
+            "c2",
+            sent,
+            received,
+            AnswerContent::Refused(404),
+        );
+        assert_eq!(
+            history.violations().len(),
+            usize::from(violates),
+            "{sent} {received}"
+        );
     }
     let mut history = History::default();
-    answered(&mut history, "c2", 0, 5, Said::Refused(404));
-    told(&mut history, 0, 10, JobState::Queued);
-    assert!(history.broken().is_empty());
+    record_answer(&mut history, "c2", 0, 5, AnswerContent::Refused(404));
+    report_state(&mut history, 0, 10, JobState::Queued);
+    assert!(history.violations().is_empty());
 }
 
 #[test]
-fn what_was_long_ago_is_forgotten() {
+fn job_is_forgotten_after_the_retention_time() {
     let mut history = History::default();
-    told(&mut history, 0, 10, JobState::Done);
-    let other = |job, came| Answered {
+    report_state(&mut history, 0, 10, JobState::Done);
+    let other = |job, received| UserAnswer {
         job,
         controller: "c1",
-        sent: came,
-        came,
-        said: Said::State(JobState::Queued),
+        sent: received,
+        received,
+        content: AnswerContent::State(JobState::Queued),
     };
-    history.answered(&other("j-000002", 200_000));
-    history.answered(&other(JOB, 200_001));
-    assert!(history.broken().is_empty());
+    history.record_answer(&other("j-000002", 200_000));
+    history.record_answer(&other(JOB, 200_001));
+    assert!(history.violations().is_empty());
 }
