--- a/crates/lab/src/scale/plan.rs
+++ b/crates/lab/src/scale/plan.rs
@@ -28,7 +28,7 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// Seed of all random numbers.
+    /// Seed of the random numbers of the load, the faults and the site.
     pub seed: u64,
     pub machines: u32,
     pub controllers: usize,
--- a/crates/lab/src/site.rs
+++ b/crates/lab/src/site.rs
@@ -31,7 +31,7 @@
     /// Share of tasks that fail at their first start, 0 to 1.
     #[serde(default)]
     pub failing: f64,
-    /// Seed of all random numbers of the simulated services.
+    /// Seed of the random numbers of the cloud, the object store and the markets.
     #[serde(default)]
     pub seed: u64,
 }
--- a/crates/lab/src/traffic.rs
+++ b/crates/lab/src/traffic.rs
@@ -4,8 +4,8 @@
 use crate::Millis;
 use hdrhistogram::Histogram;
 
-/// Bytes of an HTTP request line with its headers, and of a status line with
-/// its headers, as `async-h1` writes them, rounded up.
+/// Estimated size in bytes of the request line or status line of a message with its
+/// headers, as `async-h1` writes them, rounded up.
 pub const HEADER_BYTES: u64 = 160;
 /// Largest value of the histograms, in milliseconds.
 const MAX_TIME_MS: u64 = 600_000;
--- a/crates/lab/src/worker.rs
+++ b/crates/lab/src/worker.rs
@@ -169,7 +169,8 @@
         true
     }
 
-    /// Whether a fencing token is not lower than the highest one seen; records it then.
+    /// Returns `false` for a fencing token that is lower than the highest one seen, and
+    /// records any other token.
     fn accept_token(&mut self, token: u64) -> bool {
         if token < self.token {
             return false;
--- a/examples/limits/main.rs
+++ b/examples/limits/main.rs
@@ -1,15 +1,16 @@
-//! What a leader costs, to be counted from outside: see docs/limits.md.
+//! Benchmark operations of a leader, whose cost is measured from outside the process:
+//! see docs/limits.md. Each call runs one operation N times:
 //!
-//!     limits reports MACHINES N   N reports without news, parsed and answered
-//!     limits polls MACHINES N     N polls of live jobs
-//!     limits memory JOBS N        N finished jobs beside JOBS live ones
-//!     limits told MACHINES N      N changes of a machine, told and taken in
-//!     limits takeover MACHINES N  N takeovers of what MACHINES hold
-//!     limits idle MACHINES N      N passes of placement with nothing waiting
-//!     limits task MACHINES N      N jobs of one task, accepted and placed
-//!     limits array MACHINES N     N arrays of 500 tasks, accepted and placed
-//!     limits gang MACHINES N      N gangs of 256 tasks, accepted and placed
-//!     limits array-again, limits gang-again: the same, all with one image
+//!     limits reports MACHINES N   heartbeats without changes, parsed and answered
+//!     limits polls MACHINES N     polls of live jobs
+//!     limits memory JOBS N        N finished jobs in memory in addition to JOBS live ones
+//!     limits told MACHINES N      changes of a machine, replicated to a standby
+//!     limits takeover MACHINES N  warm takeovers with the tasks of MACHINES machines
+//!     limits idle MACHINES N      scheduling cycles with no waiting task
+//!     limits task MACHINES N      jobs of one task, accepted and placed
+//!     limits array MACHINES N     arrays of 500 tasks, accepted and placed
+//!     limits gang MACHINES N      gangs of 256 tasks, accepted and placed
+//!     limits array-again, limits gang-again: the same, all jobs with one image
 
 mod passes;
 
@@ -63,23 +64,29 @@
     Ok(JobRecord::new(spec, 0))
 }
 
-/// What a standby is told of these machines, as part `part` of its stream.
-fn tell(l: &Leader, part: u64, machines: impl Iterator<Item = usize>) -> ReplicationPart {
-    let held = machines.map(|n| l.cluster.tasks_on(&format!("i-{n:06}")));
+/// Builds the replication message number `part` to a standby, with the tasks of these
+/// machines.
+fn replication_part(
+    leader: &Leader,
+    part: u64,
+    machines: impl Iterator<Item = usize>,
+) -> ReplicationPart {
+    let machine_tasks = machines.map(|n| leader.cluster.tasks_on(&format!("i-{n:06}")));
     ReplicationPart {
         term: 1,
         stream: 1,
         part,
         complete: true,
         counted: true,
-        machines: held.collect(),
+        machines: machine_tasks.collect(),
     }
 }
 
-/// A leader that has read records of so many machines and jobs.
-fn unheard(machines: usize, jobs: usize) -> Result<Leader> {
+/// Returns a leader that has loaded the records of this number of machines and jobs, but
+/// has received no heartbeat.
+fn loaded_leader(machines: usize, jobs: usize) -> Result<Leader> {
     let types = vec![machine_type()?];
-    let mut l = Leader::new(Rc::new(settings()?), Options::default(), types, 1, 0);
+    let mut leader = Leader::new(Rc::new(settings()?), Options::default(), types, 1, 0);
     for n in 0..machines {
         let record = MachineRecord {
             addr: "127.0.0.1:9".into(),
@@ -91,25 +98,26 @@
             quarantined: false,
             images: Vec::new(),
         };
-        l.load_machine(&format!("i-{n:06}"), record, 1, 0);
+        leader.load_machine(&format!("i-{n:06}"), record, 1, 0);
     }
     for n in 0..jobs {
-        l.load_job(job(n)?, 1, 0);
+        leader.load_job(job(n)?, 1, 0);
     }
-    l.finish_loading(0);
-    Ok(l)
+    leader.finish_loading(0);
+    Ok(leader)
 }
 
-/// A leader with so many machines of 16 tasks each, all reported.
-fn leader(machines: usize, jobs: usize) -> Result<(Leader, Vec<String>)> {
-    let mut l = unheard(machines, jobs)?;
+/// Returns a leader whose machines have all reported 16 tasks each, and the heartbeats
+/// with the placeholder `TICK` for the sequence number.
+fn reporting_leader(machines: usize, jobs: usize) -> Result<(Leader, Vec<String>)> {
+    let mut leader = loaded_leader(machines, jobs)?;
     let term = 1u64;
     let token = term << 20;
     let mut bodies = Vec::new();
     for n in 0..machines {
         let tasks: Vec<String> = (0..16)
             .map(|t| {
-                // Task numbers below 80: five machines share a job.
+                // Five machines share a job of 80 tasks.
                 let (id, task) = (n / 5, n % 5 * 16 + t);
                 format!(r#"{{"piece":"j-{id:06}/{task}","try":7,"stage":"running"}}"#)
             })
@@ -122,39 +130,43 @@
     }
     for body in &bodies {
         let report: Heartbeat = serde_json::from_str(&body.replace("TICK", "1"))?;
-        l.on_heartbeat(&report, 1000);
+        leader.on_heartbeat(&report, 1000);
     }
-    l.tick(1000, 1000);
-    Ok((l, bodies))
+    leader.tick(1000, 1000);
+    Ok((leader, bodies))
 }
 
 fn main() -> Result<()> {
     let args: Vec<String> = std::env::args().collect();
-    let [_, what, size, count] = args.as_slice() else {
-        bail!("usage: limits WHAT SIZE N, see the head of this file");
+    let [_, operation, size, count] = args.as_slice() else {
+        bail!("usage: limits OPERATION SIZE N, see the documentation at the top of this file");
     };
     let size: usize = size.parse().context("SIZE")?;
     let count: usize = count.parse().context("N")?;
-    match what.as_str() {
+    match operation.as_str() {
         "reports" => {
-            let (mut l, bodies) = leader(size, size / 5 + 1)?;
+            let (mut leader, bodies) = reporting_leader(size, size / 5 + 1)?;
             for n in 0..count {
                 let body = bodies[n % size].replace("TICK", &(n / size + 2).to_string());
                 let report: Heartbeat = serde_json::from_str(&body)?;
-                let reply = l.on_heartbeat(&report, 1001).context("not answered")?;
+                let reply = leader
+                    .on_heartbeat(&report, 1001)
+                    .context("the leader did not answer the heartbeat")?;
                 std::hint::black_box(serde_json::to_vec(&reply)?);
             }
         }
         "polls" => {
-            let (l, _) = leader(size, size / 5 + 1)?;
+            let (leader, _) = reporting_leader(size, size / 5 + 1)?;
             for n in 0..count {
                 let id = format!("j-{:06}", n % (size / 5 + 1));
-                let status = l.status(&id).context("not known")?;
+                let status = leader
+                    .status(&id)
+                    .context("the leader does not know the job")?;
                 std::hint::black_box(serde_json::to_vec(&status)?);
             }
         }
         "memory" => {
-            let (mut l, _) = leader(400, size)?;
+            let (mut leader, _) = reporting_leader(400, size)?;
             for n in 0..count {
                 let status = JobStatus {
                     id: format!("j-{:06}", 500_000 + n),
@@ -162,45 +174,53 @@
                     done: 80,
                     running: 0,
                 };
-                l.remember_final_state(&status, 0);
+                leader.remember_final_state(&status, 0);
             }
             let status = std::fs::read_to_string("/proc/self/status")?;
             let line = status.lines().find(|l| l.starts_with("VmRSS"));
             println!(
                 "{} {}",
-                l.cluster.live_jobs(),
+                leader.cluster.live_jobs(),
                 line.unwrap_or("VmRSS unknown")
             );
         }
         "told" => {
-            let (l, _) = leader(size, size / 5 + 1)?;
-            let (mut follower, mut bytes) = (ReplicaReceiver::default(), 0);
+            let (leader, _) = reporting_leader(size, size / 5 + 1)?;
+            let (mut standby, mut bytes) = (ReplicaReceiver::default(), 0);
             for n in 0..count {
-                let part = tell(&l, n as u64, std::iter::once(n % size));
+                let part = replication_part(&leader, n as u64, std::iter::once(n % size));
                 let frame = frames::encode(Request::Replicate(part))?;
                 bytes += frame.len();
                 let Request::Replicate(part) = frames::decode(&frame[4..])? else {
-                    bail!("not what was sent");
+                    bail!("the decoded message is not a replication message");
                 };
-                anyhow::ensure!(follower.apply_part(part, 0), "not taken in");
+                anyhow::ensure!(
+                    standby.apply_part(part, 0),
+                    "the standby rejected the message"
+                );
             }
             println!("{} bytes a change of one machine", bytes / count);
         }
         "takeover" => {
-            let (told, _) = leader(size, size / 5 + 1)?;
-            let mut follower = ReplicaReceiver::default();
-            let all = tell(&told, 0, 0..size);
+            let (source, _) = reporting_leader(size, size / 5 + 1)?;
+            let mut standby = ReplicaReceiver::default();
+            let all = replication_part(&source, 0, 0..size);
             println!(
                 "{} bytes",
                 frames::encode(Request::Replicate(all.clone())).map_or(0, |f| f.len())
             );
-            anyhow::ensure!(follower.apply_part(all, 0), "not taken in");
-            let replica: Replica = follower.take_replica(2).context("no replica")?;
+            anyhow::ensure!(
+                standby.apply_part(all, 0),
+                "the standby rejected the message"
+            );
+            let replica: Replica = standby
+                .take_replica(2)
+                .context("the standby has no complete replica")?;
             for _ in 0..count {
                 std::hint::black_box(replica.latest_first());
-                let mut l = unheard(size, size / 5 + 1)?;
-                l.inherit(7, Some(replica.clone()));
-                l.load_standbys(Some((
+                let mut leader = loaded_leader(size, size / 5 + 1)?;
+                leader.inherit(7, Some(replica.clone()));
+                leader.load_standbys(Some((
                     StandbyRecord {
                         term: 1,
                         named: vec![("n0".into(), 7)],
@@ -208,17 +228,17 @@
                     },
                     1,
                 )));
-                l.tick(1_000, 1_000);
-                anyhow::ensure!(l.is_warm(), "cold");
+                leader.tick(1_000, 1_000);
+                anyhow::ensure!(leader.is_warm(), "the takeover was not warm");
             }
         }
-        "idle" => passes::Drawn::new(size)?.idle(count)?,
-        "task" => passes::Drawn::new(size)?.place("array", 1, false, count)?,
-        "array" => passes::Drawn::new(size)?.place("array", passes::ARRAY, false, count)?,
-        "gang" => passes::Drawn::new(size)?.place("gang", passes::GANG, false, count)?,
-        "array-again" => passes::Drawn::new(size)?.place("array", passes::ARRAY, true, count)?,
-        "gang-again" => passes::Drawn::new(size)?.place("gang", passes::GANG, true, count)?,
-        other => bail!("{other}: not one of those that the head of this file names"),
+        "idle" => passes::Bench::new(size)?.idle(count)?,
+        "task" => passes::Bench::new(size)?.place("array", 1, false, count)?,
+        "array" => passes::Bench::new(size)?.place("array", passes::ARRAY, false, count)?,
+        "gang" => passes::Bench::new(size)?.place("gang", passes::GANG, false, count)?,
+        "array-again" => passes::Bench::new(size)?.place("array", passes::ARRAY, true, count)?,
+        "gang-again" => passes::Bench::new(size)?.place("gang", passes::GANG, true, count)?,
+        other => bail!("{other}: unknown operation, see the documentation at the top of this file"),
     }
     Ok(())
 }
--- a/examples/limits/passes.rs
+++ b/examples/limits/passes.rs
@@ -1,5 +1,5 @@
-//! What a pass of placement costs: fleets of two machine types in 15 zones,
-//! each machine with a drawn number of tasks of four shapes on it.
+//! Scheduling cycles of a leader whose machines have two types in 15 zones, each with a
+//! random number of running tasks of four shapes.
 
 use anyhow::{Context, Result, ensure};
 use pathwinch::{
@@ -12,9 +12,9 @@
 
 const ZONES: usize = 15;
 const IMAGES: usize = 16;
-/// Time of the fleet's reports and of all passes, in milliseconds.
-const NOW: u64 = 1_000;
-/// Cores, accelerators and memory of a task.
+/// Time of all heartbeats and scheduling cycles, in milliseconds.
+const NOW_MS: u64 = 1_000;
+/// Cores, accelerators and memory in GB of a task.
 type Shape = (f64, f64, f64);
 const SHAPES: [Shape; 4] = [
     (5.0, 0.0, 10.0),
@@ -22,8 +22,9 @@
     (4.0, 1.0, 40.0),
     (1.0, 0.0, 2.0),
 ];
-/// Tasks of the job that a pass finds waiting.
+/// Number of tasks of an array to be placed.
 pub const ARRAY: u32 = 500;
+/// Number of tasks of a gang to be placed.
 pub const GANG: u32 = 256;
 
 fn zone(number: usize) -> String {
@@ -78,14 +79,14 @@
     Ok(JobRecord::new(spec, 0))
 }
 
-/// A leader that has heard so many machines with drawn tasks on them, and the
-/// number of the next job.
-pub struct Drawn {
+/// A leader with heartbeats of all machines, which run random tasks, and the number of
+/// the next job.
+pub struct Bench {
     leader: Leader,
     next_job: usize,
 }
 
-impl Drawn {
+impl Bench {
     pub fn new(machines: usize) -> Result<Self> {
         let mut rng = fastrand::Rng::with_seed(7);
         let settings = Rc::new(settings()?);
@@ -111,32 +112,33 @@
         leader.finish_loading(0);
         let mut next_task = vec![0; jobs];
         for n in 0..machines {
-            leader.on_heartbeat(&report(n, jobs, &mut next_task, &mut rng)?, NOW);
+            leader.on_heartbeat(&heartbeat(n, jobs, &mut next_task, &mut rng)?, NOW_MS);
         }
-        // What waits of these jobs is taken off again.
+        // Cancels these jobs, so that none of their tasks waits.
         for n in 0..jobs {
             leader.cancel(&format!("j-{n:06}"));
         }
-        leader.tick(NOW, NOW);
-        Ok(Drawn {
+        leader.tick(NOW_MS, NOW_MS);
+        Ok(Bench {
             leader,
             next_job: jobs,
         })
     }
 
-    /// Passes that find nothing waiting.
+    /// Runs scheduling cycles that find no waiting task.
     pub fn idle(&mut self, count: usize) -> Result<()> {
         for _ in 0..count {
-            // Known already: it only makes the next round look again.
+            // The job is known already; loading it again only triggers a scheduling
+            // cycle in the next round.
             self.leader
-                .load_job(job(0, 0, SHAPES[0], "array", 1_000)?, 1, NOW);
-            self.leader.tick(NOW, NOW);
+                .load_job(job(0, 0, SHAPES[0], "array", 1_000)?, 1, NOW_MS);
+            self.leader.tick(NOW_MS, NOW_MS);
         }
         Ok(())
     }
 
-    /// Jobs of so many tasks, each accepted and placed in a pass of its own.
-    /// They need the same image, or one after the other of several.
+    /// Accepts and places `count` jobs of `tasks` tasks, each in its own scheduling cycle.
+    /// With `same_image` all jobs use one image, otherwise they rotate through the images.
     pub fn place(
         &mut self,
         run_shape: &str,
@@ -149,16 +151,23 @@
             self.next_job += 1;
             let image = if same_image { 0 } else { number };
             let record = job(number, image, (1.0, 0.0, 2.0), run_shape, tasks)?;
-            self.leader.accepted(record, 2, NOW);
-            self.leader.tick(NOW, NOW);
+            self.leader.accepted(record, 2, NOW_MS);
+            self.leader.tick(NOW_MS, NOW_MS);
             let id = format!("j-{number:06}");
-            let ix = self.leader.cluster.job_handle(&id).context("not known")?;
+            let handle = self
+                .leader
+                .cluster
+                .job_handle(&id)
+                .context("the leader does not know the job")?;
             let waiting = self
                 .leader
                 .cluster
-                .job(ix)
+                .job(handle)
                 .map_or(tasks, |j| j.waiting_count());
-            ensure!(waiting == 0, "{waiting} of {tasks} tasks still wait");
+            ensure!(
+                waiting == 0,
+                "{waiting} of {tasks} tasks are still waiting after the scheduling cycle"
+            );
         }
         Ok(())
     }
@@ -172,8 +181,8 @@
     }
 }
 
-/// A report with 5 to 9 running tasks that fit.
-fn report(
+/// Returns a heartbeat with 5 to 9 running tasks that fit on the machine.
+fn heartbeat(
     machine: usize,
     jobs: usize,
     next_task: &mut [u32],
