--- a/crates/lab/src/hosts.rs
+++ b/crates/lab/src/hosts.rs
@@ -145,7 +145,7 @@
             testbed.traffic.borrow_mut().direct_orders += 1;
             testbed.traffic.borrow_mut().received(body.len());
             let Ok(commands) = serde_json::from_slice::<DirectCommands>(&body) else {
-                return HttpResponse::error(400, "malformed direct commands");
+                return HttpResponse::error(400, "malformed");
             };
             let mut object_store = testbed.object_store.borrow_mut();
             let (status, heartbeat) =
@@ -167,7 +167,7 @@
     let mut worker = hosted.worker.borrow_mut();
     worker.step(&mut testbed.object_store.borrow_mut(), now);
     let may_send = !hosted.in_flight.get() && now >= hosted.next_heartbeat_at.get();
-    if !may_send || !worker.report_due(now, fastrand::f64()) {
+    if !may_send || !worker.heartbeat_due(now, fastrand::f64()) {
         return;
     }
     hosted.in_flight.set(true);
--- a/crates/lab/src/load_balancer.rs
+++ b/crates/lab/src/load_balancer.rs
@@ -70,7 +70,7 @@
         testbed
             .object_store
             .borrow_mut()
-            .cancelled(&status.id, testbed.now());
+            .record_cancellation(&status.id, testbed.now());
     }
 }
 
@@ -88,8 +88,8 @@
             "seconds": now as f64 / 1000.0,
             "machines": cloud.machine_count(),
             "spent": cloud.spent(now),
-            "tasks_finished": object_store.finished(),
-            "tasks_on_machines": object_store.on_machines(),
+            "tasks_finished": object_store.finished_count(),
+            "tasks_on_machines": object_store.tasks_on_machines(),
             "jobs_at_markets": object_store.offloaded_counts().0,
             "jobs_lent_ever": object_store.offloaded_counts().1,
             "rules_broken": object_store.violations(),
--- a/crates/lab/src/object_store.rs
+++ b/crates/lab/src/object_store.rs
@@ -25,7 +25,7 @@
     /// When the other tasks notice that one is lost.
     loss_noticed_at: Option<Millis>,
     /// When the first task was told to stop.
-    first_stop: Option<Millis>,
+    first_stop_at: Option<Millis>,
     /// Tasks that were told to stop and save a checkpoint.
     stopping: BTreeSet<u32>,
     saved: bool,
@@ -124,7 +124,7 @@
     }
 
     /// Records that a user was told that the job is cancelled.
-    pub fn cancelled(&mut self, id: &str, now: Millis) {
+    pub fn record_cancellation(&mut self, id: &str, now: Millis) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.cancelled.get_or_insert(now);
         }
@@ -142,12 +142,12 @@
     }
 
     /// Number of tasks that are done.
-    pub fn finished(&self) -> usize {
+    pub fn finished_count(&self) -> usize {
         self.finished.len()
     }
 
     /// Number of tasks that are on machines.
-    pub fn on_machines(&self) -> usize {
+    pub fn tasks_on_machines(&self) -> usize {
         self.machine_by_task.len()
     }
 
@@ -235,13 +235,13 @@
     }
 
     /// Records that a task is done.
-    pub fn finish(&mut self, task: &str) {
+    pub fn record_finished(&mut self, task: &str) {
         self.finished.insert(task.to_owned());
     }
 
     /// Whether this start of the task fails. Each task fails at most once, and only tasks
     /// that the seed selects do.
-    pub fn fails(&mut self, task: &str) -> bool {
+    pub fn start_fails(&mut self, task: &str) -> bool {
         let mut rng = self.rng(task, 1);
         if rng.f64() >= self.failure_share || self.failed_once.contains(task) {
             return false;
@@ -292,7 +292,7 @@
     /// Stores the progress of a task that stops `ran` milliseconds after its start: all
     /// of it if a checkpoint was `saved` at the end, else up to the last periodic
     /// checkpoint.
-    pub fn ran(&mut self, task: &str, ran: Millis, saved: bool) {
+    pub fn record_progress(&mut self, task: &str, ran: Millis, saved: bool) {
         let Some(spec) = self.spec(task) else { return };
         let interval = millis(spec.checkpoint_interval_s);
         if interval == 0 {
@@ -314,7 +314,7 @@
     }
 
     /// Records that a gang task waits for the others. The last one starts the gang.
-    pub fn gang_task_waits(&mut self, task: &str, attempt: u64, now: Millis) {
+    pub fn gang_task_ready(&mut self, task: &str, attempt: u64, now: Millis) {
         let Some(tasks) = self.spec(task).map(|s| s.tasks as usize) else {
             return;
         };
@@ -338,7 +338,7 @@
         match gang.started {
             None => GangState::Waiting,
             Some(at)
-                if gang.first_stop.is_none()
+                if gang.first_stop_at.is_none()
                     && gang.loss_noticed_at.is_none()
                     && now >= at + left =>
             {
@@ -351,7 +351,7 @@
 
     /// Records that a gang task ended before the gang was done. The other tasks notice
     /// after half of the time allowed for that.
-    pub fn gang_lost(&mut self, task: &str, attempt: u64, now: Millis) {
+    pub fn gang_task_lost(&mut self, task: &str, attempt: u64, now: Millis) {
         let notice_ms = self.peer_loss_ms / 2;
         let gang = self.gang(task, attempt);
         if gang.done || gang.saved {
@@ -365,35 +365,35 @@
             return;
         }
         gang.loss_noticed_at = Some(now + notice_ms);
-        let ran = gang.first_stop.unwrap_or(now).saturating_sub(started);
-        self.ran(task, ran, false);
+        let ran = gang.first_stop_at.unwrap_or(now).saturating_sub(started);
+        self.record_progress(task, ran, false);
     }
 
     /// Records that a gang task is told to stop, with enough time to save a checkpoint.
-    pub fn gang_stopping(&mut self, task: &str, attempt: u64, now: Millis) {
+    pub fn gang_task_stopping(&mut self, task: &str, attempt: u64, now: Millis) {
         let gang = self.gang(task, attempt);
-        gang.first_stop.get_or_insert(now);
+        gang.first_stop_at.get_or_insert(now);
         gang.stopping.insert(task_number(task));
     }
 
     /// Records that a gang task has saved its part of a checkpoint. Returns `Some(true)`
     /// if the checkpoint is complete because all tasks were told to stop in time,
     /// `Some(false)` if it cannot be completed any more, and `None` while that is open.
-    pub fn gang_saved(&mut self, task: &str, attempt: u64, now: Millis) -> Option<bool> {
+    pub fn gang_task_saved(&mut self, task: &str, attempt: u64, now: Millis) -> Option<bool> {
         let tasks = self.spec(task)?.tasks as usize;
         let peer_loss_ms = self.peer_loss_ms;
         let gang = self.gang(task, attempt);
         if gang.saved {
             return Some(true);
         }
-        let (first, started) = (gang.first_stop?, gang.started?);
+        let (first, started) = (gang.first_stop_at?, gang.started?);
         if gang.loss_noticed_at.is_none() && gang.stopping.len() >= tasks {
             gang.saved = true;
-            self.ran(task, first.saturating_sub(started), true);
+            self.record_progress(task, first.saturating_sub(started), true);
             return Some(true);
         }
         if now >= first + peer_loss_ms || gang.loss_noticed_at.is_some() {
-            self.gang_lost(task, attempt, now);
+            self.gang_task_lost(task, attempt, now);
             return Some(false);
         }
         None
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -40,7 +40,7 @@
     let testbed = base.testbed.clone();
     let children = Children::new(dir.to_owned(), base.programs(program));
     let users = Users::new(testbed.clone(), plan.clone());
-    let run = Run {
+    let run = ScaleRun {
         testbed: testbed.clone(),
         children: &children,
         users,
@@ -64,7 +64,7 @@
     }))
 }
 
-struct Run<'a> {
+struct ScaleRun<'a> {
     testbed: Rc<Testbed>,
     children: &'a Children,
     users: Rc<Users>,
@@ -119,7 +119,7 @@
     }
 }
 
-impl Run<'_> {
+impl ScaleRun<'_> {
     /// Starts the load, waits for the warm-up, measures and builds the report.
     async fn measure(&self) -> Result<Heartbeat> {
         up::until_ready(&self.testbed).await;
@@ -196,7 +196,7 @@
             "{what}: {:.0} s, {} machines, {} tasks on them, {} open jobs",
             self.testbed.now() as f64 / 1000.0,
             self.testbed.cloud.borrow().machine_count(),
-            self.testbed.object_store.borrow().on_machines(),
+            self.testbed.object_store.borrow().tasks_on_machines(),
             self.users.open_jobs(),
         );
     }
@@ -335,7 +335,7 @@
 
     fn rules_broken(&self) -> Vec<String> {
         let mut broken = self.testbed.object_store.borrow().violations().to_vec();
-        broken.extend(self.users.rules_broken());
+        broken.extend(self.users.answer_violations());
         broken
     }
 
@@ -350,7 +350,7 @@
         let each = |count: u64| count as f64 / seconds / workers.max(1) as f64;
         WorkerRow {
             workers,
-            tasks: self.testbed.object_store.borrow().on_machines(),
+            tasks: self.testbed.object_store.borrow().tasks_on_machines(),
             reports: each(traffic.reports),
             unanswered: each(traffic.unanswered),
             direct_orders: each(traffic.direct_orders),
--- a/crates/lab/src/scale/users.rs
+++ b/crates/lab/src/scale/users.rs
@@ -122,7 +122,7 @@
     }
 
     /// Descriptions of the violations in the answers to users.
-    pub fn rules_broken(&self) -> Vec<String> {
+    pub fn answer_violations(&self) -> Vec<String> {
         self.history.borrow().violations().to_vec()
     }
 
@@ -353,7 +353,7 @@
             self.testbed
                 .object_store
                 .borrow_mut()
-                .cancelled(job, received);
+                .record_cancellation(job, received);
         }
         self.history.borrow_mut().record_answer(&UserAnswer {
             job,
--- a/crates/lab/src/state.rs
+++ b/crates/lab/src/state.rs
@@ -252,7 +252,7 @@
     /// hold, and answers 409 with the keys of the failed conditions otherwise.
     pub fn txn(&mut self, body: &[u8], now: Millis) -> Answer {
         let Ok(txn) = serde_json::from_slice::<Txn>(body) else {
-            return error(400, "malformed transaction");
+            return error(400, "malformed");
         };
         if let Some(reason) = self.validation_error(&txn, body.len()) {
             return error(400, reason);
--- a/crates/lab/src/worker.rs
+++ b/crates/lab/src/worker.rs
@@ -29,7 +29,7 @@
 }
 
 impl Task {
-    fn is(&self, name: &str, attempt: u64) -> bool {
+    fn is_attempt(&self, name: &str, attempt: u64) -> bool {
         self.name == name && self.attempt == attempt
     }
 
@@ -39,7 +39,7 @@
 
     /// Whether the task has to be advanced at this time. A task that waits for its gang
     /// always has to be, since the other tasks of the gang decide when it goes on.
-    fn may_change(&self, now: Millis) -> bool {
+    fn needs_advance(&self, now: Millis) -> bool {
         match self.state {
             TaskState::Exited => false,
             TaskState::WaitingForGang => true,
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Builds the next heartbeat.
+    /// Returns the next heartbeat to send.
     pub fn report(&mut self) -> Heartbeat {
         self.seq += 1;
         Heartbeat {
@@ -138,7 +138,7 @@
     /// Whether a heartbeat is due: periodically, or 500 ms after the last one if there are
     /// changes. If so, schedules the next periodic one; `chance` from 0 to 1 adds jitter,
     /// so that the workers do not send all at once.
-    pub fn report_due(&mut self, now: Millis, chance: f64) -> bool {
+    pub fn heartbeat_due(&mut self, now: Millis, chance: f64) -> bool {
         let due = now >= self.next_heartbeat || (self.changed && now >= self.last_heartbeat + 500);
         if due {
             let interval = self.limits.report_s * (0.75 + 0.5 * chance);
@@ -209,7 +209,8 @@
                     grace_s,
                 } => self.stop(&task, attempt, millis(grace_s), object_store, now),
                 Command::Reap { task, attempt } => {
-                    self.tasks.retain(|t| t.is_live() || !t.is(&task, attempt));
+                    self.tasks
+                        .retain(|t| t.is_live() || !t.is_attempt(&task, attempt));
                 }
             }
         }
@@ -231,7 +232,7 @@
     }
 
     fn start(&mut self, name: String, attempt: u64, object_store: &mut ObjectStore, now: Millis) {
-        if self.tasks.iter().any(|t| t.is(&name, attempt)) {
+        if self.tasks.iter().any(|t| t.is_attempt(&name, attempt)) {
             return;
         }
         let (cpus, gpus, memory) = self.free(object_store);
@@ -289,7 +290,7 @@
         let Some(i) = self
             .tasks
             .iter()
-            .position(|t| t.is_live() && t.is(name, attempt))
+            .position(|t| t.is_live() && t.is_attempt(name, attempt))
         else {
             return;
         };
@@ -305,7 +306,7 @@
             TaskState::Saving if grace > 0 => {}
             _ if saves => {
                 if spec.kind == Kind::Gang {
-                    object_store.gang_stopping(name, attempt, now);
+                    object_store.gang_task_stopping(name, attempt, now);
                 }
                 let task = &mut self.tasks[i];
                 // `since` holds the run time from here on; it is stored with the
@@ -334,13 +335,13 @@
         self.changed = true;
         let name = task.name.clone();
         if exit_reason == ExitReason::Done {
-            object_store.finish(&name);
+            object_store.record_finished(&name);
         } else if kind == Some(Kind::Gang) {
             if !matches!(old_state, TaskState::Fetching) && !task.saved {
-                object_store.gang_lost(&name, task.attempt, now);
+                object_store.gang_task_lost(&name, task.attempt, now);
             }
         } else if old_state == TaskState::Running {
-            object_store.ran(&name, now.saturating_sub(task.since), false);
+            object_store.record_progress(&name, now.saturating_sub(task.since), false);
         }
         object_store.task_left(&name, &self.id);
     }
@@ -352,7 +353,7 @@
             self.expire_lease(object_store, now);
         }
         for i in 0..self.tasks.len() {
-            if self.tasks[i].may_change(now) {
+            if self.tasks[i].needs_advance(now) {
                 self.advance(i, object_store, now);
             }
         }
@@ -442,12 +443,12 @@
             return self.exit(i, ExitReason::Done, object_store, now);
         }
         object_store.task_started(&name, &self.id, now);
-        if object_store.fails(&name) {
+        if object_store.start_fails(&name) {
             return self.exit(i, ExitReason::Error, object_store, now);
         }
         if kind == Kind::Gang {
             self.set_state(i, TaskState::WaitingForGang, now);
-            object_store.gang_task_waits(&name, attempt, now);
+            object_store.gang_task_ready(&name, attempt, now);
         } else {
             self.set_state(i, TaskState::Running, now);
             self.tasks[i].until = object_store
@@ -467,14 +468,14 @@
     ) {
         let (name, attempt) = (self.tasks[i].name.clone(), self.tasks[i].attempt);
         if kind == Kind::Gang {
-            match object_store.gang_saved(&name, attempt, now) {
+            match object_store.gang_task_saved(&name, attempt, now) {
                 Some(true) => self.tasks[i].saved = true,
                 Some(false) => return self.exit(i, ExitReason::GangMemberLost, object_store, now),
                 None => return,
             }
         } else {
             let ran = self.tasks[i].since;
-            object_store.ran(&name, ran, true);
+            object_store.record_progress(&name, ran, true);
             self.tasks[i].saved = true;
         }
         self.exit(i, ExitReason::Stopped, object_store, now);
--- a/crates/lab/src/worker/tests.rs
+++ b/crates/lab/src/worker/tests.rs
@@ -66,8 +66,8 @@
 }
 
 fn states(agent: &mut Worker) -> Vec<(TaskState, Option<ExitReason>)> {
-    let report = agent.report();
-    report
+    let heartbeat = agent.report();
+    heartbeat
         .tasks
         .iter()
         .map(|t| (t.state, t.exit_reason))
