--- a/crates/lab/src/scale/measure.rs
+++ b/crates/lab/src/scale/measure.rs
@@ -20,7 +20,7 @@
 pub struct Usage {
     /// Processor time since the start of the process, in seconds.
     pub cpu_s: f64,
-    /// Resident memory.
+    /// Resident memory in bytes.
     pub memory_bytes: u64,
     /// Number of open sockets.
     pub sockets: usize,
--- a/crates/lab/src/scale/report.rs
+++ b/crates/lab/src/scale/report.rs
@@ -122,7 +122,7 @@
     /// Returns the report as text for the terminal.
     pub fn text(&self) -> String {
         let mut out = String::new();
-        // Writing to a string can't fail.
+        // Writing to a string cannot fail.
         let _ = self.write(&mut out);
         out
     }
--- a/crates/lab/src/worker.rs
+++ b/crates/lab/src/worker.rs
@@ -24,7 +24,8 @@
     saved: bool,
     /// When the task entered its state; while it saves, how long it had run before.
     since: Millis,
-    /// When the state ends, for tasks that fetch, run or save.
+    /// When the state ends, for tasks that fetch, run or save. A running gang task ends
+    /// with its gang instead, and is advanced at every step.
     until: Millis,
 }
 
