--- a/tests/standby.rs
+++ b/tests/standby.rs
@@ -59,11 +59,9 @@
         (0..2).for_each(|_| drop(sim.add_worker("a", false, 0)));
         sim.run_until(4_000, "four started", |sim| sim.running("j-000002") >= 4);
         sim.submit(job(3, Kind::Service, 2));
-        sim.run_until(6_000, "the new service started", |sim| {
-            sim.running("j-000003") == 2
-        });
-        let leader = sim.nodes[new].leader.as_ref().unwrap();
-        assert!(!leader.settled() && leader.is_warm(), "seed {seed}");
+        sim.run_until(6_000, "the service", |sim| sim.running("j-000003") == 2);
+        let new_leader = sim.nodes[new].leader.as_ref().unwrap();
+        assert!(!new_leader.settled() && new_leader.is_warm(), "seed {seed}");
         // The machines come back before their leases expire: none of their tasks
         // was started elsewhere.
         assert!(sim.now < failover_at + 8_000);
