--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -1,7 +1,7 @@
-//! What must stay as it is, byte for byte, whatever types and fields are
-//! called in the code: messages between processes, records in the state
-//! service, and what operators write, run and read. Fixtures are the
-//! expectation: one line each, `NAME TEXT`, written once and never edited.
+//! Forms that must not change, byte for byte, whatever types and fields are called in
+//! the code: messages between processes, records in the state service, and what
+//! operators write, run and read. The expected forms are fixtures: one line each,
+//! `NAME TEXT`, written once and never edited.
 
 #[path = "compatibility/operators.rs"]
 mod operators;
@@ -13,25 +13,25 @@
 use serde::{Serialize, de::DeserializeOwned};
 use std::fmt::Debug;
 
-/// The text of that name in a file of fixtures.
+/// Returns the text of the fixture `name`, which must be in `file` exactly once.
 fn fixture<'a>(file: &'a str, name: &str) -> &'a str {
     let lines = file.lines().filter_map(|line| line.split_once(' '));
     let mut found = lines.filter(|(n, _)| *n == name).map(|(_, text)| text);
     let text = found.next().unwrap_or_else(|| panic!("no fixture {name}"));
-    assert!(found.next().is_none(), "{name} is there twice");
+    assert!(found.next().is_none(), "duplicate fixture {name}");
     text
 }
 
-/// The fixture is read as this value. All of these types derive `Debug`, which
-/// shows each field, and some can't be compared otherwise.
-fn reads_as<T: DeserializeOwned + Debug>(file: &str, name: &str, value: &T) {
+/// Asserts that the fixture is read as `value`. The `Debug` forms are compared: they
+/// show every field, and some of the types don't implement `PartialEq`.
+fn assert_reads_as<T: DeserializeOwned + Debug>(file: &str, name: &str, value: &T) {
     let read: T = serde_json::from_str(fixture(file, name)).unwrap();
     assert_eq!(format!("{read:?}"), format!("{value:?}"), "{name}");
 }
 
-/// The fixture is read as this value, and the value written as the fixture.
-fn is_pinned<T: Serialize + DeserializeOwned + Debug>(file: &str, name: &str, value: &T) {
+/// Asserts that the fixture is read as `value`, and `value` is written as the fixture.
+fn assert_pinned<T: Serialize + DeserializeOwned + Debug>(file: &str, name: &str, value: &T) {
     let text = serde_json::to_string(value).unwrap();
     assert_eq!(text, fixture(file, name), "{name}");
-    reads_as(file, name, value);
+    assert_reads_as(file, name, value);
 }
--- a/tests/compatibility/operators.rs
+++ b/tests/compatibility/operators.rs
@@ -1,7 +1,7 @@
-//! What operators write, run and read: the settings, their own options, the
-//! command line, the answers as JSON, the figures and the files to deploy.
+//! What operators write, run and read: the settings, the options, the command line, the
+//! JSON answers, the metrics and the deployment files.
 
-use super::{fixture, is_pinned, reads_as};
+use super::{assert_pinned, assert_reads_as, fixture};
 use pathwinch::{
     control::{election::AuthorityBasis, requests::Source},
     options::{LoadResource, Options, Shape},
@@ -37,7 +37,7 @@
     text.parse().unwrap()
 }
 
-/// Each field has a value of its own.
+/// Settings in which each field has a different value.
 fn full_settings() -> Settings {
     Settings {
         name: "winch-1".into(),
@@ -98,7 +98,7 @@
     }
 }
 
-/// What is read when all that may be left out is.
+/// The settings that are read when every optional field is omitted.
 fn minimal_settings() -> Settings {
     let mut settings = full_settings();
     settings.peers.clear();
@@ -116,9 +116,9 @@
 }
 
 #[test]
-fn settings_are_read_as_they_were() {
-    is_pinned(SETTINGS, "settings/full", &full_settings());
-    reads_as(SETTINGS, "settings/minimal", &minimal_settings());
+fn settings_keep_their_json_form() {
+    assert_pinned(SETTINGS, "settings/full", &full_settings());
+    assert_reads_as(SETTINGS, "settings/minimal", &minimal_settings());
     for (name, expected) in [
         ("settings/full", full_settings()),
         ("settings/minimal", minimal_settings()),
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn peers_aims_and_limits_to_come_may_leave_out_what_they_could() {
+fn optional_fields_of_peers_objectives_and_limits_may_be_omitted() {
     let mut expected = minimal_settings();
     expected.peers = vec![Peer {
         name: "winch-2".into(),
@@ -143,39 +143,42 @@
         times: None,
     }];
     expected.cluster.state.next = Some(NextLimits::default());
-    reads_as(SETTINGS, "settings/sparse", &expected);
+    assert_reads_as(SETTINGS, "settings/sparse", &expected);
 }
 
-/// Why the full settings are refused with this change at a JSON pointer.
-fn refused(pointer: &str, value: Value) -> String {
-    let mut settings = json_settings();
+/// Returns the error for the full settings with `value` at the JSON pointer.
+fn settings_error(pointer: &str, value: Value) -> String {
+    let mut settings = full_settings_json();
     *settings.pointer_mut(pointer).unwrap() = value;
     Settings::parse(&settings.to_string())
         .unwrap_err()
         .to_string()
 }
 
-fn json_settings() -> Value {
+fn full_settings_json() -> Value {
     serde_json::from_str(fixture(SETTINGS, "settings/full")).unwrap()
 }
 
 #[test]
-fn settings_at_fault_are_refused_with_the_words_that_they_were() {
+fn invalid_settings_are_refused_with_the_same_texts() {
     assert_eq!(
-        refused("/host_name", json!("")),
+        settings_error("/host_name", json!("")),
         "host_name: must not be empty"
     );
     let zones = "cluster.zones: must name 1 to 999 zones";
-    assert_eq!(refused("/cluster/zones", json!([])), zones);
-    assert_eq!(refused("/cluster/zones", json!(vec!["z"; 1000])), zones);
+    assert_eq!(settings_error("/cluster/zones", json!([])), zones);
+    assert_eq!(
+        settings_error("/cluster/zones", json!(vec!["z"; 1000])),
+        zones
+    );
     let teams = json!(vec![json!({ "name": "t" }); 10_000]);
     assert_eq!(
-        refused("/cluster/teams", teams),
+        settings_error("/cluster/teams", teams),
         "cluster.teams: too many teams"
     );
     for field in ["cpus", "gpus", "cpus_max", "gpus_max"] {
         assert_eq!(
-            refused(&format!("/cluster/teams/0/{field}"), json!(-1.0)),
+            settings_error(&format!("/cluster/teams/0/{field}"), json!(-1.0)),
             format!("cluster.teams: vision.{field}: must not be negative")
         );
     }
@@ -193,12 +196,12 @@
         let name = field.replace('/', ".");
         for value in [0.0, -1.0, 1e9] {
             assert_eq!(
-                refused(&format!("/cluster/{field}"), json!(value)),
+                settings_error(&format!("/cluster/{field}"), json!(value)),
                 format!("cluster.{name}: must be a positive number")
             );
         }
     }
-    for (pointer, value, words) in [
+    for (pointer, value, message) in [
         (
             "/cluster/cloud/list_lag_s",
             json!(-0.5),
@@ -235,23 +238,23 @@
             "cluster.quota.max_sockets: must be at least 32",
         ),
     ] {
-        assert_eq!(refused(pointer, value), words);
+        assert_eq!(settings_error(pointer, value), message);
     }
 }
 
-/// Pointers to all fields of objects under a value.
-fn fields(value: &Value, at: &str, found: &mut Vec<String>) {
+/// Collects JSON pointers to all object fields in `value`, which is at the pointer `at`.
+fn collect_field_pointers(value: &Value, at: &str, found: &mut Vec<String>) {
     match value {
         Value::Object(map) => {
             for (key, value) in map {
                 let at = format!("{at}/{key}");
-                fields(value, &at, found);
+                collect_field_pointers(value, &at, found);
                 found.push(at);
             }
         }
         Value::Array(list) => {
             for (n, value) in list.iter().enumerate() {
-                fields(value, &format!("{at}/{n}"), found);
+                collect_field_pointers(value, &format!("{at}/{n}"), found);
             }
         }
         _ => {}
@@ -259,41 +262,41 @@
 }
 
 #[test]
-fn fields_that_are_missing_are_asked_for_as_they_were() {
+fn missing_settings_fields_are_reported_by_name() {
     let mut found = Vec::new();
-    fields(&json_settings(), "", &mut found);
-    let mut asked_for = Vec::new();
+    collect_field_pointers(&full_settings_json(), "", &mut found);
+    let mut required = Vec::new();
     for pointer in found {
         let (parent, key) = pointer.rsplit_once('/').unwrap();
-        let mut settings = json_settings();
+        let mut settings = full_settings_json();
         let parent = settings.pointer_mut(parent).unwrap();
         parent.as_object_mut().unwrap().remove(key);
         if let Err(e) = Settings::parse(&settings.to_string()) {
-            let words = e.to_string();
+            let message = e.to_string();
             let missing = format!("missing field `{key}`");
-            assert!(words.starts_with(&missing), "{pointer}: {words}");
-            asked_for.push(pointer);
+            assert!(message.starts_with(&missing), "{pointer}: {message}");
+            required.push(pointer);
         }
     }
     let expected: Vec<String> = serde_json::from_str(fixture(SETTINGS, "settings/needed")).unwrap();
-    assert_eq!(asked_for, expected);
+    assert_eq!(required, expected);
 }
 
 #[test]
-fn settings_that_are_not_known_are_passed_over() {
-    let mut settings = json_settings();
+fn unknown_settings_are_ignored() {
+    let mut settings = full_settings_json();
     settings["colour"] = json!("red");
     settings["cluster"]["size"] = json!(3);
     let read = Settings::parse(&settings.to_string()).unwrap();
     assert_eq!(format!("{read:?}"), format!("{:?}", full_settings()));
 }
 
-fn options(text: &str) -> String {
+fn parsed_options(text: &str) -> String {
     format!("{:?}", Options::parse(text).unwrap())
 }
 
 #[test]
-fn options_have_the_defaults_that_they_had() {
+fn options_keep_their_defaults() {
     let expected = Options {
         threshold: 0.4,
         load: LoadResource::Scarcest,
@@ -305,13 +308,13 @@
     };
     let expected = format!("{expected:?}");
     assert_eq!(format!("{:?}", Options::default()), expected);
-    assert_eq!(options(""), expected);
+    assert_eq!(parsed_options(""), expected);
     let example = include_str!("../../examples/pathwinch.ini");
-    assert_eq!(options(example), expected);
+    assert_eq!(parsed_options(example), expected);
 }
 
 #[test]
-fn options_are_read_from_the_keys_that_they_were() {
+fn options_keep_their_keys() {
     let text = "[placement]\nthreshold = 0.25\nload = gpu\nshapes = 4/0.5/11, 43/4/310\n\
                 keep_s = 1.5\nbegin_s = 2.5\n[provision]\nidle_s = 3.5\n[standby]\nwarm = 4\n";
     let expected = Options {
@@ -334,11 +337,11 @@
         idle_s: 3.5,
         warm: 4,
     };
-    assert_eq!(options(text), format!("{expected:?}"));
+    assert_eq!(parsed_options(text), format!("{expected:?}"));
 }
 
 #[test]
-fn what_counts_as_load_is_named_as_it_was() {
+fn load_resources_keep_their_names() {
     for (name, load) in [
         ("scarcest", LoadResource::Scarcest),
         ("cpu", LoadResource::Cpu),
@@ -351,9 +354,9 @@
 }
 
 #[test]
-fn options_at_fault_are_refused_with_the_words_that_they_were() {
-    let many = ["1/0/1"; 17].join(",");
-    for (section, key, value, words) in [
+fn invalid_options_are_refused_with_the_same_texts() {
+    let too_many_shapes = ["1/0/1"; 17].join(",");
+    for (section, key, value, message) in [
         ("placement", "threshold", "1.5", "1.5 is outside 0 to 1"),
         ("placement", "threshold", "x", "not a number: \"x\""),
         (
@@ -387,7 +390,7 @@
             "1/0/2e6",
             "2000000 is outside 0 to 1000000",
         ),
-        ("placement", "shapes", &many, "at most 16 shapes"),
+        ("placement", "shapes", &too_many_shapes, "at most 16 shapes"),
         ("placement", "keep_s", "3601", "3601 is outside 0 to 3600"),
         (
             "placement",
@@ -405,22 +408,22 @@
         ("placement", "colour", "1", "unknown section or key"),
         ("paint", "warm", "1", "unknown section or key"),
     ] {
-        let wrong = Options::parse(&format!("[{section}]\n{key} = {value}\n")).unwrap_err();
-        assert_eq!(wrong.to_string(), format!("{section}.{key}: {words}"));
+        let invalid = Options::parse(&format!("[{section}]\n{key} = {value}\n")).unwrap_err();
+        assert_eq!(invalid.to_string(), format!("{section}.{key}: {message}"));
     }
-    let wrong = Options::parse("warm = 1\n").unwrap_err();
-    assert_eq!(wrong.to_string(), ".warm: unknown section or key");
+    let invalid = Options::parse("warm = 1\n").unwrap_err();
+    assert_eq!(invalid.to_string(), ".warm: unknown section or key");
 }
 
-/// A directory of this test's own, removed at its end.
-struct Dir(PathBuf);
+/// A temporary directory of one test, removed when the test ends.
+struct TestDir(PathBuf);
 
-impl Dir {
+impl TestDir {
     fn new(name: &str) -> Self {
         let name = format!("pathwinch-compatibility-{name}-{}", std::process::id());
         let dir = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&dir).unwrap();
-        Dir(dir)
+        TestDir(dir)
     }
 
     fn file(&self, name: &str, text: &str) -> String {
@@ -430,13 +433,13 @@
     }
 }
 
-impl Drop for Dir {
+impl Drop for TestDir {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-fn pathwinch(arguments: &[&str]) -> Output {
+fn run_pathwinch(arguments: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_pathwinch"))
         .args(arguments)
         .stdin(Stdio::null())
@@ -444,27 +447,28 @@
         .unwrap()
 }
 
-fn code(arguments: &[&str]) -> Option<i32> {
-    pathwinch(arguments).status.code()
+fn exit_code(arguments: &[&str]) -> Option<i32> {
+    run_pathwinch(arguments).status.code()
 }
 
-fn help(arguments: &[&str]) -> String {
-    let said = pathwinch(arguments);
-    assert_eq!(said.status.code(), Some(0), "{arguments:?}");
-    String::from_utf8(said.stdout).unwrap()
+fn help_text(arguments: &[&str]) -> String {
+    let output = run_pathwinch(arguments);
+    assert_eq!(output.status.code(), Some(0), "{arguments:?}");
+    String::from_utf8(output.stdout).unwrap()
 }
 
-fn commands() -> BTreeSet<String> {
-    let text = help(&["--help"]);
+fn command_names() -> BTreeSet<String> {
+    let text = help_text(&["--help"]);
     let (_, list) = text.split_once("Commands:\n").unwrap();
     let rows = list.lines().take_while(|l| !l.is_empty());
     let names = rows.filter_map(|l| l.split_whitespace().next());
     names.map(str::to_owned).collect()
 }
 
-/// All words of a help text's rows that begin with a dash, before any prose.
-fn flags(command: &str) -> Vec<String> {
-    let text = help(&[command, "--help"]);
+/// Returns the flags of a command: the words with a leading dash in the rows of its help
+/// text that begin with a flag, without the descriptions. Sorted.
+fn flag_names(command: &str) -> Vec<String> {
+    let text = help_text(&[command, "--help"]);
     let rows = text.lines().map(str::trim_start);
     let rows = rows.filter(|row| row.starts_with('-'));
     let heads = rows.map(|row| row.split("  ").next().unwrap_or_default());
@@ -476,7 +480,7 @@
 }
 
 #[test]
-fn commands_are_named_as_they_were() {
+fn commands_keep_their_names() {
     let expected = [
         "abort",
         "check-config",
@@ -488,11 +492,11 @@
         "submit",
         "upgraded",
     ];
-    assert_eq!(commands(), expected.map(str::to_owned).into());
+    assert_eq!(command_names(), expected.map(str::to_owned).into());
 }
 
 #[test]
-fn flags_of_commands_are_named_as_they_were() {
+fn command_flags_keep_their_names() {
     let files = vec!["--config", "--help", "--options", "-h"];
     let ask = vec!["--at", "--help", "--json", "-h"];
     let follow = vec!["--at", "--help", "--json", "--wait", "-h"];
@@ -506,12 +510,12 @@
         ("abort", ask),
         ("upgraded", vec!["--config", "--help", "-h"]),
     ] {
-        assert_eq!(flags(command), expected, "{command}");
+        assert_eq!(flag_names(command), expected, "{command}");
     }
 }
 
 #[test]
-fn a_wrong_command_line_ends_with_2() {
+fn invalid_command_line_exits_with_2() {
     for arguments in [
         &[][..],
         &["paint"],
@@ -531,79 +535,83 @@
         &["submit", "-", "--at", "127.0.0.1:1"],
         &["upgraded", "winch-1"],
     ] {
-        assert_eq!(code(arguments), Some(2), "{arguments:?}");
+        assert_eq!(exit_code(arguments), Some(2), "{arguments:?}");
     }
 }
 
 #[test]
-fn the_version_and_the_help_end_with_0() {
+fn version_and_help_exit_with_0() {
     for arguments in [["--version"], ["-V"], ["--help"], ["-h"], ["help"]] {
-        assert_eq!(code(&arguments), Some(0), "{arguments:?}");
+        assert_eq!(exit_code(&arguments), Some(0), "{arguments:?}");
     }
 }
 
 #[test]
-fn settings_are_checked_with_the_exit_codes_that_they_were() {
-    let dir = Dir::new("check");
-    let sound = dir.file("sound.json", fixture(SETTINGS, "settings/full"));
-    let said = pathwinch(&["check-config", "--config", &sound]);
-    assert_eq!(said.status.code(), Some(0));
-    assert_eq!(said.stdout, b"winch-1: settings are sound\n");
-    assert_eq!(said.stderr, b"");
-
-    let ini = include_str!("../../examples/pathwinch.ini");
-    let ini = dir.file("sound.ini", ini);
-    let check = ["check-config", "--config", &sound, "--options", &ini];
-    assert_eq!(code(&check), Some(0));
-
-    let mut wrong = json_settings();
-    wrong["host_name"] = json!("");
-    let wrong = dir.file("wrong.json", &wrong.to_string());
-    let said = pathwinch(&["check-config", "--config", &wrong]);
-    assert_eq!(said.status.code(), Some(1));
-    assert_eq!(said.stdout, b"");
-    let words = format!("pathwinch: settings file {wrong}: host_name: must not be empty\n");
-    assert_eq!(String::from_utf8(said.stderr).unwrap(), words);
-
-    let ini = dir.file("wrong.ini", "[standby]\nwarm = 7\n");
-    let said = pathwinch(&["check-config", "--config", &sound, "--options", &ini]);
-    assert_eq!(said.status.code(), Some(1));
-    let words = format!("pathwinch: options file {ini}: standby.warm: 7 is outside 0 to 6\n");
-    assert_eq!(String::from_utf8(said.stderr).unwrap(), words);
+fn check_config_keeps_its_exit_codes_and_messages() {
+    let dir = TestDir::new("check");
+    let valid = dir.file("sound.json", fixture(SETTINGS, "settings/full"));
+    let output = run_pathwinch(&["check-config", "--config", &valid]);
+    assert_eq!(output.status.code(), Some(0));
+    assert_eq!(output.stdout, b"winch-1: settings are sound\n");
+    assert_eq!(output.stderr, b"");
+
+    let options = include_str!("../../examples/pathwinch.ini");
+    let options = dir.file("sound.ini", options);
+    let check = ["check-config", "--config", &valid, "--options", &options];
+    assert_eq!(exit_code(&check), Some(0));
+
+    let mut invalid = full_settings_json();
+    invalid["host_name"] = json!("");
+    let invalid = dir.file("wrong.json", &invalid.to_string());
+    let output = run_pathwinch(&["check-config", "--config", &invalid]);
+    assert_eq!(output.status.code(), Some(1));
+    assert_eq!(output.stdout, b"");
+    let message = format!("pathwinch: settings file {invalid}: host_name: must not be empty\n");
+    assert_eq!(String::from_utf8(output.stderr).unwrap(), message);
+
+    let options = dir.file("wrong.ini", "[standby]\nwarm = 7\n");
+    let output = run_pathwinch(&["check-config", "--config", &valid, "--options", &options]);
+    assert_eq!(output.status.code(), Some(1));
+    let message = format!("pathwinch: options file {options}: standby.warm: 7 is outside 0 to 6\n");
+    assert_eq!(String::from_utf8(output.stderr).unwrap(), message);
 }
 
 #[test]
-fn what_cannot_be_read_ends_with_1() {
-    let dir = Dir::new("unread");
-    let sound = dir.file("sound.json", fixture(SETTINGS, "settings/full"));
-    let none = dir.0.join("none").to_str().unwrap().to_owned();
+fn missing_file_or_controller_exits_with_1() {
+    let dir = TestDir::new("unread");
+    let valid = dir.file("sound.json", fixture(SETTINGS, "settings/full"));
+    let missing = dir.0.join("none").to_str().unwrap().to_owned();
     for arguments in [
-        &["serve", "--config", &none][..],
-        &["check-config", "--config", &none],
-        &["check-config", "--config", &sound, "--options", &none],
-        &["upgraded", "winch-1", "--config", &none],
-        // The settings name no such controller.
-        &["upgraded", "winch-9", "--config", &sound],
+        &["serve", "--config", &missing][..],
+        &["check-config", "--config", &missing],
+        &["check-config", "--config", &valid, "--options", &missing],
+        &["upgraded", "winch-1", "--config", &missing],
+        // The settings contain no controller of this name.
+        &["upgraded", "winch-9", "--config", &valid],
     ] {
-        assert_eq!(code(arguments), Some(1), "{arguments:?}");
+        assert_eq!(exit_code(arguments), Some(1), "{arguments:?}");
     }
 }
 
 #[test]
-fn a_controller_that_cannot_be_reached_ends_with_3() {
+fn unreachable_controller_exits_with_3() {
     let closed = free_address().to_string();
-    assert_eq!(code(&["status", "--at", &closed]), Some(3));
-    assert_eq!(code(&["explain", "j-000001", "--at", &closed]), Some(3));
+    assert_eq!(exit_code(&["status", "--at", &closed]), Some(3));
+    assert_eq!(
+        exit_code(&["explain", "j-000001", "--at", &closed]),
+        Some(3)
+    );
 }
 
-/// An address at which nobody listens at this moment.
+/// Returns an address at which no process listens at the moment.
 fn free_address() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     listener.local_addr().unwrap()
 }
 
-/// Gives each request this answer, for as long as the tests run.
-fn answering(status: u16, body: &'static str) -> String {
+/// Starts a server that gives each request this answer as long as the tests run; returns
+/// its address.
+fn serve_answer(status: u16, body: &'static str) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap().to_string();
     thread::spawn(move || {
@@ -623,28 +631,31 @@
 }
 
 #[test]
-fn answers_to_users_end_with_the_exit_codes_that_they_did() {
-    let told = r#"{"ref":"j-000412","stage":"running","done":1,"running":2}"#;
+fn poll_and_abort_keep_their_exit_codes() {
+    let job_status = r#"{"ref":"j-000412","stage":"running","done":1,"running":2}"#;
     for (status, body, polled, aborted) in [
-        (200, told, 0, 0),
+        (200, job_status, 0, 0),
         (404, r#"{"error":"no such job"}"#, 4, 4),
-        // A poll asks once, and is to be made again later.
+        // `poll` makes one request, and is to be run again later.
         (422, r#"{"error":"refused"}"#, 3, 5),
     ] {
-        let at = answering(status, body);
+        let at = serve_answer(status, body);
         let poll = ["poll", "j-000412", "--json", "--at", &at];
-        let said = pathwinch(&poll);
-        assert_eq!(said.status.code(), Some(polled), "{status}");
+        let output = run_pathwinch(&poll);
+        assert_eq!(output.status.code(), Some(polled), "{status}");
         if status == 200 {
-            assert_eq!(String::from_utf8(said.stdout).unwrap(), format!("{told}\n"));
+            assert_eq!(
+                String::from_utf8(output.stdout).unwrap(),
+                format!("{job_status}\n")
+            );
         }
         let abort = ["abort", "j-000412", "--at", &at];
-        assert_eq!(code(&abort), Some(aborted), "{status}");
+        assert_eq!(exit_code(&abort), Some(aborted), "{status}");
     }
 }
 
 #[test]
-fn reasons_are_named_as_they_were() {
+fn pending_reasons_keep_their_names() {
     let reasons = [
         (PendingReason::New, "new"),
         (PendingReason::TeamLimit, "team_limit"),
@@ -669,7 +680,7 @@
 }
 
 #[test]
-fn dues_are_named_as_they_were() {
+fn deadline_states_keep_their_names() {
     for (due, name) in [
         (Due::InTime, "in_time"),
         (Due::AtRisk, "at_risk"),
@@ -680,7 +691,7 @@
     }
 }
 
-fn full_picture() -> ClusterStatus {
+fn full_cluster_status() -> ClusterStatus {
     ClusterStatus {
         term: 41,
         since_s: 1.5,
@@ -744,7 +755,7 @@
         node: "winch-3".into(),
         leader: Some("winch-1".into()),
         age_s: 24.5,
-        cluster: Some(full_picture()),
+        cluster: Some(full_cluster_status()),
         versions: vec![
             ("winch-1".into(), Some("0.1.0".into())),
             ("winch-2".into(), None),
@@ -755,20 +766,20 @@
 }
 
 #[test]
-fn a_status_is_told_as_it_was() {
-    is_pinned(ANSWERS, "status/full", &full_status());
-    is_pinned(ANSWERS, "status/minimal", &Status::default());
+fn status_keeps_its_json_form() {
+    assert_pinned(ANSWERS, "status/full", &full_status());
+    assert_pinned(ANSWERS, "status/minimal", &Status::default());
     let bare = Status {
         cluster: Some(ClusterStatus::default()),
         ..Status::default()
     };
-    is_pinned(ANSWERS, "status/bare", &bare);
-    // Without the fields that came later.
-    reads_as(ANSWERS, "status/old", &bare);
+    assert_pinned(ANSWERS, "status/bare", &bare);
+    // A status without the fields that were added later.
+    assert_reads_as(ANSWERS, "status/old", &bare);
     assert_eq!(MOST_ROWS, 100);
 }
 
-fn full_explained() -> JobExplanation {
+fn full_job_explanation() -> JobExplanation {
     JobExplanation {
         id: "j-000412".into(),
         class: "train".into(),
@@ -790,7 +801,7 @@
     }
 }
 
-fn minimal_explained() -> JobExplanation {
+fn minimal_job_explanation() -> JobExplanation {
     JobExplanation {
         reason: None,
         verdict: None,
@@ -800,28 +811,32 @@
         left_s: None,
         needs: Vec::new(),
         needs_all: 0,
-        ..full_explained()
+        ..full_job_explanation()
     }
 }
 
 #[test]
-fn a_job_is_explained_as_it_was() {
+fn job_explanation_keeps_its_json_form() {
     let job = |explained| Explanation::Job(Box::new(explained));
-    is_pinned(ANSWERS, "explained/full", &job(full_explained()));
-    is_pinned(ANSWERS, "explained/minimal", &job(minimal_explained()));
-    reads_as(ANSWERS, "explained/old", &job(minimal_explained()));
+    assert_pinned(ANSWERS, "explained/full", &job(full_job_explanation()));
+    assert_pinned(
+        ANSWERS,
+        "explained/minimal",
+        &job(minimal_job_explanation()),
+    );
+    assert_reads_as(ANSWERS, "explained/old", &job(minimal_job_explanation()));
     let over = Explanation::Over {
         state: "done".into(),
         done: 12,
     };
-    is_pinned(ANSWERS, "explained/over", &over);
-    is_pinned(ANSWERS, "explained/none", &Explanation::NoSuchJob);
+    assert_pinned(ANSWERS, "explained/over", &over);
+    assert_pinned(ANSWERS, "explained/none", &Explanation::NoSuchJob);
     let unknown = Explanation::Unknown("nobody leads".into());
-    is_pinned(ANSWERS, "explained/unknown", &unknown);
+    assert_pinned(ANSWERS, "explained/unknown", &unknown);
 }
 
 #[test]
-fn a_jobs_state_is_told_as_it_was() {
+fn job_status_keeps_its_json_form() {
     for (name, state) in [
         ("job/pending", JobState::Queued),
         ("job/running", JobState::Running),
@@ -834,22 +849,23 @@
             done: 1,
             running: 2,
         };
-        is_pinned(ANSWERS, name, &status);
+        assert_pinned(ANSWERS, name, &status);
     }
 }
 
-/// A process that is ended with its test.
-struct Running(Child);
+/// A child process that is killed when the test ends.
+struct ChildGuard(Child);
 
-impl Drop for Running {
+impl Drop for ChildGuard {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
-/// A controller whose state service and cloud can't be reached.
-fn alone(dir: &Dir) -> (Running, SocketAddr) {
+/// Starts a controller that can't reach a state service or a cloud; returns its address
+/// for users.
+fn start_isolated_controller(dir: &TestDir) -> (ChildGuard, SocketAddr) {
     let mut settings = minimal_settings();
     settings.listen = free_address();
     settings.peer_listen = free_address();
@@ -866,16 +882,16 @@
         .stderr(Stdio::null())
         .spawn()
         .unwrap();
-    (Running(child), settings.listen)
+    (ChildGuard(child), settings.listen)
 }
 
-/// Its answer to a request, once it listens.
-fn ask(at: SocketAddr, what: &str) -> String {
-    let limit = Instant::now() + Duration::from_secs(20);
+/// Returns the answer to an HTTP request, which is sent as soon as a process listens.
+fn http_request(at: SocketAddr, request_line: &str) -> String {
+    let deadline = Instant::now() + Duration::from_secs(20);
     let mut stream = loop {
         match TcpStream::connect(at) {
             Ok(stream) => break stream,
-            Err(e) if Instant::now() > limit => panic!("{at}: {e}"),
+            Err(e) if Instant::now() > deadline => panic!("{at}: {e}"),
             Err(_) => thread::sleep(Duration::from_millis(50)),
         }
     };
@@ -883,7 +899,7 @@
         .set_read_timeout(Some(Duration::from_secs(20)))
         .unwrap();
     let request = format!(
-        "{what} HTTP/1.1\r\nHost: {at}\r\nContent-Length: 0\r\n\
+        "{request_line} HTTP/1.1\r\nHost: {at}\r\nContent-Length: 0\r\n\
                  Connection: close\r\n\r\n"
     );
     stream.write_all(request.as_bytes()).unwrap();
@@ -893,40 +909,44 @@
 }
 
 #[test]
-fn figures_are_named_as_they_were() {
-    let dir = Dir::new("figures");
-    let (_controller, listen) = alone(&dir);
-    for (what, request) in [
+fn metrics_keep_their_names() {
+    let dir = TestDir::new("figures");
+    let (_controller, listen) = start_isolated_controller(&dir);
+    for (request_line, request) in [
         ("GET /v1/jobs/j-000001", "poll"),
         ("POST /v1/jobs", "submit"),
         ("POST /v1/jobs/j-000001/abort", "abort"),
     ] {
-        let told = ask(listen, what);
-        assert!(told.starts_with("HTTP/1.1 "), "{told}");
-        let figure = format!("pathwinch_answer_seconds_count{{request=\"{request}\"}} 1\n");
-        assert!(ask(listen, "GET /metrics").contains(&figure), "{figure}");
+        let answer = http_request(listen, request_line);
+        assert!(answer.starts_with("HTTP/1.1 "), "{answer}");
+        let sample = format!("pathwinch_answer_seconds_count{{request=\"{request}\"}} 1\n");
+        assert!(
+            http_request(listen, "GET /metrics").contains(&sample),
+            "{sample}"
+        );
     }
-    let answer = ask(listen, "GET /metrics");
+    let answer = http_request(listen, "GET /metrics");
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
     let content = "application/openmetrics-text; version=1.0.0; charset=utf-8";
     assert!(answer.contains(content), "{answer}");
     let types = answer.lines().filter_map(|l| l.strip_prefix("# TYPE "));
     let mut types: Vec<String> = types.map(str::to_owned).collect();
-    // Those that came later have pins of their own; no other may come or go.
-    for pin in [
+    // Metrics that were added later are pinned by fixtures of their own; no other metric
+    // may be added or removed.
+    for name in [
         "figures_later",
         "figures_of_request_budget",
         "figures_of_unread_dependencies",
     ] {
-        let later: Vec<String> = serde_json::from_str(fixture(ANSWERS, pin)).unwrap();
-        let added: Vec<String> = types.extract_if(.., |name| later.contains(name)).collect();
-        is_pinned(ANSWERS, pin, &added);
+        let later: Vec<String> = serde_json::from_str(fixture(ANSWERS, name)).unwrap();
+        let added: Vec<String> = types.extract_if(.., |line| later.contains(line)).collect();
+        assert_pinned(ANSWERS, name, &added);
     }
-    is_pinned(ANSWERS, "figures", &types);
+    assert_pinned(ANSWERS, "figures", &types);
 }
 
 #[test]
-fn labels_of_figures_have_the_values_that_they_had() {
+fn metric_labels_keep_their_values() {
     assert_eq!(AuthorityBasis::LeaseRenewal.text(), "renewal");
     assert_eq!(AuthorityBasis::PeerPromises.text(), "promises");
     for (source, name) in [
@@ -941,7 +961,7 @@
 }
 
 #[test]
-fn the_service_file_is_as_it_was() {
+fn service_file_keeps_its_content() {
     let expected = "build = \"cargo build --release\"\n\
                     run = \"target/release/pathwinch serve --config\"\n\
                     production = \"5485c676f5e750b4776189e41ef6527ea6623fa5\"\n";
@@ -949,7 +969,7 @@
 }
 
 #[test]
-fn the_markets_file_has_the_keys_and_values_that_it_had() {
+fn market_file_keeps_its_keys_and_values() {
     let text = include_str!("../../deploy/market.ini");
     let lines = text
         .lines()
@@ -974,9 +994,9 @@
     assert_eq!(lines.collect::<Vec<_>>(), expected);
 }
 
-/// Phases and exit reasons are texts in the JSON of `status` and `explain`.
+/// Phases, exit reasons and job states are texts in the JSON of `status` and `explain`.
 #[test]
-fn phases_and_exit_reasons_are_shown_by_the_names_that_they_had() {
+fn phases_exit_reasons_and_job_states_keep_their_names() {
     let reasons = [
         (ExitReason::Done, "done"),
         (ExitReason::Stopped, "stopped"),
--- a/tests/compatibility/stored.rs
+++ b/tests/compatibility/stored.rs
@@ -1,6 +1,6 @@
-//! What stands in the state service: keys, and records as they are written.
+//! Keys and records in the state service, as they are stored.
 
-use super::{fixture, reads_as};
+use super::{assert_reads_as, fixture};
 use pathwinch::{
     control::{
         exclusions::{exclusion_txn, readmission_txn},
@@ -24,21 +24,23 @@
 use serde::{Serialize, de::DeserializeOwned};
 use std::fmt::Debug;
 
-/// Written by the program that was in production before chains came.
+/// Records and frames that the program in production wrote before jobs could depend on
+/// other jobs.
 const PRODUCTION: &str = include_str!("../fixtures/production.txt");
 const STORED: &str = include_str!("../fixtures/compatibility/stored.txt");
 
-/// Records go into the store as values, so that their fields are in order.
-fn written<T: Serialize>(record: &T) -> String {
+/// Returns the record as stored. It is stored as a JSON value, so that its fields are in
+/// alphabetical order.
+fn stored_json<T: Serialize>(record: &T) -> String {
     serde_json::to_value(record).unwrap().to_string()
 }
 
-fn is_stored<T: Serialize + DeserializeOwned + Debug>(name: &str, record: &T) {
-    assert_eq!(written(record), fixture(STORED, name), "{name}");
-    reads_as(STORED, name, record);
+fn assert_stored<T: Serialize + DeserializeOwned + Debug>(name: &str, record: &T) {
+    assert_eq!(stored_json(record), fixture(STORED, name), "{name}");
+    assert_reads_as(STORED, name, record);
 }
 
-/// Each field has a value of its own.
+/// A spec in which each field has a different value.
 fn full_spec() -> JobSpec {
     JobSpec {
         id: "j-000412".into(),
@@ -91,7 +93,7 @@
     }
 }
 
-/// Its description takes two pieces.
+/// A spec that is stored in two chunks.
 fn long_spec() -> JobSpec {
     let types = (0..16).map(|n| format!("{n:02}-{}", "x".repeat(60)));
     JobSpec {
@@ -108,171 +110,171 @@
         cancelled: true,
         suspected: true,
         completed: "BQ".into(),
-        offloaded_to: Some(lent()),
+        offloaded_to: Some(offload_target()),
     }
 }
 
-fn lent() -> OffloadTarget {
+fn offload_target() -> OffloadTarget {
     OffloadTarget {
         award: 77,
         market: "north".into(),
     }
 }
 
-/// Its record as written, and read again.
-fn job_is_stored(name: &str, record: &JobRecord, join: impl FnOnce(&SpecChunks) -> JobSpec) {
+/// Asserts that the job's record is stored as the fixture, and read from it again.
+fn assert_job_stored(name: &str, record: &JobRecord, join: impl FnOnce(&SpecChunks) -> JobSpec) {
     assert_eq!(record.stored().to_string(), fixture(STORED, name), "{name}");
     let read: StoredJob = serde_json::from_str(fixture(STORED, name)).unwrap();
-    let read = read.with_spec(|pieces| Ok(join(pieces))).unwrap();
+    let read = read.with_spec(|chunks| Ok(join(chunks))).unwrap();
     assert_eq!(&read, record, "{name}");
 }
 
-fn no_pieces(_: &SpecChunks) -> JobSpec {
-    panic!("its description is in the record")
+fn expect_no_chunks(_: &SpecChunks) -> JobSpec {
+    panic!("the spec is in the record itself, not in chunks")
 }
 
 #[test]
-fn a_jobs_record_is_as_it_was() {
-    job_is_stored("job/full", &full_job(), no_pieces);
+fn job_record_keeps_its_stored_form() {
+    assert_job_stored("job/full", &full_job(), expect_no_chunks);
     let minimal = JobRecord::new(minimal_spec(), 5);
-    job_is_stored("job/minimal", &minimal, no_pieces);
+    assert_job_stored("job/minimal", &minimal, expect_no_chunks);
 }
 
 #[test]
-fn a_jobs_marks_stand_alone_as_they_were() {
+fn job_record_flags_are_stored_independently() {
     let plain = || JobRecord::new(minimal_spec(), 6);
     let mut cancelled = plain();
     cancelled.cancelled = true;
-    job_is_stored("job/cancelled", &cancelled, no_pieces);
+    assert_job_stored("job/cancelled", &cancelled, expect_no_chunks);
     let mut suspected = plain();
     suspected.suspected = true;
-    job_is_stored("job/suspected", &suspected, no_pieces);
-    let mut begun = plain();
-    begun.completed = "AQ".into();
-    job_is_stored("job/begun", &begun, no_pieces);
-    let mut away = plain();
-    away.offloaded_to = Some(lent());
-    job_is_stored("job/lent", &away, no_pieces);
+    assert_job_stored("job/suspected", &suspected, expect_no_chunks);
+    let mut partly_done = plain();
+    partly_done.completed = "AQ".into();
+    assert_job_stored("job/begun", &partly_done, expect_no_chunks);
+    let mut offloaded = plain();
+    offloaded.offloaded_to = Some(offload_target());
+    assert_job_stored("job/lent", &offloaded, expect_no_chunks);
 }
 
 #[test]
-fn kinds_and_priorities_of_jobs_are_named_as_they_were() {
+fn job_kinds_priorities_and_states_keep_their_stored_names() {
     let kinds = [Kind::Array, Kind::Gang, Kind::Service];
-    is_stored("kinds", &kinds.to_vec());
+    assert_stored("kinds", &kinds.to_vec());
     use Priority::*;
-    is_stored("priorities", &vec![Low, Normal, High, Production]);
+    assert_stored("priorities", &vec![Low, Normal, High, Production]);
     use JobState::*;
-    is_stored("states", &vec![Queued, Running, Done, Cancelled]);
+    assert_stored("states", &vec![Queued, Running, Done, Cancelled]);
 }
 
 #[test]
-fn a_jobs_record_in_pieces_names_them_as_it_did() {
-    let (pieces, values) = spec_chunks::cut(&long_spec()).unwrap();
+fn job_record_with_spec_chunks_keeps_its_stored_form() {
+    let (chunks, values) = spec_chunks::cut(&long_spec()).unwrap();
     let record = JobRecord {
         spec: long_spec(),
-        spec_chunks: Some(pieces.clone()),
+        spec_chunks: Some(chunks.clone()),
         accepted_at_ms: 8,
         cancelled: false,
         suspected: false,
         completed: String::new(),
         offloaded_to: None,
     };
-    job_is_stored("job/pieces", &record, |read| {
-        assert_eq!(read, &pieces);
+    assert_job_stored("job/pieces", &record, |read| {
+        assert_eq!(read, &chunks);
         let texts = values.iter().map(|(_, text)| text.as_str());
         spec_chunks::join(read, texts).unwrap()
     });
-    is_stored("pieces", &pieces);
+    assert_stored("pieces", &chunks);
 }
 
 #[test]
-fn a_long_description_is_cut_into_the_pieces_that_it_was() {
-    let (pieces, values) = spec_chunks::cut(&long_spec()).unwrap();
-    is_stored("pieces/values", &values);
-    let kept: Vec<(String, String)> =
+fn long_spec_is_cut_into_the_same_chunks() {
+    let (chunks, values) = spec_chunks::cut(&long_spec()).unwrap();
+    assert_stored("pieces/values", &values);
+    let stored_values: Vec<(String, String)> =
         serde_json::from_str(fixture(STORED, "pieces/values")).unwrap();
-    let texts = kept.iter().map(|(_, text)| text.as_str());
-    assert_eq!(spec_chunks::join(&pieces, texts).unwrap(), long_spec());
-    for (key, _) in &kept {
-        assert!(pieces.names("j-000412", key), "{key}");
+    let texts = stored_values.iter().map(|(_, text)| text.as_str());
+    assert_eq!(spec_chunks::join(&chunks, texts).unwrap(), long_spec());
+    for (key, _) in &stored_values {
+        assert!(chunks.names("j-000412", key), "{key}");
         assert_eq!(SpecChunks::job_of(key), Some("j-000412"));
     }
-    assert!(!pieces.names("j-000412", "p/j-000412/00/0000"));
+    assert!(!chunks.names("j-000412", "p/j-000412/00/0000"));
 }
 
 #[test]
-fn a_loan_is_as_it_was() {
-    is_stored("lent", &lent());
+fn offload_target_keeps_its_stored_form() {
+    assert_stored("lent", &offload_target());
 }
 
 #[test]
-fn a_final_record_is_as_it_was() {
+fn final_record_keeps_its_stored_form() {
     let done = FinalRecord {
         state: JobState::Done,
         done: 300,
     };
-    is_stored("final/done", &done);
+    assert_stored("final/done", &done);
     let cancelled = FinalRecord {
         state: JobState::Cancelled,
         done: 0,
     };
-    is_stored("final/cancelled", &cancelled);
+    assert_stored("final/cancelled", &cancelled);
 }
 
 #[test]
-fn the_leaders_record_is_as_it_was() {
+fn leader_record_keeps_its_stored_form() {
     let leader = LeaderRecord {
         node: "winch-1".into(),
         incarnation: 4_711,
     };
-    is_stored("leader", &leader);
+    assert_stored("leader", &leader);
 }
 
 #[test]
-fn the_standbys_record_is_as_it_was() {
+fn standby_record_keeps_its_stored_form() {
     let full = StandbyRecord {
         term: 9,
         named: vec![("winch-2".into(), 5), ("winch-3".into(), 6)],
         known_to_all: true,
     };
-    is_stored("standbys/full", &full);
-    is_stored("standbys/none", &StandbyRecord::default());
-    // From before the last mark.
+    assert_stored("standbys/full", &full);
+    assert_stored("standbys/none", &StandbyRecord::default());
+    // A record of a version without the field `known_to_all`.
     let old = StandbyRecord {
         known_to_all: false,
         ..full
     };
-    reads_as(STORED, "standbys/old", &old);
+    assert_reads_as(STORED, "standbys/old", &old);
 }
 
 #[test]
-fn a_standbys_record_that_cannot_be_read_names_somebody() {
+fn unreadable_standby_record_names_unknown_standby() {
     let read = StandbyRecord::read(serde_json::json!({ "t": "x" }));
-    let anybody = StandbyRecord {
+    let unknown_standby = StandbyRecord {
         term: 0,
         named: vec![(String::new(), 0)],
         known_to_all: false,
     };
-    assert_eq!(read, anybody);
+    assert_eq!(read, unknown_standby);
 }
 
 #[test]
-fn a_versions_mark_is_as_it_was() {
-    let mark = VersionRecord {
+fn version_record_keeps_its_stored_form() {
+    let version = VersionRecord {
         format: 1,
         program: "0.1.0".into(),
     };
-    is_stored("version/full", &mark);
-    let unnamed = VersionRecord {
+    assert_stored("version/full", &version);
+    let unnamed_program = VersionRecord {
         format: 2,
         program: String::new(),
     };
-    is_stored("version/unnamed", &unnamed);
-    reads_as(STORED, "version/old", &unnamed);
+    assert_stored("version/unnamed", &unnamed_program);
+    assert_reads_as(STORED, "version/old", &unnamed_program);
 }
 
 #[test]
-fn a_machines_record_is_as_it_was() {
+fn machine_record_keeps_its_stored_form() {
     let full = MachineRecord {
         addr: "10.1.0.232:9000".into(),
         type_name: "g8".into(),
@@ -283,7 +285,7 @@
         quarantined: true,
         images: vec!["img-07".into(), "img-08".into()],
     };
-    is_stored("machine/full", &full);
+    assert_stored("machine/full", &full);
     let minimal = MachineRecord {
         spot: false,
         releasing: false,
@@ -292,45 +294,45 @@
         images: Vec::new(),
         ..full
     };
-    is_stored("machine/minimal", &minimal);
+    assert_stored("machine/minimal", &minimal);
     let releasing = MachineRecord {
         releasing: true,
         ..minimal.clone()
     };
-    is_stored("machine/releasing", &releasing);
-    let lapsed = MachineRecord {
+    assert_stored("machine/releasing", &releasing);
+    let expired = MachineRecord {
         lease_expired: true,
         ..minimal.clone()
     };
-    is_stored("machine/lapsed", &lapsed);
+    assert_stored("machine/lapsed", &expired);
     let quarantined = MachineRecord {
         quarantined: true,
         ..minimal
     };
-    is_stored("machine/quarantined", &quarantined);
+    assert_stored("machine/quarantined", &quarantined);
 }
 
-/// The transaction is sent as it was, with the record in it.
-fn is_sent(name: &str, txn: &Txn) {
+/// Asserts that the transaction, with the records in it, is sent as the fixture.
+fn assert_txn(name: &str, txn: &Txn) {
     let text = serde_json::to_string(txn).unwrap();
     assert_eq!(text, fixture(STORED, name), "{name}");
-    reads_as(STORED, name, txn);
+    assert_reads_as(STORED, name, txn);
 }
 
 #[test]
-fn bars_are_written_and_lifted_as_they_were() {
-    is_sent("txn/bar", &exclusion_txn(12, "winch-2", 34));
-    is_sent("txn/lift", &readmission_txn(12, "winch-2", 56));
+fn exclusion_transactions_keep_their_form() {
+    assert_txn("txn/bar", &exclusion_txn(12, "winch-2", 34));
+    assert_txn("txn/lift", &readmission_txn(12, "winch-2", 56));
 }
 
 #[test]
-fn an_acceptance_leaves_the_notice_that_it_did() {
+fn acceptance_transaction_keeps_its_feed_entry() {
     let record = JobRecord::new(minimal_spec(), 5);
-    is_sent("txn/notice", &acceptance_with_feed_entry(&record));
+    assert_txn("txn/notice", &acceptance_with_feed_entry(&record));
 }
 
 #[test]
-fn writes_are_sent_as_they_were() {
+fn plain_and_empty_transactions_keep_their_form() {
     let put = Write::Put {
         key: "k".into(),
         value: serde_json::json!({ "a": 1 }),
@@ -340,12 +342,12 @@
         conditions: Vec::new(),
         writes: vec![put, Write::Delete { key: "l".into() }],
     };
-    is_sent("txn/plain", &txn);
-    is_sent("txn/empty", &Txn::default());
+    assert_txn("txn/plain", &txn);
+    assert_txn("txn/empty", &Txn::default());
 }
 
 #[test]
-fn keys_are_where_they_were() {
+fn keys_keep_their_names() {
     let keys = [
         (records::LEADER.to_owned(), "leader"),
         (records::STANDBYS.to_owned(), "standbys"),
@@ -374,7 +376,7 @@
 }
 
 #[test]
-fn records_hold_as_much_as_they_did() {
+fn record_size_limits_keep_their_values() {
     assert_eq!(records::SEGMENT_TASKS, 8192);
     assert_eq!(records::FORMAT, 1);
     assert_eq!(records::inline_record_size(&minimal_spec()), 611);
@@ -382,36 +384,36 @@
 }
 
 #[test]
-fn finished_tasks_are_written_in_the_chunks_that_they_were() {
-    let mut bits = TaskBitmap::with_len(20_000);
+fn completion_bitmap_is_stored_in_the_same_chunks() {
+    let mut bitmap = TaskBitmap::with_len(20_000);
     for task in [0, 9, 8_191, 8_192, 8_203, 16_389, 19_999] {
-        assert!(bits.set(task) && !bits.set(task), "{task}");
+        assert!(bitmap.set(task) && !bitmap.set(task), "{task}");
     }
-    assert!(!bits.set(20_000), "past the end");
-    assert_eq!(bits.chunks(), 3);
-    let chunks: Vec<String> = (0..4).map(|n| bits.chunk(n)).collect();
-    is_stored("chunks", &chunks);
-    let kept: Vec<String> = serde_json::from_str(fixture(STORED, "chunks")).unwrap();
+    assert!(!bitmap.set(20_000), "past the end");
+    assert_eq!(bitmap.chunks(), 3);
+    let chunks: Vec<String> = (0..4).map(|n| bitmap.chunk(n)).collect();
+    assert_stored("chunks", &chunks);
+    let stored_values: Vec<String> = serde_json::from_str(fixture(STORED, "chunks")).unwrap();
     let mut read = TaskBitmap::with_len(20_000);
-    for (n, text) in kept.iter().enumerate() {
+    for (n, text) in stored_values.iter().enumerate() {
         read.load(n, text);
     }
-    assert_eq!(read, bits);
+    assert_eq!(read, bitmap);
     assert_eq!(read.count(), 7);
 }
 
 #[test]
-fn a_chunk_of_which_nothing_is_finished_is_empty() {
-    let bits = TaskBitmap::with_len(8_193);
-    assert_eq!([bits.chunk(0), bits.chunk(1)], ["", ""]);
+fn bitmap_chunk_without_completed_tasks_is_empty() {
+    let bitmap = TaskBitmap::with_len(8_193);
+    assert_eq!([bitmap.chunk(0), bitmap.chunk(1)], ["", ""]);
 }
 
-fn again<T: Serialize + DeserializeOwned>(text: &str) -> serde_json::Value {
+fn rewritten_json<T: Serialize + DeserializeOwned>(text: &str) -> serde_json::Value {
     let record: T = serde_json::from_str(text).unwrap();
     serde_json::to_value(record).unwrap()
 }
 
-fn frame_again<T: Serialize + DeserializeOwned>(hex: &str) -> String {
+fn rewritten_frame<T: Serialize + DeserializeOwned>(hex: &str) -> String {
     let bytes: Vec<u8> = (0..hex.len() / 2)
         .map(|i| u8::from_str_radix(&hex[2 * i..2 * i + 2], 16).unwrap())
         .collect();
@@ -423,32 +425,33 @@
 }
 
 #[test]
-fn what_production_wrote_is_read_and_written_back_as_it_was() {
-    let mut seen = 0;
+fn production_records_are_written_back_unchanged() {
+    let mut line_count = 0;
     for line in PRODUCTION.lines() {
-        let (what, text) = line.split_once(' ').unwrap();
+        let (kind, text) = line.split_once(' ').unwrap();
         let value = || serde_json::from_str::<serde_json::Value>(text).unwrap();
-        match what {
+        match kind {
             "job" => {
                 let record = StoredJob::read(value()).unwrap();
                 assert_eq!(record.stored(), value());
             }
-            "final" => assert_eq!(again::<FinalRecord>(text), value()),
-            "leader" => assert_eq!(again::<LeaderRecord>(text), value()),
-            "standbys" => assert_eq!(again::<StandbyRecord>(text), value()),
-            "machine" => assert_eq!(again::<MachineRecord>(text), value()),
-            "request" => assert_eq!(frame_again::<Request>(text), text),
-            // Operators' answers have grown; the rest is as it was.
+            "final" => assert_eq!(rewritten_json::<FinalRecord>(text), value()),
+            "leader" => assert_eq!(rewritten_json::<LeaderRecord>(text), value()),
+            "standbys" => assert_eq!(rewritten_json::<StandbyRecord>(text), value()),
+            "machine" => assert_eq!(rewritten_json::<MachineRecord>(text), value()),
+            "request" => assert_eq!(rewritten_frame::<Request>(text), text),
+            // Status and explanation replies have new fields; other replies are unchanged.
             "reply" => {
-                let same = frame_again::<Reply>(text);
-                let grown = text.contains(&hex("Status")) || text.contains(&hex("Explained"));
-                assert!(same == text || grown, "{text}");
+                let rewritten = rewritten_frame::<Reply>(text);
+                let has_new_fields =
+                    text.contains(&hex("Status")) || text.contains(&hex("Explained"));
+                assert!(rewritten == text || has_new_fields, "{text}");
             }
-            _ => panic!("{what}"),
+            _ => panic!("unknown kind of fixture: {kind}"),
         }
-        seen += 1;
+        line_count += 1;
     }
-    assert_eq!(seen, 32);
+    assert_eq!(line_count, 32);
 }
 
 fn hex(text: &str) -> String {
--- a/tests/compatibility/wire.rs
+++ b/tests/compatibility/wire.rs
@@ -1,6 +1,6 @@
-//! Messages between processes: each is read from its fixture, equals the value
-//! built here, and is written as the fixture has it. JSON is also read with
-//! unknown fields added and with nulls left out, frames with unknown fields.
+//! Messages between processes. Each fixture must be read as the value that is built
+//! here, and that value must be written as the fixture. JSON is also read with unknown
+//! fields added and with null fields omitted, frames with unknown fields added.
 
 use pathwinch::protocol::{
     cloud::{
@@ -34,24 +34,27 @@
 const FRAMES: &str = include_str!("../fixtures/compatibility/frames.txt");
 const SUBMISSIONS: &str = include_str!("../fixtures/compatibility/submissions.txt");
 
-/// Lines `NAME TEXT` of one kind of message; every one has to be used.
-struct Pins {
+/// Fixtures of one kind of message, as lines `NAME TEXT`; every one has to be used.
+struct Fixtures {
     lines: BTreeMap<&'static str, &'static str>,
     used: BTreeSet<&'static str>,
 }
 
-impl Pins {
-    /// Those whose names begin with `prefix`.
-    fn of(file: &'static str, prefix: &str) -> Self {
+impl Fixtures {
+    /// Returns the fixtures of `file` whose names begin with `prefix`.
+    fn with_prefix(file: &'static str, prefix: &str) -> Self {
         let mut lines = BTreeMap::new();
         for line in file.lines() {
             let (name, text) = line.split_once(' ').unwrap();
             if name.starts_with(prefix) {
-                assert!(lines.insert(name, text).is_none(), "{name} is there twice");
+                assert!(
+                    lines.insert(name, text).is_none(),
+                    "duplicate fixture {name}"
+                );
             }
         }
         let used = BTreeSet::new();
-        Pins { lines, used }
+        Fixtures { lines, used }
     }
 
     fn text(&mut self, name: &str) -> &'static str {
@@ -61,102 +64,116 @@
         text
     }
 
-    /// JSON that is read as `value` and written from it.
-    fn json<T: Serialize + DeserializeOwned + Debug>(&mut self, name: &str, value: &T) {
+    /// Asserts that the JSON fixture is read as `value`, and `value` written as the fixture.
+    fn assert_json<T: Serialize + DeserializeOwned + Debug>(&mut self, name: &str, value: &T) {
         let text = self.text(name);
         assert_eq!(serde_json::to_string(value).unwrap(), text, "{name}");
-        reads(text, name, value);
+        assert_reads_as(text, name, value);
     }
 
-    /// JSON that is read as `value`, though it would be written otherwise.
-    fn json_read<T: DeserializeOwned + Debug>(&mut self, name: &str, value: &T) {
-        reads(self.text(name), name, value);
+    /// Asserts that the JSON fixture is read as `value`, which is written in another form.
+    fn assert_json_read<T: DeserializeOwned + Debug>(&mut self, name: &str, value: &T) {
+        assert_reads_as(self.text(name), name, value);
     }
 
-    /// The hex of a frame that is read as `body` and written from it.
-    fn frame<T: Serialize + DeserializeOwned + Debug>(&mut self, name: &str, body: T) {
+    /// Asserts that the frame, a fixture in hexadecimal, is read as `body`, also with
+    /// unknown fields added, and that `body` is written as the fixture.
+    fn assert_frame<T: Serialize + DeserializeOwned + Debug>(&mut self, name: &str, body: T) {
         let text = self.text(name);
         let frame = Frame { v: VERSION, body };
-        assert_eq!(hex(&cbor(&frame)), text, "{name}");
-        let bytes = unhex(text);
+        assert_eq!(encode_hex(&encode_cbor(&frame)), text, "{name}");
+        let bytes = decode_hex(text);
         let read: Frame<T> = ciborium::from_reader(bytes.as_slice()).unwrap();
-        same(&read, &frame, name);
-        let mut more: ciborium::Value = ciborium::from_reader(bytes.as_slice()).unwrap();
-        add_unknown_cbor(&mut more);
-        let read: Frame<T> = ciborium::from_reader(cbor(&more).as_slice()).unwrap();
-        same(&read, &frame, name);
+        assert_same_debug(&read, &frame, name);
+        let mut extended: ciborium::Value = ciborium::from_reader(bytes.as_slice()).unwrap();
+        add_unknown_cbor_fields(&mut extended);
+        let read: Frame<T> = ciborium::from_reader(encode_cbor(&extended).as_slice()).unwrap();
+        assert_same_debug(&read, &frame, name);
     }
 
-    /// As it was written before `fields` were there.
-    fn frame_without<T: DeserializeOwned + Debug>(&mut self, name: &str, fields: &[&str], body: T) {
-        let bytes = unhex(self.text(name));
+    /// Asserts that the frame is read as `body` when it lacks `fields`, as an earlier
+    /// version writes it.
+    fn assert_frame_without<T: DeserializeOwned + Debug>(
+        &mut self,
+        name: &str,
+        fields: &[&str],
+        body: T,
+    ) {
+        let bytes = decode_hex(self.text(name));
         let mut old: ciborium::Value = ciborium::from_reader(bytes.as_slice()).unwrap();
-        let removed = remove_cbor(&mut old, fields);
+        let removed = remove_cbor_fields(&mut old, fields);
         assert_eq!(removed, fields.len(), "{name}: {fields:?}");
-        let read: Frame<T> = ciborium::from_reader(cbor(&old).as_slice()).unwrap();
-        same(&read, &Frame { v: VERSION, body }, name);
+        let read: Frame<T> = ciborium::from_reader(encode_cbor(&old).as_slice()).unwrap();
+        assert_same_debug(&read, &Frame { v: VERSION, body }, name);
     }
 
-    fn end(self) {
+    /// Asserts that every fixture was used, and that there was one at all.
+    fn assert_all_used(self) {
         let unused: Vec<_> = self
             .lines
             .keys()
             .filter(|name| !self.used.contains(*name))
             .collect();
-        assert!(unused.is_empty(), "{unused:?}");
+        assert!(unused.is_empty(), "fixtures not used: {unused:?}");
         assert!(!self.used.is_empty());
     }
 }
 
-/// Not every message can be compared, but each shows all its fields.
-fn same<T: Debug>(read: &T, value: &T, name: &str) {
+/// Asserts that the `Debug` forms are equal. They show every field; not every message
+/// type implements `PartialEq`.
+fn assert_same_debug<T: Debug>(read: &T, value: &T, name: &str) {
     assert_eq!(format!("{read:?}"), format!("{value:?}"), "{name}");
 }
 
-fn reads<T: DeserializeOwned + Debug>(text: &str, name: &str, value: &T) {
-    same(&serde_json::from_str::<T>(text).unwrap(), value, name);
+/// Asserts that the JSON text is read as `value`, also with unknown fields added and with
+/// null fields omitted.
+fn assert_reads_as<T: DeserializeOwned + Debug>(text: &str, name: &str, value: &T) {
+    assert_same_debug(&serde_json::from_str::<T>(text).unwrap(), value, name);
     let plain: Value = serde_json::from_str(text).unwrap();
-    let mut more = plain.clone();
-    add_unknown(&mut more);
-    assert_ne!(more, plain);
-    same(&serde_json::from_value::<T>(more).unwrap(), value, name);
-    let mut less = plain;
-    omit_nulls(&mut less);
-    same(&serde_json::from_value::<T>(less).unwrap(), value, name);
+    let mut extended = plain.clone();
+    add_unknown_fields(&mut extended);
+    assert_ne!(extended, plain);
+    assert_same_debug(&serde_json::from_value::<T>(extended).unwrap(), value, name);
+    let mut reduced = plain;
+    omit_null_fields(&mut reduced);
+    assert_same_debug(&serde_json::from_value::<T>(reduced).unwrap(), value, name);
 }
 
-/// Values that are kept for others: whatever is in them counts.
+/// Field of opaque values, which are passed on as they are: any field in them counts.
 const OPAQUE: &str = "data";
 
-fn add_unknown(value: &mut Value) {
+fn add_unknown_fields(value: &mut Value) {
     match value {
         Value::Object(fields) => {
             let inner = fields.iter_mut().filter(|(name, _)| *name != OPAQUE);
-            inner.for_each(|(_, v)| add_unknown(v));
+            inner.for_each(|(_, v)| add_unknown_fields(v));
             fields.insert("a_later_field".into(), json!({ "deep": [1, null] }));
         }
-        Value::Array(list) => list.iter_mut().for_each(add_unknown),
+        Value::Array(list) => list.iter_mut().for_each(add_unknown_fields),
         _ => {}
     }
 }
 
-fn omit_nulls(value: &mut Value) {
+fn omit_null_fields(value: &mut Value) {
     match value {
         Value::Object(fields) => {
             fields.retain(|name, v| name == OPAQUE || !v.is_null());
             let inner = fields.iter_mut().filter(|(name, _)| *name != OPAQUE);
-            inner.for_each(|(_, v)| omit_nulls(v));
+            inner.for_each(|(_, v)| omit_null_fields(v));
         }
-        Value::Array(list) => list.iter_mut().for_each(omit_nulls),
+        Value::Array(list) => list.iter_mut().for_each(omit_null_fields),
         _ => {}
     }
 }
 
-/// Adds to every struct; a variant is a map too, but its one key is capital.
-fn add_unknown_cbor(value: &mut ciborium::Value) {
+/// Adds an unknown field to every struct. An enum variant is a map too, but its only key
+/// begins with a capital letter.
+fn add_unknown_cbor_fields(value: &mut ciborium::Value) {
     match value {
         ciborium::Value::Map(fields) => {
-            fields.iter_mut().for_each(|(_, v)| add_unknown_cbor(v));
+            fields
+                .iter_mut()
+                .for_each(|(_, v)| add_unknown_cbor_fields(v));
             let variant = fields
                 .iter()
                 .filter_map(|(name, _)| name.as_text())
@@ -166,36 +183,37 @@
                 fields.insert(0, ("a_later_field".into(), unknown));
             }
         }
-        ciborium::Value::Array(list) => list.iter_mut().for_each(add_unknown_cbor),
+        ciborium::Value::Array(list) => list.iter_mut().for_each(add_unknown_cbor_fields),
         _ => {}
     }
 }
 
-fn remove_cbor(value: &mut ciborium::Value, names: &[&str]) -> usize {
+/// Removes the fields with these names at any depth; returns how many were removed.
+fn remove_cbor_fields(value: &mut ciborium::Value, names: &[&str]) -> usize {
     match value {
         ciborium::Value::Map(fields) => {
             let before = fields.len();
             fields.retain(|(name, _)| !name.as_text().is_some_and(|n| names.contains(&n)));
             let here = before - fields.len();
-            let inner = fields.iter_mut().map(|(_, v)| remove_cbor(v, names));
+            let inner = fields.iter_mut().map(|(_, v)| remove_cbor_fields(v, names));
             here + inner.sum::<usize>()
         }
-        ciborium::Value::Array(list) => list.iter_mut().map(|v| remove_cbor(v, names)).sum(),
+        ciborium::Value::Array(list) => list.iter_mut().map(|v| remove_cbor_fields(v, names)).sum(),
         _ => 0,
     }
 }
 
-fn cbor<T: Serialize>(value: &T) -> Vec<u8> {
+fn encode_cbor<T: Serialize>(value: &T) -> Vec<u8> {
     let mut out = Vec::new();
     ciborium::into_writer(value, &mut out).unwrap();
     out
 }
 
-fn hex(bytes: &[u8]) -> String {
+fn encode_hex(bytes: &[u8]) -> String {
     bytes.iter().map(|b| format!("{b:02x}")).collect()
 }
 
-fn unhex(text: &str) -> Vec<u8> {
+fn decode_hex(text: &str) -> Vec<u8> {
     assert!(text.len().is_multiple_of(2));
     let digits = |i: usize| &text[2 * i..2 * i + 2];
     (0..text.len() / 2)
@@ -208,7 +226,7 @@
 }
 
 #[test]
-fn constants_on_the_wire_stay() {
+fn wire_constants_keep_their_values() {
     assert_eq!(VERSION, 1);
     assert_eq!(MAX_FRAME, 98_304);
     assert_eq!(PREFIX, "market/");
@@ -222,7 +240,7 @@
     assert_eq!(parse_task_name("j-000412/x"), None);
 }
 
-fn task(name: &str, attempt: u64, state: TaskState) -> TaskStatus {
+fn task_status(name: &str, attempt: u64, state: TaskState) -> TaskStatus {
     TaskStatus {
         task: name.into(),
         attempt,
@@ -232,17 +250,17 @@
     }
 }
 
-fn ended(n: u64, why: ExitReason, saved: bool) -> TaskStatus {
+fn exited_task(n: u64, reason: ExitReason, saved: bool) -> TaskStatus {
     TaskStatus {
         task: format!("j-000398/{n}"),
         attempt: 100 + n,
         state: TaskState::Exited,
-        exit_reason: Some(why),
+        exit_reason: Some(reason),
         checkpointed: saved,
     }
 }
 
-fn report(tasks: Vec<TaskStatus>) -> Heartbeat {
+fn heartbeat(tasks: Vec<TaskStatus>) -> Heartbeat {
     Heartbeat {
         machine: "i-000231".into(),
         addr: "10.1.0.232:9000".into(),
@@ -258,23 +276,23 @@
 }
 
 #[test]
-fn report_stays_with_every_state_and_every_exit() {
-    let mut pins = Pins::of(JSON, "report.");
-    pins.json(
+fn heartbeat_keeps_its_form_with_every_state_and_exit_reason() {
+    let mut fixtures = Fixtures::with_prefix(JSON, "report.");
+    fixtures.assert_json(
         "report.full",
-        &report(vec![
-            task("j-000412/3", 2, TaskState::Fetching),
-            task("j-000412/4", 5, TaskState::WaitingForGang),
-            task("j-000413/0", u64::MAX, TaskState::Running),
-            task("j-000414/99999", 7, TaskState::Saving),
-            ended(0, ExitReason::Done, false),
-            ended(1, ExitReason::Stopped, true),
-            ended(2, ExitReason::GangMemberLost, false),
-            ended(3, ExitReason::GangIncomplete, false),
-            ended(4, ExitReason::Error, false),
-            ended(5, ExitReason::InsufficientResources, false),
-            ended(6, ExitReason::DuplicateTask, false),
-            ended(7, ExitReason::UnknownTask, false),
+        &heartbeat(vec![
+            task_status("j-000412/3", 2, TaskState::Fetching),
+            task_status("j-000412/4", 5, TaskState::WaitingForGang),
+            task_status("j-000413/0", u64::MAX, TaskState::Running),
+            task_status("j-000414/99999", 7, TaskState::Saving),
+            exited_task(0, ExitReason::Done, false),
+            exited_task(1, ExitReason::Stopped, true),
+            exited_task(2, ExitReason::GangMemberLost, false),
+            exited_task(3, ExitReason::GangIncomplete, false),
+            exited_task(4, ExitReason::Error, false),
+            exited_task(5, ExitReason::InsufficientResources, false),
+            exited_task(6, ExitReason::DuplicateTask, false),
+            exited_task(7, ExitReason::UnknownTask, false),
         ]),
     );
     let minimal = Heartbeat {
@@ -289,11 +307,11 @@
         reclaim_in_s: None,
         tasks: Vec::new(),
     };
-    pins.json("report.minimal", &minimal);
-    pins.json_read("report.omitted", &minimal);
-    let later = report(vec![ended(8, ExitReason::Other, false)]);
-    pins.json_read("report.later_exit", &later);
-    pins.end();
+    fixtures.assert_json("report.minimal", &minimal);
+    fixtures.assert_json_read("report.omitted", &minimal);
+    let later = heartbeat(vec![exited_task(8, ExitReason::Other, false)]);
+    fixtures.assert_json_read("report.later_exit", &later);
+    fixtures.assert_all_used();
 }
 
 fn commands() -> Vec<Command> {
@@ -315,23 +333,23 @@
 }
 
 #[test]
-fn commands_to_workers_stay() {
-    let mut pins = Pins::of(JSON, "orders.");
-    pins.json(
+fn worker_commands_keep_their_form() {
+    let mut fixtures = Fixtures::with_prefix(JSON, "orders.");
+    fixtures.assert_json(
         "orders.reply",
         &HeartbeatResponse {
             fencing_token: 41,
             commands: commands(),
         },
     );
-    pins.json(
+    fixtures.assert_json(
         "orders.reply_empty",
         &HeartbeatResponse {
             fencing_token: 0,
             commands: Vec::new(),
         },
     );
-    pins.json(
+    fixtures.assert_json(
         "orders.direct",
         &DirectCommands {
             fencing_token: u64::MAX,
@@ -339,7 +357,7 @@
             commands: commands(),
         },
     );
-    pins.json(
+    fixtures.assert_json(
         "orders.direct_empty",
         &DirectCommands {
             fencing_token: 1,
@@ -347,7 +365,7 @@
             commands: Vec::new(),
         },
     );
-    pins.end();
+    fixtures.assert_all_used();
 }
 
 fn full_spec() -> JobSpec {
@@ -403,22 +421,22 @@
 }
 
 #[test]
-fn job_stays_in_every_form() {
-    let mut pins = Pins::of(JSON, "job.");
-    pins.json("job.full", &full_spec());
-    pins.json("job.minimal", &minimal_spec());
-    pins.json_read("job.nulls", &minimal_spec());
+fn job_spec_keeps_its_form() {
+    let mut fixtures = Fixtures::with_prefix(JSON, "job.");
+    fixtures.assert_json("job.full", &full_spec());
+    fixtures.assert_json("job.minimal", &minimal_spec());
+    fixtures.assert_json_read("job.nulls", &minimal_spec());
     let service = JobSpec {
         kind: Kind::Service,
         priority: Priority::Production,
         ..minimal_spec()
     };
-    pins.json("job.service", &service);
+    fixtures.assert_json("job.service", &service);
     let normal = JobSpec {
         priority: Priority::Normal,
         ..minimal_spec()
     };
-    pins.json("job.normal", &normal);
+    fixtures.assert_json("job.normal", &normal);
     for (name, spec) in [
         ("job.full", full_spec()),
         ("job.minimal", minimal_spec()),
@@ -426,14 +444,14 @@
         ("job.service", service),
         ("job.normal", normal),
     ] {
-        assert_eq!(JobSpec::parse(pins.text(name).as_bytes()), Ok(spec));
+        assert_eq!(JobSpec::parse(fixtures.text(name).as_bytes()), Ok(spec));
     }
-    pins.end();
+    fixtures.assert_all_used();
 }
 
 #[test]
-fn job_status_stays_in_every_state() {
-    let mut pins = Pins::of(JSON, "job_status.");
+fn job_status_keeps_its_form_in_every_state() {
+    let mut fixtures = Fixtures::with_prefix(JSON, "job_status.");
     for (name, state) in [
         ("job_status.pending", JobState::Queued),
         ("job_status.running", JobState::Running),
@@ -446,13 +464,13 @@
             done: 3,
             running: 13,
         };
-        pins.json(name, &status);
+        fixtures.assert_json(name, &status);
     }
-    pins.end();
+    fixtures.assert_all_used();
 }
 
-/// A submission, field by field.
-const FIELDS: [(&str, &str); 21] = [
+/// The fields of a valid submission, with JSON texts of their values.
+const SUBMISSION_FIELDS: [(&str, &str); 21] = [
     ("ref", r#""j-000412""#),
     ("job_family", r#""train""#),
     ("owner_crew", r#""vision""#),
@@ -484,8 +502,8 @@
     format!("{{{}}}", fields.join(","))
 }
 
-/// What else a field may hold.
-fn odd_values() -> Vec<(&'static str, String)> {
+/// Names and JSON texts of values that are put into each field of a submission in turn.
+fn field_variants() -> Vec<(&'static str, String)> {
     let list = |n: usize, item: &str| format!("[{}]", vec![item; n].join(","));
     let bytes = |n: usize| format!("\"{}\"", "x".repeat(n));
     vec![
@@ -518,63 +536,65 @@
     ]
 }
 
-fn submissions() -> Vec<(String, Vec<u8>)> {
+/// Names and bodies of submissions: with a field missing, twice or of another value, and
+/// with other faults in the body.
+fn submission_cases() -> Vec<(String, Vec<u8>)> {
     let mut all = Vec::new();
-    let odd = odd_values();
-    for (at, (field, value)) in FIELDS.iter().enumerate() {
-        let mut fields = FIELDS.to_vec();
-        fields.remove(at);
+    let variants = field_variants();
+    for (index, (field, value)) in SUBMISSION_FIELDS.iter().enumerate() {
+        let mut fields = SUBMISSION_FIELDS.to_vec();
+        fields.remove(index);
         all.push((format!("{field}.missing"), submission(&fields)));
-        fields.insert(at, (field, value));
+        fields.insert(index, (field, value));
         fields.push((field, value));
         all.push((format!("{field}.twice"), submission(&fields)));
         fields.pop();
-        for (name, odd) in &odd {
-            fields[at].1 = odd;
+        for (name, variant) in &variants {
+            fields[index].1 = variant;
             all.push((format!("{field}.{name}"), submission(&fields)));
         }
     }
-    let good = submission(&FIELDS);
+    let valid = submission(&SUBMISSION_FIELDS);
     for (name, body) in [
-        ("good", good.clone()),
-        ("spaces_around", format!(" \n{good}\r\n ")),
-        ("trailing_text", format!("{good}x")),
-        ("trailing_object", format!("{good} {{}}")),
-        ("cut", good[..good.len() - 1].to_owned()),
-        ("cut_in_field", good[..40].to_owned()),
+        ("good", valid.clone()),
+        ("spaces_around", format!(" \n{valid}\r\n ")),
+        ("trailing_text", format!("{valid}x")),
+        ("trailing_object", format!("{valid} {{}}")),
+        ("cut", valid[..valid.len() - 1].to_owned()),
+        ("cut_in_field", valid[..40].to_owned()),
         ("empty", String::new()),
         ("empty_object", "{}".into()),
         ("list", "[]".into()),
         ("null", "null".into()),
         ("text", "nonsense".into()),
-        ("unknown_field", good.replacen('{', r#"{"later":[{}],"#, 1)),
-        ("two_lines", good.replacen("16", "\n\"16\"", 1)),
+        ("unknown_field", valid.replacen('{', r#"{"later":[{}],"#, 1)),
+        ("two_lines", valid.replacen("16", "\n\"16\"", 1)),
     ] {
         all.push((format!("body.{name}"), body));
     }
     let mut all: Vec<_> = all.into_iter().map(|(n, b)| (n, b.into_bytes())).collect();
-    let mut not_utf8 = good.into_bytes();
+    let mut not_utf8 = valid.into_bytes();
     not_utf8[10] = 0xff;
     all.push(("body.not_utf8".into(), not_utf8));
     all
 }
 
 #[test]
-fn submission_is_refused_in_the_same_words_when_a_field_is_at_fault() {
-    let mut pins = Pins::of(SUBMISSIONS, "");
-    for (name, body) in submissions() {
-        let said = match JobSpec::parse(&body) {
+fn invalid_submission_is_refused_with_the_same_text() {
+    let mut fixtures = Fixtures::with_prefix(SUBMISSIONS, "");
+    for (name, body) in submission_cases() {
+        let outcome = match JobSpec::parse(&body) {
             Ok(_) => "(taken)".to_owned(),
             Err(why) => why,
         };
-        assert_eq!(said, pins.text(&name), "{name}");
+        assert_eq!(outcome, fixtures.text(&name), "{name}");
     }
-    pins.end();
+    fixtures.assert_all_used();
 }
 
 #[test]
-fn cloud_messages_stay() {
-    let mut pins = Pins::of(JSON, "cloud.");
+fn cloud_messages_keep_their_form() {
+    let mut fixtures = Fixtures::with_prefix(JSON, "cloud.");
     let g8 = MachineType {
         name: "g8".into(),
         cpus: 96.0,
@@ -600,10 +620,10 @@
         zones: Vec::new(),
     };
     let types = vec![g8, bare.clone()];
-    pins.json("cloud.types", &MachineTypes { types });
+    fixtures.assert_json("cloud.types", &MachineTypes { types });
     let types = vec![bare];
-    pins.json_read("cloud.types_omitted", &MachineTypes { types });
-    pins.json(
+    fixtures.assert_json_read("cloud.types_omitted", &MachineTypes { types });
+    fixtures.assert_json(
         "cloud.rent",
         &MachineRequest {
             request_id: "r-17".into(),
@@ -614,9 +634,9 @@
         },
     );
     let machines = strings(&["i-000231", "i-000232"]);
-    pins.json("cloud.names", &MachineNames { machines });
+    fixtures.assert_json("cloud.names", &MachineNames { machines });
     let machines = Vec::new();
-    pins.json("cloud.names_empty", &MachineNames { machines });
+    fixtures.assert_json("cloud.names_empty", &MachineNames { machines });
     let listed = |n: u64, state| ListedMachine {
         id: format!("i-00023{n}"),
         addr: format!("10.1.0.{n}:9000"),
@@ -626,7 +646,7 @@
         state,
         age_s: 61.5 + n as f64,
     };
-    pins.json(
+    fixtures.assert_json(
         "cloud.list",
         &MachineList {
             machines: vec![
@@ -642,27 +662,27 @@
         age_s: 0.0,
         ..listed(4, ListedState::Booting)
     };
-    pins.json_read(
+    fixtures.assert_json_read(
         "cloud.list_omitted",
         &MachineList {
             machines: vec![bare],
             more: false,
         },
     );
-    pins.end();
+    fixtures.assert_all_used();
 }
 
 #[test]
-fn state_messages_stay() {
-    let mut pins = Pins::of(JSON, "state.");
+fn state_service_messages_keep_their_form() {
+    let mut fixtures = Fixtures::with_prefix(JSON, "state.");
     let item = |key: &str, value, version| Item {
         key: key.into(),
         value,
         version,
     };
     let value = json!({ "inner": [1, null, "x"] });
-    pins.json("state.item", &item("a/b", value.clone(), 412));
-    pins.json(
+    fixtures.assert_json("state.item", &item("a/b", value.clone(), 412));
+    fixtures.assert_json(
         "state.page",
         &Page {
             items: vec![item("c/7", value.clone(), 5), item("c/8", Value::Null, 6)],
@@ -670,7 +690,7 @@
             revision: 431,
         },
     );
-    pins.json_read(
+    fixtures.assert_json_read(
         "state.page_omitted",
         &Page {
             items: Vec::new(),
@@ -687,7 +707,7 @@
         value: value.clone(),
         lease,
     };
-    pins.json(
+    fixtures.assert_json(
         "state.txn",
         &Txn {
             conditions: vec![guard("a/b", 0), guard("a/c", 17)],
@@ -698,23 +718,23 @@
             ],
         },
     );
-    pins.json("state.txn_empty", &Txn::default());
-    pins.json_read("state.txn_omitted", &Txn::default());
-    pins.json(
+    fixtures.assert_json("state.txn_empty", &Txn::default());
+    fixtures.assert_json_read("state.txn_omitted", &Txn::default());
+    fixtures.assert_json(
         "state.failed",
         &Revision {
             revision: 431,
             failed: strings(&["a/b", "c/d"]),
         },
     );
-    pins.json_read(
+    fixtures.assert_json_read(
         "state.done",
         &Revision {
             revision: 432,
             failed: Vec::new(),
         },
     );
-    pins.json("state.lease", &LeaseGranted { lease: 7 });
+    fixtures.assert_json("state.lease", &LeaseGranted { lease: 7 });
     let set = |key: Option<&str>| Event {
         put: key.map(str::to_owned),
     };
@@ -723,19 +743,19 @@
         revision: 433,
         events,
     };
-    pins.json("state.watched", &watched);
-    pins.json_read("state.watched_in_full", &watched);
-    pins.json_read(
+    fixtures.assert_json("state.watched", &watched);
+    fixtures.assert_json_read("state.watched_in_full", &watched);
+    fixtures.assert_json_read(
         "state.watched_omitted",
         &Watched {
             revision: 434,
             events: Vec::new(),
         },
     );
-    pins.end();
+    fixtures.assert_all_used();
 }
 
-fn follow(machines: Vec<MachineTasks>) -> ReplicationPart {
+fn replication_part(machines: Vec<MachineTasks>) -> ReplicationPart {
     ReplicationPart {
         term: 71,
         stream: 72,
@@ -746,7 +766,7 @@
     }
 }
 
-fn holds() -> Vec<MachineTasks> {
+fn machine_tasks() -> Vec<MachineTasks> {
     let runs = vec![
         ReplicatedTask(3, 4, 5, ReplicatedPhase::Sent),
         ReplicatedTask(6, 7, 8, ReplicatedPhase::Running),
@@ -765,8 +785,8 @@
 }
 
 #[test]
-fn requests_between_controllers_stay() {
-    let mut pins = Pins::of(FRAMES, "request.");
+fn controller_requests_keep_their_form() {
+    let mut fixtures = Fixtures::with_prefix(FRAMES, "request.");
     let forward = |body: &[u8]| Request::Forward {
         method: "POST".into(),
         path: "/v1/jobs".into(),
@@ -799,10 +819,13 @@
             },
         ),
         ("request.greeting", Request::greeting()),
-        ("request.follow", Request::Replicate(follow(holds()))),
+        (
+            "request.follow",
+            Request::Replicate(replication_part(machine_tasks())),
+        ),
         (
             "request.follow_empty",
-            Request::Replicate(follow(Vec::new())),
+            Request::Replicate(replication_part(Vec::new())),
         ),
         ("request.resigned", Request::Resigned { term: 14 }),
         ("request.status", Request::Status),
@@ -837,20 +860,20 @@
             },
         ),
     ] {
-        pins.frame(name, request);
+        fixtures.assert_frame(name, request);
     }
-    pins.end();
+    fixtures.assert_all_used();
 }
 
 #[test]
-fn what_a_standby_is_told_reads_no_other_state_of_a_task() {
-    for (n, seen) in [
+fn replicated_phase_rejects_unknown_number() {
+    for (n, phase) in [
         (0, ReplicatedPhase::Sent),
         (1, ReplicatedPhase::Running),
         (2, ReplicatedPhase::Done),
     ] {
-        assert_eq!(u8::from(seen), n);
-        assert_eq!(ReplicatedPhase::try_from(n), Ok(seen));
+        assert_eq!(u8::from(phase), n);
+        assert_eq!(ReplicatedPhase::try_from(n), Ok(phase));
     }
     assert_eq!(
         ReplicatedPhase::try_from(3),
@@ -858,7 +881,7 @@
     );
 }
 
-fn lendable() -> Vec<OffloadCandidate> {
+fn offload_candidates() -> Vec<OffloadCandidate> {
     vec![
         OffloadCandidate {
             spec: full_spec(),
@@ -881,7 +904,7 @@
     ]
 }
 
-const REASONS: [PendingReason; 12] = [
+const PENDING_REASONS: [PendingReason; 12] = [
     PendingReason::New,
     PendingReason::TeamLimit,
     PendingReason::NoRoom,
@@ -896,7 +919,7 @@
     PendingReason::NeedsOthers,
 ];
 
-fn picture() -> ClusterStatus {
+fn cluster_status() -> ClusterStatus {
     ClusterStatus {
         term: 51,
         since_s: 52.5,
@@ -908,7 +931,7 @@
             waiting: 54,
             running: 55,
             oldest_wait_s: 56.5,
-            reasons: REASONS.into_iter().zip(100..).collect(),
+            reasons: PENDING_REASONS.into_iter().zip(100..).collect(),
             late_jobs: 57,
             at_risk_jobs: 58,
         }],
@@ -952,12 +975,12 @@
     }
 }
 
-fn status(picture: Option<ClusterStatus>) -> Status {
+fn node_status(cluster_status: Option<ClusterStatus>) -> Status {
     Status {
         node: "winchpost-1".into(),
         leader: Some("winchpost-2".into()),
         age_s: 41.5,
-        cluster: picture,
+        cluster: cluster_status,
         versions: vec![
             ("winchpost-1".into(), Some("0.1.0".into())),
             ("winchpost-2".into(), None),
@@ -967,7 +990,7 @@
     }
 }
 
-fn explained(due: Due) -> JobExplanation {
+fn job_explanation(due: Due) -> JobExplanation {
     JobExplanation {
         id: "j-000412".into(),
         class: "train".into(),
@@ -989,7 +1012,7 @@
     }
 }
 
-fn explained_bare() -> JobExplanation {
+fn minimal_job_explanation() -> JobExplanation {
     JobExplanation {
         reason: None,
         verdict: None,
@@ -999,15 +1022,15 @@
         left_s: None,
         needs: Vec::new(),
         needs_all: 0,
-        ..explained(Due::Late)
+        ..job_explanation(Due::Late)
     }
 }
 
-fn job(explained: JobExplanation) -> Reply {
-    Reply::Explained(Explanation::Job(Box::new(explained)))
+fn job_reply(explanation: JobExplanation) -> Reply {
+    Reply::Explained(Explanation::Job(Box::new(explanation)))
 }
 
-fn promise(granted: bool, state_ok: bool, running_ms: Option<u64>) -> Reply {
+fn promise_reply(granted: bool, state_ok: bool, running_ms: Option<u64>) -> Reply {
     Reply::Promise {
         granted,
         state_ok,
@@ -1016,8 +1039,8 @@
 }
 
 #[test]
-fn replies_between_controllers_stay() {
-    let mut pins = Pins::of(FRAMES, "reply.");
+fn controller_replies_keep_their_form() {
+    let mut fixtures = Fixtures::with_prefix(FRAMES, "reply.");
     let over = Explanation::Over {
         state: "done".into(),
         done: 91,
@@ -1056,8 +1079,8 @@
             },
         ),
         ("reply.not_leader", Reply::NotLeader),
-        ("reply.promise", promise(true, false, Some(1234))),
-        ("reply.promise_old", promise(false, true, None)),
+        ("reply.promise", promise_reply(true, false, Some(1234))),
+        ("reply.promise_old", promise_reply(false, true, None)),
         ("reply.ok", Reply::Ok),
         (
             "reply.greeted",
@@ -1068,13 +1091,22 @@
         ("reply.greeted_none", Reply::LeaderHint { leader: None }),
         (
             "reply.status",
-            Reply::Status(Box::new(status(Some(picture())))),
+            Reply::Status(Box::new(node_status(Some(cluster_status())))),
         ),
         ("reply.status_empty", Reply::Status(Box::default())),
-        ("reply.explained_in_time", job(explained(Due::InTime))),
-        ("reply.explained_at_risk", job(explained(Due::AtRisk))),
-        ("reply.explained_late", job(explained(Due::Late))),
-        ("reply.explained_bare", job(explained_bare())),
+        (
+            "reply.explained_in_time",
+            job_reply(job_explanation(Due::InTime)),
+        ),
+        (
+            "reply.explained_at_risk",
+            job_reply(job_explanation(Due::AtRisk)),
+        ),
+        (
+            "reply.explained_late",
+            job_reply(job_explanation(Due::Late)),
+        ),
+        ("reply.explained_bare", job_reply(minimal_job_explanation())),
         ("reply.explained_over", Reply::Explained(over)),
         (
             "reply.explained_no_job",
@@ -1087,7 +1119,7 @@
         (
             "reply.lendable",
             Reply::OffloadCandidates {
-                jobs: lendable(),
+                jobs: offload_candidates(),
                 recall: strings(&["j-000414", "j-000415"]),
             },
         ),
@@ -1107,28 +1139,32 @@
         ("reply.taken_back", Reply::OffloadEnded(true)),
         ("reply.not_taken_back", Reply::OffloadEnded(false)),
     ] {
-        pins.frame(name, reply);
+        fixtures.assert_frame(name, reply);
     }
-    pins.end();
+    fixtures.assert_all_used();
 }
 
 #[test]
-fn replies_from_before_a_field_came_are_read() {
-    let mut pins = Pins::of(FRAMES, "reply.");
-    pins.frame_without("reply.promise", &["running_ms"], promise(true, false, None));
+fn replies_without_later_fields_are_read() {
+    let mut fixtures = Fixtures::with_prefix(FRAMES, "reply.");
+    fixtures.assert_frame_without(
+        "reply.promise",
+        &["running_ms"],
+        promise_reply(true, false, None),
+    );
     let old = Status {
         cluster: Some(ClusterStatus {
             lent: Vec::new(),
             standbys: Vec::new(),
             took_over: String::new(),
-            ..picture()
+            ..cluster_status()
         }),
         versions: Vec::new(),
         upgraded: false,
         stopped: None,
-        ..status(None)
+        ..node_status(None)
     };
-    pins.frame_without(
+    fixtures.assert_frame_without(
         "reply.status",
         &[
             "lent",
@@ -1145,20 +1181,23 @@
         left_s: None,
         needs: Vec::new(),
         needs_all: 0,
-        ..explained(Due::Late)
+        ..job_explanation(Due::Late)
     };
-    pins.frame_without(
+    fixtures.assert_frame_without(
         "reply.explained_late",
         &["verdict", "left_s", "needs", "needs_all"],
-        job(old),
+        job_reply(old),
     );
 }
 
 #[test]
-fn what_could_be_lent_stays_as_json() {
-    let mut pins = Pins::of(JSON, "lendable.");
-    for (name, lendable) in ["lendable.full", "lendable.minimal"].iter().zip(lendable()) {
-        pins.json(name, &lendable);
+fn offload_candidates_keep_their_json_form() {
+    let mut fixtures = Fixtures::with_prefix(JSON, "lendable.");
+    for (name, candidate) in ["lendable.full", "lendable.minimal"]
+        .iter()
+        .zip(offload_candidates())
+    {
+        fixtures.assert_json(name, &candidate);
     }
-    pins.end();
+    fixtures.assert_all_used();
 }
