--- a/tests/compatibility/wire.rs
+++ b/tests/compatibility/wire.rs
@@ -139,7 +139,8 @@
     assert_same_debug(&serde_json::from_value::<T>(reduced).unwrap(), value, name);
 }
 
-/// Field of opaque values, which are passed on as they are: any field in them counts.
+/// Field of values that are opaque to this program and passed on unchanged: no field is
+/// added to them or omitted from them.
 const OPAQUE: &str = "data";
 
 fn add_unknown_fields(value: &mut Value) {
--- a/tests/scale_run.rs
+++ b/tests/scale_run.rs
@@ -1,5 +1,5 @@
-//! Scale runs of 200 workers beside real controllers: they hold the rules, with
-//! and without faults, and end by themselves. No times are asserted.
+//! Scale runs of 200 workers against real controller processes: they break no invariant,
+//! with and without faults, and finish by themselves. No durations are asserted.
 
 use pathwinch_lab::scale::{
     self,
@@ -16,7 +16,8 @@
         .replace("warm_up_s = 110.0", "warm_up_s = 20.0")
         .replace("measure_s = 45.0", "measure_s = 8.0");
     let mut plan = Plan::parse(&text).unwrap().scaled(MACHINES).unwrap();
-    // Services fill half of the fleet; one gang each is as large as it may be.
+    // Services fill half of the fleet. The classes of the largest gangs (`large`) and the
+    // largest arrays (`wave`) start with one job each.
     for class in &mut plan.class {
         match class.name.as_str() {
             "large" => class.initial = 1.0,
@@ -27,7 +28,7 @@
     plan
 }
 
-/// A run of that plan, its logs in a directory of its own.
+/// Runs the plan, with its logs in a temporary directory that is removed after the run.
 fn run(plan: Plan, name: &str) -> Heartbeat {
     let dir = std::env::temp_dir().join(format!("pathwinch-{name}-{}", std::process::id()));
     let program = Path::new(env!("CARGO_BIN_EXE_pathwinch"));
@@ -37,8 +38,8 @@
     report
 }
 
-/// Controllers end and are back within a second, users cancel jobs and ask at
-/// all controllers within milliseconds: no answer is older than one before it.
+/// Controllers crash and are back within a second, while users cancel jobs and poll all
+/// controllers within milliseconds: no answer is older than an earlier one.
 #[test]
 fn testbed_answers_are_monotonic_while_controllers_crash() {
     let mut plan = plan();
@@ -68,7 +69,7 @@
     let leaders = report.roles.iter().filter(|r| r.role == "leader");
     assert_eq!(leaders.count(), 1);
     assert!(report.worker.workers >= 50, "{}", report.worker.workers);
-    // Of 120 service jobs none has fewer than three replicas.
+    // Each of the 120 service jobs has at least three replicas.
     assert!(report.worker.tasks >= 360, "{}", report.worker.tasks);
     let urgent = report.classes.iter().find(|c| c.name == "urgent");
     assert!(urgent.is_some_and(|c| c.accepted > 0 && c.starts_per_s > 0.0));
--- a/tests/standby.rs
+++ b/tests/standby.rs
@@ -22,7 +22,7 @@
     sim
 }
 
-/// Machines with free capacity.
+/// Indices of the machines with fewer tasks than the two that fit on each.
 fn machines_with_capacity(sim: &Simulation) -> Vec<usize> {
     let has_room = |m: &usize| sim.workers[*m].tasks.len() < 2;
     (0..sim.workers.len()).filter(has_room).collect()
