--- a/tests/standby.rs
+++ b/tests/standby.rs
@@ -564,8 +564,8 @@
             0..3 => {
                 // Some machines become unresponsive, then the leader crashes.
                 for _ in 0..sim.rng.usize(1..4) {
-                    let m = sim.rng.usize(..sim.workers.len());
-                    sim.workers[m].net = [Net::Hold, Net::Lose][sim.rng.usize(..2)];
+                    let machine = sim.rng.usize(..sim.workers.len());
+                    sim.workers[machine].net = [Net::Hold, Net::Lose][sim.rng.usize(..2)];
                 }
                 let pause = sim.rng.u64(0..40) * STEP;
                 sim.run(pause);
@@ -598,9 +598,9 @@
                 sim.store.late_writes.push(write_delay);
             }
             8 => {
-                let m = sim.rng.usize(..sim.workers.len());
+                let machine = sim.rng.usize(..sim.workers.len());
                 let delay = sim.rng.u64(50..15_000);
-                sim.direct_command_delay.insert(m, delay);
+                sim.direct_command_delay.insert(machine, delay);
             }
             9 => {
                 sim.store.unavailable = true;
