--- a/tests/placement_scenarios.rs
+++ b/tests/placement_scenarios.rs
@@ -17,379 +17,398 @@
 
 #[test]
 fn team_quota_holds_across_failover() {
-    let mut w = Simulation::with_leader(11, 6, 16.0);
+    let mut sim = Simulation::with_leader(11, 6, 16.0);
     for n in 1..8 {
-        w.submit(job(n, Kind::Array, 3));
+        sim.submit(job(n, Kind::Array, 3));
     }
-    w.run(4_000);
+    sim.run(4_000);
     for round in 0..4 {
-        if let Some(old) = w.leader() {
-            w.crash(old, 3_000);
+        if let Some(old) = sim.leader() {
+            sim.crash(old, 3_000);
         }
         let cut = round % 6;
-        w.workers[cut].net = Net::Hold;
-        w.run(14_000);
-        w.restore_network(cut);
+        sim.workers[cut].net = Net::Hold;
+        sim.run(14_000);
+        sim.restore_network(cut);
     }
-    w.run_until(120_000, "all done", |w| {
-        (1..8).all(|n| w.done(&format!("j-{n:06}")))
+    sim.run_until(120_000, "all done", |sim| {
+        (1..8).all(|n| sim.done(&format!("j-{n:06}")))
     });
-    w.assert_no_violations();
+    sim.assert_no_violations();
 }
 
 #[test]
 fn new_job_starts_beside_unresponsive_machine_within_quota() {
     for (limit, starts_early) in [(16.0, true), (12.0, false)] {
-        let mut w = Simulation::with_leader(15, 3, limit);
-        w.submit(job(1, Kind::Service, 2));
-        w.run_until(20_000, "running", |w| w.running("j-000001") == 2);
-        let old = w.leader().unwrap();
-        let silent = w.workers.iter().position(|m| !m.tasks.is_empty()).unwrap();
-        w.workers[silent].net = Net::Hold;
-        w.crash(old, 30_000);
-        w.run_until(10_000, "another leads", |w| {
-            w.leader().is_some_and(|l| l != old)
+        let mut sim = Simulation::with_leader(15, 3, limit);
+        sim.submit(job(1, Kind::Service, 2));
+        sim.run_until(20_000, "running", |sim| sim.running("j-000001") == 2);
+        let old = sim.leader().unwrap();
+        let silent = sim
+            .workers
+            .iter()
+            .position(|m| !m.tasks.is_empty())
+            .unwrap();
+        sim.workers[silent].net = Net::Hold;
+        sim.crash(old, 30_000);
+        sim.run_until(10_000, "another leads", |sim| {
+            sim.leader().is_some_and(|node| node != old)
         });
-        w.submit(job(2, Kind::Service, 2));
-        w.run(3_000);
-        assert_eq!(w.running("j-000002") == 2, starts_early, "limit {limit}");
-        w.run(30_000);
-        w.assert_no_violations();
+        sim.submit(job(2, Kind::Service, 2));
+        sim.run(3_000);
+        assert_eq!(sim.running("j-000002") == 2, starts_early, "limit {limit}");
+        sim.run(30_000);
+        sim.assert_no_violations();
     }
 }
 
 #[test]
 fn unresponsive_spot_machine_blocks_no_on_demand_job() {
-    let mut w = Simulation::with_leader(20, 3, 0.0);
-    let spot = w.workers.len();
-    w.add_worker("a", true, 0);
-    w.run(3_000);
+    let mut sim = Simulation::with_leader(20, 3, 0.0);
+    let spot = sim.workers.len();
+    sim.add_worker("a", true, 0);
+    sim.run(3_000);
     let mut service = job(1, Kind::Service, 4);
     service.spot = false;
     let mut batch = job(2, Kind::Service, 4);
     batch.spot = true;
-    w.submit(service);
-    w.submit(batch);
-    w.run_until(20_000, "running", |w| {
-        w.running("j-000001") == 4 && w.running("j-000002") == 4
+    sim.submit(service);
+    sim.submit(batch);
+    sim.run_until(20_000, "running", |sim| {
+        sim.running("j-000001") == 4 && sim.running("j-000002") == 4
     });
     // The spot machine falls unresponsive and another dies with the leader.
-    let dies = w
+    let dies = sim
         .workers
         .iter()
         .position(|m| m.tasks.iter().any(|t| t.name.starts_with("j-000001")))
         .unwrap();
-    w.workers[spot].net = Net::Hold;
-    w.workers[dies].incarnation += 1;
-    w.workers[dies].tasks.clear();
-    let old = w.leader().unwrap();
-    w.crash(old, 30_000);
-    w.run_until(10_000, "another leads", |w| {
-        w.leader().is_some_and(|l| l != old)
+    sim.workers[spot].net = Net::Hold;
+    sim.workers[dies].incarnation += 1;
+    sim.workers[dies].tasks.clear();
+    let old = sim.leader().unwrap();
+    sim.crash(old, 30_000);
+    sim.run_until(10_000, "another leads", |sim| {
+        sim.leader().is_some_and(|node| node != old)
     });
-    w.run(3_000);
-    let i = w.leader().unwrap();
-    assert!(!w.nodes[i].leader.as_ref().unwrap().settled());
-    assert_eq!(w.running("j-000001"), 4, "placed again at once");
-    w.run(20_000);
-    w.restore_network(spot);
-    w.run(10_000);
-    w.assert_no_violations();
+    sim.run(3_000);
+    let i = sim.leader().unwrap();
+    assert!(!sim.nodes[i].leader.as_ref().unwrap().settled());
+    assert_eq!(sim.running("j-000001"), 4, "placed again at once");
+    sim.run(20_000);
+    sim.restore_network(spot);
+    sim.run(10_000);
+    sim.assert_no_violations();
 }
 
 #[test]
 fn reservation_ends_when_preempting_service_starts() {
-    let mut w = Simulation::with_leader(17, 1, 0.0);
-    w.run_ms = 20_000;
-    w.submit(job(1, Kind::Array, 6));
-    w.run_until(10_000, "the batch runs", |w| w.running("j-000001") == 2);
+    let mut sim = Simulation::with_leader(17, 1, 0.0);
+    sim.run_ms = 20_000;
+    sim.submit(job(1, Kind::Array, 6));
+    sim.run_until(10_000, "the batch runs", |sim| sim.running("j-000001") == 2);
     let mut service = job(2, Kind::Service, 1);
     service.priority = Priority::Production;
-    w.submit(service);
-    w.run_until(3_000, "the service runs", |w| w.running("j-000002") == 1);
-    assert_eq!(w.running("j-000001"), 1, "one task made room, not both");
-    let i = w.leader().unwrap();
-    let model = &w.nodes[i].leader.as_ref().unwrap().cluster;
+    sim.submit(service);
+    sim.run_until(3_000, "the service runs", |sim| {
+        sim.running("j-000002") == 1
+    });
+    assert_eq!(sim.running("j-000001"), 1, "one task made room, not both");
+    let i = sim.leader().unwrap();
+    let model = &sim.nodes[i].leader.as_ref().unwrap().cluster;
     assert!(model.each_machine().all(|m| m.reserved_for.is_none()));
-    w.assert_no_violations();
+    sim.assert_no_violations();
 }
 
 #[test]
 fn team_below_guarantee_preempts_team_above_its_own() {
-    let mut w = Simulation::with_leader(18, 2, 0.0);
-    w.run_ms = 600_000;
-    w.submit(job(1, Kind::Array, 6));
-    w.run_until(10_000, "the first team holds all", |w| {
-        w.running("j-000001") == 4
+    let mut sim = Simulation::with_leader(18, 2, 0.0);
+    sim.run_ms = 600_000;
+    sim.submit(job(1, Kind::Array, 6));
+    sim.run_until(10_000, "the first team holds all", |sim| {
+        sim.running("j-000001") == 4
     });
-    w.run(30_000);
+    sim.run(30_000);
     let mut own = job(2, Kind::Array, 2);
     own.team = "u".into();
-    w.submit(own);
-    w.run_until(20_000, "the second team runs", |w| {
-        w.running("j-000002") == 2
+    sim.submit(own);
+    sim.run_until(20_000, "the second team runs", |sim| {
+        sim.running("j-000002") == 2
     });
-    assert_eq!(w.running("j-000001"), 2, "the first keeps its guarantee");
+    assert_eq!(sim.running("j-000001"), 2, "the first keeps its guarantee");
     // Beyond its guarantee it gets no more that way.
     let mut more = job(3, Kind::Array, 1);
     more.team = "u".into();
-    w.submit(more);
-    w.run(60_000);
-    assert_eq!(w.running("j-000003"), 0);
-    w.assert_no_violations();
+    sim.submit(more);
+    sim.run(60_000);
+    assert_eq!(sim.running("j-000003"), 0);
+    sim.assert_no_violations();
 }
 
 #[test]
 fn zone_constraints_hold_while_old_tasks_linger() {
-    let mut w = Simulation::with_leader(12, 8, 0.0);
+    let mut sim = Simulation::with_leader(12, 8, 0.0);
     let mut spread = job(1, Kind::Service, 4);
     spread.spread = true;
     let mut together = job(2, Kind::Service, 3);
     together.single_zone = true;
-    w.submit(spread);
-    w.submit(together);
-    w.run_until(30_000, "running", |w| {
-        w.running("j-000001") == 4 && w.running("j-000002") == 3
+    sim.submit(spread);
+    sim.submit(together);
+    sim.run_until(30_000, "running", |sim| {
+        sim.running("j-000001") == 4 && sim.running("j-000002") == 3
     });
     for cut in 0..8 {
-        w.workers[cut].net = Net::Hold;
-        w.run(7_000);
+        sim.workers[cut].net = Net::Hold;
+        sim.run(7_000);
         if cut % 3 == 2
-            && let Some(l) = w.leader()
+            && let Some(leader) = sim.leader()
         {
-            w.crash(l, 3_000);
+            sim.crash(leader, 3_000);
         }
-        w.run(9_000);
-        w.restore_network(cut);
+        sim.run(9_000);
+        sim.restore_network(cut);
     }
-    w.run_until(40_000, "running again", |w| {
-        w.running("j-000001") == 4 && w.running("j-000002") == 3
+    sim.run_until(40_000, "running again", |sim| {
+        sim.running("j-000001") == 4 && sim.running("j-000002") == 3
     });
-    w.assert_no_violations();
+    sim.assert_no_violations();
 }
 
 #[test]
 fn gang_restarts_only_after_old_tasks_are_gone() {
-    let mut w = Simulation::with_leader(13, 4, 0.0);
-    w.run_ms = 60_000;
-    w.submit(job(1, Kind::Gang, 6));
-    w.run_until(20_000, "running", |w| w.running("j-000001") == 6);
-    let lost = w.workers.iter().position(|m| !m.tasks.is_empty()).unwrap();
-    w.workers[lost].net = Net::Lose;
-    w.run(30_000);
-    let attempts: std::collections::BTreeSet<u64> = w
+    let mut sim = Simulation::with_leader(13, 4, 0.0);
+    sim.run_ms = 60_000;
+    sim.submit(job(1, Kind::Gang, 6));
+    sim.run_until(20_000, "running", |sim| sim.running("j-000001") == 6);
+    let lost = sim
+        .workers
+        .iter()
+        .position(|m| !m.tasks.is_empty())
+        .unwrap();
+    sim.workers[lost].net = Net::Lose;
+    sim.run(30_000);
+    let attempts: std::collections::BTreeSet<u64> = sim
         .workers
         .iter()
         .flat_map(|m| &m.tasks)
         .map(|t| t.attempt)
         .collect();
     assert!(attempts.len() <= 1, "two attempts at once: {attempts:?}");
-    w.assert_no_violations();
+    sim.assert_no_violations();
 }
 
 #[test]
 fn lost_service_restarts_by_preemption_without_cached_image() {
-    let mut w = Simulation::with_leader(19, 3, 0.0);
-    w.run_ms = 120_000;
+    let mut sim = Simulation::with_leader(19, 3, 0.0);
+    sim.run_ms = 120_000;
     let mut service = job(1, Kind::Service, 2);
     service.priority = Priority::Production;
     service.image = "own".into();
-    w.submit(service);
-    w.run_until(20_000, "up", |w| w.running("j-000001") == 2);
-    w.submit(job(2, Kind::Array, 20));
-    w.run_until(20_000, "full", |w| w.running("j-000002") == 4);
+    sim.submit(service);
+    sim.run_until(20_000, "up", |sim| sim.running("j-000001") == 2);
+    sim.submit(job(2, Kind::Array, 20));
+    sim.run_until(20_000, "full", |sim| sim.running("j-000002") == 4);
     let lost: Vec<usize> = (0..3)
         .filter(|i| {
-            let mut tasks = w.workers[*i].tasks.iter();
+            let mut tasks = sim.workers[*i].tasks.iter();
             tasks.any(|t| t.name.starts_with("j-000001"))
         })
         .collect();
     for i in lost {
-        w.workers[i].net = Net::Lose;
+        sim.workers[i].net = Net::Lose;
     }
     // Its lease has to expire; a fetch and two reports come on top.
-    w.run_until(LEASE + 4_000, "up again elsewhere", |w| {
-        let there = w.workers.iter().filter(|m| m.net == Net::Up);
+    sim.run_until(LEASE + 4_000, "up again elsewhere", |sim| {
+        let there = sim.workers.iter().filter(|m| m.net == Net::Up);
         let tasks = there.flat_map(|m| &m.tasks);
         let up = tasks.filter(|t| t.name.starts_with("j-000001"));
         up.filter(|t| t.state == TaskState::Running).count() == 2
     });
-    w.assert_no_violations();
+    sim.assert_no_violations();
 }
 
 #[test]
 fn scale_out_skips_unreachable_zone_until_it_responds() {
-    let mut w = Simulation::with_leader(20, 8, 0.0);
-    w.cloud_grants = true;
-    w.run_ms = 60_000;
+    let mut sim = Simulation::with_leader(20, 8, 0.0);
+    sim.cloud_grants = true;
+    sim.run_ms = 60_000;
     let mut batch = job(1, Kind::Array, 60);
     batch.zone = Some("b".into());
-    let in_b: Vec<usize> = (0..8).filter(|i| w.workers[*i].zone == "b").collect();
-    w.run(3_000);
+    let in_b: Vec<usize> = (0..8).filter(|i| sim.workers[*i].zone == "b").collect();
+    sim.run(3_000);
     for i in &in_b {
-        w.workers[*i].net = Net::Hold;
+        sim.workers[*i].net = Net::Hold;
     }
-    w.run(5_000);
-    w.submit(batch);
-    w.run(30_000);
-    assert_eq!(w.workers.len(), 8, "rented where nothing is heard");
+    sim.run(5_000);
+    sim.submit(batch);
+    sim.run(30_000);
+    assert_eq!(sim.workers.len(), 8, "rented where nothing is heard");
     // A controller there answers again.
-    let (i, now) = (w.leader().unwrap(), w.now);
-    let leader = w.nodes[i].leader.as_mut().unwrap();
+    let (i, now) = (sim.leader().unwrap(), sim.now);
+    let leader = sim.nodes[i].leader.as_mut().unwrap();
     leader.controller_responded("b", now);
-    w.run_until(10_000, "rented again", |w| w.workers.len() > 8);
-    w.assert_no_violations();
+    sim.run_until(10_000, "rented again", |sim| sim.workers.len() > 8);
+    sim.assert_no_violations();
 }
 
 #[test]
 fn gang_reservation_collects_machines_as_they_boot() {
-    let mut w = Simulation::with_leader(17, 0, 0.0);
+    let mut sim = Simulation::with_leader(17, 0, 0.0);
     for _ in 0..3 {
-        w.add_worker("a", false, 0);
+        sim.add_worker("a", false, 0);
     }
-    w.run(5_000);
-    w.submit(whole_machines(1, 4));
+    sim.run(5_000);
+    sim.submit(whole_machines(1, 4));
     // Not an array, so that preemption can't make up for what it takes.
     let mut small = job(2, Kind::Service, 6);
     small.priority = Priority::Low;
-    w.submit(small);
-    w.run(10_000);
-    assert_eq!(w.running("j-000002"), 0, "the machines are the gang's");
-    w.add_worker("a", false, 0);
-    w.run_until(10_000, "the gang runs", |w| w.running("j-000001") == 4);
-    w.assert_no_violations();
+    sim.submit(small);
+    sim.run(10_000);
+    assert_eq!(sim.running("j-000002"), 0, "the machines are the gang's");
+    sim.add_worker("a", false, 0);
+    sim.run_until(10_000, "the gang runs", |sim| sim.running("j-000001") == 4);
+    sim.assert_no_violations();
 }
 
 #[test]
 fn gang_preempts_lower_priority_batches_at_once() {
-    let mut w = Simulation::with_leader(18, 8, 0.0);
-    w.run_ms = 20_000;
-    w.submit(job(1, Kind::Array, 200));
-    w.run_until(10_000, "full", |w| w.running("j-000001") == 16);
-    w.submit(whole_machines(2, 4));
-    w.run_until(8_000, "the gang runs", |w| w.running("j-000002") == 4);
-    w.assert_no_violations();
+    let mut sim = Simulation::with_leader(18, 8, 0.0);
+    sim.run_ms = 20_000;
+    sim.submit(job(1, Kind::Array, 200));
+    sim.run_until(10_000, "full", |sim| sim.running("j-000001") == 16);
+    sim.submit(whole_machines(2, 4));
+    sim.run_until(8_000, "the gang runs", |sim| sim.running("j-000002") == 4);
+    sim.assert_no_violations();
 }
 
 #[test]
 fn gang_replaces_task_lost_before_start() {
-    let mut w = Simulation::with_leader(19, 4, 0.0);
-    w.run_ms = 60_000;
-    w.fetch_ms = 25_000;
-    w.submit(job(1, Kind::Gang, 6));
-    w.run(3_000);
-    let lost = w.workers.iter().position(|m| !m.tasks.is_empty()).unwrap();
-    w.workers[lost].net = Net::Lose;
-    w.run_until(60_000, "running whole", |w| w.running("j-000001") == 6);
-    let attempts: std::collections::BTreeSet<u64> = w
+    let mut sim = Simulation::with_leader(19, 4, 0.0);
+    sim.run_ms = 60_000;
+    sim.fetch_ms = 25_000;
+    sim.submit(job(1, Kind::Gang, 6));
+    sim.run(3_000);
+    let lost = sim
+        .workers
+        .iter()
+        .position(|m| !m.tasks.is_empty())
+        .unwrap();
+    sim.workers[lost].net = Net::Lose;
+    sim.run_until(60_000, "running whole", |sim| sim.running("j-000001") == 6);
+    let attempts: std::collections::BTreeSet<u64> = sim
         .workers
         .iter()
         .flat_map(|m| &m.tasks)
         .map(|t| t.attempt)
         .collect();
     assert_eq!(attempts.len(), 1, "the others waited on");
-    assert_eq!(w.starts, 6);
-    w.assert_no_violations();
+    assert_eq!(sim.starts, 6);
+    sim.assert_no_violations();
 }
 
-fn reason(w: &mut Simulation, id: &str) -> Option<PendingReason> {
-    let i = w.leader()?;
-    w.nodes[i].leader.as_ref()?.explain(id, w.now)?.reason
+fn reason(sim: &mut Simulation, id: &str) -> Option<PendingReason> {
+    let i = sim.leader()?;
+    sim.nodes[i].leader.as_ref()?.explain(id, sim.now)?.reason
 }
 
 #[test]
 fn explain_reports_why_task_waits() {
-    let mut w = Simulation::with_leader(22, 2, 40.0);
-    w.run_ms = 600_000;
-    w.run(3_000);
-    w.submit(job(1, Kind::Array, 3));
-    w.run(3_000);
-    w.submit(whole_machines(2, 2));
-    w.run(3_000);
-    assert_eq!(reason(&mut w, "j-000001"), None, "all its tasks run");
+    let mut sim = Simulation::with_leader(22, 2, 40.0);
+    sim.run_ms = 600_000;
+    sim.run(3_000);
+    sim.submit(job(1, Kind::Array, 3));
+    sim.run(3_000);
+    sim.submit(whole_machines(2, 2));
+    sim.run(3_000);
+    assert_eq!(reason(&mut sim, "j-000001"), None, "all its tasks run");
     assert_eq!(
-        reason(&mut w, "j-000002"),
+        reason(&mut sim, "j-000002"),
         Some(PendingReason::GangIncomplete)
     );
     let mut late = job(3, Kind::Array, 2);
     late.team = "u".into();
     late.deadline_s = Some(5.0);
-    w.submit(late);
-    w.run(3_000);
+    sim.submit(late);
+    sim.run(3_000);
     let mut service = job(4, Kind::Service, 1);
     service.team = "u".into();
-    w.submit(service);
-    w.run_until(15_000, "refused machines", |w| {
-        reason(w, "j-000004") == Some(PendingReason::CloudRefuses)
+    sim.submit(service);
+    sim.run_until(15_000, "refused machines", |sim| {
+        reason(sim, "j-000004") == Some(PendingReason::CloudRefuses)
     });
-    w.run(5_000);
+    sim.run(5_000);
     // One of the batch runs, and nothing is rented for the other any more.
-    assert_eq!(reason(&mut w, "j-000003"), Some(PendingReason::NoRoom));
-    let i = w.leader().unwrap();
-    let now = w.now;
-    let picture = w.nodes[i].leader.as_ref().unwrap().picture(now);
+    assert_eq!(reason(&mut sim, "j-000003"), Some(PendingReason::NoRoom));
+    let i = sim.leader().unwrap();
+    let now = sim.now;
+    let picture = sim.nodes[i].leader.as_ref().unwrap().picture(now);
     let group = picture.groups.iter().find(|g| g.team == "u").unwrap();
     assert_eq!((group.waiting, group.late_jobs), (2, 1));
     assert_eq!(picture.fleet.iter().map(|f| f.up).sum::<u32>(), 2);
-    w.assert_no_violations();
+    sim.assert_no_violations();
 }
 
 #[test]
 fn explain_reports_team_limit_and_settling_leader() {
-    let mut w = Simulation::with_leader(23, 4, 8.0);
-    w.run_ms = 600_000;
-    w.submit(job(1, Kind::Array, 5));
-    w.run_until(10_000, "two run", |w| w.running("j-000001") == 2);
-    assert_eq!(reason(&mut w, "j-000001"), Some(PendingReason::TeamLimit));
-    let old = w.leader().unwrap();
-    let silent = w.workers.iter().position(|m| m.tasks.is_empty()).unwrap();
-    w.workers[silent].net = Net::Lose;
-    w.drop_standbys();
-    w.crash(old, 3_000);
-    w.run_until(10_000, "a new leader", |w| {
-        w.leader().is_some_and(|i| i != old)
+    let mut sim = Simulation::with_leader(23, 4, 8.0);
+    sim.run_ms = 600_000;
+    sim.submit(job(1, Kind::Array, 5));
+    sim.run_until(10_000, "two run", |sim| sim.running("j-000001") == 2);
+    assert_eq!(reason(&mut sim, "j-000001"), Some(PendingReason::TeamLimit));
+    let old = sim.leader().unwrap();
+    let silent = sim.workers.iter().position(|m| m.tasks.is_empty()).unwrap();
+    sim.workers[silent].net = Net::Lose;
+    sim.drop_standbys();
+    sim.crash(old, 3_000);
+    sim.run_until(10_000, "a new leader", |sim| {
+        sim.leader().is_some_and(|i| i != old)
     });
-    w.run(2_000);
-    assert_eq!(reason(&mut w, "j-000001"), Some(PendingReason::Settling));
-    w.assert_no_violations();
+    sim.run(2_000);
+    assert_eq!(reason(&mut sim, "j-000001"), Some(PendingReason::Settling));
+    sim.assert_no_violations();
 }
 
 /// Machines looked at while 50 reports without news come in, and per machine
 /// while a full fleet is passed over with many kinds of jobs waiting.
 fn inspections(machines: usize) -> (u64, f64) {
-    let mut w = Simulation::with_leader(24, machines, 0.0);
-    w.run_ms = 600_000;
-    w.run(3_000);
-    w.submit(job(1, Kind::Array, 2 * machines as u32));
+    let mut sim = Simulation::with_leader(24, machines, 0.0);
+    sim.run_ms = 600_000;
+    sim.run(3_000);
+    sim.submit(job(1, Kind::Array, 2 * machines as u32));
     let all = 2 * machines;
-    w.run_until(20_000, "full", |w| w.running("j-000001") == all);
+    sim.run_until(20_000, "full", |sim| sim.running("j-000001") == all);
     for n in 2..62 {
         // Each of a size of its own, so that none speaks for another.
         let mut waits = job(n, Kind::Array, 3);
         waits.memory_gb += f64::from(n) / 100.0;
-        w.submit(waits);
+        sim.submit(waits);
     }
-    w.run(3_000);
-    let (i, now) = (w.leader().unwrap(), w.now);
-    let report = w.heartbeat_of(0);
-    let l = w.nodes[i].leader.as_mut().unwrap();
-    let before = l.cluster.inspections();
+    sim.run(3_000);
+    let (i, now) = (sim.leader().unwrap(), sim.now);
+    let report = sim.heartbeat_of(0);
+    let leader_state = sim.nodes[i].leader.as_mut().unwrap();
+    let before = leader_state.cluster.inspections();
     for n in 1..=50 {
         let mut again = report.clone();
         again.seq += n;
-        assert!(l.on_heartbeat(&again, now).is_some());
+        assert!(leader_state.on_heartbeat(&again, now).is_some());
     }
-    let reports = l.cluster.inspections() - before;
-    let job = l.cluster.job_handle("j-000002").unwrap();
-    let before = l.cluster.inspections();
+    let reports = leader_state.cluster.inspections() - before;
+    let job = leader_state.cluster.job_handle("j-000002").unwrap();
+    let before = leader_state.cluster.inspections();
     // Something changed: the next tick is a whole pass.
-    l.reconciled(&WritePlan {
+    leader_state.reconciled(&WritePlan {
         txn: Txn::default(),
         intents: Vec::new(),
     });
-    l.tick(now, now);
-    assert!(l.cluster.job(job).is_some_and(|j| j.waiting_count() == 3));
-    let pass = l.cluster.inspections() - before;
+    leader_state.tick(now, now);
+    assert!(
+        leader_state
+            .cluster
+            .job(job)
+            .is_some_and(|j| j.waiting_count() == 3)
+    );
+    let pass = leader_state.cluster.inspections() - before;
     (reports, pass as f64 / machines as f64)
 }
 
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -32,25 +32,25 @@
     JobRecord::new(spec, 0)
 }
 
-fn load_machines(l: &mut Leader, machines: u32) {
+fn load_machines(leader_state: &mut Leader, machines: u32) {
     for n in 0..machines {
-        l.load_machine(&format!("i-{n:06}"), simulation::machine_record(), 3, 0);
+        leader_state.load_machine(&format!("i-{n:06}"), simulation::machine_record(), 3, 0);
     }
 }
 
 /// An installation with a leader, whose tasks run for so long.
 fn with_leader(seed: u64, machines: usize, limit: f64, run_ms: Millis) -> Simulation {
-    let mut w = Simulation::with_leader(seed, machines, limit);
-    w.run_ms = run_ms;
-    w
+    let mut sim = Simulation::with_leader(seed, machines, limit);
+    sim.run_ms = run_ms;
+    sim
 }
 
 /// The leader ends, and another leads.
-fn change_leader(w: &mut Simulation) {
-    let old = w.leader().unwrap();
-    w.crash(old, 3_000);
-    w.run_until(10_000, "another leads", |w| {
-        w.leader().is_some_and(|l| l != old)
+fn change_leader(sim: &mut Simulation) {
+    let old = sim.leader().unwrap();
+    sim.crash(old, 3_000);
+    sim.run_until(10_000, "another leads", |sim| {
+        sim.leader().is_some_and(|node| node != old)
     });
 }
 
@@ -60,13 +60,13 @@
 }
 
 /// Machines of a kind that are asked for at a time.
-fn scale_out_answered(l: &mut Leader, now: Millis, kind: &str) -> u32 {
-    l.tick(now, now);
+fn scale_out_answered(leader_state: &mut Leader, now: Millis, kind: &str) -> u32 {
+    leader_state.tick(now, now);
     let mut n = 0;
-    for op in l.cloud_ops(now, now) {
+    for op in leader_state.cloud_ops(now, now) {
         if let CloudOp::MachineRequest(r) = op {
             n += if r.type_name == kind { r.count } else { 0 };
-            l.scale_out_not_sent();
+            leader_state.scale_out_not_sent();
         }
     }
     n
@@ -77,20 +77,20 @@
 /// for the gangs behind them.
 #[test]
 fn gangs_scale_out_behind_many_waiting_services() {
-    let mut l = leader(1);
+    let mut leader_state = leader(1);
     for n in 1..=400 {
         let mut service = job(n, Kind::Service, 1);
         service.cpus = 1.0;
         service.memory_gb = 2.0;
         service.priority = Priority::Production;
-        l.load_job(record(service), 2, 0);
+        leader_state.load_job(record(service), 2, 0);
     }
     let mut gang = job(500, Kind::Gang, 3);
     gang.gpus = 4.0;
     gang.cpus = 8.0;
-    l.load_job(record(gang), 2, 0);
-    l.finish_loading(0);
-    assert_eq!(scale_out_answered(&mut l, 1_000, "g4"), 3);
+    leader_state.load_job(record(gang), 2, 0);
+    leader_state.finish_loading(0);
+    assert_eq!(scale_out_answered(&mut leader_state, 1_000, "g4"), 3);
 }
 
 /// Guards against a lease without any rental after each change of leadership
@@ -98,19 +98,19 @@
 /// report, for all that runs.
 #[test]
 fn new_leader_scales_out_only_for_unplaced_tasks() {
-    let mut l = leader(9);
-    load_machines(&mut l, 3);
+    let mut leader_state = leader(9);
+    load_machines(&mut leader_state, 3);
     // Two tasks to a machine: six may be running.
-    l.load_job(record(job(1, Kind::Service, 10)), 4, 0);
-    l.finish_loading(0);
+    leader_state.load_job(record(job(1, Kind::Service, 10)), 4, 0);
+    leader_state.finish_loading(0);
     assert_eq!(
-        scale_out_answered(&mut l, 1_000, "m8"),
+        scale_out_answered(&mut leader_state, 1_000, "m8"),
         0,
         "nobody can have reported"
     );
-    assert!(!l.settled());
-    assert_eq!(scale_out_answered(&mut l, 8_000, "m8"), 2);
-    assert!(!l.settled());
+    assert!(!leader_state.settled());
+    assert_eq!(scale_out_answered(&mut leader_state, 8_000, "m8"), 2);
+    assert!(!leader_state.settled());
 }
 
 fn due(mut spec: JobSpec) -> JobSpec {
@@ -122,20 +122,20 @@
 /// arrival order, the small one would wait for 40 tasks of 10 s on two places.
 #[test]
 fn small_batch_meets_deadline_beside_large_one() {
-    let mut w = with_leader(41, 1, 0.0, 10_000);
-    w.submit(due(job(1, Kind::Array, 40)));
-    w.run(1_000);
-    w.submit(due(job(2, Kind::Array, 2)));
-    w.run_until(45_000, "the small one done", |w| w.done("j-000002"));
-    assert!(!w.done("j-000001"));
+    let mut sim = with_leader(41, 1, 0.0, 10_000);
+    sim.submit(due(job(1, Kind::Array, 40)));
+    sim.run(1_000);
+    sim.submit(due(job(2, Kind::Array, 2)));
+    sim.run_until(45_000, "the small one done", |sim| sim.done("j-000002"));
+    assert!(!sim.done("j-000001"));
     // Only batches that say when they are due let others pass.
-    w.submit(job(3, Kind::Array, 20));
-    w.run(1_000);
-    w.submit(job(4, Kind::Array, 1));
-    w.run_until(700_000, "the large one done", |w| w.done("j-000001"));
-    w.run_until(400_000, "all done", |w| w.done("j-000003"));
-    w.run_until(60_000, "the last done", |w| w.done("j-000004"));
-    w.assert_no_violations();
+    sim.submit(job(3, Kind::Array, 20));
+    sim.run(1_000);
+    sim.submit(job(4, Kind::Array, 1));
+    sim.run_until(700_000, "the large one done", |sim| sim.done("j-000001"));
+    sim.run_until(400_000, "all done", |sim| sim.done("j-000003"));
+    sim.run_until(60_000, "the last done", |sim| sim.done("j-000004"));
+    sim.assert_no_violations();
 }
 
 /// Guards against a lease of waiting, at each change of leadership, for
@@ -143,58 +143,61 @@
 #[test]
 fn new_leader_skips_machines_with_recorded_lease_expiry() {
     for seed in 50..58 {
-        let mut w = with_leader(seed, 4, 0.0, 600_000);
-        w.submit(job(1, Kind::Service, 6));
-        w.run_until(20_000, "running", |w| w.running("j-000001") == 6);
-        w.workers[0].net = Net::Lose;
-        w.run(LEASE + 3_000);
+        let mut sim = with_leader(seed, 4, 0.0, 600_000);
+        sim.submit(job(1, Kind::Service, 6));
+        sim.run_until(20_000, "running", |sim| sim.running("j-000001") == 6);
+        sim.workers[0].net = Net::Lose;
+        sim.run(LEASE + 3_000);
         // Lapsed, but not so long ago that it would be returned.
-        assert!(w.workers[0].alive);
-        change_leader(&mut w);
-        w.submit(job(2, Kind::Array, 3));
-        w.run(2_500);
-        let i = w.leader().unwrap();
-        assert!(w.nodes[i].leader.as_ref().unwrap().settled(), "seed {seed}");
+        assert!(sim.workers[0].alive);
+        change_leader(&mut sim);
+        sim.submit(job(2, Kind::Array, 3));
+        sim.run(2_500);
+        let i = sim.leader().unwrap();
+        assert!(
+            sim.nodes[i].leader.as_ref().unwrap().settled(),
+            "seed {seed}"
+        );
         // It comes back, is written down and used again; then silence and
         // another change: now there is something on it to wait for.
-        w.workers[0].net = Net::Up;
-        w.submit(job(3, Kind::Service, 8));
-        w.run_until(20_000, "used again", |w| !w.workers[0].tasks.is_empty());
-        w.workers[0].net = Net::Lose;
-        change_leader(&mut w);
-        w.run(2_500);
-        let i = w.leader().unwrap();
-        assert!(!w.nodes[i].leader.as_ref().unwrap().settled());
-        w.run(30_000);
-        w.assert_no_violations();
+        sim.workers[0].net = Net::Up;
+        sim.submit(job(3, Kind::Service, 8));
+        sim.run_until(20_000, "used again", |sim| !sim.workers[0].tasks.is_empty());
+        sim.workers[0].net = Net::Lose;
+        change_leader(&mut sim);
+        sim.run(2_500);
+        let i = sim.leader().unwrap();
+        assert!(!sim.nodes[i].leader.as_ref().unwrap().settled());
+        sim.run(30_000);
+        sim.assert_no_violations();
     }
 }
 
 /// Two machines, of which the first has been unresponsive for longer than its lease,
 /// and a service for which one is not enough.
 fn with_unresponsive_machine(seed: u64, before_lapse: impl Fn(&mut Simulation)) -> Simulation {
-    let mut w = with_leader(seed, 2, 0.0, 600_000);
-    w.submit(job(1, Kind::Service, 4));
-    w.run_until(20_000, "running", |w| w.running("j-000001") == 4);
-    w.workers[0].net = Net::Lose;
-    w.run(LEASE - 1_000);
-    before_lapse(&mut w);
-    w.run(4_000);
-    w
+    let mut sim = with_leader(seed, 2, 0.0, 600_000);
+    sim.submit(job(1, Kind::Service, 4));
+    sim.run_until(20_000, "running", |sim| sim.running("j-000001") == 4);
+    sim.workers[0].net = Net::Lose;
+    sim.run(LEASE - 1_000);
+    before_lapse(&mut sim);
+    sim.run(4_000);
+    sim
 }
 
 /// Guards against starting something on a machine while a record may say that
 /// nothing runs there: the next leader would not wait for it.
 #[test]
 fn machine_recorded_empty_is_unused_until_record_cleared() {
-    let mut w = with_unresponsive_machine(60, |_| {});
-    w.store.unavailable = true;
-    w.workers[0].net = Net::Up;
-    w.run(4_000);
-    assert!(w.workers[0].tasks.is_empty(), "nothing can be written");
-    w.store.unavailable = false;
-    w.run_until(10_000, "used again", |w| !w.workers[0].tasks.is_empty());
-    w.assert_no_violations();
+    let mut sim = with_unresponsive_machine(60, |_| {});
+    sim.store.unavailable = true;
+    sim.workers[0].net = Net::Up;
+    sim.run(4_000);
+    assert!(sim.workers[0].tasks.is_empty(), "nothing can be written");
+    sim.store.unavailable = false;
+    sim.run_until(10_000, "used again", |sim| !sim.workers[0].tasks.is_empty());
+    sim.assert_no_violations();
 }
 
 /// The same where the note had no answer and is applied later, before or after
@@ -202,15 +205,15 @@
 #[test]
 fn late_lease_expiry_record_never_marks_used_machine() {
     for late in [300, 2_000, 6_000, 9_000, 14_000] {
-        let mut w = with_unresponsive_machine(61, |w| w.store.late_writes.push(late));
-        w.workers[0].net = Net::Up;
-        w.run_until(40_000, "used again", |w| !w.workers[0].tasks.is_empty());
-        w.run(8_000);
-        w.workers[0].net = Net::Lose;
-        let old = w.leader().unwrap();
-        w.crash(old, 3_000);
-        w.run(25_000);
-        w.assert_no_violations();
+        let mut sim = with_unresponsive_machine(61, |sim| sim.store.late_writes.push(late));
+        sim.workers[0].net = Net::Up;
+        sim.run_until(40_000, "used again", |sim| !sim.workers[0].tasks.is_empty());
+        sim.run(8_000);
+        sim.workers[0].net = Net::Lose;
+        let old = sim.leader().unwrap();
+        sim.crash(old, 3_000);
+        sim.run(25_000);
+        sim.assert_no_violations();
     }
 }
 
@@ -218,17 +221,21 @@
 /// once, in order, and an unresponsive machine shows in the one that waits for it.
 #[test]
 fn recovery_phases_are_reported_once_in_order() {
-    let mut w = with_leader(62, 4, 0.0, 600_000);
-    w.submit(job(1, Kind::Service, 6));
-    w.run_until(20_000, "running", |w| w.running("j-000001") == 6);
-    let busy = w.workers.iter().position(|m| !m.tasks.is_empty()).unwrap();
-    w.workers[busy].net = Net::Lose;
-    w.drop_standbys();
-    change_leader(&mut w);
-    let i = w.leader().unwrap();
-    w.run(LEASE + 6_000);
-    let l = w.nodes[i].leader.as_mut().unwrap();
-    let phases = l.take_tally().phases;
+    let mut sim = with_leader(62, 4, 0.0, 600_000);
+    sim.submit(job(1, Kind::Service, 6));
+    sim.run_until(20_000, "running", |sim| sim.running("j-000001") == 6);
+    let busy = sim
+        .workers
+        .iter()
+        .position(|m| !m.tasks.is_empty())
+        .unwrap();
+    sim.workers[busy].net = Net::Lose;
+    sim.drop_standbys();
+    change_leader(&mut sim);
+    let i = sim.leader().unwrap();
+    sim.run(LEASE + 6_000);
+    let leader_state = sim.nodes[i].leader.as_mut().unwrap();
+    let phases = leader_state.take_tally().phases;
     let names: Vec<_> = phases.iter().map(|(name, _)| *name).collect();
     assert_eq!(names, ["loading", "settling", "starting"]);
     let lease = LEASE as f64 / 1000.0;
@@ -237,7 +244,7 @@
         "{phases:?}"
     );
     assert!(phases[2].1 < 2.0, "{phases:?}");
-    w.assert_no_violations();
+    sim.assert_no_violations();
 }
 
 /// Guards against a lease of waiting for a machine that the cloud has taken
@@ -246,21 +253,21 @@
 #[test]
 fn new_leader_skips_machine_absent_from_fresh_list() {
     for still_listed in [false, true] {
-        let mut w = with_leader(63, 3, 0.0, 600_000);
-        w.submit(job(1, Kind::Service, 6));
-        w.run_until(20_000, "running", |w| w.running("j-000001") == 6);
-        w.workers[1].alive = false;
-        change_leader(&mut w);
-        let (i, began) = (w.leader().unwrap(), w.now);
-        w.run(7_500);
-        let now = w.now;
-        let l = w.nodes[i].leader.as_mut().unwrap();
+        let mut sim = with_leader(63, 3, 0.0, 600_000);
+        sim.submit(job(1, Kind::Service, 6));
+        sim.run_until(20_000, "running", |sim| sim.running("j-000001") == 6);
+        sim.workers[1].alive = false;
+        change_leader(&mut sim);
+        let (i, began) = (sim.leader().unwrap(), sim.now);
+        sim.run(7_500);
+        let now = sim.now;
+        let leader_state = sim.nodes[i].leader.as_mut().unwrap();
         // The lag is 3 s: such a list may be older than the term.
-        l.full_list_received(began + 4_000, now);
-        l.tick(now, now);
-        assert!(!l.settled());
+        leader_state.full_list_received(began + 4_000, now);
+        leader_state.tick(now, now);
+        assert!(!leader_state.settled());
         if still_listed {
-            let silent = l
+            let silent = leader_state
                 .cluster
                 .each_machine()
                 .find(|m| m.contents_unknown)
@@ -268,13 +275,13 @@
             let listed = serde_json::json!({
                 "ref": silent.name, "addr": "127.0.0.1:9", "rig": "m8", "hall": "a",
                 "lendback": false, "stage": "running", "age_s": 60.0});
-            l.machines_listed(&[serde_json::from_value(listed).unwrap()], now);
+            leader_state.machines_listed(&[serde_json::from_value(listed).unwrap()], now);
         }
-        l.full_list_received(began + 7_000, now);
-        l.tick(now, now);
-        assert_eq!(l.settled(), !still_listed);
-        w.run(30_000);
-        w.assert_no_violations();
+        leader_state.full_list_received(began + 7_000, now);
+        leader_state.tick(now, now);
+        assert_eq!(leader_state.settled(), !still_listed);
+        sim.run(30_000);
+        sim.assert_no_violations();
     }
 }
 
@@ -282,18 +289,18 @@
 #[test]
 fn unresponsive_third_returns_with_tasks_after_full_crash() {
     for seed in 64..68 {
-        let mut w = with_leader(seed, 9, 0.0, 600_000);
-        w.submit(job(1, Kind::Service, 18));
-        w.run_until(30_000, "running", |w| w.running("j-000001") == 18);
-        let starts = w.starts;
-        (0..3).for_each(|m| w.workers[m].net = Net::Hold);
-        (0..3).for_each(|i| w.crash(i, 2_000));
-        w.run(5_500);
-        (0..3).for_each(|m| w.restore_network(m));
-        w.run(30_000);
-        assert_eq!(w.running("j-000001"), 18, "seed {seed}");
-        assert_eq!(w.starts, starts, "seed {seed}: nothing was started anew");
-        w.assert_no_violations();
+        let mut sim = with_leader(seed, 9, 0.0, 600_000);
+        sim.submit(job(1, Kind::Service, 18));
+        sim.run_until(30_000, "running", |sim| sim.running("j-000001") == 18);
+        let starts = sim.starts;
+        (0..3).for_each(|m| sim.workers[m].net = Net::Hold);
+        (0..3).for_each(|i| sim.crash(i, 2_000));
+        sim.run(5_500);
+        (0..3).for_each(|m| sim.restore_network(m));
+        sim.run(30_000);
+        assert_eq!(sim.running("j-000001"), 18, "seed {seed}");
+        assert_eq!(sim.starts, starts, "seed {seed}: nothing was started anew");
+        sim.assert_no_violations();
     }
 }
 
@@ -302,27 +309,27 @@
 #[test]
 fn machines_returning_beside_replacements_break_no_invariant() {
     for (seed, net) in [(68, Net::Hold), (69, Net::Lose), (70, Net::Hold)] {
-        let mut w = with_leader(seed, 9, 48.0, 600_000);
-        w.submit(job(1, Kind::Service, 12));
-        w.run_until(30_000, "running", |w| w.running("j-000001") == 12);
+        let mut sim = with_leader(seed, 9, 48.0, 600_000);
+        sim.submit(job(1, Kind::Service, 12));
+        sim.run_until(30_000, "running", |sim| sim.running("j-000001") == 12);
         let lost: Vec<usize> = (0..9)
-            .filter(|m| !w.workers[*m].tasks.is_empty())
+            .filter(|m| !sim.workers[*m].tasks.is_empty())
             .take(3)
             .collect();
-        lost.iter().for_each(|m| w.workers[*m].net = net);
-        w.run(4_000);
-        let old = w.leader().unwrap();
-        w.crash(old, 3_000);
-        w.run(LEASE + 12_000);
-        let there = |w: &Simulation| {
+        lost.iter().for_each(|m| sim.workers[*m].net = net);
+        sim.run(4_000);
+        let old = sim.leader().unwrap();
+        sim.crash(old, 3_000);
+        sim.run(LEASE + 12_000);
+        let there = |sim: &Simulation| {
             let others = (0..9).filter(|m| !lost.contains(m));
-            others.map(|m| w.workers[m].tasks.len()).sum::<usize>()
+            others.map(|m| sim.workers[m].tasks.len()).sum::<usize>()
         };
-        assert_eq!(there(&w), 12, "seed {seed}: all run elsewhere");
-        lost.iter().for_each(|m| w.restore_network(*m));
-        w.run(20_000);
-        assert_eq!(w.running("j-000001"), 12);
-        w.assert_no_violations();
+        assert_eq!(there(&sim), 12, "seed {seed}: all run elsewhere");
+        lost.iter().for_each(|m| sim.restore_network(*m));
+        sim.run(20_000);
+        assert_eq!(sim.running("j-000001"), 12);
+        sim.assert_no_violations();
     }
 }
 
@@ -330,41 +337,41 @@
 /// room is theirs when its work comes, one vast array and a flood of tiny jobs.
 #[test]
 fn offloaded_jobs_are_preempted_for_guaranteed_team() {
-    let mut w = with_leader(71, 4, 0.0, 20_000);
+    let mut sim = with_leader(71, 4, 0.0, 20_000);
     let guest = |n, tasks| {
-        let mut j = job(n, Kind::Array, tasks);
-        j.team = "guests".into();
-        j.priority = Priority::Low;
-        j
+        let mut spec = job(n, Kind::Array, tasks);
+        spec.team = "guests".into();
+        spec.priority = Priority::Low;
+        spec
     };
-    w.submit(guest(1, 500));
-    (2..80).for_each(|n| w.submit(guest(n, 1)));
-    w.run(10_000);
-    assert_eq!(w.running("j-000001"), 8, "they have all there is");
+    sim.submit(guest(1, 500));
+    (2..80).for_each(|n| sim.submit(guest(n, 1)));
+    sim.run(10_000);
+    assert_eq!(sim.running("j-000001"), 8, "they have all there is");
     let mut service = job(100, Kind::Service, 2);
     service.priority = Priority::Production;
-    w.submit(service);
-    w.run_until(3_000, "the service", |w| w.running("j-000100") == 2);
+    sim.submit(service);
+    sim.run_until(3_000, "the service", |sim| sim.running("j-000100") == 2);
     // Normal work within a guarantee waits a while for others' to end.
     let mut batch = job(101, Kind::Array, 2);
     batch.team = "u".into();
-    w.submit(batch);
-    w.run_until(60_000, "the batch", |w| w.done("j-000101"));
-    assert_eq!(w.running("j-000100"), 2);
-    w.run(100_000);
-    assert!(w.starts > 40, "guests go on in what is left");
-    w.assert_no_violations();
+    sim.submit(batch);
+    sim.run_until(60_000, "the batch", |sim| sim.done("j-000101"));
+    assert_eq!(sim.running("j-000100"), 2);
+    sim.run(100_000);
+    assert!(sim.starts > 40, "guests go on in what is left");
+    sim.assert_no_violations();
 }
 
 /// Guards against a pass over the fleet for each first report.
 #[test]
 fn first_heartbeats_cost_few_inspections_per_machine() {
     let looks = |machines: u32| {
-        let mut l = leader(9);
-        load_machines(&mut l, machines);
-        l.load_job(record(job(1, Kind::Service, 2 * machines)), 4, 0);
-        l.finish_loading(0);
-        let before = l.cluster.inspections();
+        let mut leader_state = leader(9);
+        load_machines(&mut leader_state, machines);
+        leader_state.load_job(record(job(1, Kind::Service, 2 * machines)), 4, 0);
+        leader_state.finish_loading(0);
+        let before = leader_state.cluster.inspections();
         for n in 0..machines {
             let report = serde_json::json!({
                 "post": format!("i-{n:06}"), "addr": "127.0.0.1:9", "rig": "m8", "hall": "a",
@@ -374,14 +381,15 @@
                     {"piece": format!("j-000001/{}", 2 * n + 1), "try": 1, "stage": "running"}]
             });
             let report = serde_json::from_value(report).unwrap();
-            assert!(l.on_heartbeat(&report, 1_000).is_some());
+            assert!(leader_state.on_heartbeat(&report, 1_000).is_some());
         }
-        let looked = l.cluster.inspections() - before;
-        l.tick(1_050, 1_050);
-        assert!(l.settled());
+        let looked = leader_state.cluster.inspections() - before;
+        leader_state.tick(1_050, 1_050);
+        assert!(leader_state.settled());
         assert_eq!(
-            l.cluster
-                .job(l.cluster.job_handle("j-000001").unwrap())
+            leader_state
+                .cluster
+                .job(leader_state.cluster.job_handle("j-000001").unwrap())
                 .unwrap()
                 .running_count,
             2 * machines
@@ -397,29 +405,35 @@
 #[test]
 fn successor_crash_while_loading_loses_nothing() {
     for seed in 72..76 {
-        let mut w = with_leader(seed, 6, 0.0, 600_000);
-        w.submit(job(1, Kind::Service, 10));
-        w.run_until(30_000, "running", |w| w.running("j-000001") == 10);
-        let starts = w.starts;
-        w.load_ms = 2_500;
-        let first = w.leader().unwrap();
-        w.crash(first, 20_000);
-        let loading = |w: &Simulation| {
+        let mut sim = with_leader(seed, 6, 0.0, 600_000);
+        sim.submit(job(1, Kind::Service, 10));
+        sim.run_until(30_000, "running", |sim| sim.running("j-000001") == 10);
+        let starts = sim.starts;
+        sim.load_ms = 2_500;
+        let first = sim.leader().unwrap();
+        sim.crash(first, 20_000);
+        let loading = |sim: &Simulation| {
             let mut others = (0..3).filter(|i| *i != first);
-            others.find(|i| w.nodes[*i].leader.as_ref().is_some_and(|l| !l.loaded()))
+            others.find(|i| {
+                sim.nodes[*i]
+                    .leader
+                    .as_ref()
+                    .is_some_and(|leader_state| !leader_state.loaded())
+            })
         };
-        w.run_until(8_000, "a second loads", |w| loading(w).is_some());
-        let second = loading(&w).unwrap();
-        w.run(1_500);
-        assert!(!w.nodes[second].leader.as_ref().unwrap().loaded());
-        w.crash(second, 20_000);
-        w.run_until(8_000, "a third leads", |w| {
-            w.leader().is_some_and(|l| l != first && l != second)
+        sim.run_until(8_000, "a second loads", |sim| loading(sim).is_some());
+        let second = loading(&sim).unwrap();
+        sim.run(1_500);
+        assert!(!sim.nodes[second].leader.as_ref().unwrap().loaded());
+        sim.crash(second, 20_000);
+        sim.run_until(8_000, "a third leads", |sim| {
+            sim.leader()
+                .is_some_and(|node| node != first && node != second)
         });
-        w.run(15_000);
-        assert_eq!(w.running("j-000001"), 10, "seed {seed}");
-        assert_eq!(w.starts, starts, "seed {seed}: nothing was started anew");
-        w.assert_no_violations();
+        sim.run(15_000);
+        assert_eq!(sim.running("j-000001"), 10, "seed {seed}");
+        assert_eq!(sim.starts, starts, "seed {seed}: nothing was started anew");
+        sim.assert_no_violations();
     }
 }
 
@@ -428,16 +442,18 @@
 /// of time. (At the door it is refused, as the settings now ask there.)
 #[test]
 fn absurd_estimate_in_record_blocks_no_job() {
-    let mut w = with_leader(76, 1, 0.0, 5_000);
+    let mut sim = with_leader(76, 1, 0.0, 5_000);
     let mut absurd = due(job(1, Kind::Array, 6));
     absurd.estimate_s = 1e300;
     let body = serde_json::to_vec(&absurd).unwrap();
-    let leader = w.leader().unwrap();
-    let refused = w.request_now(leader, UserRequest::Malformed(absurd.id.clone(), body));
+    let leader = sim.leader().unwrap();
+    let refused = sim.request_now(leader, UserRequest::Malformed(absurd.id.clone(), body));
     assert!(matches!(refused, Some(Answer::Refused(400, why)) if why.contains("expected_s")));
-    w.accept_by_earlier_version(absurd);
-    w.run(500);
-    w.submit(due(job(2, Kind::Array, 2)));
-    w.run_until(60_000, "both", |w| w.done("j-000001") && w.done("j-000002"));
-    w.assert_no_violations();
+    sim.accept_by_earlier_version(absurd);
+    sim.run(500);
+    sim.submit(due(job(2, Kind::Array, 2)));
+    sim.run_until(60_000, "both", |sim| {
+        sim.done("j-000001") && sim.done("j-000002")
+    });
+    sim.assert_no_violations();
 }
--- a/tests/reused_indices.rs
+++ b/tests/reused_indices.rs
@@ -14,18 +14,21 @@
 
 /// A leader with one empty machine.
 fn leader() -> Leader {
-    let mut l = unheard(1, 1);
-    l.finish_loading(0);
-    assert!(l.on_heartbeat(&report(0, 1), 100).is_some());
-    l.tick(100, 100);
-    l
+    let mut leader_state = unheard(1, 1);
+    leader_state.finish_loading(0);
+    assert!(leader_state.on_heartbeat(&report(0, 1), 100).is_some());
+    leader_state.tick(100, 100);
+    leader_state
 }
 
 /// All tasks on the machine are reported in this state.
-fn report_tasks(l: &mut Leader, number: usize, tick: u64, state: TaskState, now: u64) {
-    let ix = l.cluster.machine_handle(&machine(number)).unwrap();
+fn report_tasks(leader_state: &mut Leader, number: usize, tick: u64, state: TaskState, now: u64) {
+    let ix = leader_state
+        .cluster
+        .machine_handle(&machine(number))
+        .unwrap();
     let mut heartbeat = report(number, tick);
-    let tasks = l.cluster.machine(ix).unwrap().tasks.iter();
+    let tasks = leader_state.cluster.machine(ix).unwrap().tasks.iter();
     heartbeat.tasks.extend(tasks.map(|a| TaskStatus {
         task: a.name.clone(),
         attempt: a.attempt,
@@ -33,19 +36,19 @@
         exit_reason: (state == TaskState::Exited).then_some(ExitReason::Error),
         checkpointed: false,
     }));
-    assert!(l.on_heartbeat(&heartbeat, now).is_some());
+    assert!(leader_state.on_heartbeat(&heartbeat, now).is_some());
 }
 
 /// A machine that is up and registered.
-fn add_machine(l: &mut Leader, number: usize, now: u64) {
-    assert!(l.on_heartbeat(&report(number, 1), now).is_some());
-    let plan = l.plan_writes(MAX_CHANGES).unwrap();
-    l.writes_applied(&plan, 100, now);
+fn add_machine(leader_state: &mut Leader, number: usize, now: u64) {
+    assert!(leader_state.on_heartbeat(&report(number, 1), now).is_some());
+    let plan = leader_state.plan_writes(MAX_CHANGES).unwrap();
+    leader_state.writes_applied(&plan, 100, now);
 }
 
-fn is_suspected(l: &Leader, id: &str) -> bool {
-    let ix = l.cluster.job_handle(id).unwrap();
-    l.cluster.job(ix).unwrap().failures.suspected
+fn is_suspected(leader_state: &Leader, id: &str) -> bool {
+    let ix = leader_state.cluster.job_handle(id).unwrap();
+    leader_state.cluster.job(ix).unwrap().failures.suspected
 }
 
 /// A job failed on a machine, which was returned; a new machine took its index. Other
@@ -56,31 +59,31 @@
 /// the new machine.
 #[test]
 fn failure_on_returned_machine_is_not_held_against_its_successor() {
-    let mut l = leader();
-    accept(&mut l, 1, "array", 1);
-    l.tick(200, 200);
-    report_tasks(&mut l, 0, 2, TaskState::Exited, 210);
-    l.released(&[machine(0)], true, 220);
-    add_machine(&mut l, 1, 230);
-    accept_with_priority(&mut l, 2, "array", "urgent", 1, 100.0);
-    l.tick(240, 240);
-    report_tasks(&mut l, 1, 2, TaskState::Running, 250);
-    report_tasks(&mut l, 1, 3, TaskState::Running, 260);
-    assert!(!is_suspected(&l, "j-000001"));
+    let mut leader_state = leader();
+    accept(&mut leader_state, 1, "array", 1);
+    leader_state.tick(200, 200);
+    report_tasks(&mut leader_state, 0, 2, TaskState::Exited, 210);
+    leader_state.released(&[machine(0)], true, 220);
+    add_machine(&mut leader_state, 1, 230);
+    accept_with_priority(&mut leader_state, 2, "array", "urgent", 1, 100.0);
+    leader_state.tick(240, 240);
+    report_tasks(&mut leader_state, 1, 2, TaskState::Running, 250);
+    report_tasks(&mut leader_state, 1, 3, TaskState::Running, 260);
+    assert!(!is_suspected(&leader_state, "j-000001"));
 }
 
 /// Guards against capacity that is withheld for whoever takes the index of a job that
 /// is over.
 #[test]
 fn reservation_ends_with_its_job() {
-    let mut l = leader();
-    let first = accept(&mut l, 1, "array", 1);
-    let on = l.cluster.machine_handle(&machine(0)).unwrap();
-    l.cluster.machine_mut(on).unwrap().reserved_for = Some((first, 10_000));
-    l.cluster.remove_job(first);
-    let second = accept(&mut l, 2, "array", 1);
+    let mut leader_state = leader();
+    let first = accept(&mut leader_state, 1, "array", 1);
+    let on = leader_state.cluster.machine_handle(&machine(0)).unwrap();
+    leader_state.cluster.machine_mut(on).unwrap().reserved_for = Some((first, 10_000));
+    leader_state.cluster.remove_job(first);
+    let second = accept(&mut leader_state, 2, "array", 1);
     assert_eq!(second.index(), first.index());
-    let machine = l.cluster.machine(on).unwrap();
+    let machine = leader_state.cluster.machine(on).unwrap();
     assert!(!machine.is_reserved_for(second, 200));
     assert_eq!(machine.reserved_for, None);
 }
