--- a/tests/request_consistency.rs
+++ b/tests/request_consistency.rs
@@ -1,6 +1,7 @@
-//! Consistency of the answers to users, at every node: requests in flight, through
-//! the steps that the nodes take, and a history in which no answer may be older
-//! than one that came before its request was sent.
+//! Consistency of the answers that users get at every node. Requests are in
+//! flight while the nodes take their steps, and the recorded history of requests
+//! and answers is checked: no answer may be older than an answer that arrived
+//! before its request was sent.
 
 mod simulation;
 
@@ -10,7 +11,8 @@
 };
 use simulation::{Cut, CutScope, Simulation, UserRequest, id, job};
 
-/// In flight everywhere: relays, reads and writes take a drawn time.
+/// A cluster with a leader in which forwarded requests, reads and writes take a
+/// random time.
 fn with_request_latency(seed: u64, machines: usize, nodes: usize) -> Simulation {
     let mut sim = Simulation::with_nodes(seed, machines, 0.0, nodes);
     sim.run_until(10_000, "a leader", |sim| sim.leader().is_some());
@@ -23,157 +25,177 @@
     sim
 }
 
-/// A user's dealings with one job, and how they stand.
+/// A user of one job: submits it until it is accepted, then polls or cancels it
+/// until it is final.
 struct Client {
     spec: JobSpec,
-    /// The question whose answer it waits for.
-    open: Option<usize>,
-    next: u64,
+    /// Index of the request whose answer the client awaits.
+    open_request: Option<usize>,
+    next_request_at: u64,
     accepted: bool,
-    withdraws: bool,
-    over: Option<JobState>,
+    will_cancel: bool,
+    final_state: Option<JobState>,
 }
 
 #[derive(Default)]
 struct Clients {
     all: Vec<Client>,
-    /// Questions asked right after something was told.
-    looks: Vec<usize>,
-    /// None are.
-    quiet: bool,
+    /// Indices of the requests sent to all nodes right after an answer.
+    probes: Vec<usize>,
+    /// Whether to send no such requests.
+    no_probes: bool,
 }
 
 impl Clients {
-    fn add(&mut self, spec: JobSpec, withdraws: bool) {
+    fn add(&mut self, spec: JobSpec, will_cancel: bool) {
         self.all.push(Client {
             spec,
-            open: None,
-            next: 0,
+            open_request: None,
+            next_request_at: 0,
             accepted: false,
-            withdraws,
-            over: None,
+            will_cancel,
+            final_state: None,
         });
     }
 
     fn are_done(&self) -> bool {
-        self.all.iter().all(|c| c.over.is_some())
+        self.all.iter().all(|client| client.final_state.is_some())
     }
 
-    /// Asks at all nodes, within milliseconds.
-    fn ask_all_nodes(&mut self, sim: &mut Simulation, spec: &JobSpec) {
-        for i in 0..sim.nodes.len() {
-            for ask in [
+    /// Polls and resubmits a job at all nodes within 60 ms.
+    fn probe_all_nodes(&mut self, sim: &mut Simulation, spec: &JobSpec) {
+        for node in 0..sim.nodes.len() {
+            for request in [
                 UserRequest::Poll(spec.id.clone()),
                 UserRequest::submit(spec),
                 UserRequest::Poll(spec.id.clone()),
             ] {
-                let after = sim.rng.u64(0..60);
-                self.looks.push(sim.request_later(after, i, ask));
+                let delay = sim.rng.u64(0..60);
+                self.probes.push(sim.request_later(delay, node, request));
             }
         }
     }
 
     fn advance(&mut self, sim: &mut Simulation) {
-        for n in 0..self.all.len() {
-            let c = &mut self.all[n];
-            if c.over.is_some() {
+        for index in 0..self.all.len() {
+            let client = &mut self.all[index];
+            if client.final_state.is_some() {
                 continue;
             }
-            let Some(open) = c.open else {
-                if sim.now >= c.next {
-                    let id = c.spec.id.clone();
-                    let ask = match (c.accepted, c.withdraws) {
-                        (false, _) => UserRequest::submit(&c.spec),
+            let Some(request) = client.open_request else {
+                if sim.now >= client.next_request_at {
+                    let id = client.spec.id.clone();
+                    let new_request = match (client.accepted, client.will_cancel) {
+                        (false, _) => UserRequest::submit(&client.spec),
                         (true, true) => UserRequest::Cancel(id),
                         (true, false) => UserRequest::Poll(id),
                     };
-                    let i = sim.rng.usize(..sim.nodes.len());
-                    c.open = Some(sim.request_later(0, i, ask));
+                    let node = sim.rng.usize(..sim.nodes.len());
+                    client.open_request = Some(sim.request_later(0, node, new_request));
                 }
                 continue;
             };
-            let asked = &sim.traffic.history[open];
-            let told = match &asked.answer {
+            let sent_request = &sim.traffic.history[request];
+            let answered_state = match &sent_request.answer {
                 Some((_, Answer::State(_, s))) => Some(s.state),
-                None if sim.now < asked.sent + 5_000 => continue,
+                None if sim.now < sent_request.sent + 5_000 => continue,
                 _ => None,
             };
-            c.open = None;
-            c.next = sim.now + sim.rng.u64(200..1_000);
-            let Some(state) = told else { continue };
-            // Some cancel at once.
-            if !std::mem::replace(&mut c.accepted, true) && c.withdraws {
-                c.next = sim.now;
+            client.open_request = None;
+            client.next_request_at = sim.now + sim.rng.u64(200..1_000);
+            let Some(state) = answered_state else {
+                continue;
+            };
+            // A client that cancels does so right after its job is accepted.
+            if !std::mem::replace(&mut client.accepted, true) && client.will_cancel {
+                client.next_request_at = sim.now;
             }
-            c.over = state.is_final().then_some(state);
-            let first = matches!(sim.traffic.history[open].ask, UserRequest::Submit(_));
-            if !self.quiet && (first || state.is_final()) {
-                let spec = c.spec.clone();
-                self.ask_all_nodes(sim, &spec);
+            client.final_state = state.is_final().then_some(state);
+            let is_submission = matches!(sim.traffic.history[request].ask, UserRequest::Submit(_));
+            if !self.no_probes && (is_submission || state.is_final()) {
+                let spec = client.spec.clone();
+                self.probe_all_nodes(sim, &spec);
             }
         }
     }
 
-    /// So long, with a new job now and then.
-    fn run(&mut self, sim: &mut Simulation, ms: u64, jobs: u32) {
-        let (begun, first) = (sim.now, self.all.len() as u32);
-        while sim.now < begun + ms {
-            let due = (sim.now - begun) * u64::from(jobs) / ms;
-            while u64::from(self.all.len() as u32 - first) < due {
-                let n = self.all.len() as u32 + 1;
-                let kind = [Kind::Array, Kind::Gang, Kind::Array, Kind::Service][n as usize % 4];
-                let withdraws = kind == Kind::Service || sim.rng.u8(..4) == 0;
-                self.add(job(n, kind, 1 + n % 3), withdraws);
+    /// Runs for `duration_ms` and adds `jobs` clients, evenly spread over that time.
+    fn run(&mut self, sim: &mut Simulation, duration_ms: u64, jobs: u32) {
+        let (started_at, count_before) = (sim.now, self.all.len() as u32);
+        while sim.now < started_at + duration_ms {
+            let due_jobs = (sim.now - started_at) * u64::from(jobs) / duration_ms;
+            while u64::from(self.all.len() as u32 - count_before) < due_jobs {
+                let number = self.all.len() as u32 + 1;
+                let kind =
+                    [Kind::Array, Kind::Gang, Kind::Array, Kind::Service][number as usize % 4];
+                let will_cancel = kind == Kind::Service || sim.rng.u8(..4) == 0;
+                self.add(job(number, kind, 1 + number % 3), will_cancel);
             }
             self.advance(sim);
             sim.step();
         }
     }
 
-    /// Until each has heard how its job ended, and each node says the same.
+    /// Runs until every client has been answered a final state, and checks that
+    /// every node answers the same one.
     fn run_to_completion(&mut self, sim: &mut Simulation, what: &str) {
-        let end = sim.now + 180_000;
+        let deadline = sim.now + 180_000;
         while !self.are_done() {
             self.advance(sim);
             sim.step();
-            if sim.now >= end {
-                let left = self.all.iter().filter(|c| c.over.is_none());
-                let last = |c: &Client| c.open.map(|n| sim.traffic.history[n].answer.clone());
-                let left: Vec<_> = left
-                    .map(|c| (&c.spec.id, c.spec.kind, c.accepted, c.withdraws, last(c)))
+            if sim.now >= deadline {
+                let unfinished = self
+                    .all
+                    .iter()
+                    .filter(|client| client.final_state.is_none());
+                let last_answer = |client: &Client| {
+                    client
+                        .open_request
+                        .map(|request| sim.traffic.history[request].answer.clone())
+                };
+                let unfinished: Vec<_> = unfinished
+                    .map(|client| {
+                        (
+                            &client.spec.id,
+                            client.spec.kind,
+                            client.accepted,
+                            client.will_cancel,
+                            last_answer(client),
+                        )
+                    })
                     .collect();
-                panic!("{what}: {left:?} are not over; {:?}", sim.violations);
+                panic!("{what}: {unfinished:?} are not final; {:?}", sim.violations);
             }
         }
         sim.run(6_000);
-        for c in &self.all {
-            for i in 0..sim.nodes.len() {
+        for client in &self.all {
+            for node in 0..sim.nodes.len() {
                 assert_eq!(
-                    sim.poll(i, &c.spec.id),
-                    c.over,
-                    "{what}: {} at {i}",
-                    c.spec.id
+                    sim.poll(node, &client.spec.id),
+                    client.final_state,
+                    "{what}: {} at {node}",
+                    client.spec.id
                 );
             }
         }
         assert!(sim.violations.is_empty(), "{what}: {:?}", sim.violations);
     }
 
-    fn answered(&self, sim: &Simulation) -> usize {
-        let given = |n: &&usize| {
+    fn answered_probes(&self, sim: &Simulation) -> usize {
+        let is_answered = |request: &&usize| {
             matches!(
-                sim.traffic.history[**n].answer,
+                sim.traffic.history[**request].answer,
                 Some((_, Answer::State(..)))
             )
         };
-        self.looks.iter().filter(given).count()
+        self.probes.iter().filter(is_answered).count()
     }
 }
 
-/// What befalls the controllers, in turn.
-fn inject_controller_fault(sim: &mut Simulation, k: u32) {
+/// Injects a fault of the current leader; `round` selects which.
+fn inject_controller_fault(sim: &mut Simulation, round: u32) {
     let Some(leader) = sim.leader() else { return };
-    match k % 5 {
+    match round % 5 {
         0 => sim.transfer_leadership(leader),
         1 => sim.crash(leader, 150),
         2 => sim.pause_process(leader, 2_500),
@@ -182,153 +204,168 @@
     }
 }
 
-/// Right after an acceptance, an end and a confirmed cancellation everybody asks
-/// everywhere, and some cancel at once. Guards against a node that answers
-/// from what it, or the leader, knew before.
+/// Right after an answer that accepts a job or reports its final state, users
+/// poll and resubmit the job at all nodes, and some cancel at once. Guards against
+/// a node that answers from older knowledge of its own or of the leader.
 #[test]
 fn answers_are_monotonic_across_nodes() {
-    let mut close = 0;
-    for (seed, nodes) in (0..6).flat_map(|s| [(s, 3), (s, 7)]) {
+    let mut answered_probes = 0;
+    for (seed, nodes) in (0..6).flat_map(|seed| [(seed, 3), (seed, 7)]) {
         let mut sim = with_request_latency(200 + seed, 6, nodes);
-        let mut users = Clients::default();
-        for k in 0..4 {
-            users.run(&mut sim, 3_000, 6);
+        let mut clients = Clients::default();
+        for round in 0..4 {
+            clients.run(&mut sim, 3_000, 6);
             if seed > 1 {
-                inject_controller_fault(&mut sim, k + seed as u32);
-                users.run(&mut sim, 8_000, 6);
-                (0..nodes).for_each(|i| sim.end_partitions(i));
+                inject_controller_fault(&mut sim, round + seed as u32);
+                clients.run(&mut sim, 8_000, 6);
+                (0..nodes).for_each(|node| sim.end_partitions(node));
             }
         }
-        users.run_to_completion(&mut sim, &format!("seed {seed}, {nodes} nodes"));
-        close += users.answered(&sim);
+        clients.run_to_completion(&mut sim, &format!("seed {seed}, {nodes} nodes"));
+        answered_probes += clients.answered_probes(&sim);
     }
-    // The combination: thousands of requests right after an answer.
-    assert!(close > 4_000, "{close}");
+    // Thousands of requests followed right after an answer.
+    assert!(answered_probes > 4_000, "{answered_probes}");
 }
 
-/// Transactions are carried out at once and only their answers are lost, while
-/// all nodes read what was written. Guards against a writer that goes on as if
-/// nothing had been: each kind of write, and a writer that leads on, has lost
-/// the lead, ends, or is back at once.
+/// Transactions are applied at once and only their answers are lost, while all
+/// nodes read what was written. Guards against a writer that continues as if the
+/// write had not been applied: for each kind of write, and for a writer that
+/// still leads, has lost leadership, crashes, or restarts at once.
 #[test]
 fn indeterminate_write_holds_for_every_reader() {
-    let mut met = std::collections::BTreeMap::new();
-    for (seed, nodes) in (0..8).flat_map(|s| [(s, 3), (s, 7)]) {
+    let mut unanswered_by_kind = std::collections::BTreeMap::new();
+    for (seed, nodes) in (0..8).flat_map(|seed| [(seed, 3), (seed, 7)]) {
         let mut sim = with_request_latency(300 + seed, 6, nodes);
-        let mut users = Clients::default();
+        let mut clients = Clients::default();
         sim.store.lost_answers = 35;
-        for k in 0..4 {
-            users.run(&mut sim, 5_000, 6);
-            inject_controller_fault(&mut sim, k + seed as u32);
-            users.run(&mut sim, 8_000, 4);
-            (0..nodes).for_each(|i| sim.end_partitions(i));
+        for round in 0..4 {
+            clients.run(&mut sim, 5_000, 6);
+            inject_controller_fault(&mut sim, round + seed as u32);
+            clients.run(&mut sim, 8_000, 4);
+            (0..nodes).for_each(|node| sim.end_partitions(node));
         }
         sim.store.lost_answers = 0;
-        users.run_to_completion(&mut sim, &format!("seed {seed}, {nodes} nodes"));
-        for (kind, n) in &sim.store.unanswered {
-            *met.entry(kind.clone()).or_insert(0) += n;
+        clients.run_to_completion(&mut sim, &format!("seed {seed}, {nodes} nodes"));
+        for (kind, count) in &sim.store.unanswered {
+            *unanswered_by_kind.entry(kind.clone()).or_insert(0) += count;
         }
     }
     for kind in ["j", "f", "leader", "standbys", "m"] {
-        assert!(met.get(kind).is_some_and(|n| *n >= 5), "{kind}: {met:?}");
+        assert!(
+            unanswered_by_kind
+                .get(kind)
+                .is_some_and(|count| *count >= 5),
+            "{kind}: {unanswered_by_kind:?}"
+        );
     }
 }
 
-/// A cancellation, polls and repeated submissions meet the end of the last task,
-/// with no other fault. Guards against an end that is told and then undone,
-/// either way, and against dependents that go with a job which was done.
+/// A cancellation, polls and repeated submissions race with the completion of
+/// the last task, with no other fault. Guards against a final state that is
+/// answered and then replaced by the other one, and against dependents that are
+/// cancelled with a job that was done.
 #[test]
 fn requests_racing_completion_get_one_outcome() {
-    let (mut done, mut withdrawn) = (0, 0);
+    let (mut done, mut cancelled) = (0, 0);
     for seed in 0..60 {
         let mut sim = with_request_latency(400 + seed, 4, 3);
         let kind = [Kind::Array, Kind::Gang][seed as usize % 2];
-        let first = job(1, kind, 1 + seed as u32 % 3);
-        sim.submit(first.clone());
-        let mut after = job(2, Kind::Array, 1);
-        after.dependencies = vec![id(1)];
-        sim.submit(after);
+        let spec = job(1, kind, 1 + seed as u32 % 3);
+        sim.submit(spec.clone());
+        let mut dependent = job(2, Kind::Array, 1);
+        dependent.dependencies = vec![id(1)];
+        sim.submit(dependent);
         sim.run_until(20_000, "near its end", |sim| {
             sim.running(&id(1)) > 0
                 && sim
                     .last_task_end(&id(1))
-                    .is_some_and(|at| at < sim.now + 150)
+                    .is_some_and(|end| end < sim.now + 150)
         });
-        let by = sim.last_task_end(&id(1)).unwrap() - sim.now;
-        let asked = sim.rng.u64(by.saturating_sub(60)..by + 250);
+        let until_end = sim.last_task_end(&id(1)).unwrap() - sim.now;
+        let cancel_delay = sim.rng.u64(until_end.saturating_sub(60)..until_end + 250);
         let node = sim.rng.usize(..3);
-        let ticket = sim.request_later(asked, node, UserRequest::Cancel(id(1)));
-        for i in 0..3 {
+        let cancel_request = sim.request_later(cancel_delay, node, UserRequest::Cancel(id(1)));
+        for target in 0..3 {
             for _ in 0..8 {
-                let at = sim.rng.u64(0..by + 600);
-                sim.request_later(at, i, UserRequest::Poll(id(1)));
-                let at = sim.rng.u64(0..by + 600);
-                sim.request_later(at, i, UserRequest::submit(&first));
-                let at = sim.rng.u64(0..by + 600);
-                sim.request_later(at, i, UserRequest::Poll(id(2)));
+                let delay = sim.rng.u64(0..until_end + 600);
+                sim.request_later(delay, target, UserRequest::Poll(id(1)));
+                let delay = sim.rng.u64(0..until_end + 600);
+                sim.request_later(delay, target, UserRequest::submit(&spec));
+                let delay = sim.rng.u64(0..until_end + 600);
+                sim.request_later(delay, target, UserRequest::Poll(id(2)));
             }
         }
         sim.run(3_000);
-        sim.run_until(20_000, "over", |sim| sim.done(&id(1)) && sim.done(&id(2)));
+        sim.run_until(20_000, "final", |sim| sim.done(&id(1)) && sim.done(&id(2)));
         sim.run(1_000);
-        let told = match &sim.traffic.history[ticket].answer {
+        let answered_state = match &sim.traffic.history[cancel_request].answer {
             Some((_, Answer::State(200, status))) => status.state,
             other => panic!("seed {seed}: {other:?}"),
         };
-        for i in 0..3 {
-            assert_eq!(sim.poll(i, &id(1)), Some(told), "seed {seed}");
-            // What needs it ends as it did.
-            assert_eq!(sim.poll(i, &id(2)), Some(told), "seed {seed}");
+        for target in 0..3 {
+            assert_eq!(
+                sim.poll(target, &id(1)),
+                Some(answered_state),
+                "seed {seed}"
+            );
+            // The dependent ends in the same state.
+            assert_eq!(
+                sim.poll(target, &id(2)),
+                Some(answered_state),
+                "seed {seed}"
+            );
         }
-        done += u32::from(told == JobState::Done);
-        withdrawn += u32::from(told == JobState::Cancelled);
+        done += u32::from(answered_state == JobState::Done);
+        cancelled += u32::from(answered_state == JobState::Cancelled);
         assert!(
             sim.violations.is_empty(),
             "seed {seed}: {:?}",
             sim.violations
         );
     }
-    // The combination: it went either way, so they crossed.
+    // Both outcomes occurred, so cancellation and completion raced.
     assert!(
-        done > 5 && withdrawn > 5,
-        "{done} done, {withdrawn} withdrawn"
+        done > 5 && cancelled > 5,
+        "{done} done, {cancelled} cancelled"
     );
 }
 
-/// Bodies that can't be accepted, each with the field at fault.
-fn odd_bodies(n: u32) -> Vec<(String, Vec<u8>, u16)> {
-    let good = serde_json::to_value(job(n, Kind::Array, 2)).unwrap();
-    let mut odd = Vec::new();
-    let mut add = |field: &str, v: &serde_json::Value, status| {
-        odd.push((field.to_owned(), v.to_string().into_bytes(), status));
+/// Returns request bodies that must be refused, each with the name of the invalid
+/// field and the HTTP status.
+fn invalid_bodies(number: u32) -> Vec<(String, Vec<u8>, u16)> {
+    let valid = serde_json::to_value(job(number, Kind::Array, 2)).unwrap();
+    let mut invalid = Vec::new();
+    let mut add = |field: &str, body: &serde_json::Value, status| {
+        invalid.push((field.to_owned(), body.to_string().into_bytes(), status));
     };
-    let fields: Vec<String> = good.as_object().unwrap().keys().cloned().collect();
+    let fields: Vec<String> = valid.as_object().unwrap().keys().cloned().collect();
     for field in &fields {
-        let mut v = good.clone();
-        v.as_object_mut().unwrap().remove(field);
-        add(field, &v, 400);
-        for wrong in [serde_json::json!(null), serde_json::json!({"a": 1})] {
-            v[field] = wrong;
-            add(field, &v, 400);
+        let mut body = valid.clone();
+        body.as_object_mut().unwrap().remove(field);
+        add(field, &body, 400);
+        for invalid_value in [serde_json::json!(null), serde_json::json!({"a": 1})] {
+            body[field] = invalid_value;
+            add(field, &body, 400);
         }
-        v[field] = match good[field].is_string() {
+        body[field] = match valid[field].is_string() {
             true => serde_json::json!(7),
             false => serde_json::json!("seven"),
         };
-        add(field, &v, 400);
+        add(field, &body, 400);
     }
-    for (field, wrong) in [
+    for (field, invalid_value) in [
         ("rigs", serde_json::json!("m8")),
         ("rigs", serde_json::json!([7])),
         ("hall", serde_json::json!(7)),
         ("due_s", serde_json::json!("soon")),
         ("waits_on", serde_json::json!("j-000001")),
     ] {
-        let mut v = good.clone();
-        v[field] = wrong;
-        add(field, &v, 400);
+        let mut body = valid.clone();
+        body[field] = invalid_value;
+        add(field, &body, 400);
     }
-    for (field, wrong) in [
+    for (field, invalid_value) in [
         ("owner_crew", serde_json::json!("nobody")),
         ("rigs", serde_json::json!(["m9"])),
         ("rigs", serde_json::json!([])),
@@ -338,85 +375,92 @@
         ("memory_gb", serde_json::json!(33.0)),
         ("waits_on", serde_json::json!(["j-999999"])),
     ] {
-        let mut v = good.clone();
-        v[field] = wrong;
-        add(field, &v, 422);
+        let mut body = valid.clone();
+        body[field] = invalid_value;
+        add(field, &body, 422);
     }
-    odd
+    invalid
 }
 
-/// What can't be accepted is refused at each node, with and without a leader,
-/// in one line that names the field, and never once the job is known. Guards
-/// against 4xx for a known job, and against accepting what can't run.
+/// An invalid submission is refused at each node, with and without a leader, in
+/// one line that names the field, but is not refused if the job is known. Guards
+/// against a 4xx answer for a known job, and against accepting a job that can
+/// never run.
 #[test]
 fn invalid_requests_are_rejected_unless_job_is_known() {
-    for led in [true, false] {
+    for has_leader in [true, false] {
         let mut sim = with_request_latency(500, 4, 3);
         sim.submit(job(1, Kind::Array, 1));
         sim.submit(job(2, Kind::Service, 1));
-        sim.run_until(20_000, "over", |sim| sim.done(&id(1)));
+        sim.run_until(20_000, "final", |sim| sim.done(&id(1)));
         sim.run(1_000);
-        if !led {
-            // Nobody may lead, and the records can be read.
+        if !has_leader {
+            // No node becomes leader, while the records can be read.
             let leader = sim.leader().unwrap();
             sim.crash(leader, 600_000);
-            sim.run_until(9_000, "nobody leads", |sim| {
-                (0..3).filter(|i| *i != leader).for_each(|i| {
+            sim.run_until(9_000, "no leader", |sim| {
+                (0..3).filter(|node| *node != leader).for_each(|node| {
                     let until = sim.now + 60_000;
-                    sim.nodes[i].election.abstain(until);
+                    sim.nodes[node].election.abstain(until);
                 });
                 sim.leader().is_none()
             });
         }
-        let nodes: Vec<usize> = (0..3).filter(|i| sim.nodes[*i].alive).collect();
-        for (field, body, status) in odd_bodies(7) {
+        let nodes: Vec<usize> = (0..3).filter(|node| sim.nodes[*node].alive).collect();
+        for (field, body, status) in invalid_bodies(7) {
             sim.mark_infeasible(&id(7));
-            for &i in &nodes {
-                match sim.request_now(i, UserRequest::Malformed(id(7), body.clone())) {
-                    Some(Answer::Refused(s, why)) => {
-                        assert_eq!(s, status, "{field}: {why}");
+            for &node in &nodes {
+                match sim.request_now(node, UserRequest::Malformed(id(7), body.clone())) {
+                    Some(Answer::Refused(refused_status, why)) => {
+                        assert_eq!(refused_status, status, "{field}: {why}");
                         assert!(
                             why.contains(&field) && !why.contains('\n'),
                             "{field}: {why}"
                         );
                     }
-                    other => panic!("{field} at {i}, led: {led}: {other:?}"),
+                    other => panic!("{field} at {node}, has leader: {has_leader}: {other:?}"),
                 }
             }
         }
-        // Of jobs that are known the same bodies say nothing.
-        for (n, state) in [(1, JobState::Done), (2, JobState::Queued)] {
-            for (field, body, _) in odd_bodies(n).into_iter().filter(|(f, ..)| f != "ref") {
-                for &i in &nodes {
-                    match sim.request_now(i, UserRequest::Malformed(id(n), body.clone())) {
-                        Some(Answer::State(200, s)) => {
-                            assert_eq!(s.state.is_final(), state.is_final(), "{field}");
+        // For known jobs, the same bodies get the state of the job.
+        for (number, state) in [(1, JobState::Done), (2, JobState::Queued)] {
+            for (field, body, _) in invalid_bodies(number)
+                .into_iter()
+                .filter(|(name, ..)| name != "ref")
+            {
+                for &node in &nodes {
+                    match sim.request_now(node, UserRequest::Malformed(id(number), body.clone())) {
+                        Some(Answer::State(200, job_status)) => {
+                            assert_eq!(job_status.state.is_final(), state.is_final(), "{field}");
                         }
-                        other => panic!("{field} at {i}, led: {led}: {other:?}"),
+                        other => panic!("{field} at {node}, has leader: {has_leader}: {other:?}"),
                     }
                 }
             }
         }
-        // Withdrawing what is done changes nothing; what nobody knows is 404.
-        for &i in &nodes {
-            let answer = sim.request_now(i, UserRequest::Cancel(id(1)));
-            let done = matches!(&answer, Some(Answer::State(200, s)) if s.state == JobState::Done);
-            let later = !led && matches!(answer, Some(Answer::Later(_)));
-            assert!(done || later, "{answer:?} at {i}, led: {led}");
-            let polled = sim.request_now(i, UserRequest::Poll(id(8)));
+        // Cancelling a finished job changes nothing; polling an unknown job gives 404.
+        for &node in &nodes {
+            let answer = sim.request_now(node, UserRequest::Cancel(id(1)));
+            let done = matches!(&answer, Some(Answer::State(200, job_status)) if job_status.state == JobState::Done);
+            let refused_for_now = !has_leader && matches!(answer, Some(Answer::Later(_)));
+            assert!(
+                done || refused_for_now,
+                "{answer:?} at {node}, has leader: {has_leader}"
+            );
+            let polled = sim.request_now(node, UserRequest::Poll(id(8)));
             let unknown = matches!(polled, Some(Answer::Refused(404, _)));
-            assert!(unknown, "{polled:?} at {i}, led: {led}");
+            assert!(unknown, "{polled:?} at {node}, has leader: {has_leader}");
         }
         assert!(!sim.store.kv.contains_key("j/j-000007"));
         sim.assert_no_violations();
-        // While the machine types aren't known, nothing is said of what fits.
+        // While the machine types are unknown, no node can answer whether a job fits.
         sim.types_unknown = true;
-        for &i in &nodes {
-            for n in [9, 2] {
-                let spec = job(n, Kind::Array, 1);
-                let answer = sim.request_now(i, UserRequest::submit(&spec));
-                match n {
-                    2 if led => assert!(matches!(answer, Some(Answer::State(200, _)))),
+        for &node in &nodes {
+            for number in [9, 2] {
+                let spec = job(number, Kind::Array, 1);
+                let answer = sim.request_now(node, UserRequest::submit(&spec));
+                match number {
+                    2 if has_leader => assert!(matches!(answer, Some(Answer::State(200, _)))),
                     9 => assert!(matches!(answer, Some(Answer::Later(_))), "{answer:?}"),
                     _ => {}
                 }
@@ -426,81 +470,96 @@
     }
 }
 
-/// One-task jobs, four a second for minutes, a quarter of them cancelled, with
-/// the changes that the smallest site allows. Guards against a record that is
-/// written once too often for each: ends would be told later and later.
+/// Four one-task jobs a second for 150 s, a quarter of them cancelled, at the
+/// write rate of the smallest supported site. Guards against one record write
+/// too many per job, which would report final states later and later.
 #[test]
 fn one_task_jobs_stay_within_smallest_write_rate() {
     let mut sim = with_request_latency(600, 24, 3);
     sim.limit_write_rate(15.0);
     sim.run_ms = 2_000;
-    let mut users = Clients {
-        quiet: true,
+    let mut clients = Clients {
+        no_probes: true,
         ..Clients::default()
     };
-    let begun = sim.now;
-    let (mut last, mut worst) = (begun, 0);
-    while sim.now < begun + 150_000 {
-        if sim.now >= last + 250 {
-            last += 250;
-            let n = users.all.len() as u32 + 1;
-            users.add(job(n, Kind::Array, 1), n.is_multiple_of(4));
+    let started_at = sim.now;
+    let (mut last_submission, mut max_pending) = (started_at, 0);
+    while sim.now < started_at + 150_000 {
+        if sim.now >= last_submission + 250 {
+            last_submission += 250;
+            let number = clients.all.len() as u32 + 1;
+            clients.add(job(number, Kind::Array, 1), number.is_multiple_of(4));
         }
-        users.advance(&mut sim);
+        clients.advance(&mut sim);
         sim.step();
-        // Ends are told in time: what has run but is not told yet stays little.
-        let late = sim.finished.len() - sim.finished.iter().filter(|t| sim.done(&t[..8])).count();
-        worst = worst.max(late);
+        // Final states are recorded in time: few finished tasks await their job's
+        // final record.
+        let pending = sim.finished.len()
+            - sim
+                .finished
+                .iter()
+                .filter(|task| sim.done(&task[..8]))
+                .count();
+        max_pending = max_pending.max(pending);
     }
-    let jobs = users.all.len() as u32;
-    let changes = f64::from(sim.store.changes) / f64::from(jobs);
-    users.run_to_completion(&mut sim, "one-task jobs");
-    assert!(jobs >= 595, "{jobs}");
-    let withdrawn = users
+    let job_count = clients.all.len() as u32;
+    let changes_per_job = f64::from(sim.store.changes) / f64::from(job_count);
+    clients.run_to_completion(&mut sim, "one-task jobs");
+    assert!(job_count >= 595, "{job_count}");
+    let cancelled = clients
         .all
         .iter()
-        .filter(|c| c.over == Some(JobState::Cancelled))
+        .filter(|client| client.final_state == Some(JobState::Cancelled))
         .count();
-    assert!(withdrawn > 100, "{withdrawn}");
-    // Accepted, and the record replaced by a final one; where a task has to be
-    // stopped first, a mark.
-    assert!(changes <= 3.3, "{changes} changes a job");
-    assert!(worst < 40, "{worst} ends wait for their record");
+    assert!(cancelled > 100, "{cancelled}");
+    // A job needs one change to be accepted and two to replace its record by a final
+    // record; if a task has to be stopped first, one more marks it cancelled.
+    assert!(changes_per_job <= 3.3, "{changes_per_job} changes per job");
+    assert!(
+        max_pending < 40,
+        "{max_pending} finished jobs await their final record"
+    );
     assert_eq!(
         (sim.terms, sim.expired_tasks),
         (1, 0),
-        "reports and renewals don't wait"
+        "heartbeats or lease renewals were delayed"
     );
 }
 
-/// Guards against a mark in the record of a job that has nothing anywhere: at
-/// 15 changes a second a burst of cancellations would hold up all else.
+/// Guards against recording a cancellation mark for a job that has no task on any
+/// machine: at 15 changes per second, a burst of cancellations would delay all
+/// other writes.
 #[test]
 fn cancellation_before_start_costs_two_writes() {
     let mut sim = with_request_latency(610, 1, 3);
     sim.run_ms = 600_000;
-    for n in 1..=32 {
-        sim.submit(job(n, Kind::Array, 1));
+    for number in 1..=32 {
+        sim.submit(job(number, Kind::Array, 1));
     }
     sim.run_until(10_000, "full", |sim| sim.running("j-") == 2);
     sim.run(5_000);
-    let before = sim.store.changes;
-    let waiting: Vec<u32> = (1..=32).filter(|n| sim.running(&id(*n)) == 0).collect();
-    for n in &waiting {
-        sim.request_later(0, 0, UserRequest::Cancel(id(*n)));
+    let changes_before = sim.store.changes;
+    let waiting: Vec<u32> = (1..=32)
+        .filter(|number| sim.running(&id(*number)) == 0)
+        .collect();
+    for number in &waiting {
+        sim.request_later(0, 0, UserRequest::Cancel(id(*number)));
     }
     sim.run(5_000);
-    assert_eq!((waiting.len(), sim.store.changes - before), (30, 60));
-    for n in &waiting {
-        assert_eq!(sim.poll(1, &id(*n)), Some(JobState::Cancelled));
+    assert_eq!(
+        (waiting.len(), sim.store.changes - changes_before),
+        (30, 60)
+    );
+    for number in &waiting {
+        assert_eq!(sim.poll(1, &id(*number)), Some(JobState::Cancelled));
     }
     assert_eq!(sim.started_after_cancellation, 0);
     sim.assert_no_violations();
 }
 
-/// The acceptance is carried out, its answer is lost, and the user only asks
-/// from then on, at a node that reads the record. Guards against a job that is
-/// called pending and of which the leader never learns.
+/// The acceptance is applied but its answer is lost, and from then on the user
+/// only polls, at a node that reads the record. Guards against a job that is
+/// answered as queued but never becomes known to the leader.
 #[test]
 fn job_known_only_from_records_runs() {
     for nodes in [3, 7] {
@@ -523,8 +582,8 @@
     }
 }
 
-/// Guards against a final record while tasks may still run: whoever leads next
-/// would not know whose they are.
+/// Guards against a final record that is written while tasks may still run: the
+/// next leader would not know which job those tasks belong to.
 #[test]
 fn cancelled_job_is_final_once_no_task_runs() {
     let mut sim = with_request_latency(630, 1, 3);
@@ -536,29 +595,30 @@
     sim.cancel(&id(1));
     sim.run(3_000);
     assert_eq!((sim.running(&id(1)), sim.done(&id(1))), (1, false));
-    sim.run_until(15_000, "its lease over", |sim| sim.done(&id(1)));
+    sim.run_until(15_000, "lease expired", |sim| sim.done(&id(1)));
     assert_eq!(sim.running(&id(1)), 0);
     sim.assert_no_violations();
 }
 
-/// Questions at all nodes overlap, over slow ways. Guards against an unfinished
-/// state that one node read before the job's end and gives after another has
-/// told that end: whoever asked both sees it go back.
+/// Polls at all nodes overlap over slow links. Guards against a node that reads
+/// an unfinished state before the job ends, and answers it after another node
+/// has answered the final state: a user of both nodes would see the job's state
+/// go backwards.
 #[test]
 fn overlapping_polls_never_go_backwards() {
-    let mut close = 0;
-    for (seed, nodes) in (0..6).flat_map(|s| [(s, 3), (s, 7)]) {
+    let mut answered_probes = 0;
+    for (seed, nodes) in (0..6).flat_map(|seed| [(seed, 3), (seed, 7)]) {
         let mut sim = with_request_latency(900 + seed, 6, nodes);
         sim.traffic.max_latency_ms = 100;
-        let mut users = Clients::default();
-        for k in 0..4 {
-            users.run(&mut sim, 3_000, 6);
-            inject_controller_fault(&mut sim, k + seed as u32);
-            users.run(&mut sim, 8_000, 6);
-            (0..nodes).for_each(|i| sim.end_partitions(i));
+        let mut clients = Clients::default();
+        for round in 0..4 {
+            clients.run(&mut sim, 3_000, 6);
+            inject_controller_fault(&mut sim, round + seed as u32);
+            clients.run(&mut sim, 8_000, 6);
+            (0..nodes).for_each(|node| sim.end_partitions(node));
         }
-        users.run_to_completion(&mut sim, &format!("seed {seed}, {nodes} nodes"));
-        close += users.answered(&sim);
+        clients.run_to_completion(&mut sim, &format!("seed {seed}, {nodes} nodes"));
+        answered_probes += clients.answered_probes(&sim);
     }
-    assert!(close > 4_000, "{close}");
+    assert!(answered_probes > 4_000, "{answered_probes}");
 }
