--- a/tests/job_liveness.rs
+++ b/tests/job_liveness.rs
@@ -48,7 +48,7 @@
     sim.run_until(LEASE + 6_000, "lease expired", |sim| {
         sim.workers[partitioned].incarnation > 1
     });
-    sim.run_until(8_000, "service moved", |sim| sim.running(\&id(1)) == 3);
+    sim.run_until(8_000, "service moved", |sim| sim.running(&id(1)) == 3);
     // The machine gets no tasks of a later job either.
     sim.submit(job(2, Kind::Array, 3));
     sim.run_until(30_000, "done", |sim| sim.done(&id(2)));
@@ -78,7 +78,7 @@
         sim.leader()
             .is_some_and(|node| sim.nodes[node].leader.as_ref().unwrap().settled())
     });
-    sim.run_until(10_000, "service moved", |sim| sim.running(\&id(1)) == 4);
+    sim.run_until(10_000, "service moved", |sim| sim.running(&id(1)) == 4);
     sim.assert_no_violations();
 }
 
@@ -92,7 +92,7 @@
     (0..6).for_each(|machine| sim.workers[machine].net = Net::SendOnly);
     sim.run(25_000);
     (0..sim.workers.len()).for_each(|machine| sim.restore_network(machine));
-    sim.run_until(15_000, "all running", |sim| sim.running(\&id(1)) == 6);
+    sim.run_until(15_000, "all running", |sim| sim.running(&id(1)) == 6);
     assert_eq!(sim.returned.len(), returned_before);
     assert!(
         sim.machines_requested - requested_before <= 3,
@@ -133,7 +133,7 @@
     sim.run_until(LEASE - 4_000, "down", |sim| !is_up(sim));
     replay_heartbeat(&mut sim);
     assert!(!is_up(&mut sim));
-    sim.run_until(8_000, "service moved", |sim| sim.running(\&id(1)) == 3);
+    sim.run_until(8_000, "service moved", |sim| sim.running(&id(1)) == 3);
     sim.assert_no_violations();
 }
 
@@ -193,7 +193,7 @@
             sim.run(700);
             sim.restart_machine(machine);
         }
-        sim.run_until(7_000, "all running", |sim| sim.running(\&id(1)) == 4);
+        sim.run_until(7_000, "all running", |sim| sim.running(&id(1)) == 4);
         sim.assert_no_violations();
     }
 }
@@ -207,12 +207,12 @@
     sim.workers[worker].net = Net::SendOnly;
     sim.run(LEASE + 2_000);
     sim.restore_network(worker);
-    sim.run_until(20_000, "all running", |sim| sim.running(\&id(1)) == 4);
+    sim.run_until(20_000, "all running", |sim| sim.running(&id(1)) == 4);
     assert!(sim.workers[worker].incarnation > 1);
     sim.run(3_000);
     let duplicate = sim.heartbeat_of(worker);
     sim.restart_machine(worker);
-    sim.run_until(7_000, "all running", |sim| sim.running(\&id(1)) == 4);
+    sim.run_until(7_000, "all running", |sim| sim.running(&id(1)) == 4);
     sim.run(2_000);
     let leader = sim.leader().unwrap();
     let now = sim.now;
