--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -1,4 +1,6 @@
-//! Many machines and jobs at once: what a leader does in its first seconds.
+//! Recovery of a new leader during its first seconds: loading the records,
+//! settling beside unresponsive machines, and placement and scale-out with many
+//! machines and jobs.
 
 mod simulation;
 
@@ -18,13 +20,13 @@
 use std::rc::Rc;
 
 fn types() -> Vec<MachineType> {
-    let mut dear = simulation::types().remove(0);
-    dear.name = "g4".into();
-    dear.gpus = 4.0;
-    dear.price = 12.0;
-    dear.spot_price = 4.0;
+    let mut gpu_type = simulation::types().remove(0);
+    gpu_type.name = "g4".into();
+    gpu_type.gpus = 4.0;
+    gpu_type.price = 12.0;
+    gpu_type.spot_price = 4.0;
     let mut all = simulation::types();
-    all.push(dear);
+    all.push(gpu_type);
     all
 }
 
@@ -33,24 +35,29 @@
 }
 
 fn load_machines(leader_state: &mut Leader, machines: u32) {
-    for n in 0..machines {
-        leader_state.load_machine(&format!("i-{n:06}"), simulation::machine_record(), 3, 0);
+    for number in 0..machines {
+        leader_state.load_machine(
+            &format!("i-{number:06}"),
+            simulation::machine_record(),
+            3,
+            0,
+        );
     }
 }
 
-/// An installation with a leader, whose tasks run for so long.
+/// A cluster with a leader, whose tasks run for `run_ms`.
 fn with_leader(seed: u64, machines: usize, limit: f64, run_ms: Millis) -> Simulation {
     let mut sim = Simulation::with_leader(seed, machines, limit);
     sim.run_ms = run_ms;
     sim
 }
 
-/// The leader ends, and another leads.
-fn change_leader(sim: &mut Simulation) {
-    let old = sim.leader().unwrap();
-    sim.crash(old, 3_000);
-    sim.run_until(10_000, "another leads", |sim| {
-        sim.leader().is_some_and(|node| node != old)
+/// Crashes the leader and waits for a new one.
+fn fail_over(sim: &mut Simulation) {
+    let old_leader = sim.leader().unwrap();
+    sim.crash(old_leader, 3_000);
+    sim.run_until(10_000, "another leader", |sim| {
+        sim.leader().is_some_and(|node| node != old_leader)
     });
 }
 
@@ -59,27 +66,32 @@
     Leader::new(settings, Options::default(), types(), term, 0)
 }
 
-/// Machines of a kind that are asked for at a time.
-fn scale_out_answered(leader_state: &mut Leader, now: Millis, kind: &str) -> u32 {
+/// Returns how many machines of a type the leader requests at once. No request is
+/// sent to the cloud.
+fn requested_machines(leader_state: &mut Leader, now: Millis, type_name: &str) -> u32 {
     leader_state.tick(now, now);
-    let mut n = 0;
+    let mut count = 0;
     for op in leader_state.cloud_ops(now, now) {
-        if let CloudOp::MachineRequest(r) = op {
-            n += if r.type_name == kind { r.count } else { 0 };
+        if let CloudOp::MachineRequest(request) = op {
+            count += if request.type_name == type_name {
+                request.count
+            } else {
+                0
+            };
             leader_state.scale_out_not_sent();
         }
     }
-    n
+    count
 }
 
-/// Guards against a bound on the jobs for which rooms are counted: while more
-/// services than that waited for their machines to boot, nothing was rented
-/// for the gangs behind them.
+/// Guards against a bound on the number of jobs that scale-out considers: while
+/// more services than that waited for their machines to boot, no machine was
+/// rented for the gangs behind them.
 #[test]
 fn gangs_scale_out_behind_many_waiting_services() {
     let mut leader_state = leader(1);
-    for n in 1..=400 {
-        let mut service = job(n, Kind::Service, 1);
+    for number in 1..=400 {
+        let mut service = job(number, Kind::Service, 1);
         service.cpus = 1.0;
         service.memory_gb = 2.0;
         service.priority = Priority::Production;
@@ -90,56 +102,56 @@
     gang.cpus = 8.0;
     leader_state.load_job(record(gang), 2, 0);
     leader_state.finish_loading(0);
-    assert_eq!(scale_out_answered(&mut leader_state, 1_000, "g4"), 3);
+    assert_eq!(requested_machines(&mut leader_state, 1_000, "g4"), 3);
 }
 
-/// Guards against a lease without any rental after each change of leadership
-/// beside an unresponsive machine; and against renting, before the others could
-/// report, for all that runs.
+/// Guards against a new leader that rents nothing for a whole worker lease because
+/// a machine is unresponsive, and against one that rents machines for all running
+/// tasks before their machines could send a heartbeat.
 #[test]
 fn new_leader_scales_out_only_for_unplaced_tasks() {
     let mut leader_state = leader(9);
     load_machines(&mut leader_state, 3);
-    // Two tasks to a machine: six may be running.
+    // Two tasks fit on a machine, so six of the ten may be running.
     leader_state.load_job(record(job(1, Kind::Service, 10)), 4, 0);
     leader_state.finish_loading(0);
     assert_eq!(
-        scale_out_answered(&mut leader_state, 1_000, "m8"),
+        requested_machines(&mut leader_state, 1_000, "m8"),
         0,
-        "nobody can have reported"
+        "no machine can have sent a heartbeat yet"
     );
     assert!(!leader_state.settled());
-    assert_eq!(scale_out_answered(&mut leader_state, 8_000, "m8"), 2);
+    assert_eq!(requested_machines(&mut leader_state, 8_000, "m8"), 2);
     assert!(!leader_state.settled());
 }
 
-fn due(mut spec: JobSpec) -> JobSpec {
+fn with_deadline(mut spec: JobSpec) -> JobSpec {
     spec.deadline_s = Some(60.0);
     spec
 }
 
-/// Guards against a large batch that makes all that come after it late: in
-/// arrival order, the small one would wait for 40 tasks of 10 s on two places.
+/// Guards against a large batch that delays every batch submitted after it: in
+/// arrival order, the small batch would wait for 40 tasks of 10 s in two places.
 #[test]
 fn small_batch_meets_deadline_beside_large_one() {
     let mut sim = with_leader(41, 1, 0.0, 10_000);
-    sim.submit(due(job(1, Kind::Array, 40)));
+    sim.submit(with_deadline(job(1, Kind::Array, 40)));
     sim.run(1_000);
-    sim.submit(due(job(2, Kind::Array, 2)));
-    sim.run_until(45_000, "the small one done", |sim| sim.done("j-000002"));
+    sim.submit(with_deadline(job(2, Kind::Array, 2)));
+    sim.run_until(45_000, "small batch done", |sim| sim.done("j-000002"));
     assert!(!sim.done("j-000001"));
-    // Only batches that say when they are due let others pass.
+    // A batch without a deadline doesn't let later batches go first.
     sim.submit(job(3, Kind::Array, 20));
     sim.run(1_000);
     sim.submit(job(4, Kind::Array, 1));
-    sim.run_until(700_000, "the large one done", |sim| sim.done("j-000001"));
+    sim.run_until(700_000, "large batch done", |sim| sim.done("j-000001"));
     sim.run_until(400_000, "all done", |sim| sim.done("j-000003"));
     sim.run_until(60_000, "the last done", |sim| sim.done("j-000004"));
     sim.assert_no_violations();
 }
 
-/// Guards against a lease of waiting, at each change of leadership, for
-/// machines that the leader before had known to be empty.
+/// Guards against a new leader that waits for a worker lease for machines that the
+/// previous leader knew to be empty.
 #[test]
 fn new_leader_skips_machines_with_recorded_lease_expiry() {
     for seed in 50..58 {
@@ -148,93 +160,100 @@
         sim.run_until(20_000, "running", |sim| sim.running("j-000001") == 6);
         sim.workers[0].net = Net::Lose;
         sim.run(LEASE + 3_000);
-        // Lapsed, but not so long ago that it would be returned.
+        // The lease has expired, but not so long ago that the machine is returned.
         assert!(sim.workers[0].alive);
-        change_leader(&mut sim);
+        fail_over(&mut sim);
         sim.submit(job(2, Kind::Array, 3));
         sim.run(2_500);
-        let i = sim.leader().unwrap();
+        let leader = sim.leader().unwrap();
         assert!(
-            sim.nodes[i].leader.as_ref().unwrap().settled(),
+            sim.nodes[leader].leader.as_ref().unwrap().settled(),
             "seed {seed}"
         );
-        // It comes back, is written down and used again; then silence and
-        // another change: now there is something on it to wait for.
+        // The machine returns, its record is updated and it gets tasks again. Then it
+        // is partitioned before another failover: now the new leader must wait for it.
         sim.workers[0].net = Net::Up;
         sim.submit(job(3, Kind::Service, 8));
         sim.run_until(20_000, "used again", |sim| !sim.workers[0].tasks.is_empty());
         sim.workers[0].net = Net::Lose;
-        change_leader(&mut sim);
+        fail_over(&mut sim);
         sim.run(2_500);
-        let i = sim.leader().unwrap();
-        assert!(!sim.nodes[i].leader.as_ref().unwrap().settled());
+        let leader = sim.leader().unwrap();
+        assert!(!sim.nodes[leader].leader.as_ref().unwrap().settled());
         sim.run(30_000);
         sim.assert_no_violations();
     }
 }
 
-/// Two machines, of which the first has been unresponsive for longer than its lease,
-/// and a service for which one is not enough.
-fn with_unresponsive_machine(seed: u64, before_lapse: impl Fn(&mut Simulation)) -> Simulation {
+/// A cluster of two machines and a service that needs both; the first machine has
+/// been unresponsive for longer than its lease.
+fn with_unresponsive_machine(
+    seed: u64,
+    before_lease_expiry: impl Fn(&mut Simulation),
+) -> Simulation {
     let mut sim = with_leader(seed, 2, 0.0, 600_000);
     sim.submit(job(1, Kind::Service, 4));
     sim.run_until(20_000, "running", |sim| sim.running("j-000001") == 4);
     sim.workers[0].net = Net::Lose;
     sim.run(LEASE - 1_000);
-    before_lapse(&mut sim);
+    before_lease_expiry(&mut sim);
     sim.run(4_000);
     sim
 }
 
-/// Guards against starting something on a machine while a record may say that
-/// nothing runs there: the next leader would not wait for it.
+/// Guards against starting a task on a machine while its record may say that it is
+/// empty: the next leader would not wait for the machine.
 #[test]
-fn machine_recorded_empty_is_unused_until_record_cleared() {
+fn machine_recorded_empty_gets_no_tasks_until_record_cleared() {
     let mut sim = with_unresponsive_machine(60, |_| {});
     sim.store.unavailable = true;
     sim.workers[0].net = Net::Up;
     sim.run(4_000);
-    assert!(sim.workers[0].tasks.is_empty(), "nothing can be written");
+    assert!(
+        sim.workers[0].tasks.is_empty(),
+        "the record can't be cleared"
+    );
     sim.store.unavailable = false;
     sim.run_until(10_000, "used again", |sim| !sim.workers[0].tasks.is_empty());
     sim.assert_no_violations();
 }
 
-/// The same where the note had no answer and is applied later, before or after
-/// the machine is used again.
+/// As above, when the write of the lease expiry has no answer and is applied late,
+/// before or after the machine gets tasks again.
 #[test]
 fn late_lease_expiry_record_never_marks_used_machine() {
-    for late in [300, 2_000, 6_000, 9_000, 14_000] {
-        let mut sim = with_unresponsive_machine(61, |sim| sim.store.late_writes.push(late));
+    for delay_ms in [300, 2_000, 6_000, 9_000, 14_000] {
+        let mut sim = with_unresponsive_machine(61, |sim| sim.store.late_writes.push(delay_ms));
         sim.workers[0].net = Net::Up;
         sim.run_until(40_000, "used again", |sim| !sim.workers[0].tasks.is_empty());
         sim.run(8_000);
         sim.workers[0].net = Net::Lose;
-        let old = sim.leader().unwrap();
-        sim.crash(old, 3_000);
+        let old_leader = sim.leader().unwrap();
+        sim.crash(old_leader, 3_000);
         sim.run(25_000);
         sim.assert_no_violations();
     }
 }
 
-/// Guards against a recovery that operators cannot see: each phase is told
-/// once, in order, and an unresponsive machine shows in the one that waits for it.
+/// Guards against a recovery whose progress operators cannot see: each phase is
+/// reported once, in order, and the time spent waiting for an unresponsive machine
+/// counts in the settling phase.
 #[test]
 fn recovery_phases_are_reported_once_in_order() {
     let mut sim = with_leader(62, 4, 0.0, 600_000);
     sim.submit(job(1, Kind::Service, 6));
     sim.run_until(20_000, "running", |sim| sim.running("j-000001") == 6);
-    let busy = sim
+    let busy_machine = sim
         .workers
         .iter()
-        .position(|m| !m.tasks.is_empty())
+        .position(|machine| !machine.tasks.is_empty())
         .unwrap();
-    sim.workers[busy].net = Net::Lose;
+    sim.workers[busy_machine].net = Net::Lose;
     sim.drop_standbys();
-    change_leader(&mut sim);
-    let i = sim.leader().unwrap();
+    fail_over(&mut sim);
+    let leader = sim.leader().unwrap();
     sim.run(LEASE + 6_000);
-    let leader_state = sim.nodes[i].leader.as_mut().unwrap();
+    let leader_state = sim.nodes[leader].leader.as_mut().unwrap();
     let phases = leader_state.take_tally().phases;
     let names: Vec<_> = phases.iter().map(|(name, _)| *name).collect();
     assert_eq!(names, ["loading", "settling", "starting"]);
@@ -247,9 +266,9 @@
     sim.assert_no_violations();
 }
 
-/// Guards against a lease of waiting for a machine that the cloud has taken
-/// away; against taking an old list for a new one, or one that is still listed
-/// for gone.
+/// Guards against a new leader that waits for a worker lease for a machine that no
+/// longer exists in the cloud, that takes a machine list from before its term for
+/// a fresh one, or that takes a listed machine for deleted.
 #[test]
 fn new_leader_skips_machine_absent_from_fresh_list() {
     for still_listed in [false, true] {
@@ -257,27 +276,27 @@
         sim.submit(job(1, Kind::Service, 6));
         sim.run_until(20_000, "running", |sim| sim.running("j-000001") == 6);
         sim.workers[1].alive = false;
-        change_leader(&mut sim);
-        let (i, began) = (sim.leader().unwrap(), sim.now);
+        fail_over(&mut sim);
+        let (leader, term_began) = (sim.leader().unwrap(), sim.now);
         sim.run(7_500);
         let now = sim.now;
-        let leader_state = sim.nodes[i].leader.as_mut().unwrap();
-        // The lag is 3 s: such a list may be older than the term.
-        leader_state.full_list_received(began + 4_000, now);
+        let leader_state = sim.nodes[leader].leader.as_mut().unwrap();
+        // Lists lag by up to 3 s, so this list may date from before the term.
+        leader_state.full_list_received(term_began + 4_000, now);
         leader_state.tick(now, now);
         assert!(!leader_state.settled());
         if still_listed {
-            let silent = leader_state
+            let unresponsive = leader_state
                 .cluster
                 .each_machine()
-                .find(|m| m.contents_unknown)
+                .find(|machine| machine.contents_unknown)
                 .unwrap();
             let listed = serde_json::json!({
-                "ref": silent.name, "addr": "127.0.0.1:9", "rig": "m8", "hall": "a",
+                "ref": unresponsive.name, "addr": "127.0.0.1:9", "rig": "m8", "hall": "a",
                 "lendback": false, "stage": "running", "age_s": 60.0});
             leader_state.machines_listed(&[serde_json::from_value(listed).unwrap()], now);
         }
-        leader_state.full_list_received(began + 7_000, now);
+        leader_state.full_list_received(term_began + 7_000, now);
         leader_state.tick(now, now);
         assert_eq!(leader_state.settled(), !still_listed);
         sim.run(30_000);
@@ -285,27 +304,31 @@
     }
 }
 
-/// Guards against placing again what comes back within its lease.
+/// A third of the machines is partitioned, all controllers crash, and the machines
+/// return within their leases. Guards against restarting their tasks elsewhere.
 #[test]
 fn unresponsive_third_returns_with_tasks_after_full_crash() {
     for seed in 64..68 {
         let mut sim = with_leader(seed, 9, 0.0, 600_000);
         sim.submit(job(1, Kind::Service, 18));
         sim.run_until(30_000, "running", |sim| sim.running("j-000001") == 18);
-        let starts = sim.starts;
-        (0..3).for_each(|m| sim.workers[m].net = Net::Hold);
-        (0..3).for_each(|i| sim.crash(i, 2_000));
+        let starts_before = sim.starts;
+        (0..3).for_each(|machine| sim.workers[machine].net = Net::Hold);
+        (0..3).for_each(|node| sim.crash(node, 2_000));
         sim.run(5_500);
-        (0..3).for_each(|m| sim.restore_network(m));
+        (0..3).for_each(|machine| sim.restore_network(machine));
         sim.run(30_000);
         assert_eq!(sim.running("j-000001"), 18, "seed {seed}");
-        assert_eq!(sim.starts, starts, "seed {seed}: nothing was started anew");
+        assert_eq!(
+            sim.starts, starts_before,
+            "seed {seed}: no task started again"
+        );
         sim.assert_no_violations();
     }
 }
 
-/// Guards against a task in two places, or a team past its limit, when those
-/// that were given up return beside their replacements.
+/// Guards against a task that runs twice, or a team above its limit, when machines
+/// whose tasks were replaced after lease expiry return.
 #[test]
 fn machines_returning_beside_replacements_break_no_invariant() {
     for (seed, net) in [(68, Net::Hold), (69, Net::Lose), (70, Net::Hold)] {
@@ -313,77 +336,87 @@
         sim.submit(job(1, Kind::Service, 12));
         sim.run_until(30_000, "running", |sim| sim.running("j-000001") == 12);
         let lost: Vec<usize> = (0..9)
-            .filter(|m| !sim.workers[*m].tasks.is_empty())
+            .filter(|machine| !sim.workers[*machine].tasks.is_empty())
             .take(3)
             .collect();
-        lost.iter().for_each(|m| sim.workers[*m].net = net);
+        lost.iter()
+            .for_each(|machine| sim.workers[*machine].net = net);
         sim.run(4_000);
-        let old = sim.leader().unwrap();
-        sim.crash(old, 3_000);
+        let old_leader = sim.leader().unwrap();
+        sim.crash(old_leader, 3_000);
         sim.run(LEASE + 12_000);
-        let there = |sim: &Simulation| {
-            let others = (0..9).filter(|m| !lost.contains(m));
-            others.map(|m| sim.workers[m].tasks.len()).sum::<usize>()
+        let tasks_elsewhere = |sim: &Simulation| {
+            let others = (0..9).filter(|machine| !lost.contains(machine));
+            others
+                .map(|machine| sim.workers[machine].tasks.len())
+                .sum::<usize>()
         };
-        assert_eq!(there(&sim), 12, "seed {seed}: all run elsewhere");
-        lost.iter().for_each(|m| sim.restore_network(*m));
+        assert_eq!(
+            tasks_elsewhere(&sim),
+            12,
+            "seed {seed}: replacements of all tasks"
+        );
+        lost.iter()
+            .for_each(|machine| sim.restore_network(*machine));
         sim.run(20_000);
         assert_eq!(sim.running("j-000001"), 12);
         sim.assert_no_violations();
     }
 }
 
-/// Guards against guests that keep a team with a guarantee from its aims: all
-/// room is theirs when its work comes, one vast array and a flood of tiny jobs.
+/// Team `guests` has no guarantee and occupies all machines with a large array,
+/// while many one-task jobs of the same team wait. Guards against guest jobs that
+/// keep teams with a guarantee from starting services and batches in time.
 #[test]
-fn offloaded_jobs_are_preempted_for_guaranteed_team() {
+fn guest_jobs_are_preempted_for_guaranteed_team() {
     let mut sim = with_leader(71, 4, 0.0, 20_000);
-    let guest = |n, tasks| {
-        let mut spec = job(n, Kind::Array, tasks);
+    let guest = |number, tasks| {
+        let mut spec = job(number, Kind::Array, tasks);
         spec.team = "guests".into();
         spec.priority = Priority::Low;
         spec
     };
     sim.submit(guest(1, 500));
-    (2..80).for_each(|n| sim.submit(guest(n, 1)));
+    (2..80).for_each(|number| sim.submit(guest(number, 1)));
     sim.run(10_000);
-    assert_eq!(sim.running("j-000001"), 8, "they have all there is");
+    assert_eq!(sim.running("j-000001"), 8, "guests use the whole capacity");
     let mut service = job(100, Kind::Service, 2);
     service.priority = Priority::Production;
     sim.submit(service);
-    sim.run_until(3_000, "the service", |sim| sim.running("j-000100") == 2);
-    // Normal work within a guarantee waits a while for others' to end.
+    sim.run_until(3_000, "service running", |sim| sim.running("j-000100") == 2);
+    // A job of normal priority within a guarantee first waits a while for other jobs
+    // to finish.
     let mut batch = job(101, Kind::Array, 2);
     batch.team = "u".into();
     sim.submit(batch);
-    sim.run_until(60_000, "the batch", |sim| sim.done("j-000101"));
+    sim.run_until(60_000, "batch done", |sim| sim.done("j-000101"));
     assert_eq!(sim.running("j-000100"), 2);
     sim.run(100_000);
-    assert!(sim.starts > 40, "guests go on in what is left");
+    assert!(sim.starts > 40, "guests keep using the remaining capacity");
     sim.assert_no_violations();
 }
 
-/// Guards against a pass over the fleet for each first report.
+/// Guards against a pass over the whole fleet for each machine's first heartbeat.
 #[test]
 fn first_heartbeats_cost_few_inspections_per_machine() {
-    let looks = |machines: u32| {
+    let inspections_per_machine = |machines: u32| {
         let mut leader_state = leader(9);
         load_machines(&mut leader_state, machines);
         leader_state.load_job(record(job(1, Kind::Service, 2 * machines)), 4, 0);
         leader_state.finish_loading(0);
         let before = leader_state.cluster.inspections();
-        for n in 0..machines {
+        for number in 0..machines {
             let report = serde_json::json!({
-                "post": format!("i-{n:06}"), "addr": "127.0.0.1:9", "rig": "m8", "hall": "a",
+                "post": format!("i-{number:06}"), "addr": "127.0.0.1:9", "rig": "m8", "hall": "a",
                 "lendback": false, "tenure": 1, "tick": 5, "baton": 9u64 << 20,
                 "reclaim_in_s": null, "pieces": [
-                    {"piece": format!("j-000001/{}", 2 * n), "try": 1, "stage": "running"},
-                    {"piece": format!("j-000001/{}", 2 * n + 1), "try": 1, "stage": "running"}]
+                    {"piece": format!("j-000001/{}", 2 * number), "try": 1, "stage": "running"},
+                    {"piece": format!("j-000001/{}", 2 * number + 1), "try": 1, "stage": "running"}]
             });
             let report = serde_json::from_value(report).unwrap();
             assert!(leader_state.on_heartbeat(&report, 1_000).is_some());
         }
-        let looked = leader_state.cluster.inspections() - before;
+        let inspections = leader_state.cluster.inspections() - before;
         leader_state.tick(1_050, 1_050);
         assert!(leader_state.settled());
         assert_eq!(
@@ -394,65 +427,69 @@
                 .running_count,
             2 * machines
         );
-        looked / u64::from(machines)
+        inspections / u64::from(machines)
     };
-    let (few, many) = (looks(20), looks(1_252));
-    assert_eq!(few, many);
+    let (small_fleet, large_fleet) = (inspections_per_machine(20), inspections_per_machine(1_252));
+    assert_eq!(small_fleet, large_fleet);
 }
 
-/// Guards against reports that are not answered, or tasks placed again, while
-/// one leader after the other ends before it has read the records.
+/// One leader after the other crashes, the second before it has loaded the
+/// records. Guards against heartbeats that stay unanswered, so that leases expire,
+/// and against running tasks that are placed again.
 #[test]
 fn successor_crash_while_loading_loses_nothing() {
     for seed in 72..76 {
         let mut sim = with_leader(seed, 6, 0.0, 600_000);
         sim.submit(job(1, Kind::Service, 10));
         sim.run_until(30_000, "running", |sim| sim.running("j-000001") == 10);
-        let starts = sim.starts;
+        let starts_before = sim.starts;
         sim.load_ms = 2_500;
         let first = sim.leader().unwrap();
         sim.crash(first, 20_000);
         let loading = |sim: &Simulation| {
-            let mut others = (0..3).filter(|i| *i != first);
-            others.find(|i| {
-                sim.nodes[*i]
+            let mut others = (0..3).filter(|node| *node != first);
+            others.find(|node| {
+                sim.nodes[*node]
                     .leader
                     .as_ref()
                     .is_some_and(|leader_state| !leader_state.loaded())
             })
         };
-        sim.run_until(8_000, "a second loads", |sim| loading(sim).is_some());
+        sim.run_until(8_000, "second loading", |sim| loading(sim).is_some());
         let second = loading(&sim).unwrap();
         sim.run(1_500);
         assert!(!sim.nodes[second].leader.as_ref().unwrap().loaded());
         sim.crash(second, 20_000);
-        sim.run_until(8_000, "a third leads", |sim| {
+        sim.run_until(8_000, "a third leader", |sim| {
             sim.leader()
                 .is_some_and(|node| node != first && node != second)
         });
         sim.run(15_000);
         assert_eq!(sim.running("j-000001"), 10, "seed {seed}");
-        assert_eq!(sim.starts, starts, "seed {seed}: nothing was started anew");
+        assert_eq!(
+            sim.starts, starts_before,
+            "seed {seed}: no task started again"
+        );
         sim.assert_no_violations();
     }
 }
 
-/// Guards against an estimate beyond all measure, in a record of an earlier
-/// version: what is added to the time of arrival for it must not pass the end
-/// of time. (At the door it is refused, as the settings now ask there.)
+/// A record of an earlier version holds an estimate of 1e300 s. Guards against an
+/// overflow when the estimate is added to the job's arrival time. A submission
+/// with such an estimate is refused, as the current request check bounds it.
 #[test]
-fn absurd_estimate_in_record_blocks_no_job() {
+fn oversized_estimate_in_record_blocks_no_job() {
     let mut sim = with_leader(76, 1, 0.0, 5_000);
-    let mut absurd = due(job(1, Kind::Array, 6));
-    absurd.estimate_s = 1e300;
-    let body = serde_json::to_vec(&absurd).unwrap();
+    let mut oversized = with_deadline(job(1, Kind::Array, 6));
+    oversized.estimate_s = 1e300;
+    let body = serde_json::to_vec(&oversized).unwrap();
     let leader = sim.leader().unwrap();
-    let refused = sim.request_now(leader, UserRequest::Malformed(absurd.id.clone(), body));
-    assert!(matches!(refused, Some(Answer::Refused(400, why)) if why.contains("expected_s")));
-    sim.accept_by_earlier_version(absurd);
+    let refused = sim.request_now(leader, UserRequest::Malformed(oversized.id.clone(), body));
+    assert!(matches!(refused, Some(Answer::Refused(400, reason)) if reason.contains("expected_s")));
+    sim.accept_by_earlier_version(oversized);
     sim.run(500);
-    sim.submit(due(job(2, Kind::Array, 2)));
-    sim.run_until(60_000, "both", |sim| {
+    sim.submit(with_deadline(job(2, Kind::Array, 2)));
+    sim.run_until(60_000, "both done", |sim| {
         sim.done("j-000001") && sim.done("j-000002")
     });
     sim.assert_no_violations();
