--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -1,5 +1,5 @@
-//! The choice of machines from kept rankings, against the plain method that
-//! looks at every machine for every task.
+//! Placement: the choice of machines from incrementally maintained rankings is
+//! compared with a full scan of all machines for every task.
 
 use pathwinch::{
     control::placement::{
@@ -26,12 +26,12 @@
     }
 }
 
-fn offer(of: (f64, f64, f64)) -> Resources {
-    Resources::offer(of.0, of.1, of.2)
+fn offer(capacity: (f64, f64, f64)) -> Resources {
+    Resources::offer(capacity.0, capacity.1, capacity.2)
 }
 
-/// A machine of one type that is in use.
-fn room(capacity: (f64, f64, f64), free: (f64, f64, f64)) -> MachineView {
+/// A machine of the first type and zone that is in use.
+fn machine_view(capacity: (f64, f64, f64), free: (f64, f64, f64)) -> MachineView {
     MachineView {
         type_ix: 0,
         zone: 0,
@@ -54,11 +54,11 @@
     }
 }
 
-/// The machine chosen among these for one task.
-fn chosen(rooms: &[MachineView], need: Resources) -> Option<u32> {
+/// Returns the machine that the fleet chooses for one task.
+fn chosen(machines: &[MachineView], need: Resources) -> Option<u32> {
     let mut fleet = Fleet::new(policy());
-    for (machine, room) in rooms.iter().enumerate() {
-        fleet.set(machine as u32, Some(room.clone()), 0);
+    for (machine, view) in machines.iter().enumerate() {
+        fleet.set(machine as u32, Some(view.clone()), 0);
     }
     let ranking = fleet.ranking(&request(need), 0);
     let choice = fleet.choose(ranking, |_| true, |_| false, |_, _| true);
@@ -69,28 +69,28 @@
 
 #[test]
 fn lightly_used_machine_is_preferred_over_better_fit() {
-    let busy = room(SMALL, (4.0, 2.0, 8.0));
-    let lazy = room(SMALL, SMALL);
-    let rooms = [busy.clone(), lazy];
-    assert_eq!(chosen(&rooms, Resources::need(4.0, 0.0, 8.0)), Some(1));
-    // Busy machines are still used when no Lazy one has room.
-    let full = room(SMALL, (0.5, 0.0, 1.0));
+    let busy = machine_view(SMALL, (4.0, 2.0, 8.0));
+    let lightly_used = machine_view(SMALL, SMALL);
+    let machines = [busy.clone(), lightly_used];
+    assert_eq!(chosen(&machines, Resources::need(4.0, 0.0, 8.0)), Some(1));
+    // Busy machines are still used when no lightly used machine has room.
+    let full = machine_view(SMALL, (0.5, 0.0, 1.0));
     assert_eq!(
         chosen(&[full, busy], Resources::need(2.0, 1.0, 4.0)),
         Some(1)
     );
-    let short = room(SMALL, (8.0, 4.0, 8.0));
-    assert_eq!(chosen(&[short], Resources::need(1.0, 0.0, 20.0)), None);
+    let low_memory = machine_view(SMALL, (8.0, 4.0, 8.0));
+    assert_eq!(chosen(&[low_memory], Resources::need(1.0, 0.0, 20.0)), None);
 }
 
 #[test]
 fn least_fragmented_machine_wins_and_cache_breaks_ties() {
-    // Taking CPUs from machine 0 strands its GPUs, from machine 1 not.
-    let a = room(SMALL, (5.5, 4.0, 32.0));
-    let b = room(SMALL, (8.0, 3.0, 32.0));
+    // Taking CPUs from machine 0 leaves its GPUs unusable, unlike on machine 1.
+    let machine_0 = machine_view(SMALL, (5.5, 4.0, 32.0));
+    let machine_1 = machine_view(SMALL, (8.0, 3.0, 32.0));
     let need = Resources::need(4.0, 0.0, 4.0);
-    assert_eq!(chosen(&[a, b], need), Some(1));
-    let plain = room(SMALL, SMALL);
+    assert_eq!(chosen(&[machine_0, machine_1], need), Some(1));
+    let plain = machine_view(SMALL, SMALL);
     let mut cached = plain.clone();
     cached.images.push(7);
     assert_eq!(chosen(&[plain, cached], need), Some(1));
@@ -98,120 +98,122 @@
 
 #[test]
 fn infeasible_shapes_do_not_count_as_fragmentation() {
-    let c = Resources::offer(8.0, 0.0, 32.0);
+    let capacity = Resources::offer(8.0, 0.0, 32.0);
     let shapes = [
         Resources::need(1.0, 1.0, 1.0),
         Resources::need(2.0, 0.0, 16.0),
     ];
-    // By memory, its main resource, 1 of the second shape fits, and it is
-    // valid; the GPU shape has ideal 0.
+    // Memory is the dominant resource of the second shape: its ideal count by memory
+    // is 1, and 1 fits. The GPU shape has an ideal count of 0 and is left out.
     assert_eq!(
-        fragmentation(&c, &Resources::offer(8.0, 0.0, 20.0), &shapes),
+        fragmentation(&capacity, &Resources::offer(8.0, 0.0, 20.0), &shapes),
         0.0
     );
     assert_eq!(
-        fragmentation(&c, &Resources::offer(1.0, 0.0, 32.0), &shapes),
+        fragmentation(&capacity, &Resources::offer(1.0, 0.0, 32.0), &shapes),
         1.0
     );
 }
 
-/// The plain method's view of a machine.
+/// A machine as the full scan sees it.
 #[derive(Clone)]
 struct Candidate {
     machine: u32,
-    room: MachineView,
+    view: MachineView,
     rank: u32,
     caches_image: bool,
 }
 
-/// Marks every usable machine for a request, as a pass did for each job.
-fn mark(
-    rooms: &[Option<MachineView>],
+/// Returns every usable machine with its rank for a request.
+fn find_candidates(
+    machines: &[Option<MachineView>],
     request: &Request,
-    failed: &[u32],
+    failed_on: &[u32],
     now: u64,
 ) -> Vec<Candidate> {
-    let mut out = Vec::new();
-    for (machine, room) in rooms.iter().enumerate() {
-        let Some(room) = room else { continue };
-        let caches_image = room.images.contains(&request.image);
-        let mut rank = request.type_ranks[room.type_ix][usize::from(room.spot)];
-        if !caches_image && request.late[room.type_ix] {
+    let mut candidates = Vec::new();
+    for (machine, view) in machines.iter().enumerate() {
+        let Some(view) = view else { continue };
+        let caches_image = view.images.contains(&request.image);
+        let mut rank = request.type_ranks[view.type_ix][usize::from(view.spot)];
+        if !caches_image && request.late[view.type_ix] {
             rank += 10_000;
         }
-        if failed.contains(&(machine as u32)) {
+        if failed_on.contains(&(machine as u32)) {
             rank += 1_000_000;
         }
-        let empty = room.free == room.capacity;
-        let surplus = empty && room.idle_since.is_some_and(|s| now >= s + SURPLUS);
+        let empty = view.free == view.capacity;
+        let surplus = empty && view.idle_since.is_some_and(|since| now >= since + SURPLUS);
         if surplus && !caches_image {
             rank += 1_000;
         }
-        out.push(Candidate {
+        candidates.push(Candidate {
             machine: machine as u32,
-            room: room.clone(),
+            view: view.clone(),
             rank,
             caches_image,
         });
     }
-    out
+    candidates
 }
 
-/// Looks at every candidate.
-fn choose_plainly(
+/// Returns the index of the best candidate by comparing all of them.
+fn choose_by_full_scan(
     candidates: &[Candidate],
     request: &Request,
     allowed: impl Fn(&Candidate) -> bool,
 ) -> Option<usize> {
     let policy = policy();
-    let key = |c: &Candidate| {
-        let after = c.room.free.minus(request.need);
+    let key = |candidate: &Candidate| {
+        let after = candidate.view.free.minus(request.need);
         (
-            c.rank,
-            load(&c.room.capacity, &c.room.free, policy.load) >= policy.threshold,
-            fragmentation(&c.room.capacity, &after, &policy.shapes),
-            !c.caches_image,
-            c.room.free.cpus,
+            candidate.rank,
+            load(&candidate.view.capacity, &candidate.view.free, policy.load) >= policy.threshold,
+            fragmentation(&candidate.view.capacity, &after, &policy.shapes),
+            !candidate.caches_image,
+            candidate.view.free.cpus,
         )
     };
     let mut best: Option<usize> = None;
-    for (at, c) in candidates.iter().enumerate() {
-        let kind_ok = request.types[c.room.type_ix] && (request.spot || !c.room.spot);
-        if !kind_ok || !request.need.fits(&c.room.free) || !allowed(c) {
+    for (index, candidate) in candidates.iter().enumerate() {
+        let is_eligible =
+            request.types[candidate.view.type_ix] && (request.spot || !candidate.view.spot);
+        if !is_eligible || !request.need.fits(&candidate.view.free) || !allowed(candidate) {
             continue;
         }
-        let better = best.is_none_or(|b| {
-            key(c).partial_cmp(&key(&candidates[b])) == Some(std::cmp::Ordering::Less)
+        let better = best.is_none_or(|best_index| {
+            key(candidate).partial_cmp(&key(&candidates[best_index]))
+                == Some(std::cmp::Ordering::Less)
         });
         if better {
-            best = Some(at);
+            best = Some(index);
         }
     }
     best
 }
 
-/// A fleet under drawn changes, with the rooms as they truly are.
-struct Drawn {
+/// A fleet under random changes, and the machines that it must reflect.
+struct RandomFleet {
     rng: fastrand::Rng,
-    rooms: Vec<Option<MachineView>>,
+    views: Vec<Option<MachineView>>,
     fleet: Fleet,
     now: u64,
 }
 
-impl Drawn {
+impl RandomFleet {
     fn new(seed: u64, machines: usize) -> Self {
-        let mut drawn = Drawn {
+        let mut random_fleet = RandomFleet {
             rng: fastrand::Rng::with_seed(seed),
-            rooms: vec![None; machines],
+            views: vec![None; machines],
             fleet: Fleet::new(policy()),
             now: 10_000,
         };
-        (0..machines).for_each(|machine| drawn.change(machine));
-        drawn
+        (0..machines).for_each(|machine| random_fleet.change_machine(machine));
+        random_fleet
     }
 
-    /// The machine is another one now, or gone, or partly in use.
-    fn change(&mut self, machine: usize) {
+    /// Replaces the machine by a random one: idle, partly in use or unusable.
+    fn change_machine(&mut self, machine: usize) {
         let rng = &mut self.rng;
         let type_ix = rng.usize(..2);
         let capacity = offer(CAPACITIES[type_ix]);
@@ -220,7 +222,7 @@
             _ => Resources::need(f64::from(rng.u32(..48)), 0.0, f64::from(rng.u32(..200))),
         };
         let free = capacity.minus(used);
-        let room = MachineView {
+        let view = MachineView {
             type_ix,
             zone: rng.usize(..ZONES),
             spot: rng.bool(),
@@ -230,9 +232,9 @@
             idle_since: (free == capacity).then(|| self.now - rng.u64(..6_000)),
         };
         let usable = rng.u32(..8) > 0;
-        self.rooms[machine] = usable.then_some(room);
+        self.views[machine] = usable.then_some(view);
         self.fleet
-            .set(machine as u32, self.rooms[machine].clone(), self.now);
+            .set(machine as u32, self.views[machine].clone(), self.now);
     }
 
     fn request(&mut self) -> Request {
@@ -248,45 +250,50 @@
         }
     }
 
-    /// Places up to so many tasks both ways; a gang only as a whole. Returns
-    /// how many were placed.
+    /// Places up to `tasks` tasks by ranking and by full scan, and checks that both
+    /// choose the same machines. A gang is placed as a whole or not at all. Returns
+    /// the number of placed tasks.
     fn place(&mut self, tasks: usize, gang: bool) -> usize {
         let request = self.request();
-        let failed: Vec<u32> = (0..self.rng.usize(..3))
-            .map(|_| self.rng.u32(..self.rooms.len() as u32))
+        let failed_on: Vec<u32> = (0..self.rng.usize(..3))
+            .map(|_| self.rng.u32(..self.views.len() as u32))
             .collect();
-        let refuses = self.rng.u32(..self.rooms.len() as u32);
-        let only = (self.rng.u32(..3) == 0).then(|| self.rng.usize(..ZONES));
-        let zone_ok = |zone: usize| only.is_none_or(|o| o == zone);
+        let refusing_machine = self.rng.u32(..self.views.len() as u32);
+        let only_zone = (self.rng.u32(..3) == 0).then(|| self.rng.usize(..ZONES));
+        let zone_ok = |zone: usize| only_zone.is_none_or(|only| only == zone);
         self.fleet.advance(self.now);
         let ranking = self.fleet.ranking(&request, self.now);
-        let mut candidates = mark(&self.rooms, &request, &failed, self.now);
-        let (mut taken, mut chosen) = (Vec::new(), Vec::new());
+        let mut candidates = find_candidates(&self.views, &request, &failed_on, self.now);
+        let (mut trial, mut chosen) = (Vec::new(), Vec::new());
         for _ in 0..tasks {
-            let plain = choose_plainly(&candidates, &request, |c| {
-                zone_ok(c.room.zone) && c.machine != refuses
+            let expected = choose_by_full_scan(&candidates, &request, |candidate| {
+                zone_ok(candidate.view.zone) && candidate.machine != refusing_machine
             });
-            let found = self.fleet.choose(
+            let choice = self.fleet.choose(
                 ranking,
                 zone_ok,
-                |machine| failed.contains(&machine),
-                |machine, _| machine != refuses,
+                |machine| failed_on.contains(&machine),
+                |machine, _| machine != refusing_machine,
             );
-            let plain_machine = plain.map(|at| candidates[at].machine);
-            assert_eq!(found.map(|c| c.machine), plain_machine, "{request:?}");
-            let (Some(at), Some(found)) = (plain, found) else {
+            let expected_machine = expected.map(|index| candidates[index].machine);
+            assert_eq!(
+                choice.map(|best| best.machine),
+                expected_machine,
+                "{request:?}"
+            );
+            let (Some(index), Some(choice)) = (expected, choice) else {
                 break;
             };
-            let c = &candidates[at];
-            assert_eq!(found.zone, c.room.zone);
-            let late = !c.caches_image && request.late[c.room.type_ix];
-            assert_eq!(found.late, late);
-            candidates[at].room.free -= request.need;
-            taken.push(self.fleet.take(ranking, found.machine));
-            chosen.push(found.machine);
+            let candidate = &candidates[index];
+            assert_eq!(choice.zone, candidate.view.zone);
+            let late = !candidate.caches_image && request.late[candidate.view.type_ix];
+            assert_eq!(choice.late, late);
+            candidates[index].view.free -= request.need;
+            trial.push(self.fleet.take(ranking, choice.machine));
+            chosen.push(choice.machine);
         }
         if gang && chosen.len() < tasks {
-            self.fleet.give_back(ranking, taken);
+            self.fleet.give_back(ranking, trial);
             return 0;
         }
         for machine in &chosen {
@@ -295,79 +302,80 @@
         chosen.len()
     }
 
-    /// The task is there now: its image too, and the machine is in use.
+    /// Records a started task: its capacity is taken, its image is cached, and the
+    /// machine is no longer idle.
     fn start(&mut self, machine: u32, request: &Request) {
-        let Some(room) = &mut self.rooms[machine as usize] else {
-            panic!("{machine} is not usable");
+        let Some(view) = &mut self.views[machine as usize] else {
+            panic!("machine {machine} is not usable");
         };
-        room.free -= request.need;
-        room.idle_since = None;
-        if !room.images.contains(&request.image) {
-            room.images.push(request.image);
+        view.free -= request.need;
+        view.idle_since = None;
+        if !view.images.contains(&request.image) {
+            view.images.push(request.image);
         }
-        self.fleet.set(machine, Some(room.clone()), self.now);
+        self.fleet.set(machine, Some(view.clone()), self.now);
     }
 }
 
 #[test]
 fn rankings_choose_same_machine_as_full_scan() {
-    let (mut placed, mut gangs) = (0, 0);
+    let (mut placed_tasks, mut placed_gangs) = (0, 0);
     for seed in 0..60 {
-        let mut drawn = Drawn::new(seed, 5 + seed as usize);
+        let mut random_fleet = RandomFleet::new(seed, 5 + seed as usize);
         for _ in 0..40 {
-            drawn.now += drawn.rng.u64(..2_000);
-            for _ in 0..drawn.rng.usize(..4) {
-                let machine = drawn.rng.usize(..drawn.rooms.len());
-                drawn.change(machine);
+            random_fleet.now += random_fleet.rng.u64(..2_000);
+            for _ in 0..random_fleet.rng.usize(..4) {
+                let machine = random_fleet.rng.usize(..random_fleet.views.len());
+                random_fleet.change_machine(machine);
             }
-            let tasks = drawn.rng.usize(1..20);
-            if drawn.rng.bool() {
-                placed += drawn.place(tasks, false);
+            let tasks = random_fleet.rng.usize(1..20);
+            if random_fleet.rng.bool() {
+                placed_tasks += random_fleet.place(tasks, false);
             } else {
-                gangs += usize::from(drawn.place(tasks, true) > 0);
+                placed_gangs += usize::from(random_fleet.place(tasks, true) > 0);
             }
         }
     }
     assert!(
-        placed > 3_000 && gangs > 150,
-        "{placed} tasks, {gangs} gangs"
+        placed_tasks > 3_000 && placed_gangs > 150,
+        "{placed_tasks} tasks, {placed_gangs} gangs"
     );
 }
 
-/// Guards against rankings that miss what changed while they were not used.
+/// Guards against rankings that miss changes made while they were not used.
 #[test]
 fn stale_ranking_is_rebuilt() {
     let mut fleet = Fleet::new(policy());
     let wanted = request(Resources::need(2.0, 0.0, 4.0));
     for machine in 0..100 {
-        fleet.set(machine, Some(room(SMALL, SMALL)), 0);
+        fleet.set(machine, Some(machine_view(SMALL, SMALL)), 0);
     }
     fleet.ranking(&wanted, 0);
     for round in 0..50u32 {
         for machine in 0..100 {
             let free = (f64::from(machine % 7 + round % 2), 0.0, 32.0);
-            fleet.set(machine, Some(room(SMALL, free)), 0);
+            fleet.set(machine, Some(machine_view(SMALL, free)), 0);
         }
     }
     fleet.set(42, None, 0);
     let ranking = fleet.ranking(&wanted, 0);
-    let with_room: Vec<u32> = fleet
+    let expected: Vec<u32> = fleet
         .machine_views()
-        .filter(|(_, r)| wanted.need.fits(&r.free))
+        .filter(|(_, view)| wanted.need.fits(&view.free))
         .map(|(machine, _)| machine)
         .collect();
-    assert_eq!(fleet.ranked(ranking, |_| true), with_room);
-    assert!(!with_room.contains(&42) && with_room.len() > 50);
+    assert_eq!(fleet.ranked(ranking, |_| true), expected);
+    assert!(!expected.contains(&42) && expected.len() > 50);
 }
 
 #[test]
 fn gang_reservation_hides_capacity_until_released() {
     let mut fleet = Fleet::new(policy());
     let need = Resources::need(4.0, 0.0, 4.0);
-    fleet.set(0, Some(room(SMALL, SMALL)), 0);
+    fleet.set(0, Some(machine_view(SMALL, SMALL)), 0);
     fleet.withhold(0, need.scaled(2));
-    // A look at the machine as it is gives nothing back.
-    fleet.set(0, Some(room(SMALL, SMALL)), 0);
+    // An update of the machine does not release the withheld capacity.
+    fleet.set(0, Some(machine_view(SMALL, SMALL)), 0);
     assert!(!fleet.may_fit(&need, |_, _, _| true));
     let ranking = fleet.ranking(&request(need), 0);
     assert_eq!(
