--- a/tests/placement_scenarios.rs
+++ b/tests/placement_scenarios.rs
@@ -1,6 +1,6 @@
-//! Scenarios of placement under failures, against a simulated cluster: quotas,
-//! zone constraints, preemption, gangs, scale-out, the reasons that operators see,
-//! and the cost of a scheduling cycle.
+//! Placement under failures in a simulated cluster: quotas, zone constraints,
+//! preemption, gangs, scale-out, the reasons for waiting that operators see, and
+//! the cost of a scheduling cycle.
 
 mod simulation;
 
@@ -18,21 +18,21 @@
 #[test]
 fn team_quota_holds_across_failover() {
     let mut sim = Simulation::with_leader(11, 6, 16.0);
-    for n in 1..8 {
-        sim.submit(job(n, Kind::Array, 3));
+    for number in 1..8 {
+        sim.submit(job(number, Kind::Array, 3));
     }
     sim.run(4_000);
     for round in 0..4 {
-        if let Some(old) = sim.leader() {
-            sim.crash(old, 3_000);
+        if let Some(old_leader) = sim.leader() {
+            sim.crash(old_leader, 3_000);
         }
-        let cut = round % 6;
-        sim.workers[cut].net = Net::Hold;
+        let partitioned = round % 6;
+        sim.workers[partitioned].net = Net::Hold;
         sim.run(14_000);
-        sim.restore_network(cut);
+        sim.restore_network(partitioned);
     }
     sim.run_until(120_000, "all done", |sim| {
-        (1..8).all(|n| sim.done(&format!("j-{n:06}")))
+        (1..8).all(|number| sim.done(&format!("j-{number:06}")))
     });
     sim.assert_no_violations();
 }
@@ -43,16 +43,16 @@
         let mut sim = Simulation::with_leader(15, 3, limit);
         sim.submit(job(1, Kind::Service, 2));
         sim.run_until(20_000, "running", |sim| sim.running("j-000001") == 2);
-        let old = sim.leader().unwrap();
-        let silent = sim
+        let old_leader = sim.leader().unwrap();
+        let unresponsive = sim
             .workers
             .iter()
-            .position(|m| !m.tasks.is_empty())
+            .position(|machine| !machine.tasks.is_empty())
             .unwrap();
-        sim.workers[silent].net = Net::Hold;
-        sim.crash(old, 30_000);
-        sim.run_until(10_000, "another leads", |sim| {
-            sim.leader().is_some_and(|node| node != old)
+        sim.workers[unresponsive].net = Net::Hold;
+        sim.crash(old_leader, 30_000);
+        sim.run_until(10_000, "another leader", |sim| {
+            sim.leader().is_some_and(|node| node != old_leader)
         });
         sim.submit(job(2, Kind::Service, 2));
         sim.run(3_000);
@@ -65,38 +65,48 @@
 #[test]
 fn unresponsive_spot_machine_blocks_no_on_demand_job() {
     let mut sim = Simulation::with_leader(20, 3, 0.0);
-    let spot = sim.workers.len();
+    let spot_machine = sim.workers.len();
     sim.add_worker("a", true, 0);
     sim.run(3_000);
-    let mut service = job(1, Kind::Service, 4);
-    service.spot = false;
-    let mut batch = job(2, Kind::Service, 4);
-    batch.spot = true;
-    sim.submit(service);
-    sim.submit(batch);
+    let mut on_demand_service = job(1, Kind::Service, 4);
+    on_demand_service.spot = false;
+    let mut spot_service = job(2, Kind::Service, 4);
+    spot_service.spot = true;
+    sim.submit(on_demand_service);
+    sim.submit(spot_service);
     sim.run_until(20_000, "running", |sim| {
         sim.running("j-000001") == 4 && sim.running("j-000002") == 4
     });
-    // The spot machine falls unresponsive and another dies with the leader.
-    let dies = sim
+    // The spot machine becomes unresponsive, and another machine fails together with
+    // the leader.
+    let failing_machine = sim
         .workers
         .iter()
-        .position(|m| m.tasks.iter().any(|t| t.name.starts_with("j-000001")))
+        .position(|machine| {
+            machine
+                .tasks
+                .iter()
+                .any(|task| task.name.starts_with("j-000001"))
+        })
         .unwrap();
-    sim.workers[spot].net = Net::Hold;
-    sim.workers[dies].incarnation += 1;
-    sim.workers[dies].tasks.clear();
-    let old = sim.leader().unwrap();
-    sim.crash(old, 30_000);
-    sim.run_until(10_000, "another leads", |sim| {
-        sim.leader().is_some_and(|node| node != old)
+    sim.workers[spot_machine].net = Net::Hold;
+    sim.workers[failing_machine].incarnation += 1;
+    sim.workers[failing_machine].tasks.clear();
+    let old_leader = sim.leader().unwrap();
+    sim.crash(old_leader, 30_000);
+    sim.run_until(10_000, "another leader", |sim| {
+        sim.leader().is_some_and(|node| node != old_leader)
     });
     sim.run(3_000);
-    let i = sim.leader().unwrap();
-    assert!(!sim.nodes[i].leader.as_ref().unwrap().settled());
-    assert_eq!(sim.running("j-000001"), 4, "placed again at once");
+    let leader = sim.leader().unwrap();
+    assert!(!sim.nodes[leader].leader.as_ref().unwrap().settled());
+    assert_eq!(
+        sim.running("j-000001"),
+        4,
+        "tasks of the failed machine run again"
+    );
     sim.run(20_000);
-    sim.restore_network(spot);
+    sim.restore_network(spot_machine);
     sim.run(10_000);
     sim.assert_no_violations();
 }
@@ -113,10 +123,18 @@
     sim.run_until(3_000, "the service runs", |sim| {
         sim.running("j-000002") == 1
     });
-    assert_eq!(sim.running("j-000001"), 1, "one task made room, not both");
-    let i = sim.leader().unwrap();
-    let model = &sim.nodes[i].leader.as_ref().unwrap().cluster;
-    assert!(model.each_machine().all(|m| m.reserved_for.is_none()));
+    assert_eq!(
+        sim.running("j-000001"),
+        1,
+        "one task was preempted, not both"
+    );
+    let leader = sim.leader().unwrap();
+    let cluster = &sim.nodes[leader].leader.as_ref().unwrap().cluster;
+    assert!(
+        cluster
+            .each_machine()
+            .all(|machine| machine.reserved_for.is_none())
+    );
     sim.assert_no_violations();
 }
 
@@ -125,21 +143,25 @@
     let mut sim = Simulation::with_leader(18, 2, 0.0);
     sim.run_ms = 600_000;
     sim.submit(job(1, Kind::Array, 6));
-    sim.run_until(10_000, "the first team holds all", |sim| {
+    sim.run_until(10_000, "the first team uses all capacity", |sim| {
         sim.running("j-000001") == 4
     });
     sim.run(30_000);
-    let mut own = job(2, Kind::Array, 2);
-    own.team = "u".into();
-    sim.submit(own);
+    let mut guaranteed = job(2, Kind::Array, 2);
+    guaranteed.team = "u".into();
+    sim.submit(guaranteed);
     sim.run_until(20_000, "the second team runs", |sim| {
         sim.running("j-000002") == 2
     });
-    assert_eq!(sim.running("j-000001"), 2, "the first keeps its guarantee");
-    // Beyond its guarantee it gets no more that way.
-    let mut more = job(3, Kind::Array, 1);
-    more.team = "u".into();
-    sim.submit(more);
+    assert_eq!(
+        sim.running("j-000001"),
+        2,
+        "the first team keeps its guarantee"
+    );
+    // Above its guarantee, the second team preempts no tasks.
+    let mut above_guarantee = job(3, Kind::Array, 1);
+    above_guarantee.team = "u".into();
+    sim.submit(above_guarantee);
     sim.run(60_000);
     assert_eq!(sim.running("j-000003"), 0);
     sim.assert_no_violations();
@@ -157,16 +179,16 @@
     sim.run_until(30_000, "running", |sim| {
         sim.running("j-000001") == 4 && sim.running("j-000002") == 3
     });
-    for cut in 0..8 {
-        sim.workers[cut].net = Net::Hold;
+    for partitioned in 0..8 {
+        sim.workers[partitioned].net = Net::Hold;
         sim.run(7_000);
-        if cut % 3 == 2
+        if partitioned % 3 == 2
             && let Some(leader) = sim.leader()
         {
             sim.crash(leader, 3_000);
         }
         sim.run(9_000);
-        sim.restore_network(cut);
+        sim.restore_network(partitioned);
     }
     sim.run_until(40_000, "running again", |sim| {
         sim.running("j-000001") == 4 && sim.running("j-000002") == 3
@@ -183,15 +205,15 @@
     let lost = sim
         .workers
         .iter()
-        .position(|m| !m.tasks.is_empty())
+        .position(|machine| !machine.tasks.is_empty())
         .unwrap();
     sim.workers[lost].net = Net::Lose;
     sim.run(30_000);
     let attempts: std::collections::BTreeSet<u64> = sim
         .workers
         .iter()
-        .flat_map(|m| &m.tasks)
-        .map(|t| t.attempt)
+        .flat_map(|machine| &machine.tasks)
+        .map(|task| task.attempt)
         .collect();
     assert!(attempts.len() <= 1, "two attempts at once: {attempts:?}");
     sim.assert_no_violations();
@@ -208,21 +230,22 @@
     sim.run_until(20_000, "up", |sim| sim.running("j-000001") == 2);
     sim.submit(job(2, Kind::Array, 20));
     sim.run_until(20_000, "full", |sim| sim.running("j-000002") == 4);
-    let lost: Vec<usize> = (0..3)
-        .filter(|i| {
-            let mut tasks = sim.workers[*i].tasks.iter();
-            tasks.any(|t| t.name.starts_with("j-000001"))
+    let lost_machines: Vec<usize> = (0..3)
+        .filter(|machine| {
+            let mut tasks = sim.workers[*machine].tasks.iter();
+            tasks.any(|task| task.name.starts_with("j-000001"))
         })
         .collect();
-    for i in lost {
-        sim.workers[i].net = Net::Lose;
+    for machine in lost_machines {
+        sim.workers[machine].net = Net::Lose;
     }
-    // Its lease has to expire; a fetch and two reports come on top.
-    sim.run_until(LEASE + 4_000, "up again elsewhere", |sim| {
-        let there = sim.workers.iter().filter(|m| m.net == Net::Up);
-        let tasks = there.flat_map(|m| &m.tasks);
-        let up = tasks.filter(|t| t.name.starts_with("j-000001"));
-        up.filter(|t| t.state == TaskState::Running).count() == 2
+    // The machines' leases must expire first; an image fetch and two heartbeats take
+    // up to 4 s more.
+    sim.run_until(LEASE + 4_000, "service running elsewhere", |sim| {
+        let reachable = sim.workers.iter().filter(|worker| worker.net == Net::Up);
+        let tasks = reachable.flat_map(|worker| &worker.tasks);
+        let up = tasks.filter(|task| task.name.starts_with("j-000001"));
+        up.filter(|task| task.state == TaskState::Running).count() == 2
     });
     sim.assert_no_violations();
 }
@@ -234,20 +257,26 @@
     sim.run_ms = 60_000;
     let mut batch = job(1, Kind::Array, 60);
     batch.zone = Some("b".into());
-    let in_b: Vec<usize> = (0..8).filter(|i| sim.workers[*i].zone == "b").collect();
+    let zone_b_machines: Vec<usize> = (0..8)
+        .filter(|machine| sim.workers[*machine].zone == "b")
+        .collect();
     sim.run(3_000);
-    for i in &in_b {
-        sim.workers[*i].net = Net::Hold;
+    for machine in &zone_b_machines {
+        sim.workers[*machine].net = Net::Hold;
     }
     sim.run(5_000);
     sim.submit(batch);
     sim.run(30_000);
-    assert_eq!(sim.workers.len(), 8, "rented where nothing is heard");
-    // A controller there answers again.
-    let (i, now) = (sim.leader().unwrap(), sim.now);
-    let leader = sim.nodes[i].leader.as_mut().unwrap();
-    leader.controller_responded("b", now);
-    sim.run_until(10_000, "rented again", |sim| sim.workers.len() > 8);
+    assert_eq!(
+        sim.workers.len(),
+        8,
+        "machine rented in the unreachable zone"
+    );
+    // A controller in the zone answers again.
+    let (leader, now) = (sim.leader().unwrap(), sim.now);
+    let leader_state = sim.nodes[leader].leader.as_mut().unwrap();
+    leader_state.controller_responded("b", now);
+    sim.run_until(10_000, "machine rented", |sim| sim.workers.len() > 8);
     sim.assert_no_violations();
 }
 
@@ -259,12 +288,17 @@
     }
     sim.run(5_000);
     sim.submit(whole_machines(1, 4));
-    // Not an array, so that preemption can't make up for what it takes.
+    // A service rather than an array: the gang can't preempt its tasks to get the
+    // machines back.
     let mut small = job(2, Kind::Service, 6);
     small.priority = Priority::Low;
     sim.submit(small);
     sim.run(10_000);
-    assert_eq!(sim.running("j-000002"), 0, "the machines are the gang's");
+    assert_eq!(
+        sim.running("j-000002"),
+        0,
+        "the machines are reserved for the gang"
+    );
     sim.add_worker("a", false, 0);
     sim.run_until(10_000, "the gang runs", |sim| sim.running("j-000001") == 4);
     sim.assert_no_violations();
@@ -291,24 +325,28 @@
     let lost = sim
         .workers
         .iter()
-        .position(|m| !m.tasks.is_empty())
+        .position(|machine| !machine.tasks.is_empty())
         .unwrap();
     sim.workers[lost].net = Net::Lose;
-    sim.run_until(60_000, "running whole", |sim| sim.running("j-000001") == 6);
+    sim.run_until(60_000, "all running", |sim| sim.running("j-000001") == 6);
     let attempts: std::collections::BTreeSet<u64> = sim
         .workers
         .iter()
-        .flat_map(|m| &m.tasks)
-        .map(|t| t.attempt)
+        .flat_map(|machine| &machine.tasks)
+        .map(|task| task.attempt)
         .collect();
-    assert_eq!(attempts.len(), 1, "the others waited on");
+    assert_eq!(attempts.len(), 1, "the other tasks kept their attempt");
     assert_eq!(sim.starts, 6);
     sim.assert_no_violations();
 }
 
 fn reason(sim: &mut Simulation, id: &str) -> Option<PendingReason> {
-    let i = sim.leader()?;
-    sim.nodes[i].leader.as_ref()?.explain(id, sim.now)?.reason
+    let leader = sim.leader()?;
+    sim.nodes[leader]
+        .leader
+        .as_ref()?
+        .explain(id, sim.now)?
+        .reason
 }
 
 #[test]
@@ -325,26 +363,30 @@
         reason(&mut sim, "j-000002"),
         Some(PendingReason::GangIncomplete)
     );
-    let mut late = job(3, Kind::Array, 2);
-    late.team = "u".into();
-    late.deadline_s = Some(5.0);
-    sim.submit(late);
+    let mut late_batch = job(3, Kind::Array, 2);
+    late_batch.team = "u".into();
+    late_batch.deadline_s = Some(5.0);
+    sim.submit(late_batch);
     sim.run(3_000);
     let mut service = job(4, Kind::Service, 1);
     service.team = "u".into();
     sim.submit(service);
-    sim.run_until(15_000, "refused machines", |sim| {
+    sim.run_until(15_000, "cloud refusal reported", |sim| {
         reason(sim, "j-000004") == Some(PendingReason::CloudRefuses)
     });
     sim.run(5_000);
-    // One of the batch runs, and nothing is rented for the other any more.
+    // One task of the batch runs, and no machine is requested for the other any more.
     assert_eq!(reason(&mut sim, "j-000003"), Some(PendingReason::NoRoom));
-    let i = sim.leader().unwrap();
+    let leader = sim.leader().unwrap();
     let now = sim.now;
-    let picture = sim.nodes[i].leader.as_ref().unwrap().picture(now);
-    let group = picture.groups.iter().find(|g| g.team == "u").unwrap();
+    let picture = sim.nodes[leader].leader.as_ref().unwrap().picture(now);
+    let group = picture
+        .groups
+        .iter()
+        .find(|group| group.team == "u")
+        .unwrap();
     assert_eq!((group.waiting, group.late_jobs), (2, 1));
-    assert_eq!(picture.fleet.iter().map(|f| f.up).sum::<u32>(), 2);
+    assert_eq!(picture.fleet.iter().map(|entry| entry.up).sum::<u32>(), 2);
     sim.assert_no_violations();
 }
 
@@ -355,48 +397,54 @@
     sim.submit(job(1, Kind::Array, 5));
     sim.run_until(10_000, "two run", |sim| sim.running("j-000001") == 2);
     assert_eq!(reason(&mut sim, "j-000001"), Some(PendingReason::TeamLimit));
-    let old = sim.leader().unwrap();
-    let silent = sim.workers.iter().position(|m| m.tasks.is_empty()).unwrap();
-    sim.workers[silent].net = Net::Lose;
+    let old_leader = sim.leader().unwrap();
+    let unresponsive = sim
+        .workers
+        .iter()
+        .position(|machine| machine.tasks.is_empty())
+        .unwrap();
+    sim.workers[unresponsive].net = Net::Lose;
     sim.drop_standbys();
-    sim.crash(old, 3_000);
+    sim.crash(old_leader, 3_000);
     sim.run_until(10_000, "a new leader", |sim| {
-        sim.leader().is_some_and(|i| i != old)
+        sim.leader().is_some_and(|leader| leader != old_leader)
     });
     sim.run(2_000);
     assert_eq!(reason(&mut sim, "j-000001"), Some(PendingReason::Settling));
     sim.assert_no_violations();
 }
 
-/// Machines looked at while 50 reports without news come in, and per machine
-/// while a full fleet is passed over with many kinds of jobs waiting.
-fn inspections(machines: usize) -> (u64, f64) {
+/// Returns the number of machine inspections caused by 50 heartbeats without
+/// changes, and the number of inspections per machine in one scheduling cycle over
+/// a full fleet with 60 waiting jobs of different sizes.
+fn count_inspections(machines: usize) -> (u64, f64) {
     let mut sim = Simulation::with_leader(24, machines, 0.0);
     sim.run_ms = 600_000;
     sim.run(3_000);
     sim.submit(job(1, Kind::Array, 2 * machines as u32));
-    let all = 2 * machines;
-    sim.run_until(20_000, "full", |sim| sim.running("j-000001") == all);
-    for n in 2..62 {
-        // Each of a size of its own, so that none speaks for another.
-        let mut waits = job(n, Kind::Array, 3);
-        waits.memory_gb += f64::from(n) / 100.0;
-        sim.submit(waits);
+    let task_count = 2 * machines;
+    sim.run_until(20_000, "full", |sim| sim.running("j-000001") == task_count);
+    for number in 2..62 {
+        // Each job needs a different amount of memory, so that no result of one job can
+        // be reused for another.
+        let mut waiting = job(number, Kind::Array, 3);
+        waiting.memory_gb += f64::from(number) / 100.0;
+        sim.submit(waiting);
     }
     sim.run(3_000);
-    let (i, now) = (sim.leader().unwrap(), sim.now);
-    let report = sim.heartbeat_of(0);
-    let leader_state = sim.nodes[i].leader.as_mut().unwrap();
-    let before = leader_state.cluster.inspections();
-    for n in 1..=50 {
-        let mut again = report.clone();
-        again.seq += n;
-        assert!(leader_state.on_heartbeat(&again, now).is_some());
+    let (leader, now) = (sim.leader().unwrap(), sim.now);
+    let heartbeat = sim.heartbeat_of(0);
+    let leader_state = sim.nodes[leader].leader.as_mut().unwrap();
+    let inspections_before = leader_state.cluster.inspections();
+    for number in 1..=50 {
+        let mut next_heartbeat = heartbeat.clone();
+        next_heartbeat.seq += number;
+        assert!(leader_state.on_heartbeat(&next_heartbeat, now).is_some());
     }
-    let reports = leader_state.cluster.inspections() - before;
+    let heartbeat_inspections = leader_state.cluster.inspections() - inspections_before;
     let job = leader_state.cluster.job_handle("j-000002").unwrap();
-    let before = leader_state.cluster.inspections();
-    // Something changed: the next tick is a whole pass.
+    let inspections_before = leader_state.cluster.inspections();
+    // Reports a change, so that the next tick runs a full scheduling cycle.
     leader_state.reconciled(&WritePlan {
         txn: Txn::default(),
         intents: Vec::new(),
@@ -406,16 +454,26 @@
         leader_state
             .cluster
             .job(job)
-            .is_some_and(|j| j.waiting_count() == 3)
+            .is_some_and(|job| job.waiting_count() == 3)
     );
-    let pass = leader_state.cluster.inspections() - before;
-    (reports, pass as f64 / machines as f64)
+    let cycle_inspections = leader_state.cluster.inspections() - inspections_before;
+    (
+        heartbeat_inspections,
+        cycle_inspections as f64 / machines as f64,
+    )
 }
 
 #[test]
 fn heartbeat_and_cycle_cost_is_independent_of_fleet() {
-    let (small, large) = (inspections(20), inspections(200));
-    assert_eq!(small.0, large.0, "a report touches its machine alone");
-    // A pass looks at each machine a few times, however many jobs wait.
-    assert!(large.1 < 20.0, "{} looks at each machine", large.1);
+    let (small_fleet, large_fleet) = (count_inspections(20), count_inspections(200));
+    assert_eq!(
+        small_fleet.0, large_fleet.0,
+        "a heartbeat inspects only its machine"
+    );
+    // A cycle inspects each machine a few times, however many jobs wait.
+    assert!(
+        large_fleet.1 < 20.0,
+        "{} inspections per machine",
+        large_fleet.1
+    );
 }
