--- a/tests/request_starvation.rs
+++ b/tests/request_starvation.rs
@@ -1,5 +1,6 @@
-//! Requests to the state service run short: acceptances without end, lookups of a
-//! large takeover and polls compete for them. The shares are the product's own.
+//! A rate limit on the state service's requests: submissions, the lookups of
+//! dependencies after a failover, and polls compete for it. The limit is divided
+//! by the product's own request budgets.
 
 mod simulation;
 
@@ -13,10 +14,11 @@
 use simulation::{CANCEL, Simulation, UserRequest, dependent, id, job};
 use std::collections::BTreeMap;
 
-/// Jobs that were over before the takeover: the first so many numbers.
-const OVER: u32 = 300;
-/// Those of which the number divides by this were cancelled.
-const CANCELLED_EACH: u32 = 10;
+/// Number of jobs, from number 1 on, that are final before the failover.
+const FINISHED_JOBS: u32 = 300;
+/// Every such job whose number is a multiple of this was cancelled; the others are
+/// done.
+const CANCELLED_INTERVAL: u32 = 10;
 
 fn put(sim: &mut Simulation, key: String, value: serde_json::Value) {
     let write = Write::Put {
@@ -31,50 +33,52 @@
     sim.store.apply(&txn).unwrap();
 }
 
-fn is_cancelled(n: u32) -> bool {
-    n.is_multiple_of(CANCELLED_EACH)
+fn is_cancelled(number: u32) -> bool {
+    number.is_multiple_of(CANCELLED_INTERVAL)
 }
 
-fn record_end(sim: &mut Simulation, n: u32) {
-    let state = match is_cancelled(n) {
+fn record_final_state(sim: &mut Simulation, number: u32) {
+    let state = match is_cancelled(number) {
         true => JobState::Cancelled,
         false => JobState::Done,
     };
     let record = FinalRecord { state, done: 0 };
     let value = serde_json::to_value(record).unwrap();
-    put(sim, records::final_key(&id(n)), value);
-    sim.know_job(job(n, Kind::Array, 1), Some(state));
+    put(sim, records::final_key(&id(number)), value);
+    sim.know_job(job(number, Kind::Array, 1), Some(state));
 }
 
-fn record_job(sim: &mut Simulation, spec: JobSpec) {
+fn record_waiting_job(sim: &mut Simulation, spec: JobSpec) {
     let record = JobRecord::new(spec.clone(), sim.now).stored();
     put(sim, records::job_key(&spec.id), record);
     sim.know_job(spec, None);
 }
 
-/// One more job for each that is over, which depends on it. The leader that knew how
-/// those ended is gone; the next one has to look all of them up.
-fn takeover(seed: u64, nodes: usize, per_s: f64) -> Simulation {
+/// A cluster after a failover in which each finished job has one dependent. The old
+/// leader knew the final states of the dependencies; the new leader has to look up
+/// all of them, at `requests_per_s` requests to the state service.
+fn with_unread_dependencies(seed: u64, nodes: usize, requests_per_s: f64) -> Simulation {
     let mut sim = Simulation::with_nodes(seed, 3, 0.0, nodes);
     sim.run_ms = 1_000;
     sim.run_until(10_000, "a leader", |sim| sim.leader().is_some());
-    for n in 1..=OVER {
-        record_end(&mut sim, n);
-        record_job(&mut sim, dependent(OVER + n, 1, &[n]));
+    for number in 1..=FINISHED_JOBS {
+        record_final_state(&mut sim, number);
+        record_waiting_job(&mut sim, dependent(FINISHED_JOBS + number, 1, &[number]));
     }
-    sim.limit_request_rate(per_s);
+    sim.limit_request_rate(requests_per_s);
     let leader = sim.leader().unwrap();
     sim.crash(leader, 3_000);
-    sim.run_until(30_000, "a leader again", |sim| sim.leader().is_some());
+    sim.run_until(30_000, "a new leader", |sim| sim.leader().is_some());
     sim
 }
 
-/// Users submit several times as much as the state service allows. Each needs a read
-/// at the leader before it is refused.
-fn submit_without_end(sim: &mut Simulation, per_s: f64) {
+/// Submits, in each step, as many jobs as the state service allows requests in that
+/// time. Each submission costs the leader a read before it is refused, as its team
+/// is unknown.
+fn submit_over_limit(sim: &mut Simulation, requests_per_s: f64) {
     let mut spec = job(900_000, Kind::Array, 1);
     spec.team = "nobody".into();
-    let each_step = (per_s / 20.0).ceil() as usize;
+    let each_step = (requests_per_s / 20.0).ceil() as usize;
     for _ in 0..each_step {
         if let Some(leader) = sim.leader() {
             sim.request_now(leader, UserRequest::submit(&spec));
@@ -82,47 +86,52 @@
     }
 }
 
-fn unread_ms(sim: &mut Simulation) -> u64 {
+fn dependencies_unread_ms(sim: &mut Simulation) -> u64 {
     let now = sim.now;
     let leader = sim.leader().and_then(|i| sim.nodes[i].leader.as_ref());
     leader.map_or(0, |leader_state| leader_state.dependencies_unread_ms(now))
 }
 
-/// Guards against dependencies that stay unread for whole terms, as acceptances and
-/// polls use up all requests: jobs that are ready don't start, and jobs that are to be
-/// cancelled are called queued.
+/// Guards against dependencies that stay unread for whole terms because submissions
+/// and polls use up all requests: ready jobs would not start, and jobs that must be
+/// cancelled with a dependency would be answered as queued.
 #[test]
-fn dependencies_are_read_in_time_beside_acceptances_without_end() {
-    for per_s in [60.0, 200.0, 700.0] {
+fn dependencies_are_read_in_time_beside_excess_submissions() {
+    for requests_per_s in [60.0, 200.0, 700.0] {
         for nodes in [3, 7] {
-            let mut sim = takeover(40, nodes, per_s);
-            let mut longest = 0;
-            let began = sim.now;
-            while sim.now < began + CANCEL {
-                submit_without_end(&mut sim, per_s);
-                let n = OVER + sim.rng.u32(1..=OVER);
-                for i in 0..nodes {
-                    sim.poll(i, &id(n));
+            let mut sim = with_unread_dependencies(40, nodes, requests_per_s);
+            let mut longest_ms = 0;
+            let started_at = sim.now;
+            while sim.now < started_at + CANCEL {
+                submit_over_limit(&mut sim, requests_per_s);
+                let number = FINISHED_JOBS + sim.rng.u32(1..=FINISHED_JOBS);
+                for node in 0..nodes {
+                    sim.poll(node, &id(number));
                 }
                 sim.step();
-                longest = longest.max(unread_ms(&mut sim));
+                longest_ms = longest_ms.max(dependencies_unread_ms(&mut sim));
             }
-            eprintln!("{per_s} a second, {nodes} controllers: unread for {longest} ms");
-            assert!(longest > 0 && unread_ms(&mut sim) == 0, "{per_s} {nodes}");
+            eprintln!(
+                "{requests_per_s} requests/s, {nodes} controllers: dependencies unread for {longest_ms} ms"
+            );
+            assert!(
+                longest_ms > 0 && dependencies_unread_ms(&mut sim) == 0,
+                "{requests_per_s} {nodes}"
+            );
             sim.assert_no_violations();
         }
     }
 }
 
-/// What one job's questions got so far.
+/// How long polls of one job have gone without an answer.
 #[derive(Default)]
-struct Silence {
+struct UnansweredSpan {
     since: Option<u64>,
     longest_ms: u64,
 }
 
-impl Silence {
-    fn asked(&mut self, now: u64, answered: bool) {
+impl UnansweredSpan {
+    fn record_poll(&mut self, now: u64, answered: bool) {
         let since = *self.since.get_or_insert(now);
         self.longest_ms = self.longest_ms.max(now - since);
         if answered {
@@ -131,94 +140,112 @@
     }
 }
 
-/// Polls jobs drawn among these at drawn nodes, beside acceptances without end, and
-/// returns the longest time that one of them went without an answer.
-fn longest_silence_ms(sim: &mut Simulation, jobs: &[u32], per_s: f64, for_ms: u64) -> u64 {
-    let mut silences: BTreeMap<u32, Silence> = BTreeMap::new();
-    let end = sim.now + for_ms;
+/// Polls random jobs of `jobs` at random nodes while users submit more than the
+/// limit allows. Returns the longest time for which the polls of one job had no
+/// answer.
+fn longest_unanswered_ms(
+    sim: &mut Simulation,
+    jobs: &[u32],
+    requests_per_s: f64,
+    duration_ms: u64,
+) -> u64 {
+    let mut spans: BTreeMap<u32, UnansweredSpan> = BTreeMap::new();
+    let end = sim.now + duration_ms;
     let interval = 5_000;
     while sim.now < end {
-        submit_without_end(sim, per_s);
-        // Each job is asked for about every 5 s.
+        submit_over_limit(sim, requests_per_s);
+        // Each job is polled about every 5 s.
         let each_step = jobs.len() * simulation::STEP as usize / interval + 1;
         for _ in 0..each_step {
-            let n = jobs[sim.rng.usize(..jobs.len())];
+            let number = jobs[sim.rng.usize(..jobs.len())];
             let node = sim.rng.usize(..sim.nodes.len());
-            let answered = sim.poll(node, &id(n)).is_some();
-            silences.entry(n).or_default().asked(sim.now, answered);
+            let answered = sim.poll(node, &id(number)).is_some();
+            spans
+                .entry(number)
+                .or_default()
+                .record_poll(sim.now, answered);
         }
         sim.step();
     }
-    silences.values().map(|s| s.longest_ms).max().unwrap_or(0)
+    spans
+        .values()
+        .map(|span| span.longest_ms)
+        .max()
+        .unwrap_or(0)
 }
 
-/// The users' bound: no job goes longer without an answered question.
-const MAX_SILENCE_MS: u64 = 75_000;
+/// Longest time that the polls of a job may go without an answer.
+const MAX_UNANSWERED_MS: u64 = 75_000;
 
-/// Guards against polls that lookups and acceptances starve, and the other way round,
-/// while nobody leads and after a takeover.
+/// Guards against polls that are starved by lookups and submissions, and the other
+/// way round, while there is no leader and after a failover.
 #[test]
 fn no_job_stays_unanswered_while_lookups_and_polls_compete() {
-    for (seed, per_s) in [(50, 60.0), (51, 200.0), (52, 700.0)] {
-        let mut sim = takeover(seed, 3, per_s);
-        let mut all: Vec<u32> = (1..=2 * OVER).collect();
-        // A long chain.
-        for n in 2 * OVER + 1..=2 * OVER + 30 {
-            record_job(&mut sim, dependent(n, 1, &[n - 1]));
-            all.push(n);
+    for (seed, requests_per_s) in [(50, 60.0), (51, 200.0), (52, 700.0)] {
+        let mut sim = with_unread_dependencies(seed, 3, requests_per_s);
+        let mut jobs: Vec<u32> = (1..=2 * FINISHED_JOBS).collect();
+        // Adds a long chain of dependent jobs.
+        for number in 2 * FINISHED_JOBS + 1..=2 * FINISHED_JOBS + 30 {
+            record_waiting_job(&mut sim, dependent(number, 1, &[number - 1]));
+            jobs.push(number);
         }
         let leader = sim.leader().unwrap();
         sim.crash(leader, 3_000);
         sim.fault_free = true;
-        let longest = longest_silence_ms(&mut sim, &all, per_s, 100_000);
-        eprintln!("{per_s} a second: longest silence {longest} ms");
-        assert!(longest <= MAX_SILENCE_MS, "{per_s}: {longest} ms");
+        let longest_ms = longest_unanswered_ms(&mut sim, &jobs, requests_per_s, 100_000);
+        eprintln!("{requests_per_s} requests/s: a job's polls unanswered for {longest_ms} ms");
+        assert!(
+            longest_ms <= MAX_UNANSWERED_MS,
+            "{requests_per_s}: {longest_ms} ms"
+        );
         sim.assert_no_violations();
     }
 }
 
-/// One step of a drawn run: a job of a chain, a cancellation, a change of leader.
-fn step_drawn(sim: &mut Simulation, n: u32, per_s: f64) {
-    let count = if n > 1 { sim.rng.usize(..3) } else { 0 };
-    let mut on: Vec<u32> = (0..count)
-        .map(|_| sim.rng.u32(n.saturating_sub(8).max(1)..n))
+/// One step of a random run: submits a job with up to two dependencies, and may
+/// cancel a job, restart all controllers or lose answers of the state service.
+fn run_random_step(sim: &mut Simulation, number: u32, requests_per_s: f64) {
+    let count = if number > 1 { sim.rng.usize(..3) } else { 0 };
+    let mut dependencies: Vec<u32> = (0..count)
+        .map(|_| sim.rng.u32(number.saturating_sub(8).max(1)..number))
         .collect();
-    on.sort_unstable();
-    on.dedup();
-    sim.submit(dependent(n, 1, &on));
-    let which = sim.rng.u32(n.saturating_sub(8).max(1)..=n);
+    dependencies.sort_unstable();
+    dependencies.dedup();
+    sim.submit(dependent(number, 1, &dependencies));
+    let cancelled_job = sim.rng.u32(number.saturating_sub(8).max(1)..=number);
     match sim.rng.u8(..6) {
         0 => {
-            (0..3).for_each(|i| sim.crash(i, 300));
-            sim.run_until(30_000, "a leader again", |sim| sim.leader().is_some());
+            (0..3).for_each(|node| sim.crash(node, 300));
+            sim.run_until(30_000, "a new leader", |sim| sim.leader().is_some());
         }
-        1 | 2 => sim.cancel(&id(which)),
+        1 | 2 => sim.cancel(&id(cancelled_job)),
         3 => sim.store.lost_answers = [0, 30][sim.rng.usize(..2)],
         _ => {}
     }
     for _ in 0..sim.rng.usize(..40) {
-        submit_without_end(sim, per_s);
-        let polled = sim.rng.u32(1..=n);
-        for i in 0..3 {
-            sim.poll(i, &id(polled));
+        submit_over_limit(sim, requests_per_s);
+        let polled_job = sim.rng.u32(1..=number);
+        for node in 0..3 {
+            sim.poll(node, &id(polled_job));
         }
         sim.step();
     }
 }
 
-/// Chains that are cancelled while leaders change, reads are late and all requests are
-/// used up: no answer breaks a rule, and in the end all jobs are over.
+/// Dependency chains are cancelled while leaders change, reads are late and all
+/// requests are used up. Guards against answers that break an invariant, and against
+/// jobs that never become final.
 #[test]
 fn starved_reads_break_no_invariant() {
-    for seed in 0..std::env::var("SEEDS").map_or(12, |n| n.parse().unwrap()) {
+    for seed in 0..std::env::var("SEEDS").map_or(12, |number| number.parse().unwrap()) {
         let mut sim = Simulation::with_leader(60_000 + seed, 6, 0.0);
         sim.run_ms = 1_500;
         sim.standbys = seed % 2 == 0;
         sim.read_faults.max_latency_ms = [0, 200, 1_500][sim.rng.usize(..3)];
-        let per_s = [30.0, 60.0, 200.0][sim.rng.usize(..3)];
-        sim.limit_request_rate(per_s);
-        for n in 1..=40 {
-            step_drawn(&mut sim, n, per_s);
+        let requests_per_s = [30.0, 60.0, 200.0][sim.rng.usize(..3)];
+        sim.limit_request_rate(requests_per_s);
+        for number in 1..=40 {
+            run_random_step(&mut sim, number, requests_per_s);
             assert!(
                 sim.violations.is_empty(),
                 "seed {seed}: {:?}",
@@ -227,11 +254,18 @@
         }
         sim.store.lost_answers = 0;
         sim.fault_free = true;
-        let all: Vec<u32> = (1..=40).collect();
-        let silence = longest_silence_ms(&mut sim, &all, per_s, 90_000);
-        assert!(silence <= MAX_SILENCE_MS, "seed {seed}: {silence} ms");
-        for n in 1..=40 {
-            assert!(sim.done(&id(n)), "seed {seed}: {} is not over", id(n));
+        let jobs: Vec<u32> = (1..=40).collect();
+        let longest_ms = longest_unanswered_ms(&mut sim, &jobs, requests_per_s, 90_000);
+        assert!(
+            longest_ms <= MAX_UNANSWERED_MS,
+            "seed {seed}: {longest_ms} ms"
+        );
+        for number in 1..=40 {
+            assert!(
+                sim.done(&id(number)),
+                "seed {seed}: {} is not final",
+                id(number)
+            );
         }
         assert!(
             sim.violations.is_empty(),
