--- a/tests/reused_indices.rs
+++ b/tests/reused_indices.rs
@@ -1,5 +1,5 @@
-//! Jobs and machines whose index goes to another one: what was noted of the first
-//! never counts for the second.
+//! Jobs and machines whose index in the cluster state is reused: what the leader
+//! noted about the first one must never count for its successor.
 
 mod leader_fixtures;
 
@@ -9,7 +9,7 @@
     protocol::workers::{ExitReason, TaskState, TaskStatus},
 };
 
-/// Changes that one write may hold.
+/// Maximum number of changes in one write.
 const MAX_CHANGES: usize = 12;
 
 /// A leader with one empty machine.
@@ -21,17 +21,17 @@
     leader_state
 }
 
-/// All tasks on the machine are reported in this state.
+/// Sends the machine's heartbeat, which reports all its tasks in this state.
 fn report_tasks(leader_state: &mut Leader, number: usize, tick: u64, state: TaskState, now: u64) {
-    let ix = leader_state
+    let handle = leader_state
         .cluster
         .machine_handle(&machine(number))
         .unwrap();
     let mut heartbeat = report(number, tick);
-    let tasks = leader_state.cluster.machine(ix).unwrap().tasks.iter();
-    heartbeat.tasks.extend(tasks.map(|a| TaskStatus {
-        task: a.name.clone(),
-        attempt: a.attempt,
+    let tasks = leader_state.cluster.machine(handle).unwrap().tasks.iter();
+    heartbeat.tasks.extend(tasks.map(|assignment| TaskStatus {
+        task: assignment.name.clone(),
+        attempt: assignment.attempt,
         state,
         exit_reason: (state == TaskState::Exited).then_some(ExitReason::Error),
         checkpointed: false,
@@ -39,7 +39,7 @@
     assert!(leader_state.on_heartbeat(&heartbeat, now).is_some());
 }
 
-/// A machine that is up and registered.
+/// Adds a machine that is up and registered.
 fn add_machine(leader_state: &mut Leader, number: usize, now: u64) {
     assert!(leader_state.on_heartbeat(&report(number, 1), now).is_some());
     let plan = leader_state.plan_writes(MAX_CHANGES).unwrap();
@@ -47,16 +47,15 @@
 }
 
 fn is_suspected(leader_state: &Leader, id: &str) -> bool {
-    let ix = leader_state.cluster.job_handle(id).unwrap();
-    leader_state.cluster.job(ix).unwrap().failures.suspected
+    let handle = leader_state.cluster.job_handle(id).unwrap();
+    leader_state.cluster.job(handle).unwrap().failures.suspected
 }
 
-/// A job failed on a machine, which was returned; a new machine took its index. Other
-/// jobs ran there, so the first was suspected, as one that fails where others run, and
-/// held back for up to a minute a time, though it never had been on that machine.
-///
-/// Evidence: the log called the job suspected as the other's task was seen running on
-/// the new machine.
+/// A job fails on a machine that is then returned, and a new machine reuses its
+/// index. Guards against suspecting the job of being faulty because tasks of other
+/// jobs run on the new machine, where the job never ran: a suspected job is held
+/// back for up to a minute at a time. The fault was seen in a log in which a job
+/// became suspected when another job's task was reported running on the new machine.
 #[test]
 fn failure_on_returned_machine_is_not_held_against_its_successor() {
     let mut leader_state = leader();
@@ -72,18 +71,22 @@
     assert!(!is_suspected(&leader_state, "j-000001"));
 }
 
-/// Guards against capacity that is withheld for whoever takes the index of a job that
-/// is over.
+/// Guards against a machine that stays reserved for the next job that reuses the
+/// index of a finished job.
 #[test]
 fn reservation_ends_with_its_job() {
     let mut leader_state = leader();
     let first = accept(&mut leader_state, 1, "array", 1);
-    let on = leader_state.cluster.machine_handle(&machine(0)).unwrap();
-    leader_state.cluster.machine_mut(on).unwrap().reserved_for = Some((first, 10_000));
+    let machine_handle = leader_state.cluster.machine_handle(&machine(0)).unwrap();
+    leader_state
+        .cluster
+        .machine_mut(machine_handle)
+        .unwrap()
+        .reserved_for = Some((first, 10_000));
     leader_state.cluster.remove_job(first);
     let second = accept(&mut leader_state, 2, "array", 1);
     assert_eq!(second.index(), first.index());
-    let machine = leader_state.cluster.machine(on).unwrap();
+    let machine = leader_state.cluster.machine(machine_handle).unwrap();
     assert!(!machine.is_reserved_for(second, 200));
     assert_eq!(machine.reserved_for, None);
 }
