--- a/tests/job_liveness.rs
+++ b/tests/job_liveness.rs
@@ -33,7 +33,7 @@
 fn first_busy_machine(sim: &Simulation) -> usize {
     sim.workers
         .iter()
-        .position(|m| !m.tasks.is_empty())
+        .position(|machine| !machine.tasks.is_empty())
         .unwrap()
 }
 
@@ -103,7 +103,7 @@
 }
 
 /// A duplicate of a heartbeat arrives after the lease that it renewed has expired.
-/// Guards against a leader that then takes the machine for up.
+/// Guards against a leader that then marks the machine as up.
 #[test]
 fn late_duplicate_heartbeat_revives_no_machine() {
     let mut sim = with_running_service(4, 3, 3);
@@ -139,8 +139,8 @@
 
 /// A new leader gets only a heartbeat from before its term until the machine's
 /// lease must have expired. After that a duplicate of the machine's next
-/// heartbeat, which was lost, arrives. Guards against a leader that then takes
-/// the machine for up, or its tasks for running.
+/// heartbeat, which was lost, arrives. Guards against a leader that then marks
+/// the machine as up or its tasks as running.
 #[test]
 fn late_duplicate_of_lost_heartbeat_misleads_no_leader() {
     let mut sim = with_service_without_standbys(5, 2, 3);
@@ -181,7 +181,7 @@
 }
 
 /// A restarted agent counts its heartbeats from one again. Guards against a leader
-/// that takes all of them for stale.
+/// that ignores all of them as stale.
 #[test]
 fn restarted_agent_is_reused_and_its_tasks_restart() {
     for restart_twice in [false, true] {
--- a/tests/leader_changes.rs
+++ b/tests/leader_changes.rs
@@ -606,10 +606,14 @@
                 sim.direct_command_delay.insert(machine, latency_ms * 2);
             }
         }
-        let mut n = 0;
+        let mut job_count = 0;
         for round in 0..40 {
-            n += 1;
-            let mut spec = job(n, [Kind::Array, Kind::Gang][round % 2], 1 + n % 4);
+            job_count += 1;
+            let mut spec = job(
+                job_count,
+                [Kind::Array, Kind::Gang][round % 2],
+                1 + job_count % 4,
+            );
             spec.priority = [Priority::Normal, Priority::High, Priority::Low][round % 3];
             spec.class = format!("c{}", round % 3);
             sim.submit(spec);
@@ -617,9 +621,9 @@
         }
         let submitted_at = sim.now;
         sim.fault_free = true;
-        for machine in 1..=n {
-            sim.run_until(240_000, &format!("seed {seed}: {machine}"), |sim| {
-                sim.done(&id(machine))
+        for number in 1..=job_count {
+            sim.run_until(240_000, &format!("seed {seed}: {number}"), |sim| {
+                sim.done(&id(number))
             });
         }
         assert!(sim.now < submitted_at + 240_000, "seed {seed}");
--- a/tests/partitioned_leaders.rs
+++ b/tests/partitioned_leaders.rs
@@ -114,9 +114,10 @@
     }
 }
 
-/// As above, while the old leader's process is paused, a machine receives no
-/// messages, or one of the nodes runs a version whose promises carry no evidence
-/// of when its process started.
+/// Guards against promises that restore the authority of a replaced leader while
+/// its process is paused, while a machine receives no messages, or while one of the
+/// nodes runs a version whose promises carry no evidence of when its process
+/// started.
 #[test]
 fn replaced_leader_stays_deposed_despite_pause_or_old_nodes() {
     for case in 0..3 {
@@ -166,8 +167,8 @@
     sim.answer_cancelled(&id(1));
 }
 
-/// The staleness bound holds without any other safeguard. Guards against a leader
-/// whose authority promises alone keep extending while no node can prove that it
+/// The staleness bound holds without any other safeguard. Guards against promises
+/// that keep extending a leader's authority while no node can prove that the leader
 /// has not missed a cancellation.
 #[test]
 fn uninformed_leader_lets_leases_expire_within_bound() {
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -62,7 +62,7 @@
     }
     let ranking = fleet.ranking(&request(need), 0);
     let choice = fleet.choose(ranking, |_| true, |_| false, |_, _| true);
-    choice.map(|c| c.machine)
+    choice.map(|best| best.machine)
 }
 
 const SMALL: (f64, f64, f64) = (8.0, 4.0, 32.0);
@@ -386,5 +386,5 @@
     assert!(fleet.may_fit(&need, |_, _, _| true));
     let ranking = fleet.ranking(&request(need), 0);
     let choice = fleet.choose(ranking, |_| true, |_| false, |_, _| true);
-    assert_eq!(choice.map(|c| c.machine), Some(0));
+    assert_eq!(choice.map(|best| best.machine), Some(0));
 }
--- a/tests/placement_scenarios.rs
+++ b/tests/placement_scenarios.rs
@@ -454,7 +454,7 @@
         leader_state
             .cluster
             .job(job)
-            .is_some_and(|job| job.waiting_count() == 3)
+            .is_some_and(|waiting| waiting.waiting_count() == 3)
     );
     let cycle_inspections = leader_state.cluster.inspections() - inspections_before;
     (
--- a/tests/random_faults.rs
+++ b/tests/random_faults.rs
@@ -160,7 +160,7 @@
 
 #[test]
 fn random_controller_faults_break_no_invariant() {
-    for seed in 0..std::env::var("SEEDS").map_or(12, |n| n.parse().unwrap()) {
+    for seed in 0..std::env::var("SEEDS").map_or(12, |seeds| seeds.parse().unwrap()) {
         for nodes in [3, 7] {
             let sim = run_controller_faults(2000 + seed, nodes);
             assert!(
--- a/tests/read_monotonicity.rs
+++ b/tests/read_monotonicity.rs
@@ -103,8 +103,8 @@
 
 /// A node that can't reach the leader reads the record of a running job, and the
 /// answer is slow. Before it arrives, the job finishes and this node becomes
-/// leader. Guards against the same fault as above, for a read that the node started
-/// while it was not leader.
+/// leader. Guards against a record that is read before the node's election and loaded
+/// into the leader's cluster state after it.
 #[test]
 fn record_read_before_election_is_discarded() {
     let mut slow_answers = 0;
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -218,8 +218,9 @@
     sim.assert_no_violations();
 }
 
-/// As above, when the write of the lease expiry has no answer and is applied late,
-/// before or after the machine gets tasks again.
+/// The write that records the lease expiry of a machine has no answer and is applied
+/// late, before or after the machine gets tasks again. Guards against a record that
+/// says that a machine with tasks is empty.
 #[test]
 fn late_lease_expiry_record_never_marks_used_machine() {
     for delay_ms in [300, 2_000, 6_000, 9_000, 14_000] {
@@ -267,8 +268,8 @@
 }
 
 /// Guards against a new leader that waits for a worker lease for a machine that no
-/// longer exists in the cloud, that takes a machine list from before its term for
-/// a fresh one, or that takes a listed machine for deleted.
+/// longer exists in the cloud, that treats a machine list from before its term as
+/// fresh, or that treats a listed machine as deleted.
 #[test]
 fn new_leader_skips_machine_absent_from_fresh_list() {
     for still_listed in [false, true] {
@@ -434,8 +435,8 @@
 }
 
 /// One leader after the other crashes, the second before it has loaded the
-/// records. Guards against heartbeats that stay unanswered, so that leases expire,
-/// and against running tasks that are placed again.
+/// records. Guards against heartbeats that stay unanswered and against running
+/// tasks that are placed again.
 #[test]
 fn successor_crash_while_loading_loses_nothing() {
     for seed in 72..76 {
--- a/tests/request_consistency.rs
+++ b/tests/request_consistency.rs
@@ -42,7 +42,7 @@
     all: Vec<Client>,
     /// Indices of the requests sent to all nodes right after an answer.
     probes: Vec<usize>,
-    /// Whether to send no such requests.
+    /// Whether clients skip the requests of `probes`.
     no_probes: bool,
 }
 
--- a/tests/request_starvation.rs
+++ b/tests/request_starvation.rs
@@ -88,7 +88,9 @@
 
 fn dependencies_unread_ms(sim: &mut Simulation) -> u64 {
     let now = sim.now;
-    let leader = sim.leader().and_then(|i| sim.nodes[i].leader.as_ref());
+    let leader = sim
+        .leader()
+        .and_then(|node| sim.nodes[node].leader.as_ref());
     leader.map_or(0, |leader_state| leader_state.dependencies_unread_ms(now))
 }
 
@@ -151,11 +153,11 @@
 ) -> u64 {
     let mut spans: BTreeMap<u32, UnansweredSpan> = BTreeMap::new();
     let end = sim.now + duration_ms;
-    let interval = 5_000;
+    let poll_interval_ms = 5_000;
     while sim.now < end {
         submit_over_limit(sim, requests_per_s);
         // Each job is polled about every 5 s.
-        let each_step = jobs.len() * simulation::STEP as usize / interval + 1;
+        let each_step = jobs.len() * simulation::STEP as usize / poll_interval_ms + 1;
         for _ in 0..each_step {
             let number = jobs[sim.rng.usize(..jobs.len())];
             let node = sim.rng.usize(..sim.nodes.len());
