--- a/tests/leader_fixtures/mod.rs
+++ b/tests/leader_fixtures/mod.rs
@@ -1,4 +1,5 @@
-//! A leader without I/O, its machines and jobs, for tests that call it directly.
+//! Fixtures for tests that call a `Leader` directly, without I/O: settings, machine
+//! records, heartbeats and accepted jobs.
 #![allow(dead_code)]
 
 use pathwinch::{
@@ -12,7 +13,7 @@
 };
 use std::rc::Rc;
 
-/// Cores of a machine.
+/// CPU cores of each machine.
 pub const CORES: usize = 100;
 
 pub fn settings() -> Settings {
@@ -46,14 +47,15 @@
     serde_json::from_str(&text).unwrap()
 }
 
-/// The leader of a term that has read the records of so many machines.
+/// Returns the leader of `term` with `machines` machine records loaded and no heartbeat
+/// received yet.
 pub fn unheard(term: u64, machines: usize) -> Leader {
     let types = format!(
         r#"[{{"sku":"m","cores":{CORES},"memory_gb":1000.0,"local_gb":50.0,"fetch_gb_per_s":1.0,
             "price":3.5,"market_price":1.4,"startup_s":20.0,"halls":["a"]}}]"#,
     );
     let types = serde_json::from_str(&types).unwrap();
-    let mut l = Leader::new(Rc::new(settings()), Options::default(), types, term, 0);
+    let mut leader = Leader::new(Rc::new(settings()), Options::default(), types, term, 0);
     for n in 0..machines {
         let record = MachineRecord {
             addr: "127.0.0.1:9".into(),
@@ -65,28 +67,28 @@
             quarantined: false,
             images: Vec::new(),
         };
-        l.load_machine(&machine(n), record, 1, 0);
+        leader.load_machine(&machine(n), record, 1, 0);
     }
-    l
+    leader
 }
 
-/// Accepts a job of tasks of one core; returns its handle.
-pub fn accept(l: &mut Leader, number: u32, run_shape: &str, tasks: u32) -> JobHandle {
-    accept_with_cores(l, number, run_shape, tasks, 1.0)
+/// Accepts a job whose tasks need one core each; returns the job's handle.
+pub fn accept(leader: &mut Leader, number: u32, run_shape: &str, tasks: u32) -> JobHandle {
+    accept_with_cores(leader, number, run_shape, tasks, 1.0)
 }
 
 pub fn accept_with_cores(
-    l: &mut Leader,
+    leader: &mut Leader,
     number: u32,
     run_shape: &str,
     tasks: u32,
     cores: f64,
 ) -> JobHandle {
-    accept_with_priority(l, number, run_shape, "normal", tasks, cores)
+    accept_with_priority(leader, number, run_shape, "normal", tasks, cores)
 }
 
 pub fn accept_with_priority(
-    l: &mut Leader,
+    leader: &mut Leader,
     number: u32,
     run_shape: &str,
     urgency: &str,
@@ -95,8 +97,8 @@
 ) -> JobHandle {
     let record = record(number, run_shape, urgency, tasks, cores);
     let id = record.spec.id.clone();
-    l.accepted(record, 2, 200);
-    l.cluster.job_handle(&id).unwrap()
+    leader.accepted(record, 2, 200);
+    leader.cluster.job_handle(&id).unwrap()
 }
 
 pub fn record(number: u32, run_shape: &str, urgency: &str, tasks: u32, cores: f64) -> JobRecord {
--- a/tests/simulation/check.rs
+++ b/tests/simulation/check.rs
@@ -1,10 +1,13 @@
-//! The checker of invariants: tasks on machines, quotas, cancellations, and jobs
-//! that wait beside capacity. It looks at machines and records only, never at a
-//! leader's own state, and reports into `Simulation::violations`.
+//! Checker of the invariants on tasks: where and when tasks run, team quotas,
+//! cancellations, and jobs that wait although capacity is available. The checker reads
+//! machines and stored records only, never the state of a leader, and adds what it finds
+//! to `Simulation::violations`.
 
 use super::*;
 
 impl Simulation {
+    /// Running tasks with the indices of their workers, without workers that have lost
+    /// their tasks by a pause longer than the lease.
     fn on_machines(&self) -> impl Iterator<Item = (usize, &Task)> {
         let now = self.now;
         self.workers.iter().enumerate().flat_map(move |(i, w)| {
@@ -15,8 +18,8 @@
         })
     }
 
-    /// A task starts on worker `w`: not while it runs elsewhere, within the job's
-    /// placement constraints, and after its dependencies.
+    /// Checks the start of a task on worker `w`: the task must not run on another worker,
+    /// the job's placement constraints must hold, and its dependencies must be done.
     pub(super) fn check_start(&mut self, w: usize, name: &str) {
         let id = name.rsplit_once('/').unwrap().0;
         let spec = self.specs[id].clone();
@@ -25,35 +28,36 @@
         let mut zones: BTreeMap<&str, u32> = BTreeMap::new();
         for (i, t) in self.on_machines() {
             if t.name == name && i != w {
-                found.push(format!("ran_twice: {name} on {w} and {i}"));
+                found.push(format!("ran_twice: {name} runs on workers {w} and {i}"));
             }
             if t.name.starts_with(&format!("{id}/")) {
                 *zones.entry(&self.workers[i].zone).or_default() += 1;
             }
         }
         if spec.single_zone && zones.len() > 1 {
-            found.push(format!("wrong_place: {name}, {zones:?}"));
+            found.push(format!("wrong_place: {name}, tasks by zone: {zones:?}"));
         }
         if spec.spread && zones.values().any(|n| *n > spec.tasks.div_ceil(2)) {
-            found.push(format!("wrong_place: {name}, {zones:?}"));
+            found.push(format!("wrong_place: {name}, tasks by zone: {zones:?}"));
         }
         if self.workers[w].spot && !spec.spot {
             found.push(format!("wrong_place: {name} on a spot machine"));
         }
         for need in &spec.dependencies {
-            // A heartbeat is not enough: the next leader must know of it.
+            // The completion has to be recorded: a next leader would not know one that
+            // only a heartbeat reported.
             let done = self.store.kv.get(&records::final_key(need));
             if done.is_none_or(|(v, _)| v["s"] != "done") {
                 found.push(format!(
-                    "too_early: {name} before {need} is recorded as done"
+                    "too_early: {name} started before {need} is recorded as done"
                 ));
             }
         }
         self.violations.extend(found);
     }
 
-    /// When a user was first answered that the job, or a direct or indirect
-    /// dependency of it, is cancelled.
+    /// Returns when a user was first answered that the job, or a direct or indirect
+    /// dependency of the job, is cancelled.
     pub(super) fn cancelled_before(&self, id: &str) -> Option<Millis> {
         let mut first = self.answered.get(&format!("{id}!")).map(|t| t.1);
         let (mut all, mut seen) = (vec![id.to_owned()], BTreeSet::new());
@@ -69,24 +73,28 @@
         first
     }
 
-    /// An answer given now agrees with the cancellations so far.
+    /// Checks that an answer given now is consistent with the cancellations so far.
     pub(super) fn check_cancellation_answer(&mut self, id: &str, state: JobState) {
-        // Of one that was submitted later, the time counts from then.
+        // For a job submitted after its dependency was cancelled, the time limit runs from
+        // the submission.
         let since = self.submitted.get(id).copied().unwrap_or(0);
         let (now, cancelled) = (self.now, self.cancelled_before(id).map(|at| at.max(since)));
         match (state, cancelled) {
             (JobState::Queued | JobState::Running, Some(at)) if now > at + CANCEL => {
-                self.violations
-                    .push(format!("orphaned: {id} is called {state:?}"));
+                self.violations.push(format!(
+                    "orphaned: {id} is answered {state:?} past the time limit for a cancellation"
+                ));
             }
             (JobState::Cancelled, None) if !self.asked_to_cancel(id) => {
-                self.violations
-                    .push(format!("went_back: nobody cancelled {id}"));
+                self.violations.push(format!(
+                    "went_back: {id} is answered as cancelled without a request to cancel"
+                ));
             }
             _ => {}
         }
     }
 
+    /// Whether a user asked to cancel the job or a direct or indirect dependency of it.
     fn asked_to_cancel(&self, id: &str) -> bool {
         let mut all = vec![id.to_owned()];
         let mut seen = BTreeSet::new();
@@ -103,7 +111,7 @@
         false
     }
 
-    /// What holds at every step.
+    /// Checks the invariants that hold at every step.
     pub(super) fn check(&mut self) {
         let now = self.now;
         let mut found = Vec::new();
@@ -113,7 +121,7 @@
             let cpus: f64 = of.filter(|s| s.team == team.name).map(|s| s.cpus).sum();
             if team.cpus_max > 0.0 && cpus > team.cpus_max {
                 found.push(format!(
-                    "quota: {} uses {cpus} of {}",
+                    "quota: {} uses {cpus} of {} CPUs",
                     team.name, team.cpus_max
                 ));
             }
@@ -123,7 +131,7 @@
             if let Some((_, at)) = self.answered.get(&format!("{id}!"))
                 && now > at + CANCEL
             {
-                found.push(format!("ran_cancelled: {} on {i}", t.name));
+                found.push(format!("ran_cancelled: {} still runs on worker {i} past the time limit for a cancellation", t.name));
             }
         }
         self.violations.extend(found);
@@ -137,19 +145,20 @@
         }
     }
 
-    /// While there is no fault, no task that may start waits for 90 s beside a
-    /// machine with capacity for it, its team under its limit.
+    /// Checks that, while no fault is injected, no task that may start waits for 90 s
+    /// although a machine has capacity for it and its team is under its limit.
     fn check_waiting_jobs(&mut self) {
         let now = self.now;
-        let on: BTreeSet<&str> = (self.workers.iter().filter(|w| w.alive))
+        let live_names: BTreeSet<&str> = (self.workers.iter().filter(|w| w.alive))
             .flat_map(|w| w.tasks.iter().map(|t| t.name.as_str()))
             .collect();
         let used = |w: &Worker| {
             let live = w.tasks.iter().filter(|t| t.state != TaskState::Exited);
             live.count()
         };
-        let up = |w: &&Worker| w.alive && now >= w.boots_at && w.net == Net::Up && !w.fails_tasks;
-        let room: Vec<&Worker> = (self.workers.iter().filter(up))
+        let is_usable =
+            |w: &&Worker| w.alive && now >= w.boots_at && w.net == Net::Up && !w.fails_tasks;
+        let machines_with_capacity: Vec<&Worker> = (self.workers.iter().filter(is_usable))
             .filter(|w| used(w) < 2)
             .collect();
         let usage = |team: &str| -> f64 {
@@ -160,28 +169,37 @@
         };
         let mut waiting = BTreeSet::new();
         for (id, spec) in &self.specs {
-            let known = self.submitted.contains_key(id) && !self.done(id);
-            let free = spec.dependencies.iter().all(|n| self.done(n));
-            if !known || !free || self.faulty.contains(id) || self.cancelling.contains(id) {
+            let is_open = self.submitted.contains_key(id) && !self.done(id);
+            let dependencies_done = spec.dependencies.iter().all(|n| self.done(n));
+            if !is_open
+                || !dependencies_done
+                || self.faulty.contains(id)
+                || self.cancelling.contains(id)
+            {
                 continue;
             }
             let name = |t| format!("{id}/{t}");
-            let waits = |t: &String| !on.contains(t.as_str()) && !self.finished.contains(t);
+            let waits = |t: &String| !live_names.contains(t.as_str()) && !self.finished.contains(t);
             let tasks = (0..spec.tasks).map(name).filter(waits).count();
             let limit = self.settings.cluster.teams.iter();
             let limit = limit.filter(|t| t.name == spec.team).map(|t| t.cpus_max);
             let limit = limit.sum::<f64>();
-            let (one, all) = (spec.cpus, spec.cpus * tasks as f64);
-            let needs = if spec.kind == Kind::Array { one } else { all };
-            let under = limit == 0.0 || usage(&spec.team) + needs <= limit;
-            let fits = room.iter().filter(|w| {
+            let (task_cpus, all) = (spec.cpus, spec.cpus * tasks as f64);
+            let required_cpus = if spec.kind == Kind::Array {
+                task_cpus
+            } else {
+                all
+            };
+            let under_limit = limit == 0.0 || usage(&spec.team) + required_cpus <= limit;
+            let free_slots = machines_with_capacity.iter().filter(|w| {
                 spec.zone.as_ref().is_none_or(|z| *z == w.zone) && (spec.spot || !w.spot)
             });
-            let fits = fits.map(|w| 2 - used(w)).sum::<usize>();
-            let wants = if spec.kind == Kind::Gang { tasks } else { 1 };
-            // Rules for zones are looked at by the other checks.
-            let apart = spec.spread || spec.single_zone;
-            if tasks > 0 && under && fits >= wants && !apart {
+            let free_slots = free_slots.map(|w| 2 - used(w)).sum::<usize>();
+            let required_slots = if spec.kind == Kind::Gang { tasks } else { 1 };
+            // Jobs with zone constraints are left out: their placement is checked at the
+            // start of each task.
+            let has_zone_constraint = spec.spread || spec.single_zone;
+            if tasks > 0 && under_limit && free_slots >= required_slots && !has_zone_constraint {
                 waiting.insert(id.clone());
             }
         }
@@ -189,8 +207,9 @@
         for id in waiting {
             let since = *self.waiting_since.entry(id.clone()).or_insert(now);
             if now > since + 90_000 {
-                self.violations
-                    .push(format!("{id} waits beside room for 90 s"));
+                self.violations.push(format!(
+                    "{id} has waited 90 s although a machine has capacity"
+                ));
             }
         }
     }
--- a/tests/simulation/election.rs
+++ b/tests/simulation/election.rs
@@ -1,10 +1,13 @@
-//! Leadership of controllers: election, renewal by lease or by promises of
-//! peers, exclusions, probes of peers, and relays of missing heartbeats. The
-//! decisions are the library's; only their I/O is simulated.
+//! Leadership of controllers: election, renewal of authority by the lease or by promises
+//! of peers, exclusions, probes of peers, and relays of missing heartbeats. The library
+//! makes the decisions (`control::election`, `exclusions`, `failure_detector`); this
+//! module simulates their I/O only. `nodes::step_node` calls it.
 
 use super::*;
 
 impl Simulation {
+    /// Node `i` steps down: drops what it began as leader, ends its lease if it reaches the
+    /// state service, and, with `tell`, notifies the peers that it reaches.
     pub(super) fn resign(&mut self, i: usize, tell: bool) {
         let node = &mut self.nodes[i];
         let lead = node.election.leadership();
@@ -14,7 +17,8 @@
         if let Some(l) = node.leader.take() {
             node.final_states = l.final_states;
         }
-        // What it began is of no concern to a later term of the same node.
+        // Operations in flight belong to the ended term: a later term of the same node
+        // must not take their results.
         node.indeterminate = None;
         node.reads = lookups::ReadsInFlight::default();
         node.acceptance_feed = None;
@@ -30,7 +34,7 @@
         }
     }
 
-    /// The leader yields on purpose, as for a restart.
+    /// The leader hands over deliberately, as it does before a restart of its process.
     pub fn transfer_leadership(&mut self, i: usize) {
         if self.nodes[i].election.leadership().is_some() {
             self.nodes[i].election.abstain(self.now + 1_500);
@@ -38,7 +42,7 @@
         }
     }
 
-    /// Each 200 ms: a leader renews, any other node campaigns if it may.
+    /// Runs every 200 ms: a leader renews its authority; any other node campaigns if it may.
     pub(super) fn step_election(&mut self, i: usize) {
         self.nodes[i].next_election_step = self.now + 200;
         match self.nodes[i].election.leadership() {
@@ -47,8 +51,8 @@
         }
     }
 
-    /// The leader renews its lease, or else extends its authority by promises of
-    /// its peers.
+    /// The leader renews its lease, or, if the state service does not answer in time,
+    /// extends its authority by promises of its peers.
     fn renew_leadership(&mut self, i: usize, term: u64, lease: u64) {
         let now = self.now;
         let nodes = self.nodes.len();
@@ -78,7 +82,6 @@
             }
             return;
         }
-        // Extend by promises of the peers.
         let answers: Vec<PromiseResponse> = peers_of(i, nodes)
             .enumerate()
             .map(|(p, j)| self.ask_promise(i, p, j, term))
@@ -136,7 +139,7 @@
         self.nodes[i].election.indeterminate_lease = Some(lease);
         let term = match self.transact(i, &txn) {
             TxnResult::Done(term) => term,
-            // Read back at once.
+            // The outcome is unknown: the key is read back at once to learn it.
             TxnResult::Unknown if stalled.is_none() && self.reaches_state(i) => {
                 match self.store.kv.get(LEADER) {
                     Some((v, r)) if *v == value => *r,
@@ -149,7 +152,8 @@
         self.become_leader(i, term, lease);
     }
 
-    /// The leader's key as node `i` would write it, and the transaction.
+    /// Returns the value of the leader's key as node `i` would write it, and the
+    /// transaction that writes it.
     fn leader_key_txn(&self, i: usize, version: u64, lease: u64) -> (serde_json::Value, Txn) {
         let incarnation = self.nodes[i].election.incarnation;
         let value = serde_json::json!({"n": format!("n{i}"), "i": incarnation});
@@ -173,7 +177,8 @@
         (value, txn)
     }
 
-    /// The election is won: a leader begins, with the replica that the node has.
+    /// Node `i` has won the election: creates its leader, which inherits the replica that
+    /// the node holds as a standby.
     fn become_leader(&mut self, i: usize, term: u64, lease: u64) {
         let now = self.now;
         let nodes = self.nodes.len();
@@ -196,7 +201,8 @@
         let mut leader = Leader::new(
             Rc::new(settings),
             Options {
-                // Where nothing can be rented, nothing is returned.
+                // Without grants of the cloud a returned machine could not be replaced, so
+                // idle machines are kept.
                 idle_s: if self.cloud_grants { 20.0 } else { 36_000.0 },
                 begin_s: self.begin_s,
                 ..Options::default()
@@ -222,7 +228,8 @@
         self.nodes[i].exclusions = Exclusions::new(term, found.filter_map(peer));
     }
 
-    /// What node `j`, peer `p` of `i`, answers.
+    /// Returns the answer of node `j`, which is peer `p` of node `i`, to a request for a
+    /// promise.
     fn ask_promise(&mut self, i: usize, p: usize, j: usize, term: u64) -> PromiseResponse {
         let now = self.now;
         let exclusions = &self.nodes[i].exclusions;
@@ -246,7 +253,8 @@
         }
     }
 
-    /// Excludes unresponsive nodes, and readmits those that answer.
+    /// Every 500 ms the leader excludes unresponsive nodes from leadership, and readmits
+    /// excluded nodes that answer again.
     pub(super) fn step_exclusions(&mut self, i: usize) {
         let now = self.now;
         if now < self.nodes[i].next_exclusion_step || self.paused_sender.is_some() {
@@ -300,7 +308,7 @@
         if !exclusion {
             exclusions.begin_readmission(peer);
         }
-        // No answer, and it is carried out late.
+        // Fault: the transaction gets no answer and is applied late.
         let late = match link {
             Link::Hold => Some(Millis::MAX),
             _ => self
@@ -349,8 +357,9 @@
         }
     }
 
-    /// Each second the leader asks its peers to relay heartbeats of machines that
-    /// miss theirs, and yields if it receives none at all.
+    /// Every second the leader asks its peers to relay the heartbeats of machines that are
+    /// overdue. The leader resigns if it hears neither a machine nor a peer, 5 s after its
+    /// last heartbeat.
     pub(super) fn request_missing_heartbeats(&mut self, i: usize) {
         let now = self.now;
         if now < self.nodes[i].next_relay_request {
--- a/tests/simulation/fixtures.rs
+++ b/tests/simulation/fixtures.rs
@@ -1,4 +1,4 @@
-//! Fixed inputs of the simulation: settings, the machine type, jobs.
+//! Fixed inputs of the simulation: settings, the machine type, machine records and jobs.
 
 use pathwinch::{
     protocol::{
@@ -9,8 +9,8 @@
     state::records::MachineRecord,
 };
 
-/// Settings of a cluster with two zones and three teams; `cpus_max` is the limit
-/// of team `t`.
+/// Returns the settings of a cluster with two zones and three teams; `cpus_max` is the CPU
+/// limit of team `t`.
 pub fn settings(cpus_max: f64) -> Settings {
     Settings::parse(
         &serde_json::json!({
@@ -32,7 +32,7 @@
     .unwrap()
 }
 
-/// The one machine type on offer: room for two tasks of `job`.
+/// Returns the only machine type of the cloud, with capacity for two tasks of `job`.
 pub fn types() -> Vec<MachineType> {
     vec![MachineType {
         name: "m8".into(),
@@ -48,13 +48,14 @@
     }]
 }
 
-/// Allowed machine types that make a spec larger than 6 KiB and smaller than 8.
+/// Returns a list of allowed machine types that makes a job spec larger than 6 KiB and
+/// smaller than 8 KiB.
 pub fn many_types() -> Vec<String> {
     let names = (0..40).map(|k| format!("kind-{k:02}-{}", "x".repeat(150)));
     names.chain(["m8".to_owned()]).collect()
 }
 
-/// Registry record of a machine on which tasks may run.
+/// Returns the stored record of a machine on which tasks may run.
 pub fn machine_record() -> MachineRecord {
     MachineRecord {
         addr: "127.0.0.1:9".into(),
@@ -68,12 +69,12 @@
     }
 }
 
-/// The id of job `n`.
+/// Returns the id of job number `n`.
 pub fn id(n: u32) -> String {
     format!("j-{n:06}")
 }
 
-/// A job `j-<n>` of team `t` whose tasks take half a machine each.
+/// Returns job number `n` of team `t`, whose tasks take half a machine each.
 pub fn job(n: u32, kind: Kind, tasks: u32) -> JobSpec {
     JobSpec {
         id: format!("j-{n:06}"),
@@ -100,14 +101,14 @@
     }
 }
 
-/// An array of so many tasks that depends on these jobs.
+/// Returns an array job of `tasks` tasks that depends on the jobs with these numbers.
 pub fn dependent(n: u32, tasks: u32, dependencies: &[u32]) -> JobSpec {
     let mut spec = job(n, Kind::Array, tasks);
     spec.dependencies = dependencies.iter().map(|n| id(*n)).collect();
     spec
 }
 
-/// An urgent gang of whole machines in one zone.
+/// Returns a gang of high priority whose tasks take a whole machine each, all in one zone.
 pub fn whole_machines(n: u32, tasks: u32) -> JobSpec {
     let mut gang = job(n, Kind::Gang, tasks);
     gang.priority = Priority::High;
--- a/tests/simulation/lookups.rs
+++ b/tests/simulation/lookups.rs
@@ -1,44 +1,47 @@
-//! Reads of the state service that the leader awaits while other events go on:
-//! final states of dependencies, jobs of the acceptance feed, and keys of a write
-//! without an answer. Each is read when it is sent and taken in when its answer
-//! arrives, which may be late; a dependency lookup may also be refused.
+//! Asynchronous reads of the state service by the leader: records of dependencies, jobs
+//! of the acceptance feed, and the keys of a write whose outcome is unknown. The values
+//! are read when the request is sent and processed when the answer arrives, which may be
+//! late; a dependency lookup may also be refused.
 //!
-//! What was read for one term is dropped when that ends, as `Node::of_term` does.
+//! Reads of a term are dropped when the term ends, as `Node::of_term` does.
 
 use super::*;
 use pathwinch::state::request_budget::RequestPriority;
 
-/// Pause before refused lookups are queued again, as `server::control_loop` has it.
+/// Pause before refused lookups are queued again; same value as in `server::control_loop`.
 const LOOKUP_RETRY_PAUSE_MS: Millis = 500;
 
-/// How long lookups wait for the request budget before the rest of them fails, as
-/// `server::store` has it.
+/// How long lookups wait for the request budget before those not yet sent fail; same value
+/// as in `server::store`.
 const BUDGET_WAIT_MS: Millis = 1_000;
 
-/// Names of random jobs that one page of final records covers, about.
+/// Approximate number of jobs, with random ids, that one page of final records covers.
 const NAMES_PER_PAGE: usize = 16;
 
-/// Drawn refusals in a row: with changes of leader between them, well under the time
-/// for a cancellation. `dependency_lookups` has a story of longer spells.
+/// Maximum number of random refusals in a row. Even with changes of leader in between,
+/// they take well under the time limit for a cancellation. A test in `dependency_lookups`
+/// covers longer periods of refusals.
 const MAX_REFUSED_IN_A_ROW: u32 = 6;
 
-/// How the leader's reads go wrong. All zero: each is answered in the same step.
+/// Faults of the leader's reads. By default each read is answered in the same step.
 #[derive(Default)]
 pub struct ReadFaults {
-    /// Longest latency of an answer.
+    /// Maximum latency of an answer.
     pub max_latency_ms: Millis,
-    /// So many dependency lookups are refused, the next ones.
+    /// Number of the next dependency lookups that are refused.
     pub refused_lookups: u32,
-    /// Percentage of dependency lookups that are refused, not many in a row.
+    /// Percentage of dependency lookups that are refused, at most `MAX_REFUSED_IN_A_ROW` in
+    /// a row.
     pub refused_lookup_percent: u32,
     refused_in_a_row: u32,
-    /// Polls can't read the dependencies of a job.
+    /// Whether polls fail to read the dependencies of a job.
     pub refuses_poll_reads: bool,
 }
 
 impl ReadFaults {
-    /// None, unless `READ_LATENCY_MS` is set, for long runs of any drawn test by hand:
-    /// then answers take up to so long, and half of the lookups are refused.
+    /// Returns no faults unless the environment variable `READ_LATENCY_MS` is set, which is
+    /// for long manual runs of any randomized test: then answers take up to that time, and
+    /// half of the lookups are refused.
     pub fn from_environment() -> ReadFaults {
         let latency = std::env::var("READ_LATENCY_MS").ok();
         let max_latency_ms = latency.map_or(0, |ms| ms.parse().unwrap());
@@ -52,32 +55,32 @@
     }
 }
 
-/// What a lookup of one job found.
+/// Result of the lookup of one job.
 enum FoundJob {
     Live(serde_json::Value, u64),
     Final(FinalRecord, u64),
     Nothing,
 }
 
-/// Keys as they were read: value and version, if they exist.
+/// Keys that were read, each with its value and version if the key exists.
 type ReadItems = Vec<(String, Option<(serde_json::Value, u64)>)>;
 
-/// What was read, and when the answer arrives.
-struct Answer<T> {
+/// Data read from the state service, and the time when the answer arrives.
+struct PendingRead<T> {
     arrives_at: Millis,
     read: T,
 }
 
-/// Reads that a leader has sent.
+/// Reads that a leader has sent and whose answers have not been processed.
 #[derive(Default)]
 pub(super) struct ReadsInFlight {
-    lookups: Option<Answer<Vec<(String, FoundJob)>>>,
+    lookups: Option<PendingRead<Vec<(String, FoundJob)>>>,
     refused_lookups: Vec<(Millis, Vec<String>)>,
-    /// Lookups that wait for the request budget, until when.
+    /// Lookups that wait for the request budget, and the time until which they wait.
     waiting_lookups: Option<(Millis, Vec<String>)>,
-    feed: Option<Answer<ReadItems>>,
-    /// Keys of a write without an answer.
-    reread: Option<(WritePlan, Answer<ReadItems>)>,
+    feed: Option<PendingRead<ReadItems>>,
+    /// Keys of a write whose outcome is unknown.
+    reread: Option<(WritePlan, PendingRead<ReadItems>)>,
 }
 
 impl Simulation {
@@ -103,8 +106,8 @@
         refuses
     }
 
-    /// Reads the records of dependencies that the leader does not know, one batch
-    /// at a time.
+    /// Looks up the records of dependencies that the leader does not know, one batch at a
+    /// time, and passes answers that have arrived to the leader.
     pub(super) fn read_dependencies(&mut self, i: usize) {
         self.requeue_refused_lookups(i);
         if self.nodes[i].reads.lookups.is_none() {
@@ -145,22 +148,23 @@
         if !unread.is_empty() && now < waits_until {
             reads.waiting_lookups = Some((waits_until, unread));
         } else if !unread.is_empty() {
-            let again_at = now + LOOKUP_RETRY_PAUSE_MS;
-            reads.refused_lookups.push((again_at, unread));
+            let retry_at = now + LOOKUP_RETRY_PAUSE_MS;
+            reads.refused_lookups.push((retry_at, unread));
         }
         if ids.is_empty() {
             return;
         }
         let arrives_at = self.now + self.read_latency();
         let found = ids.into_iter().map(|id| {
-            let found = self.look_up(&id);
+            let found = self.find_job(&id);
             (id, found)
         });
         let read = found.collect();
-        self.nodes[i].reads.lookups = Some(Answer { arrives_at, read });
+        self.nodes[i].reads.lookups = Some(PendingRead { arrives_at, read });
     }
 
-    /// Lookups that wait for the budget, or else new ones, and until when they wait.
+    /// Returns the lookups that wait for the budget, or else new ones, with the time until
+    /// which they may wait.
     fn next_lookups(&mut self, i: usize) -> Option<(Millis, Vec<String>)> {
         if let Some(waiting) = self.nodes[i].reads.waiting_lookups.take() {
             return Some(waiting);
@@ -170,14 +174,14 @@
             return None;
         }
         if self.refuses_lookup() {
-            let again_at = self.now + LOOKUP_RETRY_PAUSE_MS;
-            self.nodes[i].reads.refused_lookups.push((again_at, ids));
+            let retry_at = self.now + LOOKUP_RETRY_PAUSE_MS;
+            self.nodes[i].reads.refused_lookups.push((retry_at, ids));
             return None;
         }
         Some((self.now + BUDGET_WAIT_MS, ids))
     }
 
-    fn look_up(&self, id: &str) -> FoundJob {
+    fn find_job(&self, id: &str) -> FoundJob {
         if let Some((value, version)) = self.store.kv.get(&records::job_key(id)) {
             return FoundJob::Live(value.clone(), *version);
         }
@@ -204,7 +208,8 @@
         });
     }
 
-    /// Reads the feed of jobs that followers accepted.
+    /// Reads the feed of jobs that followers accepted, and passes answers that have arrived
+    /// to the leader.
     pub(super) fn read_acceptance_feed(&mut self, i: usize) {
         if self.nodes[i].reads.feed.is_none() {
             self.read_new_feed_entries(i);
@@ -242,11 +247,11 @@
             });
             let read = found.collect();
             let arrives_at = self.now + latency;
-            self.nodes[i].reads.feed = Some(Answer { arrives_at, read });
+            self.nodes[i].reads.feed = Some(PendingRead { arrives_at, read });
         }
     }
 
-    /// Reads the keys of a write without an answer.
+    /// Reads the keys of a write whose outcome is unknown.
     pub(super) fn begin_reread(&mut self, i: usize, plan: WritePlan) {
         let arrives_at = self.now + self.read_latency();
         let found = Leader::keys_to_reread(&plan).into_iter().map(|key| {
@@ -254,10 +259,11 @@
             (key, item)
         });
         let read = found.collect();
-        self.nodes[i].reads.reread = Some((plan, Answer { arrives_at, read }));
+        self.nodes[i].reads.reread = Some((plan, PendingRead { arrives_at, read }));
     }
 
-    /// Takes in the answers to a reread. Returns whether one is still awaited.
+    /// Processes the answer to a reread if it has arrived. Returns whether a reread is still
+    /// in flight.
     pub(super) fn awaits_reread(&mut self, i: usize) -> bool {
         let now = self.now;
         let node = &mut self.nodes[i];
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -1,24 +1,27 @@
-//! Deterministic simulation of a whole cluster in one thread, in steps of
-//! `STEP` milliseconds of simulated time, with one seeded random generator.
+//! Deterministic simulation of a whole cluster in one thread, in steps of `STEP`
+//! milliseconds of simulated time, with one seeded random generator.
 //!
-//! Simulated here, written from the protocol: users (`users`, `requests`), the
-//! state service (`store`), the cloud and the network (`nodes`, `net`), and the
-//! machines' agents (`workers`). Of the controllers the decisions are the
-//! program's own (`control` and `state` of the library); `nodes`, `election` and
-//! `standbys` stand in for the I/O loops of `server` around them.
+//! Reimplemented here from the protocol: users (`users`, `requests`), the state service
+//! (`store`), the cloud and the network (`nodes`, `net`), and the machines' agents
+//! (`workers`). The controllers' decisions are made by the product's own code (`control`
+//! and `state` of the library); `nodes`, `election` and `standbys` replace the I/O loops of
+//! `server` around that code.
 //!
-//! Faults: messages that are lost, held, refused, delayed or duplicated;
-//! transactions without an answer or applied late; controllers that crash,
+//! Faults that can be injected: messages that are lost, held, refused, delayed or
+//! duplicated; transactions without an answer or applied late; controllers that crash,
 //! pause or are partitioned; machines that pause, restart or fail.
 //!
-//! Not simulated: sockets, framing, TLS, threads, disks and clocks that drift
-//! apart. The testbed runs of `scale_run` cover real processes.
+//! Not simulated: sockets, framing, TLS, threads, disks and clock drift. The testbed runs of
+//! `scale_run` cover real processes.
 //!
-//! The invariants are checked at every step, whatever the test asserts:
-//! `check` looks at tasks on machines, quotas and cancellations, `standbys` at
-//! what registered standbys know, `answers` at the answers that users get. What
-//! they find collects in `Simulation::violations`, which each test asserts to
-//! be empty.
+//! The invariants are checked at every step, independent of what the test asserts: `check`
+//! covers tasks on machines, quotas and cancellations, `standbys` the replicas of registered
+//! standbys, `answers` the answers that users get. Violations collect in
+//! `Simulation::violations`, which each test asserts to be empty.
+//!
+//! Nodes and workers are identified by their indices in `Simulation::nodes` and
+//! `Simulation::workers`; a peer is identified by its index among the other nodes
+//! (`peers_of`).
 #![allow(dead_code)]
 
 mod answers;
@@ -41,7 +44,7 @@
 };
 pub use net::{Cut, CutScope, Endpoint, Link, Net};
 pub use store::Store;
-// Not used by every test file.
+// Not every test file uses this import.
 #[allow(unused_imports)]
 pub use users::UserRequest;
 
@@ -90,25 +93,31 @@
 };
 use users::UserTraffic;
 
+/// Duration of one step of the simulation.
 pub const STEP: Millis = 50;
+/// Lease of a worker, `lease_s` of the settings.
 pub const LEASE: Millis = 10_000;
+/// Time limit for a cancellation to take effect, `cancel_s` of the settings.
 pub const CANCEL: Millis = 35_000;
 
+/// A controller: the state of its process.
 pub struct Node {
     pub alive: bool,
+    /// Time of the restart after a crash.
     pub back_at: Millis,
-    /// The process is paused until then.
+    /// Time until which the process is paused; 0 if it was not paused.
     pub paused_until: Millis,
     pub election: Election,
     pub leader: Option<Leader>,
+    /// Receives the leader's replication while the node is a standby.
     pub follower: ReplicaReceiver,
-    /// Replication parts that await an answer of each node, by stream and number.
+    /// Replication part, by stream and number, that awaits the answer of each node.
     parts_in_flight: Vec<Option<(u64, u64)>>,
-    /// A write of the standby registry had no answer: it is reread then.
+    /// Time at which the standby registry is reread, after a write of it had no answer.
     registry_reread_at: Option<Millis>,
-    /// Its position in the feed of jobs that followers accepted, while it leads.
+    /// Position in the feed of jobs that followers accepted, while the node leads.
     acceptance_feed: Option<AcceptanceFeed>,
-    /// A new leader has read the records by then.
+    /// Time at which a new leader has read the records.
     records_read_at: Millis,
     pub failure_detector: FailureDetector,
     pub exclusions: Exclusions,
@@ -116,31 +125,36 @@
     heartbeat_relays: HeartbeatRelays,
     final_states: FinalStates,
     dependency_evidence: Option<DependencyEvidence>,
-    /// Its share of the requests a second, where those are limited.
+    /// The node's share of the requests per second, if a test limits them.
     request_budget: Option<NodeRequests>,
     next_election_step: Millis,
     next_relay_request: Millis,
+    /// Time at which the node, as leader, last answered a heartbeat.
     last_heartbeat: Millis,
+    /// Time of the next flush of the leader's writes.
     flush_at: Millis,
-    /// A write plan whose transaction is applied, and when its answer comes.
+    /// A write plan whose transaction has been applied, and the time its answer arrives.
     flushing: Option<(Millis, WritePlan, TxnResult)>,
-    /// A write plan whose transaction had no answer, and when it is reread.
+    /// A write plan whose transaction had no answer, and the time its keys are reread.
     indeterminate: Option<(Millis, WritePlan)>,
-    /// Reads of records that it awaits as leader.
+    /// Reads of records in flight, while the node leads.
     reads: lookups::ReadsInFlight,
-    /// Since when a probe of each peer has no answer.
+    /// Send time of the unanswered probe of each node.
     probes_open_since: Vec<Option<Millis>>,
 }
 
+/// An attempt of a task on a worker.
 #[derive(Clone, Debug)]
 pub struct Task {
     pub name: String,
     pub attempt: u64,
     pub state: TaskState,
     pub exit_reason: Option<ExitReason>,
+    /// Time at which the current state ends.
     pub until: Millis,
 }
 
+/// A machine with its agent.
 pub struct Worker {
     pub name: String,
     pub zone: String,
@@ -148,21 +162,29 @@
     pub alive: bool,
     pub net: Net,
     pub incarnation: u64,
+    /// Sequence number of the last heartbeat.
     pub seq: u64,
+    /// Highest fencing token that the worker has seen.
     pub token: u64,
     pub tasks: Vec<Task>,
     lease_renewed_at: Millis,
-    next_election_step: Millis,
+    /// Time of the next heartbeat.
+    next_heartbeat_at: Millis,
+    /// Time of the last heartbeat.
     sent: Millis,
+    /// Whether a heartbeat is due early, as the tasks have changed.
     report_due: bool,
+    /// Node to which heartbeats are sent.
     target: usize,
-    /// Every task that starts on it fails.
+    /// Whether every task that starts on the worker fails.
     pub fails_tasks: bool,
+    /// Sequence number and send time of the heartbeat that awaits its answer.
     heartbeat_in_flight: Option<(u64, Millis)>,
     boots_at: Millis,
     paused_until: Millis,
 }
 
+/// The simulated cluster with its faults, users and checkers.
 pub struct Simulation {
     pub now: Millis,
     pub rng: Rng,
@@ -171,113 +193,126 @@
     pub nodes: Vec<Node>,
     pub workers: Vec<Worker>,
     pub specs: HashMap<String, JobSpec>,
-    /// Jobs whose users asked to cancel them.
+    /// Jobs that a user asked to cancel.
     cancelling: BTreeSet<String>,
-    /// When jobs were accepted.
+    /// Time at which each job was first answered as accepted.
     submitted: HashMap<String, Millis>,
+    /// Last state that a user was answered for each job, with the time of the first answer.
+    /// The key `<id>!` holds the first answer that the job is cancelled.
     pub answered: HashMap<String, (JobState, Millis)>,
+    /// Messages with their times of arrival.
     in_transit: Vec<(Millis, Msg)>,
+    /// Messages held by a fault of the network.
     held: Vec<Msg>,
+    /// Partitions of nodes.
     cuts: Vec<(usize, CutScope, Cut)>,
-    /// What this node sends now leaves it only then: the process is paused between
-    /// its last check and the network.
+    /// A node whose messages of this step leave it only at the given time: its process is
+    /// paused between its last check and the send.
     paused_sender: Option<(usize, Millis)>,
-    /// Longest latency of the answer to a leader's write.
+    /// Maximum latency of the answer to a leader's write.
     pub write_latency_ms: Millis,
-    /// How the leader's reads of records go wrong.
+    /// Faults of the leader's reads of records.
     pub read_faults: lookups::ReadFaults,
-    /// How long a new leader takes to read the records.
+    /// Time that a new leader takes to read the records.
     pub load_ms: Millis,
     /// Heartbeats that a node relayed, by worker and sequence number.
     relaying: BTreeSet<(usize, u64)>,
+    /// Delayed operations at the cloud: time, node, term and operation.
     late_ops: Vec<(Millis, usize, u64, CloudOp)>,
-    /// Percentage of heartbeats that are delivered once more, up to 30 s late.
+    /// Percentage of heartbeats that are delivered again, up to 30 s late.
     pub duplicate_percent: u32,
-    /// Some heartbeats are kept and replayed to the next leader.
+    /// Whether some heartbeats are kept and replayed to the next leader.
     pub keep_for_next_leader: bool,
     kept_heartbeats: Vec<(usize, Heartbeat)>,
-    /// Kept heartbeats that were replayed to a new leader.
+    /// Number of kept heartbeats that were replayed to a new leader.
     pub replayed: u32,
     /// Extra delay of all messages between a worker and the controllers.
     pub slow_links: HashMap<usize, Millis>,
-    /// How long a machine that the cloud grants takes to boot.
+    /// Boot time of a machine that the cloud grants.
     pub boot_ms: Millis,
-    /// Since when each job has waited beside capacity that fits it.
+    /// Time since which each job has waited although capacity for it is available.
     waiting_since: HashMap<String, Millis>,
+    /// Whether no fault is injected; then jobs must neither wait nor go unanswered for long.
     pub fault_free: bool,
     /// Direct commands without an answer: node, term, machine, token.
     directs: BTreeSet<(usize, u64, String, u64)>,
     /// Extra delay of direct commands to a worker.
     pub direct_command_delay: HashMap<usize, Millis>,
     pub violations: Vec<String>,
+    /// Number of task starts.
     pub starts: u32,
-    /// Tasks that failed on sick machines, or of faulty jobs.
+    /// Number of tasks that failed, on a faulty machine or as part of a faulty job.
     pub failed: u32,
-    /// Jobs submitted with a mistake: their tasks fail wherever they start.
+    /// Faulty jobs: their tasks fail on every machine.
     pub faulty: BTreeSet<String>,
-    /// Tasks killed by lease expiry at their worker.
+    /// Number of tasks killed as the lease of their worker expired.
     pub expired_tasks: usize,
     /// Machines returned to the cloud.
     pub returned: Vec<String>,
-    /// Machines asked of the cloud.
+    /// Number of machines requested from the cloud.
     pub machines_requested: u32,
-    /// How often a node became leader.
+    /// Number of elections won.
     pub terms: u32,
+    /// Tasks that completed on a worker.
     pub finished: BTreeSet<String>,
+    /// Run time of a task; a service runs without end.
     pub run_ms: Millis,
+    /// Time a task takes to fetch its image.
     pub fetch_ms: Millis,
-    /// Fault injection for the checker's own test: a new leader does not wait
-    /// for leases that may still run.
+    /// Fault injection for the test of the checker: a new leader does not wait for leases
+    /// that may not have expired yet.
     pub skip_lease_wait: bool,
+    /// Whether the cloud grants requested machines.
     pub cloud_grants: bool,
-    /// The option of this name: the bound on the wait of large jobs.
+    /// Value of the option of this name, which bounds the wait of large jobs.
     pub begin_s: f64,
-    /// Every task start: when, on which worker, which task.
+    /// Every task start: time, worker and task.
     pub start_log: Vec<(Millis, usize, String)>,
-    /// Not every node is known to run this version.
+    /// Whether some nodes may run another version.
     pub mixed_versions: bool,
-    /// Nodes keep standbys warm.
+    /// Whether leaders replicate to standbys.
     pub standbys: bool,
-    /// Percentage of replication parts that are lost, and of those that arrive
-    /// twice.
+    /// Percentage of replication parts that are lost, and of those that arrive twice.
     pub replication_loss_percent: u32,
-    /// Answers to renewals that are on their way: when, to whom, of which
-    /// lease, sent when.
+    /// Answers to lease renewals in transit: time of arrival, node, lease, and time the
+    /// renewal was sent.
     renewals: Vec<(Millis, usize, u64, Millis)>,
-    /// Leaders that stepped down as they could not show that they know of all
+    /// Number of leaders that stepped down as they could not prove that they know all
     /// cancellations.
     pub uninformed_step_downs: u32,
-    /// Nodes of a version without standbys and without evidence beside promises.
+    /// Nodes of an earlier version, which has no standbys and whose promises do not tell
+    /// when the process started.
     pub old_version_nodes: BTreeSet<usize>,
-    /// Failovers to a warm standby.
+    /// Number of failovers to a warm standby.
     pub warm_failovers: u32,
-    /// Fault injection for the checker's own test: a standby acknowledges an
-    /// update of a machine, and loses it.
+    /// Fault injection for the test of the checker: a standby acknowledges the update of a
+    /// machine without applying it.
     pub replica_loses_updates: bool,
     /// Users' requests in flight, and the answers that were given.
     pub traffic: UserTraffic,
-    /// Remaining write budget of each node, where writes are limited, and the
-    /// writes a second.
+    /// Write budget of each node; empty unless a test limits writes.
     budgets: Vec<TokenBucket>,
+    /// Writes per second that the state service accepts from all nodes, if limited.
     write_rate: f64,
-    /// Requests a second that the state service takes, if that is limited.
+    /// Requests per second that the state service accepts from all nodes, if limited.
     request_rate: Option<f64>,
-    /// Tasks that started after a user had been answered that their job is
+    /// Number of tasks that started after a user had been answered that their job is
     /// cancelled.
     pub started_after_cancellation: u32,
-    /// Nodes in the second zone.
+    /// Nodes in zone `b`.
     pub zone_b_nodes: BTreeSet<usize>,
-    /// The machine types are not known yet.
+    /// Whether the nodes do not know the machine types yet.
     pub types_unknown: bool,
 }
 
 impl Simulation {
-    /// The same with three controllers.
+    /// Returns a cluster of three controllers before its first election. `cpus_max` is the
+    /// CPU limit of team `t`; 0 is no limit.
     pub fn new(seed: u64, machines: usize, cpus_max: f64) -> Simulation {
         Self::with_nodes(seed, machines, cpus_max, 3)
     }
 
-    /// A cluster of `nodes` controllers before its first election.
+    /// Returns a cluster of `nodes` controllers before its first election.
     pub fn with_nodes(seed: u64, machines: usize, cpus_max: f64, nodes: usize) -> Simulation {
         let settings = Rc::new(settings(cpus_max));
         let mut w = Simulation {
@@ -351,7 +386,7 @@
         w
     }
 
-    /// Teams have limits of their own, from the beginning.
+    /// Sets CPU limits of teams before the simulation starts.
     pub fn with_team_limits(mut self, limits: &[(&str, f64)]) -> Simulation {
         let mut settings = (*self.settings).clone();
         for team in &mut settings.cluster.teams {
@@ -363,6 +398,7 @@
         self
     }
 
+    /// Returns node `i` as its process has just started.
     fn started_node(&mut self, i: usize, nodes: usize) -> Node {
         let names: Vec<String> = (0..nodes).map(|j| format!("n{j}")).collect();
         let peers: Vec<&str> = peers_of(i, nodes).map(|j| names[j].as_str()).collect();
@@ -402,7 +438,7 @@
         }
     }
 
-    /// Adds a machine that is up after `boot`; returns its name.
+    /// Adds a machine that is up after `boot` milliseconds; returns its name.
     pub fn add_worker(&mut self, zone: &str, spot: bool, boot: Millis) -> String {
         let name = format!("i-{:06}", self.workers.len());
         self.workers.push(Worker {
@@ -416,7 +452,7 @@
             token: 0,
             tasks: Vec::new(),
             lease_renewed_at: self.now + boot,
-            next_election_step: self.now + boot,
+            next_heartbeat_at: self.now + boot,
             sent: 0,
             report_due: false,
             target: 0,
@@ -428,7 +464,7 @@
         name
     }
 
-    /// All nodes are in zone `a` but for those in `zone_b_nodes`.
+    /// Returns the zone of a node: `b` for those in `zone_b_nodes`, `a` for all others.
     fn zone_of(&self, i: usize) -> &'static str {
         if self.zone_b_nodes.contains(&i) {
             "b"
@@ -437,7 +473,7 @@
         }
     }
 
-    /// The node that may act as leader and has read the records.
+    /// Returns the node that may act as leader and has read the records.
     pub fn leader(&mut self) -> Option<usize> {
         let now = self.now;
         (0..self.nodes.len()).find(|i| {
@@ -448,7 +484,7 @@
         })
     }
 
-    /// The settings announce lower limits of the state service.
+    /// Announces lower limits of the state service in the settings.
     pub fn announce_lower_limits(&mut self) {
         let mut settings = (*self.settings).clone();
         settings.cluster.state.next = Some(NextLimits {
@@ -460,19 +496,19 @@
         self.settings = Rc::new(settings);
     }
 
-    /// The lower limits that were announced take effect.
+    /// Puts the announced lower limits into effect.
     pub fn apply_lower_limits(&mut self) {
         (self.store.txn_ops, self.store.value) = (4, 2048);
     }
 
-    /// A cluster of three nodes that has elected a leader.
+    /// Returns a cluster of three nodes that has elected a leader.
     pub fn with_leader(seed: u64, machines: usize, limit: f64) -> Simulation {
         let mut w = Simulation::new(seed, machines, limit);
         w.run_until(10_000, "a leader", |w| w.leader().is_some());
         w
     }
 
-    /// How many tasks of the job run, on all machines.
+    /// Returns the number of running tasks of the job on all machines.
     pub fn running(&self, id: &str) -> usize {
         self.workers
             .iter()
@@ -481,14 +517,14 @@
             .count()
     }
 
-    /// Whether the job's final record is written.
+    /// Whether the job's final record is stored.
     pub fn done(&self, id: &str) -> bool {
         self.store.kv.contains_key(&records::final_key(id))
     }
 
     // ---- time ----
 
-    /// Runs for `ms`.
+    /// Runs for `ms` of simulated time.
     pub fn run(&mut self, ms: Millis) {
         let end = self.now + ms;
         while self.now < end {
@@ -496,8 +532,8 @@
         }
     }
 
-    /// Runs until `f` holds, for at most `ms`; else panics with the leader's
-    /// state, `what` naming the condition.
+    /// Runs until `condition` holds, for at most `ms`. Otherwise prints the leader's state and
+    /// panics; `what` names the condition in the message.
     pub fn run_until(&mut self, ms: Millis, what: &str, f: impl Fn(&mut Simulation) -> bool) {
         let end = self.now + ms;
         while self.now < end {
@@ -508,18 +544,18 @@
         }
         self.print_leader();
         panic!(
-            "did not come about in {ms} ms: {what}; broken: {:?}",
+            "condition not reached within {ms} ms: {what}; violations: {:?}",
             self.violations
         );
     }
 
-    /// Prints the leader's view of jobs and machines, for a run that failed.
+    /// Prints the leader's view of jobs and machines to diagnose a failed run.
     fn print_leader(&mut self) {
         if let Some(i) = self.leader() {
             let l = self.nodes[i].leader.as_ref().unwrap();
             for j in l.cluster.jobs.values() {
                 eprintln!(
-                    "{} done {} live {} waiting {} writing {} dirty {} version {} cancelled {} wanted {} backoff {} (now {}) settled {}",
+                    "job {}: completed {}, live {}, waiting {}, write in flight {}, dirty {}, record version {}, cancelled {}, cancel requested {}, backoff until {} (now {}), leader settled {}",
                     j.id,
                     j.completed_count,
                     j.live_count,
@@ -536,7 +572,7 @@
             }
             for m in l.cluster.each_machine() {
                 eprintln!(
-                    "{} up {} unknown {} roster {:?} v {} writing {} releasing {} tasks {:?}",
+                    "machine {}: up {}, contents unknown {}, registration {:?}, record version {}, write in flight {}, releasing {}, tasks {:?}",
                     m.name,
                     m.up,
                     m.contents_unknown,
@@ -547,23 +583,26 @@
                     m.tasks
                 );
             }
-            eprintln!("unclear {}", self.nodes[i].indeterminate.is_some());
+            eprintln!(
+                "write with unknown outcome: {}",
+                self.nodes[i].indeterminate.is_some()
+            );
         } else {
-            eprintln!("nobody leads");
+            eprintln!("no node leads");
         }
     }
 
-    /// Panics if the checkers found a violation so far.
+    /// Panics if the checkers have found a violation.
     pub fn assert_no_violations(&self) {
         assert!(
             self.violations.is_empty(),
-            "rules broken: {:?}",
+            "invariants violated: {:?}",
             self.violations
         );
     }
 
-    /// One step of time: the store, the cloud, the network, users' requests, the
-    /// nodes, the workers, and then the checks.
+    /// Advances time by one step: the state service, the cloud, the network, users' requests,
+    /// the nodes, the workers, and then the checks.
     pub fn step(&mut self) {
         self.now += STEP;
         let now = self.now;
@@ -588,7 +627,7 @@
     }
 }
 
-/// The other nodes, in the order of a node's peers.
+/// Returns the peers of node `i`: all other nodes, in ascending order.
 fn peers_of(i: usize, nodes: usize) -> impl Iterator<Item = usize> {
     (0..nodes).filter(move |j| *j != i)
 }
--- a/tests/simulation/net.rs
+++ b/tests/simulation/net.rs
@@ -1,9 +1,9 @@
-//! The network: faults of links and processes, who reaches whom, and the
+//! The network: faults of links and processes, which endpoints reach each other, and the
 //! messages in transit.
 
 use super::*;
 
-/// State of a machine's network.
+/// State of a machine's network connection.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum Net {
     Up,
@@ -11,14 +11,15 @@
     Hold,
     /// Messages are lost.
     Lose,
-    /// One-way partition: its heartbeats arrive; answers and commands don't.
+    /// One-way partition: the machine's heartbeats arrive at the controllers; answers and
+    /// commands do not arrive at the machine.
     SendOnly,
-    /// It can open no connection to a controller; direct commands arrive, and
-    /// their answers.
+    /// The machine can't open connections to controllers. Direct commands reach it, and
+    /// their answers reach the controllers.
     DirectCommandsOnly,
 }
 
-/// How a controller is partitioned: packets are held, or refused.
+/// Kind of a controller's partition: packets are held, or connections are refused.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum Cut {
     Hold,
@@ -32,7 +33,7 @@
     Workers,
     Worker(usize),
     Node(usize),
-    /// From everything, its users included.
+    /// Everything, including users.
     All,
 }
 
@@ -52,22 +53,30 @@
 
 #[derive(Clone)]
 pub(super) enum Msg {
+    /// To a node, from a worker, with the time it was sent.
     Heartbeat(usize, usize, Heartbeat, Millis),
-    /// A heartbeat delivered once more: nobody waits for the answer.
+    /// A heartbeat delivered again; its answer is discarded.
     DuplicateHeartbeat(usize, usize, Heartbeat),
-    /// Relayed by the first node to the second.
+    /// Relayed by the first node to the second, from a worker, with the time it was sent.
     RelayedHeartbeat(usize, usize, usize, Heartbeat, Millis),
+    /// To a worker, from a node: the response, the heartbeat's incarnation and sequence
+    /// number, and the time the heartbeat was sent.
     HeartbeatReply(usize, usize, Option<HeartbeatResponse>, u64, u64, Millis),
+    /// From a node to a worker, in a term.
     DirectCommand(usize, usize, u64, DirectCommands),
+    /// The end of a node's direct command: term, machine, token, and the answer, if any:
+    /// whether the command was executed, and a heartbeat.
     DirectCommandEnded(usize, u64, String, u64, Option<(bool, Heartbeat)>),
     /// From the first node, the leader, to the second, its standby.
     ReplicationPart(usize, usize, ReplicationPart),
-    /// The second node's answer to the first, which led that term, about that
-    /// part: who it is, and whether it was taken in.
+    /// The second node's answer to the first, which led in that term, to a part with that
+    /// stream and number: the second node's incarnation, and whether it applied the part.
+    /// `None`: no answer.
     ReplicationAnswer(usize, usize, u64, (u64, u64), Option<(u64, bool)>),
 }
 
 impl Msg {
+    /// The node and the worker between which the message travels, if it does.
     fn ends(&self) -> Option<(usize, usize)> {
         match self {
             Msg::Heartbeat(i, w, ..)
@@ -85,7 +94,7 @@
 impl Simulation {
     // ---- faults ----
 
-    /// Node `i` crashes with its memory, and restarts after `back`.
+    /// Node `i` crashes, loses its memory, and restarts after `back` milliseconds.
     pub fn crash(&mut self, i: usize, back: Millis) {
         let n = &mut self.nodes[i];
         n.alive = false;
@@ -98,7 +107,7 @@
         self.traffic.forget_node(i);
     }
 
-    /// Nothing passes between the node and these machines.
+    /// Partitions node `i` from these machines until `end_partitions`; packets are held.
     pub fn partition_from_workers(&mut self, i: usize, machines: &[usize]) {
         for m in machines {
             self.cuts.push((i, CutScope::Worker(*m), Cut::Hold));
@@ -110,7 +119,8 @@
         self.cuts.push((i, side, how));
     }
 
-    /// All partitions of a node end; held messages arrive.
+    /// Ends all partitions of node `i`; held messages, transactions and operations at the
+    /// cloud go through.
     pub fn end_partitions(&mut self, i: usize) {
         self.cuts.retain(|(n, ..)| *n != i);
         for (at, node, _) in self.store.held.iter_mut() {
@@ -126,9 +136,9 @@
         self.release_held();
     }
 
-    /// Pauses a node's process between its last check and the network: it takes
-    /// one more step, whose messages leave it after `ms`; meanwhile it takes in
-    /// nothing and its clock runs on.
+    /// Pauses a node's process between its last check and the send: the node takes one more
+    /// step, whose messages leave it after `ms`. During the pause the node processes no
+    /// message, while time goes on.
     pub fn pause_process(&mut self, i: usize, ms: Millis) {
         if !self.nodes[i].alive || self.nodes[i].paused_until > self.now {
             return;
@@ -140,8 +150,8 @@
         self.nodes[i].paused_until = until;
     }
 
-    /// The agent of a machine restarts at once under its name, without tasks.
-    /// Messages in transit to it are lost with their connections.
+    /// Restarts the agent of a machine at once, under the same name and without tasks.
+    /// Messages in transit to the agent are lost with their connections.
     pub fn restart_machine(&mut self, w: usize) {
         let now = self.now;
         let to_it = |m: &Msg| match m {
@@ -156,15 +166,16 @@
         (
             worker.heartbeat_in_flight,
             worker.lease_renewed_at,
-            worker.next_election_step,
+            worker.next_heartbeat_at,
         ) = (None, now, now + 200);
     }
 
-    /// Delivers a heartbeat once more, late and to any node, as far as the run
-    /// asks for duplicates.
+    /// Delivers a heartbeat again, late and to a random node, and keeps some for
+    /// `replay_kept_heartbeats`, if the test asks for these faults.
     pub(super) fn duplicate_heartbeat(&mut self, w: usize, report: &Heartbeat) {
         if self.keep_for_next_leader {
-            // Of each machine two, none of them soon after the other.
+            // At most two of each machine; drawn with a chance of one in three, so that two
+            // are rarely consecutive.
             let of = |r: &&(usize, Heartbeat)| r.0 == w;
             if self.kept_heartbeats.iter().filter(of).count() < 2 && self.rng.u8(..3) == 0 {
                 self.kept_heartbeats.push((w, report.clone()));
@@ -181,8 +192,8 @@
         self.in_transit.push((self.now + late, copy));
     }
 
-    /// The heartbeats kept reach every controller as a leader is elected, and
-    /// once more after it has acted.
+    /// Replays the kept heartbeats to every controller twice: when a leader is elected, and
+    /// again after it has acted.
     pub(super) fn replay_kept_heartbeats(&mut self) {
         for (w, report) in std::mem::take(&mut self.kept_heartbeats) {
             self.replayed += 1;
@@ -195,24 +206,24 @@
         }
     }
 
-    /// Pauses a machine for `ms`: messages to it wait.
+    /// Pauses a machine for `ms`; messages to the machine are delivered afterwards.
     pub fn pause_machine(&mut self, w: usize, ms: Millis) {
         self.workers[w].paused_until = self.now + ms;
     }
 
-    /// A paused machine resumes.
+    /// Resumes a paused machine.
     pub fn resume_machine(&mut self, w: usize) {
         let hangs = &mut self.workers[w].paused_until;
         *hangs = (*hangs).min(self.now);
     }
 
-    /// The machine is lost with its tasks.
+    /// Ends a machine for good, with its tasks.
     pub fn kill_machine(&mut self, w: usize) {
         self.workers[w].alive = false;
         self.workers[w].tasks.clear();
     }
 
-    /// Restores a machine's network; held messages arrive.
+    /// Restores a machine's network; held messages are delivered.
     pub fn restore_network(&mut self, w: usize) {
         self.workers[w].net = Net::Up;
         self.release_held();
@@ -227,9 +238,9 @@
         }
     }
 
-    // ---- who reaches whom ----
+    // ---- reachability ----
 
-    /// State of the link between node `i` and another endpoint.
+    /// Returns the state of the link between node `i` and another endpoint.
     pub fn link(&self, i: usize, other: Endpoint) -> Link {
         let hits = |n: usize, side: CutScope, other: Endpoint| match (side, other) {
             (CutScope::All, _)
@@ -254,14 +265,14 @@
         link
     }
 
-    /// The node runs, and users and peers reach it.
+    /// Whether the node runs and is not cut off, so that users and peers reach it.
     pub fn reaches(&self, i: usize) -> bool {
         self.nodes[i].alive
             && self.nodes[i].paused_until <= self.now
             && self.is_cut_off(i).is_none()
     }
 
-    /// Whether a node is partitioned from everything, and how.
+    /// Returns how a node is partitioned from everything, if it is.
     pub fn is_cut_off(&self, i: usize) -> Option<Cut> {
         let of = |(n, side, _): &&(usize, CutScope, Cut)| *n == i && *side == CutScope::All;
         self.cuts.iter().find(of).map(|(_, _, how)| *how)
@@ -272,7 +283,7 @@
         !self.store.refuses(i) && self.link(i, Endpoint::State) == Link::Up
     }
 
-    /// How a request of node `i` to node `j` ends at once, if it does.
+    /// Returns the immediate result of a request of node `i` to node `j`; `None`: no answer.
     pub(super) fn contact(&self, i: usize, j: usize) -> Option<PeerHealth> {
         match self.link(i, Endpoint::Node(j)) {
             Link::Hold => None,
@@ -285,6 +296,8 @@
 
     // ---- messages in transit ----
 
+    /// Sends a message between node `i` and worker `w`, in either direction, subject to the
+    /// faults of the link.
     pub(super) fn send(&mut self, i: usize, w: usize, delay: Millis, msg: Msg) {
         let from_node = matches!(msg, Msg::HeartbeatReply(..) | Msg::DirectCommand(..));
         let stalled = self.paused_sender.filter(|(n, _)| *n == i && from_node);
@@ -305,7 +318,7 @@
         let Some(w) = self.workers.iter().position(|w| w.name == d.machine) else {
             return;
         };
-        // No answer within two seconds, unless one comes.
+        // The delivery times out unless an answer arrives before.
         self.directs
             .insert((i, term, d.machine.clone(), d.commands.fencing_token));
         let lost =
@@ -318,7 +331,7 @@
 
     pub(super) fn deliver(&mut self, msg: Msg) {
         let now = self.now;
-        // Messages to a paused node wait.
+        // Messages to a paused process are delivered when it resumes.
         let to = match &msg {
             Msg::Heartbeat(i, ..)
             | Msg::DuplicateHeartbeat(i, ..)
@@ -372,7 +385,7 @@
         }
     }
 
-    /// A worker gets node `i`'s answer to its heartbeat; without a response it
+    /// Worker `w` receives node `i`'s answer to its heartbeat. Without a response the worker
     /// turns to the node's redirect target.
     fn receive_reply(
         &mut self,
@@ -395,19 +408,19 @@
             let leads = self.nodes[i].election.leadership().is_some();
             let relayed = self.relaying.remove(&(w, seq));
             let failure_detector = &mut self.nodes[i].failure_detector;
-            let foreman = match (leads, relayed) {
+            let redirect = match (leads, relayed) {
                 (true, _) => RedirectTarget::Any,
                 (_, true) => failure_detector.redirect_target(None, now),
                 _ => failure_detector.redirect_target(leader, now),
             };
-            let (target, pause) = match foreman {
+            let (target, pause) = match redirect {
                 RedirectTarget::Leader(p) | RedirectTarget::Healthy(p) => (peers[p], 250),
                 RedirectTarget::Any => ((i + 1) % nodes, 1000),
             };
             let worker = &mut self.workers[w];
             worker.heartbeat_in_flight = None;
             worker.target = target;
-            worker.next_election_step = now + pause;
+            worker.next_heartbeat_at = now + pause;
             worker.sent = now.max(500) + pause - 500;
             return;
         };
@@ -424,7 +437,8 @@
         self.execute(w, reply.commands);
     }
 
-    /// A worker gets a direct command of node `i`, and answers it.
+    /// Worker `w` receives a direct command of node `i`, executes it if its token and
+    /// incarnation are current, and answers.
     fn receive_direct_command(&mut self, i: usize, w: usize, term: u64, order: DirectCommands) {
         let now = self.now;
         let worker = &mut self.workers[w];
@@ -446,7 +460,7 @@
         }
     }
 
-    /// Node `i` gets the answer to a direct command, or gives it up.
+    /// Node `i` receives the answer to a direct command, or times out waiting for it.
     fn end_direct_command(
         &mut self,
         i: usize,
@@ -456,7 +470,7 @@
         answer: Option<(bool, Heartbeat)>,
     ) {
         let now = self.now;
-        // Answered, or given up, only once.
+        // Only the first end counts, whether answer or timeout.
         if !self.directs.remove(&(i, term, name.clone(), token)) {
             return;
         }
@@ -466,19 +480,20 @@
         let outcome = match answer {
             Some((true, r)) => DirectDeliveryOutcome::Executed(r),
             Some((false, r)) => DirectDeliveryOutcome::Refused(Some(r)),
-            // The time limit, unless it was answered.
+            // The delivery timed out.
             None => DirectDeliveryOutcome::NoAnswer,
         };
         l.direct_delivery_finished(&name, token, outcome, now);
     }
 
-    /// The leader that a node knows of, as an index into its peers.
+    /// Returns the leader that node `i` knows of, as an index into the node's peers.
     fn known_leader(&self, i: usize) -> Option<usize> {
         let (name, _) = self.nodes[i].election.leader(self.now)?;
         let leader: usize = name[1..].parse().ok()?;
         peers_of(i, self.nodes.len()).position(|j| j == leader)
     }
 
+    /// Passes a heartbeat to node `i`; returns the response if the node leads.
     fn answer(&mut self, i: usize, report: &Heartbeat) -> Option<HeartbeatResponse> {
         let now = self.now;
         let node = &mut self.nodes[i];
@@ -491,6 +506,8 @@
         Some(reply)
     }
 
+    /// Node `i` receives the heartbeat of worker `w`, and answers it or relays it to the
+    /// leader.
     fn receive_heartbeat(&mut self, i: usize, w: usize, report: Heartbeat, sent: Millis) {
         if !self.nodes[i].alive {
             return;
--- a/tests/simulation/nodes.rs
+++ b/tests/simulation/nodes.rs
@@ -1,12 +1,12 @@
-//! Controllers: the I/O loops of `server`, as steps of simulated time around the
-//! program's own decisions: loading the records, commands, writes, and operations
-//! at the cloud. `election` has what concerns leadership.
+//! Controllers: replaces the I/O loops of `server` by steps of simulated time around the
+//! product's own decisions: loading of the records, commands, writes, and operations at the
+//! cloud. Module `election` contains the steps that concern leadership.
 
 use super::*;
 
 impl Simulation {
-    /// One step of node `i`: probes, election and, at the leader, loading,
-    /// scheduling, commands, replication and writes.
+    /// Runs one step of node `i`: probes, election and, if the node leads, loading of the
+    /// records, scheduling, commands, replication and writes.
     pub(super) fn step_node(&mut self, i: usize) {
         let now = self.now;
         if !self.is_awake(i) {
@@ -60,7 +60,7 @@
         }
     }
 
-    /// A new leader reads all records, as `server::leadership` does.
+    /// Loads all records into a new leader, as `server::leadership` does.
     fn load_records(&mut self, i: usize) {
         let now = self.now;
         let node = &mut self.nodes[i];
@@ -82,7 +82,7 @@
             let (id, c) = k[2..].rsplit_once('/').unwrap();
             l.load_segment(id, c.parse().unwrap(), v.as_str().unwrap());
         }
-        // Jobs accepted before the term were loaded with their records.
+        // Jobs accepted before the term began were loaded with their records.
         for (key, _, version) in self.store.list(records::ACCEPTANCES) {
             if version <= l.term {
                 l.acceptance_handled(key);
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Sends the leader's direct commands, and its operations to the cloud.
+    /// Sends the leader's direct commands, and its operations at the cloud.
     fn send_commands(
         &mut self,
         i: usize,
@@ -111,16 +111,18 @@
         for op in ops {
             let stalls = self.paused_sender.filter(|(n, _)| *n == i);
             match (stalls, self.is_cut_off(i)) {
-                // Checked, and executed after the pause.
+                // The process is paused between its check and the send: the operation is
+                // executed after the pause.
                 (Some((_, until)), _) => self.late_ops.push((until, i, term, op)),
-                // Executed when the partition ends.
+                // The node is partitioned: the operation is executed when the partition ends.
                 (None, Some(_)) => self.late_ops.push((Millis::MAX, i, term, op)),
                 (None, None) => self.cloud(i, term, op),
             }
         }
     }
 
-    /// Whether the process runs: restarts it, or resumes it, as its time has come.
+    /// Restarts or resumes the node's process if that is due. Returns whether the process
+    /// runs.
     fn is_awake(&mut self, i: usize) -> bool {
         let now = self.now;
         let nodes = self.nodes.len();
@@ -142,7 +144,7 @@
         true
     }
 
-    /// Operations at the cloud that were delayed.
+    /// Executes delayed operations at the cloud that are due.
     pub(super) fn step_cloud(&mut self) {
         let (due, later) = std::mem::take(&mut self.late_ops)
             .into_iter()
@@ -153,7 +155,8 @@
         }
     }
 
-    /// Executes an operation at the cloud, and tells the leader that asked for it.
+    /// Executes an operation at the cloud, and passes the result to the leader that sent it if
+    /// its term still lasts.
     fn cloud(&mut self, i: usize, term: u64, op: CloudOp) {
         let now = self.now;
         match op {
@@ -185,7 +188,7 @@
         }
     }
 
-    /// Writes what the leader has to record, one transaction at a time.
+    /// Writes the leader's changed records, one transaction at a time.
     fn flush(&mut self, i: usize) {
         let now = self.now;
         let reaches = self.reaches_state(i);
@@ -232,7 +235,7 @@
         }
     }
 
-    /// Applies the outcome of a leader's transaction.
+    /// Passes the outcome of a transaction to the leader.
     fn flushed(&mut self, i: usize, plan: WritePlan, result: TxnResult) {
         let now = self.now;
         let node = &mut self.nodes[i];
--- a/tests/simulation/request_budgets.rs
+++ b/tests/simulation/request_budgets.rs
@@ -1,6 +1,6 @@
-//! The controllers' shares of the state service's requests, by the product's own
-//! budget, where a test limits them: leadership, acceptances, lookups and polls
-//! compete for what the rate gives.
+//! The controllers' shares of the state service's request rate, if a test limits the rate.
+//! Leadership, acceptances, lookups and polls compete for requests by the product's own
+//! `RequestBudget`.
 
 use super::*;
 use pathwinch::state::{
@@ -8,12 +8,13 @@
     request_budget::{RequestBudget, RequestPriority},
 };
 
-/// Seconds' worth of requests at once, as `server::budgets` has it.
+/// Size of a burst, as seconds of the request rate; same value as in `server::budgets`.
 const BURST_S: f64 = 0.9;
-/// A leader renews its lease, and a follower reads the leader's key, about so often.
+/// Approximate interval of a leader's lease renewals, and of a follower's reads of the
+/// leader's key.
 const LEADERSHIP_INTERVAL_MS: Millis = 1_000;
 
-/// What one controller may request.
+/// Request budget of one controller.
 pub(super) struct NodeRequests {
     budget: RequestBudget,
     role: Role,
@@ -21,7 +22,7 @@
 }
 
 impl Simulation {
-    /// Limits the requests a second that the state service takes from all controllers.
+    /// Limits the requests per second that the state service accepts from all controllers.
     pub fn limit_request_rate(&mut self, per_s: f64) {
         self.request_rate = Some(per_s);
         for i in 0..self.nodes.len() {
@@ -44,7 +45,7 @@
         Some(self.request_rate? * share::of_requests(role, nodes))
     }
 
-    /// Adjusts the node's share to its role, and charges what leadership costs.
+    /// Adjusts the node's share to its role, and charges the requests for leadership.
     pub(super) fn step_request_budget(&mut self, i: usize) {
         let now = self.now;
         let election = &self.nodes[i].election;
@@ -69,7 +70,8 @@
         }
     }
 
-    /// Takes one request of a node; always, where requests are not limited.
+    /// Takes one request from a node's budget. Returns whether it may be sent; always, if
+    /// requests are not limited.
     pub(super) fn may_request(&mut self, i: usize, priority: RequestPriority) -> bool {
         let now = self.now;
         let requests = self.nodes[i].request_budget.as_mut();
--- a/tests/simulation/requests.rs
+++ b/tests/simulation/requests.rs
@@ -1,6 +1,6 @@
-//! Requests at the nodes: a stand-in for the server's loop around
-//! `control::requests`, which takes each step and carries out what the step asks
-//! for, at once or after drawn latencies.
+//! Users' requests at the nodes: replaces the server's loop around `control::requests`. The
+//! loop takes each step of a request and carries out the operation that the step returns,
+//! at once or after random latencies.
 
 use super::*;
 use pathwinch::{
@@ -16,34 +16,38 @@
 };
 use users::UserRequest;
 
-/// What happens next to a request in flight.
+/// Next event of a request in flight.
 #[derive(Debug)]
 pub(super) enum NextEvent {
-    /// Its user sends it.
+    /// The user sends the request.
     Sent,
     Event(Event),
-    /// It reaches the leader, or the state service; asked then.
+    /// The poll reaches the leader, this node; with the time the poll was sent.
     AtLeader(usize, Millis),
+    /// The read reaches the state service; with the time the read was sent.
     ReadState(Millis),
     Look(Vec<String>),
     Write(Txn),
+    /// The forwarded request reaches the leader, this node.
     AtForwardTarget(usize),
-    /// The answer, at the user or at the node that passed the request on.
+    /// The answer reaches the user or the node that forwarded the request.
     Answer(Option<Answer>),
 }
 
-/// Who awaits the answer.
+/// Recipient of the answer.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub(super) enum Recipient {
     User(usize),
+    /// The forwarding node's request with this serial number.
     InFlight(u64),
-    Nobody,
+    Discarded,
 }
 
-/// A request in flight, at one node.
+/// A request in flight at one node.
 pub(super) struct InFlight {
     pub(super) serial: u64,
     pub(super) node: usize,
+    /// Incarnation of the node's process; a restart loses the request.
     pub(super) process: u64,
     pub(super) recipient: Recipient,
     pub(super) ask: UserRequest,
@@ -53,6 +57,7 @@
 }
 
 impl Simulation {
+    /// Calls `f` with the view of node `i` that the steps of requests work on.
     fn view<T>(&mut self, i: usize, now: Millis, f: impl FnOnce(&mut NodeView) -> T) -> T {
         let types = if self.types_unknown {
             Vec::new()
@@ -98,7 +103,7 @@
         results
     }
 
-    /// Reads a job's record, and those that it depends on, as `server::polls` does.
+    /// Reads a job's record, and those of its dependencies, as `server::polls` does.
     fn read_state(&mut self, i: usize, id: &str, began: Millis) -> Result<Reading, String> {
         if !self.reaches_state(i) {
             return Err("status 503".into());
@@ -124,8 +129,8 @@
         })
     }
 
-    /// Whether a job may be called unfinished as far as its dependencies go; `Err`: why
-    /// not.
+    /// Checks by the records of its dependencies whether a job may be answered as unfinished;
+    /// `Err`: the reason why not.
     fn confirm_dependencies(
         &mut self,
         i: usize,
@@ -151,7 +156,7 @@
                         let status = final_status(id, &record);
                         self.view(i, self.now, |view| view.remember(&status));
                     }
-                    Found::Nothing => panic!("{id} was never accepted"),
+                    Found::Nothing => panic!("no record of {id}, which was accepted"),
                 }
             }
         }
@@ -177,8 +182,8 @@
         evidence.read_unfinished(&status.id, dependencies, read_at);
     }
 
-    /// Applies a node's transaction, holds it, or loses its answer, as the faults
-    /// have it; returns the outcome that the node sees.
+    /// Applies a node's transaction, delays it, or loses its answer, according to the faults;
+    /// returns the outcome that the node sees.
     pub(super) fn transact(&mut self, i: usize, txn: &Txn) -> TxnResult {
         let stalled = self.paused_sender.filter(|(n, _)| *n == i);
         let late = match (stalled, self.link(i, Endpoint::State)) {
@@ -212,7 +217,7 @@
         }
     }
 
-    /// Limits the writes a second that the state service takes.
+    /// Limits the writes per second that the state service accepts from all nodes.
     pub fn limit_write_rate(&mut self, rate: f64) {
         self.write_rate = rate;
         let budget = || TokenBucket::new(rate * share::of_changes(Role::Leads, 3), 1.0);
@@ -224,28 +229,28 @@
         budget.is_none_or(|b| b.take(now, txn.writes.len() as f64, 0.0))
     }
 
-    /// Writes that a leader's bookkeeping may make now.
+    /// Returns the number of writes that the leader's record updates may make now.
     pub(super) fn write_budget(&mut self, i: usize) -> usize {
         let (now, kept) = (self.now, share::kept_for_users(self.write_rate));
         let level = self.budgets.get_mut(i).map(|b| b.level(now) - kept);
         level.map_or(12, |l| l.max(0.0) as usize)
     }
 
-    /// The leader to which node `i` forwards, if it answers.
+    /// Returns the leader to which node `i` forwards requests, if the leader answers.
     fn forward_target(&self, i: usize, now: Millis) -> Option<usize> {
         let (name, _) = self.nodes[i].election.leader(now)?;
         let l: usize = name[1..].parse().ok()?;
         (l != i && self.reaches(l) && self.link(i, Endpoint::Node(l)) == Link::Up).then_some(l)
     }
 
-    /// What node `i`, which leads, answers its peers' polls of these jobs.
+    /// Returns what node `i`, which leads, answers its peers' polls of these jobs.
     pub fn told_to_peers(&mut self, i: usize, ids: &[String]) -> Vec<Option<JobState>> {
-        let told = self.view(i, self.now, |view| polled(view, ids));
-        let told = told.expect("it leads").into_iter();
-        told.map(|known| known.map(|(state, ..)| state)).collect()
+        let states = self.view(i, self.now, |view| polled(view, ids));
+        let states = states.expect("the node leads").into_iter();
+        states.map(|known| known.map(|(state, ..)| state)).collect()
     }
 
-    /// Takes all steps of the request at this moment. `Err`: it has to wait.
+    /// Takes all steps of the request at the present time. `Err`: the request has to wait.
     pub(super) fn complete_now(
         &mut self,
         i: usize,
@@ -258,7 +263,7 @@
             event = match self.view(i, now, |view| request.step(event, view)) {
                 Next::Answer(answer) => return Ok(Some(answer)),
                 Next::NotLeading | Next::Over => return Ok(None),
-                // An end that is held back is waited for, nothing else.
+                // Only a final state that is withheld for some time is waited for.
                 Next::Wait(ms) if request.is_held() => {
                     self.run(ms + STEP);
                     now = self.now;
@@ -286,7 +291,7 @@
         }
     }
 
-    /// Puts a request into flight at node `i`.
+    /// Adds a request in flight at node `i`.
     pub(super) fn launch(
         &mut self,
         i: usize,
@@ -314,7 +319,7 @@
         1 + self.rng.u64(0..=most)
     }
 
-    /// All events of requests in flight that are due.
+    /// Processes all due events of requests in flight, in the order of their times.
     pub(super) fn step_requests(&mut self) {
         loop {
             let flights = self.traffic.in_flight.iter().enumerate();
@@ -327,6 +332,7 @@
         }
     }
 
+    /// Processes the due event of a request in flight.
     fn advance(&mut self, mut f: InFlight) {
         let (i, now) = (f.node, f.due);
         if let (NextEvent::Sent, Recipient::User(n)) = (&f.next_event, f.recipient) {
@@ -343,14 +349,14 @@
         if !node.alive || node.election.incarnation != f.process {
             return;
         }
-        // Messages to a paused node wait.
+        // Messages to a paused process are delivered after it resumes.
         if node.paused_until > now && matches!(f.next_event, NextEvent::Event(_)) {
             f.due = node.paused_until + self.rng.u64(0..20);
             self.traffic.in_flight.push(f);
             return;
         }
         let slow = self.store.delay_ms;
-        let (soon, next) = match std::mem::replace(&mut f.next_event, NextEvent::Answer(None)) {
+        let (delay, next) = match std::mem::replace(&mut f.next_event, NextEvent::Answer(None)) {
             NextEvent::Event(event) => {
                 let next = self.view(i, now, |view| f.request.step(event, view));
                 self.schedule(&mut f, next)
@@ -377,16 +383,16 @@
                 (after, NextEvent::Event(Event::LookupResults(looked)))
             }
             NextEvent::Write(txn) => {
-                let wrote = self.transact(i, &txn);
-                let after = match wrote {
+                let outcome = self.transact(i, &txn);
+                let after = match outcome {
                     TxnResult::Unknown => 2_000,
                     _ => self.draw_latency(),
                 };
-                (after, NextEvent::Event(Event::Wrote(wrote)))
+                (after, NextEvent::Event(Event::Wrote(outcome)))
             }
             NextEvent::AtForwardTarget(l) => {
-                let there = self.reaches(l) && self.link(i, Endpoint::Node(l)) == Link::Up;
-                if there {
+                let is_reachable = self.reaches(l) && self.link(i, Endpoint::Node(l)) == Link::Up;
+                if is_reachable {
                     let begin = NextEvent::Event(Event::Begin);
                     self.launch(
                         l,
@@ -397,7 +403,11 @@
                         begin,
                     );
                 }
-                let after = if there { f.request.forward_limit() } else { 0 };
+                let after = if is_reachable {
+                    f.request.forward_limit()
+                } else {
+                    0
+                };
                 (after, NextEvent::Event(Event::Forwarded(None)))
             }
             NextEvent::Sent => return,
@@ -407,14 +417,14 @@
             next,
             NextEvent::ReadState(_) | NextEvent::Look(_) | NextEvent::Write(_)
         );
-        f.due = now + soon + if reads { slow } else { 0 };
+        f.due = now + delay + if reads { slow } else { 0 };
         f.next_event = next;
         self.traffic.in_flight.push(f);
     }
 
-    /// The event that a step asks for, and after which delay it comes.
+    /// Returns the event that follows from the result of a step, and its delay.
     fn schedule(&mut self, f: &mut InFlight, next: Next) -> (Millis, NextEvent) {
-        let way = self.draw_latency();
+        let latency = self.draw_latency();
         let leader = self.forward_target(f.node, f.due);
         match next {
             Next::Answer(answer) => {
@@ -424,30 +434,33 @@
                         serial,
                         node: f.node,
                         process: f.process,
-                        recipient: Recipient::Nobody,
+                        recipient: Recipient::Discarded,
                         ask: f.ask.clone(),
                         request: left,
                         due: f.due,
                         next_event: NextEvent::Event(Event::Begin),
                     });
                 }
-                (way, NextEvent::Answer(Some(answer)))
+                (latency, NextEvent::Answer(Some(answer)))
             }
-            Next::NotLeading | Next::Over => (way, NextEvent::Answer(None)),
+            Next::NotLeading | Next::Over => (latency, NextEvent::Answer(None)),
             Next::Wait(ms) => (ms, NextEvent::Event(Event::Waited)),
             Next::AskLeader => match leader {
-                Some(l) => (way, NextEvent::AtLeader(l, f.due)),
+                Some(l) => (latency, NextEvent::AtLeader(l, f.due)),
                 None => (0, NextEvent::Event(leader_replied(f.due, None))),
             },
             Next::Forward => match leader {
-                Some(l) => (way, NextEvent::AtForwardTarget(l)),
+                Some(l) => (latency, NextEvent::AtForwardTarget(l)),
                 None => (0, NextEvent::Event(Event::Forwarded(None))),
             },
-            Next::ReadState => (way, NextEvent::ReadState(f.due)),
-            Next::Look(ids) => (way, NextEvent::Look(ids)),
-            Next::Versions => (way, NextEvent::Event(Event::Versions(!self.mixed_versions))),
+            Next::ReadState => (latency, NextEvent::ReadState(f.due)),
+            Next::Look(ids) => (latency, NextEvent::Look(ids)),
+            Next::Versions => (
+                latency,
+                NextEvent::Event(Event::Versions(!self.mixed_versions)),
+            ),
             Next::Write(txn, _) => match self.has_budget(f.node, f.due, &txn) {
-                true => (way, NextEvent::Write(txn)),
+                true => (latency, NextEvent::Write(txn)),
                 false => (0, NextEvent::Event(Event::OverBudget)),
             },
         }
@@ -455,7 +468,7 @@
 
     fn deliver_answer(&mut self, f: InFlight, answer: Option<Answer>) {
         match f.recipient {
-            Recipient::Nobody => {}
+            Recipient::Discarded => {}
             Recipient::InFlight(serial) => {
                 let asker = self
                     .traffic
@@ -472,7 +485,7 @@
             }
             Recipient::User(n) => {
                 let asked = &self.traffic.history[n];
-                let late = f.due > asked.sent + asked.ask.patience();
+                let late = f.due > asked.sent + asked.ask.timeout_ms();
                 let Some(answer) = answer.filter(|_| !late && self.reaches(f.node)) else {
                     return;
                 };
--- a/tests/simulation/standbys.rs
+++ b/tests/simulation/standbys.rs
@@ -1,5 +1,5 @@
-//! Replication to standbys as the leader's loop does it, and the checker of its
-//! invariant: a registered standby knows at least all tasks on machines.
+//! Replication to standbys, as the leader's loop in `server` does it, and the checker of its
+//! invariant: the replica of a registered standby contains at least all tasks on machines.
 
 use super::*;
 use pathwinch::{protocol::workers::parse_task_name, state::records::StandbyRecord};
@@ -10,13 +10,13 @@
         Some((serde_json::from_value(v.clone()).unwrap(), *r))
     }
 
-    /// Ends the use of standbys: the next failover is cold.
+    /// Stops replication and removes the standby registry: the next failover is cold.
     pub fn drop_standbys(&mut self) {
         self.standbys = false;
         self.store.kv.remove(records::STANDBYS);
     }
 
-    /// The nodes that the standby registry names, as far as that incarnation runs.
+    /// Returns the nodes in the standby registry whose registered incarnation still runs.
     pub fn registered_standbys(&self) -> Vec<usize> {
         let Some((record, _)) = self.standby_registry() else {
             return Vec::new();
@@ -30,12 +30,15 @@
         named.filter_map(node).collect()
     }
 
+    /// Whether node `i` is not a registered standby and reaches one that is.
     pub(super) fn others_are_registered(&self, i: usize) -> bool {
         let named = self.registered_standbys();
         let there = |j: &usize| self.contact(i, *j) == Some(PeerHealth::Healthy);
         !named.contains(&i) && named.iter().any(there)
     }
 
+    /// Updates the standby registry, and sends replication parts to the peers of the leader,
+    /// node `i`.
     pub(super) fn step_standbys(&mut self, i: usize) {
         let now = self.now;
         let answers: Vec<bool> = peers_of(i, self.nodes.len())
@@ -93,10 +96,13 @@
         }
     }
 
+    /// Returns the node that is peer `p` of node `i`.
     fn peer_node(&self, i: usize, p: usize) -> usize {
         peers_of(i, self.nodes.len()).nth(p).unwrap()
     }
 
+    /// Sends the next replication part of the leader, node `i`, to its peer `p`, if one is
+    /// due.
     fn replicate_to_standby(&mut self, i: usize, p: usize) {
         let (now, j) = (self.now, self.peer_node(i, p));
         let Some(l) = self.nodes[i].leader.as_mut() else {
@@ -116,16 +122,16 @@
             Some(PeerHealth::Refusing) => self.in_transit.push((at, lost)),
             how => {
                 self.in_transit.push((now + 900, lost));
-                let tell = Msg::ReplicationPart(i, j, part);
-                let luck = self.rng.u32(0..100);
+                let message = Msg::ReplicationPart(i, j, part);
+                let draw = self.rng.u32(0..100);
                 if self.link(i, Endpoint::Node(j)) == Link::Hold {
-                    self.held.push(tell);
-                } else if how.is_none() || luck >= self.replication_loss_percent {
-                    if luck >= 100 - self.replication_loss_percent {
+                    self.held.push(message);
+                } else if how.is_none() || draw >= self.replication_loss_percent {
+                    if draw >= 100 - self.replication_loss_percent {
                         self.in_transit
-                            .push((at + self.rng.u64(0..60_000), tell.clone()));
+                            .push((at + self.rng.u64(0..60_000), message.clone()));
                     }
-                    self.in_transit.push((at, tell));
+                    self.in_transit.push((at, message));
                 }
             }
         }
@@ -146,8 +152,8 @@
         }
         let (term, id) = (part.term, (part.stream, part.part));
         let node = &mut self.nodes[j];
-        let taken = node.follower.apply_part(part, now);
-        let answer = Some((node.election.incarnation, taken));
+        let applied = node.follower.apply_part(part, now);
+        let answer = Some((node.election.incarnation, applied));
         if self.link(i, Endpoint::Node(j)) == Link::Up {
             self.in_transit
                 .push((now + 5, Msg::ReplicationAnswer(i, j, term, id, answer)));
@@ -168,7 +174,7 @@
         let Some(l) = node.leader.as_mut().filter(|l| l.term == term) else {
             return;
         };
-        // Answered already, or given up.
+        // The part was answered already, or timed out.
         if !node.alive || node.parts_in_flight[j] != Some(part) {
             return;
         }
@@ -177,12 +183,12 @@
         self.replicate_to_standby(i, p);
     }
 
-    /// A registered standby knows at least the tasks on machines, and so does a
-    /// leader that took over by its replica.
+    /// Checks that the replica of each registered standby contains at least the tasks on
+    /// machines, and so does the state of a leader after a warm failover.
     pub(super) fn check_replicas(&mut self) {
         let mut found = Vec::new();
-        // The tasks of a gang complete together, though here one by one: once
-        // that is recorded, nobody need know of the rest.
+        // The tasks of a gang complete as one, but the simulated workers end them one by one.
+        // Once the completion is recorded, replicas need not contain the remaining tasks.
         let over = |t: &Task| self.done(t.name.rsplit_once('/').unwrap().0);
         let live = |w: &Worker| {
             let there = w.tasks.iter();
@@ -197,17 +203,20 @@
             if self.nodes[j].election.leadership().is_some() {
                 continue;
             }
-            // Without one of that term, or of a later one, it would go the cold
-            // way: it led in between, and the record was left as it was.
-            let copy = self.nodes[j].follower.replica();
-            let Some(copy) = copy.filter(|c| c.term >= term) else {
+            // A node without a replica of the registry's term or a later one would fail over
+            // cold: the node led in between, and the registry was not updated.
+            let replica = self.nodes[j].follower.replica();
+            let Some(replica) = replica.filter(|c| c.term >= term) else {
                 continue;
             };
             for w in &self.workers {
                 for (name, attempt) in live(w) {
                     let (id, task) = parse_task_name(&name).unwrap();
-                    if !copy.holds(&w.name, id, task, attempt) {
-                        found.push(format!("n{j} does not know of {name} on {}", w.name));
+                    if !replica.holds(&w.name, id, task, attempt) {
+                        found.push(format!(
+                            "replica of registered standby n{j} lacks {name} on {}",
+                            w.name
+                        ));
                     }
                 }
             }
@@ -229,7 +238,10 @@
                             .any(|a| a.name == name && a.attempt == attempt)
                     });
                     if !known {
-                        found.push(format!("the leader does not know of {name} on {}", w.name));
+                        found.push(format!(
+                            "leader after a warm failover lacks {name} on {}",
+                            w.name
+                        ));
                     }
                 }
             }
--- a/tests/simulation/store.rs
+++ b/tests/simulation/store.rs
@@ -1,6 +1,6 @@
-//! The state service: a versioned key-value store with leases, limits and
-//! transactions on conditions. Its own consensus is not simulated: it answers,
-//! is slow, or is unavailable as a whole or for single nodes.
+//! The state service: a versioned key-value store with leases, limits and conditional
+//! transactions. The consensus inside the service is not simulated: the service answers, is
+//! slow, or is unavailable as a whole or for single nodes.
 
 use pathwinch::{
     protocol::state::{Txn, Write},
@@ -13,38 +13,40 @@
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
+/// The state service.
 pub struct Store {
-    /// Limits as they are now.
+    /// Maximum number of writes in a transaction.
     pub txn_ops: usize,
+    /// Maximum size of a value in bytes.
     pub value: usize,
     pub revision: u64,
+    /// Values with the revisions of their last change.
     pub kv: BTreeMap<String, (Value, u64)>,
     pub unavailable: bool,
     /// Extra latency of every answer.
     pub delay_ms: Millis,
-    /// Nodes whose requests it refuses.
+    /// Nodes whose requests are refused.
     pub refused_nodes: BTreeSet<usize>,
     lease: u64,
-    /// Until when, and the life.
+    /// Leases with their expiration time and duration.
     leases: BTreeMap<u64, (Millis, Millis)>,
-    /// Keys under a lease.
+    /// Keys that are deleted when their lease ends.
     attached: BTreeMap<String, u64>,
-    /// Delays of the next transactions: each is applied so much later, and has
-    /// no answer.
+    /// Delays of the next transactions: each is applied after the delay and has no answer.
     pub late_writes: Vec<Millis>,
     /// Percentage of transactions that are applied at once without an answer.
     pub lost_answers: u32,
-    /// How many had none, by the kind of key.
+    /// Number of transactions that were applied without an answer, by the prefix of the key.
     pub unanswered: BTreeMap<String, u32>,
     /// Entries of the acceptance feed, with their revisions.
     pub acceptance_feed: Vec<(u64, String)>,
-    /// Puts and deletes so far.
+    /// Number of puts and deletes so far.
     pub changes: u32,
-    /// `late_writes` for the standby registry.
+    /// The same as `late_writes`, for writes of the standby registry.
     pub late_registry_writes: Vec<Millis>,
-    /// `late_writes` for exclusions and readmissions.
+    /// The same as `late_writes`, for exclusions and readmissions.
     pub late_exclusion_writes: Vec<Millis>,
-    /// Transactions to apply later, with their node; `Millis::MAX`: when its
+    /// Transactions to apply later, with their time and node. `Millis::MAX`: when the node's
     /// partition ends.
     pub held: Vec<(Millis, usize, Txn)>,
 }
@@ -75,20 +77,23 @@
 }
 
 impl Store {
-    /// Applies a transaction; `Err`: the keys whose conditions failed. Panics
-    /// where it is over a limit of the service.
+    /// Applies a transaction; returns its revision, or `Err` with the keys whose conditions
+    /// failed. Panics if the transaction is over a limit of the service.
     pub fn apply(&mut self, txn: &Txn) -> Result<u64, Vec<String>> {
         let ops = self.txn_ops;
         assert!(
             txn.writes.len() <= ops && txn.conditions.len() <= 4 * ops,
-            "txn_ops"
+            "transaction over the limit on operations (txn_ops)"
+        );
+        assert!(
+            serde_json::to_vec(txn).unwrap().len() <= 65536,
+            "transaction over the limit of 64 KiB"
         );
-        assert!(serde_json::to_vec(txn).unwrap().len() <= 65536, "64 KiB");
         let leases = txn.writes.iter().filter_map(|w| match w {
             Write::Put { lease, .. } => *lease,
             _ => None,
         });
-        // "no such lease", whatever the conditions.
+        // A put under a lease that does not exist fails, whatever the conditions.
         if leases.into_iter().any(|l| !self.leases.contains_key(&l)) {
             return Err(Vec::new());
         }
@@ -110,7 +115,10 @@
                         Some(lease) => self.attached.insert(key.clone(), *lease),
                         None => self.attached.remove(key),
                     };
-                    assert!(value.to_string().len() <= self.value, "value_kb: {key}");
+                    assert!(
+                        value.to_string().len() <= self.value,
+                        "value of {key} over the limit on its size (value_kb)"
+                    );
                     self.kv.insert(key.clone(), (value.clone(), self.revision));
                     if key.starts_with(ACCEPTANCES) {
                         self.acceptance_feed.push((self.revision, key.clone()));
@@ -125,7 +133,8 @@
         Ok(self.revision)
     }
 
-    /// The answer to a watch from a revision; `None`: nothing has changed.
+    /// Returns the answer to a watch of the acceptance feed from a revision; `None`: no new
+    /// entry.
     pub fn feed_since(&self, from: u64) -> Option<Vec<u8>> {
         let since = self.acceptance_feed.iter().filter(|(r, _)| *r > from);
         let log: Vec<Value> = since
@@ -135,20 +144,22 @@
         (!log.is_empty()).then(|| body.to_string().into_bytes())
     }
 
-    /// A job's record joined with its spec chunks.
+    /// Returns a job's record, its spec joined from the spec chunks.
     pub fn job_record(&self, id: &str, value: Value) -> JobRecord {
         let stored: StoredJob = serde_json::from_value(value).unwrap();
-        let whole = stored.with_spec(|p| {
+        let record = stored.with_spec(|p| {
             let texts = p.keys(id).filter_map(|k| self.kv.get(&k)?.0.as_str());
             spec_chunks::join(p, texts)
         });
-        whole.unwrap()
+        record.unwrap()
     }
 
+    /// Whether requests of the node are refused.
     pub fn refuses(&self, node: usize) -> bool {
         self.unavailable || self.refused_nodes.contains(&node)
     }
 
+    /// Returns all keys with the prefix, with their values and revisions.
     pub fn list(&self, prefix: &str) -> Vec<(String, Value, u64)> {
         self.kv
             .range(prefix.to_owned()..)
@@ -159,6 +170,7 @@
 }
 
 impl Store {
+    /// Applies held transactions that are due, and ends expired leases.
     pub fn advance(&mut self, now: Millis) {
         for (at, node, txn) in std::mem::take(&mut self.held) {
             if at <= now && !self.unavailable {
@@ -168,26 +180,26 @@
             }
         }
         if self.unavailable {
-            // After an outage all leases have their full time again.
-            for (until, life) in self.leases.values_mut() {
-                *until = now + *life;
+            // After an outage all leases last for their full duration again.
+            for (until, duration) in self.leases.values_mut() {
+                *until = now + *duration;
             }
         }
         self.leases.retain(|_, (until, _)| now < *until);
         self.drop_keys();
     }
 
-    pub fn grant_lease(&mut self, now: Millis, life: Millis) -> u64 {
+    pub fn grant_lease(&mut self, now: Millis, duration: Millis) -> u64 {
         self.lease += 1;
-        self.leases.insert(self.lease, (now + life, life));
+        self.leases.insert(self.lease, (now + duration, duration));
         self.lease
     }
 
-    /// Whether the lease existed, and so was renewed.
+    /// Renews a lease; returns whether the lease existed.
     pub fn renew_lease(&mut self, lease: u64, now: Millis) -> bool {
-        let found = self.leases.get_mut(&lease);
-        found.is_some_and(|(until, life)| {
-            *until = now + *life;
+        let held_lease = self.leases.get_mut(&lease);
+        held_lease.is_some_and(|(until, duration)| {
+            *until = now + *duration;
             true
         })
     }
--- a/tests/simulation/users.rs
+++ b/tests/simulation/users.rs
@@ -1,6 +1,6 @@
-//! Users: what they ask, at once or in flight for a drawn time, and the history
-//! of requests and answers. `requests` carries the requests out at the nodes,
-//! `answers` checks what comes back.
+//! Users: their requests, which are answered at once or after random latencies, and the
+//! history of requests and answers. `requests` carries the requests out at the nodes,
+//! `answers` checks the answers.
 
 use super::*;
 use pathwinch::control::requests::Request;
@@ -39,8 +39,8 @@
         }
     }
 
-    /// How long its user waits.
-    pub(super) fn patience(&self) -> Millis {
+    /// Time for which the user waits for the answer.
+    pub(super) fn timeout_ms(&self) -> Millis {
         match self {
             UserRequest::Poll(_) => 2_000,
             _ => 5_000,
@@ -48,19 +48,22 @@
     }
 }
 
-/// A request, when it was sent, and its answer.
+/// A request that a user sent, and its answer.
 pub struct SentRequest {
     pub ask: UserRequest,
     pub node: usize,
     pub sent: Millis,
+    /// The answer with the time of its arrival.
     pub answer: Option<(Millis, Answer)>,
+    /// Position in the order of all requests and answers.
     pub(super) order: u64,
 }
 
-/// What nodes have answered about a job, by the order of all requests and answers.
+/// What nodes have answered about a job.
 #[derive(Default)]
 pub(super) struct AnsweredState {
-    /// By that order, and when.
+    /// The first answer that the job is accepted: position in the order of all requests and
+    /// answers, and time.
     pub(super) accepted: Option<(u64, Millis)>,
     pub(super) final_state: Option<JobState>,
 }
@@ -71,39 +74,42 @@
     pub(super) in_flight: Vec<InFlight>,
     pub history: Vec<SentRequest>,
     pub(super) answered_states: HashMap<String, AnsweredState>,
+    /// Position of the last request or answer in their common order.
     pub(super) order: u64,
-    /// Since when no request about a job had an answer.
+    /// Time since which requests about a job have had no answer.
     pub(super) unanswered: HashMap<String, Millis>,
-    /// Refusals of jobs that another node had just called accepted, to a question
-    /// that had been sent before that.
+    /// Number of refusals of jobs that another node had just answered as accepted; the
+    /// refused request was sent before that answer.
     pub refusals_overtaken: u32,
-    /// Jobs that were submitted with bodies that can't be accepted.
+    /// Jobs that no node may accept, as their submissions are invalid.
     pub infeasible: BTreeSet<String>,
-    /// Longest latency between two nodes, or to the state service and back.
+    /// Maximum latency between two nodes, or of a round trip to the state service.
     pub max_latency_ms: Millis,
     /// Extra latency of the state service's answers to reads of records.
     pub read_delay_ms: Millis,
 }
 
 impl UserTraffic {
+    /// Returns the next position in the order of requests and answers.
     pub(super) fn next(&mut self) -> u64 {
         self.order += 1;
         self.order
     }
 
+    /// Drops the requests in flight at a node that crashed.
     pub fn forget_node(&mut self, i: usize) {
         self.in_flight
             .retain(|f| f.node != i || matches!(f.next_event, NextEvent::Sent));
     }
 
-    /// A fault excuses missing answers.
+    /// Restarts the time limits for missing answers, as a fault may cause them.
     pub fn excuse_missing_answers(&mut self) {
         self.unanswered.clear();
     }
 }
 
 impl Simulation {
-    /// Sends a request and returns its answer, if it need not wait.
+    /// Sends a request and returns its answer, unless the request has to wait or fails.
     pub fn request_now(&mut self, i: usize, ask: UserRequest) -> Option<Answer> {
         if !self.reaches(i) {
             self.check_missing_answer(ask.id());
@@ -122,8 +128,8 @@
         Some(answer)
     }
 
-    /// A user sends the request after a delay; returns its index in `history`,
-    /// where the answer appears as time passes.
+    /// Schedules a request to be sent after a delay; returns its index in `history`, where
+    /// the answer appears as time passes.
     pub fn request_later(&mut self, after: Millis, i: usize, ask: UserRequest) -> usize {
         if let UserRequest::Cancel(id) = &ask {
             self.cancelling.insert(id.clone());
@@ -145,7 +151,7 @@
         n
     }
 
-    /// When the last of the job's tasks that run now will end.
+    /// Returns when the last of the job's running tasks will end.
     pub fn last_task_end(&self, id: &str) -> Option<Millis> {
         let prefix = format!("{id}/");
         let tasks = self.workers.iter().flat_map(|m| &m.tasks);
@@ -161,7 +167,7 @@
         self.traffic.infeasible.insert(id.to_owned());
     }
 
-    /// Submits until accepted, as a user would.
+    /// Submits a job repeatedly until it is accepted, as a user would.
     pub fn submit(&mut self, spec: JobSpec) {
         self.specs.insert(spec.id.clone(), spec.clone());
         for _ in 0..600 {
@@ -174,12 +180,13 @@
             }
             self.step();
         }
-        panic!("never accepted: {}", spec.id);
+        panic!("job {} was not accepted within 600 attempts", spec.id);
     }
 
-    /// Accepts a job as an earlier version did, with limits of its own.
+    /// Accepts a job at the leader without the checks of a submission, as an earlier version
+    /// with other limits did.
     pub fn accept_by_earlier_version(&mut self, spec: JobSpec) {
-        let i = self.leader().expect("somebody leads");
+        let i = self.leader().expect("a node leads");
         let l = self.nodes[i].leader.as_mut().unwrap();
         let (txn, record) = l.acceptance(&spec, None, self.now);
         let version = self.store.apply(&txn).unwrap();
@@ -188,20 +195,21 @@
         self.specs.insert(spec.id.clone(), spec);
     }
 
-    /// Polls at a node; `None`: it gave no answer.
+    /// Polls a job's state at a node; `None`: the node gave no state.
     pub fn poll(&mut self, i: usize, id: &str) -> Option<JobState> {
         match self.request_now(i, UserRequest::Poll(id.to_owned()))? {
             Answer::State(_, status) => Some(status.state),
             Answer::Refused(..) => {
-                self.violations.push(format!("forgotten: {id}"));
+                self.violations
+                    .push(format!("forgotten: poll of accepted job {id} was refused"));
                 None
             }
             Answer::Later(_) => None,
         }
     }
 
-    /// A job of one task whose records a test has written, with its end if it is over.
-    /// A user was told that it is cancelled.
+    /// Registers a job of one task whose records a test has written, with its final state if
+    /// it has one. A cancelled job counts as answered so to a user.
     pub fn know_job(&mut self, spec: JobSpec, end: Option<JobState>) {
         let id = spec.id.clone();
         self.specs.insert(id.clone(), spec);
@@ -215,7 +223,7 @@
         }
     }
 
-    /// Cancels until that is confirmed, as a user would.
+    /// Cancels a job repeatedly until the cancellation is confirmed, as a user would.
     pub fn cancel(&mut self, id: &str) {
         self.cancelling.insert(id.to_owned());
         for _ in 0..600 {
@@ -227,17 +235,17 @@
             }
             self.step();
         }
-        self.run_until(0, &format!("{id} withdrawn"), |_| false);
+        self.run_until(0, &format!("{id} cancelled"), |_| false);
     }
 
-    /// A user asks to cancel the job, and waits for the answer.
+    /// Passes a user's cancellation to the leader without waiting for the answer.
     pub fn request_cancellation(&mut self, id: &str) {
         self.cancelling.insert(id.to_owned());
-        let leader = self.leader().expect("somebody leads");
+        let leader = self.leader().expect("a node leads");
         self.nodes[leader].leader.as_mut().unwrap().cancel(id);
     }
 
-    /// Takes it that a user was answered that the job is cancelled.
+    /// Records that a user was answered that the job is cancelled.
     pub fn answer_cancelled(&mut self, id: &str) {
         self.cancelling.insert(id.to_owned());
         self.check_state_answer(id, JobState::Cancelled);
--- a/tests/simulation/workers.rs
+++ b/tests/simulation/workers.rs
@@ -3,25 +3,25 @@
 use super::*;
 
 impl Worker {
-    /// It was paused past its lease: the tasks that it lists never resume.
+    /// Whether the worker was paused past its lease: the tasks that it lists never resume.
     pub(super) fn is_lost(&self, now: Millis) -> bool {
         self.paused_until > 0 && now > self.lease_renewed_at + LEASE
     }
 }
 
 impl Simulation {
-    /// The token that the leader would give the machine now.
+    /// Returns the fencing token that the leader would give the worker now.
     pub fn leader_token(&mut self, w: usize) -> u64 {
-        let i = self.leader().expect("somebody leads");
+        let i = self.leader().expect("a node leads");
         let l = self.nodes[i].leader.as_ref().unwrap();
         let ix = l.cluster.machine_handle(&self.workers[w].name);
-        let fence = ix
+        let token_epoch = ix
             .and_then(|ix| l.cluster.machine(ix))
             .map_or(0, |m| m.token_epoch);
-        (l.term << 20) | fence
+        (l.term << 20) | token_epoch
     }
 
-    /// The heartbeat that the worker would send now.
+    /// Returns the heartbeat that the worker would send now.
     pub fn heartbeat_of(&mut self, w: usize) -> Heartbeat {
         self.next_heartbeat(w)
     }
@@ -53,6 +53,7 @@
         }
     }
 
+    /// Executes commands on worker `w`.
     pub(super) fn execute(&mut self, w: usize, commands: Vec<Command>) {
         let now = self.now;
         let fetch_ms = self.fetch_ms;
@@ -68,7 +69,7 @@
                     {
                         continue;
                     }
-                    let other = worker
+                    let is_duplicate = worker
                         .tasks
                         .iter()
                         .any(|t| t.name == task && t.state != TaskState::Exited);
@@ -78,7 +79,7 @@
                         .iter()
                         .filter(|t| t.state != TaskState::Exited)
                         .count();
-                    let why = if other {
+                    let why = if is_duplicate {
                         Some(ExitReason::DuplicateTask)
                     } else if live >= 2 {
                         Some(ExitReason::InsufficientResources)
@@ -117,9 +118,10 @@
                             && t.attempt == attempt
                             && t.exit_reason == Some(ExitReason::Done)
                     });
-                    if done && !self.recorded(&task) {
-                        self.violations
-                            .push(format!("reaped before recorded: {task}"));
+                    if done && !self.completion_is_stored(&task) {
+                        self.violations.push(format!(
+                            "completed task {task} was reaped before its completion was recorded"
+                        ));
                     }
                     self.workers[w].tasks.retain(|t| {
                         !(t.name == task && t.attempt == attempt && t.state == TaskState::Exited)
@@ -129,7 +131,8 @@
         }
     }
 
-    fn recorded(&self, task: &str) -> bool {
+    /// Whether the completion of the task is stored.
+    fn completion_is_stored(&self, task: &str) -> bool {
         let (id, n) = task.rsplit_once('/').unwrap();
         let n: u32 = n.parse().unwrap();
         if self.done(id) {
@@ -148,6 +151,7 @@
         record.cancelled || bits.get(n)
     }
 
+    /// Runs one step of worker `w`: its lease, its tasks and its heartbeats.
     pub(super) fn step_worker(&mut self, w: usize) {
         let now = self.now;
         let run_ms = self.run_ms;
@@ -158,11 +162,12 @@
             return;
         }
         if std::mem::take(&mut worker.paused_until) > 0 {
-            // Its tasks stood still as well.
-            let lost = now - worker.sent.min(now);
+            // The machine's tasks were paused as well: their ends move by the time since the
+            // last heartbeat.
+            let since_last_heartbeat = now - worker.sent.min(now);
             let running = |t: &&mut Task| t.state == TaskState::Running;
             let tasks = worker.tasks.iter_mut().filter(running);
-            tasks.for_each(|t| t.until = t.until.saturating_add(lost));
+            tasks.for_each(|t| t.until = t.until.saturating_add(since_last_heartbeat));
         }
         if now > worker.lease_renewed_at + LEASE {
             worker.incarnation += 1;
@@ -208,12 +213,12 @@
         {
             worker.heartbeat_in_flight = None;
             worker.target = (worker.target + 1) % nodes;
-            worker.next_election_step = now + 1000;
+            worker.next_heartbeat_at = now + 1000;
         }
         if worker.heartbeat_in_flight.is_none()
-            && (now >= worker.next_election_step || (worker.report_due && now >= worker.sent + 500))
+            && (now >= worker.next_heartbeat_at || (worker.report_due && now >= worker.sent + 500))
         {
-            worker.next_election_step = now + 1000;
+            worker.next_heartbeat_at = now + 1000;
             worker.sent = now;
             worker.report_due = false;
             let target = worker.target;
