--- a/tests/simulation/check.rs
+++ b/tests/simulation/check.rs
@@ -18,20 +18,22 @@
         })
     }
 
-    /// Checks the start of a task on worker `w`: the task must not run on another worker,
+    /// Checks the start of a task on worker `worker_id`: the task must not run on another worker,
     /// the job's placement constraints must hold, and its dependencies must be done.
-    pub(super) fn check_start(&mut self, w: usize, name: &str) {
+    pub(super) fn check_start(&mut self, worker_id: usize, name: &str) {
         let id = name.rsplit_once('/').unwrap().0;
         let spec = self.specs[id].clone();
         self.started_after_cancellation += u32::from(self.answered.contains_key(&format!("{id}!")));
         let mut found = Vec::new();
         let mut zones: BTreeMap<&str, u32> = BTreeMap::new();
-        for (i, t) in self.on_machines() {
-            if t.name == name && i != w {
-                found.push(format!("ran_twice: {name} runs on workers {w} and {i}"));
+        for (other_worker, task) in self.on_machines() {
+            if task.name == name && other_worker != worker_id {
+                found.push(format!(
+                    "ran_twice: {name} runs on workers {worker_id} and {other_worker}"
+                ));
             }
-            if t.name.starts_with(&format!("{id}/")) {
-                *zones.entry(&self.workers[i].zone).or_default() += 1;
+            if task.name.starts_with(&format!("{id}/")) {
+                *zones.entry(&self.workers[other_worker].zone).or_default() += 1;
             }
         }
         if spec.single_zone && zones.len() > 1 {
@@ -40,16 +42,16 @@
         if spec.spread && zones.values().any(|n| *n > spec.tasks.div_ceil(2)) {
             found.push(format!("wrong_place: {name}, tasks by zone: {zones:?}"));
         }
-        if self.workers[w].spot && !spec.spot {
+        if self.workers[worker_id].spot && !spec.spot {
             found.push(format!("wrong_place: {name} on a spot machine"));
         }
-        for need in &spec.dependencies {
+        for dependency in &spec.dependencies {
             // The completion has to be recorded: a next leader would not know one that
             // only a heartbeat reported.
-            let done = self.store.kv.get(&records::final_key(need));
+            let done = self.store.kv.get(&records::final_key(dependency));
             if done.is_none_or(|(v, _)| v["s"] != "done") {
                 found.push(format!(
-                    "too_early: {name} started before {need} is recorded as done"
+                    "too_early: {name} started before {dependency} is recorded as done"
                 ));
             }
         }
@@ -62,11 +64,11 @@
         let mut first = self.answered.get(&format!("{id}!")).map(|t| t.1);
         let (mut all, mut seen) = (vec![id.to_owned()], BTreeSet::new());
         while let Some(id) = all.pop() {
-            for need in self.specs.get(&id).map_or(&[][..], |s| &s.dependencies) {
-                if seen.insert(need.clone()) {
-                    let at = self.answered.get(&format!("{need}!")).map(|t| t.1);
+            for dependency in self.specs.get(&id).map_or(&[][..], |s| &s.dependencies) {
+                if seen.insert(dependency.clone()) {
+                    let at = self.answered.get(&format!("{dependency}!")).map(|t| t.1);
                     first = first.into_iter().chain(at).min();
-                    all.push(need.clone());
+                    all.push(dependency.clone());
                 }
             }
         }
@@ -103,9 +105,9 @@
                 return true;
             }
             if seen.insert(id.clone())
-                && let Some(s) = self.specs.get(&id)
+                && let Some(spec) = self.specs.get(&id)
             {
-                all.extend(s.dependencies.iter().cloned());
+                all.extend(spec.dependencies.iter().cloned());
             }
         }
         false
@@ -126,12 +128,12 @@
                 ));
             }
         }
-        for (i, t) in self.on_machines() {
+        for (worker_id, t) in self.on_machines() {
             let id = t.name.rsplit_once('/').unwrap().0;
             if let Some((_, at)) = self.answered.get(&format!("{id}!"))
                 && now > at + CANCEL
             {
-                found.push(format!("ran_cancelled: {} still runs on worker {i} past the time limit for a cancellation", t.name));
+                found.push(format!("ran_cancelled: {} still runs on worker {worker_id} past the time limit for a cancellation", t.name));
             }
         }
         self.violations.extend(found);
@@ -149,7 +151,7 @@
     /// although a machine has capacity for it and its team is under its limit.
     fn check_waiting_jobs(&mut self) {
         let now = self.now;
-        let live_names: BTreeSet<&str> = (self.workers.iter().filter(|w| w.alive))
+        let on_workers: BTreeSet<&str> = (self.workers.iter().filter(|w| w.alive))
             .flat_map(|w| w.tasks.iter().map(|t| t.name.as_str()))
             .collect();
         let used = |w: &Worker| {
@@ -179,7 +181,7 @@
                 continue;
             }
             let name = |t| format!("{id}/{t}");
-            let waits = |t: &String| !live_names.contains(t.as_str()) && !self.finished.contains(t);
+            let waits = |t: &String| !on_workers.contains(t.as_str()) && !self.finished.contains(t);
             let tasks = (0..spec.tasks).map(name).filter(waits).count();
             let limit = self.settings.cluster.teams.iter();
             let limit = limit.filter(|t| t.name == spec.team).map(|t| t.cpus_max);
--- a/tests/simulation/lookups.rs
+++ b/tests/simulation/lookups.rs
@@ -108,43 +108,43 @@
 
     /// Looks up the records of dependencies that the leader does not know, one batch at a
     /// time, and passes answers that have arrived to the leader.
-    pub(super) fn read_dependencies(&mut self, i: usize) {
-        self.requeue_refused_lookups(i);
-        if self.nodes[i].reads.lookups.is_none() {
-            self.send_lookups(i);
+    pub(super) fn read_dependencies(&mut self, node_id: usize) {
+        self.requeue_refused_lookups(node_id);
+        if self.nodes[node_id].reads.lookups.is_none() {
+            self.send_lookups(node_id);
         }
         let now = self.now;
-        let lookups = &mut self.nodes[i].reads.lookups;
+        let lookups = &mut self.nodes[node_id].reads.lookups;
         let Some(answer) = lookups.take_if(|answer| now >= answer.arrives_at) else {
             return;
         };
-        let Some(l) = self.nodes[i].leader.as_mut() else {
+        let Some(leader) = self.nodes[node_id].leader.as_mut() else {
             return;
         };
         for (id, found) in answer.read {
             match found {
                 FoundJob::Live(value, version) => {
-                    l.accepted(self.store.job_record(&id, value), version, now);
+                    leader.accepted(self.store.job_record(&id, value), version, now);
                 }
                 FoundJob::Final(record, version) => {
-                    l.dependency_ended(&final_status(&id, &record), version, now);
+                    leader.dependency_ended(&final_status(&id, &record), version, now);
                 }
-                FoundJob::Nothing => l.requeue_dependency_lookups(vec![id]),
+                FoundJob::Nothing => leader.requeue_dependency_lookups(vec![id]),
             }
         }
     }
 
-    fn send_lookups(&mut self, i: usize) {
-        let Some((waits_until, mut ids)) = self.next_lookups(i) else {
+    fn send_lookups(&mut self, node_id: usize) {
+        let Some((waits_until, mut ids)) = self.next_lookups(node_id) else {
             return;
         };
         let now = self.now;
         let mut readable = 0;
-        while readable < ids.len() && self.may_request(i, RequestPriority::DependencyLookup) {
+        while readable < ids.len() && self.may_request(node_id, RequestPriority::DependencyLookup) {
             readable += NAMES_PER_PAGE;
         }
         let unread = ids.split_off(readable.min(ids.len()));
-        let reads = &mut self.nodes[i].reads;
+        let reads = &mut self.nodes[node_id].reads;
         if !unread.is_empty() && now < waits_until {
             reads.waiting_lookups = Some((waits_until, unread));
         } else if !unread.is_empty() {
@@ -160,22 +160,28 @@
             (id, found)
         });
         let read = found.collect();
-        self.nodes[i].reads.lookups = Some(PendingRead { arrives_at, read });
+        self.nodes[node_id].reads.lookups = Some(PendingRead { arrives_at, read });
     }
 
     /// Returns the lookups that wait for the budget, or else new ones, with the time until
     /// which they may wait.
-    fn next_lookups(&mut self, i: usize) -> Option<(Millis, Vec<String>)> {
-        if let Some(waiting) = self.nodes[i].reads.waiting_lookups.take() {
+    fn next_lookups(&mut self, node_id: usize) -> Option<(Millis, Vec<String>)> {
+        if let Some(waiting) = self.nodes[node_id].reads.waiting_lookups.take() {
             return Some(waiting);
         }
-        let ids = self.nodes[i].leader.as_mut()?.dependencies_to_look_up();
+        let ids = self.nodes[node_id]
+            .leader
+            .as_mut()?
+            .dependencies_to_look_up();
         if ids.is_empty() {
             return None;
         }
         if self.refuses_lookup() {
             let retry_at = self.now + LOOKUP_RETRY_PAUSE_MS;
-            self.nodes[i].reads.refused_lookups.push((retry_at, ids));
+            self.nodes[node_id]
+                .reads
+                .refused_lookups
+                .push((retry_at, ids));
             return None;
         }
         Some((self.now + BUDGET_WAIT_MS, ids))
@@ -193,16 +199,16 @@
         }
     }
 
-    fn requeue_refused_lookups(&mut self, i: usize) {
+    fn requeue_refused_lookups(&mut self, node_id: usize) {
         let now = self.now;
-        let node = &mut self.nodes[i];
-        let Some(l) = node.leader.as_mut() else {
+        let node = &mut self.nodes[node_id];
+        let Some(leader) = node.leader.as_mut() else {
             return;
         };
         node.reads.refused_lookups.retain_mut(|(at, ids)| {
             let due = now >= *at;
             if due {
-                l.requeue_dependency_lookups(std::mem::take(ids));
+                leader.requeue_dependency_lookups(std::mem::take(ids));
             }
             !due
         });
@@ -210,30 +216,30 @@
 
     /// Reads the feed of jobs that followers accepted, and passes answers that have arrived
     /// to the leader.
-    pub(super) fn read_acceptance_feed(&mut self, i: usize) {
-        if self.nodes[i].reads.feed.is_none() {
-            self.read_new_feed_entries(i);
+    pub(super) fn read_acceptance_feed(&mut self, node_id: usize) {
+        if self.nodes[node_id].reads.feed.is_none() {
+            self.read_new_feed_entries(node_id);
         }
         let now = self.now;
-        let feed = &mut self.nodes[i].reads.feed;
+        let feed = &mut self.nodes[node_id].reads.feed;
         let Some(answer) = feed.take_if(|answer| now >= answer.arrives_at) else {
             return;
         };
-        let Some(l) = self.nodes[i].leader.as_mut() else {
+        let Some(leader) = self.nodes[node_id].leader.as_mut() else {
             return;
         };
         for (key, found) in answer.read {
             if let Some((value, version)) = found {
                 let id = key.trim_start_matches(records::ACCEPTANCES);
-                l.accepted(self.store.job_record(id, value), version, now);
+                leader.accepted(self.store.job_record(id, value), version, now);
             }
-            l.acceptance_handled(key);
+            leader.acceptance_handled(key);
         }
     }
 
-    fn read_new_feed_entries(&mut self, i: usize) {
+    fn read_new_feed_entries(&mut self, node_id: usize) {
         let latency = self.read_latency();
-        let Some(feed) = self.nodes[i].acceptance_feed.as_mut() else {
+        let Some(feed) = self.nodes[node_id].acceptance_feed.as_mut() else {
             return;
         };
         let Some(body) = self.store.feed_since(feed.from()) else {
@@ -247,35 +253,35 @@
             });
             let read = found.collect();
             let arrives_at = self.now + latency;
-            self.nodes[i].reads.feed = Some(PendingRead { arrives_at, read });
+            self.nodes[node_id].reads.feed = Some(PendingRead { arrives_at, read });
         }
     }
 
     /// Reads the keys of a write whose outcome is unknown.
-    pub(super) fn begin_reread(&mut self, i: usize, plan: WritePlan) {
+    pub(super) fn begin_reread(&mut self, node_id: usize, plan: WritePlan) {
         let arrives_at = self.now + self.read_latency();
         let found = Leader::keys_to_reread(&plan).into_iter().map(|key| {
             let item = self.store.kv.get(&key).cloned();
             (key, item)
         });
         let read = found.collect();
-        self.nodes[i].reads.reread = Some((plan, PendingRead { arrives_at, read }));
+        self.nodes[node_id].reads.reread = Some((plan, PendingRead { arrives_at, read }));
     }
 
     /// Processes the answer to a reread if it has arrived. Returns whether a reread is still
     /// in flight.
-    pub(super) fn awaits_reread(&mut self, i: usize) -> bool {
+    pub(super) fn awaits_reread(&mut self, node_id: usize) -> bool {
         let now = self.now;
-        let node = &mut self.nodes[i];
+        let node = &mut self.nodes[node_id];
         let reread = &mut node.reads.reread;
         let Some((plan, answer)) = reread.take_if(|(_, answer)| now >= answer.arrives_at) else {
             return reread.is_some();
         };
-        let l = node.leader.as_mut().unwrap();
+        let leader = node.leader.as_mut().unwrap();
         for (key, item) in answer.read {
-            l.reconcile_key(&key, item, now);
+            leader.reconcile_key(&key, item, now);
         }
-        l.reconciled(&plan);
+        leader.reconciled(&plan);
         false
     }
 }
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -315,7 +315,7 @@
     /// Returns a cluster of `nodes` controllers before its first election.
     pub fn with_nodes(seed: u64, machines: usize, cpus_max: f64, nodes: usize) -> Simulation {
         let settings = Rc::new(settings(cpus_max));
-        let mut w = Simulation {
+        let mut sim = Simulation {
             now: 10_000,
             rng: Rng::with_seed(seed),
             settings,
@@ -376,14 +376,14 @@
             zone_b_nodes: BTreeSet::new(),
             types_unknown: false,
         };
-        for i in 0..nodes {
-            let node = w.started_node(i, nodes);
-            w.nodes.push(node);
+        for node_id in 0..nodes {
+            let node = sim.started_node(node_id, nodes);
+            sim.nodes.push(node);
         }
-        for i in 0..machines {
-            w.add_worker(if i % 2 == 0 { "a" } else { "b" }, false, 0);
+        for worker_id in 0..machines {
+            sim.add_worker(if worker_id % 2 == 0 { "a" } else { "b" }, false, 0);
         }
-        w
+        sim
     }
 
     /// Sets CPU limits of teams before the simulation starts.
@@ -398,16 +398,18 @@
         self
     }
 
-    /// Returns node `i` as its process has just started.
-    fn started_node(&mut self, i: usize, nodes: usize) -> Node {
+    /// Returns node `node_id` as its process has just started.
+    fn started_node(&mut self, node_id: usize, nodes: usize) -> Node {
         let names: Vec<String> = (0..nodes).map(|j| format!("n{j}")).collect();
-        let peers: Vec<&str> = peers_of(i, nodes).map(|j| names[j].as_str()).collect();
+        let peers: Vec<&str> = peers_of(node_id, nodes)
+            .map(|j| names[j].as_str())
+            .collect();
         Node {
             alive: true,
             back_at: 0,
             paused_until: 0,
             election: Election::new(
-                &names[i],
+                &names[node_id],
                 self.rng.u64(1..1 << 50),
                 SafetyBounds::of(&self.settings.cluster.workers),
                 self.now,
@@ -418,7 +420,7 @@
             registry_reread_at: None,
             acceptance_feed: None,
             records_read_at: 0,
-            failure_detector: FailureDetector::new(&names[i], &peers),
+            failure_detector: FailureDetector::new(&names[node_id], &peers),
             exclusions: Exclusions::default(),
             next_exclusion_step: 0,
             heartbeat_relays: HeartbeatRelays::default(),
@@ -465,8 +467,8 @@
     }
 
     /// Returns the zone of a node: `b` for those in `zone_b_nodes`, `a` for all others.
-    fn zone_of(&self, i: usize) -> &'static str {
-        if self.zone_b_nodes.contains(&i) {
+    fn zone_of(&self, node_id: usize) -> &'static str {
+        if self.zone_b_nodes.contains(&node_id) {
             "b"
         } else {
             "a"
@@ -476,11 +478,11 @@
     /// Returns the node that may act as leader and has read the records.
     pub fn leader(&mut self) -> Option<usize> {
         let now = self.now;
-        (0..self.nodes.len()).find(|i| {
-            let n = &self.nodes[*i];
-            n.alive
-                && n.election.authority(now).is_some()
-                && n.leader.as_ref().is_some_and(|l| l.loaded())
+        (0..self.nodes.len()).find(|node_id| {
+            let node = &self.nodes[*node_id];
+            node.alive
+                && node.election.authority(now).is_some()
+                && node.leader.as_ref().is_some_and(|l| l.loaded())
         })
     }
 
@@ -503,9 +505,9 @@
 
     /// Returns a cluster of three nodes that has elected a leader.
     pub fn with_leader(seed: u64, machines: usize, limit: f64) -> Simulation {
-        let mut w = Simulation::new(seed, machines, limit);
-        w.run_until(10_000, "a leader", |w| w.leader().is_some());
-        w
+        let mut sim = Simulation::new(seed, machines, limit);
+        sim.run_until(10_000, "a leader", |sim| sim.leader().is_some());
+        sim
     }
 
     /// Returns the number of running tasks of the job on all machines.
@@ -534,10 +536,15 @@
 
     /// Runs until `condition` holds, for at most `ms`. Otherwise prints the leader's state and
     /// panics; `what` names the condition in the message.
-    pub fn run_until(&mut self, ms: Millis, what: &str, f: impl Fn(&mut Simulation) -> bool) {
+    pub fn run_until(
+        &mut self,
+        ms: Millis,
+        what: &str,
+        condition: impl Fn(&mut Simulation) -> bool,
+    ) {
         let end = self.now + ms;
         while self.now < end {
-            if f(self) {
+            if condition(self) {
                 return;
             }
             self.step();
@@ -551,41 +558,41 @@
 
     /// Prints the leader's view of jobs and machines to diagnose a failed run.
     fn print_leader(&mut self) {
-        if let Some(i) = self.leader() {
-            let l = self.nodes[i].leader.as_ref().unwrap();
-            for j in l.cluster.jobs.values() {
+        if let Some(node_id) = self.leader() {
+            let leader = self.nodes[node_id].leader.as_ref().unwrap();
+            for job in leader.cluster.jobs.values() {
                 eprintln!(
                     "job {}: completed {}, live {}, waiting {}, write in flight {}, dirty {}, record version {}, cancelled {}, cancel requested {}, backoff until {} (now {}), leader settled {}",
-                    j.id,
-                    j.completed_count,
-                    j.live_count,
-                    j.waiting_count(),
-                    j.write_in_flight,
-                    j.is_dirty(),
-                    j.record_version,
-                    j.cancelled,
-                    j.cancel_requested,
-                    j.backoff_until,
+                    job.id,
+                    job.completed_count,
+                    job.live_count,
+                    job.waiting_count(),
+                    job.write_in_flight,
+                    job.is_dirty(),
+                    job.record_version,
+                    job.cancelled,
+                    job.cancel_requested,
+                    job.backoff_until,
                     self.now,
-                    l.settled()
+                    leader.settled()
                 );
             }
-            for m in l.cluster.each_machine() {
+            for machine in leader.cluster.each_machine() {
                 eprintln!(
                     "machine {}: up {}, contents unknown {}, registration {:?}, record version {}, write in flight {}, releasing {}, tasks {:?}",
-                    m.name,
-                    m.up,
-                    m.contents_unknown,
-                    m.registration,
-                    m.record_version,
-                    m.write_in_flight,
-                    m.releasing,
-                    m.tasks
+                    machine.name,
+                    machine.up,
+                    machine.contents_unknown,
+                    machine.registration,
+                    machine.record_version,
+                    machine.write_in_flight,
+                    machine.releasing,
+                    machine.tasks
                 );
             }
             eprintln!(
                 "write with unknown outcome: {}",
-                self.nodes[i].indeterminate.is_some()
+                self.nodes[node_id].indeterminate.is_some()
             );
         } else {
             eprintln!("no node leads");
@@ -616,18 +623,18 @@
             self.deliver(msg);
         }
         self.step_requests();
-        for i in 0..self.nodes.len() {
-            self.step_node(i);
+        for node_id in 0..self.nodes.len() {
+            self.step_node(node_id);
         }
-        for i in 0..self.workers.len() {
-            self.step_worker(i);
+        for worker_id in 0..self.workers.len() {
+            self.step_worker(worker_id);
         }
         self.check();
         self.check_replicas();
     }
 }
 
-/// Returns the peers of node `i`: all other nodes, in ascending order.
-fn peers_of(i: usize, nodes: usize) -> impl Iterator<Item = usize> {
-    (0..nodes).filter(move |j| *j != i)
+/// Returns the peers of node `node_id`: all other nodes, in ascending order.
+fn peers_of(node_id: usize, nodes: usize) -> impl Iterator<Item = usize> {
+    (0..nodes).filter(move |j| *j != node_id)
 }
--- a/tests/simulation/net.rs
+++ b/tests/simulation/net.rs
@@ -79,10 +79,10 @@
     /// The node and the worker between which the message travels, if it does.
     fn ends(&self) -> Option<(usize, usize)> {
         match self {
-            Msg::Heartbeat(i, w, ..)
-            | Msg::DuplicateHeartbeat(i, w, ..)
-            | Msg::HeartbeatReply(w, i, ..)
-            | Msg::DirectCommand(i, w, ..) => Some((*i, *w)),
+            Msg::Heartbeat(node_id, worker_id, ..)
+            | Msg::DuplicateHeartbeat(node_id, worker_id, ..)
+            | Msg::HeartbeatReply(worker_id, node_id, ..)
+            | Msg::DirectCommand(node_id, worker_id, ..) => Some((*node_id, *worker_id)),
             Msg::RelayedHeartbeat(..)
             | Msg::DirectCommandEnded(..)
             | Msg::ReplicationPart(..)
@@ -94,43 +94,44 @@
 impl Simulation {
     // ---- faults ----
 
-    /// Node `i` crashes, loses its memory, and restarts after `back` milliseconds.
-    pub fn crash(&mut self, i: usize, back: Millis) {
-        let n = &mut self.nodes[i];
-        n.alive = false;
-        n.flushing = None;
-        n.leader = None;
-        n.back_at = self.now + back;
-        n.indeterminate = None;
-        n.reads = lookups::ReadsInFlight::default();
-        n.registry_reread_at = None;
-        self.traffic.forget_node(i);
+    /// Node `node_id` crashes, loses its memory, and restarts after `back` milliseconds.
+    pub fn crash(&mut self, node_id: usize, back: Millis) {
+        let node = &mut self.nodes[node_id];
+        node.alive = false;
+        node.flushing = None;
+        node.leader = None;
+        node.back_at = self.now + back;
+        node.indeterminate = None;
+        node.reads = lookups::ReadsInFlight::default();
+        node.registry_reread_at = None;
+        self.traffic.forget_node(node_id);
     }
 
-    /// Partitions node `i` from these machines until `end_partitions`; packets are held.
-    pub fn partition_from_workers(&mut self, i: usize, machines: &[usize]) {
-        for m in machines {
-            self.cuts.push((i, CutScope::Worker(*m), Cut::Hold));
+    /// Partitions node `node_id` from these machines until `end_partitions`; packets are held.
+    pub fn partition_from_workers(&mut self, node_id: usize, machines: &[usize]) {
+        for machine in machines {
+            self.cuts
+                .push((node_id, CutScope::Worker(*machine), Cut::Hold));
         }
     }
 
-    /// Partitions node `i` from `side` until `end_partitions`.
-    pub fn partition(&mut self, i: usize, side: CutScope, how: Cut) {
-        self.cuts.push((i, side, how));
+    /// Partitions node `node_id` from `scope` until `end_partitions`.
+    pub fn partition(&mut self, node_id: usize, scope: CutScope, kind: Cut) {
+        self.cuts.push((node_id, scope, kind));
     }
 
-    /// Ends all partitions of node `i`; held messages, transactions and operations at the
+    /// Ends all partitions of node `node_id`; held messages, transactions and operations at the
     /// cloud go through.
-    pub fn end_partitions(&mut self, i: usize) {
-        self.cuts.retain(|(n, ..)| *n != i);
-        for (at, node, _) in self.store.held.iter_mut() {
-            if *node == i && *at == Millis::MAX {
-                *at = self.now;
+    pub fn end_partitions(&mut self, node_id: usize) {
+        self.cuts.retain(|(n, ..)| *n != node_id);
+        for (apply_at, node, _) in self.store.held.iter_mut() {
+            if *node == node_id && *apply_at == Millis::MAX {
+                *apply_at = self.now;
             }
         }
-        for (at, node, ..) in self.late_ops.iter_mut() {
-            if *node == i && *at == Millis::MAX {
-                *at = self.now;
+        for (apply_at, node, ..) in self.late_ops.iter_mut() {
+            if *node == node_id && *apply_at == Millis::MAX {
+                *apply_at = self.now;
             }
         }
         self.release_held();
@@ -139,28 +140,28 @@
     /// Pauses a node's process between its last check and the send: the node takes one more
     /// step, whose messages leave it after `ms`. During the pause the node processes no
     /// message, while time goes on.
-    pub fn pause_process(&mut self, i: usize, ms: Millis) {
-        if !self.nodes[i].alive || self.nodes[i].paused_until > self.now {
+    pub fn pause_process(&mut self, node_id: usize, ms: Millis) {
+        if !self.nodes[node_id].alive || self.nodes[node_id].paused_until > self.now {
             return;
         }
         let until = self.now + ms;
-        self.paused_sender = Some((i, until));
-        self.step_node(i);
+        self.paused_sender = Some((node_id, until));
+        self.step_node(node_id);
         self.paused_sender = None;
-        self.nodes[i].paused_until = until;
+        self.nodes[node_id].paused_until = until;
     }
 
     /// Restarts the agent of a machine at once, under the same name and without tasks.
     /// Messages in transit to the agent are lost with their connections.
-    pub fn restart_machine(&mut self, w: usize) {
+    pub fn restart_machine(&mut self, worker_id: usize) {
         let now = self.now;
         let to_it = |m: &Msg| match m {
-            Msg::DirectCommand(_, to, ..) | Msg::HeartbeatReply(to, ..) => *to == w,
+            Msg::DirectCommand(_, to, ..) | Msg::HeartbeatReply(to, ..) => *to == worker_id,
             _ => false,
         };
         self.in_transit.retain(|(_, m)| !to_it(m));
         self.held.retain(|m| !to_it(m));
-        let worker = &mut self.workers[w];
+        let worker = &mut self.workers[worker_id];
         worker.tasks.clear();
         (worker.incarnation, worker.seq, worker.token) = (1, 0, 0);
         (
@@ -172,91 +173,91 @@
 
     /// Delivers a heartbeat again, late and to a random node, and keeps some for
     /// `replay_kept_heartbeats`, if the test asks for these faults.
-    pub(super) fn duplicate_heartbeat(&mut self, w: usize, report: &Heartbeat) {
+    pub(super) fn duplicate_heartbeat(&mut self, worker_id: usize, report: &Heartbeat) {
         if self.keep_for_next_leader {
             // At most two of each machine; drawn with a chance of one in three, so that two
             // are rarely consecutive.
-            let of = |r: &&(usize, Heartbeat)| r.0 == w;
+            let of = |r: &&(usize, Heartbeat)| r.0 == worker_id;
             if self.kept_heartbeats.iter().filter(of).count() < 2 && self.rng.u8(..3) == 0 {
-                self.kept_heartbeats.push((w, report.clone()));
+                self.kept_heartbeats.push((worker_id, report.clone()));
             }
         }
         if self.duplicate_percent == 0 || self.rng.u32(..100) >= self.duplicate_percent {
             return;
         }
-        let (i, late) = (
+        let (node_id, delay) = (
             self.rng.usize(..self.nodes.len()),
             self.rng.u64(500..30_000),
         );
-        let copy = Msg::DuplicateHeartbeat(i, w, report.clone());
-        self.in_transit.push((self.now + late, copy));
+        let copy = Msg::DuplicateHeartbeat(node_id, worker_id, report.clone());
+        self.in_transit.push((self.now + delay, copy));
     }
 
     /// Replays the kept heartbeats to every controller twice: when a leader is elected, and
     /// again after it has acted.
     pub(super) fn replay_kept_heartbeats(&mut self) {
-        for (w, report) in std::mem::take(&mut self.kept_heartbeats) {
+        for (worker_id, report) in std::mem::take(&mut self.kept_heartbeats) {
             self.replayed += 1;
-            for i in 0..self.nodes.len() {
-                for late in [self.rng.u64(0..400), self.rng.u64(2_000..12_000)] {
-                    let copy = Msg::DuplicateHeartbeat(i, w, report.clone());
-                    self.in_transit.push((self.now + late, copy));
+            for node_id in 0..self.nodes.len() {
+                for delay in [self.rng.u64(0..400), self.rng.u64(2_000..12_000)] {
+                    let copy = Msg::DuplicateHeartbeat(node_id, worker_id, report.clone());
+                    self.in_transit.push((self.now + delay, copy));
                 }
             }
         }
     }
 
     /// Pauses a machine for `ms`; messages to the machine are delivered afterwards.
-    pub fn pause_machine(&mut self, w: usize, ms: Millis) {
-        self.workers[w].paused_until = self.now + ms;
+    pub fn pause_machine(&mut self, worker_id: usize, ms: Millis) {
+        self.workers[worker_id].paused_until = self.now + ms;
     }
 
     /// Resumes a paused machine.
-    pub fn resume_machine(&mut self, w: usize) {
-        let hangs = &mut self.workers[w].paused_until;
-        *hangs = (*hangs).min(self.now);
+    pub fn resume_machine(&mut self, worker_id: usize) {
+        let paused_until = &mut self.workers[worker_id].paused_until;
+        *paused_until = (*paused_until).min(self.now);
     }
 
     /// Ends a machine for good, with its tasks.
-    pub fn kill_machine(&mut self, w: usize) {
-        self.workers[w].alive = false;
-        self.workers[w].tasks.clear();
+    pub fn kill_machine(&mut self, worker_id: usize) {
+        self.workers[worker_id].alive = false;
+        self.workers[worker_id].tasks.clear();
     }
 
     /// Restores a machine's network; held messages are delivered.
-    pub fn restore_network(&mut self, w: usize) {
-        self.workers[w].net = Net::Up;
+    pub fn restore_network(&mut self, worker_id: usize) {
+        self.workers[worker_id].net = Net::Up;
         self.release_held();
     }
 
     fn release_held(&mut self) {
-        for m in std::mem::take(&mut self.held) {
-            match m.ends() {
-                Some((i, w)) => self.send(i, w, 5, m),
-                None => self.in_transit.push((self.now + 5, m)),
+        for message in std::mem::take(&mut self.held) {
+            match message.ends() {
+                Some((node_id, worker_id)) => self.send(node_id, worker_id, 5, message),
+                None => self.in_transit.push((self.now + 5, message)),
             }
         }
     }
 
     // ---- reachability ----
 
-    /// Returns the state of the link between node `i` and another endpoint.
-    pub fn link(&self, i: usize, other: Endpoint) -> Link {
-        let hits = |n: usize, side: CutScope, other: Endpoint| match (side, other) {
+    /// Returns the state of the link between node `node_id` and another endpoint.
+    pub fn link(&self, node_id: usize, other: Endpoint) -> Link {
+        let hits = |n: usize, scope: CutScope, other: Endpoint| match (scope, other) {
             (CutScope::All, _)
             | (CutScope::State, Endpoint::State)
-            | (CutScope::Workers, Endpoint::Worker(_)) => n == i,
-            (CutScope::Node(a), Endpoint::Node(b)) => n == i && a == b,
-            (CutScope::Worker(a), Endpoint::Worker(b)) => n == i && a == b,
+            | (CutScope::Workers, Endpoint::Worker(_)) => n == node_id,
+            (CutScope::Node(a), Endpoint::Node(b)) => n == node_id && a == b,
+            (CutScope::Worker(a), Endpoint::Worker(b)) => n == node_id && a == b,
             _ => false,
         };
         let mut link = Link::Up;
-        for (n, side, how) in &self.cuts {
-            let own = hits(*n, *side, other);
+        for (n, scope, kind) in &self.cuts {
+            let own = hits(*n, *scope, other);
             let theirs = other == Endpoint::Node(*n)
-                && (*side == CutScope::All || *side == CutScope::Node(i));
+                && (*scope == CutScope::All || *scope == CutScope::Node(node_id));
             if own || theirs {
-                match how {
+                match kind {
                     Cut::Hold => return Link::Hold,
                     Cut::Reset => link = Link::Reset,
                 }
@@ -266,44 +267,49 @@
     }
 
     /// Whether the node runs and is not cut off, so that users and peers reach it.
-    pub fn reaches(&self, i: usize) -> bool {
-        self.nodes[i].alive
-            && self.nodes[i].paused_until <= self.now
-            && self.is_cut_off(i).is_none()
+    pub fn reaches(&self, node_id: usize) -> bool {
+        self.nodes[node_id].alive
+            && self.nodes[node_id].paused_until <= self.now
+            && self.is_cut_off(node_id).is_none()
     }
 
     /// Returns how a node is partitioned from everything, if it is.
-    pub fn is_cut_off(&self, i: usize) -> Option<Cut> {
-        let of = |(n, side, _): &&(usize, CutScope, Cut)| *n == i && *side == CutScope::All;
-        self.cuts.iter().find(of).map(|(_, _, how)| *how)
+    pub fn is_cut_off(&self, node_id: usize) -> Option<Cut> {
+        let of = |(n, scope, _): &&(usize, CutScope, Cut)| *n == node_id && *scope == CutScope::All;
+        self.cuts.iter().find(of).map(|(_, _, kind)| *kind)
     }
 
-    /// Whether the state service answers node `i`.
-    pub fn reaches_state(&self, i: usize) -> bool {
-        !self.store.refuses(i) && self.link(i, Endpoint::State) == Link::Up
+    /// Whether the state service answers node `node_id`.
+    pub fn reaches_state(&self, node_id: usize) -> bool {
+        !self.store.refuses(node_id) && self.link(node_id, Endpoint::State) == Link::Up
     }
 
-    /// Returns the immediate result of a request of node `i` to node `j`; `None`: no answer.
-    pub(super) fn contact(&self, i: usize, j: usize) -> Option<PeerHealth> {
-        match self.link(i, Endpoint::Node(j)) {
+    /// Returns the immediate result of a request of node `node_id` to node `peer_node`; `None`: no answer.
+    pub(super) fn contact(&self, node_id: usize, peer_node: usize) -> Option<PeerHealth> {
+        match self.link(node_id, Endpoint::Node(peer_node)) {
             Link::Hold => None,
             Link::Reset => Some(PeerHealth::Refusing),
-            Link::Up if !self.nodes[j].alive => Some(PeerHealth::Refusing),
-            Link::Up if self.nodes[j].paused_until > self.now => None,
+            Link::Up if !self.nodes[peer_node].alive => Some(PeerHealth::Refusing),
+            Link::Up if self.nodes[peer_node].paused_until > self.now => None,
             Link::Up => Some(PeerHealth::Healthy),
         }
     }
 
     // ---- messages in transit ----
 
-    /// Sends a message between node `i` and worker `w`, in either direction, subject to the
+    /// Sends a message between node `node_id` and worker `worker_id`, in either direction, subject to the
     /// faults of the link.
-    pub(super) fn send(&mut self, i: usize, w: usize, delay: Millis, msg: Msg) {
+    pub(super) fn send(&mut self, node_id: usize, worker_id: usize, delay: Millis, msg: Msg) {
         let from_node = matches!(msg, Msg::HeartbeatReply(..) | Msg::DirectCommand(..));
-        let stalled = self.paused_sender.filter(|(n, _)| *n == i && from_node);
-        let slow = self.slow_links.get(&w).copied().unwrap_or(0);
+        let stalled = self
+            .paused_sender
+            .filter(|(n, _)| *n == node_id && from_node);
+        let slow = self.slow_links.get(&worker_id).copied().unwrap_or(0);
         let at = stalled.map_or(self.now, |(_, until)| until) + delay + slow;
-        match (self.workers[w].net, self.link(i, Endpoint::Worker(w))) {
+        match (
+            self.workers[worker_id].net,
+            self.link(node_id, Endpoint::Worker(worker_id)),
+        ) {
             (Net::Up, Link::Up) => self.in_transit.push((at, msg)),
             (Net::SendOnly, Link::Up) if !from_node => self.in_transit.push((at, msg)),
             (Net::DirectCommandsOnly, Link::Up) if matches!(msg, Msg::DirectCommand(..)) => {
@@ -314,43 +320,65 @@
         }
     }
 
-    pub(super) fn send_direct(&mut self, i: usize, term: u64, d: DirectDelivery) {
-        let Some(w) = self.workers.iter().position(|w| w.name == d.machine) else {
+    pub(super) fn send_direct(&mut self, node_id: usize, term: u64, delivery: DirectDelivery) {
+        let Some(worker_id) = self
+            .workers
+            .iter()
+            .position(|worker| worker.name == delivery.machine)
+        else {
             return;
         };
         // The delivery times out unless an answer arrives before.
-        self.directs
-            .insert((i, term, d.machine.clone(), d.commands.fencing_token));
-        let lost =
-            Msg::DirectCommandEnded(i, term, d.machine.clone(), d.commands.fencing_token, None);
+        self.directs.insert((
+            node_id,
+            term,
+            delivery.machine.clone(),
+            delivery.commands.fencing_token,
+        ));
+        let lost = Msg::DirectCommandEnded(
+            node_id,
+            term,
+            delivery.machine.clone(),
+            delivery.commands.fencing_token,
+            None,
+        );
         self.in_transit
             .push((self.now + DIRECT_COMMAND_TIMEOUT_MS, lost));
-        let delay = self.direct_command_delay.get(&w).copied().unwrap_or(5);
-        self.send(i, w, delay, Msg::DirectCommand(i, w, term, d.commands));
+        let delay = self
+            .direct_command_delay
+            .get(&worker_id)
+            .copied()
+            .unwrap_or(5);
+        self.send(
+            node_id,
+            worker_id,
+            delay,
+            Msg::DirectCommand(node_id, worker_id, term, delivery.commands),
+        );
     }
 
     pub(super) fn deliver(&mut self, msg: Msg) {
         let now = self.now;
         // Messages to a paused process are delivered when it resumes.
         let to = match &msg {
-            Msg::Heartbeat(i, ..)
-            | Msg::DuplicateHeartbeat(i, ..)
-            | Msg::RelayedHeartbeat(_, i, ..)
-            | Msg::DirectCommandEnded(i, ..) => Some(*i),
+            Msg::Heartbeat(node_id, ..)
+            | Msg::DuplicateHeartbeat(node_id, ..)
+            | Msg::RelayedHeartbeat(_, node_id, ..)
+            | Msg::DirectCommandEnded(node_id, ..) => Some(*node_id),
             Msg::ReplicationPart(_, j, _) => Some(*j),
-            Msg::ReplicationAnswer(i, ..) => Some(*i),
+            Msg::ReplicationAnswer(node_id, ..) => Some(*node_id),
             Msg::HeartbeatReply(..) | Msg::DirectCommand(..) => None,
         };
-        if let Some(i) = to.filter(|i| self.nodes[*i].paused_until > now) {
+        if let Some(node_id) = to.filter(|node_id| self.nodes[*node_id].paused_until > now) {
             let some = self.rng.u64(0..3) * STEP;
-            let at = self.nodes[i].paused_until + some;
+            let at = self.nodes[node_id].paused_until + some;
             self.in_transit.push((at, msg));
             return;
         }
-        if let Msg::HeartbeatReply(w, ..) | Msg::DirectCommand(_, w, ..) = &msg
-            && self.workers[*w].paused_until > now
+        if let Msg::HeartbeatReply(worker_id, ..) | Msg::DirectCommand(_, worker_id, ..) = &msg
+            && self.workers[*worker_id].paused_until > now
         {
-            let at = self.workers[*w].paused_until;
+            let at = self.workers[*worker_id].paused_until;
             self.in_transit.push((at, msg));
             return;
         }
@@ -360,54 +388,56 @@
                 self.receive_replication_answer(i, j, term, part, answer)
             }
             Msg::Heartbeat(i, w, report, sent) => self.receive_heartbeat(i, w, report, sent),
-            Msg::DuplicateHeartbeat(i, _, report) => {
-                self.answer(i, &report);
+            Msg::DuplicateHeartbeat(node_id, _, report) => {
+                self.answer(node_id, &report);
             }
-            Msg::RelayedHeartbeat(via, i, w, report, sent) => {
-                let reply = self.answer(i, &report);
-                if reply.is_some() && self.link(via, Endpoint::Node(i)) == Link::Up {
-                    let (session, seq) = (report.incarnation, report.seq);
+            Msg::RelayedHeartbeat(via, node_id, worker_id, report, sent) => {
+                let reply = self.answer(node_id, &report);
+                if reply.is_some() && self.link(via, Endpoint::Node(node_id)) == Link::Up {
+                    let (incarnation, seq) = (report.incarnation, report.seq);
                     self.send(
                         via,
-                        w,
+                        worker_id,
                         5,
-                        Msg::HeartbeatReply(w, via, reply, session, seq, sent),
+                        Msg::HeartbeatReply(worker_id, via, reply, incarnation, seq, sent),
                     );
                 }
             }
-            Msg::HeartbeatReply(w, i, reply, session, seq, sent) => {
-                self.receive_reply(w, i, reply, session, seq, sent);
+            Msg::HeartbeatReply(worker_id, node_id, reply, incarnation, seq, sent) => {
+                self.receive_reply(worker_id, node_id, reply, incarnation, seq, sent);
             }
-            Msg::DirectCommand(i, w, term, order) => self.receive_direct_command(i, w, term, order),
-            Msg::DirectCommandEnded(i, term, name, token, answer) => {
-                self.end_direct_command(i, term, name, token, answer);
+            Msg::DirectCommand(node_id, worker_id, term, commands) => {
+                self.receive_direct_command(node_id, worker_id, term, commands)
+            }
+            Msg::DirectCommandEnded(node_id, term, name, token, answer) => {
+                self.end_direct_command(node_id, term, name, token, answer);
             }
         }
     }
 
-    /// Worker `w` receives node `i`'s answer to its heartbeat. Without a response the worker
+    /// Worker `worker_id` receives node `node_id`'s answer to its heartbeat. Without a response the worker
     /// turns to the node's redirect target.
     fn receive_reply(
         &mut self,
-        w: usize,
-        i: usize,
+        worker_id: usize,
+        node_id: usize,
         reply: Option<HeartbeatResponse>,
-        session: u64,
+        incarnation: u64,
         seq: u64,
         sent: Millis,
     ) {
         let now = self.now;
         let nodes = self.nodes.len();
-        let worker = &self.workers[w];
+        let worker = &self.workers[worker_id];
         if worker.heartbeat_in_flight != Some((seq, sent)) || now > sent + 4000 || !worker.alive {
             return;
         }
         let Some(reply) = reply else {
-            let leader = self.known_leader(i);
-            let peers: Vec<usize> = peers_of(i, nodes).collect();
-            let leads = self.nodes[i].election.leadership().is_some();
-            let relayed = self.relaying.remove(&(w, seq));
-            let failure_detector = &mut self.nodes[i].failure_detector;
+            let leader = self.known_leader(node_id);
+            let peers: Vec<usize> = peers_of(node_id, nodes).collect();
+            let leads = self.nodes[node_id].election.leadership().is_some();
+            let relayed = self.relaying.remove(&(worker_id, seq));
+            let failure_detector = &mut self.nodes[node_id].failure_detector;
             let redirect = match (leads, relayed) {
                 (true, _) => RedirectTarget::Any,
                 (_, true) => failure_detector.redirect_target(None, now),
@@ -415,18 +445,18 @@
             };
             let (target, pause) = match redirect {
                 RedirectTarget::Leader(p) | RedirectTarget::Healthy(p) => (peers[p], 250),
-                RedirectTarget::Any => ((i + 1) % nodes, 1000),
+                RedirectTarget::Any => ((node_id + 1) % nodes, 1000),
             };
-            let worker = &mut self.workers[w];
+            let worker = &mut self.workers[worker_id];
             worker.heartbeat_in_flight = None;
             worker.target = target;
             worker.next_heartbeat_at = now + pause;
             worker.sent = now.max(500) + pause - 500;
             return;
         };
-        let worker = &mut self.workers[w];
+        let worker = &mut self.workers[worker_id];
         worker.heartbeat_in_flight = None;
-        if session != worker.incarnation || reply.fencing_token < worker.token {
+        if incarnation != worker.incarnation || reply.fencing_token < worker.token {
             return;
         }
         if reply.fencing_token > worker.token {
@@ -434,36 +464,51 @@
             worker.report_due = true;
         }
         worker.lease_renewed_at = sent;
-        self.execute(w, reply.commands);
+        self.execute(worker_id, reply.commands);
     }
 
-    /// Worker `w` receives a direct command of node `i`, executes it if its token and
+    /// Worker `worker_id` receives a direct command of node `node_id`, executes it if its token and
     /// incarnation are current, and answers.
-    fn receive_direct_command(&mut self, i: usize, w: usize, term: u64, order: DirectCommands) {
+    fn receive_direct_command(
+        &mut self,
+        node_id: usize,
+        worker_id: usize,
+        term: u64,
+        commands: DirectCommands,
+    ) {
         let now = self.now;
-        let worker = &mut self.workers[w];
+        let worker = &mut self.workers[worker_id];
         if !worker.alive {
             return;
         }
-        let ok = order.fencing_token >= worker.token && order.incarnation == worker.incarnation;
-        if ok {
-            worker.token = order.fencing_token;
-            self.execute(w, order.commands);
+        let is_current =
+            commands.fencing_token >= worker.token && commands.incarnation == worker.incarnation;
+        if is_current {
+            worker.token = commands.fencing_token;
+            self.execute(worker_id, commands.commands);
         }
-        let report = self.next_heartbeat(w);
+        let report = self.next_heartbeat(worker_id);
         let name = report.machine.clone();
-        let answers = matches!(self.workers[w].net, Net::Up | Net::DirectCommandsOnly);
-        if answers && self.link(i, Endpoint::Worker(w)) == Link::Up {
-            let done =
-                Msg::DirectCommandEnded(i, term, name, order.fencing_token, Some((ok, report)));
+        let answers = matches!(
+            self.workers[worker_id].net,
+            Net::Up | Net::DirectCommandsOnly
+        );
+        if answers && self.link(node_id, Endpoint::Worker(worker_id)) == Link::Up {
+            let done = Msg::DirectCommandEnded(
+                node_id,
+                term,
+                name,
+                commands.fencing_token,
+                Some((is_current, report)),
+            );
             self.in_transit.push((now + 5, done));
         }
     }
 
-    /// Node `i` receives the answer to a direct command, or times out waiting for it.
+    /// Node `node_id` receives the answer to a direct command, or times out waiting for it.
     fn end_direct_command(
         &mut self,
-        i: usize,
+        node_id: usize,
         term: u64,
         name: String,
         token: u64,
@@ -471,10 +516,14 @@
     ) {
         let now = self.now;
         // Only the first end counts, whether answer or timeout.
-        if !self.directs.remove(&(i, term, name.clone(), token)) {
+        if !self.directs.remove(&(node_id, term, name.clone(), token)) {
             return;
         }
-        let Some(l) = self.nodes[i].leader.as_mut().filter(|l| l.term == term) else {
+        let Some(leader) = self.nodes[node_id]
+            .leader
+            .as_mut()
+            .filter(|leader| leader.term == term)
+        else {
             return;
         };
         let outcome = match answer {
@@ -483,20 +532,20 @@
             // The delivery timed out.
             None => DirectDeliveryOutcome::NoAnswer,
         };
-        l.direct_delivery_finished(&name, token, outcome, now);
+        leader.direct_delivery_finished(&name, token, outcome, now);
     }
 
-    /// Returns the leader that node `i` knows of, as an index into the node's peers.
-    fn known_leader(&self, i: usize) -> Option<usize> {
-        let (name, _) = self.nodes[i].election.leader(self.now)?;
+    /// Returns the leader that node `node_id` knows of, as an index into the node's peers.
+    fn known_leader(&self, node_id: usize) -> Option<usize> {
+        let (name, _) = self.nodes[node_id].election.leader(self.now)?;
         let leader: usize = name[1..].parse().ok()?;
-        peers_of(i, self.nodes.len()).position(|j| j == leader)
+        peers_of(node_id, self.nodes.len()).position(|j| j == leader)
     }
 
-    /// Passes a heartbeat to node `i`; returns the response if the node leads.
-    fn answer(&mut self, i: usize, report: &Heartbeat) -> Option<HeartbeatResponse> {
+    /// Passes a heartbeat to node `node_id`; returns the response if the node leads.
+    fn answer(&mut self, node_id: usize, report: &Heartbeat) -> Option<HeartbeatResponse> {
         let now = self.now;
-        let node = &mut self.nodes[i];
+        let node = &mut self.nodes[node_id];
         if !node.alive {
             return None;
         }
@@ -506,41 +555,50 @@
         Some(reply)
     }
 
-    /// Node `i` receives the heartbeat of worker `w`, and answers it or relays it to the
+    /// Node `node_id` receives the heartbeat of worker `worker_id`, and answers it or relays it to the
     /// leader.
-    fn receive_heartbeat(&mut self, i: usize, w: usize, report: Heartbeat, sent: Millis) {
-        if !self.nodes[i].alive {
+    fn receive_heartbeat(
+        &mut self,
+        node_id: usize,
+        worker_id: usize,
+        report: Heartbeat,
+        sent: Millis,
+    ) {
+        if !self.nodes[node_id].alive {
             return;
         }
         let now = self.now;
-        let reply = self.answer(i, &report);
-        let (session, seq) = (report.incarnation, report.seq);
+        let reply = self.answer(node_id, &report);
+        let (incarnation, seq) = (report.incarnation, report.seq);
         if reply.is_none()
-            && let Some(leader) = self.known_leader(i)
+            && let Some(leader) = self.known_leader(node_id)
             && matches!(
-                self.nodes[i]
+                self.nodes[node_id]
                     .failure_detector
                     .redirect_target(Some(leader), now),
                 RedirectTarget::Leader(_)
             )
-            && self.nodes[i]
+            && self.nodes[node_id]
                 .heartbeat_relays
                 .should_relay(&report.machine, now)
-            && let Some(l) = peers_of(i, self.nodes.len()).nth(leader)
-            && self.contact(i, l) != Some(PeerHealth::Refusing)
+            && let Some(leader_id) = peers_of(node_id, self.nodes.len()).nth(leader)
+            && self.contact(node_id, leader_id) != Some(PeerHealth::Refusing)
         {
-            self.in_transit
-                .push((now + 5, Msg::RelayedHeartbeat(i, l, w, report, sent)));
-            let late = Msg::HeartbeatReply(w, i, None, session, seq, sent);
-            self.relaying.insert((w, seq));
-            self.in_transit.push((now + 800, late));
+            self.in_transit.push((
+                now + 5,
+                Msg::RelayedHeartbeat(node_id, leader_id, worker_id, report, sent),
+            ));
+            let no_relay_reply =
+                Msg::HeartbeatReply(worker_id, node_id, None, incarnation, seq, sent);
+            self.relaying.insert((worker_id, seq));
+            self.in_transit.push((now + 800, no_relay_reply));
             return;
         }
         self.send(
-            i,
-            w,
+            node_id,
+            worker_id,
             5,
-            Msg::HeartbeatReply(w, i, reply, session, seq, sent),
+            Msg::HeartbeatReply(worker_id, node_id, reply, incarnation, seq, sent),
         );
     }
 }
--- a/tests/simulation/request_budgets.rs
+++ b/tests/simulation/request_budgets.rs
@@ -25,8 +25,8 @@
     /// Limits the requests per second that the state service accepts from all controllers.
     pub fn limit_request_rate(&mut self, per_s: f64) {
         self.request_rate = Some(per_s);
-        for i in 0..self.nodes.len() {
-            self.nodes[i].request_budget = self.new_request_budget();
+        for node_id in 0..self.nodes.len() {
+            self.nodes[node_id].request_budget = self.new_request_budget();
         }
     }
 
@@ -46,9 +46,9 @@
     }
 
     /// Adjusts the node's share to its role, and charges the requests for leadership.
-    pub(super) fn step_request_budget(&mut self, i: usize) {
+    pub(super) fn step_request_budget(&mut self, node_id: usize) {
         let now = self.now;
-        let election = &self.nodes[i].election;
+        let election = &self.nodes[node_id].election;
         let role = match (election.leadership(), election.leader(now)) {
             (Some(_), _) => Role::Leads,
             (None, Some(_)) => Role::Follows,
@@ -57,7 +57,7 @@
         let Some(per_s) = self.requests_per_s(role) else {
             return;
         };
-        let Some(requests) = self.nodes[i].request_budget.as_mut() else {
+        let Some(requests) = self.nodes[node_id].request_budget.as_mut() else {
             return;
         };
         if requests.role != role {
@@ -72,9 +72,9 @@
 
     /// Takes one request from a node's budget. Returns whether it may be sent; always, if
     /// requests are not limited.
-    pub(super) fn may_request(&mut self, i: usize, priority: RequestPriority) -> bool {
+    pub(super) fn may_request(&mut self, node_id: usize, priority: RequestPriority) -> bool {
         let now = self.now;
-        let requests = self.nodes[i].request_budget.as_mut();
+        let requests = self.nodes[node_id].request_budget.as_mut();
         requests.is_none_or(|requests| requests.budget.take(now, priority))
     }
 }
--- a/tests/simulation/requests.rs
+++ b/tests/simulation/requests.rs
@@ -57,16 +57,21 @@
 }
 
 impl Simulation {
-    /// Calls `f` with the view of node `i` that the steps of requests work on.
-    fn view<T>(&mut self, i: usize, now: Millis, f: impl FnOnce(&mut NodeView) -> T) -> T {
+    /// Calls `f` with the view of node `node_id` that the steps of requests work on.
+    fn view<T>(
+        &mut self,
+        node_id: usize,
+        now: Millis,
+        action: impl FnOnce(&mut NodeView) -> T,
+    ) -> T {
         let types = if self.types_unknown {
             Vec::new()
         } else {
             types()
         };
-        let node = &mut self.nodes[i];
+        let node = &mut self.nodes[node_id];
         let term = node.election.authority(now);
-        f(&mut NodeView {
+        action(&mut NodeView {
             may_act: term.is_some() && node.leader.as_ref().map(|l| l.term) == term,
             leader: node.leader.as_mut(),
             final_states: &mut node.final_states,
@@ -81,19 +86,22 @@
 
     fn read_record(&self, id: &str) -> Found {
         let live = self.store.kv.get(&records::job_key(id));
-        let over = self.store.kv.get(&records::final_key(id));
-        match (live, over) {
+        let ended = self.store.kv.get(&records::final_key(id));
+        match (live, ended) {
             (Some((v, r)), _) => Found::Live(Box::new(self.store.job_record(id, v.clone())), *r),
             (None, Some((v, r))) => Found::Final(serde_json::from_value(v.clone()).unwrap(), *r),
             (None, None) => Found::Nothing,
         }
     }
 
-    fn read_records(&mut self, i: usize, ids: &[String]) -> LookupResults {
-        let reaches = self.reaches_state(i);
+    fn read_records(&mut self, node_id: usize, ids: &[String]) -> LookupResults {
+        let reaches = self.reaches_state(node_id);
         let mut results = LookupResults::new();
         for id in ids {
-            let found = match (reaches, self.may_request(i, RequestPriority::Acceptance)) {
+            let found = match (
+                reaches,
+                self.may_request(node_id, RequestPriority::Acceptance),
+            ) {
                 (true, true) => Ok(self.read_record(id)),
                 (true, false) => Err("over the request budget".to_owned()),
                 (false, _) => Err("status 503".to_owned()),
@@ -104,18 +112,23 @@
     }
 
     /// Reads a job's record, and those of its dependencies, as `server::polls` does.
-    fn read_state(&mut self, i: usize, id: &str, began: Millis) -> Result<Reading, String> {
-        if !self.reaches_state(i) {
+    fn read_state(
+        &mut self,
+        node_id: usize,
+        id: &str,
+        began_at: Millis,
+    ) -> Result<Reading, String> {
+        if !self.reaches_state(node_id) {
             return Err("status 503".into());
         }
-        if !self.may_request(i, RequestPriority::Poll) {
+        if !self.may_request(node_id, RequestPriority::Poll) {
             return Err("over the request budget".into());
         }
         let (status, version) = match self.read_record(id) {
             Found::Live(record, version) => {
                 let status = record.status();
                 if !status.state.is_final() && !record.spec.dependencies.is_empty() {
-                    self.confirm_dependencies(i, *record, began)?;
+                    self.confirm_dependencies(node_id, *record, began_at)?;
                 }
                 (Some(status), Some(version))
             }
@@ -123,7 +136,7 @@
             Found::Nothing => (None, None),
         };
         Ok(Reading {
-            started_at: began,
+            started_at: began_at,
             status,
             version,
         })
@@ -133,28 +146,28 @@
     /// `Err`: the reason why not.
     fn confirm_dependencies(
         &mut self,
-        i: usize,
+        node_id: usize,
         record: JobRecord,
         read_at: Millis,
     ) -> Result<(), String> {
         let id = record.spec.id.clone();
-        self.learn_dependency(i, record, read_at);
+        self.learn_dependency(node_id, record, read_at);
         loop {
-            let verdict = self.dependency_verdict(i, &id);
+            let verdict = self.dependency_verdict(node_id, &id);
             let DependencyVerdict::Unread(ids) = &verdict else {
                 return verdict.refusal().map_or(Ok(()), |why| Err(why.to_owned()));
             };
-            let unread =
-                self.read_faults.refuses_poll_reads || !self.may_request(i, RequestPriority::Poll);
+            let unread = self.read_faults.refuses_poll_reads
+                || !self.may_request(node_id, RequestPriority::Poll);
             if unread {
                 return Err(verdict.refusal().unwrap().to_owned());
             }
             for id in ids {
                 match self.read_record(id) {
-                    Found::Live(record, _) => self.learn_dependency(i, *record, read_at),
+                    Found::Live(record, _) => self.learn_dependency(node_id, *record, read_at),
                     Found::Final(record, _) => {
                         let status = final_status(id, &record);
-                        self.view(i, self.now, |view| view.remember(&status));
+                        self.view(node_id, self.now, |view| view.remember(&status));
                     }
                     Found::Nothing => panic!("no record of {id}, which was accepted"),
                 }
@@ -162,40 +175,42 @@
         }
     }
 
-    fn dependency_verdict(&mut self, i: usize, id: &str) -> DependencyVerdict {
-        let evidence = std::mem::take(&mut self.nodes[i].dependency_evidence).unwrap();
-        let verdict = self.view(i, self.now, |view| view.dependency_verdict(&evidence, id));
-        self.nodes[i].dependency_evidence = Some(evidence);
+    fn dependency_verdict(&mut self, node: usize, id: &str) -> DependencyVerdict {
+        let evidence = std::mem::take(&mut self.nodes[node].dependency_evidence).unwrap();
+        let verdict = self.view(node, self.now, |view| {
+            view.dependency_verdict(&evidence, id)
+        });
+        self.nodes[node].dependency_evidence = Some(evidence);
         verdict
     }
 
-    fn learn_dependency(&mut self, i: usize, record: JobRecord, read_at: Millis) {
+    fn learn_dependency(&mut self, node_id: usize, record: JobRecord, read_at: Millis) {
         let status = record.status();
         if status.state.is_final() {
-            return self.view(i, self.now, |view| view.remember(&status));
+            return self.view(node_id, self.now, |view| view.remember(&status));
         }
         let dependencies = match status.done {
             0 => record.spec.dependencies,
             _ => Vec::new(),
         };
-        let evidence = self.nodes[i].dependency_evidence.as_mut().unwrap();
+        let evidence = self.nodes[node_id].dependency_evidence.as_mut().unwrap();
         evidence.read_unfinished(&status.id, dependencies, read_at);
     }
 
     /// Applies a node's transaction, delays it, or loses its answer, according to the faults;
     /// returns the outcome that the node sees.
-    pub(super) fn transact(&mut self, i: usize, txn: &Txn) -> TxnResult {
-        let stalled = self.paused_sender.filter(|(n, _)| *n == i);
-        let late = match (stalled, self.link(i, Endpoint::State)) {
+    pub(super) fn transact(&mut self, node_id: usize, txn: &Txn) -> TxnResult {
+        let stalled = self.paused_sender.filter(|(n, _)| *n == node_id);
+        let late = match (stalled, self.link(node_id, Endpoint::State)) {
             (Some((_, until)), _) => Some(until),
             (None, Link::Hold) => Some(Millis::MAX),
             _ => None,
         };
         if let Some(at) = late {
-            self.store.held.push((at, i, txn.clone()));
+            self.store.held.push((at, node_id, txn.clone()));
             return TxnResult::Unknown;
         }
-        if !self.reaches_state(i) {
+        if !self.reaches_state(node_id) {
             return TxnResult::Refused;
         }
         if self.store.lost_answers > 0 && self.rng.u32(..100) < self.store.lost_answers {
@@ -208,7 +223,9 @@
             return TxnResult::Unknown;
         }
         if let Some(delay) = self.store.late_writes.pop() {
-            self.store.held.push((self.now + delay, i, txn.clone()));
+            self.store
+                .held
+                .push((self.now + delay, node_id, txn.clone()));
             return TxnResult::Unknown;
         }
         match self.store.apply(txn) {
@@ -224,28 +241,31 @@
         self.budgets = self.nodes.iter().map(|_| budget()).collect();
     }
 
-    fn has_budget(&mut self, i: usize, now: Millis, txn: &Txn) -> bool {
-        let budget = self.budgets.get_mut(i);
+    fn has_budget(&mut self, node_id: usize, now: Millis, txn: &Txn) -> bool {
+        let budget = self.budgets.get_mut(node_id);
         budget.is_none_or(|b| b.take(now, txn.writes.len() as f64, 0.0))
     }
 
     /// Returns the number of writes that the leader's record updates may make now.
-    pub(super) fn write_budget(&mut self, i: usize) -> usize {
+    pub(super) fn write_budget(&mut self, node_id: usize) -> usize {
         let (now, kept) = (self.now, share::kept_for_users(self.write_rate));
-        let level = self.budgets.get_mut(i).map(|b| b.level(now) - kept);
+        let level = self.budgets.get_mut(node_id).map(|b| b.level(now) - kept);
         level.map_or(12, |l| l.max(0.0) as usize)
     }
 
-    /// Returns the leader to which node `i` forwards requests, if the leader answers.
-    fn forward_target(&self, i: usize, now: Millis) -> Option<usize> {
-        let (name, _) = self.nodes[i].election.leader(now)?;
-        let l: usize = name[1..].parse().ok()?;
-        (l != i && self.reaches(l) && self.link(i, Endpoint::Node(l)) == Link::Up).then_some(l)
+    /// Returns the leader to which node `node_id` forwards requests, if the leader answers.
+    fn forward_target(&self, node_id: usize, now: Millis) -> Option<usize> {
+        let (name, _) = self.nodes[node_id].election.leader(now)?;
+        let leader_id: usize = name[1..].parse().ok()?;
+        (leader_id != node_id
+            && self.reaches(leader_id)
+            && self.link(node_id, Endpoint::Node(leader_id)) == Link::Up)
+            .then_some(leader_id)
     }
 
-    /// Returns what node `i`, which leads, answers its peers' polls of these jobs.
-    pub fn told_to_peers(&mut self, i: usize, ids: &[String]) -> Vec<Option<JobState>> {
-        let states = self.view(i, self.now, |view| polled(view, ids));
+    /// Returns what node `node_id`, which leads, answers its peers' polls of these jobs.
+    pub fn told_to_peers(&mut self, node_id: usize, ids: &[String]) -> Vec<Option<JobState>> {
+        let states = self.view(node_id, self.now, |view| polled(view, ids));
         let states = states.expect("the node leads").into_iter();
         states.map(|known| known.map(|(state, ..)| state)).collect()
     }
@@ -253,14 +273,14 @@
     /// Takes all steps of the request at the present time. `Err`: the request has to wait.
     pub(super) fn complete_now(
         &mut self,
-        i: usize,
+        node_id: usize,
         ask: &UserRequest,
         request: &mut Request,
     ) -> Result<Option<Answer>, ()> {
         let mut now = self.now;
         let mut event = Event::Begin;
         loop {
-            event = match self.view(i, now, |view| request.step(event, view)) {
+            event = match self.view(node_id, now, |view| request.step(event, view)) {
                 Next::Answer(answer) => return Ok(Some(answer)),
                 Next::NotLeading | Next::Over => return Ok(None),
                 // Only a final state that is withheld for some time is waited for.
@@ -271,46 +291,48 @@
                 }
                 Next::Wait(_) => return Err(()),
                 Next::AskLeader => {
-                    let status = self.forward_target(i, now).and_then(|l| {
+                    let status = self.forward_target(node_id, now).and_then(|leader_id| {
                         let ids = [ask.id().to_owned()];
-                        let known = self.view(l, now, |view| polled(view, &ids))?.pop()?;
+                        let known = self
+                            .view(leader_id, now, |view| polled(view, &ids))?
+                            .pop()?;
                         known.map(|k| status_of(&ids[0], k))
                     });
                     leader_replied(now, status)
                 }
-                Next::ReadState => Event::Read(self.read_state(i, ask.id(), now)),
+                Next::ReadState => Event::Read(self.read_state(node_id, ask.id(), now)),
                 Next::Versions => Event::Versions(!self.mixed_versions),
-                Next::Look(ids) => Event::LookupResults(self.read_records(i, &ids)),
-                Next::Write(txn, _) => Event::Wrote(self.transact(i, &txn)),
+                Next::Look(ids) => Event::LookupResults(self.read_records(node_id, &ids)),
+                Next::Write(txn, _) => Event::Wrote(self.transact(node_id, &txn)),
                 Next::Forward => {
-                    let leader = self.forward_target(i, now);
-                    let passed = leader.map(|l| self.complete_now(l, ask, &mut ask.request(true)));
-                    Event::Forwarded(passed.transpose()?.flatten())
+                    let leader = self.forward_target(node_id, now);
+                    let reply = leader.map(|l| self.complete_now(l, ask, &mut ask.request(true)));
+                    Event::Forwarded(reply.transpose()?.flatten())
                 }
             };
         }
     }
 
-    /// Adds a request in flight at node `i`.
+    /// Adds a request in flight at node `node_id`.
     pub(super) fn launch(
         &mut self,
-        i: usize,
+        node_id: usize,
         ask: UserRequest,
         forwarded: bool,
-        who: Recipient,
+        answer_recipient: Recipient,
         due: Millis,
-        comes: NextEvent,
+        first_event: NextEvent,
     ) {
         let serial = self.traffic.next();
         self.traffic.in_flight.push(InFlight {
             serial,
-            node: i,
-            process: self.nodes[i].election.incarnation,
-            recipient: who,
+            node: node_id,
+            process: self.nodes[node_id].election.incarnation,
+            recipient: answer_recipient,
             request: ask.request(forwarded),
             ask,
             due,
-            next_event: comes,
+            next_event: first_event,
         });
     }
 
@@ -333,111 +355,116 @@
     }
 
     /// Processes the due event of a request in flight.
-    fn advance(&mut self, mut f: InFlight) {
-        let (i, now) = (f.node, f.due);
-        if let (NextEvent::Sent, Recipient::User(n)) = (&f.next_event, f.recipient) {
-            self.traffic.history[n].order = self.traffic.next();
-            if !self.reaches(i) {
+    fn advance(&mut self, mut in_flight: InFlight) {
+        let (node_id, now) = (in_flight.node, in_flight.due);
+        if let (NextEvent::Sent, Recipient::User(history_index)) =
+            (&in_flight.next_event, in_flight.recipient)
+        {
+            self.traffic.history[history_index].order = self.traffic.next();
+            if !self.reaches(node_id) {
                 return;
             }
-            f.process = self.nodes[i].election.incarnation;
-            f.due = now + self.draw_latency();
-            f.next_event = NextEvent::Event(Event::Begin);
-            return self.traffic.in_flight.push(f);
+            in_flight.process = self.nodes[node_id].election.incarnation;
+            in_flight.due = now + self.draw_latency();
+            in_flight.next_event = NextEvent::Event(Event::Begin);
+            return self.traffic.in_flight.push(in_flight);
         }
-        let node = &self.nodes[i];
-        if !node.alive || node.election.incarnation != f.process {
+        let node = &self.nodes[node_id];
+        if !node.alive || node.election.incarnation != in_flight.process {
             return;
         }
         // Messages to a paused process are delivered after it resumes.
-        if node.paused_until > now && matches!(f.next_event, NextEvent::Event(_)) {
-            f.due = node.paused_until + self.rng.u64(0..20);
-            self.traffic.in_flight.push(f);
+        if node.paused_until > now && matches!(in_flight.next_event, NextEvent::Event(_)) {
+            in_flight.due = node.paused_until + self.rng.u64(0..20);
+            self.traffic.in_flight.push(in_flight);
             return;
         }
         let slow = self.store.delay_ms;
-        let (delay, next) = match std::mem::replace(&mut f.next_event, NextEvent::Answer(None)) {
-            NextEvent::Event(event) => {
-                let next = self.view(i, now, |view| f.request.step(event, view));
-                self.schedule(&mut f, next)
-            }
-            NextEvent::AtLeader(l, began) => {
-                let answers = self.reaches(l) && self.link(i, Endpoint::Node(l)) == Link::Up;
-                let ids = [f.ask.id().to_owned()];
-                let known = match answers {
-                    true => self.view(l, now, |view| polled(view, &ids)),
-                    false => None,
-                };
-                let known = known.and_then(|mut k| k.pop()?);
-                let status = known.map(|k| status_of(&ids[0], k));
-                let after = if answers { self.draw_latency() } else { 500 };
-                (after, NextEvent::Event(leader_replied(began, status)))
-            }
-            NextEvent::ReadState(began) => {
-                let read = self.read_state(i, f.ask.id(), began);
-                (self.draw_latency(), NextEvent::Event(Event::Read(read)))
-            }
-            NextEvent::Look(ids) => {
-                let looked = self.read_records(i, &ids);
-                let after = self.draw_latency() + self.traffic.read_delay_ms;
-                (after, NextEvent::Event(Event::LookupResults(looked)))
-            }
-            NextEvent::Write(txn) => {
-                let outcome = self.transact(i, &txn);
-                let after = match outcome {
-                    TxnResult::Unknown => 2_000,
-                    _ => self.draw_latency(),
-                };
-                (after, NextEvent::Event(Event::Wrote(outcome)))
-            }
-            NextEvent::AtForwardTarget(l) => {
-                let is_reachable = self.reaches(l) && self.link(i, Endpoint::Node(l)) == Link::Up;
-                if is_reachable {
-                    let begin = NextEvent::Event(Event::Begin);
-                    self.launch(
-                        l,
-                        f.ask.clone(),
-                        true,
-                        Recipient::InFlight(f.serial),
-                        now,
-                        begin,
-                    );
+        let (delay, next) =
+            match std::mem::replace(&mut in_flight.next_event, NextEvent::Answer(None)) {
+                NextEvent::Event(event) => {
+                    let next = self.view(node_id, now, |view| in_flight.request.step(event, view));
+                    self.schedule(&mut in_flight, next)
                 }
-                let after = if is_reachable {
-                    f.request.forward_limit()
-                } else {
-                    0
-                };
-                (after, NextEvent::Event(Event::Forwarded(None)))
-            }
-            NextEvent::Sent => return,
-            NextEvent::Answer(answer) => return self.deliver_answer(f, answer),
-        };
+                NextEvent::AtLeader(leader_id, began_at) => {
+                    let answers = self.reaches(leader_id)
+                        && self.link(node_id, Endpoint::Node(leader_id)) == Link::Up;
+                    let ids = [in_flight.ask.id().to_owned()];
+                    let known = match answers {
+                        true => self.view(leader_id, now, |view| polled(view, &ids)),
+                        false => None,
+                    };
+                    let known = known.and_then(|mut k| k.pop()?);
+                    let status = known.map(|k| status_of(&ids[0], k));
+                    let after = if answers { self.draw_latency() } else { 500 };
+                    (after, NextEvent::Event(leader_replied(began_at, status)))
+                }
+                NextEvent::ReadState(began_at) => {
+                    let read = self.read_state(node_id, in_flight.ask.id(), began_at);
+                    (self.draw_latency(), NextEvent::Event(Event::Read(read)))
+                }
+                NextEvent::Look(ids) => {
+                    let looked = self.read_records(node_id, &ids);
+                    let after = self.draw_latency() + self.traffic.read_delay_ms;
+                    (after, NextEvent::Event(Event::LookupResults(looked)))
+                }
+                NextEvent::Write(txn) => {
+                    let outcome = self.transact(node_id, &txn);
+                    let after = match outcome {
+                        TxnResult::Unknown => 2_000,
+                        _ => self.draw_latency(),
+                    };
+                    (after, NextEvent::Event(Event::Wrote(outcome)))
+                }
+                NextEvent::AtForwardTarget(leader_id) => {
+                    let is_reachable = self.reaches(leader_id)
+                        && self.link(node_id, Endpoint::Node(leader_id)) == Link::Up;
+                    if is_reachable {
+                        let begin = NextEvent::Event(Event::Begin);
+                        self.launch(
+                            leader_id,
+                            in_flight.ask.clone(),
+                            true,
+                            Recipient::InFlight(in_flight.serial),
+                            now,
+                            begin,
+                        );
+                    }
+                    let after = if is_reachable {
+                        in_flight.request.forward_limit()
+                    } else {
+                        0
+                    };
+                    (after, NextEvent::Event(Event::Forwarded(None)))
+                }
+                NextEvent::Sent => return,
+                NextEvent::Answer(answer) => return self.deliver_answer(in_flight, answer),
+            };
         let reads = matches!(
             next,
             NextEvent::ReadState(_) | NextEvent::Look(_) | NextEvent::Write(_)
         );
-        f.due = now + delay + if reads { slow } else { 0 };
-        f.next_event = next;
-        self.traffic.in_flight.push(f);
+        in_flight.due = now + delay + if reads { slow } else { 0 };
+        in_flight.next_event = next;
+        self.traffic.in_flight.push(in_flight);
     }
 
     /// Returns the event that follows from the result of a step, and its delay.
-    fn schedule(&mut self, f: &mut InFlight, next: Next) -> (Millis, NextEvent) {
+    fn schedule(&mut self, in_flight: &mut InFlight, next: Next) -> (Millis, NextEvent) {
         let latency = self.draw_latency();
-        let leader = self.forward_target(f.node, f.due);
+        let leader = self.forward_target(in_flight.node, in_flight.due);
         match next {
             Next::Answer(answer) => {
-                if let Some(left) = f.request.unfinished_work() {
+                if let Some(unfinished) = in_flight.request.unfinished_work() {
                     let serial = self.traffic.next();
                     self.traffic.in_flight.push(InFlight {
                         serial,
-                        node: f.node,
-                        process: f.process,
+                        node: in_flight.node,
+                        process: in_flight.process,
                         recipient: Recipient::Discarded,
-                        ask: f.ask.clone(),
-                        request: left,
-                        due: f.due,
+                        ask: in_flight.ask.clone(),
+                        request: unfinished,
+                        due: in_flight.due,
                         next_event: NextEvent::Event(Event::Begin),
                     });
                 }
@@ -446,60 +473,61 @@
             Next::NotLeading | Next::Over => (latency, NextEvent::Answer(None)),
             Next::Wait(ms) => (ms, NextEvent::Event(Event::Waited)),
             Next::AskLeader => match leader {
-                Some(l) => (latency, NextEvent::AtLeader(l, f.due)),
-                None => (0, NextEvent::Event(leader_replied(f.due, None))),
+                Some(leader_id) => (latency, NextEvent::AtLeader(leader_id, in_flight.due)),
+                None => (0, NextEvent::Event(leader_replied(in_flight.due, None))),
             },
             Next::Forward => match leader {
-                Some(l) => (latency, NextEvent::AtForwardTarget(l)),
+                Some(leader_id) => (latency, NextEvent::AtForwardTarget(leader_id)),
                 None => (0, NextEvent::Event(Event::Forwarded(None))),
             },
-            Next::ReadState => (latency, NextEvent::ReadState(f.due)),
+            Next::ReadState => (latency, NextEvent::ReadState(in_flight.due)),
             Next::Look(ids) => (latency, NextEvent::Look(ids)),
             Next::Versions => (
                 latency,
                 NextEvent::Event(Event::Versions(!self.mixed_versions)),
             ),
-            Next::Write(txn, _) => match self.has_budget(f.node, f.due, &txn) {
+            Next::Write(txn, _) => match self.has_budget(in_flight.node, in_flight.due, &txn) {
                 true => (latency, NextEvent::Write(txn)),
                 false => (0, NextEvent::Event(Event::OverBudget)),
             },
         }
     }
 
-    fn deliver_answer(&mut self, f: InFlight, answer: Option<Answer>) {
-        match f.recipient {
+    fn deliver_answer(&mut self, in_flight: InFlight, answer: Option<Answer>) {
+        match in_flight.recipient {
             Recipient::Discarded => {}
             Recipient::InFlight(serial) => {
-                let asker = self
+                let forwarding = self
                     .traffic
                     .in_flight
                     .iter_mut()
-                    .find(|o| o.serial == serial);
-                let waits = |o: &&mut InFlight| {
-                    matches!(o.next_event, NextEvent::Event(Event::Forwarded(None)))
+                    .find(|other| other.serial == serial);
+                let waits = |other: &&mut InFlight| {
+                    matches!(other.next_event, NextEvent::Event(Event::Forwarded(None)))
                 };
-                if let Some(asker) = asker.filter(waits) {
-                    asker.due = f.due;
-                    asker.next_event = NextEvent::Event(Event::Forwarded(answer));
+                if let Some(forwarding) = forwarding.filter(waits) {
+                    forwarding.due = in_flight.due;
+                    forwarding.next_event = NextEvent::Event(Event::Forwarded(answer));
                 }
             }
-            Recipient::User(n) => {
-                let asked = &self.traffic.history[n];
-                let late = f.due > asked.sent + asked.ask.timeout_ms();
-                let Some(answer) = answer.filter(|_| !late && self.reaches(f.node)) else {
+            Recipient::User(history_index) => {
+                let sent_request = &self.traffic.history[history_index];
+                let timed_out = in_flight.due > sent_request.sent + sent_request.ask.timeout_ms();
+                let Some(answer) = answer.filter(|_| !timed_out && self.reaches(in_flight.node))
+                else {
                     return;
                 };
-                let order = asked.order;
-                self.check_answer(&f.ask, order, &answer);
-                self.traffic.history[n].answer = Some((f.due, answer));
+                let order = sent_request.order;
+                self.check_answer(&in_flight.ask, order, &answer);
+                self.traffic.history[history_index].answer = Some((in_flight.due, answer));
             }
         }
     }
 }
 
-fn leader_replied(began: Millis, status: Option<JobStatus>) -> Event {
+fn leader_replied(began_at: Millis, status: Option<JobStatus>) -> Event {
     Event::LeaderReplied(Reading {
-        started_at: began,
+        started_at: began_at,
         status,
         version: None,
     })
--- a/tests/simulation/store.rs
+++ b/tests/simulation/store.rs
@@ -89,7 +89,7 @@
             serde_json::to_vec(txn).unwrap().len() <= 65536,
             "transaction over the limit of 64 KiB"
         );
-        let leases = txn.writes.iter().filter_map(|w| match w {
+        let leases = txn.writes.iter().filter_map(|write| match write {
             Write::Put { lease, .. } => *lease,
             _ => None,
         });
@@ -100,16 +100,16 @@
         let failed: Vec<String> = txn
             .conditions
             .iter()
-            .filter(|g| self.kv.get(&g.key).map_or(0, |v| v.1) != g.version)
-            .map(|g| g.key.clone())
+            .filter(|condition| self.kv.get(&condition.key).map_or(0, |v| v.1) != condition.version)
+            .map(|condition| condition.key.clone())
             .collect();
         if !failed.is_empty() {
             return Err(failed);
         }
         self.revision += 1;
         self.changes += txn.writes.len() as u32;
-        for w in &txn.writes {
-            match w {
+        for write in &txn.writes {
+            match write {
                 Write::Put { key, value, lease } => {
                     match lease {
                         Some(lease) => self.attached.insert(key.clone(), *lease),
--- a/tests/simulation/users.rs
+++ b/tests/simulation/users.rs
@@ -97,9 +97,9 @@
     }
 
     /// Drops the requests in flight at a node that crashed.
-    pub fn forget_node(&mut self, i: usize) {
+    pub fn forget_node(&mut self, node_id: usize) {
         self.in_flight
-            .retain(|f| f.node != i || matches!(f.next_event, NextEvent::Sent));
+            .retain(|f| f.node != node_id || matches!(f.next_event, NextEvent::Sent));
     }
 
     /// Restarts the time limits for missing answers, as a fault may cause them.
@@ -110,14 +110,14 @@
 
 impl Simulation {
     /// Sends a request and returns its answer, unless the request has to wait or fails.
-    pub fn request_now(&mut self, i: usize, ask: UserRequest) -> Option<Answer> {
-        if !self.reaches(i) {
+    pub fn request_now(&mut self, node_id: usize, ask: UserRequest) -> Option<Answer> {
+        if !self.reaches(node_id) {
             self.check_missing_answer(ask.id());
             return None;
         }
         let sent = self.traffic.next();
         let answer = self
-            .complete_now(i, &ask, &mut ask.request(false))
+            .complete_now(node_id, &ask, &mut ask.request(false))
             .ok()
             .flatten();
         let Some(answer) = answer else {
@@ -130,7 +130,7 @@
 
     /// Schedules a request to be sent after a delay; returns its index in `history`, where
     /// the answer appears as time passes.
-    pub fn request_later(&mut self, after: Millis, i: usize, ask: UserRequest) -> usize {
+    pub fn request_later(&mut self, after: Millis, node_id: usize, ask: UserRequest) -> usize {
         if let UserRequest::Cancel(id) = &ask {
             self.cancelling.insert(id.clone());
         }
@@ -141,22 +141,29 @@
         let sent = self.now + after;
         self.traffic.history.push(SentRequest {
             ask: ask.clone(),
-            node: i,
+            node: node_id,
             sent,
             answer: None,
             order: 0,
         });
-        let n = self.traffic.history.len() - 1;
-        self.launch(i, ask, false, Recipient::User(n), sent, NextEvent::Sent);
-        n
+        let history_index = self.traffic.history.len() - 1;
+        self.launch(
+            node_id,
+            ask,
+            false,
+            Recipient::User(history_index),
+            sent,
+            NextEvent::Sent,
+        );
+        history_index
     }
 
     /// Returns when the last of the job's running tasks will end.
     pub fn last_task_end(&self, id: &str) -> Option<Millis> {
         let prefix = format!("{id}/");
         let tasks = self.workers.iter().flat_map(|m| &m.tasks);
-        let of = tasks.filter(|t| t.name.starts_with(&prefix));
-        let ends = of
+        let job_tasks = tasks.filter(|t| t.name.starts_with(&prefix));
+        let ends = job_tasks
             .map(|t| t.until)
             .filter(|at| *at > self.now && *at < Millis::MAX);
         ends.max()
@@ -171,10 +178,11 @@
     pub fn submit(&mut self, spec: JobSpec) {
         self.specs.insert(spec.id.clone(), spec.clone());
         for _ in 0..600 {
-            if let Some(i) = self.leader()
-                && self.reaches_state(i)
-                && self.reaches(i)
-                && let Some(Answer::State(..)) = self.request_now(i, UserRequest::submit(&spec))
+            if let Some(node_id) = self.leader()
+                && self.reaches_state(node_id)
+                && self.reaches(node_id)
+                && let Some(Answer::State(..)) =
+                    self.request_now(node_id, UserRequest::submit(&spec))
             {
                 return;
             }
@@ -186,18 +194,18 @@
     /// Accepts a job at the leader without the checks of a submission, as an earlier version
     /// with other limits did.
     pub fn accept_by_earlier_version(&mut self, spec: JobSpec) {
-        let i = self.leader().expect("a node leads");
-        let l = self.nodes[i].leader.as_mut().unwrap();
-        let (txn, record) = l.acceptance(&spec, None, self.now);
+        let node_id = self.leader().expect("a node leads");
+        let leader = self.nodes[node_id].leader.as_mut().unwrap();
+        let (txn, record) = leader.acceptance(&spec, None, self.now);
         let version = self.store.apply(&txn).unwrap();
-        l.accepted(record, version, self.now);
+        leader.accepted(record, version, self.now);
         self.submitted.insert(spec.id.clone(), self.now);
         self.specs.insert(spec.id.clone(), spec);
     }
 
     /// Polls a job's state at a node; `None`: the node gave no state.
-    pub fn poll(&mut self, i: usize, id: &str) -> Option<JobState> {
-        match self.request_now(i, UserRequest::Poll(id.to_owned()))? {
+    pub fn poll(&mut self, node_id: usize, id: &str) -> Option<JobState> {
+        match self.request_now(node_id, UserRequest::Poll(id.to_owned()))? {
             Answer::State(_, status) => Some(status.state),
             Answer::Refused(..) => {
                 self.violations
@@ -227,9 +235,9 @@
     pub fn cancel(&mut self, id: &str) {
         self.cancelling.insert(id.to_owned());
         for _ in 0..600 {
-            if let Some(i) = self.leader().filter(|i| self.reaches(*i))
+            if let Some(node_id) = self.leader().filter(|node_id| self.reaches(*node_id))
                 && let Some(Answer::State(..)) =
-                    self.request_now(i, UserRequest::Cancel(id.to_owned()))
+                    self.request_now(node_id, UserRequest::Cancel(id.to_owned()))
             {
                 return;
             }
--- a/tests/simulation/workers.rs
+++ b/tests/simulation/workers.rs
@@ -11,23 +11,23 @@
 
 impl Simulation {
     /// Returns the fencing token that the leader would give the worker now.
-    pub fn leader_token(&mut self, w: usize) -> u64 {
-        let i = self.leader().expect("a node leads");
-        let l = self.nodes[i].leader.as_ref().unwrap();
-        let ix = l.cluster.machine_handle(&self.workers[w].name);
-        let token_epoch = ix
-            .and_then(|ix| l.cluster.machine(ix))
+    pub fn leader_token(&mut self, worker_id: usize) -> u64 {
+        let node_id = self.leader().expect("a node leads");
+        let leader = self.nodes[node_id].leader.as_ref().unwrap();
+        let handle = leader.cluster.machine_handle(&self.workers[worker_id].name);
+        let token_epoch = handle
+            .and_then(|handle| leader.cluster.machine(handle))
             .map_or(0, |m| m.token_epoch);
-        (l.term << 20) | token_epoch
+        (leader.term << 20) | token_epoch
     }
 
     /// Returns the heartbeat that the worker would send now.
-    pub fn heartbeat_of(&mut self, w: usize) -> Heartbeat {
-        self.next_heartbeat(w)
+    pub fn heartbeat_of(&mut self, worker_id: usize) -> Heartbeat {
+        self.next_heartbeat(worker_id)
     }
 
-    pub(super) fn next_heartbeat(&mut self, w: usize) -> Heartbeat {
-        let worker = &mut self.workers[w];
+    pub(super) fn next_heartbeat(&mut self, worker_id: usize) -> Heartbeat {
+        let worker = &mut self.workers[worker_id];
         worker.seq += 1;
         Heartbeat {
             machine: worker.name.clone(),
@@ -53,14 +53,14 @@
         }
     }
 
-    /// Executes commands on worker `w`.
-    pub(super) fn execute(&mut self, w: usize, commands: Vec<Command>) {
+    /// Executes commands on worker `worker_id`.
+    pub(super) fn execute(&mut self, worker_id: usize, commands: Vec<Command>) {
         let now = self.now;
         let fetch_ms = self.fetch_ms;
-        for c in commands {
-            let worker = &mut self.workers[w];
+        for command in commands {
+            let worker = &mut self.workers[worker_id];
             worker.report_due = true;
-            match c {
+            match command {
                 Command::Start { task, attempt } => {
                     if worker
                         .tasks
@@ -73,17 +73,17 @@
                         .tasks
                         .iter()
                         .any(|t| t.name == task && t.state != TaskState::Exited);
-                    let id = task.rsplit_once('/').unwrap().0.to_owned();
-                    let live = worker
+                    let job_id = task.rsplit_once('/').unwrap().0.to_owned();
+                    let live_tasks = worker
                         .tasks
                         .iter()
                         .filter(|t| t.state != TaskState::Exited)
                         .count();
-                    let why = if is_duplicate {
+                    let exit_reason = if is_duplicate {
                         Some(ExitReason::DuplicateTask)
-                    } else if live >= 2 {
+                    } else if live_tasks >= 2 {
                         Some(ExitReason::InsufficientResources)
-                    } else if !self.specs.contains_key(&id) {
+                    } else if !self.specs.contains_key(&job_id) {
                         Some(ExitReason::UnknownTask)
                     } else {
                         None
@@ -91,12 +91,12 @@
                     worker.tasks.push(Task {
                         name: task,
                         attempt,
-                        state: if why.is_some() {
+                        state: if exit_reason.is_some() {
                             TaskState::Exited
                         } else {
                             TaskState::Fetching
                         },
-                        exit_reason: why,
+                        exit_reason: exit_reason,
                         until: now + fetch_ms,
                     });
                 }
@@ -113,17 +113,17 @@
                     }
                 }
                 Command::Reap { task, attempt } => {
-                    let done = worker.tasks.iter().any(|t| {
+                    let is_done = worker.tasks.iter().any(|t| {
                         t.name == task
                             && t.attempt == attempt
                             && t.exit_reason == Some(ExitReason::Done)
                     });
-                    if done && !self.completion_is_stored(&task) {
+                    if is_done && !self.completion_is_stored(&task) {
                         self.violations.push(format!(
                             "completed task {task} was reaped before its completion was recorded"
                         ));
                     }
-                    self.workers[w].tasks.retain(|t| {
+                    self.workers[worker_id].tasks.retain(|t| {
                         !(t.name == task && t.attempt == attempt && t.state == TaskState::Exited)
                     });
                 }
@@ -133,31 +133,31 @@
 
     /// Whether the completion of the task is stored.
     fn completion_is_stored(&self, task: &str) -> bool {
-        let (id, n) = task.rsplit_once('/').unwrap();
-        let n: u32 = n.parse().unwrap();
+        let (id, task_index) = task.rsplit_once('/').unwrap();
+        let task_index: u32 = task_index.parse().unwrap();
         if self.done(id) {
             return true;
         }
-        let Some((v, _)) = self.store.kv.get(&records::job_key(id)) else {
+        let Some((value, _)) = self.store.kv.get(&records::job_key(id)) else {
             return false;
         };
-        let record: StoredJob = serde_json::from_value(v.clone()).unwrap();
+        let record: StoredJob = serde_json::from_value(value.clone()).unwrap();
         let mut bits = TaskBitmap::with_len(self.specs[id].tasks);
         bits.load(0, &record.completed);
-        for (k, v, _) in self.store.list(&format!("c/{id}/")) {
-            let c = k.rsplit_once('/').unwrap().1.parse().unwrap();
-            bits.load(c, v.as_str().unwrap());
+        for (key, value, _) in self.store.list(&format!("c/{id}/")) {
+            let segment = key.rsplit_once('/').unwrap().1.parse().unwrap();
+            bits.load(segment, value.as_str().unwrap());
         }
-        record.cancelled || bits.get(n)
+        record.cancelled || bits.get(task_index)
     }
 
-    /// Runs one step of worker `w`: its lease, its tasks and its heartbeats.
-    pub(super) fn step_worker(&mut self, w: usize) {
+    /// Runs one step of worker `worker_id`: its lease, its tasks and its heartbeats.
+    pub(super) fn step_worker(&mut self, worker_id: usize) {
         let now = self.now;
         let run_ms = self.run_ms;
         let nodes = self.nodes.len();
         let mut started = Vec::new();
-        let worker = &mut self.workers[w];
+        let worker = &mut self.workers[worker_id];
         if !worker.alive || now < worker.boots_at || now < worker.paused_until {
             return;
         }
@@ -222,21 +222,26 @@
             worker.sent = now;
             worker.report_due = false;
             let target = worker.target;
-            let refused = self.link(target, Endpoint::Worker(w)) == Link::Reset
-                || self.workers[w].net == Net::DirectCommandsOnly;
+            let refused = self.link(target, Endpoint::Worker(worker_id)) == Link::Reset
+                || self.workers[worker_id].net == Net::DirectCommandsOnly;
             if self.nodes[target].alive && !refused {
-                let report = self.next_heartbeat(w);
-                self.workers[w].heartbeat_in_flight = Some((report.seq, now));
-                self.duplicate_heartbeat(w, &report);
-                self.send(target, w, 5, Msg::Heartbeat(target, w, report, now));
+                let report = self.next_heartbeat(worker_id);
+                self.workers[worker_id].heartbeat_in_flight = Some((report.seq, now));
+                self.duplicate_heartbeat(worker_id, &report);
+                self.send(
+                    target,
+                    worker_id,
+                    5,
+                    Msg::Heartbeat(target, worker_id, report, now),
+                );
             } else {
-                self.workers[w].target = (target + 1) % nodes;
+                self.workers[worker_id].target = (target + 1) % nodes;
             }
         }
         for name in started {
             self.starts += 1;
-            self.start_log.push((now, w, name.clone()));
-            self.check_start(w, &name);
+            self.start_log.push((now, worker_id, name.clone()));
+            self.check_start(worker_id, &name);
         }
     }
 }
