--- a/tests/simulation/election.rs
+++ b/tests/simulation/election.rs
@@ -277,7 +277,7 @@
         }
         self.nodes[node_id].next_exclusion_step = now + 500;
         let node = &self.nodes[node_id];
-        let (Some(leadership), Some(step)) = (
+        let (Some(lead), Some(step)) = (
             node.election.leadership(),
             node.exclusions.next_step(&node.failure_detector, now),
         ) else {
@@ -309,15 +309,13 @@
                 }
                 return;
             }
-            Step::Exclude { peer, lease } => (
-                peer,
-                true,
-                exclusion_txn(leadership.term, &name(peer), lease),
-            ),
+            Step::Exclude { peer, lease } => {
+                (peer, true, exclusion_txn(lead.term, &name(peer), lease))
+            }
             Step::Readmit { peer, version } => (
                 peer,
                 false,
-                readmission_txn(leadership.term, &name(peer), version),
+                readmission_txn(lead.term, &name(peer), version),
             ),
         };
         let exclusions = &mut self.nodes[node_id].exclusions;
--- a/tests/simulation/net.rs
+++ b/tests/simulation/net.rs
@@ -406,9 +406,7 @@
             Msg::HeartbeatReply(worker_id, node_id, reply, incarnation, seq, sent) => {
                 self.receive_reply(worker_id, node_id, reply, incarnation, seq, sent);
             }
-            Msg::DirectCommand(node_id, worker_id, term, commands) => {
-                self.receive_direct_command(node_id, worker_id, term, commands)
-            }
+            Msg::DirectCommand(i, w, term, order) => self.receive_direct_command(i, w, term, order),
             Msg::DirectCommandEnded(node_id, term, name, token, answer) => {
                 self.end_direct_command(node_id, term, name, token, answer);
             }
--- a/tests/simulation/requests.rs
+++ b/tests/simulation/requests.rs
@@ -175,12 +175,10 @@
         }
     }
 
-    fn dependency_verdict(&mut self, node: usize, id: &str) -> DependencyVerdict {
-        let evidence = std::mem::take(&mut self.nodes[node].dependency_evidence).unwrap();
-        let verdict = self.view(node, self.now, |view| {
-            view.dependency_verdict(&evidence, id)
-        });
-        self.nodes[node].dependency_evidence = Some(evidence);
+    fn dependency_verdict(&mut self, i: usize, id: &str) -> DependencyVerdict {
+        let evidence = std::mem::take(&mut self.nodes[i].dependency_evidence).unwrap();
+        let verdict = self.view(i, self.now, |view| view.dependency_verdict(&evidence, id));
+        self.nodes[i].dependency_evidence = Some(evidence);
         verdict
     }
 
