--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -240,9 +240,7 @@
     // On one machine, faulty jobs can't be distinguished from a faulty machine; with further
     // machines they can.
     (0..2).for_each(|_| drop(sim.add_worker("b", false, 0)));
-    sim.run_until(90_000, "cleared", |sim| {
-        quarantined_machines(sim).is_empty()
-    });
+    sim.run_until(90_000, "cleared", |s| quarantined_machines(s).is_empty());
     sim.run_until(90_000, "suspected", |sim| {
         ids.iter().all(|id| suspected(sim, id))
     });
