--- a/tests/simulation/request_budgets.rs
+++ b/tests/simulation/request_budgets.rs
@@ -1,6 +1,6 @@
-//! The controllers' shares of the state service's requests, by the product's own
-//! budget, where a test limits them: leadership, acceptances, lookups and polls
-//! compete for what the rate gives.
+//! The controllers' shares of the state service's request rate, if a test limits the rate.
+//! Leadership, acceptances, lookups and polls compete for requests by the product's own
+//! `RequestBudget`.
 
 use super::*;
 use pathwinch::state::{
@@ -8,12 +8,13 @@
     request_budget::{RequestBudget, RequestPriority},
 };
 
-/// Seconds' worth of requests at once, as `server::budgets` has it.
+/// Size of a burst, as seconds of the request rate; same value as in `server::budgets`.
 const BURST_S: f64 = 0.9;
-/// A leader renews its lease, and a follower reads the leader's key, about so often.
+/// Approximate interval of a leader's lease renewals, and of a follower's reads of the
+/// leader's key.
 const LEADERSHIP_INTERVAL_MS: Millis = 1_000;
 
-/// What one controller may request.
+/// Request budget of one controller.
 pub(super) struct NodeRequests {
     budget: RequestBudget,
     role: Role,
@@ -21,11 +22,11 @@
 }
 
 impl Simulation {
-    /// Limits the requests a second that the state service takes from all controllers.
+    /// Limits the requests per second that the state service accepts from all controllers.
     pub fn limit_request_rate(&mut self, per_s: f64) {
         self.request_rate = Some(per_s);
-        for i in 0..self.nodes.len() {
-            self.nodes[i].request_budget = self.new_request_budget();
+        for node_id in 0..self.nodes.len() {
+            self.nodes[node_id].request_budget = self.new_request_budget();
         }
     }
 
@@ -44,10 +45,10 @@
         Some(self.request_rate? * share::of_requests(role, nodes))
     }
 
-    /// Adjusts the node's share to its role, and charges what leadership costs.
-    pub(super) fn step_request_budget(&mut self, i: usize) {
+    /// Adjusts the node's share to its role, and charges the requests for leadership.
+    pub(super) fn step_request_budget(&mut self, node_id: usize) {
         let now = self.now;
-        let election = &self.nodes[i].election;
+        let election = &self.nodes[node_id].election;
         let role = match (election.leadership(), election.leader(now)) {
             (Some(_), _) => Role::Leads,
             (None, Some(_)) => Role::Follows,
@@ -56,7 +57,7 @@
         let Some(per_s) = self.requests_per_s(role) else {
             return;
         };
-        let Some(requests) = self.nodes[i].request_budget.as_mut() else {
+        let Some(requests) = self.nodes[node_id].request_budget.as_mut() else {
             return;
         };
         if requests.role != role {
@@ -69,10 +70,11 @@
         }
     }
 
-    /// Takes one request of a node; always, where requests are not limited.
-    pub(super) fn may_request(&mut self, i: usize, priority: RequestPriority) -> bool {
+    /// Takes one request from a node's budget. Returns whether it may be sent; always, if
+    /// requests are not limited.
+    pub(super) fn may_request(&mut self, node_id: usize, priority: RequestPriority) -> bool {
         let now = self.now;
-        let requests = self.nodes[i].request_budget.as_mut();
+        let requests = self.nodes[node_id].request_budget.as_mut();
         requests.is_none_or(|requests| requests.budget.take(now, priority))
     }
 }
