--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -1,6 +1,8 @@
-//! What pathwinch's programs share: logs to standard error ([`log`]) and
-//! numbers in operators' files ([`number`]). Each program's command line and
-//! files are its own part.
+//! Helpers shared by the command-line programs of pathwinch: set-up of logging
+//! to standard error ([`log`]) and parsing of numbers in configuration files
+//! ([`number`]).
+//!
+//! Each program parses its own command line and files; none of that is here.
 
 #![warn(missing_docs)]
 
--- a/crates/cli/src/logging.rs
+++ b/crates/cli/src/logging.rs
@@ -1,12 +1,15 @@
-//! Logs of a program.
+//! Set-up of logging for a program.
 
 use std::io::Write;
 
-/// The environment variable whose level has precedence.
+/// Environment variable that overrides the default log level.
 const LEVEL_VARIABLE: &str = "LOG_LEVEL";
 
-/// Logs to standard error, one line each with its level. `LOG_LEVEL` in the
-/// environment has precedence over `default_level`.
+/// Initializes the global logger, which writes one line per record to standard
+/// error, prefixed with the record's level.
+///
+/// The environment variable `LOG_LEVEL` overrides `default_level`. Panics if a
+/// logger is already set, so each program calls this function once.
 pub fn log(default_level: &str) {
     let env = env_logger::Env::new().filter_or(LEVEL_VARIABLE, default_level);
     env_logger::Builder::from_env(env)
--- a/crates/cli/src/number.rs
+++ b/crates/cli/src/number.rs
@@ -1,36 +1,38 @@
-//! Numbers in operators' files.
+//! Parsing of numbers in configuration files.
 
 use std::num::ParseFloatError;
 use thiserror::Error;
 
-/// Why a text is not an accepted number. The message names its key.
+/// Error for a value that is not an accepted number. The message names the
+/// key.
 #[derive(Debug, Error)]
 pub enum NumberError {
-    /// It is not a number.
+    /// The value is not a number.
     #[error("{key}: not a number: {text:?}")]
     Malformed {
         /// The key in the file.
         key: String,
-        /// The text given.
+        /// The text that could not be parsed.
         text: String,
-        /// What is wrong with it.
+        /// The parser's error.
         source: ParseFloatError,
     },
-    /// It is a number outside the accepted range.
+    /// The number is outside the accepted range.
     #[error("{key}: {value} is outside {min} to {max}")]
     OutOfRange {
         /// The key in the file.
         key: String,
-        /// The number given.
+        /// The number that was read.
         value: f64,
-        /// The least number accepted.
+        /// Smallest accepted number.
         min: f64,
-        /// The greatest number accepted.
+        /// Largest accepted number.
         max: f64,
     },
 }
 
-/// Reads the number that `text` gives for `key`, from `min` to `max`.
+/// Parses `text` as the value of `key` and checks that the number is between
+/// `min` and `max`, both inclusive. Surrounding white space is ignored.
 pub fn number(key: &str, text: &str, min: f64, max: f64) -> Result<f64, NumberError> {
     let value: f64 = text
         .trim()
@@ -40,7 +42,7 @@
             text: text.to_owned(),
             source,
         })?;
-    // NaN is in no range.
+    // The range check also rejects NaN, which no range contains.
     match (min..=max).contains(&value) {
         true => Ok(value),
         false => Err(NumberError::OutOfRange {
--- a/crates/client/src/client.rs
+++ b/crates/client/src/client.rs
@@ -1,4 +1,7 @@
-//! Requests of users, made over HTTP to any of the controllers.
+//! HTTP client for users: submits, polls and cancels jobs at any controller.
+//!
+//! [`Client`] sends each attempt to the node that the node selector chooses and
+//! retries as the [`RetryPolicy`] says.
 
 use crate::{
     Failure,
@@ -15,44 +18,47 @@
     time::{Duration, Instant},
 };
 
+/// Number of idle HTTP connections that a client keeps open.
 const MAX_IDLE_CONNECTIONS: usize = 64;
-/// How long a poll waits for its answer.
+/// Timeout of a single poll.
 const POLL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A client of the users' protocol.
+/// Client of the HTTP interface for users.
 pub struct Client {
     nodes: Vec<SocketAddr>,
-    rules: RetryPolicy,
+    retry_policy: RetryPolicy,
     http: HttpClient,
     selector: RefCell<NodeSelector>,
-    start: Instant,
+    created_at: Instant,
 }
 
 impl Client {
-    /// `nodes`: addresses at which controllers, or a load balancer before
-    /// them, listen for users. There must be at least one.
-    pub fn new(nodes: Vec<SocketAddr>, rules: RetryPolicy) -> Self {
+    /// Creates a client for `nodes`, the addresses at which controllers, or a
+    /// load balancer in front of them, listen for users. At least one address
+    /// is required. The first node is chosen at random.
+    pub fn new(nodes: Vec<SocketAddr>, retry_policy: RetryPolicy) -> Self {
         let first = fastrand::usize(..nodes.len().max(1));
         Client {
             selector: RefCell::new(NodeSelector::new(nodes.len(), first)),
             nodes,
-            rules,
+            retry_policy,
             http: HttpClient::new(MAX_IDLE_CONNECTIONS),
-            start: Instant::now(),
+            created_at: Instant::now(),
         }
     }
 
-    /// Submits a job; one that is known already is answered with its state.
+    /// Submits a job. The call is idempotent: for a job that was submitted
+    /// before, it returns the job's current state.
     pub async fn submit(&self, spec: &JobSpec) -> Result<JobStatus, Failure> {
         let body = serde_json::to_vec(spec).map_err(|e| Failure::Refused {
             status: 400,
-            why: e.to_string(),
+            reason: e.to_string(),
         })?;
         job_status(&self.request("/v1/jobs", Some(body)).await?)
     }
 
-    /// Cancels a job. The state returned is final: cancelled, or done if the
-    /// job was done before.
+    /// Cancels a job. The returned state is final: cancelled, or done if the
+    /// job was completed before the cancellation.
     pub async fn cancel(&self, id: &str) -> Result<JobStatus, Failure> {
         if !is_valid_job_id(id) {
             return Err(Failure::NoSuchJob);
@@ -61,8 +67,8 @@
         job_status(&self.request(&path, None).await?)
     }
 
-    /// Asks once for the state of a job. After [`Failure::GivenUp`], it can be
-    /// asked again later.
+    /// Queries the state of a job once, without retries. After
+    /// [`Failure::GivenUp`] the caller may poll again later.
     pub async fn poll(&self, id: &str) -> Result<JobStatus, Failure> {
         if !is_valid_job_id(id) {
             return Err(Failure::NoSuchJob);
@@ -79,8 +85,9 @@
         }
     }
 
-    /// Polls until the state of a job is final; `on_change` is given each
-    /// status that differs from the one before.
+    /// Polls every `interval` until the state of a job is final. Calls
+    /// `on_change` with each status that differs from the previous one.
+    /// Attempts that end with [`Failure::GivenUp`] are repeated without limit.
     pub async fn wait(
         &self,
         id: &str,
@@ -107,12 +114,13 @@
     }
 
     fn now(&self) -> Millis {
-        self.start.elapsed().as_millis() as Millis
+        self.created_at.elapsed().as_millis() as Millis
     }
 
-    /// Repeats a request until it is answered for good or given up.
+    /// Sends a POST request and retries it until it has a final response or the
+    /// retry schedule gives up.
     async fn request(&self, path: &str, body: Option<Vec<u8>>) -> Result<Answer, Failure> {
-        let mut schedule = RetrySchedule::new(self.rules.clone(), self.now());
+        let mut schedule = RetrySchedule::new(self.retry_policy.clone(), self.now());
         loop {
             let timeout = Duration::from_millis(schedule.timeout(self.now()));
             let (attempt, answer) = self
@@ -138,8 +146,8 @@
         }
     }
 
-    /// Makes a request once, at the node whose turn it is. The error is text
-    /// for people; the [`Attempt`] is what decisions are made from.
+    /// Sends a request once, to the node that the selector chooses. The error
+    /// text is for display only; retry decisions are based on the [`Attempt`].
     async fn attempt(
         &self,
         method: Method,
@@ -149,7 +157,10 @@
     ) -> (Attempt, Result<Answer, String>) {
         let node = self.selector.borrow_mut().choose(self.now());
         let Some(addr) = self.nodes.get(node).copied() else {
-            return (Attempt::NotSent, Err("no address is known".into()));
+            return (
+                Attempt::NotSent,
+                Err("no controller address is configured".into()),
+            );
         };
         let result = self.http.call(addr, method, path, body, timeout).await;
         let attempt = Attempt::from(&result);
@@ -173,12 +184,13 @@
     }
 }
 
+/// Converts a response that rejects the request permanently.
 fn refusal(answer: &Answer) -> Failure {
     match answer.status {
         404 => Failure::NoSuchJob,
         status => Failure::Refused {
             status,
-            why: error_text(&answer.body),
+            reason: error_text(&answer.body),
         },
     }
 }
@@ -191,11 +203,12 @@
     serde_json::from_slice::<serde_json::Value>(body)
         .ok()
         .and_then(|v| v.get("error")?.as_str().map(str::to_owned))
-        .unwrap_or_else(|| "no reason given".into())
+        .unwrap_or_else(|| "the response gives no reason".into())
 }
 
 fn job_status(answer: &Answer) -> Result<JobStatus, Failure> {
-    /// A status whose counts may be missing, as after a submission.
+    /// Job status in a response body. The counts are optional because the
+    /// response to a submission has none.
     #[derive(serde::Deserialize)]
     struct StatusBody {
         #[serde(rename = "ref")]
@@ -215,6 +228,6 @@
             running: body.running,
         })
         .map_err(|e| Failure::Unknown {
-            last: format!("an answer that can't be read: {e}"),
+            last: format!("response body is not a job status: {e}"),
         })
 }
--- a/crates/client/src/failure.rs
+++ b/crates/client/src/failure.rs
@@ -1,32 +1,33 @@
-//! Errors of users' requests.
+//! Errors of the user client.
 
 use thiserror::Error;
 
-/// Why a request has no answer that counts.
+/// Error of a user's request.
 #[derive(Debug, Clone, PartialEq, Error)]
 pub enum Failure {
-    /// Refused for good: repeating the request changes nothing.
-    #[error("refused ({status}): {why}")]
+    /// The request was rejected permanently; a retry would be rejected too.
+    #[error("request refused with status {status}: {reason}")]
     Refused {
-        /// The HTTP status: 400, 405 or 422.
+        /// HTTP status of the response: 400, 405 or 422.
         status: u16,
-        /// The reason given.
-        why: String,
+        /// Reason from the response body.
+        reason: String,
     },
-    /// There is no such job.
+    /// The job does not exist, or its ID is not a valid one.
     #[error("no such job")]
     NoSuchJob,
-    /// Given up after repeated attempts; nothing was done.
-    #[error("given up, nothing was done: {last}")]
+    /// The client stopped retrying, and none of its attempts took effect. For a
+    /// poll: the single attempt failed.
+    #[error("request given up, no attempt took effect; last attempt: {last}")]
     GivenUp {
-        /// How the last attempt ended.
+        /// Error or status of the last attempt.
         last: String,
     },
-    /// Given up, and an attempt may have taken effect or may still do so:
-    /// the same request can be made again, under the same id.
-    #[error("given up, but it may have been done: {last}")]
+    /// The client stopped retrying, and an attempt may have taken effect or may
+    /// still do so. The same request can be made again under the same job ID.
+    #[error("request given up, but an attempt may have taken effect; last attempt: {last}")]
     Unknown {
-        /// How the last attempt ended.
+        /// Error or status of the last attempt.
         last: String,
     },
 }
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -1,11 +1,11 @@
-//! Client of pathwinch, for users and for operators.
+//! Client library of pathwinch for users and operators.
 //!
-//! Here: submitting, polling and cancelling jobs ([`Client`]), the rules of
-//! when a request is repeated ([`retry`]), and what operators ask a single
-//! controller ([`operator`]).
+//! This crate contains the client that submits, polls and cancels jobs
+//! ([`Client`]), the retry policy of its requests ([`retry`]), and the queries
+//! that an operator sends to a single controller ([`operator`]).
 //!
-//! Not here: the command line and its exit (the programs' part), and message
-//! types (`pathwinch-protocol`).
+//! Command lines and process exit are handled by the programs that use this
+//! crate; message types are defined in `pathwinch-protocol`.
 
 #![warn(missing_docs)]
 
--- a/crates/client/src/node_selection.rs
+++ b/crates/client/src/node_selection.rs
@@ -1,14 +1,17 @@
-//! Which node a request goes to. Decisions alone: no clock, no sockets.
+//! Selection of the node that receives the next request.
+//!
+//! The selector only decides: it reads no clock and opens no sockets. Callers
+//! pass the time and report how each attempt ended.
 
 use crate::retry::{Attempt, Millis};
 
-/// Failed connections in a row after which a node is passed over.
-const MAX_FAILED_CONNECTIONS: u32 = 3;
-/// For how long it is passed over.
-const PASS_OVER_MS: Millis = 3_000;
+/// Number of consecutive failed connections after which a node is skipped.
+const MAX_CONSECUTIVE_FAILURES: u32 = 3;
+/// How long a node is skipped after [`MAX_CONSECUTIVE_FAILURES`].
+const SKIP_MS: Millis = 3_000;
 
-/// Chooses nodes: stays with one that serves requests, and otherwise goes
-/// round, passing over those whose connections fail.
+/// Selects nodes round-robin, but stays with a node that serves requests and
+/// skips nodes whose connections fail.
 #[derive(Debug)]
 pub(crate) struct NodeSelector {
     nodes: Vec<NodeHealth>,
@@ -17,12 +20,14 @@
 
 #[derive(Debug, Clone, Default)]
 struct NodeHealth {
+    /// Number of consecutive failed connections.
     failed_connections: u32,
-    passed_over_until: Millis,
+    skipped_until: Millis,
 }
 
 impl NodeSelector {
-    /// `first`: where to begin, so that clients spread over the nodes.
+    /// Creates a selector that starts at node `first`. Clients pass different
+    /// values so that they spread over the nodes.
     pub(crate) fn new(nodes: usize, first: usize) -> Self {
         NodeSelector {
             nodes: vec![NodeHealth::default(); nodes.max(1)],
@@ -30,18 +35,20 @@
         }
     }
 
-    /// The index of the first node, from the next in turn on, that isn't
-    /// passed over; the next in turn if all are.
+    /// Returns the index of the first node, starting with the next in
+    /// round-robin order, that is not skipped at `now`. If all nodes are
+    /// skipped, returns the next in order.
     pub(crate) fn choose(&self, now: Millis) -> usize {
         let count = self.nodes.len();
         (0..count)
             .map(|offset| (self.next + offset) % count)
-            .find(|node| self.nodes[*node].passed_over_until <= now)
+            .find(|node| self.nodes[*node].skipped_until <= now)
             .unwrap_or(self.next)
     }
 
-    /// Takes how an attempt at a node ended: the node stays the first choice
-    /// only if it served the request.
+    /// Records how an attempt at a node ended. The node remains the preferred
+    /// one only if it served the request, that is, answered with a status below
+    /// 500 other than 429.
     pub(crate) fn record(&mut self, node: usize, attempt: &Attempt, now: Millis) {
         let count = self.nodes.len();
         let Some(health) = self.nodes.get_mut(node) else {
@@ -50,9 +57,9 @@
         match attempt {
             Attempt::NotSent => {
                 health.failed_connections += 1;
-                if health.failed_connections >= MAX_FAILED_CONNECTIONS {
+                if health.failed_connections >= MAX_CONSECUTIVE_FAILURES {
                     health.failed_connections = 0;
-                    health.passed_over_until = now + PASS_OVER_MS;
+                    health.skipped_until = now + SKIP_MS;
                 }
             }
             _ => health.failed_connections = 0,
--- a/crates/client/src/node_selection/tests.rs
+++ b/crates/client/src/node_selection/tests.rs
@@ -8,16 +8,21 @@
 }
 
 #[test]
-fn node_is_passed_over_for_a_while_when_three_connections_in_a_row_fail() {
+fn node_is_skipped_temporarily_when_three_consecutive_connections_fail() {
     let mut selector = NodeSelector::new(2, 0);
     for _ in 0..3 {
-        // The other node answers each time, and is chosen next.
+        // Node 1 is chosen after each failure of node 0. Its 503 moves the
+        // selection back to node 0.
         selector.record(0, &Attempt::NotSent, 100);
         assert_eq!(selector.choose(100), 1);
         selector.record(1, &answered(503), 100);
     }
-    assert_eq!(selector.choose(100), 1, "node 0 is passed over");
+    assert_eq!(selector.choose(100), 1, "node 0 is skipped");
     assert_eq!(selector.choose(3100), 0);
     selector.record(0, &answered(200), 3100);
-    assert_eq!(selector.choose(3100), 0, "it answers: stay with it");
+    assert_eq!(
+        selector.choose(3100),
+        0,
+        "node 0 serves requests and is kept"
+    );
 }
--- a/crates/client/src/retry.rs
+++ b/crates/client/src/retry.rs
@@ -1,22 +1,26 @@
-//! When a request is repeated and when it is given up. Decisions alone: no
-//! clock, no random numbers, no sockets.
+//! Retry policy of user requests: when a request is retried and when the client
+//! gives up.
+//!
+//! The code here only decides: it reads no clock, draws no random numbers and
+//! opens no sockets. Callers pass the time and a random number.
 
 /// Milliseconds of the caller's clock.
 pub type Millis = u64;
 
-/// The retry rules of the users' protocol, with the clients' jitter.
+/// Retry parameters of the HTTP interface for users, with the client's jitter.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RetryPolicy {
-    /// No response within this time counts as none.
+    /// Timeout of one attempt; a later response counts as no response.
     pub response_timeout_ms: Millis,
-    /// The least pause before a request is repeated.
+    /// Minimum pause before a retry.
     pub min_pause_ms: Millis,
-    /// A `Retry-After` is followed up to this.
+    /// Maximum pause that a `Retry-After` header can cause; longer ones are
+    /// shortened to this.
     pub max_retry_after_ms: Millis,
-    /// From the first attempt on; then the request is given up.
+    /// Total time from the first attempt after which the client gives up.
     pub total_timeout_ms: Millis,
-    /// Up to this share is added to each pause, so that many clients that
-    /// were refused together don't come back together.
+    /// Maximum share of a pause that is added to it at random, so that clients
+    /// that were rejected at the same time do not retry at the same time.
     pub jitter: f64,
 }
 
@@ -32,71 +36,75 @@
     }
 }
 
-/// How one attempt ended.
+/// Result of one attempt.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Attempt {
-    /// The other side never saw it.
+    /// The request was not sent, so the server never received it.
     NotSent,
-    /// It may have taken effect, or may still take effect.
+    /// No response was received. The request may have taken effect, or may
+    /// still do so.
     NoAnswer,
     /// A response was received.
     Answered {
-        /// The HTTP status code.
+        /// HTTP status code.
         status: u16,
-        /// The `Retry-After` header.
+        /// Value of the `Retry-After` header, in seconds.
         retry_after_s: Option<u32>,
     },
 }
 
-/// What follows from an attempt.
+/// What the client does after an attempt.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Decision {
-    /// Answered for good, with a status of 2xx.
+    /// The request succeeded with a status of 2xx.
     Done,
-    /// 400, 404, 405 or 422: repeating the request changes nothing.
+    /// The request was rejected permanently with status 400, 404, 405 or 422; a
+    /// retry would be rejected too.
     Refused,
-    /// To be repeated.
+    /// The request is to be retried.
     Retry {
-        /// When, by the caller's clock.
+        /// Time of the next attempt by the caller's clock.
         at: Millis,
     },
-    /// The time is up.
+    /// The total timeout would pass before the next attempt.
     GiveUp {
-        /// An attempt may have taken effect, or may still do so.
+        /// Whether an attempt may have taken effect, or may still do so.
         outcome_unknown: bool,
     },
 }
 
-/// One request through all its attempts.
+/// Retry state of one request over all its attempts.
 #[derive(Debug)]
 pub struct RetrySchedule {
-    rules: RetryPolicy,
+    policy: RetryPolicy,
     started_at: Millis,
+    /// Whether an attempt may have taken effect; never reset.
     outcome_unknown: bool,
 }
 
 impl RetrySchedule {
-    /// For a request that is first made at `now`.
-    pub fn new(rules: RetryPolicy, now: Millis) -> Self {
+    /// Creates the schedule of a request whose first attempt is made at `now`.
+    pub fn new(policy: RetryPolicy, now: Millis) -> Self {
         RetrySchedule {
-            rules,
+            policy,
             started_at: now,
             outcome_unknown: false,
         }
     }
 
     fn deadline(&self) -> Millis {
-        self.started_at + self.rules.total_timeout_ms
+        self.started_at + self.policy.total_timeout_ms
     }
 
-    /// How long the next attempt may wait for its answer.
+    /// Returns the timeout of the next attempt: the response timeout, or the
+    /// time left until the total timeout if that is shorter, but at least 1 ms.
     pub fn timeout(&self, now: Millis) -> Millis {
-        let left = self.deadline().saturating_sub(now);
-        self.rules.response_timeout_ms.min(left.max(1))
+        let remaining = self.deadline().saturating_sub(now);
+        self.policy.response_timeout_ms.min(remaining.max(1))
     }
 
-    /// Takes how an attempt ended. `random`: from 0 to 1, drawn by the caller
-    /// for the jitter.
+    /// Decides what follows the attempt that ended at `now`. `random` is a
+    /// random number from 0 to 1, drawn by the caller, that scales the jitter.
     pub fn decide(&mut self, attempt: &Attempt, now: Millis, random: f64) -> Decision {
         let retry_after_ms = match attempt {
             Attempt::Answered {
@@ -110,8 +118,8 @@
                 status,
                 retry_after_s,
             } => {
-                // 429 and 503 say that nothing was done; of 504 and the rest
-                // that isn't known.
+                // 429 and 503 mean that the request had no effect. For 504 and
+                // all other statuses the outcome is unknown.
                 self.outcome_unknown |= !matches!(status, 429 | 503);
                 Millis::from(retry_after_s.unwrap_or(0)) * 1000
             }
@@ -131,9 +139,9 @@
     }
 
     fn pause(&self, retry_after_ms: Millis, random: f64) -> Millis {
-        let retry_after_ms = retry_after_ms.min(self.rules.max_retry_after_ms);
-        let pause = self.rules.min_pause_ms.max(retry_after_ms);
-        let jitter = (pause as f64 * self.rules.jitter * random.clamp(0.0, 1.0)) as Millis;
+        let retry_after_ms = retry_after_ms.min(self.policy.max_retry_after_ms);
+        let pause = self.policy.min_pause_ms.max(retry_after_ms);
+        let jitter = (pause as f64 * self.policy.jitter * random.clamp(0.0, 1.0)) as Millis;
         pause + jitter
     }
 }
