--- a/crates/transport/src/client.rs
+++ b/crates/transport/src/client.rs
@@ -1,7 +1,8 @@
-//! An HTTP client with pooled connections.
+//! HTTP client with pooled connections.
 //!
-//! Its errors tell "was not sent" from "no answer", because a request without
-//! an answer may still be executed. It neither retries nor follows redirects.
+//! Errors distinguish a request that was not sent from one that has no
+//! response, because a request without a response may still be executed. The
+//! client neither retries nor follows redirects.
 
 use crate::{ByteStream, SharedTcpStream, connection_pool::ConnectionPool, within};
 use async_h1::client;
@@ -13,60 +14,62 @@
 };
 use thiserror::Error;
 
-/// Longer response bodies are cut off here.
+/// Maximum length of a response body; longer bodies are truncated.
 const MAX_RESPONSE_BYTES: u64 = 2 * 1024 * 1024;
+/// Number of idle connections kept open to one host.
 const MAX_IDLE_CONNECTIONS_PER_HOST: usize = 4;
 
-/// Why a call has no answer.
+/// Error of a call that has no response.
 #[derive(Debug, Clone, PartialEq, Error)]
 pub enum CallError {
-    /// No byte was sent: the other side will not see the request.
-    #[error("not sent: {0}")]
+    /// No byte of the request was sent, so the server can't have received it.
+    #[error("request not sent: {0}")]
     NotSent(String),
-    /// The exchange failed half-way: the request may have been executed, or
-    /// may be executed later.
-    #[error("no answer: {0}")]
+    /// The exchange failed after it began. The request may have been executed,
+    /// or may be executed later.
+    #[error("no response: {0}")]
     NoAnswer(String),
-    /// The timeout passed: as [`CallError::NoAnswer`], and nothing came back
-    /// at all.
-    #[error("no answer: took too long")]
+    /// The timeout passed before the response was complete. As with
+    /// [`CallError::NoAnswer`], the outcome of the request is unknown.
+    #[error("no response within the timeout")]
     TooLong,
 }
 
-/// An HTTP response, received completely.
+/// An HTTP response that was received completely.
 #[derive(Debug)]
 pub struct Answer {
-    /// The HTTP status code.
+    /// HTTP status code.
     pub status: u16,
-    /// The `Retry-After` header, if it is a number of seconds.
+    /// Value of the `Retry-After` header, if the header is a number of seconds.
     pub retry_after_s: Option<u32>,
-    /// The body, without the transfer encoding.
+    /// Body with the transfer encoding removed.
     pub body: Vec<u8>,
 }
 
-/// A response with what it means for its connection.
+/// A response and whether its connection can be reused.
 #[derive(Debug)]
 pub struct ReceivedAnswer {
-    /// The response.
+    /// The HTTP response.
     pub answer: Answer,
-    /// The other side closes the connection.
+    /// Whether the server closes the connection after this response.
     pub close: bool,
 }
 
-/// An HTTP client that reuses connections.
+/// HTTP client that reuses connections.
 pub struct Client {
     pool: ConnectionPool,
 }
 
 impl Client {
-    /// Keeps at most `max_idle_connections` open between requests.
+    /// Creates a client that keeps at most `max_idle_connections` open between
+    /// requests.
     pub fn new(max_idle_connections: usize) -> Self {
         Client {
             pool: ConnectionPool::new(max_idle_connections, MAX_IDLE_CONNECTIONS_PER_HOST),
         }
     }
 
-    /// Makes one request; `timeout` covers connecting, sending and receiving.
+    /// Sends one request. `timeout` covers connecting, sending and receiving.
     pub async fn call(
         &self,
         addr: SocketAddr,
@@ -79,9 +82,10 @@
             .await
     }
 
-    /// As [`Client::call`], but asks `may_send` once the connection is there:
-    /// connecting takes time of its own, and the process may be paused
-    /// meanwhile. Nothing is awaited between that check and the first byte.
+    /// Like [`Client::call`], but calls `may_send` when the connection is
+    /// established, and sends nothing if that returns false. Permission can end
+    /// before then, because connecting takes time and the process may be paused
+    /// meanwhile. Nothing is awaited between this check and the first byte.
     pub async fn call_if(
         &self,
         addr: SocketAddr,
@@ -97,7 +101,9 @@
         let remaining = timeout.saturating_sub(started.elapsed());
         if !may_send() {
             self.pool.put(addr, stream);
-            return Err(CallError::NotSent("it may not be sent any more".into()));
+            return Err(CallError::NotSent(
+                "permission to send ended before the request was sent".into(),
+            ));
         }
         let exchange = exchange(stream.clone(), request, MAX_RESPONSE_BYTES);
         match within(remaining, exchange).await {
@@ -112,6 +118,7 @@
         }
     }
 
+    /// Returns a pooled connection to `addr`, or opens a new one.
     async fn connection(
         &self,
         addr: SocketAddr,
@@ -123,13 +130,13 @@
         match within(timeout, SharedTcpStream::connect(addr)).await {
             Some(Ok(stream)) => Ok(stream),
             Some(Err(e)) => Err(CallError::NotSent(e.to_string())),
-            None => Err(CallError::NotSent("connecting took too long".into())),
+            None => Err(CallError::NotSent("connecting timed out".into())),
         }
     }
 }
 
-/// Builds a request; a body is declared as JSON. Fails with
-/// [`CallError::NotSent`] if the path does not make a valid URL.
+/// Builds a request whose body, if any, has the content type for JSON. Fails
+/// with [`CallError::NotSent`] if `addr` and `path` do not form a valid URL.
 pub fn json_request(
     addr: SocketAddr,
     method: Method,
@@ -146,8 +153,8 @@
     Ok(request)
 }
 
-/// Sends a request over an open connection and receives the response, whose
-/// body is cut off after `max_response_bytes`.
+/// Sends a request over an open connection and receives the response. The body
+/// is truncated to `max_response_bytes`.
 pub async fn exchange(
     stream: impl ByteStream,
     request: Request,
--- a/crates/transport/src/connection_limit.rs
+++ b/crates/transport/src/connection_limit.rs
@@ -1,8 +1,8 @@
-//! Limits on the number of open connections.
+//! Limit on the number of open connections.
 
 use std::{cell::Cell, rc::Rc};
 
-/// A counter of open connections with an upper bound. Clones share the count.
+/// Counter of open connections with an upper bound. Clones share the count.
 #[derive(Debug, Clone)]
 pub struct ConnectionLimit {
     max: usize,
@@ -10,7 +10,7 @@
 }
 
 impl ConnectionLimit {
-    /// Allows at most `max` connections at a time.
+    /// Creates a limit of `max` simultaneous connections.
     pub fn new(max: usize) -> Self {
         ConnectionLimit {
             max,
@@ -18,8 +18,8 @@
         }
     }
 
-    /// Counts one more connection until the permit is dropped; `None` when the
-    /// limit is reached.
+    /// Counts one more connection until the returned permit is dropped. Returns
+    /// `None` if the limit is reached.
     pub fn try_acquire(&self) -> Option<ConnectionPermit> {
         if self.open.get() >= self.max {
             return None;
@@ -30,18 +30,18 @@
         })
     }
 
-    /// Connections that are open now.
+    /// Returns the number of connections that are open now.
     pub fn open(&self) -> usize {
         self.open.get()
     }
 
-    /// The upper bound.
+    /// Returns the maximum number of open connections.
     pub fn max(&self) -> usize {
         self.max
     }
 }
 
-/// The right to hold one connection, given back on drop.
+/// Permit for one open connection, released on drop.
 #[derive(Debug)]
 pub struct ConnectionPermit {
     open: Rc<Cell<usize>>,
--- a/crates/transport/src/connection_pool.rs
+++ b/crates/transport/src/connection_pool.rs
@@ -1,34 +1,39 @@
-//! Idle connections of a client, kept for the next request to the same host.
-//! The pool opens no connections itself.
+//! Pool of a client's idle connections, kept for the next request to the same
+//! host. The pool itself opens no connections.
 
 use crate::SharedTcpStream;
 use std::{cell::RefCell, collections::HashMap, net::SocketAddr};
 
-/// Idle connections by host. When the pool is full, the host used least
-/// recently loses its connections: closing all of them at once would cost a
-/// new connection for each request of a large fleet.
+/// Idle connections by host. When the pool is full, it closes the connections
+/// of the least recently used host. If the pool were emptied instead, each
+/// request to a large fleet would need a new connection.
 pub(crate) struct ConnectionPool {
     max_connections: usize,
     max_per_host: usize,
-    idle: RefCell<Idle>,
+    idle: RefCell<IdleConnections>,
 }
 
 #[derive(Default)]
-struct Idle {
+struct IdleConnections {
+    /// Number of idle connections over all hosts.
     connections: usize,
-    /// Logical clock of `last_used`: advances with each connection put back.
-    uses: u64,
-    hosts: HashMap<SocketAddr, Host>,
+    /// Logical clock for `last_used`, incremented whenever a connection is put
+    /// into the pool.
+    put_count: u64,
+    hosts: HashMap<SocketAddr, HostConnections>,
 }
 
 #[derive(Default)]
-struct Host {
+struct HostConnections {
+    /// Value of the pool's logical clock when a connection to this host was last
+    /// put into the pool.
     last_used: u64,
     streams: Vec<SharedTcpStream>,
 }
 
 impl ConnectionPool {
-    /// Keeps at most `max_connections`, and `max_per_host` to each host.
+    /// Creates a pool that keeps at most `max_connections` in total and
+    /// `max_per_host` for each host.
     pub(crate) fn new(max_connections: usize, max_per_host: usize) -> Self {
         ConnectionPool {
             max_connections,
@@ -37,14 +42,15 @@
         }
     }
 
-    /// Puts back a connection that is ready for its next request.
+    /// Puts a connection that is ready for its next request into the pool.
+    /// Closes it if the host already has `max_per_host` idle connections.
     pub(crate) fn put(&self, addr: SocketAddr, stream: SharedTcpStream) {
         let mut idle = self.idle.borrow_mut();
         if idle.connections >= self.max_connections {
             idle.evict_least_recently_used();
         }
-        idle.uses += 1;
-        let last_used = idle.uses;
+        idle.put_count += 1;
+        let last_used = idle.put_count;
         let host = idle.hosts.entry(addr).or_default();
         host.last_used = last_used;
         if host.streams.len() < self.max_per_host {
@@ -53,8 +59,8 @@
         }
     }
 
-    /// Takes a connection that can still be used; others met on the way are
-    /// closed.
+    /// Takes a connection to `addr` that can still be used. Connections that
+    /// turn out to be unusable are closed.
     pub(crate) fn take(&self, addr: SocketAddr) -> Option<SharedTcpStream> {
         let mut idle = self.idle.borrow_mut();
         while let Some(stream) = idle.pop(addr) {
@@ -66,7 +72,7 @@
     }
 }
 
-impl Idle {
+impl IdleConnections {
     fn evict_least_recently_used(&mut self) {
         let oldest = self.hosts.iter().min_by_key(|(_, host)| host.last_used);
         if let Some(addr) = oldest.map(|(addr, _)| *addr)
@@ -76,8 +82,9 @@
         }
     }
 
-    /// A host without connections is removed: evicting it later in place of
-    /// the least recently used would close nothing, and the pool would outgrow
+    /// Removes and returns an idle connection to `addr`. A host without
+    /// connections left is removed as well: if it stayed, evicting it as the
+    /// least recently used host would close nothing, and the pool would exceed
     /// its limit.
     fn pop(&mut self, addr: SocketAddr) -> Option<SharedTcpStream> {
         let host = self.hosts.get_mut(&addr)?;
--- a/crates/transport/src/connection_pool/tests.rs
+++ b/crates/transport/src/connection_pool/tests.rs
@@ -3,13 +3,13 @@
 use std::net::{TcpListener, TcpStream};
 
 #[test]
-fn full_pool_closes_only_the_least_recently_used_host_when_one_more_is_put() {
+fn full_pool_evicts_only_least_recently_used_host_when_connection_is_put() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let listening = listener.local_addr().unwrap();
+    let addr = listener.local_addr().unwrap();
     let pool = ConnectionPool::new(3, 4);
     let host = |n: u16| SocketAddr::from(([127, 0, 0, 1], n));
     for n in 1..=4 {
-        let stream = Async::<TcpStream>::new(TcpStream::connect(listening).unwrap()).unwrap();
+        let stream = Async::<TcpStream>::new(TcpStream::connect(addr).unwrap()).unwrap();
         pool.put(host(n), SharedTcpStream::from(stream));
     }
     let pooled: Vec<bool> = (1..=4).map(|n| pool.take(host(n)).is_some()).collect();
--- a/crates/transport/src/frames.rs
+++ b/crates/transport/src/frames.rs
@@ -1,9 +1,9 @@
-//! The protocol between controllers: CBOR messages, each behind its length as
-//! a big-endian `u32`.
+//! Framed protocol between controllers. A frame is a CBOR message preceded by
+//! its length as a big-endian `u32`.
 //!
-//! Here: encoding and decoding, the server ([`serve`]) and the client
-//! ([`PeerClient`]). The messages are those of `pathwinch_protocol::peers`;
-//! handling them is the callers' part.
+//! This module encodes and decodes frames and contains the server ([`serve`])
+//! and the client ([`PeerClient`]). The messages are defined in
+//! `pathwinch_protocol::peers` and handled by the callers.
 
 mod client;
 mod server;
@@ -18,27 +18,28 @@
 use std::io;
 use thiserror::Error;
 
-const LENGTH_BYTES: usize = 4;
+/// Size of the length prefix of a frame.
+const LENGTH_PREFIX_BYTES: usize = 4;
 
-/// Why a frame can't be written or read.
+/// Error of writing or reading a frame.
 #[derive(Debug, Error)]
 pub enum FrameError {
-    /// It is longer than the protocol allows.
-    #[error("frame of {bytes} bytes is too large")]
+    /// The frame is longer than the protocol allows.
+    #[error("frame of {bytes} bytes exceeds the limit of {MAX_FRAME} bytes")]
     TooLarge {
-        /// Length without the length prefix.
+        /// Length of the frame without the length prefix.
         bytes: usize,
     },
-    /// The peer speaks another version of the protocol.
-    #[error("peer speaks version {version}, this is {VERSION}")]
+    /// The peer uses another version of the protocol.
+    #[error("peer uses protocol version {version}, expected {VERSION}")]
     Version {
-        /// The peer's version.
+        /// Protocol version of the peer.
         version: u16,
     },
-    /// The message can't be written as CBOR.
+    /// The message can't be encoded as CBOR.
     #[error(transparent)]
     Encode(#[from] ciborium::ser::Error<io::Error>),
-    /// The bytes are not the expected message in CBOR.
+    /// The bytes are not the CBOR encoding of the expected message.
     #[error(transparent)]
     Decode(#[from] ciborium::de::Error<io::Error>),
     /// The connection failed.
@@ -53,17 +54,19 @@
     }
 }
 
-/// Writes a message as a frame, with its length prefix.
+/// Encodes a message as a frame, including the length prefix. Fails if the
+/// frame would be longer than the protocol allows.
 pub fn encode<T: Serialize>(body: T) -> Result<Vec<u8>, FrameError> {
-    let mut out = vec![0; LENGTH_BYTES];
-    ciborium::into_writer(&Frame { v: VERSION, body }, &mut out)?;
-    let length = out.len() - LENGTH_BYTES;
+    let mut frame = vec![0; LENGTH_PREFIX_BYTES];
+    ciborium::into_writer(&Frame { v: VERSION, body }, &mut frame)?;
+    let length = frame.len() - LENGTH_PREFIX_BYTES;
     check_length(length)?;
-    out[..LENGTH_BYTES].copy_from_slice(&(length as u32).to_be_bytes());
-    Ok(out)
+    frame[..LENGTH_PREFIX_BYTES].copy_from_slice(&(length as u32).to_be_bytes());
+    Ok(frame)
 }
 
-/// Reads a message from the bytes of a frame without its length prefix.
+/// Decodes a message from the bytes of a frame without its length prefix. Fails
+/// if the frame has another protocol version.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, FrameError> {
     let frame: Frame<T> = ciborium::from_reader(bytes)?;
     match frame.v == VERSION {
@@ -72,8 +75,9 @@
     }
 }
 
+/// Reads one frame and returns its bytes without the length prefix.
 async fn read_frame(stream: &mut SharedTcpStream) -> Result<Vec<u8>, FrameError> {
-    let mut length = [0; LENGTH_BYTES];
+    let mut length = [0; LENGTH_PREFIX_BYTES];
     stream.read_exact(&mut length).await?;
     let length = u32::from_be_bytes(length) as usize;
     check_length(length)?;
--- a/crates/transport/src/frames/client.rs
+++ b/crates/transport/src/frames/client.rs
@@ -1,4 +1,5 @@
-//! Calls from one controller to another, or from an operator's command.
+//! Client of the framed protocol, used by controllers and by operators'
+//! commands.
 
 use super::{FrameError, decode, encode, read_frame};
 use crate::{SharedTcpStream, client::CallError, connection_pool::ConnectionPool, within};
@@ -6,19 +7,24 @@
 use pathwinch_protocol::peers::{Reply, Request};
 use std::{cell::Cell, net::SocketAddr, time::Duration};
 
+/// Number of idle connections kept open to one peer.
 const MAX_IDLE_CONNECTIONS_PER_PEER: usize = 8;
 
-/// A client of other controllers that reuses connections.
+/// Client for requests to controllers that reuses connections.
 pub struct PeerClient {
     pool: ConnectionPool,
+    /// Number of requests sent.
     requests: Cell<u64>,
+    /// Number of bytes of the requests sent and the replies received, with the
+    /// length prefixes of requests only.
     bytes: Cell<u64>,
 }
 
 impl Default for PeerClient {
     fn default() -> Self {
         PeerClient {
-            // Controllers are few: the limit for each peer is enough.
+            // A cluster has few controllers, so the limit for each peer is
+            // sufficient.
             pool: ConnectionPool::new(usize::MAX, MAX_IDLE_CONNECTIONS_PER_PEER),
             requests: Cell::default(),
             bytes: Cell::default(),
@@ -27,7 +33,8 @@
 }
 
 impl PeerClient {
-    /// Requests that were sent, and the bytes of those and of their replies.
+    /// Returns the number of requests sent, and the number of bytes of these
+    /// requests and their replies.
     pub fn exchanged(&self) -> (u64, u64) {
         (self.requests.get(), self.bytes.get())
     }
@@ -36,7 +43,7 @@
         self.bytes.set(self.bytes.get() + length as u64);
     }
 
-    /// Makes one request; `timeout` covers connecting, sending and receiving.
+    /// Sends one request. `timeout` covers connecting, sending and receiving.
     pub async fn call(
         &self,
         addr: SocketAddr,
--- a/crates/transport/src/frames/server.rs
+++ b/crates/transport/src/frames/server.rs
@@ -1,4 +1,4 @@
-//! Serves the requests of other controllers and of operators' commands.
+//! Server of the framed protocol for other controllers and operators' commands.
 
 use super::{FrameError, decode, encode, read_frame};
 use crate::{ConnectionLimit, SharedTcpStream, priority_executor::PriorityExecutor, within};
@@ -12,14 +12,14 @@
     time::Duration,
 };
 
-/// A connection without a request for so long is closed.
+/// Time without a request after which a connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// Pause after a failed accept, so that a lack of sockets is no busy loop.
+/// Pause after a failed accept, which prevents a busy loop while the process is
+/// out of sockets.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Serves requests at `addr` with high priority, over at most
-/// `max_connections`; further connections are closed at once. Returns only if
-/// it can't listen.
+/// Serves requests at `addr` with high priority over at most `max_connections`.
+/// Further connections are closed immediately. Returns only if listening fails.
 pub async fn serve<F, Fut>(
     executor: Rc<PriorityExecutor>,
     addr: SocketAddr,
@@ -47,15 +47,15 @@
             .spawn_high(async move {
                 let _permit = permit;
                 if let Err(e) = serve_connection(stream, &*handler).await {
-                    log::debug!("peer connection: {e}");
+                    log::debug!("connection from peer closed: {e}");
                 }
             })
             .detach();
     }
 }
 
-/// Answers one request after the other until the connection is idle for too
-/// long or fails.
+/// Answers requests one after another until the connection is idle for
+/// [`IDLE_TIMEOUT`] or fails.
 async fn serve_connection<F, Fut>(
     mut stream: SharedTcpStream,
     handler: &F,
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,13 +1,13 @@
-//! Network I/O of pathwinch's programs on one thread.
+//! Single-threaded network I/O for the programs of pathwinch.
 //!
-//! Here: the HTTP server ([`server`]) and client ([`client`]), the framed
-//! protocol between controllers ([`frames`]), the executor that gives urgent
-//! tasks precedence ([`priority_executor`]), token buckets ([`rate_limit`]),
-//! and what these share: cloneable TCP streams, the pool of idle connections,
-//! limits on open connections, and timeouts.
+//! This crate contains the HTTP server ([`server`]) and client ([`client`]),
+//! the framed protocol between controllers ([`frames`]), a two-priority task
+//! executor ([`priority_executor`]) and token buckets ([`rate_limit`]). These
+//! modules share cloneable TCP streams, the pool of idle connections, limits on
+//! open connections, and timeouts.
 //!
-//! Not here: what requests mean and who may act on them (the callers' part),
-//! message types (`pathwinch-protocol`), and encryption (`pathwinch-tls`).
+//! Callers interpret requests and check authorization. Message types are
+//! defined in `pathwinch-protocol`, and TLS is in `pathwinch-tls`.
 
 #![warn(missing_docs)]
 
--- a/crates/transport/src/priority_executor.rs
+++ b/crates/transport/src/priority_executor.rs
@@ -1,20 +1,23 @@
-//! An executor for the tasks of one thread, in two priorities: a ready task of
-//! high priority runs before every ready task of low priority.
+//! Single-threaded executor with two priorities: a ready task of high priority
+//! runs before every ready task of low priority.
 //!
-//! Guards against floods of status polls: in a single queue, renewals of the
-//! leader lease and workers' heartbeats waited behind all of them, and leases
-//! expired.
+//! The priorities guard against floods of status polls. With a single queue,
+//! renewals of the leader lease and heartbeats of workers waited behind all
+//! queued polls, and leases expired.
 
 use async_executor::{LocalExecutor, Task};
 use futures_lite::{FutureExt, future};
 use std::future::Future;
 
-/// Tasks that are run between two looks at the sockets.
-const MAX_HIGH_TASKS_PER_TURN: usize = 64;
-/// Few, as what arrives meanwhile may be of high priority.
-const MAX_LOW_TASKS_PER_TURN: usize = 8;
+/// Maximum number of high-priority tasks to run before the reactor polls the
+/// sockets again.
+const MAX_HIGH_TASKS_PER_BATCH: usize = 64;
+/// Maximum number of low-priority tasks to run before the reactor polls the
+/// sockets again. The number is low because high-priority work may arrive
+/// meanwhile.
+const MAX_LOW_TASKS_PER_BATCH: usize = 8;
 
-/// Two queues of tasks with strict priority between them. Tasks are not
+/// Executor with two task queues and strict priority between them. Tasks are not
 /// preempted: each runs until it awaits.
 #[derive(Default)]
 pub struct PriorityExecutor {
@@ -23,35 +26,37 @@
 }
 
 impl PriorityExecutor {
-    /// Spawns a task of high priority: what leases and authority depend on.
+    /// Spawns a high-priority task, for work on which leases and authority
+    /// depend.
     pub fn spawn_high<T: 'static>(&self, work: impl Future<Output = T> + 'static) -> Task<T> {
         self.high.spawn(work)
     }
 
-    /// Spawns a task of low priority: what may wait, such as answers to users.
+    /// Spawns a low-priority task, for work that may wait, such as responses to
+    /// users.
     pub fn spawn_low<T: 'static>(&self, work: impl Future<Output = T> + 'static) -> Task<T> {
         self.low.spawn(work)
     }
 
-    /// Runs tasks of both priorities until `work` is complete.
+    /// Runs tasks of both priorities until `work` completes.
     pub async fn run<T>(&self, work: impl Future<Output = T>) -> T {
         work.or(self.run_tasks()).await
     }
 
     async fn run_tasks<T>(&self) -> T {
         loop {
-            match self.run_turn() {
+            match self.run_ready_tasks() {
                 0 => self.high.tick().or(self.low.tick()).await,
-                // Lets the reactor take in what has arrived.
+                // Yields so that the reactor can process pending I/O events.
                 _ => future::yield_now().await,
             }
         }
     }
 
-    /// Runs ready tasks up to the limits; returns how many.
-    fn run_turn(&self) -> usize {
+    /// Runs ready tasks up to the limits and returns the number of tasks run.
+    fn run_ready_tasks(&self) -> usize {
         let (mut high, mut low) = (0, 0);
-        while high < MAX_HIGH_TASKS_PER_TURN && low < MAX_LOW_TASKS_PER_TURN {
+        while high < MAX_HIGH_TASKS_PER_BATCH && low < MAX_LOW_TASKS_PER_BATCH {
             if self.high.try_tick() {
                 high += 1;
             } else if self.low.try_tick() {
--- a/crates/transport/src/priority_executor/tests.rs
+++ b/crates/transport/src/priority_executor/tests.rs
@@ -2,36 +2,44 @@
 use std::{cell::RefCell, rc::Rc};
 
 #[test]
-fn high_priority_task_runs_before_all_low_ones_when_ready() {
+fn high_priority_task_runs_before_low_priority_tasks_when_ready() {
     let executor = PriorityExecutor::default();
     let order = Rc::new(RefCell::new(Vec::new()));
-    let (wake, woken) = async_channel::unbounded::<()>();
+    let (wake_sender, wake_receiver) = async_channel::unbounded::<()>();
     for n in 0..50 {
-        let (order, wake) = (order.clone(), wake.clone());
+        let (order, wake_sender) = (order.clone(), wake_sender.clone());
         executor
             .spawn_low(async move {
                 order.borrow_mut().push(("poll", n));
                 if n == 20 {
-                    let _ = wake.try_send(());
+                    let _ = wake_sender.try_send(());
                 }
             })
             .detach();
     }
-    let renewals = order.clone();
+    let renewal_order = order.clone();
     executor
         .spawn_high(async move {
-            renewals.borrow_mut().push(("renewal", 0));
-            let _ = woken.recv().await;
-            renewals.borrow_mut().push(("renewal", 1));
+            renewal_order.borrow_mut().push(("renewal", 0));
+            let _ = wake_receiver.recv().await;
+            renewal_order.borrow_mut().push(("renewal", 1));
         })
         .detach();
-    let seen = order.clone();
+    let order_so_far = order.clone();
     async_io::block_on(executor.run(async {
-        while seen.borrow().len() < 52 {
+        while order_so_far.borrow().len() < 52 {
             future::yield_now().await;
         }
     }));
     let order = order.borrow();
-    assert_eq!(order[0], ("renewal", 0), "spawned last, ready first");
-    assert_eq!(order[22], ("renewal", 1), "right after what woke it");
+    assert_eq!(
+        order[0],
+        ("renewal", 0),
+        "the high-priority task runs first although it was spawned last"
+    );
+    assert_eq!(
+        order[22],
+        ("renewal", 1),
+        "the high-priority task runs directly after the task that woke it"
+    );
 }
--- a/crates/transport/src/rate_limit.rs
+++ b/crates/transport/src/rate_limit.rs
@@ -1,12 +1,12 @@
-//! Token buckets for requests and changes per second. They read no clock: the
-//! caller gives the time.
+//! Token buckets that limit requests and changes per second. The buckets read
+//! no clock; callers pass the time.
 
 /// Milliseconds of the caller's clock.
 type Millis = u64;
 
-/// A token bucket: it is refilled at a constant rate up to its capacity, and
-/// each request takes tokens. The level can become negative; later requests
-/// then wait until the debt is refilled.
+/// Token bucket that is refilled at a constant rate up to its capacity and from
+/// which each request takes tokens. The level can become negative; later
+/// requests then wait until the deficit is refilled.
 #[derive(Debug)]
 pub struct TokenBucket {
     tokens_per_ms: f64,
@@ -15,14 +15,15 @@
     refilled_at: Millis,
 }
 
-/// At least one token, so that rates below one a second let requests through.
+/// Returns the capacity of a bucket: the tokens of `burst_s` seconds, but at
+/// least one token, so that rates below one per second let requests through.
 fn capacity(per_s: f64, burst_s: f64) -> f64 {
     (per_s * burst_s).max(1.0)
 }
 
 impl TokenBucket {
-    /// A full bucket, refilled with `per_s` tokens a second, that holds the
-    /// tokens of `burst_s` seconds.
+    /// Creates a full bucket that is refilled with `per_s` tokens per second and
+    /// holds the tokens of `burst_s` seconds.
     pub fn new(per_s: f64, burst_s: f64) -> Self {
         let capacity = capacity(per_s, burst_s);
         TokenBucket {
@@ -33,8 +34,8 @@
         }
     }
 
-    /// Changes rate and capacity from `now` on. Tokens beyond the new capacity
-    /// are lost.
+    /// Changes the refill rate and the capacity from `now` on. Tokens in excess
+    /// of the new capacity are discarded.
     pub fn set_rate(&mut self, now: Millis, per_s: f64, burst_s: f64) {
         self.refill(now);
         self.tokens_per_ms = per_s / 1000.0;
@@ -48,14 +49,16 @@
         self.tokens = (self.tokens + elapsed * self.tokens_per_ms).min(self.capacity);
     }
 
-    /// The tokens that are there at `now`; negative while in debt.
+    /// Returns the number of tokens at `now`, which is negative while the bucket
+    /// has a deficit.
     pub fn level(&mut self, now: Millis) -> f64 {
         self.refill(now);
         self.tokens
     }
 
-    /// Takes `n` tokens if that leaves at least `reserve`, and says whether it
-    /// did. The reserve is for what has precedence over ordinary requests.
+    /// Takes `n` tokens if at least `reserve` tokens remain afterwards. Returns
+    /// whether the tokens were taken. The reserve is kept for requests that have
+    /// precedence over ordinary ones.
     pub fn take(&mut self, now: Millis, n: f64, reserve: f64) -> bool {
         self.refill(now);
         if self.tokens - n < reserve {
@@ -65,14 +68,15 @@
         true
     }
 
-    /// Takes `n` tokens whatever is left, for what must not wait.
+    /// Takes `n` tokens regardless of the level, for requests that must not
+    /// wait. The level may become negative.
     pub fn force(&mut self, now: Millis, n: f64) {
         self.refill(now);
         self.tokens -= n;
     }
 
-    /// Takes `n` tokens whatever is left and returns for how many milliseconds
-    /// to wait before acting.
+    /// Takes `n` tokens regardless of the level and returns how many
+    /// milliseconds the caller must wait before it acts.
     pub fn take_with_delay(&mut self, now: Millis, n: f64) -> Millis {
         self.force(now, n);
         match self.tokens < 0.0 {
--- a/crates/transport/src/server.rs
+++ b/crates/transport/src/server.rs
@@ -1,6 +1,8 @@
-//! The HTTP server of the users' and workers' interface: accepting, limits on
-//! connections, and their priority. Reading requests and writing responses is
-//! in its `message` module; what is answered is the handler's part.
+//! HTTP server for users and workers. It accepts connections, limits their
+//! number and assigns their priority.
+//!
+//! The private module `message` reads requests and writes responses. The
+//! caller's handler produces the responses.
 
 mod message;
 
@@ -21,24 +23,30 @@
     time::Duration,
 };
 
-/// Pause after a failed accept: out of sockets, some have to close first.
+/// Pause after a failed accept. If the process is out of sockets, some must be
+/// closed before the next accept can succeed.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// Sending a rejection must not hold a connection for longer.
+/// Maximum time to send a rejection, so that rejected clients do not hold
+/// connections for longer.
 const REJECT_TIMEOUT: Duration = Duration::from_millis(200);
-/// From so many tenths of its connections on, a server keeps none idle.
-const CROWDED_TENTHS: usize = 9;
+/// Share of the connection limit, in tenths, from which on the server closes
+/// connections after each response instead of keeping them idle.
+const NEAR_LIMIT_TENTHS: usize = 9;
 
+/// Response to a client that is rejected because a connection limit is reached.
 const BUSY_RESPONSE: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nretry-after: 2\r\n\
                                content-length: 0\r\nconnection: close\r\n\r\n";
 
-/// How many connections there may be, and which have high priority.
+/// Connection limits of a server, and which connections have high priority.
 pub struct Limits {
-    /// All open connections.
+    /// Maximum number of open connections in total.
     pub connections: usize,
-    /// Of these, so many for requests to other paths than `first`. Guards
-    /// against users who take all connections, so that workers find none.
+    /// Maximum number of open connections for requests to paths other than
+    /// `first`. Guards against users taking all connections, which would leave
+    /// none for workers.
     pub others: usize,
-    /// The path whose connections are served with high priority.
+    /// Path whose connections are served with high priority. The path of the
+    /// first request on a connection counts.
     pub first: &'static str,
 }
 
@@ -51,15 +59,15 @@
 }
 
 impl<F> Server<F> {
-    /// Few connections are left: none is kept between requests. Guards against
-    /// callers beyond the limit that never find one, while each of the others
-    /// holds one that it seldom uses.
-    fn is_crowded(&self) -> bool {
-        10 * self.connections.open() >= CROWDED_TENTHS * self.connections.max()
+    /// Whether few connections are left, so that none is kept open between
+    /// requests. Guards against clients beyond the limit never getting a
+    /// connection while each of the others holds one that it seldom uses.
+    fn is_near_connection_limit(&self) -> bool {
+        10 * self.connections.open() >= NEAR_LIMIT_TENTHS * self.connections.max()
     }
 }
 
-/// Serves requests at `addr`. Returns only if it can't listen.
+/// Serves requests at `addr`. Returns only if listening fails.
 pub async fn serve<F, Fut>(
     executor: Rc<PriorityExecutor>,
     addr: SocketAddr,
@@ -74,8 +82,8 @@
     serve_on(executor, listener, limits, handler).await
 }
 
-/// As [`serve`], on a listener that is bound already, such as one on a port
-/// that the system chose.
+/// Like [`serve`], but uses a listener that is already bound, for example to a
+/// port chosen by the operating system.
 pub async fn serve_on<F, Fut>(
     executor: Rc<PriorityExecutor>,
     listener: TcpListener,
@@ -98,7 +106,7 @@
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(e) => {
-                log::debug!("accept: {e}");
+                log::debug!("HTTP server failed to accept a connection: {e}");
                 Timer::after(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
@@ -114,18 +122,20 @@
     }
 }
 
+/// Rejects a connection because the limit on open connections is reached.
 async fn reject_accepted(mut stream: Async<TcpStream>) {
     reject(&mut stream, BUSY_RESPONSE).await;
 }
 
-/// Sends a whole response before the connection is closed. Whether it arrives
-/// changes nothing.
+/// Sends a complete response before the caller closes the connection. Failure
+/// to send is ignored because the connection is closed in any case.
 async fn reject(stream: &mut (impl AsyncWrite + Unpin), response: &[u8]) {
     let _ = within(REJECT_TIMEOUT, stream.write_all(response)).await;
 }
 
-/// Decides by the path of its first request with which priority a connection
-/// is served.
+/// Reads the first request of a connection and serves the connection with high
+/// priority if the request's path is the high-priority path, otherwise with low
+/// priority.
 async fn classify_connection<F, Fut>(
     server: Rc<Server<F>>,
     mut stream: SharedTcpStream,
@@ -137,7 +147,7 @@
     let first = match read_request(&mut stream, MAX_BODY_BYTES).await {
         Ok(Some(first)) => first,
         Ok(None) => return,
-        Err(e) => return log::debug!("connection: {e}"),
+        Err(e) => return log::debug!("HTTP connection closed: {e}"),
     };
     if first.request.path == server.high_priority_path {
         let serve = serve_connection(server.clone(), stream, first, permit, None);
@@ -145,12 +155,13 @@
         return;
     }
     match server.low_priority_connections.try_acquire() {
-        Some(low) => serve_connection(server, stream, first, permit, Some(low)).await,
+        Some(low_permit) => serve_connection(server, stream, first, permit, Some(low_permit)).await,
         None => reject(&mut stream, BUSY_RESPONSE).await,
     }
 }
 
-/// Answers one request after the other, holding the permits meanwhile.
+/// Answers the requests of a connection one after another. Holds the connection
+/// permits until the connection ends.
 async fn serve_connection<F, Fut>(
     server: Rc<Server<F>>,
     mut stream: SharedTcpStream,
@@ -165,16 +176,16 @@
     loop {
         let (method, close) = (next.request.method, next.close);
         let response = (server.handler)(next.request).await;
-        let close = close || server.is_crowded();
+        let close = close || server.is_near_connection_limit();
         match write_response(&mut stream, response, method, close).await {
             Ok(true) => {}
             Ok(false) => return,
-            Err(e) => return log::debug!("connection: {e}"),
+            Err(e) => return log::debug!("HTTP connection closed: {e}"),
         }
         next = match read_request(&mut stream, MAX_BODY_BYTES).await {
             Ok(Some(next)) => next,
             Ok(None) => return,
-            Err(e) => return log::debug!("connection: {e}"),
+            Err(e) => return log::debug!("HTTP connection closed: {e}"),
         };
     }
 }
--- a/crates/transport/src/server/message.rs
+++ b/crates/transport/src/server/message.rs
@@ -1,4 +1,4 @@
-//! HTTP requests and responses of a server, over any stream.
+//! HTTP requests and responses of a server. Works over any [`ByteStream`].
 
 use super::reject;
 use crate::{ByteStream, within};
@@ -7,47 +7,49 @@
 use http_types::{Method, Response, StatusCode, headers};
 use std::time::Duration;
 
-/// Limit on the body of a request of users and workers.
+/// Maximum size of the body of a request from a user or worker.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
-/// A connection that sends nothing for so long is closed, so that half-open
-/// clients can't use the sockets up.
+/// Maximum wait for the head of the next request, after which the connection is
+/// closed. Prevents half-open clients from exhausting the sockets.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// A body must be received, and a response sent, within this time.
+/// Maximum time to receive a request body, and to send a response.
 const TRANSFER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The content type of JSON bodies.
+/// Content type of JSON bodies.
 pub const JSON: &str = "application/json";
 
+/// Response to a request that can't be parsed.
 const BAD_REQUEST_RESPONSE: &[u8] = b"HTTP/1.1 400 Bad Request\r\ncontent-length: 0\r\n\
                                       connection: close\r\n\r\n";
 
-/// A request as the handler gets it.
+/// HTTP request as passed to the handler.
 pub struct HttpRequest {
-    /// The HTTP method.
+    /// HTTP method.
     pub method: Method,
-    /// The path of the URL.
+    /// Path of the URL.
     pub path: String,
-    /// The URL's query, without the question mark.
+    /// Query of the URL without the question mark.
     pub query: Option<String>,
-    /// `None`: larger than the limit, or not received completely.
+    /// Body of the request; `None` if the body is larger than the limit or was
+    /// not received completely.
     pub body: Option<Vec<u8>>,
 }
 
-/// A response as the handler gives it.
+/// HTTP response as returned by the handler.
 #[derive(Debug, Clone, PartialEq)]
 pub struct HttpResponse {
-    /// The HTTP status code.
+    /// HTTP status code.
     pub status: u16,
-    /// The `Retry-After` header.
+    /// Value of the `Retry-After` header, in seconds.
     pub retry_after_s: Option<u32>,
-    /// The `Content-Type` header.
+    /// Value of the `Content-Type` header.
     pub content: &'static str,
-    /// The body.
+    /// Body of the response.
     pub body: Vec<u8>,
 }
 
 impl HttpResponse {
-    /// A response with a JSON body.
+    /// Returns a response with `body` as its JSON body.
     pub fn json<T: serde::Serialize>(status: u16, body: &T) -> Self {
         HttpResponse {
             status,
@@ -57,12 +59,13 @@
         }
     }
 
-    /// A response whose JSON body gives `text` as its `error`.
+    /// Returns a response whose JSON body has `text` in its field `error`.
     pub fn error(status: u16, text: &str) -> Self {
         Self::json(status, &serde_json::json!({ "error": text }))
     }
 
-    /// 503: the request can't be served now, but may be after a second.
+    /// Returns a response with status 503 and a `Retry-After` of one second, for
+    /// a request that can't be served now.
     pub fn later(text: &str) -> Self {
         HttpResponse {
             retry_after_s: Some(1),
@@ -71,20 +74,22 @@
     }
 }
 
-/// A request with what it means for its connection.
+/// A request and whether its connection is to be closed.
 pub struct ReceivedRequest {
-    /// The request.
+    /// The HTTP request.
     pub request: HttpRequest,
-    /// The connection is to be closed after the response.
+    /// Whether to close the connection after the response.
     pub close: bool,
 }
 
-/// Reads the next request; `None` when there will be none. A body beyond
-/// `max_body_bytes` is left out of the request.
+/// Reads the next request. Returns `None` if the client has closed the
+/// connection or sent no request within the idle timeout. A body larger than
+/// `max_body_bytes` is omitted from the request.
 ///
-/// `async-h1`'s decoder and encoder are driven here, because its own loop
-/// always sets a timeout for headers, and that would start the reactor thread
-/// of an older `async-io`.
+/// This function and [`write_response`] drive the decoder and the encoder of
+/// `async-h1` directly, because the server loop of that crate always sets a
+/// timeout for headers, which would start the reactor thread of an older
+/// `async-io`.
 pub async fn read_request<S: ByteStream>(
     stream: &mut S,
     max_body_bytes: usize,
@@ -98,7 +103,7 @@
         }
     };
     let mut body = Vec::new();
-    // One byte more shows that the body is too large.
+    // Reading one byte beyond the limit shows whether the body is too large.
     let mut limited = (&mut incoming).take(max_body_bytes as u64 + 1);
     let read = within(TRANSFER_TIMEOUT, limited.read_to_end(&mut body)).await;
     let complete = matches!(read, Some(Ok(_))) && body.len() <= max_body_bytes;
@@ -115,8 +120,8 @@
     Ok(Some(ReceivedRequest { request, close }))
 }
 
-/// Writes the response to a request with this method. Returns whether the
-/// connection stays open.
+/// Writes the response to a request that had `method`. Returns whether the
+/// connection can be used for another request.
 pub async fn write_response<S: ByteStream>(
     stream: &mut S,
     response: HttpResponse,
--- a/crates/transport/src/stream.rs
+++ b/crates/transport/src/stream.rs
@@ -1,4 +1,4 @@
-//! TCP streams that can be cloned, as `async-h1` requires them.
+//! Cloneable TCP streams, as required by `async-h1`.
 
 use async_io::Async;
 use futures_lite::{AsyncRead, AsyncWrite};
@@ -10,31 +10,33 @@
     task::{Context, Poll},
 };
 
-/// What a connection runs over: plain or encrypted.
+/// Byte stream of a connection, with or without TLS.
 pub trait ByteStream: AsyncRead + AsyncWrite + Clone + Send + Sync + Unpin + 'static {}
 
 impl<T: AsyncRead + AsyncWrite + Clone + Send + Sync + Unpin + 'static> ByteStream for T {}
 
-/// A TCP stream whose clones share one socket.
+/// TCP stream whose clones share one socket.
 #[derive(Debug, Clone)]
 pub struct SharedTcpStream(Arc<Async<TcpStream>>);
 
 impl SharedTcpStream {
-    /// Connects to `addr`, without delaying small segments.
+    /// Connects to `addr` and turns Nagle's algorithm off, so that small segments
+    /// are not delayed.
     pub async fn connect(addr: SocketAddr) -> io::Result<Self> {
         let stream = Async::<TcpStream>::connect(addr).await?;
         Ok(Self::without_delay(stream))
     }
 
-    /// Takes over a connected socket and turns Nagle's algorithm off. Failure
-    /// to do so costs latency alone and is ignored.
+    /// Wraps a connected socket and turns Nagle's algorithm off. Failure to do so
+    /// is ignored because only latency suffers.
     pub(crate) fn without_delay(stream: Async<TcpStream>) -> Self {
         let _ = stream.get_ref().set_nodelay(true);
         Self::from(stream)
     }
 
-    /// Whether an idle connection can still be used: one that is open and in
-    /// order has nothing to read.
+    /// Whether an idle connection can still be used. An open connection without
+    /// errors has nothing to read while idle; readable data, end of file or an
+    /// error means that the connection is not reusable.
     pub(crate) fn is_reusable(&self) -> bool {
         self.0
             .get_ref()
@@ -44,7 +46,7 @@
 }
 
 impl From<Async<TcpStream>> for SharedTcpStream {
-    /// Takes over a connected socket with its options as they are.
+    /// Wraps a connected socket and leaves its options unchanged.
     fn from(stream: Async<TcpStream>) -> Self {
         SharedTcpStream(Arc::new(stream))
     }
--- a/crates/transport/tests/server.rs
+++ b/crates/transport/tests/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP server close to its limit of connections.
+//! Tests of the HTTP server near its connection limit.
 
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
@@ -29,31 +29,31 @@
         others: MAX_CONNECTIONS,
         first: "/report",
     };
-    let handler = |_| async { HttpResponse::error(200, "taken in") };
+    let handler = |_| async { HttpResponse::error(200, "report accepted") };
     let serve = server::serve_on(executor.clone(), listener, limits, handler);
     executor.spawn_high(serve).detach();
     addr
 }
 
-/// Guards against callers beyond the limit who never find a connection, while
-/// each of the others holds one that it seldom uses.
+/// Guards against clients beyond the limit never getting a connection while each
+/// of the others holds one that it seldom uses.
 #[test]
 fn server_closes_connections_after_each_response_when_few_are_left() {
     let executor = Rc::new(PriorityExecutor::default());
     async_io::block_on(executor.clone().run(async {
         let addr = serve(&executor);
-        let mut callers = Vec::new();
+        let mut clients = Vec::new();
         for n in 0..3 * MAX_CONNECTIONS {
             let mut stream = Async::<TcpStream>::connect(addr).await.unwrap();
             let response = request(&mut stream).await;
             assert!(response.starts_with("http/1.1 200"), "{n}: {response}");
-            let kept = !response.contains("connection: close");
-            // From the ninth on nine of ten are in use.
-            assert_eq!(kept, n < MAX_CONNECTIONS - 2, "{n}: {response}");
-            callers.push(stream);
+            let kept_open = !response.contains("connection: close");
+            // From the ninth connection on, 9 of 10 connections are in use.
+            assert_eq!(kept_open, n < MAX_CONNECTIONS - 2, "{n}: {response}");
+            clients.push(stream);
         }
-        // Those that were kept go on.
-        let again = request(&mut callers[0]).await;
+        // Connections that were kept open can still be used.
+        let again = request(&mut clients[0]).await;
         assert!(again.starts_with("http/1.1 200"), "{again}");
     }));
 }
