--- a/crates/tls/src/authority.rs
+++ b/crates/tls/src/authority.rs
@@ -1,9 +1,10 @@
-//! A certificate authority of the installations' own: no public one is asked,
-//! as installations that trust each other know each other's.
+//! Private certificate authority for installations. No public authority is
+//! needed, because installations that trust each other know each other's
+//! authority.
 //!
-//! Files in its directory: `ca.pem`, `ca.key`, `crl.pem`, and `authority.json`
-//! with the serial numbers that were used. A serial number is written down
-//! before its certificate is made, so that none recurs.
+//! The authority's directory contains `ca.pem`, `ca.key`, `crl.pem`, and
+//! `authority.json` with the serial numbers that were used. A serial number is
+//! recorded before its certificate is issued, so that no number is used twice.
 
 use crate::{
     DAY, FileError, Seconds,
@@ -25,112 +26,117 @@
 const REVOCATION_LIST_FILE: &str = "crl.pem";
 const LEDGER_FILE: &str = "authority.json";
 
-/// Clocks of installations differ: certificates and lists count from a little
-/// before they are made.
+/// Tolerated clock difference between installations, in seconds. Certificates
+/// and revocation lists are valid from this long before they are issued.
 const CLOCK_TOLERANCE: Seconds = 300;
+/// Time after which the next revocation list is due, in seconds.
 const REVOCATION_LIST_VALIDITY: Seconds = 365 * DAY;
 
-/// The longest validity of a certificate, in days.
+/// Maximum validity of a certificate, in days.
 pub const MAX_VALIDITY_DAYS: u64 = 3_650;
 
-/// Why the authority did not do what it was asked.
+/// Error of an operation of the authority.
 #[derive(Debug, Error)]
 pub enum AuthorityError {
-    /// The name can't be that of an installation.
-    #[error("name: {0:?} is not of lower-case letters, digits and hyphens")]
+    /// The name is not a valid name of an installation.
+    #[error("name: {0:?} is not a DNS label of lower-case letters, digits and hyphens")]
     InvalidName(String),
-    /// The validity is out of range.
-    #[error("days: 1 to {MAX_VALIDITY_DAYS}")]
+    /// The requested validity is out of range.
+    #[error("days: the validity must be 1 to {MAX_VALIDITY_DAYS} days")]
     InvalidDays,
-    /// The directory has an authority, which is not overwritten.
-    #[error("{}: there is an authority already", .0.display())]
+    /// The directory already contains an authority, which is not overwritten.
+    #[error("{}: directory already contains an authority", .0.display())]
     Exists(PathBuf),
-    /// The directory has no authority.
-    #[error("{}: there is no authority", .0.display())]
+    /// The directory contains no authority.
+    #[error("{}: directory contains no authority", .0.display())]
     Missing(PathBuf),
-    /// No certificate of this serial number was issued.
-    #[error("serial: {0} was never made here")]
+    /// The authority has issued no certificate with this serial number.
+    #[error("serial: this authority issued no certificate with serial number {0}")]
     UnknownSerial(u64),
-    /// A time has no date in the calendar.
-    #[error("a time beyond the calendar")]
+    /// A time can't be represented as a calendar date.
+    #[error("time is outside the range of calendar dates")]
     TimeOutOfRange,
     /// The authority's key or certificate can't be used.
-    #[error("{file}")]
+    #[error("{file}: invalid authority key or certificate")]
     InvalidFile {
-        /// The name of the file.
+        /// Name of the file.
         file: &'static str,
-        /// What is wrong with it.
+        /// Error of the certificate library.
         source: rcgen::Error,
     },
-    /// The ledger of issued certificates can't be understood.
-    #[error("{}", path.display())]
+    /// The ledger of issued certificates can't be parsed.
+    #[error("{}: invalid ledger of issued certificates", path.display())]
     InvalidLedger {
-        /// The ledger's path.
+        /// Path of the ledger.
         path: PathBuf,
-        /// What is wrong with it.
+        /// Error of the JSON parser.
         source: serde_json::Error,
     },
-    /// The ledger can't be written as JSON.
+    /// The ledger can't be encoded as JSON.
     #[error(transparent)]
     WriteLedger(#[from] serde_json::Error),
     /// A file can't be read or written.
     #[error(transparent)]
     File(#[from] FileError),
-    /// A certificate or list can't be made.
+    /// A certificate or revocation list can't be created or signed.
     #[error(transparent)]
     Sign(#[from] rcgen::Error),
 }
 
 type Result<T, E = AuthorityError> = std::result::Result<T, E>;
 
-/// The ledger's entry for one certificate.
+/// Ledger entry of one certificate. The field names are part of the format of
+/// `authority.json`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CertificateRecord {
-    /// The serial number; none is used twice.
+    /// Serial number, unique within the authority.
     pub serial: u64,
-    /// The installation that it was issued to.
+    /// Name of the installation to which the certificate was issued.
     pub name: String,
-    /// When it expires.
+    /// Time of expiry.
     pub until: Seconds,
-    /// When it was revoked, if it was.
+    /// Time of revocation; `None` if the certificate is not revoked.
     #[serde(default)]
     pub revoked: Option<Seconds>,
 }
 
-/// What `authority.json` holds; the names in it are part of the file format.
+/// Content of `authority.json`. The serialized names are part of the file
+/// format.
 #[derive(Debug, Default, Serialize, Deserialize)]
 struct Ledger {
     #[serde(rename = "next")]
     next_serial: u64,
     #[serde(rename = "made")]
     issued: Vec<CertificateRecord>,
-    /// Number of revocation lists made so far; lists are numbered.
+    /// Number of revocation lists issued so far, used as the number of the latest
+    /// list.
     #[serde(rename = "lists")]
     revocation_lists: u64,
 }
 
-/// A certificate with its key, in PEM.
+/// An issued certificate with its private key, in PEM.
 #[derive(Debug, Clone)]
 pub struct IssuedCertificate {
-    /// The ledger's entry.
+    /// Ledger entry of the certificate.
     pub made: CertificateRecord,
-    /// The certificate.
+    /// Certificate in PEM.
     pub certificate: String,
-    /// The private key, which the authority does not keep.
+    /// Private key in PEM, which the authority does not keep.
     pub key: String,
 }
 
-/// A certificate authority in a directory. Nothing is cached: each operation
-/// reads the files and writes what it changed.
+/// Certificate authority stored in a directory. Nothing is cached: each
+/// operation reads the files that it needs and writes those that it changes.
 #[derive(Debug)]
 pub struct Authority {
     dir: PathBuf,
 }
 
 impl Authority {
-    /// Makes an authority in a directory that has none.
+    /// Creates an authority for the installation `name` in a directory that
+    /// contains none. Its certificate is valid for `days` days.
     pub fn make(dir: &Path, name: &str, days: u64, now: Seconds) -> Result<Self> {
-        check_request(name, days)?;
+        validate_request(name, days)?;
         file::create_dir(dir)?;
         let authority = Authority {
             dir: dir.to_owned(),
@@ -145,13 +151,15 @@
             next_serial: 1,
             ..Ledger::default()
         })?;
-        // The key comes late: its file says that there is an authority.
+        // The key file marks the directory as containing an authority, so it is
+        // written after the certificate and the ledger.
         authority.write(KEY_FILE, &key.serialize_pem(), Access::OwnerOnly)?;
-        authority.list_revoked(now)?;
+        authority.write_revocation_list(now)?;
         Ok(authority)
     }
 
-    /// Opens the authority in a directory.
+    /// Opens the authority in a directory. Fails if the directory contains none
+    /// or the ledger is invalid.
     pub fn open(dir: &Path) -> Result<Self> {
         let authority = Authority {
             dir: dir.to_owned(),
@@ -163,24 +171,26 @@
         Ok(authority)
     }
 
-    /// Its own certificate in PEM, for those who are to trust it.
+    /// Returns the authority's own certificate in PEM, for installations that are
+    /// to trust the authority.
     pub fn certificate(&self) -> Result<String> {
         self.read(CERTIFICATE_FILE)
     }
 
-    /// The list of certificates that it revoked, in PEM.
+    /// Returns the current revocation list in PEM.
     pub fn revoked(&self) -> Result<String> {
         self.read(REVOCATION_LIST_FILE)
     }
 
-    /// All certificates issued so far.
+    /// Returns the ledger entries of all certificates issued so far.
     pub fn made(&self) -> Result<Vec<CertificateRecord>> {
         Ok(self.ledger()?.issued)
     }
 
-    /// Issues a certificate to an installation, with a key of its own.
+    /// Issues a certificate to the installation `name`, valid for `days` days,
+    /// and generates a private key for it.
     pub fn issue(&self, name: &str, days: u64, now: Seconds) -> Result<IssuedCertificate> {
-        check_request(name, days)?;
+        validate_request(name, days)?;
         let mut ledger = self.ledger()?;
         let record = CertificateRecord {
             serial: ledger.next_serial,
@@ -200,8 +210,8 @@
         })
     }
 
-    /// Revokes a certificate and writes the list anew. A certificate that is
-    /// revoked already keeps its time of revocation.
+    /// Revokes a certificate and writes a new revocation list. A certificate that
+    /// is already revoked keeps its original time of revocation.
     pub fn revoke(&self, serial: u64, now: Seconds) -> Result<CertificateRecord> {
         let mut ledger = self.ledger()?;
         let record = ledger
@@ -212,13 +222,13 @@
         record.revoked.get_or_insert(now);
         let record = record.clone();
         self.save(&ledger)?;
-        self.list_revoked(now)?;
+        self.write_revocation_list(now)?;
         Ok(record)
     }
 
-    /// Writes the list of revoked certificates; it leaves out those that have
-    /// expired.
-    pub fn list_revoked(&self, now: Seconds) -> Result<()> {
+    /// Writes a new revocation list. Revoked certificates that have expired are
+    /// omitted.
+    pub fn write_revocation_list(&self, now: Seconds) -> Result<()> {
         let mut ledger = self.ledger()?;
         ledger.revocation_lists += 1;
         self.save(&ledger)?;
@@ -282,7 +292,7 @@
     }
 }
 
-fn check_request(name: &str, days: u64) -> Result<()> {
+fn validate_request(name: &str, days: u64) -> Result<()> {
     if !is_valid_name(name) {
         return Err(AuthorityError::InvalidName(name.to_owned()));
     }
@@ -299,7 +309,7 @@
         .ok_or(AuthorityError::TimeOutOfRange)
 }
 
-/// The authority's own certificate.
+/// Creates the authority's own, self-signed certificate.
 fn self_signed(name: &str, days: u64, now: Seconds, key: &KeyPair) -> Result<Certificate> {
     let mut params = CertificateParams::new(Vec::<String>::new())?;
     params
@@ -312,8 +322,8 @@
     Ok(params.self_signed(key)?)
 }
 
-/// What the certificate of an installation says: it serves both sides of a
-/// connection.
+/// Returns the parameters of an installation's certificate, which is valid for
+/// both the server and the client side of a connection.
 fn installation_params(record: &CertificateRecord, now: Seconds) -> Result<CertificateParams> {
     let mut params = CertificateParams::new(vec![record.name.clone()])?;
     params
--- a/crates/tls/src/file.rs
+++ b/crates/tls/src/file.rs
@@ -1,4 +1,4 @@
-//! Reading and replacing files, with errors that name the file.
+//! Reads and atomically replaces files, with errors that name the file.
 
 use std::{
     fs::{self, OpenOptions},
@@ -8,7 +8,7 @@
 };
 use thiserror::Error;
 
-/// A file or directory that can't be read, written or made.
+/// Error of reading or writing a file or of creating a directory.
 #[derive(Debug, Error)]
 #[error("cannot {action} {}", path.display())]
 pub struct FileError {
@@ -18,7 +18,7 @@
 }
 
 impl FileError {
-    fn on(action: &'static str, path: &Path) -> impl FnOnce(io::Error) -> Self {
+    fn for_action(action: &'static str, path: &Path) -> impl FnOnce(io::Error) -> Self {
         move |source| FileError {
             action,
             path: path.to_owned(),
@@ -27,7 +27,7 @@
     }
 }
 
-/// Who may read a file that is written.
+/// Who may read a file after it is written.
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum Access {
     Everyone,
@@ -44,28 +44,29 @@
 }
 
 pub(crate) fn read(path: &Path) -> Result<String, FileError> {
-    fs::read_to_string(path).map_err(FileError::on("read", path))
+    fs::read_to_string(path).map_err(FileError::for_action("read", path))
 }
 
 pub(crate) fn size_bytes(path: &Path) -> Result<u64, FileError> {
-    let metadata = fs::metadata(path).map_err(FileError::on("read", path))?;
+    let metadata = fs::metadata(path).map_err(FileError::for_action("read", path))?;
     Ok(metadata.len())
 }
 
 pub(crate) fn create_dir(path: &Path) -> Result<(), FileError> {
-    fs::create_dir_all(path).map_err(FileError::on("make", path))
+    fs::create_dir_all(path).map_err(FileError::for_action("make", path))
 }
 
-/// Replaces a file atomically: a reader sees the old text or the new one.
+/// Replaces a file atomically: a reader sees either the old content or the new
+/// content.
 pub(crate) fn replace(path: &Path, text: &str, access: Access) -> Result<(), FileError> {
-    write_and_rename(path, text, access).map_err(FileError::on("write", path))
+    write_and_rename(path, text, access).map_err(FileError::for_action("write", path))
 }
 
 fn write_and_rename(path: &Path, text: &str, access: Access) -> io::Result<()> {
     let mut temporary = path.as_os_str().to_owned();
     temporary.push(".new");
     let temporary = Path::new(&temporary);
-    // One may be left from an attempt that ended half-way.
+    // A temporary file may remain from an earlier write that was interrupted.
     match fs::remove_file(temporary) {
         Err(e) if e.kind() != io::ErrorKind::NotFound => return Err(e),
         _ => {}
--- a/crates/tls/src/http.rs
+++ b/crates/tls/src/http.rs
@@ -1,5 +1,6 @@
-//! HTTP over mutual TLS: both sides show a certificate, and the server knows
-//! the caller by the name in it. What is answered is the handler's part.
+//! HTTP over mutual TLS. Both sides present a certificate, and the server
+//! identifies the caller by the name in the caller's certificate. The handler
+//! passed to [`serve`] produces the responses.
 
 use crate::{keys::read_certificate, reload::Followed};
 use async_io::{Async, Timer};
@@ -26,13 +27,15 @@
     time::Duration,
 };
 
-/// Connecting and the handshake must be over within this time.
+/// Maximum time for the TLS handshake; on the client side it includes the TCP
+/// connection.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Pause after a failed accept, so that a lack of sockets is no busy loop.
+/// Pause after a failed accept, which prevents a busy loop while the process is
+/// out of sockets.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// An encrypted stream that can be cloned, as `async-h1` requires it. All
-/// clones are used on one thread: the lock is never waited for.
+/// Cloneable TLS stream, as required by `async-h1`. All clones are used on one
+/// thread, so the lock is never contended.
 #[derive(Clone)]
 struct SharedTlsStream(Arc<Mutex<TlsStream<SharedTcpStream>>>);
 
@@ -41,7 +44,7 @@
         SharedTlsStream(Arc::new(Mutex::new(stream.into())))
     }
 
-    fn with<T>(&self, f: impl FnOnce(Pin<&mut TlsStream<SharedTcpStream>>) -> T) -> T {
+    fn with_stream<T>(&self, f: impl FnOnce(Pin<&mut TlsStream<SharedTcpStream>>) -> T) -> T {
         let mut stream = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         f(Pin::new(&mut *stream))
     }
@@ -53,7 +56,7 @@
         cx: &mut Context<'_>,
         buf: &mut [u8],
     ) -> Poll<io::Result<usize>> {
-        self.with(|s| s.poll_read(cx, buf))
+        self.with_stream(|s| s.poll_read(cx, buf))
     }
 }
 
@@ -63,23 +66,25 @@
         cx: &mut Context<'_>,
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
-        self.with(|s| s.poll_write(cx, buf))
+        self.with_stream(|s| s.poll_write(cx, buf))
     }
 
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        self.with(|s| s.poll_flush(cx))
+        self.with_stream(|s| s.poll_flush(cx))
     }
 
     fn poll_close(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        self.with(|s| s.poll_close(cx))
+        self.with_stream(|s| s.poll_close(cx))
     }
 }
 
-/// Makes one POST request over a connection of its own: calls are few, and so
-/// each uses the keys that are in force at the moment. The other side's
-/// certificate must be for `server_name`. `timeout` applies to the connection
-/// and to the exchange each; the response's body is cut off after
-/// `max_response_bytes` and one byte, which shows that it is too large.
+/// Sends one POST request over a new connection. Connections are not reused,
+/// because calls are rare and each then uses the keys that are currently active.
+///
+/// The server's certificate must be for `server_name`. `timeout` applies to the
+/// connection and to the exchange separately. The response's body is truncated
+/// to one byte more than `max_response_bytes`, so that the caller can tell that
+/// the body is too large.
 pub async fn call(
     keys: &RefCell<Followed>,
     addr: SocketAddr,
@@ -95,17 +100,20 @@
     let mut request = json_request(addr, Method::Post, path, Some(body))?;
     request.insert_header("connection", "close");
     let connect = async {
-        let plain = SharedTcpStream::connect(addr).await?;
-        TlsConnector::from(config).connect(server_name, plain).await
+        let tcp_stream = SharedTcpStream::connect(addr).await?;
+        TlsConnector::from(config)
+            .connect(server_name, tcp_stream)
+            .await
     };
     let stream = match within(timeout.min(HANDSHAKE_TIMEOUT), connect).await {
         Some(Ok(stream)) => SharedTlsStream::new(stream),
         Some(Err(e)) => return Err(CallError::NotSent(e.to_string())),
-        None => return Err(CallError::NotSent("connecting took too long".into())),
+        None => return Err(CallError::NotSent("connecting timed out".into())),
     };
     let exchange = exchange(stream, request, max_response_bytes as u64 + 1);
     match within(timeout, exchange).await {
-        // Callers pace themselves: they follow no Retry-After.
+        // Callers determine the pause between their requests and do not follow
+        // Retry-After, so the header is dropped.
         Some(Ok(received)) => Ok(Answer {
             retry_after_s: None,
             ..received.answer
@@ -115,10 +123,12 @@
     }
 }
 
-/// Serves callers that show a certificate; the handler is given the name in
-/// it. At most `max_connections` are open at a time; further ones are closed
-/// at once. Request bodies beyond `max_body_bytes` are left out. Returns only
-/// if it can't listen.
+/// Serves callers that present a valid certificate, and passes the name in the
+/// certificate to the handler.
+///
+/// At most `max_connections` connections are open at a time; further ones are
+/// closed immediately. Request bodies larger than `max_body_bytes` are omitted
+/// from the request. Returns only if listening fails.
 pub async fn serve<F, Fut>(
     executor: Rc<PriorityExecutor>,
     listener: TcpListener,
@@ -135,7 +145,7 @@
     let connections = ConnectionLimit::new(max_connections);
     let handler = Rc::new(handler);
     loop {
-        let Ok((plain, _)) = listener.accept().await else {
+        let Ok((tcp_stream, _)) = listener.accept().await else {
             Timer::after(ACCEPT_RETRY_DELAY).await;
             continue;
         };
@@ -146,9 +156,10 @@
         executor
             .spawn_high(async move {
                 let _permit = permit;
-                // Taken only now, as keys may have changed since the accept.
+                // The configuration is read in this task because the keys may
+                // have changed since the connection was accepted.
                 let config = keys.borrow().keys().server.clone();
-                if let Some((caller, stream)) = accept(config, plain).await {
+                if let Some((caller, stream)) = accept(config, tcp_stream).await {
                     serve_connection(stream, caller, max_body_bytes, &*handler).await;
                 }
             })
@@ -156,17 +167,18 @@
     }
 }
 
-/// Makes the handshake; returns the caller's name with the stream, `None` if
-/// the caller is not let in.
+/// Performs the TLS handshake. Returns the caller's name and the stream, or
+/// `None` if the handshake fails, takes too long, or the certificate has no
+/// usable name.
 async fn accept(
     config: Arc<ServerConfig>,
-    plain: Async<TcpStream>,
+    tcp_stream: Async<TcpStream>,
 ) -> Option<(String, SharedTlsStream)> {
-    let accept = TlsAcceptor::from(config).accept(SharedTcpStream::from(plain));
+    let accept = TlsAcceptor::from(config).accept(SharedTcpStream::from(tcp_stream));
     let stream = match within(HANDSHAKE_TIMEOUT, accept).await? {
         Ok(stream) => stream,
         Err(e) => {
-            log::warn!("a caller is refused: {e}");
+            log::warn!("TLS server rejected a connection in the handshake: {e}");
             return None;
         }
     };
@@ -175,7 +187,7 @@
     Some((caller, SharedTlsStream::new(stream)))
 }
 
-/// Answers one request after the other until the connection ends.
+/// Answers requests one after another until the connection ends.
 async fn serve_connection<F, Fut>(
     mut stream: SharedTlsStream,
     caller: String,
--- a/crates/tls/src/keys.rs
+++ b/crates/tls/src/keys.rs
@@ -1,9 +1,9 @@
-//! What a process loads of a directory of keys: its own certificate and key,
-//! whom it trusts, and what was revoked.
+//! Keys of a process, loaded from a directory: its own certificate and private
+//! key, the trusted authorities, and the revocation lists.
 //!
-//! Here: the files ([`Texts`], [`install`]), what a certificate says
-//! ([`Says`]), and the configuration of both sides of a connection ([`Keys`]).
-//! Following changes is in [`crate::reload`].
+//! This module reads and writes the files ([`Texts`], [`install`]), parses
+//! certificates ([`Says`]), and builds the TLS configuration for both sides of
+//! a connection ([`Keys`]). Reloading of changed files is in [`crate::reload`].
 
 mod certificate;
 mod directory;
@@ -25,34 +25,35 @@
 use std::{error::Error as StdError, path::PathBuf, sync::Arc};
 use thiserror::Error;
 
-/// Why a directory of keys can't be used.
+/// Error of loading a key directory.
 #[derive(Debug, Error)]
 pub enum KeyError {
     /// A file can't be read or written.
     #[error(transparent)]
     File(#[from] FileError),
-    /// A file is too large to be one of keys.
-    #[error("{}: over 1 MiB", .0.display())]
+    /// A file is larger than the limit for key files.
+    #[error("{}: file is larger than the limit of 1 MiB", .0.display())]
     TooLarge(PathBuf),
-    /// A file that must hold a certificate holds none.
+    /// A file that must contain a certificate contains none.
     #[error("{file}: no certificate in it")]
     NoCertificate {
         /// The name of the file.
         file: &'static str,
     },
-    /// A file can't be understood, or does not fit the others.
-    #[error("{file}")]
+    /// A file can't be parsed, or does not match the other files.
+    #[error("{file}: invalid or inconsistent with the other key files")]
     Invalid {
         /// The name of the file.
         file: &'static str,
-        /// What is wrong with it.
+        /// Error of the parser or the TLS library.
         source: Box<dyn StdError + Send + Sync>,
     },
-    /// The TLS library refuses its settings.
+    /// The TLS library rejects the configuration.
     #[error(transparent)]
     Tls(#[from] rustls::Error),
 }
 
+/// Returns a function that converts an error in `file` to a [`KeyError`].
 fn invalid<E: StdError + Send + Sync + 'static>(file: &'static str) -> impl Fn(E) -> KeyError {
     move |e| KeyError::Invalid {
         file,
@@ -60,18 +61,18 @@
     }
 }
 
-/// Keys that are ready for use on both sides of a connection.
+/// Loaded keys, as TLS configurations for both sides of a connection.
 #[derive(Debug, Clone)]
 pub struct Keys {
-    /// What the process's own certificate says.
+    /// Identity and validity of the process's own certificate.
     pub own: Says,
-    /// For connections that the process makes.
+    /// TLS configuration for outgoing connections.
     pub client: Arc<ClientConfig>,
-    /// For connections that the process accepts.
+    /// TLS configuration for accepted connections.
     pub server: Arc<ServerConfig>,
 }
 
-/// Certificates that are trusted, and the lists of those that were revoked.
+/// Trusted authority certificates and revocation lists.
 struct Trust {
     roots: Arc<RootCertStore>,
     revoked: Vec<CertificateRevocationListDer<'static>>,
@@ -98,8 +99,8 @@
 }
 
 impl Keys {
-    /// Loads the files' texts. Certificates are judged by `time` at each
-    /// handshake.
+    /// Parses the contents of the key files. The validity of certificates is
+    /// checked against `time` at each handshake.
     pub fn load(texts: &Texts, time: &Arc<dyn TimeProvider>) -> Result<Self, KeyError> {
         let chain = CertificateDer::pem_slice_iter(texts.certificate.as_bytes())
             .collect::<Result<Vec<_>, _>>()
@@ -110,25 +111,28 @@
         let own = read_certificate(first).map_err(invalid(CERTIFICATE_FILE))?;
         let key = PrivateKeyDer::from_pem_slice(texts.key.as_bytes()).map_err(invalid(KEY_FILE))?;
         let trust = Trust::load(texts)?;
-        // An authority without a list is trusted as it is.
-        let clients = WebPkiClientVerifier::builder_with_provider(trust.roots.clone(), provider())
-            .with_crls(trust.revoked.iter().cloned())
-            .allow_unknown_revocation_status()
-            .build()
-            .map_err(invalid(REVOKED_FILE))?;
-        let servers = WebPkiServerVerifier::builder_with_provider(trust.roots, provider())
-            .with_crls(trust.revoked)
-            .allow_unknown_revocation_status()
-            .build()
-            .map_err(invalid(REVOKED_FILE))?;
-        let server = ServerConfig::builder_with_details(provider(), time.clone())
+        // Certificates of an authority without a revocation list are accepted
+        // without a revocation check.
+        let client_verifier =
+            WebPkiClientVerifier::builder_with_provider(trust.roots.clone(), crypto_provider())
+                .with_crls(trust.revoked.iter().cloned())
+                .allow_unknown_revocation_status()
+                .build()
+                .map_err(invalid(REVOKED_FILE))?;
+        let server_verifier =
+            WebPkiServerVerifier::builder_with_provider(trust.roots, crypto_provider())
+                .with_crls(trust.revoked)
+                .allow_unknown_revocation_status()
+                .build()
+                .map_err(invalid(REVOKED_FILE))?;
+        let server = ServerConfig::builder_with_details(crypto_provider(), time.clone())
             .with_safe_default_protocol_versions()?
-            .with_client_cert_verifier(clients)
+            .with_client_cert_verifier(client_verifier)
             .with_single_cert(chain.clone(), key.clone_key())
             .map_err(invalid(KEY_FILE))?;
-        let client = ClientConfig::builder_with_details(provider(), time.clone())
+        let client = ClientConfig::builder_with_details(crypto_provider(), time.clone())
             .with_safe_default_protocol_versions()?
-            .with_webpki_verifier(servers)
+            .with_webpki_verifier(server_verifier)
             .with_client_auth_cert(chain, key)
             .map_err(invalid(KEY_FILE))?;
         Ok(Keys {
@@ -139,6 +143,6 @@
     }
 }
 
-fn provider() -> Arc<CryptoProvider> {
+fn crypto_provider() -> Arc<CryptoProvider> {
     Arc::new(ring::default_provider())
 }
--- a/crates/tls/src/keys/certificate.rs
+++ b/crates/tls/src/keys/certificate.rs
@@ -1,4 +1,4 @@
-//! What a certificate says, and how urgent it is to renew it.
+//! Identity and validity of a certificate, and how urgent its renewal is.
 
 use crate::{DAY, Seconds};
 use rustls::pki_types::CertificateDer;
@@ -9,35 +9,36 @@
     prelude::{FromDer, GeneralName, X509Certificate},
 };
 
-/// A certificate with less than this left is to be renewed.
+/// Remaining validity, in days, below which a certificate is due for renewal.
 const RENEWAL_DAYS: u64 = 30;
 
-/// Why it can't be known whose a certificate is.
+/// Error of reading the identity in a certificate.
 #[derive(Debug, Error)]
 pub enum CertificateError {
-    /// The bytes are not those of a certificate.
-    #[error("not a certificate")]
+    /// The bytes are not an X.509 certificate.
+    #[error("not an X.509 certificate")]
     Malformed(#[from] nom::Err<X509Error>),
-    /// Its extension with names can't be read.
-    #[error("its names")]
+    /// The subject alternative name extension can't be parsed.
+    #[error("invalid subject alternative names")]
     Names(#[from] X509Error),
-    /// It has no DNS name.
-    #[error("it names nobody")]
-    Nameless,
+    /// The certificate has no DNS name.
+    #[error("certificate has no DNS name")]
+    NoDnsName,
 }
 
-/// The identity and validity that a certificate states.
+/// Identity and expiry of a certificate.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Says {
-    /// The installation that it was issued to.
+    /// Name of the installation to which the certificate was issued.
     pub name: String,
-    /// The serial number at its authority.
+    /// Serial number assigned by the authority.
     pub serial: u64,
-    /// When it expires.
+    /// Time of expiry.
     pub until: Seconds,
 }
 
-/// Reads what a certificate says; it is not verified.
+/// Reads the identity and expiry of a certificate without verifying the
+/// certificate.
 pub fn read_certificate(certificate: &CertificateDer<'_>) -> Result<Says, CertificateError> {
     let (_, certificate) = X509Certificate::from_der(certificate)?;
     let names = certificate.subject_alternative_name()?;
@@ -50,7 +51,7 @@
         });
     let serial = certificate.tbs_certificate.raw_serial();
     Ok(Says {
-        name: name.ok_or(CertificateError::Nameless)?,
+        name: name.ok_or(CertificateError::NoDnsName)?,
         serial: serial
             .iter()
             .fold(0u64, |n, b| n.wrapping_shl(8) | u64::from(*b)),
@@ -58,21 +59,21 @@
     })
 }
 
-/// How urgent it is to renew a certificate.
+/// Urgency of the renewal of a certificate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Left {
-    /// Not yet.
+    /// Renewal is not due yet.
     Enough,
-    /// Fewer than thirty days are left.
+    /// Fewer than 30 days are left, so the certificate is due for renewal.
     Soon {
-        /// Whole days that are left.
+        /// Number of whole days left.
         days: u64,
     },
-    /// It has expired.
+    /// The certificate has expired.
     Expired,
 }
 
-/// How urgent it is to renew a certificate that expires at `until`.
+/// Returns how urgent the renewal of a certificate that expires at `until` is.
 pub fn left(until: Seconds, now: Seconds) -> Left {
     if now > until {
         return Left::Expired;
--- a/crates/tls/src/keys/directory.rs
+++ b/crates/tls/src/keys/directory.rs
@@ -1,4 +1,4 @@
-//! The files in a directory of keys.
+//! Files of a key directory.
 
 use super::KeyError;
 use crate::{
@@ -7,34 +7,38 @@
 };
 use std::path::Path;
 
-/// The process's own certificate, with those between it and the authority.
+/// File with the process's own certificate, followed by the intermediate
+/// certificates up to the authority.
 pub const CERTIFICATE_FILE: &str = "own.pem";
-/// The private key of that certificate.
+/// File with the private key of the process's own certificate.
 pub const KEY_FILE: &str = "own.key";
-/// The certificates of the authorities that are trusted.
+/// File with the certificates of the trusted authorities.
 pub const TRUSTED_FILE: &str = "trusted.pem";
-/// The lists of certificates that these authorities revoked.
+/// File with the revocation lists of the trusted authorities.
 pub const REVOKED_FILE: &str = "revoked.pem";
 
-/// A larger file is not read. The error of a larger one names this limit.
+/// Maximum size of a key file in bytes; larger files are not read. The message
+/// of [`KeyError::TooLarge`] states this limit.
 const MAX_FILE_BYTES: u64 = 1024 * 1024;
 
-/// The texts of the files, as read together.
+/// Contents of the files of a key directory, read together.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Texts {
-    /// The process's own certificate.
+    /// The process's own certificate in PEM, followed by the intermediate
+    /// certificates.
     pub certificate: String,
-    /// Its private key.
+    /// Private key of the process's own certificate, in PEM.
     pub key: String,
-    /// Certificates of trusted authorities, one after the other.
+    /// Certificates of the trusted authorities, concatenated PEM.
     pub trusted: String,
-    /// Revocation lists of these authorities; may be empty.
+    /// Revocation lists of the trusted authorities, concatenated PEM; may be
+    /// empty.
     pub revoked: String,
 }
 
 impl Texts {
-    /// Reads the files of a directory; only the revocation lists may be
-    /// missing.
+    /// Reads the files of a key directory. Only the file with the revocation
+    /// lists may be missing.
     pub fn read(dir: &Path) -> Result<Self, KeyError> {
         let revoked = match dir.join(REVOKED_FILE).exists() {
             true => read_limited(dir, REVOKED_FILE)?,
@@ -57,9 +61,10 @@
     Ok(file::read(&path)?)
 }
 
-/// Puts a new certificate and its key into a directory of keys, together with
-/// the authority's certificate and revocation list. Authorities that were
-/// trusted before stay trusted.
+/// Installs a new certificate and its private key into a key directory, together
+/// with the authority's certificate and revocation list. Authorities that were
+/// trusted before remain trusted, and an existing file of revocation lists is
+/// not changed.
 pub fn install(
     dir: &Path,
     issued: &IssuedCertificate,
@@ -76,13 +81,13 @@
         trusted.push_str(authority);
         write(TRUSTED_FILE, &trusted, Access::Everyone)?;
     }
-    // An existing file may hold lists of other authorities, which are not this
-    // one's to replace.
+    // An existing file may contain revocation lists of other authorities, which
+    // must not be replaced with the list of this authority.
     if !dir.join(REVOKED_FILE).exists() {
         write(REVOKED_FILE, revoked, Access::Everyone)?;
     }
-    // A reader between the two finds a pair that doesn't fit and keeps the
-    // old one.
+    // A process that reads the files between these two writes finds a key and a
+    // certificate that do not match, rejects them and keeps its old pair.
     write(KEY_FILE, &issued.key, Access::OwnerOnly)?;
     write(CERTIFICATE_FILE, &issued.certificate, Access::Everyone)?;
     Ok(())
--- a/crates/tls/src/keys/time.rs
+++ b/crates/tls/src/keys/time.rs
@@ -1,4 +1,4 @@
-//! The time by which certificates are judged.
+//! Time sources for checking the validity of certificates.
 
 use crate::Seconds;
 use rustls::{
@@ -7,12 +7,12 @@
 };
 use std::{sync::Arc, time::Duration};
 
-/// The system's time of day.
+/// Returns a time source that reads the system clock.
 pub fn system_time() -> Arc<dyn TimeProvider> {
     Arc::new(DefaultTimeProvider)
 }
 
-/// A time that does not advance, for tests.
+/// Time source whose time does not advance, for tests.
 #[derive(Debug)]
 pub struct FixedTime(pub Seconds);
 
--- a/crates/tls/src/lib.rs
+++ b/crates/tls/src/lib.rs
@@ -1,11 +1,13 @@
-//! Keys of installations that speak to each other over mutual TLS.
+//! Mutual TLS between pathwinch installations.
 //!
-//! Here: a certificate authority that issues, lists and revokes certificates
-//! ([`authority`]), what a process loads of them ([`keys`]), how it follows
-//! changes without a restart ([`reload`]), and HTTP over them ([`http`]).
+//! This crate contains a certificate authority that issues, lists and revokes
+//! certificates ([`authority`]), the key files and TLS configuration of a
+//! process ([`keys`]), reloading of changed key files without a restart
+//! ([`reload`]), and HTTP over mutual TLS ([`http`]).
 //!
-//! Not here: the command line of operators, when to look for changes, and what
-//! a caller is allowed to ask. Times are given by the caller.
+//! Callers provide the current time, decide when to check for changed files,
+//! and decide what an authenticated peer may request. The operator commands are
+//! not part of this crate.
 
 #![warn(missing_docs)]
 
@@ -17,17 +19,17 @@
 
 pub use file::FileError;
 
-/// A time of day in seconds since 1970, or a duration in seconds.
+/// Unix time in seconds, or a duration in seconds.
 pub type Seconds = u64;
 
-/// One day.
+/// One day in seconds.
 pub const DAY: Seconds = 86_400;
 
-/// The longest name of an installation, in bytes.
+/// Maximum length of an installation's name in bytes, as for a DNS label.
 const MAX_NAME_BYTES: usize = 63;
 
-/// Whether a name can be that of an installation. Such names are DNS labels:
-/// lower-case letters, digits, hyphens.
+/// Whether `name` is a valid name of an installation. Such a name is a DNS label
+/// of lower-case letters, digits and hyphens, with no hyphen at either end.
 pub fn is_valid_name(name: &str) -> bool {
     (1..=MAX_NAME_BYTES).contains(&name.len())
         && !name.starts_with('-')
--- a/crates/tls/src/reload.rs
+++ b/crates/tls/src/reload.rs
@@ -1,6 +1,6 @@
-//! Follows a directory of keys: changed keys come into force for new
-//! connections; keys that can't be used are reported and leave the old ones in
-//! force. Reading the files, and when, is the caller's part.
+//! Reloading of the files of a key directory. Changed keys become active for new
+//! connections. Unusable keys are reported, and the old keys remain active. The
+//! caller reads the files and decides when to do so.
 
 use crate::{
     Seconds,
@@ -9,30 +9,33 @@
 use rustls::time_provider::TimeProvider;
 use std::{error::Error, sync::Arc};
 
-/// What looking at the files again has shown.
+/// Result of checking the key files for changes.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Seen {
-    /// Nothing new.
+    /// The files are unchanged, or their unusable contents were reported before.
     Same,
-    /// New keys are in force.
+    /// New keys are active.
     Changed,
-    /// The files can't be used, for this reason; the old keys stay in force.
+    /// The files can't be used, for the given reason; the old keys remain active.
     Unusable(String),
 }
 
-/// Keys in force, with what is needed to replace them.
+/// Active keys, and the state that is needed to replace them when the key files
+/// change.
 #[derive(Debug)]
 pub struct Followed {
     time: Arc<dyn TimeProvider>,
     texts: Texts,
     keys: Keys,
-    /// Texts that were found unusable, so that they are reported once.
+    /// File contents that were rejected last, kept so that they are reported only
+    /// once.
     rejected: Option<Texts>,
+    /// State for which the last expiry warning was returned.
     last_warning: Option<Left>,
 }
 
 impl Followed {
-    /// Loads the first keys, which must be usable.
+    /// Loads the initial keys. Fails if they are unusable.
     pub fn new(texts: Texts, time: Arc<dyn TimeProvider>) -> Result<Self, KeyError> {
         Ok(Followed {
             keys: Keys::load(&texts, &time)?,
@@ -43,17 +46,18 @@
         })
     }
 
-    /// The keys in force, for the next connection.
+    /// Returns the active keys, to be used for the next connection.
     pub fn keys(&self) -> &Keys {
         &self.keys
     }
 
-    /// Takes what the files hold now. A set that is half written (a
-    /// certificate whose key comes a moment later) is not taken until it fits.
+    /// Processes the current contents of the files. Incompletely written contents
+    /// (a certificate whose key is not written yet) are rejected until the files
+    /// match.
     pub fn look(&mut self, found: Result<Texts, KeyError>) -> Seen {
         let found = match found {
             Ok(found) => found,
-            Err(e) => return Seen::Unusable(with_sources(&e)),
+            Err(e) => return Seen::Unusable(format_error_chain(&e)),
         };
         if found == self.texts {
             self.rejected = None;
@@ -70,12 +74,13 @@
             }
             Err(e) => {
                 self.rejected = Some(found);
-                Seen::Unusable(with_sources(&e))
+                Seen::Unusable(format_error_chain(&e))
             }
         }
     }
 
-    /// A warning that the certificate in force expires, once for each day.
+    /// Returns a warning if the active certificate has expired or is due for
+    /// renewal. Each number of days left is reported once, and so is the expiry.
     pub fn warning(&mut self, now: Seconds) -> Option<String> {
         let state = left(self.keys.own.until, now);
         if state == Left::Enough || self.last_warning == Some(state) {
@@ -85,13 +90,15 @@
         let name = &self.keys.own.name;
         Some(match state {
             Left::Soon { days } => format!("the certificate of {name} expires in {days} days"),
-            _ => format!("the certificate of {name} has expired: nobody will speak to it"),
+            _ => format!(
+                "the certificate of {name} has expired: other installations refuse its connections"
+            ),
         })
     }
 }
 
-/// An error and what caused it, in one line.
-fn with_sources(error: &dyn Error) -> String {
+/// Formats an error and its chain of causes in one line.
+fn format_error_chain(error: &dyn Error) -> String {
     let mut text = error.to_string();
     let mut source = error.source();
     while let Some(cause) = source {
--- a/crates/tls/tests/handshakes.rs
+++ b/crates/tls/tests/handshakes.rs
@@ -1,5 +1,5 @@
-//! Handshakes in memory between installations, at a time that the test sets,
-//! and the authority and key files behind them.
+//! Tests of TLS handshakes between installations, made in memory at a fixed
+//! time, and of the certificate authority and the key files.
 
 use pathwinch_tls::{
     DAY,
@@ -50,36 +50,42 @@
     Keys::load(texts, &time).unwrap()
 }
 
-/// Exchanges records until both sides agree or one refuses. Returns the name
-/// by which the server knows the client.
+/// Performs a handshake by exchanging TLS records for up to 10 rounds. Returns
+/// the client's name as read from its certificate by the server, or the error of
+/// the side that refused the handshake.
 fn handshake(client: &Keys, server: &Keys, server_name: &str) -> Result<String, String> {
     let name = ServerName::try_from(server_name.to_owned()).unwrap();
-    let mut c = ClientConnection::new(client.client.clone(), name).unwrap();
-    let mut s = ServerConnection::new(server.server.clone()).unwrap();
+    let mut client_connection = ClientConnection::new(client.client.clone(), name).unwrap();
+    let mut server_connection = ServerConnection::new(server.server.clone()).unwrap();
     for _ in 0..10 {
         let mut bytes = Vec::new();
-        while c.wants_write() {
-            c.write_tls(&mut bytes).unwrap();
+        while client_connection.wants_write() {
+            client_connection.write_tls(&mut bytes).unwrap();
         }
         let mut rest = &bytes[..];
         while !rest.is_empty() {
-            s.read_tls(&mut rest).unwrap();
-            s.process_new_packets()
+            server_connection.read_tls(&mut rest).unwrap();
+            server_connection
+                .process_new_packets()
                 .map_err(|e| format!("server: {e}"))?;
         }
         let mut bytes = Vec::new();
-        while s.wants_write() {
-            s.write_tls(&mut bytes).unwrap();
+        while server_connection.wants_write() {
+            server_connection.write_tls(&mut bytes).unwrap();
         }
         let mut rest = &bytes[..];
         while !rest.is_empty() {
-            c.read_tls(&mut rest).unwrap();
-            c.process_new_packets()
+            client_connection.read_tls(&mut rest).unwrap();
+            client_connection
+                .process_new_packets()
                 .map_err(|e| format!("client: {e}"))?;
         }
     }
-    assert!(!c.is_handshaking() && !s.is_handshaking());
-    let peer = s.peer_certificates().and_then(|p| p.first()).unwrap();
+    assert!(!client_connection.is_handshaking() && !server_connection.is_handshaking());
+    let peer = server_connection
+        .peer_certificates()
+        .and_then(|p| p.first())
+        .unwrap();
     Ok(read_certificate(peer).unwrap().name)
 }
 
@@ -100,7 +106,7 @@
     );
     assert!(
         Authority::make(&dir.0, "city", 1, NOW).is_err(),
-        "not twice"
+        "an existing authority is not overwritten"
     );
 }
 
@@ -108,35 +114,37 @@
 fn handshake_is_refused_when_certificate_is_expired_unknown_or_revoked() {
     let (dir, elsewhere) = (TempDir::new("refused"), TempDir::new("elsewhere"));
     let authority = Authority::make(&dir.0, "city", 3650, NOW).unwrap();
-    let stranger_authority = Authority::make(&elsewhere.0, "city", 3650, NOW).unwrap();
+    let untrusted_authority = Authority::make(&elsewhere.0, "city", 3650, NOW).unwrap();
     let home = texts(&dir, &authority, "home", 90);
     let mut north = texts(&dir, &authority, "north", 900);
-    // The certificate of home has expired, that of north has not.
+    // At this time the certificate of `home` has expired and that of `north` has
+    // not.
     let later = NOW + 91 * DAY;
     let expired = handshake(&keys(&home, NOW), &keys(&north, later), "north").unwrap_err();
     assert!(expired.contains("certificate expired"), "{expired}");
-    // From an authority of the same name that nobody trusts.
-    let mut stranger = texts(&elsewhere, &stranger_authority, "home", 90);
-    stranger.trusted = home.trusted.clone();
-    stranger.revoked = String::new();
-    let unknown = handshake(&keys(&stranger, NOW), &keys(&north, NOW), "north").unwrap_err();
+    // The client's certificate is from an untrusted authority with the same name.
+    let mut untrusted_home = texts(&elsewhere, &untrusted_authority, "home", 90);
+    untrusted_home.trusted = home.trusted.clone();
+    untrusted_home.revoked = String::new();
+    let unknown = handshake(&keys(&untrusted_home, NOW), &keys(&north, NOW), "north").unwrap_err();
     assert!(
         unknown.starts_with("server: invalid peer certificate"),
         "{unknown}"
     );
-    // Revoked, and north has the new list.
+    // The certificate of `home` is revoked, and `north` has the new revocation
+    // list.
     let serial = keys(&home, NOW).own.serial;
     authority.revoke(serial, NOW).unwrap();
     north.revoked = file(&dir, "crl.pem");
     let revoked = handshake(&keys(&home, NOW), &keys(&north, NOW), "north").unwrap_err();
     assert!(revoked.contains("Revoked"), "{revoked}");
-    // A renewed one is accepted again.
+    // A new certificate for `home` is accepted.
     let home = texts(&dir, &authority, "home", 90);
     assert!(handshake(&keys(&home, NOW), &keys(&north, NOW), "north").is_ok());
 }
 
 #[test]
-fn reload_takes_usable_keys_and_rejects_others_when_files_change() {
+fn reload_activates_usable_keys_and_rejects_others_when_files_change() {
     let dir = TempDir::new("reload");
     let authority = Authority::make(&dir.0, "city", 3650, NOW).unwrap();
     let (old, new) = (
@@ -145,18 +153,29 @@
     );
     let mut followed = Followed::new(old.clone(), Arc::new(FixedTime(NOW))).unwrap();
     assert_eq!(followed.look(Ok(old.clone())), Seen::Same);
-    // The certificate is new, its key is not yet.
-    let half = Texts {
+    // The certificate file is new, the key file still the old one.
+    let mismatched = Texts {
         certificate: new.certificate.clone(),
         ..old.clone()
     };
-    assert!(matches!(followed.look(Ok(half.clone())), Seen::Unusable(_)));
-    assert_eq!(followed.look(Ok(half)), Seen::Same, "reported once");
+    assert!(matches!(
+        followed.look(Ok(mismatched.clone())),
+        Seen::Unusable(_)
+    ));
+    assert_eq!(
+        followed.look(Ok(mismatched)),
+        Seen::Same,
+        "rejected contents are reported only once"
+    );
     assert_eq!(followed.keys().own.serial, 1);
     assert_eq!(followed.warning(NOW), None);
     let soon = followed.warning(NOW + 15 * DAY).unwrap();
     assert_eq!(soon, "the certificate of home expires in 25 days");
-    assert_eq!(followed.warning(NOW + 15 * DAY), None, "once a day");
+    assert_eq!(
+        followed.warning(NOW + 15 * DAY),
+        None,
+        "a warning is returned once per day"
+    );
     assert_eq!(followed.look(Ok(new)), Seen::Changed);
     assert_eq!(followed.keys().own.serial, 2);
     assert_eq!(followed.warning(NOW + 15 * DAY), None);
@@ -170,11 +189,11 @@
 }
 
 #[test]
-fn authority_skips_recorded_serials_and_errors_name_the_file_when_reopened() {
+fn authority_skips_recorded_serials_and_errors_name_file_when_reopened() {
     let dir = TempDir::new("serials");
     let authority = Authority::make(&dir.0, "city", 10, NOW).unwrap();
     authority.issue("home", 5, NOW).unwrap();
-    // As if the process had ended right after the number was written down.
+    // Simulates a process that ended directly after it recorded serial number 2.
     let ledger = file(&dir, "authority.json").replace("\"next\": 2", "\"next\": 3");
     std::fs::write(dir.0.join("authority.json"), ledger).unwrap();
     let reopened = Authority::open(&dir.0).unwrap();
--- a/crates/tls/tests/loopback.rs
+++ b/crates/tls/tests/loopback.rs
@@ -1,5 +1,5 @@
-//! HTTP over mutual TLS on loopback: the handler is given the caller's name,
-//! and callers with unknown certificates are refused.
+//! Test of HTTP over mutual TLS on the loopback interface: the handler receives
+//! the caller's name, and callers with untrusted certificates are refused.
 
 use pathwinch_tls::{
     authority::Authority,
@@ -40,9 +40,9 @@
     let _ = std::fs::remove_dir_all(&dir);
     let (own, other) = (dir.join("own"), dir.join("other"));
     let city = Authority::make(&own, "city", 100, NOW).unwrap();
-    let stranger = Authority::make(&other, "city", 100, NOW).unwrap();
+    let untrusted_authority = Authority::make(&other, "city", 100, NOW).unwrap();
     let (home, north) = (keys(&own, &city, "home"), keys(&own, &city, "north"));
-    let unknown = keys(&other, &stranger, "home");
+    let untrusted_home = keys(&other, &untrusted_authority, "home");
     let executor = Rc::new(PriorityExecutor::default());
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr: SocketAddr = listener.local_addr().unwrap();
@@ -71,13 +71,13 @@
         );
         let large = call(&home, "north", 2_000).await.unwrap();
         assert_eq!(large.status, 400);
-        // The server's certificate is for another name.
+        // The server's certificate is for `north`, not for `south`.
         assert!(matches!(
             call(&home, "south", 1).await,
             Err(CallError::NotSent(_))
         ));
-        // Neither side trusts the authority of the other.
-        assert!(call(&unknown, "north", 1).await.is_err());
+        // Neither side trusts the other's authority.
+        assert!(call(&untrusted_home, "north", 1).await.is_err());
     }));
     let _ = std::fs::remove_dir_all(&dir);
 }
