--- a/crates/tls/src/file.rs
+++ b/crates/tls/src/file.rs
@@ -53,7 +53,7 @@
 }
 
 pub(crate) fn create_dir(path: &Path) -> Result<(), FileError> {
-    fs::create_dir_all(path).map_err(FileError::for_action("make", path))
+    fs::create_dir_all(path).map_err(FileError::for_action("create", path))
 }
 
 /// Replaces a file atomically: a reader sees either the old content or the new
