--- a/crates/market/src/broker/bids.rs
+++ b/crates/market/src/broker/bids.rs
@@ -6,7 +6,7 @@
 
 use super::*;
 use crate::{
-    clearing::{Bidder, Place, Problem},
+    clearing::{JobBid, Place, Problem},
     lending,
     wire::{Ask, Award, Bid, BidSaid, Job, MAX_ROWS},
 };
@@ -29,7 +29,7 @@
 
 #[derive(Debug)]
 struct Bids {
-    job: Waiting,
+    job: WaitingJob,
     worth: Money,
     out: Vec<Out>,
     until: Millis,
@@ -37,13 +37,13 @@
 
 /// Bids under way. They expire by themselves and are not recorded.
 #[derive(Debug, Default)]
-pub(super) struct Bidding {
+pub(super) struct BidTracker {
     jobs: BTreeMap<String, Bids>,
     by_bid: HashMap<u64, String>,
     count: u64,
 }
 
-impl Bidding {
+impl BidTracker {
     /// Lets a job's bids go.
     pub(super) fn forget(&mut self, job: &str, markets: &mut [Market]) {
         let Some(bids) = self.jobs.remove(job) else {
@@ -130,12 +130,12 @@
         if now < self.next_clearing || self.waiting.is_empty() {
             return;
         }
-        self.next_clearing = now + self.o.every_ms;
+        self.next_clearing = now + self.o.sync_interval_ms;
         let (standing, offers) = self.standing(now);
         if offers.is_empty() {
             return;
         }
-        let open: Vec<Waiting> = self
+        let open: Vec<WaitingJob> = self
             .waiting
             .iter()
             .filter(|w| !self.jobs.contains_key(&w.job) && !self.bidding.jobs.contains_key(&w.job))
@@ -144,7 +144,7 @@
         let out = self.jobs.len() + self.bidding.jobs.len();
         let (go, _) = lending::choose(&open, out, |team| self.money(team, now), &self.o);
         let teams: Vec<&String> = self.o.budgets.keys().collect();
-        let (go, jobs): (Vec<Waiting>, Vec<Bidder>) = go
+        let (go, jobs): (Vec<WaitingJob>, Vec<JobBid>) = go
             .into_iter()
             .filter_map(|w| Some((w.clone(), bidder(w, &teams, &self.o)?)))
             .unzip();
@@ -188,8 +188,8 @@
 
     fn bid<'a>(
         &mut self,
-        w: &Waiting,
-        j: &Bidder,
+        w: &WaitingJob,
+        j: &JobBid,
         offers: impl Iterator<Item = &'a Standing>,
         rows: &mut BTreeMap<usize, Vec<Bid>>,
         now: Millis,
@@ -223,7 +223,7 @@
 
     pub(super) fn bids_said(&mut self, m: usize, bids: &[u64], said: &[BidSaid], now: Millis) {
         if said.len() != bids.len() {
-            self.lied(m, "not as many answers as bids");
+            self.report_violation(m, "not as many answers as bids");
             return self.bidding.unanswered(bids, &mut self.markets);
         }
         for (bid, said) in bids.iter().zip(said) {
@@ -247,7 +247,7 @@
                 let dearer = accepted.is_some_and(|p| p > out.price);
                 out.said = Some(accepted.filter(|_| !dearer));
                 if dearer {
-                    self.lied(m, "a higher price than was bid");
+                    self.report_violation(m, "a higher price than was bid");
                 }
             }
         }
@@ -286,7 +286,15 @@
     }
 
     /// Writes down that a job is to be offloaded, before anyone is told.
-    fn intend(&mut self, w: Waiting, worth: Money, m: usize, bid: u64, price: Money, now: Millis) {
+    fn intend(
+        &mut self,
+        w: WaitingJob,
+        worth: Money,
+        m: usize,
+        bid: u64,
+        price: Money,
+        now: Millis,
+    ) {
         let hours = hours(&w);
         let expected = f64::from(w.left()) * hours * price as f64;
         let cap = ((expected * SLACK) as Money).min(worth).max(1);
@@ -299,7 +307,7 @@
         if self.jobs.contains_key(&w.job) {
             return;
         }
-        let Some(award) = self.next_award() else {
+        let Some(award) = self.next_award_id() else {
             return;
         };
         let message = Award {
@@ -318,7 +326,7 @@
                 estimate_s: w.estimate_s,
             },
         };
-        let lent = Lent {
+        let lent = OffloadedJob {
             award,
             market: m,
             team: w.team.clone(),
@@ -336,12 +344,12 @@
     }
 }
 
-fn hours(w: &Waiting) -> f64 {
+fn hours(w: &WaitingJob) -> f64 {
     w.estimate_s.max(1.0) / 3600.0
 }
 
-fn bidder(w: &Waiting, teams: &[&String], o: &Options) -> Option<Bidder> {
-    Some(Bidder {
+fn bidder(w: &WaitingJob, teams: &[&String], o: &Options) -> Option<JobBid> {
+    Some(JobBid {
         slots: w.left(),
         slot: w.slot,
         hours: hours(w),
--- a/crates/market/src/broker/calls.rs
+++ b/crates/market/src/broker/calls.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::{
     call_policy::Outcome,
-    clock::{Look, Reading},
+    clock::{Reading, ReadingStatus},
     wire::{Ask, MAX_OFFERS, MAX_ROWS, Reply, Request, Say, Sync, Synced, VERSION},
 };
 use std::collections::HashSet;
@@ -44,7 +44,7 @@
             if !market.gate.enter(now, false) {
                 continue;
             }
-            let every = self.o.every_ms as f64;
+            let every = self.o.sync_interval_ms as f64;
             let spread = 1.0 + SYNC_SPREAD * (self.rng.f64() - 0.5);
             market.next_sync = now + (every * spread) as Millis;
             market.syncing = true;
@@ -84,7 +84,10 @@
             return;
         }
         // A unresponsive market's horizon stands still, so that it is reached.
-        if !market.clock.heard(now, 3 * self.o.every_ms + SILENT) {
+        if !market
+            .clock
+            .heard(now, 3 * self.o.sync_interval_ms + SILENT)
+        {
             return;
         }
         if let Some(until_ms) = market.tenancy.to_write(now) {
@@ -98,7 +101,7 @@
         &mut self,
         number: u64,
         sent: Millis,
-        reply: Result<Reply, Missing>,
+        reply: Result<Reply, CallFailure>,
         now: Millis,
     ) {
         let Some((m, call)) = self.under_way.remove(&number) else {
@@ -115,7 +118,7 @@
         });
         let outcome = match &reply {
             Ok(_) if fits => Outcome::Good,
-            Err(Missing::NoAnswer) => Outcome::Missing,
+            Err(CallFailure::NoAnswer) => Outcome::CallFailure,
             _ => Outcome::Bad,
         };
         let chance = self.rng.f64();
@@ -144,7 +147,7 @@
             if term > self.term {
                 return self.resign();
             }
-            return self.lied(m, "fenced by a term that is not later");
+            return self.report_violation(m, "fenced by a term that is not later");
         }
         let reading = Reading {
             epoch: reply.epoch,
@@ -157,15 +160,15 @@
             .reading()
             .is_some_and(|r| sent < r.sent);
         match self.markets[m].clock.read(reading) {
-            Look::Fine => {}
-            Look::NewEpoch => {
+            ReadingStatus::Consistent => {}
+            ReadingStatus::NewEpoch => {
                 log::warn!("market {} has lost what it knew", self.markets[m].name);
                 self.markets[m].granted = None;
                 self.markets[m].offers.clear();
             }
-            Look::Wrong => {
+            ReadingStatus::Inconsistent => {
                 self.markets[m].granted = None;
-                self.lied(m, "its clock went back or is too slow");
+                self.report_violation(m, "its clock went back or is too slow");
             }
         }
         // What was said before a later answer is not news.
@@ -202,7 +205,7 @@
             // Each award that was asked about has one state; whatever else is
             // claimed was never awarded, is over, or is a second answer.
             if !open.remove(&said.award) {
-                self.lied(m, "a state of an award that it was not asked about");
+                self.report_violation(m, "a state of an award that it was not asked about");
                 continue;
             }
             if let Some(job) = self.by_award.get(&said.award).cloned() {
--- a/crates/market/src/broker/mod.rs
+++ b/crates/market/src/broker/mod.rs
@@ -14,8 +14,8 @@
     call_policy::{CircuitBreaker, Limits},
     clearing::Effort,
     clock::{Clock, Tenancy},
-    ledger_sync::{LedgerSync, Reconciled, Step, WriteOutcome},
-    lending::{NotLendable, Waiting},
+    ledger_sync::{LedgerSync, Step, StepResult, WriteOutcome},
+    lending::{NotLendable, WaitingJob},
     options::Options,
     records::{
         AWARDS, AwardRecord, End, HORIZONS, HorizonRecord, SPENT, STANDING, SpentRecord, Why,
@@ -41,14 +41,14 @@
     },
     /// The leader is to mark the job as offloaded, by a write guarded on this
     /// version of the job's award record: one that comes late fails.
-    Lend {
+    MarkOffloaded {
         job: String,
         award: u64,
         version: u64,
     },
     /// The leader is to keep what is done and lift the mark, if it is of this
     /// award.
-    Return { job: String, award: u64, end: End },
+    EndOffload { job: String, award: u64, end: End },
     /// Another broker acts: this one must end.
     Resign,
 }
@@ -57,37 +57,37 @@
 pub enum Event {
     /// The answer to a step of the books, by its number.
     WriteOutcome(u64, WriteOutcome),
-    Read(u64, Result<Option<(Value, u64)>, ()>),
+    ReadOutcome(u64, Result<Option<(Value, u64)>, ()>),
     /// What a market answered, already checked against the schema; `Err`: no
     /// answer, or one that was refused.
-    Answered {
+    CallEnded {
         call: u64,
         sent: Millis,
-        reply: Result<wire::Reply, Missing>,
+        reply: Result<wire::Reply, CallFailure>,
     },
     /// `None`: no answer.
-    Lent {
+    OffloadMarked {
         job: String,
         award: u64,
         marked: Option<bool>,
     },
-    Returned {
+    OffloadEnded {
         job: String,
         award: u64,
         taken: bool,
     },
     /// What waits here now.
-    Waiting(Vec<Waiting>),
+    Waiting(Vec<WaitingJob>),
     /// The job is not needed any more, or is to be had back.
     Recall(String),
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Missing {
+pub enum CallFailure {
     /// Refused connections, time-outs, resets.
     NoAnswer,
     /// An answer that the schema or a limit refuses.
-    Garbage,
+    Invalid,
 }
 
 /// How far an award has come. Each phase says what is certain.
@@ -98,7 +98,7 @@
     /// The record is durable; the leader is asked to mark the job.
     Marking { asked: Option<Millis> },
     /// The job is marked; nothing was sent to the market.
-    OffloadMark,
+    Marked,
     /// It is, or may be, at the market, or on its way there.
     Awarded {
         /// A call is under way.
@@ -111,11 +111,11 @@
     /// The end is durable; the leader is told.
     Returning { end: End, asked: Option<Millis> },
     /// The leader knows; the record is being deleted.
-    Dropping,
+    Deleting,
 }
 
 #[derive(Debug)]
-pub struct Lent {
+pub struct OffloadedJob {
     pub award: u64,
     pub market: usize,
     pub team: String,
@@ -178,19 +178,19 @@
     calls: u64,
     pub markets: Vec<Market>,
     by_name: HashMap<String, usize>,
-    jobs: BTreeMap<String, Lent>,
+    jobs: BTreeMap<String, OffloadedJob>,
     /// Job of each award that has not ended.
     by_award: HashMap<u64, String>,
     /// Jobs whose next step may be taken.
     ready: BTreeSet<String>,
     under_way: HashMap<u64, (usize, Call)>,
-    bidding: bids::Bidding,
-    waiting: Vec<Waiting>,
+    bidding: bids::BidTracker,
+    waiting: Vec<WaitingJob>,
     next_clearing: Millis,
     spent: BTreeMap<String, SpentRecord>,
     ledger_sync: LedgerSync,
     /// The state service is left alone until then.
-    books_after: Millis,
+    state_retry_at: Millis,
     effort: Effort,
     rng: Rng,
     ended: bool,
@@ -199,13 +199,13 @@
 }
 
 /// Awards of one term.
-const COUNT_BITS: u32 = 20;
+const AWARD_COUNT_BITS: u32 = 20;
 /// Before the state service is asked again for what it refused.
-const BOOKS_PAUSE: Millis = 200;
+const STATE_RETRY_MIN_MS: Millis = 200;
 /// Reputations are written no more often than this; a lie at once.
-const RECORD: Millis = 30_000;
+const REPUTATION_WRITE_INTERVAL_MS: Millis = 30_000;
 /// The leader is asked again after this.
-const ASK_AGAIN: Millis = 2_000;
+const LEADER_RETRY_MS: Millis = 2_000;
 
 impl Broker {
     /// `term`: of the leadership, higher than any before. `records`: all that
@@ -229,12 +229,12 @@
             by_award: HashMap::new(),
             ready: BTreeSet::new(),
             under_way: HashMap::new(),
-            bidding: bids::Bidding::default(),
+            bidding: bids::BidTracker::default(),
             waiting: Vec::new(),
             next_clearing: 0,
             spent: BTreeMap::new(),
             ledger_sync: LedgerSync::new(txn_ops, term),
-            books_after: 0,
+            state_retry_at: 0,
             effort: Effort::default(),
             rng: Rng::with_seed(seed),
             ended: false,
@@ -314,7 +314,7 @@
                 }
             }
         };
-        let lent = Lent {
+        let lent = OffloadedJob {
             award: r.award,
             market,
             team: r.team,
@@ -334,13 +334,13 @@
         self.effort = effort;
     }
 
-    pub fn lent(&self) -> impl Iterator<Item = (&str, &Lent)> {
+    pub fn lent(&self) -> impl Iterator<Item = (&str, &OffloadedJob)> {
         self.jobs.iter().map(|(j, l)| (j.as_str(), l))
     }
 
     /// Jobs whose whereabouts are not known yet.
-    pub fn in_doubt(&self) -> usize {
-        let doubt = |l: &&Lent| matches!(l.phase, Phase::Awarded { running: None, .. });
+    pub fn unconfirmed_jobs(&self) -> usize {
+        let doubt = |l: &&OffloadedJob| matches!(l.phase, Phase::Awarded { running: None, .. });
         self.jobs.values().filter(doubt).count()
     }
 
@@ -355,7 +355,7 @@
         let aside: Money = self
             .jobs
             .values()
-            .filter(|l| l.team == team && !l.settled_money())
+            .filter(|l| l.team == team && !l.cost_is_booked())
             .map(|l| l.cap)
             .sum();
         budget.saturating_sub(spent).saturating_sub(aside)
@@ -367,13 +367,13 @@
         crate::lending::choose(&self.waiting, self.jobs.len(), money, &self.o).1
     }
 
-    fn next_award(&mut self) -> Option<u64> {
+    fn next_award_id(&mut self) -> Option<u64> {
         // Beyond this, numbers of the next term would be used.
-        if self.count >= 1 << COUNT_BITS {
+        if self.count >= 1 << AWARD_COUNT_BITS {
             return None;
         }
         self.count += 1;
-        Some((self.term << COUNT_BITS) | (self.count - 1))
+        Some((self.term << AWARD_COUNT_BITS) | (self.count - 1))
     }
 
     /// Takes in what has happened.
@@ -383,22 +383,22 @@
         }
         match event {
             Event::WriteOutcome(step, wrote) => {
-                if matches!(wrote, WriteOutcome::Later | WriteOutcome::Unknown) {
-                    self.books_after = now + self.pause();
+                if matches!(wrote, WriteOutcome::Rejected | WriteOutcome::Unknown) {
+                    self.state_retry_at = now + self.pause();
                 }
                 let news = self.ledger_sync.wrote(step, wrote);
                 self.news(news);
             }
-            Event::Read(step, found) => {
+            Event::ReadOutcome(step, found) => {
                 if found.is_err() {
-                    self.books_after = now + self.pause();
+                    self.state_retry_at = now + self.pause();
                 }
                 let news = self.ledger_sync.read(step, found);
                 self.news(news);
             }
-            Event::Answered { call, sent, reply } => self.answered(call, sent, reply, now),
-            Event::Lent { job, award, marked } => self.marked(&job, award, marked, now),
-            Event::Returned { job, award, taken } => self.returned(&job, award, taken),
+            Event::CallEnded { call, sent, reply } => self.answered(call, sent, reply, now),
+            Event::OffloadMarked { job, award, marked } => self.marked(&job, award, marked, now),
+            Event::OffloadEnded { job, award, taken } => self.returned(&job, award, taken),
             Event::Waiting(list) => self.waiting = list,
             Event::Recall(job) => {
                 self.bidding.forget(&job, &mut self.markets);
@@ -408,7 +408,7 @@
                 }
             }
         }
-        self.go_on(now)
+        self.take_effects(now)
     }
 
     /// Works out the difference between what is wanted and what is.
@@ -417,20 +417,20 @@
             return Vec::new();
         }
         self.expire(now);
-        self.record_standing(now);
+        self.write_reputations(now);
         self.sync(now);
         self.clear(now);
         self.due(now);
-        self.go_on(now)
+        self.take_effects(now)
     }
 
-    fn go_on(&mut self, now: Millis) -> Vec<Effect> {
+    fn take_effects(&mut self, now: Millis) -> Vec<Effect> {
         if self.ended {
             self.out.clear();
             return vec![Effect::Resign];
         }
         self.advance(now);
-        if now < self.books_after {
+        if now < self.state_retry_at {
             return std::mem::take(&mut self.out);
         }
         while let Some(step) = self.ledger_sync.next_step() {
@@ -443,13 +443,13 @@
     }
 
     /// Records what markets are worth, so that a successor knows a liar.
-    fn record_standing(&mut self, now: Millis) {
+    fn write_reputations(&mut self, now: Millis) {
         for m in &mut self.markets {
-            let lied = m.reputation.lies > m.recorded.lies;
-            if m.reputation == m.recorded || (now < m.next_record && !lied) {
+            let report_violation = m.reputation.lies > m.recorded.lies;
+            if m.reputation == m.recorded || (now < m.next_record && !report_violation) {
                 continue;
             }
-            m.next_record = now + RECORD;
+            m.next_record = now + REPUTATION_WRITE_INTERVAL_MS;
             m.recorded = m.reputation.clone();
             let group = vec![(standing_key(&m.name), value(&m.recorded))];
             self.ledger_sync.want(group);
@@ -457,7 +457,7 @@
     }
 
     fn pause(&mut self) -> Millis {
-        BOOKS_PAUSE + self.rng.u64(0..BOOKS_PAUSE)
+        STATE_RETRY_MIN_MS + self.rng.u64(0..STATE_RETRY_MIN_MS)
     }
 
     fn resign(&mut self) {
@@ -465,11 +465,11 @@
     }
 
     /// What has become durable lets the next step be taken.
-    fn news(&mut self, news: Reconciled) {
+    fn news(&mut self, news: StepResult) {
         let list = match news {
-            Reconciled::Nothing => return,
-            Reconciled::Lost => return self.resign(),
-            Reconciled::Durable(list) => list,
+            StepResult::Nothing => return,
+            StepResult::Superseded => return self.resign(),
+            StepResult::Durable(list) => list,
         };
         for (key, value) in list {
             if let Some(job) = key.strip_prefix(AWARDS) {
@@ -497,7 +497,7 @@
                 end: end.clone(),
                 asked: None,
             },
-            Phase::Dropping if !stands => {
+            Phase::Deleting if !stands => {
                 self.jobs.remove(job);
                 return;
             }
@@ -509,12 +509,12 @@
     }
 }
 
-impl Lent {
+impl OffloadedJob {
     /// Its cost is already among what was spent.
-    fn settled_money(&self) -> bool {
+    fn cost_is_booked(&self) -> bool {
         matches!(
             self.phase,
-            Phase::Ending(_) | Phase::Returning { .. } | Phase::Dropping
+            Phase::Ending(_) | Phase::Returning { .. } | Phase::Deleting
         )
     }
 
--- a/crates/market/src/broker/settle.rs
+++ b/crates/market/src/broker/settle.rs
@@ -31,16 +31,16 @@
             Phase::Marking { asked } => {
                 *asked = Some(now);
                 let award = lent.award;
-                self.out.push(Effect::Lend {
+                self.out.push(Effect::MarkOffloaded {
                     job: job.to_owned(),
                     award,
                     version,
                 });
             }
-            Phase::OffloadMark => self.send(job, now),
+            Phase::Marked => self.send(job, now),
             Phase::Returning { end, asked } => {
                 *asked = Some(now);
-                let effect = Effect::Return {
+                let effect = Effect::EndOffload {
                     job: job.to_owned(),
                     award: lent.award,
                     end: end.clone(),
@@ -61,7 +61,7 @@
         }
         match marked {
             Some(true) => {
-                lent.phase = Phase::OffloadMark;
+                lent.phase = Phase::Marked;
                 self.ready.insert(job.to_owned());
             }
             // An earlier request may still be on its way: the end that is
@@ -147,9 +147,11 @@
                     self.over(job, Ranges::default(), None, 0, Why::Expired, now);
                 }
             }
-            _ if !same_epoch => self.lied(market, "an award from an epoch that it has forgotten"),
+            _ if !same_epoch => {
+                self.report_violation(market, "an award from an epoch that it has forgotten")
+            }
             State::Running { done } if *done <= lent.tasks => *running = Some(*done),
-            State::Running { .. } => self.lied(market, "more tasks than the job has"),
+            State::Running { .. } => self.report_violation(market, "more tasks than the job has"),
             State::Unknown if reply.clock_ms > lent.start_by.clock_ms => {
                 let why = Why::Void;
                 self.over(job, Ranges::default(), None, 0, why, now);
@@ -171,7 +173,7 @@
                 let mut done = done.clone();
                 if let Err(why) = done.check(lent.tasks) {
                     done = Ranges::default();
-                    self.lied(market, why);
+                    self.report_violation(market, why);
                 }
                 self.over(job, done, None, *charge, Why::Withdrawn, now);
             }
@@ -198,7 +200,7 @@
         };
         let (market, cap, recall) = (lent.market, lent.cap, lent.recall);
         if charge > cap {
-            self.lied(market, "a higher price than awarded");
+            self.report_violation(market, "a higher price than awarded");
         }
         if why == Why::Done {
             self.counts.done += 1;
@@ -249,7 +251,7 @@
             return;
         };
         if taken && matches!(lent.phase, Phase::Returning { .. }) {
-            lent.phase = Phase::Dropping;
+            lent.phase = Phase::Deleting;
             self.ledger_sync.want(vec![(award_key(job), None)]);
         }
     }
@@ -268,7 +270,7 @@
         }
     }
 
-    pub(super) fn lied(&mut self, market: usize, what: &str) {
+    pub(super) fn report_violation(&mut self, market: usize, what: &str) {
         let m = &mut self.markets[market];
         m.reputation.note(crate::reputation::Outcome::Lied);
         self.counts.lies += 1;
@@ -276,14 +278,14 @@
     }
 }
 
-impl Lent {
+impl OffloadedJob {
     /// Whether there is something to do for it without further news.
     fn acts(&self, now: Millis) -> bool {
-        let due = |asked: &Option<Millis>| asked.is_none_or(|at| now >= at + ASK_AGAIN);
+        let due = |asked: &Option<Millis>| asked.is_none_or(|at| now >= at + LEADER_RETRY_MS);
         match &self.phase {
             Phase::Marking { asked } => due(asked) || self.recall,
             Phase::Returning { asked, .. } => due(asked),
-            Phase::OffloadMark => true,
+            Phase::Marked => true,
             _ => false,
         }
     }
--- a/crates/market/src/call_policy.rs
+++ b/crates/market/src/call_policy.rs
@@ -12,7 +12,7 @@
     pub failures: u32,
     /// For how long at first, and at most.
     pub open_ms: Millis,
-    pub most_open_ms: Millis,
+    pub max_open_ms: Millis,
     /// Retries saved up at most, and how many first calls earn one.
     pub retries: u32,
     pub calls_per_retry: u32,
@@ -24,7 +24,7 @@
             calls: 16,
             failures: 5,
             open_ms: 2_000,
-            most_open_ms: 60_000,
+            max_open_ms: 60_000,
             retries: 10,
             calls_per_retry: 10,
         }
@@ -48,7 +48,7 @@
     /// Answered with something that is refused.
     Bad,
     /// No answer in time, or the connection failed.
-    Missing,
+    CallFailure,
 }
 
 #[derive(Debug)]
@@ -125,13 +125,13 @@
             self.window = (self.window + 1.0 / self.window).min(most);
             return;
         }
-        if outcome == Outcome::Missing {
+        if outcome == Outcome::CallFailure {
             self.window = (self.window / 2.0).max(1.0);
         }
         self.failed += 1;
         if self.state == State::Trying || self.failed >= self.limits.failures {
             let long = self.limits.open_ms << self.opened.min(16);
-            let long = long.min(self.limits.most_open_ms) as f64;
+            let long = long.min(self.limits.max_open_ms) as f64;
             // Half of it is sure, half is drawn.
             let wait = long * (0.5 + 0.5 * chance.clamp(0.0, 1.0));
             self.state = State::Open {
--- a/crates/market/src/call_policy/tests.rs
+++ b/crates/market/src/call_policy/tests.rs
@@ -8,7 +8,7 @@
     let mut now = 0;
     for _ in 0..5 {
         assert!(g.enter(now, false));
-        g.leave(Outcome::Missing, now, 1.0);
+        g.leave(Outcome::CallFailure, now, 1.0);
     }
     assert_eq!(g.state(), State::Open { until: 2_000 });
     assert!(!g.enter(1_999, false));
@@ -19,7 +19,7 @@
         now = until;
         assert!(g.enter(now, false));
         assert!(!g.enter(now, false), "one call decides");
-        g.leave(Outcome::Missing, now, 1.0);
+        g.leave(Outcome::CallFailure, now, 1.0);
         assert_eq!(g.state(), State::Open { until: now + wait });
     }
     now += 60_000;
@@ -42,7 +42,7 @@
         }
     }
     assert_eq!(take(&mut g), 16);
-    g.leave(Outcome::Missing, 0, 0.0);
+    g.leave(Outcome::CallFailure, 0, 0.0);
     assert_eq!(g.under_way(), 15);
     assert!(!g.enter(0, false), "halved: 8");
 }
--- a/crates/market/src/clearing.rs
+++ b/crates/market/src/clearing.rs
@@ -8,7 +8,7 @@
 
 /// A job as it bids: whole, or not at all.
 #[derive(Debug, Clone)]
-pub struct Bidder {
+pub struct JobBid {
     pub slots: u32,
     pub slot: Slot,
     pub hours: f64,
@@ -30,7 +30,7 @@
 
 #[derive(Debug, Clone, Default)]
 pub struct Problem {
-    pub jobs: Vec<Bidder>,
+    pub jobs: Vec<JobBid>,
     pub offers: Vec<Place>,
     pub budgets: Vec<f64>,
 }
@@ -143,17 +143,17 @@
         }
     }
 
-    fn fits(&self, job: &Bidder, pair: &Pair) -> bool {
+    fn fits(&self, job: &JobBid, pair: &Pair) -> bool {
         self.slots[pair.offer as usize] >= i64::from(job.slots)
             && self.money[job.budget] + 1e-9 >= pair.pay
     }
 
-    fn take(&mut self, job: &Bidder, pair: &Pair) {
+    fn take(&mut self, job: &JobBid, pair: &Pair) {
         self.slots[pair.offer as usize] -= i64::from(job.slots);
         self.money[job.budget] -= pair.pay;
     }
 
-    fn give(&mut self, job: &Bidder, pair: &Pair) {
+    fn give(&mut self, job: &JobBid, pair: &Pair) {
         self.slots[pair.offer as usize] += i64::from(job.slots);
         self.money[job.budget] += pair.pay;
     }
@@ -484,7 +484,7 @@
 }
 
 /// Problems of a size, drawn: for measurements and tests.
-pub fn drawn(seed: u64, jobs: usize, offers: usize) -> Problem {
+pub fn random_problem(seed: u64, jobs: usize, offers: usize) -> Problem {
     let mut rng = fastrand::Rng::with_seed(seed);
     let slot = |n: usize| Slot {
         cpus: [2.0, 4.0, 8.0, 16.0][n % 4],
@@ -507,7 +507,7 @@
         .map(|_| {
             let slots = rng.u32(1..=16);
             let hours = 0.05 + rng.f64();
-            Bidder {
+            JobBid {
                 slots,
                 slot: slot(rng.usize(..4)),
                 hours,
--- a/crates/market/src/clearing/tests.rs
+++ b/crates/market/src/clearing/tests.rs
@@ -54,7 +54,7 @@
     };
     let (mut sum, mut near) = (0.0, 0.0);
     for seed in 0..30 {
-        let p = drawn(seed, 7, 3);
+        let p = random_problem(seed, 7, 3);
         let (exact, quick) = (clear(&p, &patient), clear(&p, &never));
         sound(&p, &exact);
         sound(&p, &quick);
@@ -72,7 +72,7 @@
 
 #[test]
 fn large_problems_stay_within_limits_and_near_their_bound() {
-    let p = drawn(5, 2_000, 10);
+    let p = random_problem(5, 2_000, 10);
     let plan = clear(&p, &Effort::default());
     sound(&p, &plan);
     assert!(plan.gap() < 0.1, "{}", plan.gap());
@@ -82,7 +82,7 @@
 fn nothing_to_clear_is_a_plan_too() {
     let empty = clear(&Problem::default(), &Effort::default());
     assert_eq!((empty.choice.len(), empty.gap()), (0, 0.0));
-    let mut p = drawn(1, 5, 2);
+    let mut p = random_problem(1, 5, 2);
     p.budgets = vec![0.0; 3];
     assert_eq!(clear(&p, &Effort::default()).gain, 0.0);
 }
--- a/crates/market/src/clock.rs
+++ b/crates/market/src/clock.rs
@@ -28,13 +28,13 @@
 
 /// What a new reading shows.
 #[derive(Debug, PartialEq)]
-pub enum Look {
-    Fine,
+pub enum ReadingStatus {
+    Consistent,
     /// The market has lost what it knew.
     NewEpoch,
     /// The clock went back or runs slower than any drift: what it says of
     /// time can't be relied on.
-    Wrong,
+    Inconsistent,
 }
 
 #[derive(Debug, Default)]
@@ -72,18 +72,18 @@
         self.last.is_some_and(|r| now <= r.received + within)
     }
 
-    pub fn read(&mut self, new: Reading) -> Look {
+    pub fn read(&mut self, new: Reading) -> ReadingStatus {
         let (Some(old), Some(first)) = (self.last, self.first) else {
             (self.first, self.last) = (Some(new), Some(new));
-            return Look::Fine;
+            return ReadingStatus::Consistent;
         };
         if new.sent < old.sent {
             // An answer that was overtaken says nothing new.
-            return Look::Fine;
+            return ReadingStatus::Consistent;
         }
         if new.epoch != old.epoch {
             (self.first, self.last) = (Some(new), Some(new));
-            return Look::NewEpoch;
+            return ReadingStatus::NewEpoch;
         }
         // At least so much passed between two readings at the market.
         let slow = |from: Reading| {
@@ -92,10 +92,10 @@
         };
         if slow(old) || slow(first) {
             self.wrong = Some(new.epoch);
-            return Look::Wrong;
+            return ReadingStatus::Inconsistent;
         }
         self.last = Some(new);
-        Look::Fine
+        ReadingStatus::Consistent
     }
 
     /// A time `from_now` ahead on the market's clock: never later there than
--- a/crates/market/src/clock/tests.rs
+++ b/crates/market/src/clock/tests.rs
@@ -14,13 +14,19 @@
 #[test]
 fn a_clock_that_goes_back_or_crawls_is_not_relied_on() {
     let mut c = Clock::default();
-    assert_eq!(c.read(reading(1, 5_000, 0)), Look::Fine);
-    assert_eq!(c.read(reading(1, 15_000, 10_000)), Look::Fine);
+    assert_eq!(c.read(reading(1, 5_000, 0)), ReadingStatus::Consistent);
+    assert_eq!(
+        c.read(reading(1, 15_000, 10_000)),
+        ReadingStatus::Consistent
+    );
     assert_eq!(c.ahead(12_100, 1_000).map(|u| u.clock_ms), Some(17_999));
     // A tenth too slow: leases there would end later than reckoned.
-    assert_eq!(c.read(reading(1, 24_000, 20_000)), Look::Wrong);
+    assert_eq!(
+        c.read(reading(1, 24_000, 20_000)),
+        ReadingStatus::Inconsistent
+    );
     assert_eq!(c.ahead(21_000, 1_000), None);
-    assert_eq!(c.read(reading(2, 0, 30_000)), Look::NewEpoch);
+    assert_eq!(c.read(reading(2, 0, 30_000)), ReadingStatus::NewEpoch);
     assert!(c.sound());
 }
 
@@ -30,10 +36,16 @@
 fn a_clock_that_is_a_little_slow_is_found_out_before_it_is_relied_on() {
     let mut c = Clock::default();
     for n in 0..10 {
-        assert_eq!(c.read(reading(1, n * 989, n * 1000)), Look::Fine);
+        assert_eq!(
+            c.read(reading(1, n * 989, n * 1000)),
+            ReadingStatus::Consistent
+        );
         assert!(!c.watched());
     }
-    assert_eq!(c.read(reading(1, 10 * 989, 10_000)), Look::Wrong);
+    assert_eq!(
+        c.read(reading(1, 10 * 989, 10_000)),
+        ReadingStatus::Inconsistent
+    );
     assert!(!c.watched());
 }
 
@@ -41,7 +53,7 @@
 fn an_overtaken_answer_changes_nothing() {
     let mut c = Clock::default();
     c.read(reading(2, 50_000, 50_000));
-    assert_eq!(c.read(reading(1, 9_000, 10_000)), Look::Fine);
+    assert_eq!(c.read(reading(1, 9_000, 10_000)), ReadingStatus::Consistent);
     assert_eq!(c.reading().map(|r| r.epoch), Some(2));
 }
 
--- a/crates/market/src/ledger_sync.rs
+++ b/crates/market/src/ledger_sync.rs
@@ -23,7 +23,7 @@
     /// Some key has another version.
     Conflict,
     /// Refused for now: nothing was applied.
-    Later,
+    Rejected,
     /// No answer: it may have been applied, or may still be.
     Unknown,
 }
@@ -39,12 +39,12 @@
 
 /// What came of it.
 #[derive(Debug, PartialEq)]
-pub enum Reconciled {
+pub enum StepResult {
     Nothing,
     /// These are durable now.
     Durable(Vec<(String, Option<Value>)>),
     /// Someone else has written: this broker must stop.
-    Lost,
+    Superseded,
 }
 
 #[derive(Debug, PartialEq)]
@@ -52,8 +52,8 @@
     Idle,
     Writing(Change),
     /// To be made again.
-    Again(Change),
-    ToRead(Change),
+    Retry(Change),
+    PendingRead(Change),
     Reading(Change),
 }
 
@@ -70,7 +70,7 @@
 }
 
 /// Written by every transaction.
-pub const LINE: &str = "line";
+pub const SEQUENCE_KEY: &str = "line";
 
 impl LedgerSync {
     /// `most`: writes that one transaction may have.
@@ -107,15 +107,15 @@
                 self.steps += 1;
                 Some(Step::Write(self.steps, change))
             }
-            InFlight::Again(change) => {
+            InFlight::Retry(change) => {
                 self.flight = InFlight::Writing(change.clone());
                 self.steps += 1;
                 Some(Step::Write(self.steps, change))
             }
-            InFlight::ToRead(change) => {
+            InFlight::PendingRead(change) => {
                 self.flight = InFlight::Reading(change);
                 self.steps += 1;
-                Some(Step::Read(self.steps, LINE.to_owned()))
+                Some(Step::Read(self.steps, SEQUENCE_KEY.to_owned()))
             }
             busy @ (InFlight::Writing(_) | InFlight::Reading(_)) => {
                 self.flight = busy;
@@ -149,11 +149,15 @@
             return None;
         }
         let line = json!([self.term, self.steps]);
-        writes.push((LINE.to_owned(), self.version(LINE), Some(line)));
+        writes.push((
+            SEQUENCE_KEY.to_owned(),
+            self.version(SEQUENCE_KEY),
+            Some(line),
+        ));
         Some(Change { writes })
     }
 
-    fn applied(&mut self, change: Change, revision: u64) -> Reconciled {
+    fn applied(&mut self, change: Change, revision: u64) -> StepResult {
         let mut durable = Vec::new();
         for (key, _, value) in change.writes {
             match &value {
@@ -162,53 +166,53 @@
             };
             durable.push((key, value));
         }
-        Reconciled::Durable(durable)
+        StepResult::Durable(durable)
     }
 
-    pub fn wrote(&mut self, step: u64, wrote: WriteOutcome) -> Reconciled {
+    pub fn wrote(&mut self, step: u64, wrote: WriteOutcome) -> StepResult {
         if step != self.steps {
-            return Reconciled::Nothing;
+            return StepResult::Nothing;
         }
         let change = match std::mem::replace(&mut self.flight, InFlight::Idle) {
             InFlight::Writing(change) => change,
             other => {
                 self.flight = other;
-                return Reconciled::Nothing;
+                return StepResult::Nothing;
             }
         };
         match wrote {
             WriteOutcome::Done(revision) => return self.applied(change, revision),
-            WriteOutcome::Later | WriteOutcome::Unknown => self.flight = InFlight::Again(change),
-            WriteOutcome::Conflict => self.flight = InFlight::ToRead(change),
+            WriteOutcome::Rejected | WriteOutcome::Unknown => self.flight = InFlight::Retry(change),
+            WriteOutcome::Conflict => self.flight = InFlight::PendingRead(change),
         }
-        Reconciled::Nothing
+        StepResult::Nothing
     }
 
     /// What the line holds, with its version; `Err`: it could not be read.
-    pub fn read(&mut self, step: u64, found: Result<Option<(Value, u64)>, ()>) -> Reconciled {
+    pub fn read(&mut self, step: u64, found: Result<Option<(Value, u64)>, ()>) -> StepResult {
         if step != self.steps {
-            return Reconciled::Nothing;
+            return StepResult::Nothing;
         }
         let change = match std::mem::replace(&mut self.flight, InFlight::Idle) {
             InFlight::Reading(change) => change,
             other => {
                 self.flight = other;
-                return Reconciled::Nothing;
+                return StepResult::Nothing;
             }
         };
         let Ok(found) = found else {
-            self.flight = InFlight::ToRead(change);
-            return Reconciled::Nothing;
+            self.flight = InFlight::PendingRead(change);
+            return StepResult::Nothing;
         };
-        let line = change.writes.iter().find(|w| w.0 == LINE);
+        let line = change.writes.iter().find(|w| w.0 == SEQUENCE_KEY);
         let (before, ours) = line.map_or((0, None), |w| (w.1, w.2.as_ref()));
         match found {
             Some((value, version)) if Some(&value) == ours => self.applied(change, version),
             other if other.as_ref().map_or(0, |o| o.1) == before => {
-                self.flight = InFlight::Again(change);
-                Reconciled::Nothing
+                self.flight = InFlight::Retry(change);
+                StepResult::Nothing
             }
-            _ => Reconciled::Lost,
+            _ => StepResult::Superseded,
         }
     }
 }
--- a/crates/market/src/ledger_sync/tests.rs
+++ b/crates/market/src/ledger_sync/tests.rs
@@ -30,7 +30,7 @@
     );
     assert_eq!(first.writes[1], ("s".into(), 0, Some(json!(7))));
     assert_eq!(b.next_step(), None);
-    assert!(matches!(b.wrote(1, WriteOutcome::Done(9)), Reconciled::Durable(d) if d.len() == 4));
+    assert!(matches!(b.wrote(1, WriteOutcome::Done(9)), StepResult::Durable(d) if d.len() == 4));
     assert_eq!(b.version("s"), 9);
     assert_eq!(change(b.next_step()).writes.len(), 3);
 }
@@ -43,15 +43,15 @@
     b.loaded("a", 3);
     b.want(vec![("a".into(), Some(json!(1)))]);
     let first = change(b.next_step());
-    assert_eq!(b.wrote(1, WriteOutcome::Unknown), Reconciled::Nothing);
+    assert_eq!(b.wrote(1, WriteOutcome::Unknown), StepResult::Nothing);
     assert_eq!(change(b.next_step()), first, "the same again");
-    assert_eq!(b.wrote(2, WriteOutcome::Conflict), Reconciled::Nothing);
-    let read = Some(Step::Read(3, LINE.into()));
+    assert_eq!(b.wrote(2, WriteOutcome::Conflict), StepResult::Nothing);
+    let read = Some(Step::Read(3, SEQUENCE_KEY.into()));
     assert_eq!(b.next_step(), read);
     let ours = first.writes[1].2.clone().unwrap();
     assert!(matches!(
         b.read(3, Ok(Some((ours, 8)))),
-        Reconciled::Durable(_)
+        StepResult::Durable(_)
     ));
     assert_eq!(b.version("a"), 8);
     b.want(vec![("a".into(), None)]);
@@ -60,7 +60,7 @@
     b.next_step();
     assert_eq!(
         b.read(5, Ok(Some((json!("another's"), 9)))),
-        Reconciled::Lost
+        StepResult::Superseded
     );
 }
 
@@ -92,14 +92,14 @@
     b.next_step();
     assert!(matches!(
         b.wrote(1, WriteOutcome::Done(1)),
-        Reconciled::Durable(_)
+        StepResult::Durable(_)
     ));
     b.want(vec![("b".into(), Some(json!(2)))]);
     b.next_step();
-    assert_eq!(b.wrote(1, WriteOutcome::Done(1)), Reconciled::Nothing);
+    assert_eq!(b.wrote(1, WriteOutcome::Done(1)), StepResult::Nothing);
     assert!(matches!(
         b.wrote(2, WriteOutcome::Done(2)),
-        Reconciled::Durable(_)
+        StepResult::Durable(_)
     ));
 }
 
@@ -111,6 +111,6 @@
     b.want(vec![("a".into(), Some(json!(1)))]);
     let first = change(b.next_step());
     b.wrote(1, WriteOutcome::Unknown);
-    b.wrote(1, WriteOutcome::Later);
+    b.wrote(1, WriteOutcome::Rejected);
     assert_eq!(change(b.next_step()), first);
 }
--- a/crates/market/src/lending.rs
+++ b/crates/market/src/lending.rs
@@ -14,7 +14,7 @@
 
 /// A job as the leader tells of it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Waiting {
+pub struct WaitingJob {
     pub job: String,
     pub class: String,
     pub team: String,
@@ -74,7 +74,7 @@
     }
 }
 
-impl Waiting {
+impl WaitingJob {
     pub fn left(&self) -> u32 {
         self.tasks.saturating_sub(self.done.count())
     }
@@ -101,13 +101,13 @@
         }
         let in_time = match (self.left_ms, self.here_ms) {
             (Some(left), Some(here)) => here as i64 <= left,
-            (None, Some(here)) => here <= o.after_ms,
+            (None, Some(here)) => here <= o.min_wait_ms,
             (_, None) => false,
         };
         if in_time {
             return Some(NotLendable::InTime);
         }
-        (self.waited_ms < o.after_ms).then_some(NotLendable::WaitedTooLittle)
+        (self.waited_ms < o.min_wait_ms).then_some(NotLendable::WaitedTooLittle)
     }
 }
 
@@ -115,14 +115,14 @@
 /// stay, with the reason. `offloaded`: jobs that are offloaded already; `money`: what a
 /// team may still spend.
 pub fn choose<'a>(
-    waiting: &'a [Waiting],
+    waiting: &'a [WaitingJob],
     lent: usize,
     money: impl Fn(&str) -> Money,
     o: &Options,
-) -> (Vec<&'a Waiting>, Vec<(&'a str, NotLendable)>) {
+) -> (Vec<&'a WaitingJob>, Vec<(&'a str, NotLendable)>) {
     let (mut go, mut stay) = (Vec::new(), Vec::new());
-    let mut local: f64 = waiting.iter().map(Waiting::cpus).sum();
-    let mut order: Vec<&Waiting> = waiting.iter().collect();
+    let mut local: f64 = waiting.iter().map(WaitingJob::cpus).sum();
+    let mut order: Vec<&WaitingJob> = waiting.iter().collect();
     // Those that are latest, or have least time, first.
     order.sort_by_key(|w| {
         (
@@ -136,7 +136,7 @@
                 Some(NotLendable::NoBudget)
             } else if lent + go.len() >= o.jobs {
                 Some(NotLendable::Enough)
-            } else if local - w.cpus() < o.floor_cpus {
+            } else if local - w.cpus() < o.local_floor_cpus {
                 Some(NotLendable::Floor)
             } else {
                 None
--- a/crates/market/src/lending/tests.rs
+++ b/crates/market/src/lending/tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-fn waiting(n: u32) -> Waiting {
-    Waiting {
+fn waiting(n: u32) -> WaitingJob {
+    WaitingJob {
         job: format!("j-{n:06}"),
         class: "slice".into(),
         team: "graphics".into(),
@@ -38,7 +38,7 @@
 fn what_must_stay_stays_and_says_why() {
     let o = options();
     let w = waiting(1);
-    let case = |change: &dyn Fn(&mut Waiting)| {
+    let case = |change: &dyn Fn(&mut WaitingJob)| {
         let mut w = w.clone();
         change(&mut w);
         let list = [w];
@@ -70,18 +70,18 @@
 
 #[test]
 fn the_floor_and_the_limit_keep_the_least_urgent_here() {
-    let mut list: Vec<Waiting> = (0..5).map(waiting).collect();
+    let mut list: Vec<WaitingJob> = (0..5).map(waiting).collect();
     for (n, w) in list.iter_mut().enumerate() {
         w.left_ms = Some(1_000 * (5 - n as i64));
     }
     let mut o = options();
-    o.floor_cpus = 50.0;
+    o.local_floor_cpus = 50.0;
     let (go, stay) = choose(&list, 0, |_| 1, &o);
     // 100 CPUs wait; two jobs of 20 may go, the latest ones first.
     let names: Vec<&str> = go.iter().map(|w| w.job.as_str()).collect();
     assert_eq!(names, ["j-000004", "j-000003"]);
     assert!(stay.iter().all(|s| s.1 == NotLendable::Floor));
-    o.floor_cpus = 0.0;
+    o.local_floor_cpus = 0.0;
     o.jobs = 3;
     assert_eq!(choose(&list, 2, |_| 1, &o).0.len(), 1);
 }
--- a/crates/market/src/main.rs
+++ b/crates/market/src/main.rs
@@ -5,7 +5,7 @@
 use anyhow::{Context, Result};
 use clap::{Parser, Subcommand};
 use pathwinch_market::{
-    clearing::{Effort, clear, drawn},
+    clearing::{Effort, clear, random_problem},
     options::Options,
     schema, serve,
 };
@@ -89,7 +89,7 @@
             let (mut times, mut gaps, mut exact) = (Vec::new(), Vec::new(), 0);
             for seed in 0..repeats.max(1) {
                 eprint!("\r{j} jobs, {o} offers: {} of {repeats} ", seed + 1);
-                let p = drawn(seed, j, o);
+                let p = random_problem(seed, j, o);
                 let began = Instant::now();
                 let plan = clear(&p, &Effort::default());
                 times.push(began.elapsed().as_secs_f64() * 1000.0);
--- a/crates/market/src/options.rs
+++ b/crates/market/src/options.rs
@@ -12,9 +12,9 @@
     /// Classes of jobs that may be offloaded; none: nothing is.
     pub classes: Vec<String>,
     /// A job waits here for so long before it may be offloaded.
-    pub after_ms: Millis,
+    pub min_wait_ms: Millis,
     /// CPUs of waiting work that stay for the machines here.
-    pub floor_cpus: f64,
+    pub local_floor_cpus: f64,
     /// At most this share of what renting here would cost is bid.
     pub worth: f64,
     /// Jobs that may be offloaded at once.
@@ -26,7 +26,7 @@
     /// An award that is not accepted within this is void.
     pub start_within_ms: Millis,
     /// How often each market is asked.
-    pub every_ms: Millis,
+    pub sync_interval_ms: Millis,
     /// Share of the state service's limits that brokers may use.
     pub share: f64,
     /// Of each team, for a day, in millionths.
@@ -39,14 +39,14 @@
     fn default() -> Self {
         Options {
             classes: Vec::new(),
-            after_ms: 20_000,
-            floor_cpus: 0.0,
+            min_wait_ms: 20_000,
+            local_floor_cpus: 0.0,
             worth: 1.0,
             jobs: 2_000,
             tenancy_ms: 60_000,
             clock_bound_ms: 1_000,
             start_within_ms: 10_000,
-            every_ms: 2_000,
+            sync_interval_ms: 2_000,
             share: 0.08,
             budgets: BTreeMap::new(),
             markets: BTreeMap::new(),
@@ -54,7 +54,7 @@
     }
 }
 
-const MOST_MARKETS: usize = 100;
+const MAX_MARKETS: usize = 100;
 
 fn seconds(key: &str, text: &str, low: f64, high: f64) -> Result<Millis> {
     Ok(millis(number(key, text, low, high)?))
@@ -77,8 +77,8 @@
             }
         }
         ensure!(
-            o.markets.len() <= MOST_MARKETS,
-            "market: at most {MOST_MARKETS}"
+            o.markets.len() <= MAX_MARKETS,
+            "market: at most {MAX_MARKETS}"
         );
         ensure!(
             o.start_within_ms < o.tenancy_ms,
@@ -93,14 +93,14 @@
                 let names = value.split(',').map(|c| c.trim().to_owned());
                 self.classes = names.filter(|c| !c.is_empty()).collect();
             }
-            ("lend", "after_s") => self.after_ms = seconds(name, value, 0.0, 86_400.0)?,
-            ("lend", "floor_cpus") => self.floor_cpus = number(name, value, 0.0, 1e9)?,
+            ("lend", "after_s") => self.min_wait_ms = seconds(name, value, 0.0, 86_400.0)?,
+            ("lend", "floor_cpus") => self.local_floor_cpus = number(name, value, 0.0, 1e9)?,
             ("lend", "worth") => self.worth = number(name, value, 0.0, 1.0)?,
             ("lend", "jobs") => self.jobs = number(name, value, 1.0, 100_000.0)? as usize,
             ("award", "tenancy_s") => self.tenancy_ms = seconds(name, value, 5.0, 3_600.0)?,
             ("award", "clock_bound_s") => self.clock_bound_ms = seconds(name, value, 0.0, 60.0)?,
             ("award", "start_within_s") => self.start_within_ms = seconds(name, value, 1.0, 600.0)?,
-            ("award", "every_s") => self.every_ms = seconds(name, value, 0.5, 60.0)?,
+            ("award", "every_s") => self.sync_interval_ms = seconds(name, value, 0.5, 60.0)?,
             ("state", "share") => self.share = number(name, value, 0.001, 0.5)?,
             ("budget", team) => {
                 let most = number(name, value, 0.0, 1e9)?;
--- a/crates/market/src/reputation.rs
+++ b/crates/market/src/reputation.rs
@@ -26,7 +26,7 @@
 /// A market without a record counts as if it had kept so many of so many.
 const PRIOR: (f64, f64) = (4.0, 5.0);
 /// Lies for which a market is not used until an operator says so.
-pub const MOST_LIES: u32 = 3;
+pub const MAX_VIOLATIONS: u32 = 3;
 
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Reputation {
@@ -59,7 +59,7 @@
     }
 
     pub fn trusted(&self) -> bool {
-        self.lies < MOST_LIES
+        self.lies < MAX_VIOLATIONS
     }
 
     /// What a price means in expectation: what isn't kept is run again.
--- a/crates/market/src/serve/home.rs
+++ b/crates/market/src/serve/home.rs
@@ -1,7 +1,7 @@
 //! The broker's side of the controllers: whoever leads is asked over `back`.
 
 use crate::{
-    lending::{Kind, Waiting},
+    lending::{Kind, WaitingJob},
     ranges::Ranges,
     wire::Slot,
 };
@@ -53,9 +53,9 @@
     }
 }
 
-pub fn waiting(l: OffloadCandidate) -> Waiting {
+pub fn waiting(l: OffloadCandidate) -> WaitingJob {
     let s = l.spec;
-    Waiting {
+    WaitingJob {
         job: s.id,
         class: s.class,
         team: s.team,
--- a/crates/market/src/serve/mod.rs
+++ b/crates/market/src/serve/mod.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     Millis,
-    broker::{Broker, Counts, Effect, Event, Missing},
+    broker::{Broker, CallFailure, Counts, Effect, Event},
     ledger_sync::Step,
     options::Options,
     schema::{self, Reader},
@@ -141,7 +141,7 @@
         "acting in term {}: {} jobs out, {} in doubt",
         held.term,
         broker.lent().count(),
-        broker.in_doubt()
+        broker.unconfirmed_jobs()
     );
     let acting = Rc::new(Acting {
         server: server.clone(),
@@ -215,7 +215,7 @@
                 "{} jobs out, {} in doubt; in this term {} awards sent, {} done, {} calls, \
                  {} transactions, {} lies",
                 b.lent().count(),
-                b.in_doubt(),
+                b.unconfirmed_jobs(),
                 told.awards,
                 told.done,
                 told.calls,
@@ -260,7 +260,7 @@
             }
             Effect::LedgerSync(Step::Read(n, key)) => {
                 let found = server.state.get(&key).await;
-                self.tell_broker(Event::Read(n, found));
+                self.tell_broker(Event::ReadOutcome(n, found));
             }
             Effect::Call {
                 market,
@@ -269,9 +269,9 @@
             } => {
                 let sent = server.now();
                 let reply = self.call(market, &request).await;
-                self.tell_broker(Event::Answered { call, sent, reply });
+                self.tell_broker(Event::CallEnded { call, sent, reply });
             }
-            Effect::Lend {
+            Effect::MarkOffloaded {
                 job,
                 award,
                 version,
@@ -293,9 +293,9 @@
                     Some(Reply::OffloadMark(OffloadMark::No)) => Some(false),
                     _ => None,
                 };
-                self.tell_broker(Event::Lent { job, award, marked });
+                self.tell_broker(Event::OffloadMarked { job, award, marked });
             }
-            Effect::Return { job, award, end } => {
+            Effect::EndOffload { job, award, end } => {
                 let request = Request::EndOffload {
                     id: job.clone(),
                     award,
@@ -305,34 +305,40 @@
                     server.home.ask(&request).await,
                     Some(Reply::OffloadEnded(true))
                 );
-                self.tell_broker(Event::Returned { job, award, taken });
+                self.tell_broker(Event::OffloadEnded { job, award, taken });
             }
             Effect::Resign => self.ended.set(true),
         }
     }
 
-    async fn call(&self, market: usize, request: &wire::Request) -> Result<wire::Reply, Missing> {
+    async fn call(
+        &self,
+        market: usize,
+        request: &wire::Request,
+    ) -> Result<wire::Reply, CallFailure> {
         let server = &self.server;
         let name = self.broker.borrow().markets[market].name.clone();
         let addr = server.options.markets.get(&name);
-        let addr: SocketAddr = addr.and_then(|a| a.parse().ok()).ok_or(Missing::NoAnswer)?;
-        let body = serde_json::to_vec(request).map_err(|_| Missing::Garbage)?;
+        let addr: SocketAddr = addr
+            .and_then(|a| a.parse().ok())
+            .ok_or(CallFailure::NoAnswer)?;
+        let body = serde_json::to_vec(request).map_err(|_| CallFailure::Invalid)?;
         let answer = http::call(&server.keys, addr, &name, PATH, body, CALL, wire::MAX_BODY).await;
         match answer {
             Ok(a) if a.status == 200 => server.replies.read(&a.body).map_err(|why| {
                 log::warn!("market {name}: an answer is refused: {}", why.0);
-                Missing::Garbage
+                CallFailure::Invalid
             }),
             Ok(a) => {
                 log::warn!("market {name} answers with status {}", a.status);
-                Err(Missing::Garbage)
+                Err(CallFailure::Invalid)
             }
             Err(e) => {
                 match e {
                     CallError::TooLong => log::info!("market {name} is silent"),
                     e => log::info!("market {name}: {e}"),
                 }
-                Err(Missing::NoAnswer)
+                Err(CallFailure::NoAnswer)
             }
         }
     }
--- a/crates/market/src/serve/state.rs
+++ b/crates/market/src/serve/state.rs
@@ -164,7 +164,7 @@
         }
         let answer = match self.txn(&txn).await {
             Ok(answer) => answer,
-            Err(CallError::NotSent(_)) => return Ok(WriteOutcome::Later),
+            Err(CallError::NotSent(_)) => return Ok(WriteOutcome::Rejected),
             Err(_) => return Ok(WriteOutcome::Unknown),
         };
         let said: Option<Revision> = serde_json::from_slice(&answer.body).ok();
@@ -172,10 +172,10 @@
             (200, Some(r)) => Ok(WriteOutcome::Done(r.revision)),
             (409, Some(r)) if r.failed.contains(&key(BROKER)) => Err(Lost),
             (409, _) => Ok(WriteOutcome::Conflict),
-            (429 | 503, _) => Ok(WriteOutcome::Later),
+            (429 | 503, _) => Ok(WriteOutcome::Rejected),
             (400, _) => {
                 log::error!("the state service refuses a transaction as malformed");
-                Ok(WriteOutcome::Later)
+                Ok(WriteOutcome::Rejected)
             }
             _ => Ok(WriteOutcome::Unknown),
         }
--- a/crates/market/tests/compatibility.rs
+++ b/crates/market/tests/compatibility.rs
@@ -1,10 +1,10 @@
-//! What markets and the broker's records must stay like, byte for byte,
-//! whatever types and fields are called in the code. The fixtures are the
-//! expectation and are never edited.
+//! Byte-for-byte checks of the market protocol and of the broker's stored
+//! records, independent of the names of types and fields in the code. The
+//! fixtures are the expected output and must never be edited.
 
 use pathwinch_market::{
-    ledger_sync::LINE,
-    lending::{self, Waiting},
+    ledger_sync::SEQUENCE_KEY,
+    lending::{self, WaitingJob},
     ranges::Ranges,
     records::{
         self, AwardRecord, End, HorizonRecord, SpentRecord, Why, award_key, horizon_key, spent_key,
@@ -26,21 +26,26 @@
 
 fn fixture(name: &str) -> &'static str {
     let named = FIXTURES.lines().filter_map(|line| line.split_once(' '));
-    let found: Vec<_> = named.filter(|(n, _)| *n == name).collect();
-    let [(_, text)] = found[..] else {
-        panic!("{} fixtures {name}", found.len());
+    let matching: Vec<_> = named.filter(|(n, _)| *n == name).collect();
+    let [(_, text)] = matching[..] else {
+        panic!("{} fixtures named {name}, expected one", matching.len());
     };
     text
 }
 
-/// Written as the fixture has it, and read from it, also without its nulls.
-fn pinned<T: Serialize + DeserializeOwned + PartialEq + Debug>(name: &str, value: &T) {
+/// Asserts that the value is serialised exactly as in the fixture and is read
+/// back from it, with and without the fixture's null fields.
+fn assert_pinned<T: Serialize + DeserializeOwned + PartialEq + Debug>(name: &str, value: &T) {
     let text = fixture(name);
     assert_eq!(serde_json::to_string(value).unwrap(), text, "{name}");
     assert_eq!(serde_json::from_str::<T>(text).unwrap(), *value, "{name}");
-    let mut less: Value = serde_json::from_str(text).unwrap();
-    omit_nulls(&mut less);
-    assert_eq!(serde_json::from_value::<T>(less).unwrap(), *value, "{name}");
+    let mut without_nulls: Value = serde_json::from_str(text).unwrap();
+    omit_nulls(&mut without_nulls);
+    assert_eq!(
+        serde_json::from_value::<T>(without_nulls).unwrap(),
+        *value,
+        "{name}"
+    );
 }
 
 fn omit_nulls(value: &mut Value) {
@@ -54,19 +59,26 @@
     }
 }
 
-/// Pinned, and the published schema takes it; no unknown field is taken.
-fn message<T: Serialize + DeserializeOwned + PartialEq + Debug>(
+/// Asserts the format of a protocol message, that the schema accepts it, and
+/// that an unknown field is refused by the schema and by serde.
+fn assert_message_pinned<T: Serialize + DeserializeOwned + PartialEq + Debug>(
     name: &str,
     schema: &Value,
     value: &T,
 ) {
-    pinned(name, value);
+    assert_pinned(name, value);
     let reader = Reader::new(schema).unwrap();
     let text = fixture(name);
     assert_eq!(reader.read::<T>(text.as_bytes()).as_ref(), Ok(value));
-    let more = text.replacen('{', r#"{"later":1,"#, 1);
-    assert!(reader.read::<T>(more.as_bytes()).is_err(), "{name}");
-    assert!(serde_json::from_str::<T>(&more).is_err(), "{name}");
+    let with_unknown_field = text.replacen('{', r#"{"later":1,"#, 1);
+    assert!(
+        reader.read::<T>(with_unknown_field.as_bytes()).is_err(),
+        "{name}"
+    );
+    assert!(
+        serde_json::from_str::<T>(&with_unknown_field).is_err(),
+        "{name}"
+    );
 }
 
 fn slot() -> Slot {
@@ -77,7 +89,7 @@
     }
 }
 
-fn at(epoch: u64) -> Until {
+fn until(epoch: u64) -> Until {
     Until {
         epoch,
         clock_ms: epoch + 1000,
@@ -106,7 +118,7 @@
 }
 
 #[test]
-fn requests_to_a_market_stay() {
+fn requests_keep_their_wire_format() {
     let bid = |bid| Bid {
         bid,
         offer: format!("o-{bid}"),
@@ -116,7 +128,7 @@
     let award = |gang, done| Award {
         award: 41,
         bid: 42,
-        start_by: at(43),
+        start_by: until(43),
         cap: 44,
         job: Job {
             id: "j-000412".into(),
@@ -130,30 +142,30 @@
         },
     };
     let sync = Sync {
-        until: Some(at(21)),
+        until: Some(until(21)),
         awards: vec![22, 23],
         recall: vec![24],
         settled: vec![25, 26, 27],
         release: vec![28],
     };
-    let some = Ranges(vec![(0, 3), (7, 7)]);
+    let partly_done = Ranges(vec![(0, 3), (7, 7)]);
     for (name, ask) in [
         ("request.sync", Ask::Sync(sync)),
         ("request.sync_empty", Ask::Sync(Sync::default())),
         ("request.bids", Ask::Bids(vec![bid(30), bid(31)])),
         ("request.bids_empty", Ask::Bids(Vec::new())),
-        ("request.award", Ask::Award(award(true, some))),
+        ("request.award", Ask::Award(award(true, partly_done))),
         (
             "request.award_bare",
             Ask::Award(award(false, Ranges::default())),
         ),
     ] {
-        message(name, &schema::request(), &request(ask));
+        assert_message_pinned(name, &schema::request(), &request(ask));
     }
 }
 
 #[test]
-fn replies_of_a_market_stay() {
+fn replies_keep_their_wire_format() {
     let offer = |n: u32| Offer {
         offer: format!("o-{n}"),
         slot: slot(),
@@ -194,27 +206,27 @@
         ("reply.bids", Say::Bids(vec![accepted, BidSaid::Refused])),
         ("reply.fenced", Say::Fenced { term: 83 }),
     ] {
-        message(name, &schema::reply(), &reply(say));
+        assert_message_pinned(name, &schema::reply(), &reply(say));
     }
     let names = ["unknown", "void", "running", "withdrawn", "done"];
     for (name, state) in names.iter().zip(states()) {
         let reply = reply(Say::Award(state));
-        message(&format!("reply.award_{name}"), &schema::reply(), &reply);
+        assert_message_pinned(&format!("reply.award_{name}"), &schema::reply(), &reply);
     }
 }
 
 #[test]
-fn records_of_the_broker_stay() {
+fn stored_records_keep_their_format() {
     let award = |end| AwardRecord {
         award: 91,
         market: "north".into(),
         team: "vision".into(),
         tasks: 92,
         cap: 93,
-        start_by: at(94),
+        start_by: until(94),
         end,
     };
-    pinned("record.award_open", &award(None));
+    assert_pinned("record.award_open", &award(None));
     for (name, why) in [
         ("done", Why::Done),
         ("withdrawn", Why::Withdrawn),
@@ -229,25 +241,25 @@
             charge: 95,
             why,
         };
-        pinned(&format!("record.award_{name}"), &award(Some(end)));
+        assert_pinned(&format!("record.award_{name}"), &award(Some(end)));
     }
-    pinned("record.horizon", &HorizonRecord { until_ms: 96 });
-    pinned("record.spent", &SpentRecord { day: 97, spent: 98 });
-    pinned("record.standing_new", &Reputation::default());
+    assert_pinned("record.horizon", &HorizonRecord { until_ms: 96 });
+    assert_pinned("record.spent", &SpentRecord { day: 97, spent: 98 });
+    assert_pinned("record.standing_new", &Reputation::default());
     let mut standing = Reputation::default();
     for outcome in [Outcome::Kept, Outcome::Late, Outcome::Lied] {
         standing.note(outcome);
     }
-    pinned("record.standing", &standing);
+    assert_pinned("record.standing", &standing);
 }
 
 #[test]
-fn names_and_limits_on_the_wire_stay() {
+fn keys_limits_and_outcome_names_are_unchanged() {
     assert_eq!(award_key("j-000412"), "award/j-000412");
     assert_eq!(horizon_key("north"), "horizon/north");
     assert_eq!(standing_key("north"), "standing/north");
     assert_eq!(spent_key("vision"), "spent/vision");
-    assert_eq!(LINE, "line");
+    assert_eq!(SEQUENCE_KEY, "line");
     assert_eq!(PATH, "/market/v1");
     assert_eq!(records::day(86_400_000 * 7 - 1), 6);
     assert_eq!(
@@ -262,13 +274,13 @@
         ("lost", Outcome::Lost),
         ("lied", Outcome::Lied),
     ] {
-        pinned(&format!("outcome.{name}"), &outcome);
+        assert_pinned(&format!("outcome.{name}"), &outcome);
     }
 }
 
 #[test]
-fn waiting_job_stays() {
-    let waiting = |kind, left_ms, here_ms| Waiting {
+fn waiting_job_keeps_its_format() {
+    let waiting = |kind, left_ms, here_ms| WaitingJob {
         job: "j-000412".into(),
         class: "train".into(),
         team: "vision".into(),
@@ -287,17 +299,17 @@
         kept: true,
     };
     let gang = waiting(lending::Kind::Gang, Some(-105), Some(106));
-    pinned("waiting.gang", &gang);
-    pinned("waiting.array", &waiting(lending::Kind::Array, None, None));
-    pinned(
+    assert_pinned("waiting.gang", &gang);
+    assert_pinned("waiting.array", &waiting(lending::Kind::Array, None, None));
+    assert_pinned(
         "waiting.service",
         &waiting(lending::Kind::Service, None, None),
     );
 }
 
 #[test]
-fn schemas_stay_as_published() {
-    for (name, made, published) in [
+fn schemas_equal_the_published_ones() {
+    for (name, generated, published) in [
         (
             "request",
             schema::request(),
@@ -310,10 +322,10 @@
         ),
     ] {
         assert_eq!(
-            made,
+            generated,
             serde_json::from_str::<Value>(published).unwrap(),
             "{name}"
         );
-        assert_eq!(made.to_string(), fixture(&format!("schema.{name}")));
+        assert_eq!(generated.to_string(), fixture(&format!("schema.{name}")));
     }
 }
--- a/crates/market/tests/scenarios.rs
+++ b/crates/market/tests/scenarios.rs
@@ -1,203 +1,236 @@
-//! What the broker does when one thing goes wrong at a time.
+//! The broker's behaviour under one fault at a time, in the simulated world.
 
 mod simulation;
 
 use pathwinch_market::broker::Phase;
 use simulation::{Millis, World};
 
-/// A calm world, in which nothing starts at home by itself.
-fn calm(jobs: u32) -> World {
-    let mut w = World::new(7, jobs);
-    for j in w.jobs.values_mut() {
-        j.local_at = 10_000_000;
+/// Returns a world without faults in which the home cluster starts no job itself.
+fn fault_free_world(jobs: u32) -> World {
+    let mut world = World::new(7, jobs);
+    for j in world.jobs.values_mut() {
+        j.local_start_ms = 10_000_000;
     }
-    w.take_over();
-    w
+    world.take_over();
+    world
 }
 
-fn running(w: &World) -> usize {
-    w.jobs.keys().filter(|j| w.place(j).is_some()).count()
+fn running(world: &World) -> usize {
+    world
+        .jobs
+        .keys()
+        .filter(|j| world.location(j).is_some())
+        .count()
 }
 
-const NONE: Vec<String> = Vec::new();
+const NO_VIOLATIONS: Vec<String> = Vec::new();
 
 #[test]
-fn two_markets_accept_a_job_and_one_gets_it() {
-    let mut w = calm(1);
-    w.until("it runs", |w| running(w) == 1);
-    let held: Vec<u64> = w.markets.iter().map(|m| m.held).collect();
-    assert_eq!(held, [1, 1, 0], "the best place and the next best");
-    w.settle();
-    let accepted: u64 = w.markets.iter().map(|m| m.accepted).sum();
-    assert_eq!((accepted, w.markets[1].released), (1, 1));
-    assert_eq!(w.check(), NONE);
+fn job_accepted_by_two_markets_is_awarded_to_one() {
+    let mut world = fault_free_world(1);
+    world.run_until("the job runs", |w| running(w) == 1);
+    let accepted_bids: Vec<u64> = world.markets.iter().map(|m| m.held).collect();
+    assert_eq!(
+        accepted_bids,
+        [1, 1, 0],
+        "bids at the best and the second-best offer"
+    );
+    world.run_until_settled();
+    let accepted: u64 = world.markets.iter().map(|m| m.accepted).sum();
+    assert_eq!((accepted, world.markets[1].released), (1, 1));
+    assert_eq!(world.check(), NO_VIOLATIONS);
 }
 
-/// The broker's process ends before and after everything that it does, one
-/// run for each.
+/// Guards against state that only a broker's memory holds: its process ends
+/// right before or right after each effect, in one run per effect and moment.
 #[test]
-fn the_broker_may_end_before_and_after_every_step() {
-    let mut whole = calm(3);
-    whole.settle();
-    assert!(whole.effects > 30, "{}", whole.effects);
-    for at in 0..whole.effects {
-        for after in [false, true] {
-            let mut w = calm(3);
-            w.ends_at = Some((at, after));
-            w.settle();
-            assert_eq!(w.check(), NONE, "ended at {at}, after: {after}");
-            assert_eq!(w.brokers.len(), 2, "at {at}: a successor took over");
+fn successor_settles_every_job_when_the_broker_ends_at_any_step() {
+    let mut reference = fault_free_world(3);
+    reference.run_until_settled();
+    assert!(
+        reference.effects_executed > 30,
+        "{}",
+        reference.effects_executed
+    );
+    for effect_number in 0..reference.effects_executed {
+        for after_effect in [false, true] {
+            let mut world = fault_free_world(3);
+            world.crash_at = Some((effect_number, after_effect));
+            world.run_until_settled();
+            assert_eq!(
+                world.check(),
+                NO_VIOLATIONS,
+                "broker ended at effect {effect_number}, after it: {after_effect}"
+            );
+            assert_eq!(
+                world.brokers.len(),
+                2,
+                "effect {effect_number}: exactly one successor took over"
+            );
         }
     }
 }
 
 #[test]
-fn what_a_market_confirms_of_a_withdrawn_job_is_kept() {
-    let mut w = calm(30);
-    for m in &mut w.markets {
-        m.withdraws = 0.1;
+fn finished_tasks_are_kept_when_a_market_withdraws_a_job() {
+    let mut world = fault_free_world(30);
+    for market in &mut world.markets {
+        market.withdraws = 0.1;
     }
-    let kept = |w: &World| {
+    let partly_done = |w: &World| {
         w.jobs
             .values()
-            .any(|j| j.answer.is_none() && !j.w.done.is_empty())
+            .any(|j| j.answer.is_none() && !j.waiting.done.is_empty())
     };
-    w.until("a part is done and the rest is not", kept);
-    w.settle();
-    assert_eq!(w.check(), NONE);
+    world.run_until("some job is partly done", partly_done);
+    world.run_until_settled();
+    assert_eq!(world.check(), NO_VIOLATIONS);
 }
 
-/// Nobody answers any more: jobs come home, but not before the market must
-/// have ended them by its own clock.
+/// Guards against running a job twice: when a market stops answering, its jobs
+/// return home, but only after the market must have ended them by its own clock.
 #[test]
-fn jobs_of_a_silent_market_come_home_once_its_tenancy_is_surely_over() {
-    let mut w = calm(20);
-    for j in w.jobs.values_mut() {
-        j.w.estimate_s = 500.0;
+fn jobs_return_home_from_an_unresponsive_market_after_its_tenancy_has_ended() {
+    let mut world = fault_free_world(20);
+    for j in world.jobs.values_mut() {
+        j.waiting.estimate_s = 500.0;
     }
-    w.until("all run", |w| running(w) == 20);
-    let (m, began) = (0, w.now);
-    let lost: Vec<String> = w.jobs.keys().cloned().collect();
+    world.run_until("all jobs run", |w| running(w) == 20);
+    let (market_index, outage_start) = (0, world.now);
+    let lost: Vec<String> = world.jobs.keys().cloned().collect();
     let lost: Vec<String> = lost
         .into_iter()
-        .filter(|j| w.place(j) == Some("north"))
+        .filter(|j| world.location(j) == Some("north"))
         .collect();
     assert!(!lost.is_empty());
-    w.markets[m].down = true;
-    let home = |w: &World| lost.iter().all(|j| !w.broker().lent().any(|(l, _)| l == j));
-    w.until("they came home or went elsewhere", move |w| {
-        home(w) || w.now > began + 120_000
+    world.markets[market_index].down = true;
+    let returned = |w: &World| lost.iter().all(|j| !w.broker().lent().any(|(l, _)| l == j));
+    world.run_until("all lost jobs returned home", move |world| {
+        returned(world) || world.now > outage_start + 120_000
     });
-    let took: Millis = w.now - began;
-    assert!((20_000..60_000).contains(&took), "{took} ms");
-    w.settle();
-    assert_eq!(w.check(), NONE);
+    let return_time_ms: Millis = world.now - outage_start;
+    assert!(
+        (20_000..60_000).contains(&return_time_ms),
+        "{return_time_ms} ms"
+    );
+    world.run_until_settled();
+    assert_eq!(world.check(), NO_VIOLATIONS);
 }
 
-/// A clock a tenth too slow would let jobs run on after the home has given
-/// them up.
+/// Guards against jobs that run on after the home has reclaimed them, which a
+/// market clock that is 10 % slow would allow.
 #[test]
-fn a_market_whose_clock_crawls_is_given_nothing() {
-    let mut w = calm(40);
-    w.markets[0].rate = 0.9;
-    w.run(120_000);
-    w.settle();
-    assert_eq!(w.markets[0].accepted, 0);
-    assert!(w.markets[1].accepted > 0);
-    assert_eq!(w.check(), NONE);
+fn market_gets_no_award_when_its_clock_is_slow() {
+    let mut world = fault_free_world(40);
+    world.markets[0].rate = 0.9;
+    world.run(120_000);
+    world.run_until_settled();
+    assert_eq!(world.markets[0].accepted, 0);
+    assert!(world.markets[1].accepted > 0);
+    assert_eq!(world.check(), NO_VIOLATIONS);
 }
 
 #[test]
-fn a_liar_is_paid_no_more_than_awarded_and_soon_left_alone() {
-    let mut w = calm(60);
-    w.markets[0].lies = true;
-    w.settle();
-    assert_eq!(w.check(), NONE);
-    let north = w.broker().markets.iter().find(|m| m.name == "north");
+fn market_with_false_statements_is_paid_at_most_the_cap_and_then_excluded() {
+    let mut world = fault_free_world(60);
+    world.markets[0].lies = true;
+    world.run_until_settled();
+    assert_eq!(world.check(), NO_VIOLATIONS);
+    let north = world.broker().markets.iter().find(|m| m.name == "north");
     assert!(north.is_some_and(|m| !m.reputation.trusted()));
-    // The next broker need not find that out again.
-    w.run(1_000);
-    w.end_broker();
-    w.take_over();
-    let north = w.broker().markets.iter().find(|m| m.name == "north");
+    // The successor reads the reputation from the records.
+    world.run(1_000);
+    world.crash_broker();
+    world.take_over();
+    let north = world.broker().markets.iter().find(|m| m.name == "north");
     assert!(north.is_some_and(|m| !m.reputation.trusted()));
     let caps = 60 * 10_000_000;
-    assert!(w.spent() < caps, "{}", w.spent());
+    assert!(world.total_spent() < caps, "{}", world.total_spent());
 }
 
 #[test]
-fn a_user_cancels_while_the_award_is_on_its_way() {
-    // At each moment of the first seconds of a job's way out.
+fn job_is_withdrawn_when_cancelled_during_the_award() {
+    // Cancels at each 100 ms step of the first six seconds of an offload.
     for step in 0..60 {
-        let mut w = calm(1);
-        w.run(step * 100);
-        w.cancel("j-000000");
-        w.settle();
-        assert_eq!(w.check(), NONE, "after {step} steps");
-        assert_eq!(w.jobs["j-000000"].answer, Some("withdrawn"));
+        let mut world = fault_free_world(1);
+        world.run(step * 100);
+        world.cancel("j-000000");
+        world.run_until_settled();
+        assert_eq!(world.check(), NO_VIOLATIONS, "after {step} steps");
+        assert_eq!(world.jobs["j-000000"].answer, Some("withdrawn"));
     }
 }
 
 #[test]
-fn while_the_state_service_is_out_nothing_new_goes_out_and_nothing_is_lost() {
-    let mut w = calm(40);
-    w.until("some run", |w| running(w) > 5);
-    w.store_down = true;
-    // What was recorded before may still start.
-    w.run(12_000);
-    let accepted: u64 = w.markets.iter().map(|m| m.accepted).sum();
-    w.run(48_000);
-    assert_eq!(accepted, w.markets.iter().map(|m| m.accepted).sum::<u64>());
-    w.store_down = false;
-    w.settle();
-    assert_eq!(w.check(), NONE);
+fn broker_awards_nothing_new_and_loses_nothing_while_the_state_service_is_down() {
+    let mut world = fault_free_world(40);
+    world.run_until("some jobs run", |world| running(world) > 5);
+    world.store_down = true;
+    // Awards that were recorded before the outage may still start.
+    world.run(12_000);
+    let accepted: u64 = world.markets.iter().map(|m| m.accepted).sum();
+    world.run(48_000);
+    assert_eq!(
+        accepted,
+        world.markets.iter().map(|m| m.accepted).sum::<u64>()
+    );
+    world.store_down = false;
+    world.run_until_settled();
+    assert_eq!(world.check(), NO_VIOLATIONS);
 }
 
-/// The earlier broker stood still and goes on as if nothing had happened.
+/// Guards against a broker that was paused, missed its replacement and
+/// continues to act.
 #[test]
-fn a_broker_that_was_replaced_is_fenced_by_markets_and_records() {
-    let mut w = calm(60);
-    w.until("some run", |w| running(w) > 5);
-    w.take_over();
-    w.run(10_000);
-    assert!(w.brokers[0].is_none(), "the first one has noticed");
-    w.settle();
-    assert_eq!(w.check(), NONE);
+fn replaced_broker_is_fenced_by_markets_and_records() {
+    let mut world = fault_free_world(60);
+    world.run_until("some jobs run", |world| running(world) > 5);
+    world.take_over();
+    world.run(10_000);
+    assert!(
+        world.brokers[0].is_none(),
+        "the replaced broker has resigned"
+    );
+    world.run_until_settled();
+    assert_eq!(world.check(), NO_VIOLATIONS);
 }
 
 #[test]
-fn a_market_that_forgets_is_not_believed_until_all_from_before_has_ended() {
-    let mut w = calm(20);
-    for j in w.jobs.values_mut() {
-        j.w.estimate_s = 500.0;
+fn jobs_stay_offloaded_when_a_market_loses_its_state_until_its_tenancy_has_ended() {
+    let mut world = fault_free_world(20);
+    for j in world.jobs.values_mut() {
+        j.waiting.estimate_s = 500.0;
     }
-    w.until("all run", |w| running(w) == 20);
-    let now = w.now;
-    for m in &mut w.markets {
-        m.restart(false, now);
+    world.run_until("all jobs run", |w| running(w) == 20);
+    let now = world.now;
+    for market in &mut world.markets {
+        market.restart(false, now);
     }
-    w.run(10_000);
-    let away = w.broker().lent().count();
-    assert_eq!(away, 20, "they may still be running");
-    w.settle();
-    assert_eq!(w.check(), NONE);
+    world.run(10_000);
+    let offloaded = world.broker().lent().count();
+    assert_eq!(
+        offloaded, 20,
+        "all jobs stay offloaded: they may still be running"
+    );
+    world.run_until_settled();
+    assert_eq!(world.check(), NO_VIOLATIONS);
 }
 
 #[test]
-fn a_team_spends_no_more_than_its_budget_with_what_is_set_aside() {
-    let mut w = calm(100);
-    w.options.budgets.insert("graphics".into(), 20_000);
-    w.end_broker();
-    w.run(60_000);
-    for (_, lent) in w.broker().lent() {
+fn team_spends_at_most_its_budget_including_reserved_caps() {
+    let mut world = fault_free_world(100);
+    world.options.budgets.insert("graphics".into(), 20_000);
+    world.crash_broker();
+    world.run(60_000);
+    for (_, lent) in world.broker().lent() {
         assert!(!matches!(lent.phase, Phase::Awarded { .. }) || lent.cap <= 20_000);
     }
-    let accepted: u64 = w.markets.iter().map(|m| m.accepted).sum();
+    let accepted: u64 = world.markets.iter().map(|m| m.accepted).sum();
     assert!((1..100).contains(&accepted), "{accepted}");
-    assert!(w.spent() <= 20_000, "{}", w.spent());
-    for j in w.jobs.values_mut() {
-        j.local_at = 0;
+    assert!(world.total_spent() <= 20_000, "{}", world.total_spent());
+    for j in world.jobs.values_mut() {
+        j.local_start_ms = 0;
     }
-    w.settle();
-    assert_eq!(w.check(), NONE);
+    world.run_until_settled();
+    assert_eq!(world.check(), NO_VIOLATIONS);
 }
--- a/crates/market/tests/simulation/mod.rs
+++ b/crates/market/tests/simulation/mod.rs
@@ -1,16 +1,16 @@
-//! A home with its leader, a state service, brokers and three markets, all in
-//! memory, under one seed; and a checker of what must hold.
+//! In-memory simulation of a home cluster with its leader, a state service,
+//! brokers and three markets, driven by one seed, with a check of the invariants.
 
-// Each test program uses a part of it.
+// Each test binary uses only a part of this module.
 #![allow(dead_code)]
 
 use fastrand::Rng;
 use pathwinch_lab::market::{Did, MarketSim};
 use pathwinch_market::{
-    broker::{Broker, Effect, Event, Missing},
+    broker::{Broker, CallFailure, Effect, Event},
     clearing::Effort,
     ledger_sync::{Change, Step, WriteOutcome},
-    lending::{Kind, Waiting},
+    lending::{Kind, WaitingJob},
     options::Options,
     ranges::Ranges,
     records::{AWARDS, End, SPENT, SpentRecord, award_key},
@@ -21,35 +21,37 @@
 
 pub type Millis = u64;
 
-/// What goes wrong, as chances for each message.
+/// Probability of each fault, per message.
 #[derive(Debug, Clone, Default)]
 pub struct Faults {
     pub lost: f64,
-    pub doubled: f64,
-    /// Delivered minutes late.
-    pub late: f64,
+    pub duplicated: f64,
+    /// Probability that a message is delivered up to five minutes late.
+    pub delayed: f64,
 }
 
+/// A job as the home's leader keeps it.
 pub struct HomeJob {
-    pub w: Waiting,
+    pub waiting: WaitingJob,
     done: Vec<bool>,
+    /// Award for which the job is marked as offloaded, if it is.
     mark: Option<u64>,
-    /// Runs here until then.
-    here: Option<Millis>,
+    /// When the run on the home's own machines ends, if one is under way.
+    local_until: Option<Millis>,
     pub answer: Option<&'static str>,
-    /// Jobs that wait long enough are run here.
-    pub local_at: Millis,
-    /// When it is submitted.
-    pub come: Millis,
+    /// Offset from `START_TIME_MS` after which the home runs the job itself.
+    pub local_start_ms: Millis,
+    /// Time of submission.
+    pub submitted_at: Millis,
 }
 
 #[derive(Clone)]
-enum Msg {
+enum Message {
     Store(usize, Step),
     Market(usize, usize, u64, Millis, Request),
-    Lend(usize, String, u64, u64),
-    Return(usize, String, u64, End),
-    Broker(usize, Box<Event>),
+    MarkOffloaded(usize, String, u64, u64),
+    EndOffload(usize, String, u64, End),
+    BrokerEvent(usize, Box<Event>),
 }
 
 pub struct World {
@@ -62,35 +64,37 @@
     pub store_down: bool,
     revision: u64,
     pub term: u64,
-    /// All brokers there ever were; only the last has the leadership.
+    /// All brokers in order of their terms; only the last one holds the
+    /// leadership. `None`: its process has ended.
     pub brokers: Vec<Option<Broker>>,
     pub options: Options,
-    queue: BTreeMap<(Millis, u64), Msg>,
+    queue: BTreeMap<(Millis, u64), Message>,
     sequence: u64,
-    /// Where each job runs.
-    places: BTreeMap<String, Vec<String>>,
-    pub broken: Vec<String>,
-    /// Effects carried out so far, and the one at which the broker ends:
-    /// before it is carried out, or right after.
-    pub effects: u64,
-    pub ends_at: Option<(u64, bool)>,
-    pub takes_over_at: Millis,
+    /// Names of the markets, or `home`, at which each job runs now.
+    locations: BTreeMap<String, Vec<String>>,
+    pub violations: Vec<String>,
+    /// Number of effects that brokers have requested so far.
+    pub effects_executed: u64,
+    /// Number of the effect at which the broker's process ends, and whether it
+    /// ends right after the effect instead of right before.
+    pub crash_at: Option<(u64, bool)>,
+    pub takeover_at: Millis,
     pub calls: u64,
-    /// Jobs that the home runs at a time, in the order in which they came;
-    /// `None`: as `local_at` says.
-    pub room: Option<usize>,
+    /// Number of jobs that the home runs at a time, in order of submission;
+    /// `None`: each job starts at home after its `local_start_ms`.
+    pub local_capacity: Option<usize>,
 }
 
-const TIMEOUT: Millis = 2_000;
-/// The time of day at which every world begins.
-pub const BEGIN: Millis = 1_000_000_000;
+const REPLY_TIMEOUT_MS: Millis = 2_000;
+/// Time of day at which every simulation starts, in milliseconds.
+pub const START_TIME_MS: Millis = 1_000_000_000;
 
 impl World {
     pub fn new(seed: u64, jobs: u32) -> Self {
         let mut options = Options {
             classes: vec!["slice".into()],
-            after_ms: 0,
-            every_ms: 1_000,
+            min_wait_ms: 0,
+            sync_interval_ms: 1_000,
             tenancy_ms: 20_000,
             ..Options::default()
         };
@@ -103,7 +107,7 @@
             .map(|n| {
                 let tasks = rng.u32(1..=6);
                 let id = format!("j-{n:06}");
-                let w = Waiting {
+                let waiting = WaitingJob {
                     job: id.clone(),
                     class: "slice".into(),
                     team: "graphics".into(),
@@ -128,17 +132,17 @@
                 let job = HomeJob {
                     done: vec![false; tasks as usize],
                     mark: None,
-                    here: None,
+                    local_until: None,
                     answer: None,
-                    local_at: rng.u64(100_000..900_000),
-                    come: 0,
-                    w,
+                    local_start_ms: rng.u64(100_000..900_000),
+                    submitted_at: 0,
+                    waiting,
                 };
                 (id, job)
             })
             .collect();
         World {
-            now: BEGIN,
+            now: START_TIME_MS,
             markets: vec![
                 MarketSim::new("north", 90_000, 120, seed + 1),
                 MarketSim::new("south", 100_000, 120, seed + 2),
@@ -155,18 +159,18 @@
             options,
             queue: BTreeMap::new(),
             sequence: 0,
-            places: BTreeMap::new(),
-            broken: Vec::new(),
-            effects: 0,
-            ends_at: None,
-            takes_over_at: 0,
+            locations: BTreeMap::new(),
+            violations: Vec::new(),
+            effects_executed: 0,
+            crash_at: None,
+            takeover_at: 0,
             calls: 0,
-            room: None,
+            local_capacity: None,
         }
     }
 
-    /// A new broker wins the leadership and reads the records. Earlier ones
-    /// go on as long as they don't notice.
+    /// Starts a broker that wins the leadership and reads the records. Earlier
+    /// brokers continue until they notice that they were replaced.
     pub fn take_over(&mut self) {
         self.revision += 1;
         self.term = self.revision;
@@ -188,52 +192,56 @@
         self.brokers.push(Some(broker));
     }
 
-    /// The acting broker's process ends.
-    pub fn end_broker(&mut self) {
+    /// Ends the process of the acting broker.
+    pub fn crash_broker(&mut self) {
         if let Some(last) = self.brokers.last_mut() {
             *last = None;
         }
     }
 
-    fn put(&mut self, after: Millis, msg: Msg) {
+    fn enqueue(&mut self, delay_ms: Millis, message: Message) {
         self.sequence += 1;
-        self.queue.insert((self.now + after, self.sequence), msg);
+        self.queue
+            .insert((self.now + delay_ms, self.sequence), message);
     }
 
-    /// A message on its way: it may be lost, doubled or late.
-    fn send(&mut self, msg: Msg) {
-        let f = self.faults.clone();
-        if self.rng.f64() < f.lost {
+    /// Sends a message that may be lost, duplicated or delayed.
+    fn send_with_faults(&mut self, message: Message) {
+        let faults = self.faults.clone();
+        if self.rng.f64() < faults.lost {
             return;
         }
-        let late = self.rng.f64() < f.late;
-        let after = match late {
+        let delayed = self.rng.f64() < faults.delayed;
+        let delay_ms = match delayed {
             true => self.rng.u64(1_000..300_000),
             false => self.rng.u64(1..60),
         };
-        if self.rng.f64() < f.doubled {
-            let after = self.rng.u64(1..120_000);
-            self.put(after, msg.clone());
+        if self.rng.f64() < faults.duplicated {
+            let delay_ms = self.rng.u64(1..120_000);
+            self.enqueue(delay_ms, message.clone());
         }
-        self.put(after, msg);
+        self.enqueue(delay_ms, message);
     }
 
-    fn carry_out(&mut self, b: usize, effects: Vec<Effect>) {
+    fn execute_effects(&mut self, broker_index: usize, effects: Vec<Effect>) {
         for effect in effects {
-            let at = self.effects;
-            self.effects += 1;
-            if self.ends_at == Some((at, false)) {
-                self.end_broker();
+            let effect_number = self.effects_executed;
+            self.effects_executed += 1;
+            if self.crash_at == Some((effect_number, false)) {
+                self.crash_broker();
                 return;
             }
             match effect {
                 Effect::LedgerSync(step) => {
-                    let unknown = match &step {
+                    let timeout = match &step {
                         Step::Write(n, _) => Event::WriteOutcome(*n, WriteOutcome::Unknown),
-                        Step::Read(n, _) => Event::Read(*n, Err(())),
+                        Step::Read(n, _) => Event::ReadOutcome(*n, Err(())),
                     };
-                    self.send(Msg::Store(b, step));
-                    self.put(TIMEOUT, Msg::Broker(b, Box::new(unknown)));
+                    self.send_with_faults(Message::Store(broker_index, step));
+                    self.enqueue(
+                        REPLY_TIMEOUT_MS,
+                        Message::BrokerEvent(broker_index, Box::new(timeout)),
+                    );
                 }
                 Effect::Call {
                     market,
@@ -242,229 +250,262 @@
                 } => {
                     self.calls += 1;
                     let sent = self.now;
-                    self.send(Msg::Market(b, market, call, sent, request));
-                    let reply = Err(Missing::NoAnswer);
-                    let event = Event::Answered { call, sent, reply };
-                    self.put(TIMEOUT, Msg::Broker(b, Box::new(event)));
+                    self.send_with_faults(Message::Market(
+                        broker_index,
+                        market,
+                        call,
+                        sent,
+                        request,
+                    ));
+                    let reply = Err(CallFailure::NoAnswer);
+                    let event = Event::CallEnded { call, sent, reply };
+                    self.enqueue(
+                        REPLY_TIMEOUT_MS,
+                        Message::BrokerEvent(broker_index, Box::new(event)),
+                    );
                 }
-                Effect::Lend {
+                Effect::MarkOffloaded {
                     job,
                     award,
                     version,
-                } => self.send(Msg::Lend(b, job, award, version)),
-                Effect::Return { job, award, end } => self.send(Msg::Return(b, job, award, end)),
-                Effect::Resign => self.brokers[b] = None,
+                } => {
+                    self.send_with_faults(Message::MarkOffloaded(broker_index, job, award, version))
+                }
+                Effect::EndOffload { job, award, end } => {
+                    self.send_with_faults(Message::EndOffload(broker_index, job, award, end))
+                }
+                Effect::Resign => self.brokers[broker_index] = None,
             }
-            if self.ends_at == Some((at, true)) {
-                self.end_broker();
+            if self.crash_at == Some((effect_number, true)) {
+                self.crash_broker();
                 return;
             }
         }
     }
 
-    fn event(&mut self, b: usize, event: Event) {
+    fn deliver_event(&mut self, broker_index: usize, event: Event) {
         let now = self.now;
-        if let Some(broker) = &mut self.brokers[b] {
+        if let Some(broker) = &mut self.brokers[broker_index] {
             let effects = broker.event(event, now);
-            self.carry_out(b, effects);
+            self.execute_effects(broker_index, effects);
         }
     }
 
-    fn deliver(&mut self, msg: Msg) {
-        match msg {
-            Msg::Broker(b, event) => self.event(b, *event),
-            Msg::Store(b, Step::Write(n, change)) => {
-                let wrote = self.write(b, change);
-                self.send(Msg::Broker(b, Box::new(Event::WriteOutcome(n, wrote))));
+    fn deliver(&mut self, message: Message) {
+        match message {
+            Message::BrokerEvent(broker_index, event) => self.deliver_event(broker_index, *event),
+            Message::Store(broker_index, Step::Write(n, change)) => {
+                let outcome = self.apply_write(broker_index, change);
+                self.send_with_faults(Message::BrokerEvent(
+                    broker_index,
+                    Box::new(Event::WriteOutcome(n, outcome)),
+                ));
             }
-            Msg::Store(b, Step::Read(n, key)) => {
+            Message::Store(broker_index, Step::Read(n, key)) => {
                 let found = match self.store_down {
                     true => Err(()),
                     false => Ok(self.store.get(&key).cloned()),
                 };
-                self.send(Msg::Broker(b, Box::new(Event::Read(n, found))));
+                self.send_with_faults(Message::BrokerEvent(
+                    broker_index,
+                    Box::new(Event::ReadOutcome(n, found)),
+                ));
             }
-            Msg::Market(b, m, call, sent, request) => {
-                if self.markets[m].down {
+            Message::Market(broker_index, market, call, sent, request) => {
+                if self.markets[market].down {
                     return;
                 }
-                let (reply, did) = self.markets[m].handle(&request, self.now);
-                self.did(m, did);
+                let (reply, changes) = self.markets[market].handle(&request, self.now);
+                self.apply_market_changes(market, changes);
                 let reply = Ok(reply);
-                let event = Event::Answered { call, sent, reply };
-                self.send(Msg::Broker(b, Box::new(event)));
+                let event = Event::CallEnded { call, sent, reply };
+                self.send_with_faults(Message::BrokerEvent(broker_index, Box::new(event)));
             }
-            Msg::Lend(b, job, award, version) => {
-                let marked = self.lend(&job, award, version);
-                let event = Event::Lent { job, award, marked };
-                self.send(Msg::Broker(b, Box::new(event)));
+            Message::MarkOffloaded(broker_index, job, award, version) => {
+                let marked = self.mark_offloaded(&job, award, version);
+                let event = Event::OffloadMarked { job, award, marked };
+                self.send_with_faults(Message::BrokerEvent(broker_index, Box::new(event)));
             }
-            Msg::Return(b, job, award, end) => {
-                let taken = self.take_back(&job, award, end);
-                let event = Event::Returned { job, award, taken };
-                self.send(Msg::Broker(b, Box::new(event)));
+            Message::EndOffload(broker_index, job, award, end) => {
+                let taken = self.end_offload(&job, award, end);
+                let event = Event::OffloadEnded { job, award, taken };
+                self.send_with_faults(Message::BrokerEvent(broker_index, Box::new(event)));
             }
         }
     }
 
-    fn write(&mut self, b: usize, change: Change) -> WriteOutcome {
+    fn apply_write(&mut self, broker_index: usize, change: Change) -> WriteOutcome {
         if self.store_down {
-            return WriteOutcome::Later;
+            return WriteOutcome::Rejected;
         }
-        // Each write is guarded by the leadership.
-        if b + 1 != self.brokers.len() {
-            self.brokers[b] = None;
+        // Each transaction has the leadership record as a condition.
+        if broker_index + 1 != self.brokers.len() {
+            self.brokers[broker_index] = None;
             return WriteOutcome::Conflict;
         }
-        assert!(change.writes.len() <= 12, "txn_ops");
-        let fits = |(k, v, _): &(String, u64, _)| self.store.get(k).map_or(0, |s| s.1) == *v;
-        if !change.writes.iter().all(fits) {
+        assert!(
+            change.writes.len() <= 12,
+            "transaction has more than txn_ops writes"
+        );
+        let version_matches =
+            |(k, stored, _): &(String, u64, _)| self.store.get(k).map_or(0, |s| s.1) == *stored;
+        if !change.writes.iter().all(version_matches) {
             return WriteOutcome::Conflict;
         }
         self.revision += 1;
         for (key, _, value) in change.writes {
             match value {
-                Some(v) => self.store.insert(key, (v, self.revision)),
+                Some(stored) => self.store.insert(key, (stored, self.revision)),
                 None => self.store.remove(&key),
             };
         }
         WriteOutcome::Done(self.revision)
     }
 
-    fn lend(&mut self, job: &str, award: u64, version: u64) -> Option<bool> {
+    fn mark_offloaded(&mut self, job: &str, award: u64, version: u64) -> Option<bool> {
         if self.store_down {
             return None;
         }
-        let current = self.store.get(&award_key(job)).map_or(0, |s| s.1);
-        let j = self.jobs.get_mut(job)?;
-        if j.mark == Some(award) {
+        let current_version = self.store.get(&award_key(job)).map_or(0, |s| s.1);
+        let home_job = self.jobs.get_mut(job)?;
+        if home_job.mark == Some(award) {
             return Some(true);
         }
-        let free = j.answer.is_none() && j.here.is_none() && j.mark.is_none();
-        if !free || current != version {
+        let free =
+            home_job.answer.is_none() && home_job.local_until.is_none() && home_job.mark.is_none();
+        if !free || current_version != version {
             return Some(false);
         }
-        j.mark = Some(award);
+        home_job.mark = Some(award);
         Some(true)
     }
 
-    fn take_back(&mut self, job: &str, award: u64, end: End) -> bool {
+    fn end_offload(&mut self, job: &str, award: u64, end: End) -> bool {
         if self.store_down {
             return false;
         }
-        let Some(j) = self.jobs.get_mut(job) else {
+        let Some(home_job) = self.jobs.get_mut(job) else {
             return true;
         };
-        if j.mark != Some(award) {
+        if home_job.mark != Some(award) {
             return true;
         }
-        j.mark = None;
+        home_job.mark = None;
         for (first, last) in &end.done.0 {
             for n in *first..=*last {
-                j.done[n as usize] = true;
+                home_job.done[n as usize] = true;
             }
         }
-        j.w.done = ranges(&j.done);
-        if j.answer.is_none() && j.done.iter().all(|d| *d) {
-            self.answer(job, "done");
+        home_job.waiting.done = ranges(&home_job.done);
+        if home_job.answer.is_none() && home_job.done.iter().all(|d| *d) {
+            self.set_answer(job, "done");
         }
-        // A mark that is lifted says that nothing of it runs elsewhere.
-        if self.places.get(job).is_some_and(|p| !p.is_empty()) {
-            self.broken.push(format!("{job} handed back while it runs"));
+        // Once the mark is removed, the job must not run at any market.
+        if self.locations.get(job).is_some_and(|p| !p.is_empty()) {
+            self.violations.push(format!(
+                "{job} returned to the home while it runs at a market"
+            ));
         }
         true
     }
 
-    fn answer(&mut self, job: &str, answer: &'static str) {
-        if let Some(j) = self.jobs.get_mut(job) {
-            if j.answer.is_some() {
-                self.broken.push(format!("{job} has two final answers"));
+    fn set_answer(&mut self, job: &str, answer: &'static str) {
+        if let Some(home_job) = self.jobs.get_mut(job) {
+            if home_job.answer.is_some() {
+                self.violations.push(format!("{job} has two final answers"));
             }
-            j.answer = Some(answer);
+            home_job.answer = Some(answer);
         }
     }
 
-    /// A user cancels a job.
+    /// Cancels a job on behalf of a user.
     pub fn cancel(&mut self, job: &str) {
         if self.jobs[job].answer.is_some() {
             return;
         }
-        self.answer(job, "withdrawn");
+        self.set_answer(job, "withdrawn");
         if self
             .jobs
             .get_mut(job)
-            .is_some_and(|j| j.here.take().is_some())
+            .is_some_and(|j| j.local_until.take().is_some())
         {
-            self.leaves(job, "home");
+            self.job_ended(job, "home");
         }
-        let b = self.brokers.len() - 1;
-        self.event(b, Event::Recall(job.to_owned()));
+        let broker_index = self.brokers.len() - 1;
+        self.deliver_event(broker_index, Event::Recall(job.to_owned()));
     }
 
-    fn arrives(&mut self, job: &str, place: &str) {
-        let at = self.places.entry(job.to_owned()).or_default();
-        if !at.is_empty() {
-            self.broken
-                .push(format!("{job} starts at {place} while at {at:?}"));
+    fn job_started(&mut self, job: &str, location: &str) {
+        let running_at = self.locations.entry(job.to_owned()).or_default();
+        if !running_at.is_empty() {
+            self.violations.push(format!(
+                "{job} starts at {location} while it runs at {running_at:?}"
+            ));
         }
-        at.push(place.to_owned());
+        running_at.push(location.to_owned());
     }
 
-    fn leaves(&mut self, job: &str, place: &str) {
-        if let Some(at) = self.places.get_mut(job)
-            && let Some(i) = at.iter().position(|p| p == place)
+    fn job_ended(&mut self, job: &str, location: &str) {
+        if let Some(running_at) = self.locations.get_mut(job)
+            && let Some(position) = running_at.iter().position(|p| p == location)
         {
-            at.remove(i);
+            running_at.remove(position);
         }
     }
 
-    fn did(&mut self, m: usize, did: Vec<Did>) {
-        let name = self.markets[m].name.clone();
-        for d in did {
-            match d {
-                Did::Start(job) => self.arrives(&job, &name),
-                Did::End(job) => self.leaves(&job, &name),
+    fn apply_market_changes(&mut self, market: usize, changes: Vec<Did>) {
+        let name = self.markets[market].name.clone();
+        for change in changes {
+            match change {
+                Did::Start(job) => self.job_started(&job, &name),
+                Did::End(job) => self.job_ended(&job, &name),
             }
         }
     }
 
-    /// The leader starts what waited too long, or what there is room for, and
-    /// ends what is through.
-    fn home(&mut self) {
+    /// Acts as the home's leader: ends local runs that are complete and starts
+    /// jobs that waited too long or for which there is local capacity.
+    fn step_home(&mut self) {
         let now = self.now;
-        let mut ends = Vec::new();
-        for (id, j) in &mut self.jobs {
-            if j.here.is_some_and(|at| at <= now) {
-                j.here = None;
-                ends.push(id.clone());
+        let mut ended = Vec::new();
+        for (id, home_job) in &mut self.jobs {
+            if home_job.local_until.is_some_and(|at| at <= now) {
+                home_job.local_until = None;
+                ended.push(id.clone());
             }
         }
-        for id in ends {
-            self.leaves(&id, "home");
-            self.answer(&id, "done");
+        for id in ended {
+            self.job_ended(&id, "home");
+            self.set_answer(&id, "done");
         }
-        let here = self.jobs.values().filter(|j| j.here.is_some()).count();
-        let room = self.room.map_or(usize::MAX, |r| r.saturating_sub(here));
-        let mut starts: Vec<(Millis, String)> = self
+        let running_here = self
+            .jobs
+            .values()
+            .filter(|j| j.local_until.is_some())
+            .count();
+        let free_slots = self
+            .local_capacity
+            .map_or(usize::MAX, |r| r.saturating_sub(running_here));
+        let mut startable: Vec<(Millis, String)> = self
             .jobs
             .iter()
-            .filter(|(_, j)| j.answer.is_none() && j.mark.is_none() && j.here.is_none())
-            .filter(|(_, j)| match self.room {
-                Some(_) => now >= j.come,
-                None => now >= BEGIN + j.local_at,
+            .filter(|(_, j)| j.answer.is_none() && j.mark.is_none() && j.local_until.is_none())
+            .filter(|(_, home_job)| match self.local_capacity {
+                Some(_) => now >= home_job.submitted_at,
+                None => now >= START_TIME_MS + home_job.local_start_ms,
             })
-            .map(|(id, j)| (j.come, id.clone()))
+            .map(|(id, home_job)| (home_job.submitted_at, id.clone()))
             .collect();
-        starts.sort();
-        for (_, id) in starts.into_iter().take(room) {
-            let run = match self.room {
-                Some(_) => (self.jobs[&id].w.estimate_s * 1000.0) as Millis,
+        startable.sort();
+        for (_, id) in startable.into_iter().take(free_slots) {
+            let run_ms = match self.local_capacity {
+                Some(_) => (self.jobs[&id].waiting.estimate_s * 1000.0) as Millis,
                 None => 10_000,
             };
-            if let Some(j) = self.jobs.get_mut(&id) {
-                j.here = Some(now + run);
+            if let Some(home_job) = self.jobs.get_mut(&id) {
+                home_job.local_until = Some(now + run_ms);
             }
-            self.arrives(&id, "home");
+            self.job_started(&id, "home");
         }
     }
 
@@ -475,72 +516,73 @@
             if entry.key().0 > self.now {
                 break;
             }
-            let msg = entry.remove();
-            self.deliver(msg);
+            let message = entry.remove();
+            self.deliver(message);
         }
-        for m in 0..self.markets.len() {
-            let did = self.markets[m].step(self.now, STEP);
-            self.did(m, did);
+        for market in 0..self.markets.len() {
+            let changes = self.markets[market].step(self.now, STEP);
+            self.apply_market_changes(market, changes);
         }
         if self.now.is_multiple_of(500) {
-            self.home();
-            let waiting: Vec<Waiting> = self
+            self.step_home();
+            let waiting: Vec<WaitingJob> = self
                 .jobs
                 .values()
-                .filter(|j| j.answer.is_none() && j.mark.is_none() && j.come <= self.now)
-                .map(|j| Waiting {
-                    placed: u32::from(j.here.is_some()),
-                    ..j.w.clone()
+                .filter(|j| j.answer.is_none() && j.mark.is_none() && j.submitted_at <= self.now)
+                .map(|home_job| WaitingJob {
+                    placed: u32::from(home_job.local_until.is_some()),
+                    ..home_job.waiting.clone()
                 })
                 .take(200)
                 .collect();
-            if let Some(b) = self.brokers.len().checked_sub(1) {
-                self.event(b, Event::Waiting(waiting));
+            if let Some(broker_index) = self.brokers.len().checked_sub(1) {
+                self.deliver_event(broker_index, Event::Waiting(waiting));
             }
         }
         let now = self.now;
-        for b in 0..self.brokers.len() {
-            if let Some(broker) = &mut self.brokers[b] {
+        for broker_index in 0..self.brokers.len() {
+            if let Some(broker) = &mut self.brokers[broker_index] {
                 let effects = broker.tick(now);
-                self.carry_out(b, effects);
+                self.execute_effects(broker_index, effects);
             }
         }
-        if self.brokers.last().is_none_or(Option::is_none) && now >= self.takes_over_at {
+        if self.brokers.last().is_none_or(Option::is_none) && now >= self.takeover_at {
             self.take_over();
         }
     }
 
-    pub fn run(&mut self, ms: Millis) {
-        let until = self.now + ms;
+    pub fn run(&mut self, duration_ms: Millis) {
+        let until = self.now + duration_ms;
         while self.now < until {
             self.step();
         }
     }
 
-    pub fn unanswered(&self) -> usize {
+    pub fn unanswered_jobs(&self) -> usize {
         self.jobs.values().filter(|j| j.answer.is_none()).count()
     }
 
-    pub fn lent(&self) -> usize {
+    pub fn open_award_records(&self) -> usize {
         self.store.keys().filter(|k| k.starts_with(AWARDS)).count()
     }
 
-    /// Goes on without further faults until all is settled.
-    pub fn settle(&mut self) {
+    /// Runs without further faults until each job has its answer and no award
+    /// record is left, for at most 2,000 simulated seconds.
+    pub fn run_until_settled(&mut self) {
         self.faults = Faults::default();
         self.store_down = false;
-        for m in &mut self.markets {
-            m.down = false;
+        for market in &mut self.markets {
+            market.down = false;
         }
         for _ in 0..2_000 {
-            if self.unanswered() == 0 && self.lent() == 0 {
+            if self.unanswered_jobs() == 0 && self.open_award_records() == 0 {
                 return;
             }
             self.run(1_000);
         }
     }
 
-    pub fn spent(&self) -> u64 {
+    pub fn total_spent(&self) -> u64 {
         let spent = self.store.iter().filter(|(k, _)| k.starts_with(SPENT));
         spent
             .filter_map(|(_, (v, _))| serde_json::from_value::<SpentRecord>(v.clone()).ok())
@@ -548,51 +590,54 @@
             .sum()
     }
 
-    /// Where a job runs now.
-    pub fn place(&self, job: &str) -> Option<&str> {
-        self.places.get(job)?.first().map(String::as_str)
+    /// Returns where a job runs now.
+    pub fn location(&self, job: &str) -> Option<&str> {
+        self.locations.get(job)?.first().map(String::as_str)
     }
 
     pub fn broker(&self) -> &Broker {
         self.brokers
             .last()
             .and_then(Option::as_ref)
-            .expect("a broker acts")
+            .expect("the last broker's process has ended")
     }
 
-    /// Goes on until it is so; panics after ten minutes.
-    pub fn until(&mut self, what: &str, so: impl Fn(&World) -> bool) {
+    /// Runs until the condition holds; panics after ten simulated minutes.
+    pub fn run_until(&mut self, description: &str, condition: impl Fn(&World) -> bool) {
         for _ in 0..6_000 {
-            if so(self) {
+            if condition(self) {
                 return;
             }
             self.step();
         }
-        panic!("never: {what}");
+        panic!("not reached within ten minutes: {description}");
     }
 
-    /// What must hold at the end.
+    /// Returns all violations of what must hold once a run is settled.
     pub fn check(&self) -> Vec<String> {
-        let mut wrong = self.broken.clone();
-        for (id, j) in &self.jobs {
-            if j.answer.is_none() {
-                wrong.push(format!("{id} has no answer"));
+        let mut violations = self.violations.clone();
+        for (id, home_job) in &self.jobs {
+            if home_job.answer.is_none() {
+                violations.push(format!("{id} has no answer"));
             }
-            if j.mark.is_some() {
-                wrong.push(format!("{id} is still marked"));
+            if home_job.mark.is_some() {
+                violations.push(format!("{id} is still marked"));
             }
-            if self.places.get(id).is_some_and(|p| !p.is_empty()) {
-                wrong.push(format!("{id} still runs"));
+            if self.locations.get(id).is_some_and(|p| !p.is_empty()) {
+                violations.push(format!("{id} still runs"));
             }
         }
         let budget: u64 = self.options.budgets.values().sum();
-        if self.spent() > budget {
-            wrong.push("over budget".into());
+        if self.total_spent() > budget {
+            violations.push("spent more than the budgets allow".into());
         }
-        if self.lent() > 0 {
-            wrong.push(format!("{} awards are not settled", self.lent()));
+        if self.open_award_records() > 0 {
+            violations.push(format!(
+                "{} award records are left",
+                self.open_award_records()
+            ));
         }
-        wrong
+        violations
     }
 }
 
