--- a/crates/market/src/broker/bids.rs
+++ b/crates/market/src/broker/bids.rs
@@ -1,310 +1,356 @@
-//! From a clearing to accepted bids to an award.
+//! Turns the result of a clearing into bids, and accepted bids into awards.
 //!
-//! A bid binds the home to nothing, so a job may have two out: the best place
-//! and the next best in another market. If both are accepted, one is awarded
-//! and the other let go.
+//! A bid does not bind the home, so a job may have two bids at a time: one for
+//! the best offer and one for the best offer of another market. If both are
+//! accepted, the broker awards the job to one market and releases the other bid.
 
 use super::*;
 use crate::{
-    clearing::{JobBid, Place, Problem},
+    clearing::{JobBid, PricedOffer, Problem},
     lending,
     wire::{Ask, Award, Bid, BidSaid, Job, MAX_ROWS},
 };
 
-/// Bids that are not answered for so long are given up.
-const PATIENCE: Millis = 4_000;
-/// Of an expected cost, what an award may come to: run times are guesses.
-const SLACK: f64 = 1.5;
-/// An offer must stand for so much longer to be bid for.
-const LEAST_LEFT: Millis = 2_000;
+/// Time after which an unanswered bid is given up.
+const BID_TIMEOUT_MS: Millis = 4_000;
+/// Ratio of an award's cap to its expected cost. Estimates of run times are
+/// inaccurate, so the cap leaves room above the expected cost.
+const COST_CAP_FACTOR: f64 = 1.5;
+/// Remaining validity that an offer must have to be bid for.
+const MIN_OFFER_VALIDITY_MS: Millis = 2_000;
 
+/// A bid that was sent to a market.
 #[derive(Debug)]
-struct Out {
+struct PendingBid {
     bid: u64,
     market: usize,
     price: Money,
-    /// `None`: no answer yet; then the price accepted, if it was.
-    said: Option<Option<Money>>,
+    /// `None`: no answer yet; `Some(None)`: refused or failed; `Some(Some(price))`:
+    /// accepted at this price.
+    answer: Option<Option<Money>>,
 }
 
+/// The bids for one job.
 #[derive(Debug)]
-struct Bids {
+struct JobBids {
     job: WaitingJob,
-    worth: Money,
-    out: Vec<Out>,
-    until: Millis,
+    max_cost: Money,
+    pending: Vec<PendingBid>,
+    expires_at: Millis,
 }
 
-/// Bids under way. They expire by themselves and are not recorded.
+/// Bids that are not yet awarded or released. They are kept in memory only,
+/// because a market lets them expire without further messages.
 #[derive(Debug, Default)]
 pub(super) struct BidTracker {
-    jobs: BTreeMap<String, Bids>,
+    jobs: BTreeMap<String, JobBids>,
     by_bid: HashMap<u64, String>,
-    count: u64,
+    bid_count: u64,
 }
 
 impl BidTracker {
-    /// Lets a job's bids go.
-    pub(super) fn forget(&mut self, job: &str, markets: &mut [Market]) {
+    /// Drops a job's bids and queues those that a market may hold for release.
+    pub(super) fn drop_job(&mut self, job: &str, markets: &mut [Market]) {
         let Some(bids) = self.jobs.remove(job) else {
             return;
         };
-        for out in bids.out {
-            self.by_bid.remove(&out.bid);
-            let release = &mut markets[out.market].release;
-            if out.said != Some(None) && release.len() < MAX_ROWS {
-                release.push(out.bid);
+        for bid in bids.pending {
+            self.by_bid.remove(&bid.bid);
+            let released_bids = &mut markets[bid.market].released_bids;
+            if bid.answer != Some(None) && released_bids.len() < MAX_ROWS {
+                released_bids.push(bid.bid);
             }
         }
     }
 
-    /// A call with these bids came to nothing.
-    pub(super) fn unanswered(&mut self, bids: &[u64], markets: &mut [Market]) {
+    /// Marks bids as failed whose call got no usable reply.
+    pub(super) fn mark_unanswered(&mut self, bids: &[u64], markets: &mut [Market]) {
         for bid in bids {
             let Some(job) = self.by_bid.get(bid) else {
                 continue;
             };
-            let Some(out) = self
+            let Some(pending_bid) = self
                 .jobs
                 .get_mut(job)
-                .and_then(|b| b.out.iter_mut().find(|o| o.bid == *bid))
+                .and_then(|b| b.pending.iter_mut().find(|o| o.bid == *bid))
             else {
                 continue;
             };
-            out.said = Some(None);
-            // It may have been accepted all the same.
-            if markets[out.market].release.len() < MAX_ROWS {
-                markets[out.market].release.push(*bid);
+            pending_bid.answer = Some(None);
+            // The market may have accepted the bid although its reply was lost.
+            if markets[pending_bid.market].released_bids.len() < MAX_ROWS {
+                markets[pending_bid.market].released_bids.push(*bid);
             }
         }
     }
 }
 
-/// An offer and where it stands.
-struct Standing {
+/// An offer and the market that made it.
+struct UsableOffer {
     market: usize,
     offer: String,
     price: Money,
 }
 
 impl Broker {
-    /// Offers that can be counted on now.
-    fn standing(&self, now: Millis) -> (Vec<Standing>, Vec<Place>) {
-        let (mut list, mut places) = (Vec::new(), Vec::new());
-        for (m, market) in self.markets.iter().enumerate() {
-            let Some(clock) = market.clock.ahead(now, LEAST_LEFT) else {
+    /// Returns the valid offers of trusted markets that can be called, whose clocks
+    /// are reliable and that hold fewer than half of `MAX_ROWS` jobs; the second
+    /// list has the same offers in the form that the clearing takes.
+    fn usable_offers(&self, now: Millis) -> (Vec<UsableOffer>, Vec<PricedOffer>) {
+        let (mut offers, mut priced_offers) = (Vec::new(), Vec::new());
+        for (market_index, market) in self.markets.iter().enumerate() {
+            let Some(clock) = market.clock.ahead(now, MIN_OFFER_VALIDITY_MS) else {
                 continue;
             };
-            let here = self.jobs.values().filter(|l| l.market == m).count();
-            if !market.known
+            let awards_here = self
+                .jobs
+                .values()
+                .filter(|l| l.market == market_index)
+                .count();
+            if !market.configured
                 || !market.clock.watched()
-                || !market.gate.usable()
+                || !market.breaker.usable()
                 || !market.reputation.trusted()
-                || here >= MAX_ROWS / 2
+                || awards_here >= MAX_ROWS / 2
             {
                 continue;
             }
-            for o in &market.offers {
-                if o.valid_until_ms < clock.clock_ms || o.slots == 0 {
+            for offer in &market.offers {
+                if offer.valid_until_ms < clock.clock_ms || offer.slots == 0 {
                     continue;
                 }
-                let price = o.price as f64;
-                places.push(Place {
-                    slots: o.slots,
-                    slot: o.slot,
+                let price = offer.price as f64;
+                priced_offers.push(PricedOffer {
+                    slots: offer.slots,
+                    slot: offer.slot,
                     price,
                     effective: market.reputation.effective(price),
                 });
-                list.push(Standing {
-                    market: m,
-                    offer: o.offer.clone(),
-                    price: o.price,
+                offers.push(UsableOffer {
+                    market: market_index,
+                    offer: offer.offer.clone(),
+                    price: offer.price,
                 });
             }
         }
-        (list, places)
+        (offers, priced_offers)
     }
 
-    pub(super) fn clear(&mut self, now: Millis) {
-        self.award_accepted(now);
+    /// Assigns waiting jobs to offers, at most once per sync interval, and sends
+    /// the bids that follow from it.
+    pub(super) fn clear_waiting_jobs(&mut self, now: Millis) {
+        self.award_accepted_bids(now);
         if now < self.next_clearing || self.waiting.is_empty() {
             return;
         }
-        self.next_clearing = now + self.o.sync_interval_ms;
-        let (standing, offers) = self.standing(now);
+        self.next_clearing = now + self.options.sync_interval_ms;
+        let (usable_offers, offers) = self.usable_offers(now);
         if offers.is_empty() {
             return;
         }
-        let open: Vec<WaitingJob> = self
+        let open_jobs: Vec<WaitingJob> = self
             .waiting
             .iter()
             .filter(|w| !self.jobs.contains_key(&w.job) && !self.bidding.jobs.contains_key(&w.job))
             .cloned()
             .collect();
-        let out = self.jobs.len() + self.bidding.jobs.len();
-        let (go, _) = lending::choose(&open, out, |team| self.money(team, now), &self.o);
-        let teams: Vec<&String> = self.o.budgets.keys().collect();
-        let (go, jobs): (Vec<WaitingJob>, Vec<JobBid>) = go
+        let offloaded = self.jobs.len() + self.bidding.jobs.len();
+        let (chosen_jobs, _) = lending::choose(
+            &open_jobs,
+            offloaded,
+            |team| self.remaining_budget(team, now),
+            &self.options,
+        );
+        let teams: Vec<&String> = self.options.budgets.keys().collect();
+        let (chosen_jobs, jobs): (Vec<WaitingJob>, Vec<JobBid>) = chosen_jobs
             .into_iter()
-            .filter_map(|w| Some((w.clone(), bidder(w, &teams, &self.o)?)))
+            .filter_map(|job| Some((job.clone(), job_bid(job, &teams, &self.options)?)))
             .unzip();
         let problem = Problem {
             jobs,
             offers,
-            budgets: teams.iter().map(|t| self.money(t, now) as f64).collect(),
+            budgets: teams
+                .iter()
+                .map(|t| self.remaining_budget(t, now) as f64)
+                .collect(),
         };
         let plan = crate::clearing::clear(&problem, &self.effort);
         let mut rows: BTreeMap<usize, Vec<Bid>> = BTreeMap::new();
-        for ((w, j), choice) in go.iter().zip(&problem.jobs).zip(&plan.choice) {
+        for ((job, terms), choice) in chosen_jobs.iter().zip(&problem.jobs).zip(&plan.choice) {
             let Some(best) = *choice else { continue };
-            let first = standing[best].market;
-            // The next best, in another market, for the case that it refuses.
-            let second = (0..standing.len())
-                .filter(|o| standing[*o].market != first)
+            let first = usable_offers[best].market;
+            // The best offer of another market serves as a fallback if the first
+            // market refuses the bid.
+            let second_best = (0..usable_offers.len())
+                .filter(|o| usable_offers[*o].market != first)
                 .filter(|o| {
-                    let p = &problem.offers[*o];
-                    p.slots >= j.slots
-                        && p.slot.holds(&j.slot)
-                        && f64::from(j.slots) * j.hours * p.effective < j.worth
+                    let candidate = &problem.offers[*o];
+                    candidate.slots >= terms.slots
+                        && candidate.slot.holds(&terms.slot)
+                        && f64::from(terms.slots) * terms.hours * candidate.effective < terms.worth
                 })
                 .min_by(|a, b| {
                     let price = |o: usize| problem.offers[o].effective;
                     price(*a).total_cmp(&price(*b))
                 });
-            let chosen = std::iter::once(best).chain(second);
-            self.bid(w, j, chosen.map(|o| &standing[o]), &mut rows, now);
+            let bid_offers = std::iter::once(best).chain(second_best);
+            self.place_bids(
+                job,
+                terms,
+                bid_offers.map(|o| &usable_offers[o]),
+                &mut rows,
+                now,
+            );
         }
-        for (m, bids) in rows {
-            for part in bids.chunks(MAX_ROWS / 4) {
-                let numbers: Vec<u64> = part.iter().map(|b| b.bid).collect();
-                if self.markets[m].gate.enter(now, false) {
-                    self.call(m, Call::Bids(numbers), Ask::Bids(part.to_vec()));
+        for (market_index, bids) in rows {
+            for batch in bids.chunks(MAX_ROWS / 4) {
+                let bid_ids: Vec<u64> = batch.iter().map(|b| b.bid).collect();
+                if self.markets[market_index].breaker.enter(now, false) {
+                    self.send_call(market_index, Call::Bids(bid_ids), Ask::Bids(batch.to_vec()));
                 } else {
-                    self.bidding.unanswered(&numbers, &mut self.markets);
+                    self.bidding.mark_unanswered(&bid_ids, &mut self.markets);
                 }
             }
         }
     }
 
-    fn bid<'a>(
+    fn place_bids<'a>(
         &mut self,
-        w: &WaitingJob,
-        j: &JobBid,
-        offers: impl Iterator<Item = &'a Standing>,
+        job: &WaitingJob,
+        terms: &JobBid,
+        offers: impl Iterator<Item = &'a UsableOffer>,
         rows: &mut BTreeMap<usize, Vec<Bid>>,
         now: Millis,
     ) {
-        let mut out = Vec::new();
-        for s in offers {
-            self.bidding.count += 1;
-            let bid = (self.term << 32) | self.bidding.count;
-            self.bidding.by_bid.insert(bid, w.job.clone());
-            out.push(Out {
+        let mut pending = Vec::new();
+        for offer in offers {
+            self.bidding.bid_count += 1;
+            let bid = (self.term << 32) | self.bidding.bid_count;
+            self.bidding.by_bid.insert(bid, job.job.clone());
+            pending.push(PendingBid {
                 bid,
-                market: s.market,
-                price: s.price,
-                said: None,
+                market: offer.market,
+                price: offer.price,
+                answer: None,
             });
-            rows.entry(s.market).or_default().push(Bid {
+            rows.entry(offer.market).or_default().push(Bid {
                 bid,
-                offer: s.offer.clone(),
-                slots: j.slots,
-                price: s.price,
+                offer: offer.offer.clone(),
+                slots: terms.slots,
+                price: offer.price,
             });
         }
-        let bids = Bids {
-            job: w.clone(),
-            worth: j.worth as Money,
-            out,
-            until: now + PATIENCE,
+        let bids = JobBids {
+            job: job.clone(),
+            max_cost: terms.worth as Money,
+            pending,
+            expires_at: now + BID_TIMEOUT_MS,
         };
-        self.bidding.jobs.insert(w.job.clone(), bids);
+        self.bidding.jobs.insert(job.job.clone(), bids);
     }
 
-    pub(super) fn bids_said(&mut self, m: usize, bids: &[u64], said: &[BidSaid], now: Millis) {
-        if said.len() != bids.len() {
-            self.report_violation(m, "not as many answers as bids");
-            return self.bidding.unanswered(bids, &mut self.markets);
+    pub(super) fn on_bid_reply(
+        &mut self,
+        market: usize,
+        bids: &[u64],
+        answers: &[BidSaid],
+        now: Millis,
+    ) {
+        if answers.len() != bids.len() {
+            self.report_violation(market, "number of answers differs from number of bids");
+            return self.bidding.mark_unanswered(bids, &mut self.markets);
         }
-        for (bid, said) in bids.iter().zip(said) {
-            let accepted = match said {
+        for (bid, answer) in bids.iter().zip(answers) {
+            let accepted = match answer {
                 BidSaid::Accepted { price, .. } => Some(*price),
                 BidSaid::Refused => None,
             };
             let Some(job) = self.bidding.by_bid.get(bid) else {
-                // Given up meanwhile.
-                if accepted.is_some() && self.markets[m].release.len() < MAX_ROWS {
-                    self.markets[m].release.push(*bid);
+                // The bid was given up before its answer arrived.
+                if accepted.is_some() && self.markets[market].released_bids.len() < MAX_ROWS {
+                    self.markets[market].released_bids.push(*bid);
                 }
                 continue;
             };
-            let out = self
+            let pending_bid = self
                 .bidding
                 .jobs
                 .get_mut(job)
-                .and_then(|b| b.out.iter_mut().find(|o| o.bid == *bid));
-            if let Some(out) = out {
-                let dearer = accepted.is_some_and(|p| p > out.price);
-                out.said = Some(accepted.filter(|_| !dearer));
-                if dearer {
-                    self.report_violation(m, "a higher price than was bid");
+                .and_then(|b| b.pending.iter_mut().find(|o| o.bid == *bid));
+            if let Some(pending_bid) = pending_bid {
+                let too_expensive = accepted.is_some_and(|p| p > pending_bid.price);
+                pending_bid.answer = Some(accepted.filter(|_| !too_expensive));
+                if too_expensive {
+                    self.report_violation(market, "accepted price above the bid");
                 }
             }
         }
-        self.award_accepted(now);
+        self.award_accepted_bids(now);
     }
 
-    /// Awards each job whose bids are all answered to the cheapest market.
-    fn award_accepted(&mut self, now: Millis) {
+    /// Awards each job whose bids are all answered or have timed out to the market
+    /// with the lowest effective price, and releases the other bids.
+    fn award_accepted_bids(&mut self, now: Millis) {
         let ready: Vec<String> = self
             .bidding
             .jobs
             .iter()
-            .filter(|(_, b)| now >= b.until || b.out.iter().all(|o| o.said.is_some()))
+            .filter(|(_, b)| now >= b.expires_at || b.pending.iter().all(|o| o.answer.is_some()))
             .map(|(j, _)| j.clone())
             .collect();
         for job in ready {
             let Some(bids) = self.bidding.jobs.get_mut(&job) else {
                 continue;
             };
-            let reputation =
-                |m: usize, price: Money| self.markets[m].reputation.effective(price as f64);
+            let effective_price =
+                |index: usize, price: Money| self.markets[index].reputation.effective(price as f64);
             let best = bids
-                .out
+                .pending
                 .iter()
                 .enumerate()
-                .filter_map(|(i, o)| Some((i, o.market, o.bid, o.said.flatten()?)))
-                .min_by(|a, b| reputation(a.1, a.3).total_cmp(&reputation(b.1, b.3)));
+                .filter_map(|(i, o)| Some((i, o.market, o.bid, o.answer.flatten()?)))
+                .min_by(|a, b| effective_price(a.1, a.3).total_cmp(&effective_price(b.1, b.3)));
             if let Some((i, market, bid, price)) = best {
-                bids.out.remove(i);
+                bids.pending.remove(i);
                 self.bidding.by_bid.remove(&bid);
-                let (w, worth) = (bids.job.clone(), bids.worth);
-                self.intend(w, worth, market, bid, price, now);
+                let (waiting_job, max_cost) = (bids.job.clone(), bids.max_cost);
+                self.record_intent(waiting_job, max_cost, market, bid, price, now);
             }
-            self.bidding.forget(&job, &mut self.markets);
+            self.bidding.drop_job(&job, &mut self.markets);
         }
     }
 
-    /// Writes down that a job is to be offloaded, before anyone is told.
-    fn intend(
+    /// Queues the award record of a job that is to be offloaded. The leader and the
+    /// market are told only after the record is durable. The bid is released
+    /// instead if the job no longer waits, the award's cap exceeds the team's
+    /// remaining budget or the market's clock is unreliable.
+    fn record_intent(
         &mut self,
-        w: WaitingJob,
-        worth: Money,
-        m: usize,
+        job: WaitingJob,
+        max_cost: Money,
+        market_index: usize,
         bid: u64,
         price: Money,
         now: Millis,
     ) {
-        let hours = hours(&w);
-        let expected = f64::from(w.left()) * hours * price as f64;
-        let cap = ((expected * SLACK) as Money).min(worth).max(1);
-        let still = self.waiting.iter().any(|x| x.job == w.job && x.placed == 0);
-        let start_by = self.markets[m].clock.ahead(now, self.o.start_within_ms);
-        let (Some(start_by), true) = (start_by, still && cap <= self.money(&w.team, now)) else {
-            self.markets[m].release.push(bid);
+        let hours = estimated_hours(&job);
+        let expected = f64::from(job.left()) * hours * price as f64;
+        let cap = ((expected * COST_CAP_FACTOR) as Money).min(max_cost).max(1);
+        let still_waiting = self
+            .waiting
+            .iter()
+            .any(|x| x.job == job.job && x.placed == 0);
+        let start_by = self.markets[market_index]
+            .clock
+            .ahead(now, self.options.start_within_ms);
+        let (Some(start_by), true) = (
+            start_by,
+            still_waiting && cap <= self.remaining_budget(&job.team, now),
+        ) else {
+            self.markets[market_index].released_bids.push(bid);
             return;
         };
-        if self.jobs.contains_key(&w.job) {
+        if self.jobs.contains_key(&job.job) {
             return;
         }
         let Some(award) = self.next_award_id() else {
@@ -316,44 +362,44 @@
             start_by,
             cap,
             job: Job {
-                id: w.job.clone(),
-                gang: w.kind == lending::Kind::Gang,
-                tasks: w.tasks,
-                done: w.done.clone(),
-                slot: w.slot,
-                image: w.image.clone(),
-                image_gb: w.image_gb,
-                estimate_s: w.estimate_s,
+                id: job.job.clone(),
+                gang: job.kind == lending::Kind::Gang,
+                tasks: job.tasks,
+                done: job.done.clone(),
+                slot: job.slot,
+                image: job.image.clone(),
+                image_gb: job.image_gb,
+                estimate_s: job.estimate_s,
             },
         };
         let lent = OffloadedJob {
             award,
-            market: m,
-            team: w.team.clone(),
-            tasks: w.tasks,
+            market: market_index,
+            team: job.team.clone(),
+            tasks: job.tasks,
             cap,
             start_by,
             phase: Phase::Intended,
             message: Some(message),
             recall: false,
         };
-        let record = lent.record(&self.markets[m].name, None);
+        let record = lent.record(&self.markets[market_index].name, None);
         self.ledger_sync
-            .want(vec![(award_key(&w.job), value(&record))]);
-        self.jobs.insert(w.job, lent);
+            .want(vec![(award_key(&job.job), value(&record))]);
+        self.jobs.insert(job.job, lent);
     }
 }
 
-fn hours(w: &WaitingJob) -> f64 {
-    w.estimate_s.max(1.0) / 3600.0
+fn estimated_hours(job: &WaitingJob) -> f64 {
+    job.estimate_s.max(1.0) / 3600.0
 }
 
-fn bidder(w: &WaitingJob, teams: &[&String], o: &Options) -> Option<JobBid> {
+fn job_bid(job: &WaitingJob, teams: &[&String], options: &Options) -> Option<JobBid> {
     Some(JobBid {
-        slots: w.left(),
-        slot: w.slot,
-        hours: hours(w),
-        worth: w.rent as f64 * o.worth,
-        budget: teams.iter().position(|t| **t == w.team)?,
+        slots: job.left(),
+        slot: job.slot,
+        hours: estimated_hours(job),
+        worth: job.rent as f64 * options.worth,
+        budget: teams.iter().position(|t| **t == job.team)?,
     })
 }
--- a/crates/market/src/broker/calls.rs
+++ b/crates/market/src/broker/calls.rs
@@ -1,26 +1,28 @@
-//! Calls to markets, and what their answers mean.
+//! Sends calls to markets, renews tenancies and processes the replies.
 
 use super::*;
 use crate::{
-    call_policy::Outcome,
+    call_policy::CallOutcome,
     clock::{Reading, ReadingStatus},
     wire::{Ask, MAX_OFFERS, MAX_ROWS, Reply, Request, Say, Sync, Synced, VERSION},
 };
 use std::collections::HashSet;
 
-/// Two renewals that differ by less than this are one.
-const SYNC_SPREAD: f64 = 0.25;
+/// Width of the random spread of sync intervals, as a share of the interval.
+const SYNC_JITTER: f64 = 0.25;
 
-/// Besides three rounds, a market may be unresponsive for so long.
-const SILENT: Millis = 2_000;
+/// Time, in addition to three sync intervals, without an answer after which a
+/// market's horizon is no longer extended.
+const UNRESPONSIVE_GRACE_MS: Millis = 2_000;
 
 impl Broker {
-    pub(super) fn call(&mut self, market: usize, call: Call, ask: Ask) {
-        self.calls += 1;
+    /// Queues a request to a market and remembers what its reply is for.
+    pub(super) fn send_call(&mut self, market: usize, call: Call, ask: Ask) {
+        self.call_count += 1;
         self.counts.calls += 1;
-        let number = self.calls;
-        self.under_way.insert(number, (market, call));
-        self.out.push(Effect::Call {
+        let number = self.call_count;
+        self.calls_in_flight.insert(number, (market, call));
+        self.effects.push(Effect::Call {
             market,
             call: number,
             request: Request {
@@ -33,61 +35,64 @@
         });
     }
 
-    /// Keeps in touch with every market.
-    pub(super) fn sync(&mut self, now: Millis) {
-        for m in 0..self.markets.len() {
-            self.write_horizon(m, now);
-            let market = &mut self.markets[m];
-            if !market.known || market.syncing || now < market.next_sync {
+    /// Sends a sync call to each market whose sync is due.
+    pub(super) fn sync_markets(&mut self, now: Millis) {
+        for market_index in 0..self.markets.len() {
+            self.write_horizon(market_index, now);
+            let market = &mut self.markets[market_index];
+            if !market.configured || market.sync_in_flight || now < market.next_sync {
                 continue;
             }
-            if !market.gate.enter(now, false) {
+            if !market.breaker.enter(now, false) {
                 continue;
             }
-            let every = self.o.sync_interval_ms as f64;
-            let spread = 1.0 + SYNC_SPREAD * (self.rng.f64() - 0.5);
-            market.next_sync = now + (every * spread) as Millis;
-            market.syncing = true;
-            let here: Vec<(u64, bool)> = self
+            let interval_ms = self.options.sync_interval_ms as f64;
+            let jitter = 1.0 + SYNC_JITTER * (self.rng.f64() - 0.5);
+            market.next_sync = now + (interval_ms * jitter) as Millis;
+            market.sync_in_flight = true;
+            let awards_here: Vec<(u64, bool)> = self
                 .jobs
                 .values()
-                .filter(|l| l.market == m && matches!(l.phase, Phase::Awarded { .. }))
+                .filter(|l| l.market == market_index && matches!(l.phase, Phase::Awarded { .. }))
                 .map(|l| (l.award, l.recall))
                 .take(MAX_ROWS)
                 .collect();
-            let market = &mut self.markets[m];
-            let needed = self.jobs.values().any(|l| l.market == m);
-            let until = match needed {
+            let market = &mut self.markets[market_index];
+            let has_awards = self.jobs.values().any(|l| l.market == market_index);
+            let until = match has_awards {
                 true => market.tenancy.renewal(&market.clock, now),
                 false => None,
             };
-            let asked: Vec<u64> = here.iter().map(|h| h.0).collect();
-            let recall = here.iter().filter(|h| h.1).map(|h| h.0).collect();
+            let asked: Vec<u64> = awards_here.iter().map(|h| h.0).collect();
+            let recall = awards_here.iter().filter(|h| h.1).map(|h| h.0).collect();
             let sync = Sync {
                 until,
                 awards: asked.clone(),
                 recall,
-                settled: std::mem::take(&mut market.settled),
-                release: std::mem::take(&mut market.release),
+                settled: std::mem::take(&mut market.settled_awards),
+                release: std::mem::take(&mut market.released_bids),
             };
-            self.call(m, Call::Sync { until, asked }, Ask::Sync(sync));
+            self.send_call(market_index, Call::Sync { until, asked }, Ask::Sync(sync));
         }
     }
 
-    fn write_horizon(&mut self, m: usize, now: Millis) {
-        if !self.jobs.values().any(|l| l.market == m) {
+    /// Extends the durable horizon of a market that holds jobs, if it is due.
+    fn write_horizon(&mut self, market_index: usize, now: Millis) {
+        if !self.jobs.values().any(|l| l.market == market_index) {
             return;
         }
-        let market = &mut self.markets[m];
-        // What is renewed is only what this broker can still talk to.
-        if !market.known || !market.clock.sound() || !market.reputation.trusted() {
+        let market = &mut self.markets[market_index];
+        // Tenancies are renewed only at markets that this broker can call and
+        // whose clock and statements it can rely on.
+        if !market.configured || !market.clock.sound() || !market.reputation.trusted() {
             return;
         }
-        // A unresponsive market's horizon stands still, so that it is reached.
-        if !market
-            .clock
-            .heard(now, 3 * self.o.sync_interval_ms + SILENT)
-        {
+        // An unresponsive market's horizon is not extended, so that it passes and
+        // the jobs there can return home.
+        if !market.clock.heard(
+            now,
+            3 * self.options.sync_interval_ms + UNRESPONSIVE_GRACE_MS,
+        ) {
             return;
         }
         if let Some(until_ms) = market.tenancy.to_write(now) {
@@ -97,17 +102,19 @@
         }
     }
 
-    pub(super) fn answered(
+    /// Handles the end of a call: updates the market's circuit breaker and passes
+    /// on a reply that belongs to the call. Any other reply counts as invalid.
+    pub(super) fn on_call_ended(
         &mut self,
         number: u64,
         sent: Millis,
         reply: Result<Reply, CallFailure>,
         now: Millis,
     ) {
-        let Some((m, call)) = self.under_way.remove(&number) else {
+        let Some((market, call)) = self.calls_in_flight.remove(&number) else {
             return;
         };
-        let fits = reply.as_ref().is_ok_and(|r| {
+        let matches_call = reply.as_ref().is_ok_and(|r| {
             matches!(
                 (&call, &r.say),
                 (_, Say::Fenced { .. })
@@ -117,14 +124,16 @@
             ) && r.message == (self.term << 32) | number
         });
         let outcome = match &reply {
-            Ok(_) if fits => Outcome::Good,
-            Err(CallFailure::NoAnswer) => Outcome::CallFailure,
-            _ => Outcome::Bad,
+            Ok(_) if matches_call => CallOutcome::Success,
+            Err(CallFailure::NoAnswer) => CallOutcome::NoAnswer,
+            _ => CallOutcome::Invalid,
         };
-        let chance = self.rng.f64();
-        self.markets[m].gate.leave(outcome, now, chance);
+        let backoff_draw = self.rng.f64();
+        self.markets[market]
+            .breaker
+            .leave(outcome, now, backoff_draw);
         if let Call::Sync { .. } = &call {
-            self.markets[m].syncing = false;
+            self.markets[market].sync_in_flight = false;
         }
         if let Call::Award(job) = &call
             && let Some(lent) = self.jobs.get_mut(job)
@@ -133,21 +142,22 @@
             *calling = false;
         }
         match reply {
-            Ok(reply) if fits => self.taken(m, call, sent, reply, now),
+            Ok(reply) if matches_call => self.on_reply(market, call, sent, reply, now),
             _ => {
                 if let Call::Bids(bids) = call {
-                    self.bidding.unanswered(&bids, &mut self.markets);
+                    self.bidding.mark_unanswered(&bids, &mut self.markets);
                 }
             }
         }
     }
 
-    fn taken(&mut self, m: usize, call: Call, sent: Millis, reply: Reply, now: Millis) {
+    /// Checks the reply's term, epoch and clock before its content is used.
+    fn on_reply(&mut self, market: usize, call: Call, sent: Millis, reply: Reply, now: Millis) {
         if let Say::Fenced { term } = reply.say {
             if term > self.term {
                 return self.resign();
             }
-            return self.report_violation(m, "fenced by a term that is not later");
+            return self.report_violation(market, "fenced by a term that is not higher");
         }
         let reading = Reading {
             epoch: reply.epoch,
@@ -155,61 +165,74 @@
             sent,
             received: now,
         };
-        let overtaken = self.markets[m]
+        let is_stale = self.markets[market]
             .clock
             .reading()
             .is_some_and(|r| sent < r.sent);
-        match self.markets[m].clock.read(reading) {
+        match self.markets[market].clock.read(reading) {
             ReadingStatus::Consistent => {}
             ReadingStatus::NewEpoch => {
-                log::warn!("market {} has lost what it knew", self.markets[m].name);
-                self.markets[m].granted = None;
-                self.markets[m].offers.clear();
+                log::warn!(
+                    "market {} started a new epoch: it has lost its state",
+                    self.markets[market].name
+                );
+                self.markets[market].granted_until = None;
+                self.markets[market].offers.clear();
             }
             ReadingStatus::Inconsistent => {
-                self.markets[m].granted = None;
-                self.report_violation(m, "its clock went back or is too slow");
+                self.markets[market].granted_until = None;
+                self.report_violation(market, "clock went back or is too slow");
             }
         }
-        // What was said before a later answer is not news.
-        if overtaken {
+        // A reply to a call older than the last reading is out of date.
+        if is_stale {
             if let Call::Bids(bids) = call {
-                self.bidding.unanswered(&bids, &mut self.markets);
+                self.bidding.mark_unanswered(&bids, &mut self.markets);
             }
             return;
         }
         match (call, &reply.say) {
             (Call::Sync { until, asked }, Say::Synced(synced)) => {
                 if until.is_some_and(|u| u.epoch == reply.epoch) {
-                    self.markets[m].granted = until;
+                    self.markets[market].granted_until = until;
                 }
-                self.synced(m, &asked, &reply, synced, now);
+                self.on_sync_reply(market, &asked, &reply, synced, now);
             }
-            (Call::Bids(bids), Say::Bids(said)) => self.bids_said(m, &bids, said, now),
-            (Call::Award(job), Say::Award(state)) => self.heard(&job, &reply, state, now),
+            (Call::Bids(bids), Say::Bids(rows)) => self.on_bid_reply(market, &bids, rows, now),
+            (Call::Award(job), Say::Award(state)) => self.on_award_state(&job, &reply, state, now),
             _ => {}
         }
     }
 
-    fn synced(&mut self, m: usize, asked: &[u64], reply: &Reply, synced: &Synced, now: Millis) {
+    /// Takes the market's offers and the states of the awards that it was asked
+    /// about.
+    fn on_sync_reply(
+        &mut self,
+        market: usize,
+        asked: &[u64],
+        reply: &Reply,
+        synced: &Synced,
+        now: Millis,
+    ) {
         let clock = reply.clock_ms;
-        self.markets[m].offers = synced
+        self.markets[market].offers = synced
             .offers
             .iter()
             .filter(|o| o.valid_until_ms > clock)
             .take(MAX_OFFERS)
             .cloned()
             .collect();
-        let mut open: HashSet<u64> = asked.iter().copied().collect();
-        for said in &synced.awards {
-            // Each award that was asked about has one state; whatever else is
-            // claimed was never awarded, is over, or is a second answer.
-            if !open.remove(&said.award) {
-                self.report_violation(m, "a state of an award that it was not asked about");
+        let mut unanswered: HashSet<u64> = asked.iter().copied().collect();
+        for reported in &synced.awards {
+            // The market must report one state for each award asked about. Any
+            // other state is for an award that was never made or has ended, or
+            // is a second state for the same award.
+            if !unanswered.remove(&reported.award) {
+                self.report_violation(market, "state of an award that was not asked about");
                 continue;
             }
-            if let Some(job) = self.by_award.get(&said.award).cloned() {
-                self.heard(&job, reply, &said.state, now);
+            if let Some(job) = self.by_award.get(&reported.award).cloned() {
+                self.on_award_state(&job, reply, &reported.state, now);
             }
         }
     }
--- a/crates/market/src/broker/mod.rs
+++ b/crates/market/src/broker/mod.rs
@@ -1,9 +1,9 @@
-//! The broker's state and how events change it. It decides alone: effects are
-//! carried out by whoever drives it, which checks its leadership right before
-//! each and tells what came of it.
+//! The broker as a state machine without clock or sockets: events and the time
+//! go in, effects come out. `serve` executes the effects, checks the leadership
+//! right before each of them and reports its outcome as an event.
 //!
-//! A job that is offloaded passes through `Phase`; `docs/markets.md` has the table
-//! of what is certain in each, and what a successor does with it.
+//! An offloaded job passes through the phases of `Phase`; `docs/markets.md` lists
+//! what is certain in each phase and what a successor does with the job.
 
 mod bids;
 mod calls;
@@ -28,92 +28,104 @@
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// What a broker wants done outside.
+/// An action outside the process that the broker requests.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
-    /// To the state service; guarded by the leadership besides.
+    /// A step at the state service. Writes additionally have the leadership
+    /// record as a condition.
     LedgerSync(Step),
-    /// To a market. Answered by `Event::Answered` with the same number.
+    /// A request to a market, answered by `Event::CallEnded` with the same
+    /// call number.
     Call {
         market: usize,
         call: u64,
         request: wire::Request,
     },
-    /// The leader is to mark the job as offloaded, by a write guarded on this
-    /// version of the job's award record: one that comes late fails.
+    /// Asks the leader to mark the job as offloaded. Its write has this version
+    /// of the job's award record as a condition, so that a late one fails.
     MarkOffloaded {
         job: String,
         award: u64,
         version: u64,
     },
-    /// The leader is to keep what is done and lift the mark, if it is of this
-    /// award.
+    /// Asks the leader to keep the finished tasks and to remove the offload
+    /// mark, if it is of this award.
     EndOffload { job: String, award: u64, end: End },
-    /// Another broker acts: this one must end.
+    /// Another broker has the leadership: this one must stop.
     Resign,
 }
 
+/// An input to the broker.
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// The answer to a step of the books, by its number.
+    /// Outcome of a write step, with the step's number.
     WriteOutcome(u64, WriteOutcome),
+    /// Outcome of a read step, with the step's number; `Err`: not read.
     ReadOutcome(u64, Result<Option<(Value, u64)>, ()>),
-    /// What a market answered, already checked against the schema; `Err`: no
-    /// answer, or one that was refused.
+    /// End of a call to a market. The reply has been checked against the
+    /// schema; `Err`: no answer, or one that was refused.
     CallEnded {
         call: u64,
         sent: Millis,
         reply: Result<wire::Reply, CallFailure>,
     },
-    /// `None`: no answer.
-    OffloadMarked {
+    /// The leader's answer to `Effect::MarkOffloaded`: whether the job is
+    /// marked for this award. `None`: no answer.
+    MarkOutcome {
         job: String,
         award: u64,
         marked: Option<bool>,
     },
-    OffloadEnded {
+    /// The leader's answer to `Effect::EndOffload`: whether it has recorded
+    /// the end.
+    EndOutcome {
         job: String,
         award: u64,
         taken: bool,
     },
-    /// What waits here now.
+    /// Jobs that wait for machines of the home cluster now.
     Waiting(Vec<WaitingJob>),
-    /// The job is not needed any more, or is to be had back.
+    /// The job is no longer needed, or is wanted back from its market.
     Recall(String),
 }
 
+/// Why a call has no usable reply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallFailure {
-    /// Refused connections, time-outs, resets.
+    /// The connection was refused or reset, or the call timed out.
     NoAnswer,
-    /// An answer that the schema or a limit refuses.
+    /// The answer violates the schema or a size limit, or has an error status.
     Invalid,
 }
 
-/// How far an award has come. Each phase says what is certain.
+/// Progress of an award. Each phase states what is certain.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Phase {
-    /// Its record is being written: nothing outside knows of it.
+    /// The award record is being written; neither the leader nor the market has
+    /// been told.
     Intended,
-    /// The record is durable; the leader is asked to mark the job.
+    /// The record is durable; the leader is asked to mark the job. `asked`: time
+    /// of the last request.
     Marking { asked: Option<Millis> },
-    /// The job is marked; nothing was sent to the market.
+    /// The leader has marked the job; nothing has been sent to the market.
     Marked,
-    /// It is, or may be, at the market, or on its way there.
+    /// The award has been sent: the market may have received it or may still do so.
     Awarded {
-        /// A call is under way.
+        /// Whether a call with this award is in flight.
         calling: bool,
-        /// Tasks done, if the market has said that it runs.
+        /// Number of finished tasks, if the market has confirmed that the job runs.
         running: Option<u32>,
     },
-    /// It surely ended; that is being written.
+    /// The award has certainly ended; the end is being written to its record.
     Ending(End),
-    /// The end is durable; the leader is told.
+    /// The end is durable; the leader is being told. `asked`: time of the last
+    /// request.
     Returning { end: End, asked: Option<Millis> },
-    /// The leader knows; the record is being deleted.
+    /// The leader has recorded the end; the award record is being deleted.
     Deleting,
 }
 
+/// A job with an award record.
 #[derive(Debug)]
 pub struct OffloadedJob {
     pub award: u64,
@@ -123,34 +135,37 @@
     pub cap: Money,
     pub start_by: wire::Until,
     pub phase: Phase,
-    /// What to send; not known after a restart, which then recalls what has
-    /// not been accepted.
+    /// Request to send to the market. It is not known after a restart; an award
+    /// that the market has not accepted by then is recalled.
     message: Option<wire::Award>,
-    /// It is to end, running or not.
+    /// Whether the award is to be ended, running or not.
     recall: bool,
 }
 
+/// A market and what this broker knows about it.
 pub struct Market {
     pub name: String,
-    /// Named by the options; others only have awards from before.
-    known: bool,
+    /// Whether the options name the market. Other markets appear only in
+    /// records of earlier terms.
+    configured: bool,
     pub clock: Clock,
     pub tenancy: Tenancy,
-    pub gate: CircuitBreaker,
+    pub breaker: CircuitBreaker,
     pub reputation: Reputation,
-    /// As it was last written, and when it may be written again.
-    recorded: Reputation,
-    next_record: Millis,
+    /// Reputation as last written to the records.
+    written_reputation: Reputation,
+    /// Earliest time of the next write of the reputation.
+    next_reputation_write: Millis,
     offers: Vec<wire::Offer>,
-    /// Until when the market has surely been let run things.
-    granted: Option<wire::Until>,
+    /// End of the last tenancy that the market has confirmed, on its own clock.
+    granted_until: Option<wire::Until>,
     next_sync: Millis,
-    syncing: bool,
-    settled: Vec<u64>,
-    release: Vec<u64>,
+    sync_in_flight: bool,
+    settled_awards: Vec<u64>,
+    released_bids: Vec<u64>,
 }
 
-/// A call under way.
+/// A call in flight and what its reply refers to.
 #[derive(Debug)]
 enum Call {
     Sync {
@@ -161,6 +176,7 @@
     Award(String),
 }
 
+/// Counters of one term, for the log.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct Counts {
     pub calls: u64,
@@ -170,65 +186,70 @@
     pub lies: u64,
 }
 
+/// The acting broker of one term.
 pub struct Broker {
-    o: Options,
+    options: Options,
     home: String,
     term: u64,
-    count: u64,
-    calls: u64,
+    award_count: u64,
+    call_count: u64,
     pub markets: Vec<Market>,
     by_name: HashMap<String, usize>,
     jobs: BTreeMap<String, OffloadedJob>,
     /// Job of each award that has not ended.
     by_award: HashMap<u64, String>,
-    /// Jobs whose next step may be taken.
+    /// Jobs whose next step may be due.
     ready: BTreeSet<String>,
-    under_way: HashMap<u64, (usize, Call)>,
+    calls_in_flight: HashMap<u64, (usize, Call)>,
     bidding: bids::BidTracker,
     waiting: Vec<WaitingJob>,
     next_clearing: Millis,
     spent: BTreeMap<String, SpentRecord>,
     ledger_sync: LedgerSync,
-    /// The state service is left alone until then.
+    /// No step is sent to the state service before this time.
     state_retry_at: Millis,
     effort: Effort,
     rng: Rng,
-    ended: bool,
+    resigned: bool,
     pub counts: Counts,
-    out: Vec<Effect>,
+    effects: Vec<Effect>,
 }
 
-/// Awards of one term.
+/// Number of low bits of an award id that count the awards of one term; the
+/// bits above hold the term.
 const AWARD_COUNT_BITS: u32 = 20;
-/// Before the state service is asked again for what it refused.
+/// Minimum delay before a failed step at the state service is retried; a random
+/// delay of up to the same length is added.
 const STATE_RETRY_MIN_MS: Millis = 200;
-/// Reputations are written no more often than this; a lie at once.
+/// Minimum interval between writes of a market's reputation. A new protocol
+/// violation is written at once.
 const REPUTATION_WRITE_INTERVAL_MS: Millis = 30_000;
-/// The leader is asked again after this.
+/// Time after which a request to the leader is repeated.
 const LEADER_RETRY_MS: Millis = 2_000;
 
 impl Broker {
-    /// `term`: of the leadership, higher than any before. `records`: all that
-    /// stands under the broker's prefix, read after the leadership was won.
+    /// Creates the broker of a term. `term` is that of the leadership and higher
+    /// than any before; `records` is everything under the broker's key prefix,
+    /// read after the leadership was won.
     pub fn new(
-        o: Options,
+        options: Options,
         home: &str,
         term: u64,
         txn_ops: usize,
         records: &BTreeMap<String, (Value, u64)>,
         seed: u64,
     ) -> Self {
-        let mut b = Broker {
+        let mut broker = Broker {
             home: home.to_owned(),
             term,
-            count: 0,
-            calls: 0,
+            award_count: 0,
+            call_count: 0,
             markets: Vec::new(),
             by_name: HashMap::new(),
             jobs: BTreeMap::new(),
             by_award: HashMap::new(),
             ready: BTreeSet::new(),
-            under_way: HashMap::new(),
+            calls_in_flight: HashMap::new(),
             bidding: bids::BidTracker::default(),
             waiting: Vec::new(),
             next_clearing: 0,
@@ -237,38 +258,38 @@
             state_retry_at: 0,
             effort: Effort::default(),
             rng: Rng::with_seed(seed),
-            ended: false,
+            resigned: false,
             counts: Counts::default(),
-            out: Vec::new(),
-            o,
+            effects: Vec::new(),
+            options,
         };
-        let names: Vec<String> = b.o.markets.keys().cloned().collect();
+        let names: Vec<String> = broker.options.markets.keys().cloned().collect();
         for name in names {
-            b.market(&name, true);
+            broker.market_index(&name, true);
         }
-        b.load(records);
-        b
+        broker.load(records);
+        broker
     }
 
-    fn market(&mut self, name: &str, known: bool) -> usize {
-        if let Some(m) = self.by_name.get(name) {
-            return *m;
+    fn market_index(&mut self, name: &str, configured: bool) -> usize {
+        if let Some(index) = self.by_name.get(name) {
+            return *index;
         }
         self.markets.push(Market {
             name: name.to_owned(),
-            known,
+            configured,
             clock: Clock::default(),
-            tenancy: Tenancy::new(self.o.tenancy_ms, self.o.clock_bound_ms, 0),
-            gate: CircuitBreaker::new(Limits::default()),
+            tenancy: Tenancy::new(self.options.tenancy_ms, self.options.clock_bound_ms, 0),
+            breaker: CircuitBreaker::new(Limits::default()),
             reputation: Reputation::default(),
-            recorded: Reputation::default(),
-            next_record: 0,
+            written_reputation: Reputation::default(),
+            next_reputation_write: 0,
             offers: Vec::new(),
-            granted: None,
+            granted_until: None,
             next_sync: 0,
-            syncing: false,
-            settled: Vec::new(),
-            release: Vec::new(),
+            sync_in_flight: false,
+            settled_awards: Vec::new(),
+            released_bids: Vec::new(),
         });
         self.by_name.insert(name.to_owned(), self.markets.len() - 1);
         self.markets.len() - 1
@@ -280,34 +301,35 @@
             if let Some(job) = key.strip_prefix(AWARDS) {
                 match serde_json::from_value::<AwardRecord>(value.clone()) {
                     Ok(record) => self.load_award(job, record),
-                    Err(e) => log::error!("{key} can't be read and is left alone: {e}"),
+                    Err(e) => log::error!("record {key} can't be parsed and is ignored: {e}"),
                 }
             } else if let Some(market) = key.strip_prefix(HORIZONS) {
-                if let Ok(r) = serde_json::from_value::<HorizonRecord>(value.clone()) {
-                    let m = self.market(market, false);
-                    self.markets[m].tenancy.written(r.until_ms);
+                if let Ok(record) = serde_json::from_value::<HorizonRecord>(value.clone()) {
+                    let market_index = self.market_index(market, false);
+                    self.markets[market_index].tenancy.written(record.until_ms);
                 }
             } else if let Some(market) = key.strip_prefix(STANDING) {
-                if let Ok(r) = serde_json::from_value::<Reputation>(value.clone()) {
-                    let m = self.market(market, false);
-                    self.markets[m].recorded = r.clone();
-                    self.markets[m].reputation = r;
+                if let Ok(record) = serde_json::from_value::<Reputation>(value.clone()) {
+                    let market_index = self.market_index(market, false);
+                    self.markets[market_index].written_reputation = record.clone();
+                    self.markets[market_index].reputation = record;
                 }
             } else if let Some(team) = key.strip_prefix(SPENT)
-                && let Ok(r) = serde_json::from_value::<SpentRecord>(value.clone())
+                && let Ok(record) = serde_json::from_value::<SpentRecord>(value.clone())
             {
-                self.spent.insert(team.to_owned(), r);
+                self.spent.insert(team.to_owned(), record);
             }
         }
     }
 
-    fn load_award(&mut self, job: &str, r: AwardRecord) {
-        let market = self.market(&r.market, false);
-        let phase = match r.end {
+    fn load_award(&mut self, job: &str, record: AwardRecord) {
+        let market = self.market_index(&record.market, false);
+        let phase = match record.end {
             Some(end) => Phase::Returning { end, asked: None },
-            // Marked or not, sent or not: the market is asked.
+            // Whether the job was marked and the award sent is not recorded, so
+            // the market is asked for the award's state.
             None => {
-                self.by_award.insert(r.award, job.to_owned());
+                self.by_award.insert(record.award, job.to_owned());
                 Phase::Awarded {
                     calling: false,
                     running: None,
@@ -315,12 +337,12 @@
             }
         };
         let lent = OffloadedJob {
-            award: r.award,
+            award: record.award,
             market,
-            team: r.team,
-            tasks: r.tasks,
-            cap: r.cap,
-            start_by: r.start_by,
+            team: record.team,
+            tasks: record.tasks,
+            cap: record.cap,
+            start_by: record.start_by,
             phase,
             message: None,
             recall: false,
@@ -328,80 +350,83 @@
         self.jobs.insert(job.to_owned(), lent);
     }
 
-    /// How hard clearings are worked on. Tests limit the solver by its nodes
-    /// alone, as its time depends on the machine.
+    /// Sets the limits of the clearing's search. Tests limit the solver only by
+    /// its nodes, because the time that it takes depends on the machine.
     pub fn set_effort(&mut self, effort: Effort) {
         self.effort = effort;
     }
 
+    /// Returns the offloaded jobs by job id.
     pub fn lent(&self) -> impl Iterator<Item = (&str, &OffloadedJob)> {
         self.jobs.iter().map(|(j, l)| (j.as_str(), l))
     }
 
-    /// Jobs whose whereabouts are not known yet.
+    /// Number of awarded jobs whose market has not confirmed that they run.
     pub fn unconfirmed_jobs(&self) -> usize {
-        let doubt = |l: &&OffloadedJob| matches!(l.phase, Phase::Awarded { running: None, .. });
-        self.jobs.values().filter(doubt).count()
+        let is_unconfirmed =
+            |l: &&OffloadedJob| matches!(l.phase, Phase::Awarded { running: None, .. });
+        self.jobs.values().filter(is_unconfirmed).count()
     }
 
-    /// What a team may still spend today, what is quarantined left out.
-    pub fn money(&self, team: &str, now: Millis) -> Money {
-        let budget = self.o.budgets.get(team).copied().unwrap_or(0);
+    /// Returns what a team may still spend today: its budget minus the charges
+    /// booked today and the caps reserved for open awards.
+    pub fn remaining_budget(&self, team: &str, now: Millis) -> Money {
+        let budget = self.options.budgets.get(team).copied().unwrap_or(0);
         let spent = self
             .spent
             .get(team)
             .filter(|s| s.day == day(now))
             .map_or(0, |s| s.spent);
-        let aside: Money = self
+        let reserved: Money = self
             .jobs
             .values()
             .filter(|l| l.team == team && !l.cost_is_booked())
             .map(|l| l.cap)
             .sum();
-        budget.saturating_sub(spent).saturating_sub(aside)
+        budget.saturating_sub(spent).saturating_sub(reserved)
     }
 
-    /// Why jobs stay here, as of now.
-    pub fn stays(&self, now: Millis) -> Vec<(&str, NotLendable)> {
-        let money = |team: &str| self.money(team, now);
-        crate::lending::choose(&self.waiting, self.jobs.len(), money, &self.o).1
+    /// Returns the waiting jobs that stay at home, with the reason.
+    pub fn not_lendable_jobs(&self, now: Millis) -> Vec<(&str, NotLendable)> {
+        let budget = |team: &str| self.remaining_budget(team, now);
+        crate::lending::choose(&self.waiting, self.jobs.len(), budget, &self.options).1
     }
 
     fn next_award_id(&mut self) -> Option<u64> {
-        // Beyond this, numbers of the next term would be used.
-        if self.count >= 1 << AWARD_COUNT_BITS {
+        // Higher counts would reach into the ids of the next term.
+        if self.award_count >= 1 << AWARD_COUNT_BITS {
             return None;
         }
-        self.count += 1;
-        Some((self.term << AWARD_COUNT_BITS) | (self.count - 1))
+        self.award_count += 1;
+        Some((self.term << AWARD_COUNT_BITS) | (self.award_count - 1))
     }
 
-    /// Takes in what has happened.
+    /// Processes an event and returns the effects that follow from it.
     pub fn event(&mut self, event: Event, now: Millis) -> Vec<Effect> {
-        if self.ended {
+        if self.resigned {
             return Vec::new();
         }
         match event {
-            Event::WriteOutcome(step, wrote) => {
-                if matches!(wrote, WriteOutcome::Rejected | WriteOutcome::Unknown) {
-                    self.state_retry_at = now + self.pause();
+            Event::WriteOutcome(step, outcome) => {
+                if matches!(outcome, WriteOutcome::Rejected | WriteOutcome::Unknown) {
+                    self.state_retry_at = now + self.retry_delay_ms();
                 }
-                let news = self.ledger_sync.wrote(step, wrote);
-                self.news(news);
+                let result = self.ledger_sync.wrote(step, outcome);
+                self.on_step_result(result);
             }
             Event::ReadOutcome(step, found) => {
                 if found.is_err() {
-                    self.state_retry_at = now + self.pause();
+                    self.state_retry_at = now + self.retry_delay_ms();
                 }
-                let news = self.ledger_sync.read(step, found);
-                self.news(news);
+                let result = self.ledger_sync.read(step, found);
+                self.on_step_result(result);
             }
-            Event::CallEnded { call, sent, reply } => self.answered(call, sent, reply, now),
-            Event::OffloadMarked { job, award, marked } => self.marked(&job, award, marked, now),
-            Event::OffloadEnded { job, award, taken } => self.returned(&job, award, taken),
-            Event::Waiting(list) => self.waiting = list,
+            Event::CallEnded { call, sent, reply } => self.on_call_ended(call, sent, reply, now),
+            Event::MarkOutcome { job, award, marked } => self.on_mark(&job, award, marked, now),
+            Event::EndOutcome { job, award, taken } => self.on_end_offload(&job, award, taken),
+            Event::Waiting(jobs) => self.waiting = jobs,
             Event::Recall(job) => {
-                self.bidding.forget(&job, &mut self.markets);
+                self.bidding.drop_job(&job, &mut self.markets);
                 if let Some(lent) = self.jobs.get_mut(&job) {
                     lent.recall = true;
                     self.ready.insert(job);
@@ -411,97 +436,105 @@
         self.take_effects(now)
     }
 
-    /// Works out the difference between what is wanted and what is.
+    /// Does what is due by time alone and returns the effects. Called periodically.
     pub fn tick(&mut self, now: Millis) -> Vec<Effect> {
-        if self.ended {
+        if self.resigned {
             return Vec::new();
         }
-        self.expire(now);
+        self.expire_awards(now);
         self.write_reputations(now);
-        self.sync(now);
-        self.clear(now);
-        self.due(now);
+        self.sync_markets(now);
+        self.clear_waiting_jobs(now);
+        self.queue_due_jobs(now);
         self.take_effects(now)
     }
 
     fn take_effects(&mut self, now: Millis) -> Vec<Effect> {
-        if self.ended {
-            self.out.clear();
+        if self.resigned {
+            self.effects.clear();
             return vec![Effect::Resign];
         }
-        self.advance(now);
+        self.advance_ready_jobs(now);
         if now < self.state_retry_at {
-            return std::mem::take(&mut self.out);
+            return std::mem::take(&mut self.effects);
         }
         while let Some(step) = self.ledger_sync.next_step() {
             if matches!(step, Step::Write(..)) {
                 self.counts.writes += 1;
             }
-            self.out.push(Effect::LedgerSync(step));
+            self.effects.push(Effect::LedgerSync(step));
         }
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.effects)
     }
 
-    /// Records what markets are worth, so that a successor knows a liar.
+    /// Records the markets' reputations, so that a successor does not have to
+    /// detect a violator of the protocol again.
     fn write_reputations(&mut self, now: Millis) {
-        for m in &mut self.markets {
-            let report_violation = m.reputation.lies > m.recorded.lies;
-            if m.reputation == m.recorded || (now < m.next_record && !report_violation) {
+        for market in &mut self.markets {
+            let new_violation = market.reputation.lies > market.written_reputation.lies;
+            if market.reputation == market.written_reputation
+                || (now < market.next_reputation_write && !new_violation)
+            {
                 continue;
             }
-            m.next_record = now + REPUTATION_WRITE_INTERVAL_MS;
-            m.recorded = m.reputation.clone();
-            let group = vec![(standing_key(&m.name), value(&m.recorded))];
-            self.ledger_sync.want(group);
+            market.next_reputation_write = now + REPUTATION_WRITE_INTERVAL_MS;
+            market.written_reputation = market.reputation.clone();
+            let changes = vec![(
+                standing_key(&market.name),
+                value(&market.written_reputation),
+            )];
+            self.ledger_sync.want(changes);
         }
     }
 
-    fn pause(&mut self) -> Millis {
+    fn retry_delay_ms(&mut self) -> Millis {
         STATE_RETRY_MIN_MS + self.rng.u64(0..STATE_RETRY_MIN_MS)
     }
 
     fn resign(&mut self) {
-        self.ended = true;
+        self.resigned = true;
     }
 
-    /// What has become durable lets the next step be taken.
-    fn news(&mut self, news: StepResult) {
-        let list = match news {
+    /// Takes the steps that a durable write makes possible; resigns if another
+    /// broker has written the records.
+    fn on_step_result(&mut self, result: StepResult) {
+        let changes = match result {
             StepResult::Nothing => return,
             StepResult::Superseded => return self.resign(),
-            StepResult::Durable(list) => list,
+            StepResult::Durable(changes) => changes,
         };
-        for (key, value) in list {
+        for (key, value) in changes {
             if let Some(job) = key.strip_prefix(AWARDS) {
-                self.durable(job, value.is_some());
+                self.record_is_durable(job, value.is_some());
             } else if let Some(market) = key.strip_prefix(HORIZONS)
-                && let Some(r) = value.and_then(|v| serde_json::from_value::<HorizonRecord>(v).ok())
-                && let Some(m) = self.by_name.get(market)
+                && let Some(horizon) =
+                    value.and_then(|v| serde_json::from_value::<HorizonRecord>(v).ok())
+                && let Some(index) = self.by_name.get(market)
             {
-                let market = &mut self.markets[*m];
-                market.tenancy.written(r.until_ms);
-                if market.granted.is_none() {
+                let market = &mut self.markets[*index];
+                market.tenancy.written(horizon.until_ms);
+                if market.granted_until.is_none() {
                     market.next_sync = 0;
                 }
             }
         }
     }
 
-    fn durable(&mut self, job: &str, stands: bool) {
+    fn record_is_durable(&mut self, job: &str, exists: bool) {
         let Some(lent) = self.jobs.get_mut(job) else {
             return;
         };
         let next = match &lent.phase {
-            Phase::Intended if stands => Phase::Marking { asked: None },
-            Phase::Ending(end) if stands => Phase::Returning {
+            Phase::Intended if exists => Phase::Marking { asked: None },
+            Phase::Ending(end) if exists => Phase::Returning {
                 end: end.clone(),
                 asked: None,
             },
-            Phase::Deleting if !stands => {
+            Phase::Deleting if !exists => {
                 self.jobs.remove(job);
                 return;
             }
-            // An earlier value of a key that has been changed again since.
+            // The durable value is an earlier one; a later change is queued.
             other => other.clone(),
         };
         lent.phase = next;
@@ -510,7 +543,8 @@
 }
 
 impl OffloadedJob {
-    /// Its cost is already among what was spent.
+    /// Whether the award's charge is already booked as spent, so that its cap
+    /// is no longer reserved.
     fn cost_is_booked(&self) -> bool {
         matches!(
             self.phase,
--- a/crates/market/src/broker/settle.rs
+++ b/crates/market/src/broker/settle.rs
@@ -1,27 +1,29 @@
-//! What becomes of an award: each step is taken only when the one before is
-//! certain.
+//! Advances offloaded jobs through their phases, from the offload mark to the
+//! deletion of the award record. Each step is taken only after the previous one
+//! is certain.
 
 use super::*;
 use crate::{ranges::Ranges, wire::State};
 
 impl Broker {
-    /// Steps that have become due by time alone.
-    pub(super) fn due(&mut self, now: Millis) {
-        let due = self.jobs.iter().filter(|(_, l)| l.acts(now));
-        self.ready.extend(due.map(|(j, _)| j.clone()));
+    /// Adds the jobs whose next step has become due by time alone to the ready set.
+    pub(super) fn queue_due_jobs(&mut self, now: Millis) {
+        let due_jobs = self.jobs.iter().filter(|(_, l)| l.step_is_due(now));
+        self.ready.extend(due_jobs.map(|(j, _)| j.clone()));
     }
 
-    /// Takes the next step of each job that something has happened to: work
-    /// per event must not grow with the jobs that are offloaded.
-    pub(super) fn advance(&mut self, now: Millis) {
+    /// Takes the next step of each job in the ready set. Only these jobs are
+    /// visited, because the work per event must not grow with the number of
+    /// offloaded jobs.
+    pub(super) fn advance_ready_jobs(&mut self, now: Millis) {
         while let Some(job) = self.ready.pop_first() {
-            if self.jobs.get(&job).is_some_and(|l| l.acts(now)) {
-                self.step(&job, now);
+            if self.jobs.get(&job).is_some_and(|l| l.step_is_due(now)) {
+                self.advance_job(&job, now);
             }
         }
     }
 
-    fn step(&mut self, job: &str, now: Millis) {
+    fn advance_job(&mut self, job: &str, now: Millis) {
         let version = self.ledger_sync.version(&award_key(job));
         let Some(lent) = self.jobs.get_mut(job) else {
             return;
@@ -31,13 +33,13 @@
             Phase::Marking { asked } => {
                 *asked = Some(now);
                 let award = lent.award;
-                self.out.push(Effect::MarkOffloaded {
+                self.effects.push(Effect::MarkOffloaded {
                     job: job.to_owned(),
                     award,
                     version,
                 });
             }
-            Phase::Marked => self.send(job, now),
+            Phase::Marked => self.send_award(job, now),
             Phase::Returning { end, asked } => {
                 *asked = Some(now);
                 let effect = Effect::EndOffload {
@@ -45,14 +47,14 @@
                     award: lent.award,
                     end: end.clone(),
                 };
-                self.out.push(effect);
+                self.effects.push(effect);
             }
             _ => {}
         }
     }
 
-    /// The leader has said whether the job is marked.
-    pub(super) fn marked(&mut self, job: &str, award: u64, marked: Option<bool>, now: Millis) {
+    /// Handles the leader's answer whether the job is marked as offloaded.
+    pub(super) fn on_mark(&mut self, job: &str, award: u64, marked: Option<bool>, now: Millis) {
         let Some(lent) = self.jobs.get_mut(job).filter(|l| l.award == award) else {
             return;
         };
@@ -64,13 +66,15 @@
                 lent.phase = Phase::Marked;
                 self.ready.insert(job.to_owned());
             }
-            // An earlier request may still be on its way: the end that is
-            // written now makes it fail, and the return lifts what it did.
+            // An earlier request may still be in flight. Writing the end changes
+            // the award record's version, which makes that request fail; if it
+            // was already applied, ending the offload removes its mark.
             Some(false) => self.end_unsent(job, now),
             None => {}
         }
     }
 
+    /// Ends an award that was never sent to its market.
     fn end_unsent(&mut self, job: &str, now: Millis) {
         let end = End {
             done: Ranges::default(),
@@ -78,11 +82,12 @@
             charge: 0,
             why: Why::NotSent,
         };
-        self.end(job, end, now);
+        self.record_end(job, end, now);
     }
 
-    /// Sends the award if it can still be accepted, else ends it unsent.
-    fn send(&mut self, job: &str, now: Millis) {
+    /// Sends the award if the market can still accept it before its `start_by`;
+    /// otherwise ends it as not sent.
+    fn send_award(&mut self, job: &str, now: Millis) {
         let Some(lent) = self.jobs.get(job) else {
             return;
         };
@@ -97,17 +102,17 @@
         let Some(clock) = in_time else {
             return self.end_unsent(job, now);
         };
-        // The market runs nothing for a home without a tenancy.
+        // A market runs jobs of a home only within a granted tenancy.
         let granted = market
-            .granted
+            .granted_until
             .is_some_and(|g| g.epoch == clock.epoch && g.clock_ms > clock.clock_ms);
-        if !granted || !market.gate.enter(now, false) {
+        if !granted || !market.breaker.enter(now, false) {
             return;
         }
-        self.call_award(job, message);
+        self.send_award_call(job, message);
     }
 
-    pub(super) fn call_award(&mut self, job: &str, message: wire::Award) {
+    pub(super) fn send_award_call(&mut self, job: &str, message: wire::Award) {
         let Some(lent) = self.jobs.get_mut(job) else {
             return;
         };
@@ -122,15 +127,21 @@
         let market = lent.market;
         self.by_award.insert(message.award, job.to_owned());
         self.counts.awards += 1;
-        self.call(
+        self.send_call(
             market,
             Call::Award(job.to_owned()),
             wire::Ask::Award(message),
         );
     }
 
-    /// What a market says of an award that it was asked about.
-    pub(super) fn heard(&mut self, job: &str, reply: &wire::Reply, state: &State, now: Millis) {
+    /// Handles the state that a market reports for an award.
+    pub(super) fn on_award_state(
+        &mut self,
+        job: &str,
+        reply: &wire::Reply,
+        state: &State,
+        now: Millis,
+    ) {
         let Some(lent) = self.jobs.get_mut(job) else {
             return;
         };
@@ -140,53 +151,50 @@
         let market = lent.market;
         let same_epoch = reply.epoch == lent.start_by.epoch;
         match state {
-            // It has forgotten: until all from before has surely ended, the
-            // award may be running unknown to it, whatever it says.
+            // The market has lost its state. Until it reports that everything of
+            // earlier epochs has ended, the award may run without its knowledge.
             State::Unknown | State::Void if !same_epoch => {
                 if reply.cleared {
-                    self.over(job, Ranges::default(), None, 0, Why::Expired, now);
+                    self.conclude(job, Ranges::default(), None, 0, Why::Expired, now);
                 }
             }
-            _ if !same_epoch => {
-                self.report_violation(market, "an award from an epoch that it has forgotten")
-            }
+            _ if !same_epoch => self.report_violation(market, "state for an award of a lost epoch"),
             State::Running { done } if *done <= lent.tasks => *running = Some(*done),
             State::Running { .. } => self.report_violation(market, "more tasks than the job has"),
             State::Unknown if reply.clock_ms > lent.start_by.clock_ms => {
                 let why = Why::Void;
-                self.over(job, Ranges::default(), None, 0, why, now);
+                self.conclude(job, Ranges::default(), None, 0, why, now);
             }
             State::Unknown if *calling => {}
             State::Unknown => {
                 let message = lent.message.clone().filter(|_| !lent.recall);
                 match message {
                     Some(message) => {
-                        if self.markets[market].gate.enter(now, true) {
-                            self.call_award(job, message);
+                        if self.markets[market].breaker.enter(now, true) {
+                            self.send_award_call(job, message);
                         }
                     }
                     None => lent.recall = true,
                 }
             }
-            State::Void => self.over(job, Ranges::default(), None, 0, Why::Void, now),
+            State::Void => self.conclude(job, Ranges::default(), None, 0, Why::Void, now),
             State::Withdrawn { done, charge } => {
                 let mut done = done.clone();
                 if let Err(why) = done.check(lent.tasks) {
                     done = Ranges::default();
                     self.report_violation(market, why);
                 }
-                self.over(job, done, None, *charge, Why::Withdrawn, now);
+                self.conclude(job, done, None, *charge, Why::Withdrawn, now);
             }
             State::Done { result, charge } => {
                 let all = Ranges::all(lent.tasks);
-                self.over(job, all, Some(result.clone()), *charge, Why::Done, now);
+                self.conclude(job, all, Some(result.clone()), *charge, Why::Done, now);
             }
         }
     }
 
-    /// An award has surely ended: from now on nothing that anyone says of it
-    /// counts.
-    fn over(
+    /// Ends an award for good. Later statements about it are ignored.
+    fn conclude(
         &mut self,
         job: &str,
         done: Ranges,
@@ -200,12 +208,12 @@
         };
         let (market, cap, recall) = (lent.market, lent.cap, lent.recall);
         if charge > cap {
-            self.report_violation(market, "a higher price than awarded");
+            self.report_violation(market, "charge above the award's cap");
         }
         if why == Why::Done {
             self.counts.done += 1;
         }
-        // What was called back says nothing about the market.
+        // An award that the home recalled does not count against the market.
         if let Some(outcome) = why.outcome().filter(|_| !recall || why == Why::Done) {
             self.markets[market].reputation.note(outcome);
         }
@@ -216,21 +224,21 @@
             charge,
             why,
         };
-        self.end(job, end, now);
+        self.record_end(job, end, now);
     }
 
-    /// Records the end and, in the same transaction, what it cost.
-    fn end(&mut self, job: &str, end: End, now: Millis) {
+    /// Records the end of an award and, in the same transaction, its charge.
+    fn record_end(&mut self, job: &str, end: End, now: Millis) {
         let Some(lent) = self.jobs.get_mut(job) else {
             return;
         };
         self.by_award.remove(&lent.award);
         let market = &mut self.markets[lent.market];
-        if market.settled.len() < wire::MAX_ROWS && end.why != Why::NotSent {
-            market.settled.push(lent.award);
+        if market.settled_awards.len() < wire::MAX_ROWS && end.why != Why::NotSent {
+            market.settled_awards.push(lent.award);
         }
         let record = lent.record(&market.name, Some(end.clone()));
-        let mut group = vec![(award_key(job), value(&record))];
+        let mut changes = vec![(award_key(job), value(&record))];
         if end.charge > 0 {
             let spent = self.spent.entry(lent.team.clone()).or_default();
             if spent.day != day(now) {
@@ -240,13 +248,14 @@
                 };
             }
             spent.spent += end.charge;
-            group.push((spent_key(&lent.team), value(spent)));
+            changes.push((spent_key(&lent.team), value(spent)));
         }
         lent.phase = Phase::Ending(end);
-        self.ledger_sync.want(group);
+        self.ledger_sync.want(changes);
     }
 
-    pub(super) fn returned(&mut self, job: &str, award: u64, taken: bool) {
+    /// Deletes the award record once the leader has recorded the end.
+    pub(super) fn on_end_offload(&mut self, job: &str, award: u64, taken: bool) {
         let Some(lent) = self.jobs.get_mut(job).filter(|l| l.award == award) else {
             return;
         };
@@ -256,35 +265,42 @@
         }
     }
 
-    /// Ends what can't be running any more, whatever became of it.
-    pub(super) fn expire(&mut self, now: Millis) {
-        let gone: Vec<String> = self
+    /// Ends awards at markets whose horizon has passed: they cannot be running any
+    /// more, whatever became of them.
+    pub(super) fn expire_awards(&mut self, now: Millis) {
+        let expired: Vec<String> = self
             .jobs
             .iter()
             .filter(|(_, l)| matches!(l.phase, Phase::Awarded { .. }))
             .filter(|(_, l)| self.markets[l.market].tenancy.over(now))
             .map(|(j, _)| j.clone())
             .collect();
-        for job in gone {
-            self.over(&job, Ranges::default(), None, 0, Why::Expired, now);
+        for job in expired {
+            self.conclude(&job, Ranges::default(), None, 0, Why::Expired, now);
         }
     }
 
-    pub(super) fn report_violation(&mut self, market: usize, what: &str) {
-        let m = &mut self.markets[market];
-        m.reputation.note(crate::reputation::Outcome::Lied);
+    /// Counts and logs a statement of a market that cannot be true.
+    pub(super) fn report_violation(&mut self, market: usize, violation: &str) {
+        let market_state = &mut self.markets[market];
+        market_state
+            .reputation
+            .note(crate::reputation::Outcome::Lied);
         self.counts.lies += 1;
-        log::warn!("market {}: {what}", m.name);
+        log::warn!(
+            "market {}: protocol violation: {violation}",
+            market_state.name
+        );
     }
 }
 
 impl OffloadedJob {
-    /// Whether there is something to do for it without further news.
-    fn acts(&self, now: Millis) -> bool {
-        let due = |asked: &Option<Millis>| asked.is_none_or(|at| now >= at + LEADER_RETRY_MS);
+    /// Whether the job's next step can be taken now, without a further event.
+    fn step_is_due(&self, now: Millis) -> bool {
+        let ask_due = |asked: &Option<Millis>| asked.is_none_or(|at| now >= at + LEADER_RETRY_MS);
         match &self.phase {
-            Phase::Marking { asked } => due(asked) || self.recall,
-            Phase::Returning { asked, .. } => due(asked),
+            Phase::Marking { asked } => ask_due(asked) || self.recall,
+            Phase::Returning { asked, .. } => ask_due(asked),
             Phase::Marked => true,
             _ => false,
         }
--- a/crates/market/src/call_policy.rs
+++ b/crates/market/src/call_policy.rs
@@ -42,13 +42,13 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Outcome {
+pub enum CallOutcome {
     /// Answered, and the answer could be read.
-    Good,
+    Success,
     /// Answered with something that is refused.
-    Bad,
+    Invalid,
     /// No answer in time, or the connection failed.
-    CallFailure,
+    NoAnswer,
 }
 
 #[derive(Debug)]
@@ -115,9 +115,9 @@
     }
 
     /// A call has ended; `chance` from 0 to 1 spreads the next attempt.
-    pub fn leave(&mut self, outcome: Outcome, now: Millis, chance: f64) {
+    pub fn leave(&mut self, outcome: CallOutcome, now: Millis, chance: f64) {
         self.under_way = self.under_way.saturating_sub(1);
-        if outcome == Outcome::Good {
+        if outcome == CallOutcome::Success {
             self.failed = 0;
             self.opened = 0;
             self.state = State::Closed;
@@ -125,7 +125,7 @@
             self.window = (self.window + 1.0 / self.window).min(most);
             return;
         }
-        if outcome == Outcome::CallFailure {
+        if outcome == CallOutcome::NoAnswer {
             self.window = (self.window / 2.0).max(1.0);
         }
         self.failed += 1;
--- a/crates/market/src/clearing.rs
+++ b/crates/market/src/clearing.rs
@@ -19,7 +19,7 @@
 }
 
 #[derive(Debug, Clone)]
-pub struct Place {
+pub struct PricedOffer {
     pub slots: u32,
     pub slot: Slot,
     /// For a slot and hour, as asked.
@@ -31,7 +31,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct Problem {
     pub jobs: Vec<JobBid>,
-    pub offers: Vec<Place>,
+    pub offers: Vec<PricedOffer>,
     pub budgets: Vec<f64>,
 }
 
@@ -495,7 +495,7 @@
     let offers = (0..offers)
         .map(|_| {
             let price = 60_000.0 + 140_000.0 * rng.f64();
-            Place {
+            PricedOffer {
                 slots: ((0.4 + 0.6 * rng.f64()) * asked / offers as f64) as u32 + 16,
                 slot: slot(rng.usize(..4)),
                 price,
--- a/crates/market/src/serve/mod.rs
+++ b/crates/market/src/serve/mod.rs
@@ -293,7 +293,7 @@
                     Some(Reply::OffloadMark(OffloadMark::No)) => Some(false),
                     _ => None,
                 };
-                self.tell_broker(Event::OffloadMarked { job, award, marked });
+                self.tell_broker(Event::MarkOutcome { job, award, marked });
             }
             Effect::EndOffload { job, award, end } => {
                 let request = Request::EndOffload {
@@ -305,7 +305,7 @@
                     server.home.ask(&request).await,
                     Some(Reply::OffloadEnded(true))
                 );
-                self.tell_broker(Event::OffloadEnded { job, award, taken });
+                self.tell_broker(Event::EndOutcome { job, award, taken });
             }
             Effect::Resign => self.ended.set(true),
         }
--- a/crates/market/tests/simulation/mod.rs
+++ b/crates/market/tests/simulation/mod.rs
@@ -323,12 +323,12 @@
             }
             Message::MarkOffloaded(broker_index, job, award, version) => {
                 let marked = self.mark_offloaded(&job, award, version);
-                let event = Event::OffloadMarked { job, award, marked };
+                let event = Event::MarkOutcome { job, award, marked };
                 self.send_with_faults(Message::BrokerEvent(broker_index, Box::new(event)));
             }
             Message::EndOffload(broker_index, job, award, end) => {
                 let taken = self.end_offload(&job, award, end);
-                let event = Event::OffloadEnded { job, award, taken };
+                let event = Event::EndOutcome { job, award, taken };
                 self.send_with_faults(Message::BrokerEvent(broker_index, Box::new(event)));
             }
         }
