--- a/crates/market/src/broker/bids.rs
+++ b/crates/market/src/broker/bids.rs
@@ -99,7 +99,7 @@
     fn usable_offers(&self, now: Millis) -> (Vec<UsableOffer>, Vec<PricedOffer>) {
         let (mut offers, mut priced_offers) = (Vec::new(), Vec::new());
         for (market_index, market) in self.markets.iter().enumerate() {
-            let Some(clock) = market.clock.ahead(now, MIN_OFFER_VALIDITY_MS) else {
+            let Some(clock) = market.clock.time_after(now, MIN_OFFER_VALIDITY_MS) else {
                 continue;
             };
             let awards_here = self
@@ -108,7 +108,7 @@
                 .filter(|l| l.market == market_index)
                 .count();
             if !market.configured
-                || !market.clock.watched()
+                || !market.clock.observed_long_enough()
                 || !market.breaker.usable()
                 || !market.reputation.trusted()
                 || awards_here >= MAX_ROWS / 2
@@ -342,7 +342,7 @@
             .any(|x| x.job == job.job && x.placed == 0);
         let start_by = self.markets[market_index]
             .clock
-            .ahead(now, self.options.start_within_ms);
+            .time_after(now, self.options.start_within_ms);
         let (Some(start_by), true) = (
             start_by,
             still_waiting && cap <= self.remaining_budget(&job.team, now),
@@ -372,7 +372,7 @@
                 estimate_s: job.estimate_s,
             },
         };
-        let lent = OffloadedJob {
+        let offload = OffloadedJob {
             award,
             market: market_index,
             team: job.team.clone(),
@@ -383,10 +383,10 @@
             message: Some(message),
             recall: false,
         };
-        let record = lent.record(&self.markets[market_index].name, None);
+        let record = offload.record(&self.markets[market_index].name, None);
         self.ledger_sync
-            .want(vec![(award_key(&job.job), value(&record))]);
-        self.jobs.insert(job.job, lent);
+            .enqueue(vec![(award_key(&job.job), value(&record))]);
+        self.jobs.insert(job.job, offload);
     }
 }
 
--- a/crates/market/src/broker/calls.rs
+++ b/crates/market/src/broker/calls.rs
@@ -84,21 +84,21 @@
         let market = &mut self.markets[market_index];
         // Tenancies are renewed only at markets that this broker can call and
         // whose clock and statements it can rely on.
-        if !market.configured || !market.clock.sound() || !market.reputation.trusted() {
+        if !market.configured || !market.clock.is_reliable() || !market.reputation.trusted() {
             return;
         }
         // An unresponsive market's horizon is not extended, so that it passes and
         // the jobs there can return home.
-        if !market.clock.heard(
+        if !market.clock.answered_within(
             now,
             3 * self.options.sync_interval_ms + UNRESPONSIVE_GRACE_MS,
         ) {
             return;
         }
-        if let Some(until_ms) = market.tenancy.to_write(now) {
+        if let Some(until_ms) = market.tenancy.horizon_to_write(now) {
             let key = horizon_key(&market.name);
             self.ledger_sync
-                .want(vec![(key, value(&HorizonRecord { until_ms }))]);
+                .enqueue(vec![(key, value(&HorizonRecord { until_ms }))]);
         }
     }
 
@@ -136,8 +136,8 @@
             self.markets[market].sync_in_flight = false;
         }
         if let Call::Award(job) = &call
-            && let Some(lent) = self.jobs.get_mut(job)
-            && let Phase::Awarded { calling, .. } = &mut lent.phase
+            && let Some(offload) = self.jobs.get_mut(job)
+            && let Phase::Awarded { calling, .. } = &mut offload.phase
         {
             *calling = false;
         }
--- a/crates/market/src/broker/mod.rs
+++ b/crates/market/src/broker/mod.rs
@@ -183,7 +183,7 @@
     pub writes: u64,
     pub awards: u64,
     pub done: u64,
-    pub lies: u64,
+    pub violations: u64,
 }
 
 /// The acting broker of one term.
@@ -297,7 +297,7 @@
 
     fn load(&mut self, records: &BTreeMap<String, (Value, u64)>) {
         for (key, (value, version)) in records {
-            self.ledger_sync.loaded(key, *version);
+            self.ledger_sync.set_version(key, *version);
             if let Some(job) = key.strip_prefix(AWARDS) {
                 match serde_json::from_value::<AwardRecord>(value.clone()) {
                     Ok(record) => self.load_award(job, record),
@@ -306,7 +306,9 @@
             } else if let Some(market) = key.strip_prefix(HORIZONS) {
                 if let Ok(record) = serde_json::from_value::<HorizonRecord>(value.clone()) {
                     let market_index = self.market_index(market, false);
-                    self.markets[market_index].tenancy.written(record.until_ms);
+                    self.markets[market_index]
+                        .tenancy
+                        .horizon_written(record.until_ms);
                 }
             } else if let Some(market) = key.strip_prefix(STANDING) {
                 if let Ok(record) = serde_json::from_value::<Reputation>(value.clone()) {
@@ -336,7 +338,7 @@
                 }
             }
         };
-        let lent = OffloadedJob {
+        let offload = OffloadedJob {
             award: record.award,
             market,
             team: record.team,
@@ -347,7 +349,7 @@
             message: None,
             recall: false,
         };
-        self.jobs.insert(job.to_owned(), lent);
+        self.jobs.insert(job.to_owned(), offload);
     }
 
     /// Sets the limits of the clearing's search. Tests limit the solver only by
@@ -357,7 +359,7 @@
     }
 
     /// Returns the offloaded jobs by job id.
-    pub fn lent(&self) -> impl Iterator<Item = (&str, &OffloadedJob)> {
+    pub fn jobs(&self) -> impl Iterator<Item = (&str, &OffloadedJob)> {
         self.jobs.iter().map(|(j, l)| (j.as_str(), l))
     }
 
@@ -411,14 +413,14 @@
                 if matches!(outcome, WriteOutcome::Rejected | WriteOutcome::Unknown) {
                     self.state_retry_at = now + self.retry_delay_ms();
                 }
-                let result = self.ledger_sync.wrote(step, outcome);
+                let result = self.ledger_sync.on_write(step, outcome);
                 self.on_step_result(result);
             }
             Event::ReadOutcome(step, found) => {
                 if found.is_err() {
                     self.state_retry_at = now + self.retry_delay_ms();
                 }
-                let result = self.ledger_sync.read(step, found);
+                let result = self.ledger_sync.on_read(step, found);
                 self.on_step_result(result);
             }
             Event::CallEnded { call, sent, reply } => self.on_call_ended(call, sent, reply, now),
@@ -427,8 +429,8 @@
             Event::Waiting(jobs) => self.waiting = jobs,
             Event::Recall(job) => {
                 self.bidding.drop_job(&job, &mut self.markets);
-                if let Some(lent) = self.jobs.get_mut(&job) {
-                    lent.recall = true;
+                if let Some(offload) = self.jobs.get_mut(&job) {
+                    offload.recall = true;
                     self.ready.insert(job);
                 }
             }
@@ -483,7 +485,7 @@
                 standing_key(&market.name),
                 value(&market.written_reputation),
             )];
-            self.ledger_sync.want(changes);
+            self.ledger_sync.enqueue(changes);
         }
     }
 
@@ -512,7 +514,7 @@
                 && let Some(index) = self.by_name.get(market)
             {
                 let market = &mut self.markets[*index];
-                market.tenancy.written(horizon.until_ms);
+                market.tenancy.horizon_written(horizon.until_ms);
                 if market.granted_until.is_none() {
                     market.next_sync = 0;
                 }
@@ -521,10 +523,10 @@
     }
 
     fn record_is_durable(&mut self, job: &str, exists: bool) {
-        let Some(lent) = self.jobs.get_mut(job) else {
+        let Some(offload) = self.jobs.get_mut(job) else {
             return;
         };
-        let next = match &lent.phase {
+        let next = match &offload.phase {
             Phase::Intended if exists => Phase::Marking { asked: None },
             Phase::Ending(end) if exists => Phase::Returning {
                 end: end.clone(),
@@ -537,7 +539,7 @@
             // The durable value is an earlier one; a later change is queued.
             other => other.clone(),
         };
-        lent.phase = next;
+        offload.phase = next;
         self.ready.insert(job.to_owned());
     }
 }
--- a/crates/market/src/broker/settle.rs
+++ b/crates/market/src/broker/settle.rs
@@ -25,14 +25,14 @@
 
     fn advance_job(&mut self, job: &str, now: Millis) {
         let version = self.ledger_sync.version(&award_key(job));
-        let Some(lent) = self.jobs.get_mut(job) else {
+        let Some(offload) = self.jobs.get_mut(job) else {
             return;
         };
-        match &mut lent.phase {
-            Phase::Marking { .. } if lent.recall => self.end_unsent(job, now),
+        match &mut offload.phase {
+            Phase::Marking { .. } if offload.recall => self.end_unsent(job, now),
             Phase::Marking { asked } => {
                 *asked = Some(now);
-                let award = lent.award;
+                let award = offload.award;
                 self.effects.push(Effect::MarkOffloaded {
                     job: job.to_owned(),
                     award,
@@ -44,7 +44,7 @@
                 *asked = Some(now);
                 let effect = Effect::EndOffload {
                     job: job.to_owned(),
-                    award: lent.award,
+                    award: offload.award,
                     end: end.clone(),
                 };
                 self.effects.push(effect);
@@ -55,15 +55,15 @@
 
     /// Handles the leader's answer whether the job is marked as offloaded.
     pub(super) fn on_mark(&mut self, job: &str, award: u64, marked: Option<bool>, now: Millis) {
-        let Some(lent) = self.jobs.get_mut(job).filter(|l| l.award == award) else {
+        let Some(offload) = self.jobs.get_mut(job).filter(|l| l.award == award) else {
             return;
         };
-        if !matches!(lent.phase, Phase::Marking { .. }) {
+        if !matches!(offload.phase, Phase::Marking { .. }) {
             return;
         }
         match marked {
             Some(true) => {
-                lent.phase = Phase::Marked;
+                offload.phase = Phase::Marked;
                 self.ready.insert(job.to_owned());
             }
             // An earlier request may still be in flight. Writing the end changes
@@ -88,17 +88,17 @@
     /// Sends the award if the market can still accept it before its `start_by`;
     /// otherwise ends it as not sent.
     fn send_award(&mut self, job: &str, now: Millis) {
-        let Some(lent) = self.jobs.get(job) else {
+        let Some(award) = self.jobs.get(job) else {
             return;
         };
-        let market = &mut self.markets[lent.market];
-        let Some(message) = lent.message.clone().filter(|_| !lent.recall) else {
+        let market = &mut self.markets[award.market];
+        let Some(message) = award.message.clone().filter(|_| !award.recall) else {
             return self.end_unsent(job, now);
         };
         let in_time = market
             .clock
-            .ahead(now, 0)
-            .filter(|c| c.epoch == lent.start_by.epoch && c.clock_ms < lent.start_by.clock_ms);
+            .time_after(now, 0)
+            .filter(|c| c.epoch == award.start_by.epoch && c.clock_ms < award.start_by.clock_ms);
         let Some(clock) = in_time else {
             return self.end_unsent(job, now);
         };
@@ -113,18 +113,18 @@
     }
 
     pub(super) fn send_award_call(&mut self, job: &str, message: wire::Award) {
-        let Some(lent) = self.jobs.get_mut(job) else {
+        let Some(offload) = self.jobs.get_mut(job) else {
             return;
         };
-        let running = match lent.phase {
+        let running = match offload.phase {
             Phase::Awarded { running, .. } => running,
             _ => None,
         };
-        lent.phase = Phase::Awarded {
+        offload.phase = Phase::Awarded {
             calling: true,
             running,
         };
-        let market = lent.market;
+        let market = offload.market;
         self.by_award.insert(message.award, job.to_owned());
         self.counts.awards += 1;
         self.send_call(
@@ -142,14 +142,14 @@
         state: &State,
         now: Millis,
     ) {
-        let Some(lent) = self.jobs.get_mut(job) else {
+        let Some(offload) = self.jobs.get_mut(job) else {
             return;
         };
-        let Phase::Awarded { running, calling } = &mut lent.phase else {
+        let Phase::Awarded { running, calling } = &mut offload.phase else {
             return;
         };
-        let market = lent.market;
-        let same_epoch = reply.epoch == lent.start_by.epoch;
+        let market = offload.market;
+        let same_epoch = reply.epoch == offload.start_by.epoch;
         match state {
             // The market has lost its state. Until it reports that everything of
             // earlier epochs has ended, the award may run without its knowledge.
@@ -159,35 +159,35 @@
                 }
             }
             _ if !same_epoch => self.report_violation(market, "state for an award of a lost epoch"),
-            State::Running { done } if *done <= lent.tasks => *running = Some(*done),
+            State::Running { done } if *done <= offload.tasks => *running = Some(*done),
             State::Running { .. } => self.report_violation(market, "more tasks than the job has"),
-            State::Unknown if reply.clock_ms > lent.start_by.clock_ms => {
+            State::Unknown if reply.clock_ms > offload.start_by.clock_ms => {
                 let why = Why::Void;
                 self.conclude(job, Ranges::default(), None, 0, why, now);
             }
             State::Unknown if *calling => {}
             State::Unknown => {
-                let message = lent.message.clone().filter(|_| !lent.recall);
+                let message = offload.message.clone().filter(|_| !offload.recall);
                 match message {
                     Some(message) => {
                         if self.markets[market].breaker.enter(now, true) {
                             self.send_award_call(job, message);
                         }
                     }
-                    None => lent.recall = true,
+                    None => offload.recall = true,
                 }
             }
             State::Void => self.conclude(job, Ranges::default(), None, 0, Why::Void, now),
             State::Withdrawn { done, charge } => {
                 let mut done = done.clone();
-                if let Err(why) = done.check(lent.tasks) {
+                if let Err(why) = done.check(offload.tasks) {
                     done = Ranges::default();
                     self.report_violation(market, why);
                 }
                 self.conclude(job, done, None, *charge, Why::Withdrawn, now);
             }
             State::Done { result, charge } => {
-                let all = Ranges::all(lent.tasks);
+                let all = Ranges::all(offload.tasks);
                 self.conclude(job, all, Some(result.clone()), *charge, Why::Done, now);
             }
         }
@@ -203,10 +203,10 @@
         why: Why,
         now: Millis,
     ) {
-        let Some(lent) = self.jobs.get(job) else {
+        let Some(offload) = self.jobs.get(job) else {
             return;
         };
-        let (market, cap, recall) = (lent.market, lent.cap, lent.recall);
+        let (market, cap, recall) = (offload.market, offload.cap, offload.recall);
         if charge > cap {
             self.report_violation(market, "charge above the award's cap");
         }
@@ -229,18 +229,18 @@
 
     /// Records the end of an award and, in the same transaction, its charge.
     fn record_end(&mut self, job: &str, end: End, now: Millis) {
-        let Some(lent) = self.jobs.get_mut(job) else {
+        let Some(offload) = self.jobs.get_mut(job) else {
             return;
         };
-        self.by_award.remove(&lent.award);
-        let market = &mut self.markets[lent.market];
+        self.by_award.remove(&offload.award);
+        let market = &mut self.markets[offload.market];
         if market.settled_awards.len() < wire::MAX_ROWS && end.why != Why::NotSent {
-            market.settled_awards.push(lent.award);
+            market.settled_awards.push(offload.award);
         }
-        let record = lent.record(&market.name, Some(end.clone()));
+        let record = offload.record(&market.name, Some(end.clone()));
         let mut changes = vec![(award_key(job), value(&record))];
         if end.charge > 0 {
-            let spent = self.spent.entry(lent.team.clone()).or_default();
+            let spent = self.spent.entry(offload.team.clone()).or_default();
             if spent.day != day(now) {
                 *spent = SpentRecord {
                     day: day(now),
@@ -248,20 +248,20 @@
                 };
             }
             spent.spent += end.charge;
-            changes.push((spent_key(&lent.team), value(spent)));
+            changes.push((spent_key(&offload.team), value(spent)));
         }
-        lent.phase = Phase::Ending(end);
-        self.ledger_sync.want(changes);
+        offload.phase = Phase::Ending(end);
+        self.ledger_sync.enqueue(changes);
     }
 
     /// Deletes the award record once the leader has recorded the end.
     pub(super) fn on_end_offload(&mut self, job: &str, award: u64, taken: bool) {
-        let Some(lent) = self.jobs.get_mut(job).filter(|l| l.award == award) else {
+        let Some(offload) = self.jobs.get_mut(job).filter(|l| l.award == award) else {
             return;
         };
-        if taken && matches!(lent.phase, Phase::Returning { .. }) {
-            lent.phase = Phase::Deleting;
-            self.ledger_sync.want(vec![(award_key(job), None)]);
+        if taken && matches!(offload.phase, Phase::Returning { .. }) {
+            offload.phase = Phase::Deleting;
+            self.ledger_sync.enqueue(vec![(award_key(job), None)]);
         }
     }
 
@@ -272,7 +272,7 @@
             .jobs
             .iter()
             .filter(|(_, l)| matches!(l.phase, Phase::Awarded { .. }))
-            .filter(|(_, l)| self.markets[l.market].tenancy.over(now))
+            .filter(|(_, l)| self.markets[l.market].tenancy.has_ended(now))
             .map(|(j, _)| j.clone())
             .collect();
         for job in expired {
@@ -286,7 +286,7 @@
         market_state
             .reputation
             .note(crate::reputation::Outcome::Lied);
-        self.counts.lies += 1;
+        self.counts.violations += 1;
         log::warn!(
             "market {}: protocol violation: {violation}",
             market_state.name
--- a/crates/market/src/serve/mod.rs
+++ b/crates/market/src/serve/mod.rs
@@ -140,7 +140,7 @@
     log::info!(
         "acting in term {}: {} jobs out, {} in doubt",
         held.term,
-        broker.lent().count(),
+        broker.jobs().count(),
         broker.unconfirmed_jobs()
     );
     let acting = Rc::new(Acting {
@@ -186,7 +186,7 @@
     while !acting.ended.get() {
         let lent = {
             let b = acting.broker.borrow();
-            b.lent().map(|(j, l)| (j.to_owned(), l.award)).collect()
+            b.jobs().map(|(j, l)| (j.to_owned(), l.award)).collect()
         };
         let request = Request::OffloadCandidates { lent };
         if let Some(Reply::OffloadCandidates { jobs, recall }) =
@@ -214,13 +214,13 @@
             log::info!(
                 "{} jobs out, {} in doubt; in this term {} awards sent, {} done, {} calls, \
                  {} transactions, {} lies",
-                b.lent().count(),
+                b.jobs().count(),
                 b.unconfirmed_jobs(),
                 told.awards,
                 told.done,
                 told.calls,
                 told.writes,
-                told.lies
+                told.violations
             );
         }
     }
@@ -278,8 +278,8 @@
             } => {
                 let market = {
                     let b = self.broker.borrow();
-                    let lent = b.lent().find(|(j, _)| *j == job);
-                    lent.map(|(_, l)| b.markets[l.market].name.clone())
+                    let offload = b.jobs().find(|(j, _)| *j == job);
+                    offload.map(|(_, l)| b.markets[l.market].name.clone())
                 };
                 let Some(market) = market else { return };
                 let request = Request::Offload {
--- a/crates/market/tests/scenarios.rs
+++ b/crates/market/tests/scenarios.rs
@@ -104,7 +104,7 @@
         .collect();
     assert!(!lost.is_empty());
     world.markets[market_index].down = true;
-    let returned = |w: &World| lost.iter().all(|j| !w.broker().lent().any(|(l, _)| l == j));
+    let returned = |w: &World| lost.iter().all(|j| !w.broker().jobs().any(|(l, _)| l == j));
     world.run_until("all lost jobs returned home", move |world| {
         returned(world) || world.now > outage_start + 120_000
     });
@@ -207,7 +207,7 @@
         market.restart(false, now);
     }
     world.run(10_000);
-    let offloaded = world.broker().lent().count();
+    let offloaded = world.broker().jobs().count();
     assert_eq!(
         offloaded, 20,
         "all jobs stay offloaded: they may still be running"
@@ -222,8 +222,8 @@
     world.options.budgets.insert("graphics".into(), 20_000);
     world.crash_broker();
     world.run(60_000);
-    for (_, lent) in world.broker().lent() {
-        assert!(!matches!(lent.phase, Phase::Awarded { .. }) || lent.cap <= 20_000);
+    for (_, offload) in world.broker().jobs() {
+        assert!(!matches!(offload.phase, Phase::Awarded { .. }) || offload.cap <= 20_000);
     }
     let accepted: u64 = world.markets.iter().map(|m| m.accepted).sum();
     assert!((1..100).contains(&accepted), "{accepted}");
