--- a/crates/market/src/broker/bids.rs
+++ b/crates/market/src/broker/bids.rs
@@ -124,7 +124,7 @@
                     slots: offer.slots,
                     slot: offer.slot,
                     price,
-                    effective: market.reputation.effective(price),
+                    effective: market.reputation.effective_price(price),
                 });
                 offers.push(UsableOffer {
                     market: market_index,
@@ -205,7 +205,7 @@
         for (market_index, bids) in rows {
             for batch in bids.chunks(MAX_ROWS / 4) {
                 let bid_ids: Vec<u64> = batch.iter().map(|b| b.bid).collect();
-                if self.markets[market_index].breaker.enter(now, false) {
+                if self.markets[market_index].breaker.admit(now, false) {
                     self.send_call(market_index, Call::Bids(bid_ids), Ask::Bids(batch.to_vec()));
                 } else {
                     self.bidding.mark_unanswered(&bid_ids, &mut self.markets);
@@ -302,14 +302,14 @@
             let Some(bids) = self.bidding.jobs.get_mut(&job) else {
                 continue;
             };
-            let effective_price =
-                |index: usize, price: Money| self.markets[index].reputation.effective(price as f64);
+            let cost =
+                |m: usize, price: Money| self.markets[m].reputation.effective_price(price as f64);
             let best = bids
                 .pending
                 .iter()
                 .enumerate()
                 .filter_map(|(i, o)| Some((i, o.market, o.bid, o.answer.flatten()?)))
-                .min_by(|a, b| effective_price(a.1, a.3).total_cmp(&effective_price(b.1, b.3)));
+                .min_by(|a, b| cost(a.1, a.3).total_cmp(&cost(b.1, b.3)));
             if let Some((i, market, bid, price)) = best {
                 bids.pending.remove(i);
                 self.bidding.by_bid.remove(&bid);
@@ -334,7 +334,7 @@
         now: Millis,
     ) {
         let hours = estimated_hours(&job);
-        let expected = f64::from(job.left()) * hours * price as f64;
+        let expected = f64::from(job.remaining_tasks()) * hours * price as f64;
         let cap = ((expected * COST_CAP_FACTOR) as Money).min(max_cost).max(1);
         let still_waiting = self
             .waiting
@@ -396,10 +396,10 @@
 
 fn job_bid(job: &WaitingJob, teams: &[&String], options: &Options) -> Option<JobBid> {
     Some(JobBid {
-        slots: job.left(),
+        slots: job.remaining_tasks(),
         slot: job.slot,
         hours: estimated_hours(job),
-        worth: job.rent as f64 * options.worth,
+        worth: job.rent as f64 * options.max_rent_share,
         budget: teams.iter().position(|t| **t == job.team)?,
     })
 }
--- a/crates/market/src/broker/calls.rs
+++ b/crates/market/src/broker/calls.rs
@@ -43,7 +43,7 @@
             if !market.configured || market.sync_in_flight || now < market.next_sync {
                 continue;
             }
-            if !market.breaker.enter(now, false) {
+            if !market.breaker.admit(now, false) {
                 continue;
             }
             let interval_ms = self.options.sync_interval_ms as f64;
@@ -128,10 +128,8 @@
             Err(CallFailure::NoAnswer) => CallOutcome::NoAnswer,
             _ => CallOutcome::Invalid,
         };
-        let backoff_draw = self.rng.f64();
-        self.markets[market]
-            .breaker
-            .leave(outcome, now, backoff_draw);
+        let jitter = self.rng.f64();
+        self.markets[market].breaker.finish(outcome, now, jitter);
         if let Call::Sync { .. } = &call {
             self.markets[market].sync_in_flight = false;
         }
--- a/crates/market/src/broker/mod.rs
+++ b/crates/market/src/broker/mod.rs
@@ -18,8 +18,8 @@
     lending::{NotLendable, WaitingJob},
     options::Options,
     records::{
-        AWARDS, AwardRecord, End, HORIZONS, HorizonRecord, SPENT, STANDING, SpentRecord, Why,
-        award_key, day, horizon_key, spent_key, standing_key,
+        AWARDS, AwardRecord, End, EndReason, HORIZONS, HorizonRecord, REPUTATIONS, SPENT,
+        SpentRecord, award_key, day, horizon_key, reputation_key, spent_key,
     },
     reputation::Reputation,
     wire,
@@ -310,7 +310,7 @@
                         .tenancy
                         .horizon_written(record.until_ms);
                 }
-            } else if let Some(market) = key.strip_prefix(STANDING) {
+            } else if let Some(market) = key.strip_prefix(REPUTATIONS) {
                 if let Ok(record) = serde_json::from_value::<Reputation>(value.clone()) {
                     let market_index = self.market_index(market, false);
                     self.markets[market_index].written_reputation = record.clone();
@@ -473,7 +473,7 @@
     /// detect a violator of the protocol again.
     fn write_reputations(&mut self, now: Millis) {
         for market in &mut self.markets {
-            let new_violation = market.reputation.lies > market.written_reputation.lies;
+            let new_violation = market.reputation.violations > market.written_reputation.violations;
             if market.reputation == market.written_reputation
                 || (now < market.next_reputation_write && !new_violation)
             {
@@ -482,7 +482,7 @@
             market.next_reputation_write = now + REPUTATION_WRITE_INTERVAL_MS;
             market.written_reputation = market.reputation.clone();
             let changes = vec![(
-                standing_key(&market.name),
+                reputation_key(&market.name),
                 value(&market.written_reputation),
             )];
             self.ledger_sync.enqueue(changes);
--- a/crates/market/src/broker/settle.rs
+++ b/crates/market/src/broker/settle.rs
@@ -80,7 +80,7 @@
             done: Ranges::default(),
             result: None,
             charge: 0,
-            why: Why::NotSent,
+            reason: EndReason::NotSent,
         };
         self.record_end(job, end, now);
     }
@@ -106,7 +106,7 @@
         let granted = market
             .granted_until
             .is_some_and(|g| g.epoch == clock.epoch && g.clock_ms > clock.clock_ms);
-        if !granted || !market.breaker.enter(now, false) {
+        if !granted || !market.breaker.admit(now, false) {
             return;
         }
         self.send_award_call(job, message);
@@ -155,40 +155,47 @@
             // earlier epochs has ended, the award may run without its knowledge.
             State::Unknown | State::Void if !same_epoch => {
                 if reply.cleared {
-                    self.conclude(job, Ranges::default(), None, 0, Why::Expired, now);
+                    self.conclude(job, Ranges::default(), None, 0, EndReason::Expired, now);
                 }
             }
             _ if !same_epoch => self.report_violation(market, "state for an award of a lost epoch"),
             State::Running { done } if *done <= offload.tasks => *running = Some(*done),
             State::Running { .. } => self.report_violation(market, "more tasks than the job has"),
             State::Unknown if reply.clock_ms > offload.start_by.clock_ms => {
-                let why = Why::Void;
-                self.conclude(job, Ranges::default(), None, 0, why, now);
+                let reason = EndReason::Void;
+                self.conclude(job, Ranges::default(), None, 0, reason, now);
             }
             State::Unknown if *calling => {}
             State::Unknown => {
                 let message = offload.message.clone().filter(|_| !offload.recall);
                 match message {
                     Some(message) => {
-                        if self.markets[market].breaker.enter(now, true) {
+                        if self.markets[market].breaker.admit(now, true) {
                             self.send_award_call(job, message);
                         }
                     }
                     None => offload.recall = true,
                 }
             }
-            State::Void => self.conclude(job, Ranges::default(), None, 0, Why::Void, now),
+            State::Void => self.conclude(job, Ranges::default(), None, 0, EndReason::Void, now),
             State::Withdrawn { done, charge } => {
                 let mut done = done.clone();
-                if let Err(why) = done.check(offload.tasks) {
+                if let Err(violation) = done.check(offload.tasks) {
                     done = Ranges::default();
-                    self.report_violation(market, why);
+                    self.report_violation(market, violation);
                 }
-                self.conclude(job, done, None, *charge, Why::Withdrawn, now);
+                self.conclude(job, done, None, *charge, EndReason::Withdrawn, now);
             }
             State::Done { result, charge } => {
                 let all = Ranges::all(offload.tasks);
-                self.conclude(job, all, Some(result.clone()), *charge, Why::Done, now);
+                self.conclude(
+                    job,
+                    all,
+                    Some(result.clone()),
+                    *charge,
+                    EndReason::Done,
+                    now,
+                );
             }
         }
     }
@@ -200,7 +207,7 @@
         done: Ranges,
         result: Option<String>,
         charge: Money,
-        why: Why,
+        reason: EndReason,
         now: Millis,
     ) {
         let Some(offload) = self.jobs.get(job) else {
@@ -210,19 +217,22 @@
         if charge > cap {
             self.report_violation(market, "charge above the award's cap");
         }
-        if why == Why::Done {
+        if reason == EndReason::Done {
             self.counts.done += 1;
         }
         // An award that the home recalled does not count against the market.
-        if let Some(outcome) = why.outcome().filter(|_| !recall || why == Why::Done) {
-            self.markets[market].reputation.note(outcome);
+        if let Some(outcome) = reason
+            .outcome()
+            .filter(|_| !recall || reason == EndReason::Done)
+        {
+            self.markets[market].reputation.record(outcome);
         }
         let charge = charge.min(cap);
         let end = End {
             done,
             result,
             charge,
-            why,
+            reason,
         };
         self.record_end(job, end, now);
     }
@@ -234,7 +244,7 @@
         };
         self.by_award.remove(&offload.award);
         let market = &mut self.markets[offload.market];
-        if market.settled_awards.len() < wire::MAX_ROWS && end.why != Why::NotSent {
+        if market.settled_awards.len() < wire::MAX_ROWS && end.reason != EndReason::NotSent {
             market.settled_awards.push(offload.award);
         }
         let record = offload.record(&market.name, Some(end.clone()));
@@ -276,7 +286,7 @@
             .map(|(j, _)| j.clone())
             .collect();
         for job in expired {
-            self.conclude(&job, Ranges::default(), None, 0, Why::Expired, now);
+            self.conclude(&job, Ranges::default(), None, 0, EndReason::Expired, now);
         }
     }
 
@@ -285,7 +295,7 @@
         let market_state = &mut self.markets[market];
         market_state
             .reputation
-            .note(crate::reputation::Outcome::Lied);
+            .record(crate::reputation::Outcome::Violation);
         self.counts.violations += 1;
         log::warn!(
             "market {}: protocol violation: {violation}",
--- a/crates/market/src/call_policy.rs
+++ b/crates/market/src/call_policy.rs
@@ -1,68 +1,73 @@
-//! What may be sent to a market now: a limit on calls under way, a circuit
-//! breaker, back-off with jitter and a budget of retries. Each market has its
-//! own, so that a slow or broken one costs the others nothing.
+//! Limits the calls to a market: an adaptive limit on calls in flight, a circuit
+//! breaker with exponential backoff and jitter, and a retry budget. Each market
+//! has its own, so that a slow or broken market does not affect the others.
 
 use crate::Millis;
 
 #[derive(Debug, Clone, PartialEq)]
 pub struct Limits {
-    /// Calls under way at most; the limit in force moves below this.
-    pub calls: u32,
-    /// Failures in a row after which the market is left alone.
-    pub failures: u32,
-    /// For how long at first, and at most.
+    /// Maximum number of calls in flight; the adaptive window stays below it.
+    pub max_calls: u32,
+    /// Number of consecutive failures that open the breaker.
+    pub failure_threshold: u32,
+    /// Time for which the breaker stays open at first. It doubles up to
+    /// `max_open_ms`.
     pub open_ms: Millis,
     pub max_open_ms: Millis,
-    /// Retries saved up at most, and how many first calls earn one.
-    pub retries: u32,
+    /// Maximum number of retries that can be saved up.
+    pub max_saved_retries: u32,
+    /// Number of first calls that earn one retry.
     pub calls_per_retry: u32,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Limits {
-            calls: 16,
-            failures: 5,
+            max_calls: 16,
+            failure_threshold: 5,
             open_ms: 2_000,
             max_open_ms: 60_000,
-            retries: 10,
+            max_saved_retries: 10,
             calls_per_retry: 10,
         }
     }
 }
 
+/// State of the circuit breaker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum State {
-    /// Calls go through.
+    /// Calls are allowed.
     Closed,
-    /// None do, until then.
+    /// No call is allowed before `until`.
     Open { until: Millis },
-    /// One call is under way that decides.
-    Trying,
+    /// One probe call is in flight; its outcome closes or reopens the breaker.
+    HalfOpen,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// Answered, and the answer could be read.
+    /// A valid answer.
     Success,
-    /// Answered with something that is refused.
+    /// An answer that is refused.
     Invalid,
     /// No answer in time, or the connection failed.
     NoAnswer,
 }
 
+/// Call limits and circuit breaker of one market.
 #[derive(Debug)]
 pub struct CircuitBreaker {
     limits: Limits,
     state: State,
-    under_way: u32,
-    /// Moves between 1 and `limits.calls`: up by one for each window of good
-    /// calls, halved when one is missing.
+    calls_in_flight: u32,
+    /// Limit on calls in flight, between 1 and `limits.max_calls`: grows by one for
+    /// each window of successful calls, is halved when a call gets no answer.
     window: f64,
-    failed: u32,
-    /// How often it has opened without a good call since.
-    opened: u32,
-    /// First calls that have not been spent on retries.
+    consecutive_failures: u32,
+    /// Number of times that the breaker has opened since the last success.
+    consecutive_openings: u32,
+    /// First calls that have not been spent on retries; a retry costs
+    /// `limits.calls_per_retry` of them.
     credit: u32,
 }
 
@@ -70,11 +75,11 @@
     pub fn new(limits: Limits) -> Self {
         CircuitBreaker {
             state: State::Closed,
-            under_way: 0,
-            window: f64::from(limits.calls.clamp(1, 4)),
-            failed: 0,
-            opened: 0,
-            credit: limits.retries * limits.calls_per_retry,
+            calls_in_flight: 0,
+            window: f64::from(limits.max_calls.clamp(1, 4)),
+            consecutive_failures: 0,
+            consecutive_openings: 0,
+            credit: limits.max_saved_retries * limits.calls_per_retry,
             limits,
         }
     }
@@ -83,62 +88,66 @@
         self.state
     }
 
-    pub fn under_way(&self) -> u32 {
-        self.under_way
+    pub fn calls_in_flight(&self) -> u32 {
+        self.calls_in_flight
     }
 
-    /// Whether jobs may be planned for this market.
+    /// Whether jobs may be assigned to this market's offers.
     pub fn usable(&self) -> bool {
         self.state == State::Closed
     }
 
-    /// Takes a place for one call. `retry`: it repeats one that failed.
-    pub fn enter(&mut self, now: Millis, retry: bool) -> bool {
+    /// Admits one call if the limits allow it and returns whether it may be sent. `retry`: the
+    /// call repeats one that failed and is charged to the retry budget.
+    pub fn admit(&mut self, now: Millis, retry: bool) -> bool {
         match self.state {
             State::Open { until } if now < until => return false,
-            State::Open { .. } if self.under_way > 0 => return false,
-            State::Open { .. } => self.state = State::Trying,
-            State::Trying => return false,
-            State::Closed if f64::from(self.under_way) >= self.window.floor().max(1.0) => {
+            State::Open { .. } if self.calls_in_flight > 0 => return false,
+            State::Open { .. } => self.state = State::HalfOpen,
+            State::HalfOpen => return false,
+            State::Closed if f64::from(self.calls_in_flight) >= self.window.floor().max(1.0) => {
                 return false;
             }
             State::Closed if retry && self.credit < self.limits.calls_per_retry => return false,
             State::Closed => {}
         }
-        let earned = self.limits.retries * self.limits.calls_per_retry;
+        let max_credit = self.limits.max_saved_retries * self.limits.calls_per_retry;
         self.credit = match retry {
             true => self.credit.saturating_sub(self.limits.calls_per_retry),
-            false => (self.credit + 1).min(earned),
+            false => (self.credit + 1).min(max_credit),
         };
-        self.under_way += 1;
+        self.calls_in_flight += 1;
         true
     }
 
-    /// A call has ended; `chance` from 0 to 1 spreads the next attempt.
-    pub fn leave(&mut self, outcome: CallOutcome, now: Millis, chance: f64) {
-        self.under_way = self.under_way.saturating_sub(1);
+    /// Records the outcome of a call. `jitter`, from 0 to 1, spreads the time of the
+    /// next attempt if the breaker opens.
+    pub fn finish(&mut self, outcome: CallOutcome, now: Millis, jitter: f64) {
+        self.calls_in_flight = self.calls_in_flight.saturating_sub(1);
         if outcome == CallOutcome::Success {
-            self.failed = 0;
-            self.opened = 0;
+            self.consecutive_failures = 0;
+            self.consecutive_openings = 0;
             self.state = State::Closed;
-            let most = f64::from(self.limits.calls.max(1));
-            self.window = (self.window + 1.0 / self.window).min(most);
+            let max_window = f64::from(self.limits.max_calls.max(1));
+            self.window = (self.window + 1.0 / self.window).min(max_window);
             return;
         }
         if outcome == CallOutcome::NoAnswer {
             self.window = (self.window / 2.0).max(1.0);
         }
-        self.failed += 1;
-        if self.state == State::Trying || self.failed >= self.limits.failures {
-            let long = self.limits.open_ms << self.opened.min(16);
-            let long = long.min(self.limits.max_open_ms) as f64;
-            // Half of it is sure, half is drawn.
-            let wait = long * (0.5 + 0.5 * chance.clamp(0.0, 1.0));
+        self.consecutive_failures += 1;
+        if self.state == State::HalfOpen
+            || self.consecutive_failures >= self.limits.failure_threshold
+        {
+            let open_ms = self.limits.open_ms << self.consecutive_openings.min(16);
+            let open_ms = open_ms.min(self.limits.max_open_ms) as f64;
+            // Half of the wait is fixed, half is random.
+            let wait_ms = open_ms * (0.5 + 0.5 * jitter.clamp(0.0, 1.0));
             self.state = State::Open {
-                until: now + wait as Millis,
+                until: now + wait_ms as Millis,
             };
-            self.opened = self.opened.saturating_add(1);
-            self.failed = 0;
+            self.consecutive_openings = self.consecutive_openings.saturating_add(1);
+            self.consecutive_failures = 0;
         }
     }
 }
--- a/crates/market/src/call_policy/tests.rs
+++ b/crates/market/src/call_policy/tests.rs
@@ -3,65 +3,65 @@
 use super::*;
 
 #[test]
-fn a_silent_market_is_left_alone_ever_longer_and_tried_with_one_call() {
-    let mut g = CircuitBreaker::new(Limits::default());
+fn breaker_opens_for_longer_each_time_and_probes_with_one_call() {
+    let mut breaker = CircuitBreaker::new(Limits::default());
     let mut now = 0;
     for _ in 0..5 {
-        assert!(g.enter(now, false));
-        g.leave(CallOutcome::NoAnswer, now, 1.0);
+        assert!(breaker.admit(now, false));
+        breaker.finish(CallOutcome::NoAnswer, now, 1.0);
     }
-    assert_eq!(g.state(), State::Open { until: 2_000 });
-    assert!(!g.enter(1_999, false));
+    assert_eq!(breaker.state(), State::Open { until: 2_000 });
+    assert!(!breaker.admit(1_999, false));
     for wait in [4_000, 8_000, 16_000, 32_000, 60_000, 60_000] {
-        let State::Open { until } = g.state() else {
-            panic!("not open")
+        let State::Open { until } = breaker.state() else {
+            panic!("the breaker is not open")
         };
         now = until;
-        assert!(g.enter(now, false));
-        assert!(!g.enter(now, false), "one call decides");
-        g.leave(CallOutcome::NoAnswer, now, 1.0);
-        assert_eq!(g.state(), State::Open { until: now + wait });
+        assert!(breaker.admit(now, false));
+        assert!(!breaker.admit(now, false), "only one probe call is allowed");
+        breaker.finish(CallOutcome::NoAnswer, now, 1.0);
+        assert_eq!(breaker.state(), State::Open { until: now + wait });
     }
     now += 60_000;
-    assert!(g.enter(now, false));
-    g.leave(CallOutcome::Success, now, 0.0);
-    assert!(g.usable());
+    assert!(breaker.admit(now, false));
+    breaker.finish(CallOutcome::Success, now, 0.0);
+    assert!(breaker.usable());
 }
 
 #[test]
-fn calls_under_way_are_few_at_a_slow_market_and_many_at_a_good_one() {
-    let mut g = CircuitBreaker::new(Limits::default());
-    let take = |g: &mut CircuitBreaker| (0..100).filter(|_| g.enter(0, false)).count() as u32;
-    assert_eq!(take(&mut g), 4);
+fn call_window_grows_with_successes_and_halves_when_a_call_is_unanswered() {
+    let mut breaker = CircuitBreaker::new(Limits::default());
+    let take = |b: &mut CircuitBreaker| (0..100).filter(|_| b.admit(0, false)).count() as u32;
+    assert_eq!(take(&mut breaker), 4);
     for _ in 0..4 {
-        g.leave(CallOutcome::Success, 0, 0.0);
+        breaker.finish(CallOutcome::Success, 0, 0.0);
     }
     for _ in 0..200 {
-        if g.enter(0, false) {
-            g.leave(CallOutcome::Success, 0, 0.0);
+        if breaker.admit(0, false) {
+            breaker.finish(CallOutcome::Success, 0, 0.0);
         }
     }
-    assert_eq!(take(&mut g), 16);
-    g.leave(CallOutcome::NoAnswer, 0, 0.0);
-    assert_eq!(g.under_way(), 15);
-    assert!(!g.enter(0, false), "halved: 8");
+    assert_eq!(take(&mut breaker), 16);
+    breaker.finish(CallOutcome::NoAnswer, 0, 0.0);
+    assert_eq!(breaker.calls_in_flight(), 15);
+    assert!(!breaker.admit(0, false), "the window is halved to 8");
 }
 
 #[test]
-fn retries_are_a_share_of_calls() {
-    let mut g = CircuitBreaker::new(Limits::default());
-    let mut retry = |n: u32| {
-        let mut taken = 0;
-        for _ in 0..n {
-            if g.enter(0, true) {
-                taken += 1;
-                g.leave(CallOutcome::Invalid, 0, 0.0);
-                g.enter(0, false);
-                g.leave(CallOutcome::Success, 0, 0.0);
+fn retries_are_limited_to_a_share_of_first_calls() {
+    let mut breaker = CircuitBreaker::new(Limits::default());
+    let mut retry = |attempts: u32| {
+        let mut started = 0;
+        for _ in 0..attempts {
+            if breaker.admit(0, true) {
+                started += 1;
+                breaker.finish(CallOutcome::Invalid, 0, 0.0);
+                breaker.admit(0, false);
+                breaker.finish(CallOutcome::Success, 0, 0.0);
             }
         }
-        taken
+        started
     };
-    // Ten saved up, then one for each ten calls.
+    // Ten retries are saved up at the start; ten first calls earn one more.
     assert_eq!(retry(100), 11);
 }
--- a/crates/market/src/lending.rs
+++ b/crates/market/src/lending.rs
@@ -1,4 +1,4 @@
-//! Which waiting jobs are offered to other clusters.
+//! Decides which waiting jobs may be offloaded to other clusters.
 
 use crate::{Millis, Money, options::Options, ranges::Ranges, wire::Slot};
 use serde::{Deserialize, Serialize};
@@ -12,7 +12,7 @@
     Service,
 }
 
-/// A job as the leader tells of it.
+/// A waiting job as described by the home's leader.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WaitingJob {
     pub job: String,
@@ -26,73 +26,76 @@
     pub image_gb: f64,
     pub estimate_s: f64,
     pub waited_ms: Millis,
-    /// Until its deadline, if it has one; below zero: passed.
+    /// Time until the job's deadline, if it has one; negative if it has passed.
     pub left_ms: Option<i64>,
-    /// When it is expected to be done here; absent: nobody knows.
+    /// Expected time until the job has finished at home; absent: unknown.
     pub here_ms: Option<Millis>,
-    /// What renting for it here would cost, in millionths.
+    /// Cost of renting machines for the job at home, in millionths of the price
+    /// list's unit.
     pub rent: Money,
-    /// Tasks that are, or may be, on machines here.
+    /// Number of tasks that are, or may be, on machines of the home cluster.
     pub placed: u32,
-    /// Someone's guarantee or aim counts on its being started here.
+    /// Whether a guarantee or an objective relies on the job's being started at home.
     pub kept: bool,
 }
 
-/// Why a job stays.
+/// Why a waiting job is not offloaded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum NotLendable {
     Service,
     Class,
-    /// Some of it is, or may be, on a machine here.
+    /// Some of its tasks are, or may be, on machines of the home cluster.
     Placed,
     Guaranteed,
-    /// It is expected to make its aims here.
+    /// It is expected to finish in time at home.
     InTime,
     WaitedTooLittle,
-    /// The floor of work that stays for the machines here.
+    /// Its CPUs belong to the minimum of waiting work kept for the home's machines.
     Floor,
-    /// As many as allowed are offloaded.
+    /// The maximum number of jobs is already offloaded.
     Enough,
-    /// Its team may not spend anything.
+    /// Its team has no budget left, or no rent is known for it.
     NoBudget,
 }
 
 impl fmt::Display for NotLendable {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            NotLendable::Service => "services are never lent",
-            NotLendable::Class => "its class is not lent",
-            NotLendable::Placed => "some of it runs here",
-            NotLendable::Guaranteed => "its team's guarantee covers it",
-            NotLendable::InTime => "expected in time here",
+            NotLendable::Service => "services are never offloaded",
+            NotLendable::Class => "its class may not be offloaded",
+            NotLendable::Placed => "some of its tasks run at home",
+            NotLendable::Guaranteed => "its team's guarantee applies at home",
+            NotLendable::InTime => "expected to finish in time at home",
             NotLendable::WaitedTooLittle => "has not waited long enough",
-            NotLendable::Floor => "kept as work for the machines here",
-            NotLendable::Enough => "as many jobs as allowed are lent",
+            NotLendable::Floor => "kept as work for the home's own machines",
+            NotLendable::Enough => "the maximum number of jobs is offloaded",
             NotLendable::NoBudget => "its team has no budget",
         })
     }
 }
 
 impl WaitingJob {
-    pub fn left(&self) -> u32 {
+    /// Returns the number of tasks that have not finished.
+    pub fn remaining_tasks(&self) -> u32 {
         self.tasks.saturating_sub(self.done.count())
     }
 
-    fn cpus(&self) -> f64 {
-        f64::from(self.left()) * self.slot.cpus
+    fn remaining_cpus(&self) -> f64 {
+        f64::from(self.remaining_tasks()) * self.slot.cpus
     }
 
-    /// What can be said of the job alone.
-    fn stays(&self, o: &Options) -> Option<NotLendable> {
+    /// Returns the reason why this job stays, as far as it does not depend on other
+    /// jobs or budgets.
+    fn reason_to_stay(&self, options: &Options) -> Option<NotLendable> {
         if self.kind == Kind::Service {
             return Some(NotLendable::Service);
         }
-        if !o.classes.contains(&self.class) {
+        if !options.classes.contains(&self.class) {
             return Some(NotLendable::Class);
         }
-        // Never half a gang, and an array only whole: a job's tasks are in
-        // one place or in none.
+        // Gangs and arrays are offloaded only as a whole: the tasks of a job
+        // must not run in two places.
         if self.placed > 0 {
             return Some(NotLendable::Placed);
         }
@@ -100,57 +103,57 @@
             return Some(NotLendable::Guaranteed);
         }
         let in_time = match (self.left_ms, self.here_ms) {
-            (Some(left), Some(here)) => here as i64 <= left,
-            (None, Some(here)) => here <= o.min_wait_ms,
+            (Some(left_ms), Some(finish_ms)) => finish_ms as i64 <= left_ms,
+            (None, Some(finish_ms)) => finish_ms <= options.min_wait_ms,
             (_, None) => false,
         };
         if in_time {
             return Some(NotLendable::InTime);
         }
-        (self.waited_ms < o.min_wait_ms).then_some(NotLendable::WaitedTooLittle)
+        (self.waited_ms < options.min_wait_ms).then_some(NotLendable::WaitedTooLittle)
     }
 }
 
-/// Splits what waits into jobs to be offloaded, most urgent first, and jobs that
-/// stay, with the reason. `offloaded`: jobs that are offloaded already; `money`: what a
-/// team may still spend.
+/// Splits the waiting jobs into those to be offloaded, most urgent first, and
+/// those that stay, with the reason. `offloaded`: number of jobs offloaded
+/// already; `remaining_budget`: what a team may still spend.
 pub fn choose<'a>(
     waiting: &'a [WaitingJob],
-    lent: usize,
-    money: impl Fn(&str) -> Money,
-    o: &Options,
+    offloaded: usize,
+    remaining_budget: impl Fn(&str) -> Money,
+    options: &Options,
 ) -> (Vec<&'a WaitingJob>, Vec<(&'a str, NotLendable)>) {
-    let (mut go, mut stay) = (Vec::new(), Vec::new());
-    let mut local: f64 = waiting.iter().map(WaitingJob::cpus).sum();
-    let mut order: Vec<&WaitingJob> = waiting.iter().collect();
-    // Those that are latest, or have least time, first.
-    order.sort_by_key(|w| {
+    let (mut chosen, mut staying) = (Vec::new(), Vec::new());
+    let mut waiting_cpus: f64 = waiting.iter().map(WaitingJob::remaining_cpus).sum();
+    let mut by_urgency: Vec<&WaitingJob> = waiting.iter().collect();
+    // The jobs with the least time to their deadline come first.
+    by_urgency.sort_by_key(|job| {
         (
-            w.left_ms.unwrap_or(i64::MAX),
-            std::cmp::Reverse(w.waited_ms),
+            job.left_ms.unwrap_or(i64::MAX),
+            std::cmp::Reverse(job.waited_ms),
         )
     });
-    for w in order {
-        let why = w.stays(o).or_else(|| {
-            if money(&w.team) == 0 || w.rent == 0 {
+    for job in by_urgency {
+        let reason = job.reason_to_stay(options).or_else(|| {
+            if remaining_budget(&job.team) == 0 || job.rent == 0 {
                 Some(NotLendable::NoBudget)
-            } else if lent + go.len() >= o.jobs {
+            } else if offloaded + chosen.len() >= options.max_jobs {
                 Some(NotLendable::Enough)
-            } else if local - w.cpus() < o.local_floor_cpus {
+            } else if waiting_cpus - job.remaining_cpus() < options.local_floor_cpus {
                 Some(NotLendable::Floor)
             } else {
                 None
             }
         });
-        match why {
-            Some(why) => stay.push((w.job.as_str(), why)),
+        match reason {
+            Some(reason) => staying.push((job.job.as_str(), reason)),
             None => {
-                local -= w.cpus();
-                go.push(w);
+                waiting_cpus -= job.remaining_cpus();
+                chosen.push(job);
             }
         }
     }
-    (go, stay)
+    (chosen, staying)
 }
 
 #[cfg(test)]
--- a/crates/market/src/lending/tests.rs
+++ b/crates/market/src/lending/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-fn waiting(n: u32) -> WaitingJob {
+fn waiting_job(n: u32) -> WaitingJob {
     WaitingJob {
         job: format!("j-{n:06}"),
         class: "slice".into(),
@@ -35,53 +35,57 @@
 }
 
 #[test]
-fn what_must_stay_stays_and_says_why() {
-    let o = options();
-    let w = waiting(1);
-    let case = |change: &dyn Fn(&mut WaitingJob)| {
+fn jobs_that_must_stay_are_returned_with_the_reason() {
+    let options = options();
+    let w = waiting_job(1);
+    let reason_after = |change: &dyn Fn(&mut WaitingJob)| {
         let mut w = w.clone();
         change(&mut w);
         let list = [w];
-        let (go, stay) = choose(&list, 0, |_| 1, &o);
-        assert_eq!(go.len() + stay.len(), 1);
-        stay.first().map(|s| s.1)
+        let (chosen, staying) = choose(&list, 0, |_| 1, &options);
+        assert_eq!(chosen.len() + staying.len(), 1);
+        staying.first().map(|s| s.1)
     };
-    assert_eq!(case(&|_| {}), None);
+    assert_eq!(reason_after(&|_| {}), None);
     assert_eq!(
-        case(&|w| w.kind = Kind::Service),
+        reason_after(&|w| w.kind = Kind::Service),
         Some(NotLendable::Service)
     );
     assert_eq!(
-        case(&|w| w.class = "orders".into()),
+        reason_after(&|w| w.class = "orders".into()),
         Some(NotLendable::Class)
     );
-    assert_eq!(case(&|w| w.placed = 1), Some(NotLendable::Placed));
-    assert_eq!(case(&|w| w.kept = true), Some(NotLendable::Guaranteed));
+    assert_eq!(reason_after(&|w| w.placed = 1), Some(NotLendable::Placed));
     assert_eq!(
-        case(&|w| w.here_ms = Some(900_000)),
+        reason_after(&|w| w.kept = true),
+        Some(NotLendable::Guaranteed)
+    );
+    assert_eq!(
+        reason_after(&|w| w.here_ms = Some(900_000)),
         Some(NotLendable::InTime)
     );
     assert_eq!(
-        case(&|w| w.waited_ms = 1),
+        reason_after(&|w| w.waited_ms = 1),
         Some(NotLendable::WaitedTooLittle)
     );
-    assert_eq!(case(&|w| w.rent = 0), Some(NotLendable::NoBudget));
+    assert_eq!(reason_after(&|w| w.rent = 0), Some(NotLendable::NoBudget));
 }
 
 #[test]
-fn the_floor_and_the_limit_keep_the_least_urgent_here() {
-    let mut list: Vec<WaitingJob> = (0..5).map(waiting).collect();
+fn least_urgent_jobs_stay_when_floor_or_job_limit_is_reached() {
+    let mut list: Vec<WaitingJob> = (0..5).map(waiting_job).collect();
     for (n, w) in list.iter_mut().enumerate() {
         w.left_ms = Some(1_000 * (5 - n as i64));
     }
-    let mut o = options();
-    o.local_floor_cpus = 50.0;
-    let (go, stay) = choose(&list, 0, |_| 1, &o);
-    // 100 CPUs wait; two jobs of 20 may go, the latest ones first.
-    let names: Vec<&str> = go.iter().map(|w| w.job.as_str()).collect();
+    let mut options = options();
+    options.local_floor_cpus = 50.0;
+    let (chosen, staying) = choose(&list, 0, |_| 1, &options);
+    // 100 CPUs wait: two jobs of 20 CPUs may be offloaded, those with the
+    // least time left first.
+    let names: Vec<&str> = chosen.iter().map(|w| w.job.as_str()).collect();
     assert_eq!(names, ["j-000004", "j-000003"]);
-    assert!(stay.iter().all(|s| s.1 == NotLendable::Floor));
-    o.local_floor_cpus = 0.0;
-    o.jobs = 3;
-    assert_eq!(choose(&list, 2, |_| 1, &o).0.len(), 1);
+    assert!(staying.iter().all(|s| s.1 == NotLendable::Floor));
+    options.local_floor_cpus = 0.0;
+    options.max_jobs = 3;
+    assert_eq!(choose(&list, 2, |_| 1, &options).0.len(), 1);
 }
--- a/crates/market/src/options.rs
+++ b/crates/market/src/options.rs
@@ -1,5 +1,5 @@
-//! The operators' INI file of the broker. Every key has a default; an unknown
-//! section or key, or a value out of range, stops the start with its name.
+//! The broker's INI file. Every key has a default. An unknown section or key, or
+//! a value out of range, prevents the start with an error that names the key.
 
 use crate::{Millis, Money, millis};
 use anyhow::{Context, Result, bail, ensure};
@@ -7,31 +7,33 @@
 use pathwinch_cli::number;
 use std::{collections::BTreeMap, net::SocketAddr, path::Path};
 
+/// Settings of the broker.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Options {
-    /// Classes of jobs that may be offloaded; none: nothing is.
+    /// Classes of jobs that may be offloaded; if empty, no job is offloaded.
     pub classes: Vec<String>,
-    /// A job waits here for so long before it may be offloaded.
+    /// Time that a job must have waited before it may be offloaded.
     pub min_wait_ms: Millis,
-    /// CPUs of waiting work that stay for the machines here.
+    /// CPUs of waiting work that are kept for the home's own machines.
     pub local_floor_cpus: f64,
-    /// At most this share of what renting here would cost is bid.
-    pub worth: f64,
-    /// Jobs that may be offloaded at once.
-    pub jobs: usize,
-    /// How far ahead a market may run what was awarded to it.
+    /// Maximum bid for a job, as a share of what renting machines for it at home
+    /// would cost.
+    pub max_rent_share: f64,
+    /// Maximum number of jobs that are offloaded at a time.
+    pub max_jobs: usize,
+    /// Tenancy: time for which a market may run its awards without a renewal.
     pub tenancy_ms: Millis,
-    /// By how much the time of day may differ between brokers.
+    /// Largest difference between the times of day of two brokers.
     pub clock_bound_ms: Millis,
-    /// An award that is not accepted within this is void.
+    /// Time within which a market must accept an award; later it is void.
     pub start_within_ms: Millis,
-    /// How often each market is asked.
+    /// Interval between sync calls to each market, and between clearings.
     pub sync_interval_ms: Millis,
-    /// Share of the state service's limits that brokers may use.
-    pub share: f64,
-    /// Of each team, for a day, in millionths.
+    /// Share of the state service's rate limits that a broker may use.
+    pub state_share: f64,
+    /// Daily budget of each team, in millionths of the price list's unit.
     pub budgets: BTreeMap<String, Money>,
-    /// Markets by name: where they are asked.
+    /// Address of each market, by name.
     pub markets: BTreeMap<String, String>,
 }
 
@@ -41,13 +43,13 @@
             classes: Vec::new(),
             min_wait_ms: 20_000,
             local_floor_cpus: 0.0,
-            worth: 1.0,
-            jobs: 2_000,
+            max_rent_share: 1.0,
+            max_jobs: 2_000,
             tenancy_ms: 60_000,
             clock_bound_ms: 1_000,
             start_within_ms: 10_000,
             sync_interval_ms: 2_000,
-            share: 0.08,
+            state_share: 0.08,
             budgets: BTreeMap::new(),
             markets: BTreeMap::new(),
         }
@@ -69,22 +71,22 @@
 
     pub fn parse(text: &str) -> Result<Self> {
         let ini = Ini::load_from_str(text)?;
-        let mut o = Options::default();
-        for (section, props) in &ini {
-            for (key, value) in props.iter() {
+        let mut options = Options::default();
+        for (section, properties) in &ini {
+            for (key, value) in properties.iter() {
                 let name = format!("{}.{key}", section.unwrap_or(""));
-                o.set(section.unwrap_or(""), key, &name, value)?;
+                options.set(section.unwrap_or(""), key, &name, value)?;
             }
         }
         ensure!(
-            o.markets.len() <= MAX_MARKETS,
+            options.markets.len() <= MAX_MARKETS,
             "market: at most {MAX_MARKETS}"
         );
         ensure!(
-            o.start_within_ms < o.tenancy_ms,
+            options.start_within_ms < options.tenancy_ms,
             "award.start_within_s: must be less than award.tenancy_s"
         );
-        Ok(o)
+        Ok(options)
     }
 
     fn set(&mut self, section: &str, key: &str, name: &str, value: &str) -> Result<()> {
@@ -95,22 +97,22 @@
             }
             ("lend", "after_s") => self.min_wait_ms = seconds(name, value, 0.0, 86_400.0)?,
             ("lend", "floor_cpus") => self.local_floor_cpus = number(name, value, 0.0, 1e9)?,
-            ("lend", "worth") => self.worth = number(name, value, 0.0, 1.0)?,
-            ("lend", "jobs") => self.jobs = number(name, value, 1.0, 100_000.0)? as usize,
+            ("lend", "worth") => self.max_rent_share = number(name, value, 0.0, 1.0)?,
+            ("lend", "jobs") => self.max_jobs = number(name, value, 1.0, 100_000.0)? as usize,
             ("award", "tenancy_s") => self.tenancy_ms = seconds(name, value, 5.0, 3_600.0)?,
             ("award", "clock_bound_s") => self.clock_bound_ms = seconds(name, value, 0.0, 60.0)?,
             ("award", "start_within_s") => self.start_within_ms = seconds(name, value, 1.0, 600.0)?,
             ("award", "every_s") => self.sync_interval_ms = seconds(name, value, 0.5, 60.0)?,
-            ("state", "share") => self.share = number(name, value, 0.001, 0.5)?,
+            ("state", "share") => self.state_share = number(name, value, 0.001, 0.5)?,
             ("budget", team) => {
-                let most = number(name, value, 0.0, 1e9)?;
+                let units_per_day = number(name, value, 0.0, 1e9)?;
                 self.budgets
-                    .insert(team.to_owned(), (most * 1e6).round() as Money);
+                    .insert(team.to_owned(), (units_per_day * 1e6).round() as Money);
             }
             ("market", market) => {
-                let addr: Result<SocketAddr, _> = value.trim().parse();
+                let address: Result<SocketAddr, _> = value.trim().parse();
                 ensure!(
-                    addr.is_ok(),
+                    address.is_ok(),
                     "{name}: {value:?} is not an address like 10.9.0.1:8443"
                 );
                 self.markets
--- a/crates/market/src/records.rs
+++ b/crates/market/src/records.rs
@@ -1,13 +1,16 @@
-//! What the broker keeps in the state service, under its own prefix.
+//! Records that the broker keeps in the state service, under its own key prefix.
 
 use crate::{Millis, Money, ranges::Ranges, reputation::Outcome, wire::Until};
 use serde::{Deserialize, Serialize};
 
+/// Prefix of award records, one per offloaded job.
 pub const AWARDS: &str = "award/";
+/// Prefix of horizon records, one per market.
 pub const HORIZONS: &str = "horizon/";
+/// Prefix of records of money spent, one per team.
 pub const SPENT: &str = "spent/";
-/// Reputations, which outlast a broker.
-pub const STANDING: &str = "standing/";
+/// Prefix of reputation records, one per market. They outlive a broker.
+pub const REPUTATIONS: &str = "standing/";
 
 pub fn award_key(job: &str) -> String {
     format!("{AWARDS}{job}")
@@ -17,73 +20,79 @@
     format!("{HORIZONS}{market}")
 }
 
-pub fn standing_key(market: &str) -> String {
-    format!("{STANDING}{market}")
+pub fn reputation_key(market: &str) -> String {
+    format!("{REPUTATIONS}{market}")
 }
 
 pub fn spent_key(team: &str) -> String {
     format!("{SPENT}{team}")
 }
 
-/// One key a job, so that no job has two awards.
+/// Award of a job. There is one key per job, so that no job can have two awards.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct AwardRecord {
-    /// Never used again: the broker's term and a count.
+    /// Unique id, made of the broker's term and a count; never reused.
     pub award: u64,
     pub market: String,
     pub team: String,
     pub tasks: u32,
-    /// At most this is paid, and quarantined until the end.
+    /// Maximum charge. It is reserved from the team's budget until the award ends.
     pub cap: Money,
     pub start_by: Until,
-    /// Absent: it may be at the market, or on its way there.
+    /// How the award ended; absent: the award may be at the market or in transit.
     pub end: Option<End>,
 }
 
-/// How an award ended, for good.
+/// Final end of an award.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct End {
-    /// What has finished of the job, to be kept.
+    /// Tasks that finished at the market and are kept as done.
     pub done: Ranges,
-    /// All of it: `result` is the job's final answer.
+    /// The job's final answer, if all of its tasks have finished.
     pub result: Option<String>,
     pub charge: Money,
-    pub why: Why,
+    #[serde(rename = "why")]
+    pub reason: EndReason,
 }
 
+/// Why an award ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Why {
+pub enum EndReason {
     Done,
-    /// The market took it back.
+    /// The market withdrew the award, or the home recalled it.
     Withdrawn,
-    /// The market refused it, or says that it never started.
+    /// The market refused the award or reports that it never started.
     Void,
-    /// Nothing can be running there any more, whatever became of it.
+    /// Nothing of it can be running any more: the market's horizon has passed, or
+    /// the market lost its state and reports that all earlier awards have ended.
     Expired,
-    /// The leader would not mark the job, or its time was up before it was
-    /// sent.
+    /// The leader did not mark the job, the award was recalled, or its `start_by`
+    /// passed before it was sent.
     NotSent,
 }
 
-impl Why {
+impl EndReason {
+    /// Returns the outcome that counts for the market's reputation, if any.
     pub fn outcome(self) -> Option<Outcome> {
         match self {
-            Why::Done => Some(Outcome::Kept),
-            Why::Withdrawn => Some(Outcome::Withdrawn),
-            Why::Void => Some(Outcome::Refused),
-            Why::Expired => Some(Outcome::Lost),
-            Why::NotSent => None,
+            EndReason::Done => Some(Outcome::Kept),
+            EndReason::Withdrawn => Some(Outcome::Withdrawn),
+            EndReason::Void => Some(Outcome::Refused),
+            EndReason::Expired => Some(Outcome::Lost),
+            EndReason::NotSent => None,
         }
     }
 }
 
+/// Horizon of a market.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HorizonRecord {
-    /// After this nothing runs at the market, in the time of day.
+    /// Time of day after which no award runs at the market.
     pub until_ms: Millis,
 }
 
+/// Money that a team has spent on one day.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct SpentRecord {
     pub day: u64,
@@ -92,6 +101,7 @@
 
 const DAY_MS: Millis = 86_400_000;
 
+/// Returns the number of days from the Unix epoch to this time of day.
 pub fn day(now: Millis) -> u64 {
     now / DAY_MS
 }
--- a/crates/market/src/reputation.rs
+++ b/crates/market/src/reputation.rs
@@ -1,70 +1,78 @@
-//! What a market is worth by its outcomes: a price that is often not kept is
-//! dearer than it looks.
+//! Reputation of a market from the outcomes of its awards. The effective price of
+//! a market that often fails to complete its awards is above its nominal price.
 
 use serde::{Deserialize, Serialize};
 
+/// Outcome of an award, or of a message, at a market.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// Done as awarded.
+    /// Completed as awarded.
     Kept,
-    /// Done, but after its deadline.
+    /// Completed, but after its deadline.
     Late,
-    /// Taken back after it was accepted.
+    /// Withdrawn by the market after it had accepted the award.
     Withdrawn,
-    /// Refused after the bid was accepted.
+    /// Award refused by the market after it had accepted the bid.
     Refused,
-    /// Never heard of again.
+    /// The market lost the award, or did not answer until its horizon passed.
     Lost,
-    /// Said what can't be true: a result for an award it never had, a second
-    /// result that differs, more than the price, a clock that goes back.
-    Lied,
+    /// A statement that cannot be true: a result for an award that the market
+    /// never had, a second and different result, a charge above the price or a
+    /// clock that goes back.
+    #[serde(rename = "lied")]
+    Violation,
 }
 
-/// Outcomes that count, as a decaying sum: the last fifty weigh most.
-const MEMORY: f64 = 0.98;
-/// A market without a record counts as if it had kept so many of so many.
+/// Factor by which the weight of earlier outcomes shrinks with each new one. The
+/// last fifty outcomes weigh most.
+const DECAY: f64 = 0.98;
+/// Awards kept, and awards made, that are assumed before any outcome is known.
 const PRIOR: (f64, f64) = (4.0, 5.0);
-/// Lies for which a market is not used until an operator says so.
+/// Number of violations from which a market is not used until an operator clears
+/// its record.
 pub const MAX_VIOLATIONS: u32 = 3;
 
+/// Decaying sums over a market's outcomes, stored under the market's name.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Reputation {
     kept: f64,
     total: f64,
-    pub lies: u32,
+    #[serde(rename = "lies")]
+    pub violations: u32,
 }
 
 impl Reputation {
-    pub fn note(&mut self, outcome: Outcome) {
-        let (worth, weight) = match outcome {
+    pub fn record(&mut self, outcome: Outcome) {
+        let (score, weight) = match outcome {
             Outcome::Kept => (1.0, 1.0),
             Outcome::Late => (0.6, 1.0),
-            // A refusal before anything ran costs little.
+            // A refusal before anything ran costs the home little.
             Outcome::Refused => (0.0, 0.3),
             Outcome::Withdrawn => (0.0, 1.0),
             Outcome::Lost => (0.0, 2.0),
-            Outcome::Lied => {
-                self.lies = self.lies.saturating_add(1);
+            Outcome::Violation => {
+                self.violations = self.violations.saturating_add(1);
                 (0.0, 3.0)
             }
         };
-        self.kept = self.kept * MEMORY + worth * weight;
-        self.total = self.total * MEMORY + weight;
+        self.kept = self.kept * DECAY + score * weight;
+        self.total = self.total * DECAY + weight;
     }
 
-    /// Share of awards that it is expected to keep.
-    pub fn keeps(&self) -> f64 {
+    /// Returns the expected share of awards that the market completes.
+    pub fn kept_share(&self) -> f64 {
         (self.kept + PRIOR.0) / (self.total + PRIOR.1)
     }
 
     pub fn trusted(&self) -> bool {
-        self.lies < MAX_VIOLATIONS
+        self.violations < MAX_VIOLATIONS
     }
 
-    /// What a price means in expectation: what isn't kept is run again.
-    pub fn effective(&self, price: f64) -> f64 {
-        price / self.keeps().max(0.05)
+    /// Returns the expected cost at this price: awards that are not completed must be
+    /// run again elsewhere.
+    pub fn effective_price(&self, price: f64) -> f64 {
+        price / self.kept_share().max(0.05)
     }
 }
 
--- a/crates/market/src/serve/mod.rs
+++ b/crates/market/src/serve/mod.rs
@@ -71,7 +71,7 @@
     let replies = Reader::new(&schema::reply()).map_err(|e| anyhow::anyhow!(e.0))?;
     let executor = Rc::new(PriorityExecutor::default());
     let server = Rc::new(Server {
-        state: State::new(&settings, options.share),
+        state: State::new(&settings, options.state_share),
         home: Home::new(&settings),
         options,
         settings,
--- a/crates/market/tests/compatibility.rs
+++ b/crates/market/tests/compatibility.rs
@@ -7,8 +7,8 @@
     lending::{self, WaitingJob},
     ranges::Ranges,
     records::{
-        self, AwardRecord, End, HorizonRecord, SpentRecord, Why, award_key, horizon_key, spent_key,
-        standing_key,
+        self, AwardRecord, End, EndReason, HorizonRecord, SpentRecord, award_key, horizon_key,
+        reputation_key, spent_key,
     },
     reputation::{Outcome, Reputation},
     schema::{self, Reader},
@@ -227,37 +227,37 @@
         end,
     };
     assert_pinned("record.award_open", &award(None));
-    for (name, why) in [
-        ("done", Why::Done),
-        ("withdrawn", Why::Withdrawn),
-        ("void", Why::Void),
-        ("expired", Why::Expired),
-        ("not_sent", Why::NotSent),
+    for (name, reason) in [
+        ("done", EndReason::Done),
+        ("withdrawn", EndReason::Withdrawn),
+        ("void", EndReason::Void),
+        ("expired", EndReason::Expired),
+        ("not_sent", EndReason::NotSent),
     ] {
-        let done = why == Why::Done;
+        let done = reason == EndReason::Done;
         let end = End {
             done: Ranges(vec![(0, 3), (7, 7)]),
             result: done.then(|| "r-1".into()),
             charge: 95,
-            why,
+            reason,
         };
         assert_pinned(&format!("record.award_{name}"), &award(Some(end)));
     }
     assert_pinned("record.horizon", &HorizonRecord { until_ms: 96 });
     assert_pinned("record.spent", &SpentRecord { day: 97, spent: 98 });
     assert_pinned("record.standing_new", &Reputation::default());
-    let mut standing = Reputation::default();
-    for outcome in [Outcome::Kept, Outcome::Late, Outcome::Lied] {
-        standing.note(outcome);
+    let mut reputation = Reputation::default();
+    for outcome in [Outcome::Kept, Outcome::Late, Outcome::Violation] {
+        reputation.record(outcome);
     }
-    assert_pinned("record.standing", &standing);
+    assert_pinned("record.standing", &reputation);
 }
 
 #[test]
 fn keys_limits_and_outcome_names_are_unchanged() {
     assert_eq!(award_key("j-000412"), "award/j-000412");
     assert_eq!(horizon_key("north"), "horizon/north");
-    assert_eq!(standing_key("north"), "standing/north");
+    assert_eq!(reputation_key("north"), "standing/north");
     assert_eq!(spent_key("vision"), "spent/vision");
     assert_eq!(SEQUENCE_KEY, "line");
     assert_eq!(PATH, "/market/v1");
@@ -272,7 +272,7 @@
         ("withdrawn", Outcome::Withdrawn),
         ("refused", Outcome::Refused),
         ("lost", Outcome::Lost),
-        ("lied", Outcome::Lied),
+        ("lied", Outcome::Violation),
     ] {
         assert_pinned(&format!("outcome.{name}"), &outcome);
     }
