--- a/crates/market/src/broker/bids.rs
+++ b/crates/market/src/broker/bids.rs
@@ -124,7 +124,7 @@
                     slots: offer.slots,
                     slot: offer.slot,
                     price,
-                    effective: market.reputation.effective_price(price),
+                    effective_price: market.reputation.effective_price(price),
                 });
                 offers.push(UsableOffer {
                     market: market_index,
@@ -187,10 +187,11 @@
                     let candidate = &problem.offers[*o];
                     candidate.slots >= terms.slots
                         && candidate.slot.holds(&terms.slot)
-                        && f64::from(terms.slots) * terms.hours * candidate.effective < terms.worth
+                        && f64::from(terms.slots) * terms.hours * candidate.effective_price
+                            < terms.max_cost
                 })
                 .min_by(|a, b| {
-                    let price = |o: usize| problem.offers[o].effective;
+                    let price = |o: usize| problem.offers[o].effective_price;
                     price(*a).total_cmp(&price(*b))
                 });
             let bid_offers = std::iter::once(best).chain(second_best);
@@ -242,7 +243,7 @@
         }
         let bids = JobBids {
             job: job.clone(),
-            max_cost: terms.worth as Money,
+            max_cost: terms.max_cost as Money,
             pending,
             expires_at: now + BID_TIMEOUT_MS,
         };
@@ -399,7 +400,7 @@
         slots: job.remaining_tasks(),
         slot: job.slot,
         hours: estimated_hours(job),
-        worth: job.rent as f64 * options.max_rent_share,
+        max_cost: job.rent as f64 * options.max_rent_share,
         budget: teams.iter().position(|t| **t == job.team)?,
     })
 }
--- a/crates/market/src/clearing.rs
+++ b/crates/market/src/clearing.rs
@@ -1,33 +1,36 @@
-//! Which jobs go to which offers. Exactly, by a solver, where that keeps its
-//! limits; beyond them by a bounded heuristic. Either way the plan comes with
-//! an upper bound on what any plan could gain.
+//! Clearing: assigns jobs to offers so that the total gain is as large as
+//! possible. Small problems are solved exactly by an integer-programming solver;
+//! beyond its limits a bounded heuristic is used. Either way the plan has an upper
+//! bound on the gain of any plan.
 
 use crate::wire::Slot;
 use microlp::{ComparisonOp, OptimizationDirection, Problem as Program, SolveOptions, Variable};
 use std::time::Duration;
 
-/// A job as it bids: whole, or not at all.
+/// A job to be assigned. All of its slots go to one offer, or none do.
 #[derive(Debug, Clone)]
 pub struct JobBid {
     pub slots: u32,
     pub slot: Slot,
     pub hours: f64,
-    /// At most this for all of it; never more than renting here would cost.
-    pub worth: f64,
-    /// Index of the budget that it is paid from.
+    /// Maximum cost of the whole job; never more than renting at home would cost.
+    pub max_cost: f64,
+    /// Index of the budget that pays for the job.
     pub budget: usize,
 }
 
+/// An offer of slots and its price.
 #[derive(Debug, Clone)]
 pub struct PricedOffer {
     pub slots: u32,
     pub slot: Slot,
-    /// For a slot and hour, as asked.
+    /// Nominal price per slot and hour.
     pub price: f64,
-    /// The same as it is expected to come out.
-    pub effective: f64,
+    /// Expected price per slot and hour, given the market's reputation.
+    pub effective_price: f64,
 }
 
+/// Input of the clearing.
 #[derive(Debug, Clone, Default)]
 pub struct Problem {
     pub jobs: Vec<JobBid>,
@@ -35,19 +38,22 @@
     pub budgets: Vec<f64>,
 }
 
+/// Result of the clearing.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Plan {
-    /// For each job the offer it goes to.
+    /// Index of the offer that each job goes to, if any.
     pub choice: Vec<Option<usize>>,
+    /// Sum over the assigned jobs of their maximum cost minus their expected cost.
     pub gain: f64,
-    /// No plan gains more.
+    /// Upper bound on the gain of any plan.
     pub bound: f64,
-    /// Proven best.
+    /// Whether the plan is proven to be optimal.
     pub exact: bool,
 }
 
 impl Plan {
-    /// How far from the best it may be, as a share.
+    /// Returns the largest possible distance from the optimum, as a share of the
+    /// bound.
     pub fn gap(&self) -> f64 {
         if self.bound <= 0.0 {
             return 0.0;
@@ -56,33 +62,34 @@
     }
 }
 
+/// Limits of the search.
 #[derive(Debug, Clone)]
 pub struct Effort {
-    /// Pairs of a job and an offer that fit up to which the solver is asked.
-    pub exact_pairs: usize,
-    pub solver: Duration,
-    /// Nodes of the solver's search: a limit that doesn't depend on the
-    /// machine.
-    pub nodes: u64,
-    /// Rounds of raising and lowering the offers' shadow prices.
+    /// Number of fitting pairs of a job and an offer up to which the solver is used.
+    pub max_exact_pairs: usize,
+    pub solver_time_limit: Duration,
+    /// Limit on the nodes of the solver's search tree. Unlike the time limit, it
+    /// does not depend on the machine.
+    pub solver_node_limit: u64,
+    /// Number of subgradient rounds that adjust the shadow prices.
     pub rounds: u32,
-    /// Moves tried to improve a plan.
-    pub moves: usize,
+    /// Maximum number of moves tried by the local search.
+    pub max_moves: usize,
 }
 
 impl Default for Effort {
     fn default() -> Self {
         Effort {
-            exact_pairs: 400,
-            solver: Duration::from_millis(200),
-            nodes: 2_000,
+            max_exact_pairs: 400,
+            solver_time_limit: Duration::from_millis(200),
+            solver_node_limit: 2_000,
             rounds: 150,
-            moves: 200_000,
+            max_moves: 200_000,
         }
     }
 }
 
-/// A pair that fits and gains something.
+/// A job and an offer that fits it with a positive gain.
 #[derive(Debug, Clone, Copy)]
 struct Pair {
     offer: u32,
@@ -90,21 +97,22 @@
     pay: f64,
 }
 
+/// All pairs that a plan may use.
 struct Pairs {
-    /// Of each job, best first.
-    of: Vec<Vec<Pair>>,
+    /// Pairs of each job, by descending gain.
+    by_job: Vec<Vec<Pair>>,
     count: usize,
 }
 
 impl Pairs {
-    fn new(p: &Problem) -> Self {
+    fn new(problem: &Problem) -> Self {
         let mut count = 0;
-        let of = p
+        let by_job = problem
             .jobs
             .iter()
             .map(|j| {
-                let budget = p.budgets.get(j.budget).copied().unwrap_or(0.0);
-                let mut list: Vec<Pair> = p
+                let budget = problem.budgets.get(j.budget).copied().unwrap_or(0.0);
+                let mut list: Vec<Pair> = problem
                     .offers
                     .iter()
                     .enumerate()
@@ -113,33 +121,34 @@
                         let slot_hours = f64::from(j.slots) * j.hours;
                         Pair {
                             offer: i as u32,
-                            gain: j.worth - slot_hours * o.effective,
+                            gain: j.max_cost - slot_hours * o.effective_price,
                             pay: slot_hours * o.price,
                         }
                     })
-                    // A price that is within reach only in expectation isn't.
-                    .filter(|x| x.gain > 0.0 && x.pay <= j.worth && x.pay <= budget)
+                    // The nominal price must be affordable too, because the
+                    // effective price is only an expectation.
+                    .filter(|x| x.gain > 0.0 && x.pay <= j.max_cost && x.pay <= budget)
                     .collect();
                 list.sort_by(|a, b| b.gain.total_cmp(&a.gain));
                 count += list.len();
                 list
             })
             .collect();
-        Pairs { of, count }
+        Pairs { by_job, count }
     }
 }
 
-/// What is left while a plan is made.
-struct Room {
+/// Free slots of each offer and unspent money of each budget while a plan is made.
+struct FreeCapacity {
     slots: Vec<i64>,
     money: Vec<f64>,
 }
 
-impl Room {
-    fn new(p: &Problem) -> Self {
-        Room {
-            slots: p.offers.iter().map(|o| i64::from(o.slots)).collect(),
-            money: p.budgets.clone(),
+impl FreeCapacity {
+    fn new(problem: &Problem) -> Self {
+        FreeCapacity {
+            slots: problem.offers.iter().map(|o| i64::from(o.slots)).collect(),
+            money: problem.budgets.clone(),
         }
     }
 
@@ -153,104 +162,118 @@
         self.money[job.budget] -= pair.pay;
     }
 
-    fn give(&mut self, job: &JobBid, pair: &Pair) {
+    fn give_back(&mut self, job: &JobBid, pair: &Pair) {
         self.slots[pair.offer as usize] += i64::from(job.slots);
         self.money[job.budget] += pair.pay;
     }
 }
 
-/// Shadow prices of slots and of money, and the bound that they prove.
-struct Shadow {
+/// Shadow prices of slots and money, and the upper bound on the gain that they
+/// prove.
+struct ShadowPrices {
     slot: Vec<f64>,
     money: Vec<f64>,
     bound: f64,
 }
 
-impl Shadow {
-    fn none(p: &Problem) -> Self {
-        Shadow {
-            slot: vec![0.0; p.offers.len()],
-            money: vec![0.0; p.budgets.len()],
+impl ShadowPrices {
+    fn zero(problem: &Problem) -> Self {
+        ShadowPrices {
+            slot: vec![0.0; problem.offers.len()],
+            money: vec![0.0; problem.budgets.len()],
             bound: f64::INFINITY,
         }
     }
 }
 
-/// For any prices not below zero, what jobs would gain on their own after
-/// paying them, plus the prices of all there is, is no less than what any
-/// plan gains. Prices of what is wanted too much are raised, in steps by how
-/// far the bound still is from `known`, a plan's gain (Polyak's rule).
-fn shadow(p: &Problem, pairs: &Pairs, rounds: u32, known: f64) -> Shadow {
-    let (mut slot, mut money) = (vec![0.0; p.offers.len()], vec![0.0; p.budgets.len()]);
-    // Slots are counted in shares of an offer and money in shares of a
-    // budget, so that one step fits all.
-    let size = |o: usize| f64::from(p.offers[o].slots).max(1.0);
-    let purse = |b: usize| p.budgets[b].max(1e-9);
-    let mut best = Shadow {
+/// Computes shadow prices by subgradient steps on the Lagrangian dual. For any
+/// non-negative prices, the sum of each job's best gain after paying them and of
+/// the price of all slots and budgets is an upper bound on the gain of any plan.
+/// Each round raises the prices of what is over-demanded and lowers those of
+/// what is not, with a step proportional to the distance of the bound from
+/// `known_gain`, the gain of a known plan (Polyak's rule).
+fn shadow_prices(problem: &Problem, pairs: &Pairs, rounds: u32, known_gain: f64) -> ShadowPrices {
+    let (mut slot, mut money) = (
+        vec![0.0; problem.offers.len()],
+        vec![0.0; problem.budgets.len()],
+    );
+    // Slots are measured as shares of an offer and money as shares of a
+    // budget, so that one step size suits all prices.
+    let capacity = |o: usize| f64::from(problem.offers[o].slots).max(1.0);
+    let budget = |b: usize| problem.budgets[b].max(1e-9);
+    let mut best = ShadowPrices {
         slot: slot.clone(),
         money: money.clone(),
         bound: f64::INFINITY,
     };
-    let (mut pace, mut stale) = (1.0, 0);
+    let (mut step_scale, mut rounds_without_improvement) = (1.0, 0);
     for _ in 0..rounds.max(1) {
-        let (mut wanted, mut spent) = (vec![0.0; slot.len()], vec![0.0; money.len()]);
+        let (mut demand, mut spent) = (vec![0.0; slot.len()], vec![0.0; money.len()]);
         let mut value = 0.0;
-        for (j, list) in p.jobs.iter().zip(&pairs.of) {
+        for (j, list) in problem.jobs.iter().zip(&pairs.by_job) {
             let slots = f64::from(j.slots);
-            let after = |x: &Pair| {
+            let reduced_gain = |x: &Pair| {
                 let o = x.offer as usize;
-                x.gain - slot[o] * slots / size(o) - money[j.budget] * x.pay / purse(j.budget)
+                x.gain - slot[o] * slots / capacity(o) - money[j.budget] * x.pay / budget(j.budget)
             };
-            let top = list.iter().max_by(|a, b| after(a).total_cmp(&after(b)));
-            if let Some(x) = top.filter(|x| after(x) > 0.0) {
-                value += after(x);
-                wanted[x.offer as usize] += slots;
+            let best_pair = list
+                .iter()
+                .max_by(|a, b| reduced_gain(a).total_cmp(&reduced_gain(b)));
+            if let Some(x) = best_pair.filter(|x| reduced_gain(x) > 0.0) {
+                value += reduced_gain(x);
+                demand[x.offer as usize] += slots;
                 spent[j.budget] += x.pay;
             }
         }
         value += slot.iter().sum::<f64>() + money.iter().sum::<f64>();
         if value < best.bound - 1e-9 {
-            best = Shadow {
-                slot: (0..slot.len()).map(|o| slot[o] / size(o)).collect(),
-                money: (0..money.len()).map(|b| money[b] / purse(b)).collect(),
+            best = ShadowPrices {
+                slot: (0..slot.len()).map(|o| slot[o] / capacity(o)).collect(),
+                money: (0..money.len()).map(|b| money[b] / budget(b)).collect(),
                 bound: value,
             };
-            stale = 0;
+            rounds_without_improvement = 0;
         } else {
-            stale += 1;
-            if stale >= 5 {
-                (pace, stale) = (pace * 0.6, 0);
+            rounds_without_improvement += 1;
+            if rounds_without_improvement >= 5 {
+                (step_scale, rounds_without_improvement) = (step_scale * 0.6, 0);
             }
         }
-        let slope = |i: usize, prices: &[f64], over: f64| match prices[i] <= 0.0 && over < 0.0 {
-            true => 0.0,
-            false => over,
-        };
-        let by_slot: Vec<f64> = (0..slot.len())
-            .map(|o| slope(o, &slot, wanted[o] / size(o) - 1.0))
+        let gradient =
+            |i: usize, prices: &[f64], excess: f64| match prices[i] <= 0.0 && excess < 0.0 {
+                true => 0.0,
+                false => excess,
+            };
+        let slot_gradient: Vec<f64> = (0..slot.len())
+            .map(|o| gradient(o, &slot, demand[o] / capacity(o) - 1.0))
             .collect();
-        let by_money: Vec<f64> = (0..money.len())
-            .map(|b| slope(b, &money, spent[b] / purse(b) - 1.0))
+        let money_gradient: Vec<f64> = (0..money.len())
+            .map(|b| gradient(b, &money, spent[b] / budget(b) - 1.0))
             .collect();
-        let steep: f64 = by_slot.iter().chain(&by_money).map(|g| g * g).sum();
-        let ahead = value - known;
-        if steep < 1e-12 || ahead <= 1e-9 * known.abs() {
+        let norm_squared: f64 = slot_gradient
+            .iter()
+            .chain(&money_gradient)
+            .map(|g| g * g)
+            .sum();
+        let gap = value - known_gain;
+        if norm_squared < 1e-12 || gap <= 1e-9 * known_gain.abs() {
             break;
         }
-        let step = pace * ahead / steep;
-        for (price, g) in slot.iter_mut().zip(&by_slot) {
+        let step = step_scale * gap / norm_squared;
+        for (price, g) in slot.iter_mut().zip(&slot_gradient) {
             *price = (*price + step * g).max(0.0);
         }
-        for (price, g) in money.iter_mut().zip(&by_money) {
+        for (price, g) in money.iter_mut().zip(&money_gradient) {
             *price = (*price + step * g).max(0.0);
         }
     }
     best
 }
 
+/// A plan under construction.
 struct Draft {
     choice: Vec<Option<Pair>>,
-    room: Room,
+    free: FreeCapacity,
 }
 
 impl Draft {
@@ -258,217 +281,237 @@
         self.choice.iter().flatten().map(|x| x.gain).sum()
     }
 
-    /// Takes jobs in this order, each into its best place after shadow prices.
-    fn greedy(p: &Problem, pairs: &Pairs, order: &[usize], shadow: &Shadow) -> Self {
-        let mut room = Room::new(p);
-        let mut choice = vec![None; p.jobs.len()];
-        for &i in order {
-            let j = &p.jobs[i];
-            let after = |x: &Pair| {
+    /// Assigns the jobs in this order, each to the free offer with the highest gain
+    /// after shadow prices.
+    fn greedy(problem: &Problem, pairs: &Pairs, order: &[usize], shadow: &ShadowPrices) -> Self {
+        let mut free = FreeCapacity::new(problem);
+        let mut choice = vec![None; problem.jobs.len()];
+        for &job_index in order {
+            let job = &problem.jobs[job_index];
+            let reduced_gain = |x: &Pair| {
                 x.gain
-                    - shadow.slot[x.offer as usize] * f64::from(j.slots)
-                    - shadow.money[j.budget] * x.pay
+                    - shadow.slot[x.offer as usize] * f64::from(job.slots)
+                    - shadow.money[job.budget] * x.pay
             };
-            let open = pairs.of[i].iter().filter(|x| room.fits(j, x));
-            if let Some(x) = open.max_by(|a, b| after(a).total_cmp(&after(b))).copied() {
-                room.take(j, &x);
-                choice[i] = Some(x);
+            let fitting = pairs.by_job[job_index].iter().filter(|x| free.fits(job, x));
+            if let Some(x) = fitting
+                .max_by(|a, b| reduced_gain(a).total_cmp(&reduced_gain(b)))
+                .copied()
+            {
+                free.take(job, &x);
+                choice[job_index] = Some(x);
             }
         }
-        Draft { choice, room }
+        Draft { choice, free }
     }
 
-    /// Puts jobs that were left out in the place of ones that gain less or
-    /// can go elsewhere, until nothing improves or the moves are used up.
-    fn improve(&mut self, p: &Problem, pairs: &Pairs, mut moves: usize) {
-        let mut inside: Vec<Vec<usize>> = vec![Vec::new(); p.offers.len()];
-        for (i, x) in self.choice.iter().enumerate() {
-            if let Some(x) = x {
-                inside[x.offer as usize].push(i);
+    /// Local search: lets unassigned jobs replace jobs that gain less or fit another
+    /// offer, until nothing improves or the moves are used up.
+    fn improve(&mut self, problem: &Problem, pairs: &Pairs, mut moves: usize) {
+        let mut jobs_of: Vec<Vec<usize>> = vec![Vec::new(); problem.offers.len()];
+        for (job, pair) in self.choice.iter().enumerate() {
+            if let Some(pair) = pair {
+                jobs_of[pair.offer as usize].push(job);
             }
         }
         loop {
-            let mut better = false;
-            for i in 0..p.jobs.len() {
-                if self.choice[i].is_some() {
+            let mut improved = false;
+            for job in 0..problem.jobs.len() {
+                if self.choice[job].is_some() {
                     continue;
                 }
-                for new in &pairs.of[i] {
+                for pair in &pairs.by_job[job] {
                     if moves == 0 {
                         return;
                     }
-                    if self.swap(p, pairs, &mut inside, i, new, &mut moves) {
-                        better = true;
+                    if self.try_place(problem, pairs, &mut jobs_of, job, pair, &mut moves) {
+                        improved = true;
                         break;
                     }
                 }
             }
-            if !better {
+            if !improved {
                 return;
             }
         }
     }
 
-    fn swap(
+    /// Assigns a job to an offer, if necessary in place of another job, which moves
+    /// to another offer or becomes unassigned. Returns whether the gain increased.
+    fn try_place(
         &mut self,
-        p: &Problem,
+        problem: &Problem,
         pairs: &Pairs,
-        inside: &mut [Vec<usize>],
-        i: usize,
-        new: &Pair,
+        jobs_of: &mut [Vec<usize>],
+        job: usize,
+        new_pair: &Pair,
         moves: &mut usize,
     ) -> bool {
-        let offer = new.offer as usize;
-        if self.room.fits(&p.jobs[i], new) {
-            self.room.take(&p.jobs[i], new);
-            self.choice[i] = Some(*new);
-            inside[offer].push(i);
+        let offer = new_pair.offer as usize;
+        if self.free.fits(&problem.jobs[job], new_pair) {
+            self.free.take(&problem.jobs[job], new_pair);
+            self.choice[job] = Some(*new_pair);
+            jobs_of[offer].push(job);
             return true;
         }
-        for at in 0..inside[offer].len() {
+        for position in 0..jobs_of[offer].len() {
             if *moves == 0 {
                 return false;
             }
             *moves -= 1;
-            let other = inside[offer][at];
+            let other = jobs_of[offer][position];
             let Some(old) = self.choice[other] else {
                 continue;
             };
-            self.room.give(&p.jobs[other], &old);
-            if self.room.fits(&p.jobs[i], new) {
-                self.room.take(&p.jobs[i], new);
-                let elsewhere = pairs.of[other]
+            self.free.give_back(&problem.jobs[other], &old);
+            if self.free.fits(&problem.jobs[job], new_pair) {
+                self.free.take(&problem.jobs[job], new_pair);
+                let elsewhere = pairs.by_job[other]
                     .iter()
-                    .find(|x| x.offer != old.offer && self.room.fits(&p.jobs[other], x))
+                    .find(|x| x.offer != old.offer && self.free.fits(&problem.jobs[other], x))
                     .copied();
-                if new.gain + elsewhere.map_or(0.0, |x| x.gain) > old.gain + 1e-9 {
-                    inside[offer][at] = i;
-                    self.choice[i] = Some(*new);
+                if new_pair.gain + elsewhere.map_or(0.0, |x| x.gain) > old.gain + 1e-9 {
+                    jobs_of[offer][position] = job;
+                    self.choice[job] = Some(*new_pair);
                     self.choice[other] = elsewhere;
                     if let Some(x) = elsewhere {
-                        self.room.take(&p.jobs[other], &x);
-                        inside[x.offer as usize].push(other);
+                        self.free.take(&problem.jobs[other], &x);
+                        jobs_of[x.offer as usize].push(other);
                     }
                     return true;
                 }
-                self.room.give(&p.jobs[i], new);
+                self.free.give_back(&problem.jobs[job], new_pair);
             }
-            self.room.take(&p.jobs[other], &old);
+            self.free.take(&problem.jobs[other], &old);
         }
         false
     }
 }
 
-fn heuristic(p: &Problem, pairs: &Pairs, shadow: &Shadow, effort: &Effort) -> Draft {
-    let none = Shadow::none(p);
-    let key = |i: usize, per_slot: bool| {
-        let gain = pairs.of[i].first().map_or(0.0, |x| x.gain);
+/// Returns the best of four greedy drafts with different job orders, after local
+/// search.
+fn heuristic(problem: &Problem, pairs: &Pairs, shadow: &ShadowPrices, effort: &Effort) -> Draft {
+    let zero_prices = ShadowPrices::zero(problem);
+    let best_gain = |i: usize, per_slot: bool| {
+        let gain = pairs.by_job[i].first().map_or(0.0, |x| x.gain);
         match per_slot {
-            true => gain / f64::from(p.jobs[i].slots),
+            true => gain / f64::from(problem.jobs[i].slots),
             false => gain,
         }
     };
-    let reduced = |i: usize| {
-        let j = &p.jobs[i];
-        let after = |x: &Pair| {
+    let best_reduced_gain = |i: usize| {
+        let j = &problem.jobs[i];
+        let reduced_gain = |x: &Pair| {
             x.gain
                 - shadow.slot[x.offer as usize] * f64::from(j.slots)
                 - shadow.money[j.budget] * x.pay
         };
-        pairs.of[i].iter().map(after).fold(0.0, f64::max)
+        pairs.by_job[i].iter().map(reduced_gain).fold(0.0, f64::max)
     };
     let sorted = |of: &dyn Fn(usize) -> f64| {
-        let mut keyed: Vec<(f64, usize)> = (0..p.jobs.len()).map(|i| (of(i), i)).collect();
+        let mut keyed: Vec<(f64, usize)> = (0..problem.jobs.len()).map(|i| (of(i), i)).collect();
         keyed.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
         keyed.into_iter().map(|(_, i)| i).collect::<Vec<_>>()
     };
     let drafts = [
-        Draft::greedy(p, pairs, &sorted(&|i| key(i, true)), &none),
-        Draft::greedy(p, pairs, &sorted(&|i| key(i, false)), &none),
-        Draft::greedy(p, pairs, &sorted(&reduced), shadow),
-        Draft::greedy(p, pairs, &sorted(&|i| key(i, true)), shadow),
+        Draft::greedy(
+            problem,
+            pairs,
+            &sorted(&|i| best_gain(i, true)),
+            &zero_prices,
+        ),
+        Draft::greedy(
+            problem,
+            pairs,
+            &sorted(&|i| best_gain(i, false)),
+            &zero_prices,
+        ),
+        Draft::greedy(problem, pairs, &sorted(&best_reduced_gain), shadow),
+        Draft::greedy(problem, pairs, &sorted(&|i| best_gain(i, true)), shadow),
     ];
     let best = drafts
         .into_iter()
         .max_by(|a, b| a.gain().total_cmp(&b.gain()));
     let mut best = best.unwrap_or_else(|| Draft {
-        choice: vec![None; p.jobs.len()],
-        room: Room::new(p),
+        choice: vec![None; problem.jobs.len()],
+        free: FreeCapacity::new(problem),
     });
-    best.improve(p, pairs, effort.moves);
+    best.improve(problem, pairs, effort.max_moves);
     best
 }
 
-/// The solver's plan, and whether it is proven best.
-fn solve(p: &Problem, pairs: &Pairs, effort: &Effort) -> Option<(Vec<Option<Pair>>, bool)> {
+/// Returns the solver's plan and whether it is proven to be optimal; `None` if the
+/// solver fails or its plan exceeds an offer or a budget.
+fn solve(problem: &Problem, pairs: &Pairs, effort: &Effort) -> Option<(Vec<Option<Pair>>, bool)> {
     let mut program = Program::new(OptimizationDirection::Maximize);
-    let mut vars: Vec<(usize, Pair, Variable)> = Vec::with_capacity(pairs.count);
-    for (i, list) in pairs.of.iter().enumerate() {
+    let mut variables: Vec<(usize, Pair, Variable)> = Vec::with_capacity(pairs.count);
+    for (job, list) in pairs.by_job.iter().enumerate() {
         for x in list {
-            vars.push((i, *x, program.add_binary_var(x.gain)));
+            variables.push((job, *x, program.add_binary_var(x.gain)));
         }
     }
-    let mut once: Vec<Vec<(Variable, f64)>> = vec![Vec::new(); p.jobs.len()];
-    let mut slots: Vec<Vec<(Variable, f64)>> = vec![Vec::new(); p.offers.len()];
-    let mut money: Vec<Vec<(Variable, f64)>> = vec![Vec::new(); p.budgets.len()];
-    for (i, x, v) in &vars {
-        once[*i].push((*v, 1.0));
-        slots[x.offer as usize].push((*v, f64::from(p.jobs[*i].slots)));
-        money[p.jobs[*i].budget].push((*v, x.pay));
+    let mut per_job: Vec<Vec<(Variable, f64)>> = vec![Vec::new(); problem.jobs.len()];
+    let mut slots: Vec<Vec<(Variable, f64)>> = vec![Vec::new(); problem.offers.len()];
+    let mut money: Vec<Vec<(Variable, f64)>> = vec![Vec::new(); problem.budgets.len()];
+    for (job, x, v) in &variables {
+        per_job[*job].push((*v, 1.0));
+        slots[x.offer as usize].push((*v, f64::from(problem.jobs[*job].slots)));
+        money[problem.jobs[*job].budget].push((*v, x.pay));
     }
-    let limits = once
+    let limits = per_job
         .into_iter()
         .map(|e| (e, 1.0))
         .chain(
             slots
                 .into_iter()
-                .zip(p.offers.iter().map(|o| f64::from(o.slots))),
+                .zip(problem.offers.iter().map(|o| f64::from(o.slots))),
         )
-        .chain(money.into_iter().zip(p.budgets.iter().copied()));
-    for (expression, most) in limits {
+        .chain(money.into_iter().zip(problem.budgets.iter().copied()));
+    for (expression, limit) in limits {
         if !expression.is_empty() {
-            program.add_constraint(&expression[..], ComparisonOp::Le, most);
+            program.add_constraint(&expression[..], ComparisonOp::Le, limit);
         }
     }
     let mut options = SolveOptions::default();
-    options.time_limit = Some(effort.solver);
-    options.node_limit = Some(effort.nodes);
+    options.time_limit = Some(effort.solver_time_limit);
+    options.node_limit = Some(effort.solver_node_limit);
     let outcome = program.solve_with(options).ok()?;
     let exact = outcome.is_optimal();
     let solution = outcome.into_solution().ok()?;
-    let mut choice = vec![None; p.jobs.len()];
-    for (i, x, v) in vars {
+    let mut choice = vec![None; problem.jobs.len()];
+    for (job, x, v) in variables {
         if solution.var_value(v) > 0.5 {
-            choice[i] = Some(x);
+            choice[job] = Some(x);
         }
     }
-    // What a solver says is checked like anything from outside.
-    let mut room = Room::new(p);
-    for (i, x) in choice.iter().enumerate() {
+    // The solver's plan is verified like any external input.
+    let mut free = FreeCapacity::new(problem);
+    for (job, x) in choice.iter().enumerate() {
         if let Some(x) = x {
-            if !room.fits(&p.jobs[i], x) {
+            if !free.fits(&problem.jobs[job], x) {
                 return None;
             }
-            room.take(&p.jobs[i], x);
+            free.take(&problem.jobs[job], x);
         }
     }
     Some((choice, exact))
 }
 
-pub fn clear(p: &Problem, effort: &Effort) -> Plan {
-    let pairs = Pairs::new(p);
-    let none = Shadow::none(p);
-    let first = heuristic(p, &pairs, &none, effort);
-    let shadow = shadow(p, &pairs, effort.rounds, first.gain());
-    let second = heuristic(p, &pairs, &shadow, effort);
+/// Solves the problem: heuristically, and also exactly if it is small enough.
+pub fn clear(problem: &Problem, effort: &Effort) -> Plan {
+    let pairs = Pairs::new(problem);
+    let zero_prices = ShadowPrices::zero(problem);
+    let first = heuristic(problem, &pairs, &zero_prices, effort);
+    let shadow = shadow_prices(problem, &pairs, effort.rounds, first.gain());
+    let second = heuristic(problem, &pairs, &shadow, effort);
     let draft = if second.gain() > first.gain() {
         second
     } else {
         first
     };
     let (mut choice, mut gain, mut exact) = (draft.choice.clone(), draft.gain(), false);
-    if pairs.count <= effort.exact_pairs
-        && let Some((solved, proven)) = solve(p, &pairs, effort)
+    if pairs.count <= effort.max_exact_pairs
+        && let Some((solved, proven)) = solve(problem, &pairs, effort)
     {
         let value: f64 = solved.iter().flatten().map(|x| x.gain).sum();
         if proven || value > gain {
@@ -483,7 +526,7 @@
     }
 }
 
-/// Problems of a size, drawn: for measurements and tests.
+/// Returns a random problem of this size, for measurements and tests.
 pub fn random_problem(seed: u64, jobs: usize, offers: usize) -> Problem {
     let mut rng = fastrand::Rng::with_seed(seed);
     let slot = |n: usize| Slot {
@@ -491,15 +534,15 @@
         gpus: if n % 4 == 3 { 1.0 } else { 0.0 },
         memory_gb: [4.0, 16.0, 32.0, 64.0][n % 4],
     };
-    let asked = jobs as f64 * 8.0;
+    let total_slots = jobs as f64 * 8.0;
     let offers = (0..offers)
         .map(|_| {
             let price = 60_000.0 + 140_000.0 * rng.f64();
             PricedOffer {
-                slots: ((0.4 + 0.6 * rng.f64()) * asked / offers as f64) as u32 + 16,
+                slots: ((0.4 + 0.6 * rng.f64()) * total_slots / offers as f64) as u32 + 16,
                 slot: slot(rng.usize(..4)),
                 price,
-                effective: price * (1.0 + 0.5 * rng.f64()),
+                effective_price: price * (1.0 + 0.5 * rng.f64()),
             }
         })
         .collect();
@@ -511,7 +554,7 @@
                 slots,
                 slot: slot(rng.usize(..4)),
                 hours,
-                worth: f64::from(slots) * hours * (100_000.0 + 200_000.0 * rng.f64()),
+                max_cost: f64::from(slots) * hours * (100_000.0 + 200_000.0 * rng.f64()),
                 budget: rng.usize(..3),
             }
         })
@@ -519,7 +562,11 @@
     Problem {
         jobs,
         offers,
-        budgets: vec![asked * 30_000.0, asked * 15_000.0, asked * 5_000.0],
+        budgets: vec![
+            total_slots * 30_000.0,
+            total_slots * 15_000.0,
+            total_slots * 5_000.0,
+        ],
     }
 }
 
--- a/crates/market/tests/simulation/mod.rs
+++ b/crates/market/tests/simulation/mod.rs
@@ -184,9 +184,9 @@
             seed,
         );
         broker.set_effort(Effort {
-            exact_pairs: 40,
-            solver: std::time::Duration::from_secs(3600),
-            nodes: 100,
+            max_exact_pairs: 40,
+            solver_time_limit: std::time::Duration::from_secs(3600),
+            solver_node_limit: 100,
             ..Effort::default()
         });
         self.brokers.push(Some(broker));
