--- a/crates/market/src/keys.rs
+++ b/crates/market/src/keys.rs
@@ -1,4 +1,5 @@
-//! `pathwinch-market keys`.
+//! The `pathwinch-market keys` commands: makes, renews, revokes and shows
+//! certificates.
 
 use anyhow::{Context, Result};
 use clap::{Args, Subcommand};
@@ -14,47 +15,48 @@
 
 #[derive(Subcommand)]
 pub enum Keys {
-    /// Make an authority of one's own; its key signs everything else.
+    /// Make a certificate authority; its key signs all other certificates.
     Authority {
-        /// An empty or new directory, to be kept where nobody else reads it.
+        /// Empty or new directory for the authority. It holds the private key:
+        /// restrict access to it.
         #[arg(long, value_name = "DIR")]
         dir: PathBuf,
-        /// Whose authority: lower-case letters, digits and hyphens.
+        /// Name of the authority: lower-case letters, digits and hyphens.
         #[arg(long)]
         name: String,
-        /// How long it counts.
+        /// Validity in days.
         #[arg(long, default_value_t = 3650)]
         days: u64,
     },
-    /// Make a certificate and its key for a home or a market.
+    /// Make a certificate and its key for a home cluster or a market.
     Make {
         #[command(flatten)]
-        of: Of,
-        /// Its name; others call it by this.
+        args: IssueArgs,
+        /// Name in the certificate, by which others refer to its owner.
         #[arg(long)]
         name: String,
         #[arg(long, default_value_t = 90)]
         days: u64,
     },
-    /// Make a new certificate and key for the name that a directory has one of.
-    /// Whoever uses the directory takes it up without a restart.
+    /// Make a new certificate and key for the name of the certificate in a
+    /// directory. Processes that use the directory reload it without a restart.
     Renew {
         #[command(flatten)]
-        of: Of,
+        args: IssueArgs,
         #[arg(long, default_value_t = 90)]
         days: u64,
     },
-    /// Revoke a certificate, by its serial number (see show).
+    /// Revoke a certificate by its serial number (see `show`).
     Revoke {
-        /// The authority's directory; its crl.pem is then to be given, as
-        /// revoked.pem, to all who trust it.
+        /// The authority's directory. Distribute its crl.pem, as revoked.pem, to
+        /// all who trust the authority.
         #[arg(long, value_name = "DIR")]
         authority: PathBuf,
         #[arg(long)]
         serial: u64,
     },
-    /// Say whose certificate a directory has and how long it counts; of an
-    /// authority's directory, all that it made.
+    /// Show the certificate in a directory and its validity; for an authority's
+    /// directory, all certificates that it made.
     Show {
         #[arg(long, value_name = "DIR")]
         dir: PathBuf,
@@ -64,12 +66,13 @@
     },
 }
 
+/// Arguments of the commands that issue a certificate.
 #[derive(Args)]
-pub struct Of {
-    /// The authority's directory.
+pub struct IssueArgs {
+    /// Directory of the authority that signs.
     #[arg(long, value_name = "DIR")]
     authority: PathBuf,
-    /// Where the certificate and key go.
+    /// Directory for the certificate and key.
     #[arg(long, value_name = "DIR")]
     to: PathBuf,
 }
@@ -80,30 +83,30 @@
         .map_or(0, |d| d.as_secs())
 }
 
-fn issue(of: &Of, name: &str, days: u64) -> Result<()> {
-    let authority = Authority::open(&of.authority)?;
+fn issue_certificate(args: &IssueArgs, name: &str, days: u64) -> Result<()> {
+    let authority = Authority::open(&args.authority)?;
     let issued = authority.issue(name, days, now())?;
     keys::install(
-        &of.to,
+        &args.to,
         &issued,
         &authority.certificate()?,
         &authority.revoked()?,
     )?;
     println!(
-        "{}: certificate {} of {name}, for {days} days",
-        of.to.display(),
+        "{}: certificate {} for {name}, valid for {days} days",
+        args.to.display(),
         issued.made.serial
     );
     Ok(())
 }
 
-fn said(dir: &Path) -> Result<keys::Says> {
+fn own_certificate(dir: &Path) -> Result<keys::Says> {
     Ok(keys::Keys::load(&Texts::read(dir)?, &keys::system_time())
         .with_context(|| dir.display().to_string())?
         .own)
 }
 
-fn counts(until: Seconds, revoked: bool) -> String {
+fn validity_text(until: Seconds, revoked: bool) -> String {
     match left(until, now()) {
         _ if revoked => "revoked".into(),
         Left::Expired => "expired".into(),
@@ -120,7 +123,7 @@
             .map(|m| (m.serial, m.name, m.until, m.revoked.is_some()))
             .collect(),
         false => {
-            let own = said(dir)?;
+            let own = own_certificate(dir)?;
             vec![(own.serial, own.name, own.until, false)]
         }
     };
@@ -128,7 +131,7 @@
         println!("serial  name                  state");
     }
     for (serial, name, until, revoked) in rows {
-        let state = counts(until, revoked);
+        let state = validity_text(until, revoked);
         match json {
             true => println!(
                 "{}",
@@ -141,23 +144,26 @@
     Ok(())
 }
 
-pub fn run(asked: Keys) -> Result<()> {
-    match asked {
+pub fn run(command: Keys) -> Result<()> {
+    match command {
         Keys::Authority { dir, name, days } => {
             Authority::make(&dir, &name, days, now())?;
-            println!("{}: the authority of {name}", dir.display());
+            println!(
+                "{}: created the certificate authority {name}",
+                dir.display()
+            );
             Ok(())
         }
-        Keys::Make { of, name, days } => issue(&of, &name, days),
-        Keys::Renew { of, days } => {
-            let name = said(&of.to)?.name;
-            issue(&of, &name, days)
+        Keys::Make { args, name, days } => issue_certificate(&args, &name, days),
+        Keys::Renew { args, days } => {
+            let name = own_certificate(&args.to)?.name;
+            issue_certificate(&args, &name, days)
         }
         Keys::Revoke { authority, serial } => {
             let made = Authority::open(&authority)?.revoke(serial, now())?;
-            println!("certificate {serial} of {} is revoked", made.name);
+            println!("revoked certificate {serial} of {}", made.name);
             println!(
-                "give {} to all who trust this authority, as revoked.pem",
+                "distribute {} as revoked.pem to all who trust this authority",
                 authority.join("crl.pem").display()
             );
             Ok(())
--- a/crates/market/src/main.rs
+++ b/crates/market/src/main.rs
@@ -1,4 +1,4 @@
-//! Command line of the broker.
+//! Command line of the broker, `pathwinch-market`.
 
 mod keys;
 
@@ -22,25 +22,25 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Run a broker until it is killed. Several may run; one acts.
+    /// Run a broker until it is killed. Several brokers may run; one of them acts.
     Serve {
-        /// The platform's JSON settings file of any controller.
+        /// JSON settings file of any controller of the home cluster.
         #[arg(long, value_name = "FILE")]
         config: PathBuf,
         /// The broker's INI file.
         #[arg(long, value_name = "FILE")]
         options: PathBuf,
-        /// The home's keys (see `keys make`).
+        /// Directory with the home's certificate and key (see `keys make`).
         #[arg(long, value_name = "DIR")]
         keys: PathBuf,
     },
-    /// Check the broker's INI file and say what is wrong with it.
+    /// Check the broker's INI file and print the first error in it.
     CheckConfig {
-        /// The file.
+        /// INI file to check.
         #[arg(value_name = "FILE")]
         options: PathBuf,
     },
-    /// Print the schema of what the market protocol's messages look like.
+    /// Print the JSON schemas of the market protocol's messages.
     Schema {
         /// Write request.json and reply.json into this directory instead.
         #[arg(long, value_name = "DIR")]
@@ -49,33 +49,36 @@
     /// Make, renew, revoke and show certificates.
     #[command(subcommand)]
     Keys(keys::Keys),
-    /// Measure how long clearing takes and how near it comes to its bound, on
-    /// drawn problems.
+    /// Measure how long the clearing takes, and its gap to the upper bound, on
+    /// random problems.
     Measure {
-        /// Jobs that bid, comma-separated.
+        /// Numbers of jobs, comma-separated.
         #[arg(long, default_value = "100,1000,10000")]
         jobs: String,
-        /// Offers, comma-separated.
+        /// Numbers of offers, comma-separated.
         #[arg(long, default_value = "3,10,50")]
         offers: String,
-        /// Problems of each size.
+        /// Number of problems of each size.
         #[arg(long, default_value_t = 5)]
         repeats: u64,
-        /// Print JSON.
+        /// Print one JSON object per size.
         #[arg(long)]
         json: bool,
     },
 }
 
-fn numbers(name: &str, text: &str) -> Result<Vec<usize>> {
+fn parse_counts(flag: &str, text: &str) -> Result<Vec<usize>> {
     text.split(',')
-        .map(|n| {
-            let n: usize = n
+        .map(|count| {
+            let count: usize = count
                 .trim()
                 .parse()
-                .with_context(|| format!("--{name}: not a number: {n:?}"))?;
-            anyhow::ensure!((1..=100_000).contains(&n), "--{name}: 1 to 100000");
-            Ok(n)
+                .with_context(|| format!("--{flag}: not a number: {count:?}"))?;
+            anyhow::ensure!(
+                (1..=100_000).contains(&count),
+                "--{flag}: must be from 1 to 100000"
+            );
+            Ok(count)
         })
         .collect()
 }
@@ -84,40 +87,43 @@
     if !json {
         println!("  jobs  offers  exact  ms (median, worst)  gap to the bound (mean, worst)");
     }
-    for &j in jobs {
-        for &o in offers {
-            let (mut times, mut gaps, mut exact) = (Vec::new(), Vec::new(), 0);
+    for &job_count in jobs {
+        for &offer_count in offers {
+            let (mut times, mut gaps, mut exact_plans) = (Vec::new(), Vec::new(), 0);
             for seed in 0..repeats.max(1) {
-                eprint!("\r{j} jobs, {o} offers: {} of {repeats} ", seed + 1);
-                let p = random_problem(seed, j, o);
-                let began = Instant::now();
-                let plan = clear(&p, &Effort::default());
-                times.push(began.elapsed().as_secs_f64() * 1000.0);
+                eprint!(
+                    "\r{job_count} jobs, {offer_count} offers: {} of {repeats} ",
+                    seed + 1
+                );
+                let problem = random_problem(seed, job_count, offer_count);
+                let started = Instant::now();
+                let plan = clear(&problem, &Effort::default());
+                times.push(started.elapsed().as_secs_f64() * 1000.0);
                 gaps.push(plan.gap());
-                exact += u64::from(plan.exact);
+                exact_plans += u64::from(plan.exact);
             }
             eprint!("\r\x1b[K");
             times.sort_by(f64::total_cmp);
-            let (median, worst) = (times[times.len() / 2], times[times.len() - 1]);
-            let mean = gaps.iter().sum::<f64>() / gaps.len() as f64;
-            let most = gaps.iter().copied().fold(0.0, f64::max);
+            let (median_ms, worst_ms) = (times[times.len() / 2], times[times.len() - 1]);
+            let mean_gap = gaps.iter().sum::<f64>() / gaps.len() as f64;
+            let worst_gap = gaps.iter().copied().fold(0.0, f64::max);
             if json {
-                let row = serde_json::json!({"jobs": j, "offers": o, "exact": exact,
-                    "ms_median": median, "ms_worst": worst, "gap_mean": mean, "gap_worst": most});
+                let row = serde_json::json!({"jobs": job_count, "offers": offer_count, "exact": exact_plans,
+                    "ms_median": median_ms, "ms_worst": worst_ms, "gap_mean": mean_gap, "gap_worst": worst_gap});
                 println!("{row}");
             } else {
                 println!(
-                    "{j:>6}  {o:>6}  {exact:>2}/{repeats:<2}  {median:>8.1} {worst:>8.1}  \
+                    "{job_count:>6}  {offer_count:>6}  {exact_plans:>2}/{repeats:<2}  {median_ms:>8.1} {worst_ms:>8.1}  \
                      {:>12.3}% {:>7.3}%",
-                    mean * 100.0,
-                    most * 100.0
+                    mean_gap * 100.0,
+                    worst_gap * 100.0
                 );
             }
         }
     }
 }
 
-fn start(cli: Cli) -> Result<()> {
+fn run_command(cli: Cli) -> Result<()> {
     match cli.command {
         Command::Serve {
             config,
@@ -130,8 +136,12 @@
             serve::run(settings, Options::load(&options)?, &keys)?;
         }
         Command::CheckConfig { options } => {
-            let o = Options::load(&options)?;
-            println!("{}: {} markets, sound", options.display(), o.markets.len());
+            let parsed = Options::load(&options)?;
+            println!(
+                "{}: {} markets, valid",
+                options.display(),
+                parsed.markets.len()
+            );
         }
         Command::Schema { write } => {
             for (name, schema) in [("request", schema::request()), ("reply", schema::reply())] {
@@ -146,15 +156,15 @@
                 }
             }
         }
-        Command::Keys(asked) => keys::run(asked)?,
+        Command::Keys(command) => keys::run(command)?,
         Command::Measure {
             jobs,
             offers,
             repeats,
             json,
         } => measure(
-            &numbers("jobs", &jobs)?,
-            &numbers("offers", &offers)?,
+            &parse_counts("jobs", &jobs)?,
+            &parse_counts("offers", &offers)?,
             repeats,
             json,
         ),
@@ -164,7 +174,7 @@
 
 fn main() -> ExitCode {
     pathwinch_cli::log("info");
-    match start(Cli::parse()) {
+    match run_command(Cli::parse()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("pathwinch-market: {e:#}");
--- a/crates/market/src/schema.rs
+++ b/crates/market/src/schema.rs
@@ -1,31 +1,34 @@
-//! Schemas of the market protocol: made from the types, published beside
-//! them, and used to check everything that comes in. serde alone would take
-//! numbers out of range and endless lists, and its errors don't say where.
+//! JSON schemas of the market protocol. They are generated from the types,
+//! published in `schemas/` and used to validate all incoming messages. serde alone
+//! would accept numbers out of range and lists of any length, and its errors do
+//! not name the field.
 
 use crate::wire::{MAX_BODY, Reply, Request};
 use jsonschema::Validator;
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 
+/// Returns the schema of requests to a market.
 pub fn request() -> Value {
     schemars::schema_for!(Request).to_value()
 }
 
+/// Returns the schema of a market's replies.
 pub fn reply() -> Value {
     schemars::schema_for!(Reply).to_value()
 }
 
-/// Reads messages of one kind.
+/// Validates and parses messages of one schema.
 pub struct Reader {
     validator: Validator,
 }
 
-/// Why a message is refused, in one line that names the field.
+/// Why a message is refused, in one line that starts with the field's path.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Refused(pub String);
 
-/// A value in an error is cut to so many bytes.
-const SHOWN: usize = 120;
+/// Length in bytes to which the description of an error is truncated.
+const MAX_VALUE_BYTES: usize = 120;
 
 impl Reader {
     pub fn new(schema: &Value) -> Result<Self, Refused> {
@@ -34,6 +37,7 @@
             .map_err(|e| Refused(format!("schema: {e}")))
     }
 
+    /// Parses a message after checking its size and its schema.
     pub fn read<T: DeserializeOwned>(&self, body: &[u8]) -> Result<T, Refused> {
         if body.len() > MAX_BODY {
             return Err(Refused(format!("body: over {MAX_BODY} bytes")));
@@ -41,18 +45,20 @@
         let value: Value =
             serde_json::from_slice(body).map_err(|e| Refused(format!("body: {e}")))?;
         if let Some(e) = self.validator.iter_errors(&value).next() {
-            let at = e.instance_path().to_string();
-            let at = match at.trim_start_matches('/') {
+            let field = e.instance_path().to_string();
+            let field = match field.trim_start_matches('/') {
                 "" => "body".to_owned(),
                 path => path.replace('/', "."),
             };
-            let mut what = e.to_string();
-            if what.len() > SHOWN {
-                let cut = (0..=SHOWN).rev().find(|i| what.is_char_boundary(*i));
-                what.truncate(cut.unwrap_or(0));
-                what.push_str("...");
+            let mut description = e.to_string();
+            if description.len() > MAX_VALUE_BYTES {
+                let cut = (0..=MAX_VALUE_BYTES)
+                    .rev()
+                    .find(|i| description.is_char_boundary(*i));
+                description.truncate(cut.unwrap_or(0));
+                description.push_str("...");
             }
-            return Err(Refused(format!("{at}: {what}")));
+            return Err(Refused(format!("{field}: {description}")));
         }
         serde_json::from_value(value).map_err(|e| Refused(format!("body: {e}")))
     }
--- a/crates/market/src/schema/tests.rs
+++ b/crates/market/src/schema/tests.rs
@@ -14,37 +14,37 @@
     }
 }
 
-/// Two ends that were built at different times must agree on what is
-/// published. `pathwinch-market schema --write` makes the files.
+/// Guards against schemas that differ from the published files, on which builds of
+/// different dates must agree. `pathwinch-market schema --write` writes the files.
 #[test]
-fn published_schemas_are_those_of_the_types() {
+fn published_schemas_match_the_types() {
     let dir = concat!(env!("CARGO_MANIFEST_DIR"), "/schemas");
-    for (name, made) in [("request", request()), ("reply", reply())] {
+    for (name, generated) in [("request", request()), ("reply", reply())] {
         let text = std::fs::read_to_string(format!("{dir}/{name}.json")).unwrap();
         let published: Value = serde_json::from_str(&text).unwrap();
-        assert!(published == made, "{name}.json is out of date");
+        assert!(published == generated, "{name}.json is out of date");
     }
 }
 
 #[test]
-fn what_is_sent_can_be_read_and_what_is_wrong_is_named() {
+fn valid_reply_is_read_and_errors_name_the_field() {
     let reader = Reader::new(&reply()).unwrap();
-    let good = reply_with(Say::Synced(Synced::default()));
-    let body = serde_json::to_vec(&good).unwrap();
-    assert_eq!(reader.read::<Reply>(&body), Ok(good));
+    let reply = reply_with(Say::Synced(Synced::default()));
+    let body = serde_json::to_vec(&reply).unwrap();
+    assert_eq!(reader.read::<Reply>(&body), Ok(reply));
     let refused = |body: &[u8]| reader.read::<Reply>(body).unwrap_err().0;
     assert!(refused(b"\xff\x00garbage").starts_with("body: "));
     let text = String::from_utf8(body).unwrap();
-    let old = refused(text.replace("\"v\":1", "\"v\":2").as_bytes());
-    assert!(old.starts_with("v: "), "{old}");
-    let late = refused(text.replace("\"clock_ms\":2", "\"clock_ms\":-2").as_bytes());
-    assert!(late.starts_with("clock_ms: "), "{late}");
-    let extra = refused(text.replace("\"v\":1", "\"v\":1,\"x\":1").as_bytes());
-    assert!(extra.contains('x'), "{extra}");
+    let wrong_version = refused(text.replace("\"v\":1", "\"v\":2").as_bytes());
+    assert!(wrong_version.starts_with("v: "), "{wrong_version}");
+    let negative_clock = refused(text.replace("\"clock_ms\":2", "\"clock_ms\":-2").as_bytes());
+    assert!(negative_clock.starts_with("clock_ms: "), "{negative_clock}");
+    let unknown_field = refused(text.replace("\"v\":1", "\"v\":1,\"x\":1").as_bytes());
+    assert!(unknown_field.contains('x'), "{unknown_field}");
 }
 
 #[test]
-fn offers_without_end_and_bodies_beyond_the_limit_are_refused() {
+fn too_many_offers_and_oversized_bodies_are_refused() {
     let reader = Reader::new(&reply()).unwrap();
     let offer = r#"{"offer":"o","slot":{"cpus":1,"gpus":0,"memory_gb":1},"slots":1,"price":1,"valid_until_ms":1}"#;
     let body = |n: usize| {
@@ -54,11 +54,11 @@
         )
     };
     assert!(reader.read::<Reply>(body(1000).as_bytes()).is_ok());
-    let many = reader.read::<Reply>(body(1001).as_bytes()).unwrap_err().0;
-    assert!(many.len() < 300, "{many}");
-    let vast = reader
+    let too_many = reader.read::<Reply>(body(1001).as_bytes()).unwrap_err().0;
+    assert!(too_many.len() < 300, "{too_many}");
+    let oversized = reader
         .read::<Reply>(body(100_000).as_bytes())
         .unwrap_err()
         .0;
-    assert_eq!(vast, format!("body: over {MAX_BODY} bytes"));
+    assert_eq!(oversized, format!("body: over {MAX_BODY} bytes"));
 }
--- a/crates/market/src/serve/home.rs
+++ b/crates/market/src/serve/home.rs
@@ -1,4 +1,5 @@
-//! The broker's side of the controllers: whoever leads is asked over `back`.
+//! Client of the home cluster's controllers: sends requests to the leader over
+//! the peer protocol.
 
 use crate::{
     lending::{Kind, WaitingJob},
@@ -14,11 +15,13 @@
 use pathwinch_transport::frames::PeerClient;
 use std::{cell::Cell, net::SocketAddr, time::Duration};
 
-const LIMIT: Duration = Duration::from_secs(3);
+/// Time-out of one request to one controller.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
 
+/// The controllers of the home cluster.
 pub struct Home {
     nodes: Vec<SocketAddr>,
-    /// Who led when last asked.
+    /// Index of the controller that last answered as the leader.
     leader: Cell<usize>,
     peers: PeerClient,
 }
@@ -35,13 +38,17 @@
         }
     }
 
-    /// Asks whoever leads. `None`: nobody who leads answered; a request that
-    /// changes something may have been carried out.
+    /// Sends a request to the leader, trying each controller in turn. `None`: no
+    /// leader answered; a request that changes state may have been executed.
     pub async fn ask(&self, request: &Request) -> Option<Reply> {
         let first = self.leader.get();
         for n in 0..self.nodes.len() {
             let node = (first + n) % self.nodes.len();
-            match self.peers.call(self.nodes[node], request, LIMIT).await {
+            match self
+                .peers
+                .call(self.nodes[node], request, REQUEST_TIMEOUT)
+                .await
+            {
                 Ok(Reply::NotLeader) | Err(_) => {}
                 Ok(reply) => {
                     self.leader.set(node);
@@ -53,33 +60,34 @@
     }
 }
 
-pub fn waiting(l: OffloadCandidate) -> WaitingJob {
-    let s = l.spec;
+/// Converts the leader's description of a job that could be offloaded.
+pub fn waiting_job(candidate: OffloadCandidate) -> WaitingJob {
+    let spec = candidate.spec;
     WaitingJob {
-        job: s.id,
-        class: s.class,
-        team: s.team,
-        kind: match s.kind {
+        job: spec.id,
+        class: spec.class,
+        team: spec.team,
+        kind: match spec.kind {
             users::Kind::Array => Kind::Array,
             users::Kind::Gang => Kind::Gang,
             users::Kind::Service => Kind::Service,
         },
-        tasks: s.tasks,
-        done: Ranges(l.done),
+        tasks: spec.tasks,
+        done: Ranges(candidate.done),
         slot: Slot {
-            cpus: s.cpus,
-            gpus: s.gpus,
-            memory_gb: s.memory_gb,
+            cpus: spec.cpus,
+            gpus: spec.gpus,
+            memory_gb: spec.memory_gb,
         },
-        image: s.image,
-        image_gb: s.image_gb,
-        estimate_s: s.estimate_s,
-        waited_ms: l.waited_ms,
-        left_ms: l.left_ms,
-        here_ms: l.here_ms,
-        rent: l.rent,
-        // Only what could be offloaded is told of.
+        image: spec.image,
+        image_gb: spec.image_gb,
+        estimate_s: spec.estimate_s,
+        waited_ms: candidate.waited_ms,
+        left_ms: candidate.left_ms,
+        here_ms: candidate.here_ms,
+        rent: candidate.rent,
+        // The leader reports only jobs that have no task on a machine.
         placed: 0,
-        kept: l.kept,
+        kept: candidate.kept,
     }
 }
--- a/crates/market/src/serve/mod.rs
+++ b/crates/market/src/serve/mod.rs
@@ -1,6 +1,7 @@
-//! Binds the broker to sockets and the clock. It has one thread and one
-//! executor; state is never borrowed across an await, and the leadership is
-//! checked again right before each act.
+//! Connects the broker to sockets and the clock: seeks the leadership, feeds the
+//! broker with events and executes its effects. There is one thread with one
+//! executor. State is never borrowed across an await, and the leadership is checked
+//! again right before each effect.
 
 mod home;
 mod state;
@@ -27,7 +28,7 @@
     reload::{Followed, Seen},
 };
 use pathwinch_transport::{client::CallError, priority_executor::PriorityExecutor};
-use state::{Held, Lost, State};
+use state::{Leadership, LeadershipLost, State};
 use std::{
     cell::{Cell, RefCell},
     net::SocketAddr,
@@ -36,19 +37,24 @@
     time::{Duration, Instant, SystemTime, UNIX_EPOCH},
 };
 
-const TICK: Duration = Duration::from_millis(200);
-const ASK: Duration = Duration::from_secs(1);
-const LOOK: Duration = Duration::from_secs(10);
-const CALL: Duration = Duration::from_secs(4);
-/// Where markets are asked.
+/// Interval between ticks of the broker.
+const TICK_INTERVAL: Duration = Duration::from_millis(200);
+/// Interval between requests to the leader for jobs that could be offloaded.
+const HOME_POLL_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval between checks of the key files, and between logs of the counters.
+const CHECK_INTERVAL: Duration = Duration::from_secs(10);
+/// Time-out of a call to a market.
+const CALL_TIMEOUT: Duration = Duration::from_secs(4);
+/// HTTP path of the market protocol.
 pub const PATH: &str = "/market/v1";
 
+/// What all terms of this process share.
 struct Server {
     options: Options,
     settings: Settings,
     executor: Rc<PriorityExecutor>,
     keys: RefCell<Followed>,
-    dir: PathBuf,
+    key_dir: PathBuf,
     state: State,
     home: Home,
     replies: Reader,
@@ -56,18 +62,20 @@
     start_ms: Millis,
 }
 
-/// One leadership.
-struct Acting {
+/// The broker of one term, as long as this process holds the leadership.
+struct ActingBroker {
     server: Rc<Server>,
     term: u64,
-    until: Cell<Instant>,
+    authority_until: Cell<Instant>,
     ended: Cell<bool>,
     broker: RefCell<Broker>,
 }
 
-pub fn run(settings: Settings, options: Options, dir: &Path) -> Result<()> {
-    let keys = Followed::new(Texts::read(dir)?, system_time())
-        .with_context(|| dir.display().to_string())?;
+/// Runs a broker until the process is killed. `key_dir` holds the home's
+/// certificate and key.
+pub fn run(settings: Settings, options: Options, key_dir: &Path) -> Result<()> {
+    let keys = Followed::new(Texts::read(key_dir)?, system_time())
+        .with_context(|| key_dir.display().to_string())?;
     let replies = Reader::new(&schema::reply()).map_err(|e| anyhow::anyhow!(e.0))?;
     let executor = Rc::new(PriorityExecutor::default());
     let server = Rc::new(Server {
@@ -77,7 +85,7 @@
         settings,
         executor: executor.clone(),
         keys: RefCell::new(keys),
-        dir: dir.to_owned(),
+        key_dir: key_dir.to_owned(),
         replies,
         start: Instant::now(),
         start_ms: SystemTime::now()
@@ -85,152 +93,159 @@
             .map_or(0, |d| d.as_millis() as Millis),
     });
     async_io::block_on(executor.run(async {
-        executor.spawn_high(follow(server.clone())).detach();
+        executor.spawn_high(watch_keys(server.clone())).detach();
         loop {
             let name = server.settings.name.as_str();
             let incarnation = fastrand::u64(1..(1 << 53));
-            if let Some(held) = server.state.acquire(name, incarnation).await {
-                act(&server, held).await;
+            if let Some(leadership) = server.state.acquire(name, incarnation).await {
+                run_term(&server, leadership).await;
             }
-            // Several that seek don't seek in step.
-            let wait = 700 + fastrand::u64(..600);
-            Timer::after(Duration::from_millis(wait)).await;
+            // The random delay keeps standby brokers from contending in lockstep.
+            let delay_ms = 700 + fastrand::u64(..600);
+            Timer::after(Duration::from_millis(delay_ms)).await;
         }
     }))
 }
 
-/// Takes up changed keys and warns of those that expire.
-async fn follow(server: Rc<Server>) {
+/// Reloads changed keys and warns of certificates that expire.
+async fn watch_keys(server: Rc<Server>) {
     loop {
-        let seen = server.keys.borrow_mut().look(Texts::read(&server.dir));
-        match seen {
+        let change = server.keys.borrow_mut().look(Texts::read(&server.key_dir));
+        match change {
             Seen::Same => {}
-            Seen::Changed => log::info!("new keys are in force"),
-            Seen::Unusable(why) => log::warn!("keys stay as they were: {why}"),
+            Seen::Changed => log::info!("reloaded changed keys"),
+            Seen::Unusable(reason) => log::warn!("changed keys refused, old ones kept: {reason}"),
         }
         let now = server.now() / 1000;
         if let Some(warning) = server.keys.borrow_mut().warning(now) {
             log::warn!("{warning}");
         }
-        Timer::after(LOOK).await;
+        Timer::after(CHECK_INTERVAL).await;
     }
 }
 
 impl Server {
-    /// The time of day as of the start, steadily on from there.
+    /// Returns the time of day at the start plus the monotonic time since then, so
+    /// that steps of the system clock have no effect.
     fn now(&self) -> Millis {
         self.start_ms + self.start.elapsed().as_millis() as Millis
     }
 }
 
-async fn act(server: &Rc<Server>, held: Held) {
+/// Acts as the broker of one term until the leadership is lost.
+async fn run_term(server: &Rc<Server>, leadership: Leadership) {
     let records = match server.state.list().await {
         Ok(records) => records,
-        Err(e) => return log::warn!("the records can't be read: {e}"),
+        Err(error) => return log::warn!("can't read the broker's records: {error}"),
     };
     let home = server.keys.borrow().keys().own.name.clone();
     let broker = Broker::new(
         server.options.clone(),
         &home,
-        held.term,
+        leadership.term,
         server.settings.cluster.state.txn_ops,
         &records,
         fastrand::u64(..),
     );
     log::info!(
-        "acting in term {}: {} jobs out, {} in doubt",
-        held.term,
+        "acting as broker in term {}: {} offloaded jobs, {} unconfirmed",
+        leadership.term,
         broker.jobs().count(),
         broker.unconfirmed_jobs()
     );
-    let acting = Rc::new(Acting {
+    let acting = Rc::new(ActingBroker {
         server: server.clone(),
-        term: held.term,
-        until: Cell::new(held.until),
+        term: leadership.term,
+        authority_until: Cell::new(leadership.authority_until),
         ended: Cell::new(false),
         broker: RefCell::new(broker),
     });
     let executor = &server.executor;
     executor
-        .spawn_high(keep(acting.clone(), held.lease))
+        .spawn_high(renew_leadership(acting.clone(), leadership.lease))
         .detach();
-    executor.spawn_low(ask_home(acting.clone())).detach();
-    let mut told = Counts::default();
-    let mut next = Instant::now();
+    executor.spawn_low(poll_home(acting.clone())).detach();
+    let mut logged = Counts::default();
+    let mut next_log = Instant::now();
     while acting.may_act() {
-        acting.clone().go(|b, now| b.tick(now));
-        if Instant::now() >= next {
-            next = Instant::now() + LOOK;
-            acting.tell(&mut told);
+        acting.clone().run_broker(|b, now| b.tick(now));
+        if Instant::now() >= next_log {
+            next_log = Instant::now() + CHECK_INTERVAL;
+            acting.log_counts(&mut logged);
         }
-        Timer::after(TICK).await;
+        Timer::after(TICK_INTERVAL).await;
     }
     acting.ended.set(true);
-    log::warn!("term {} is over", held.term);
+    log::warn!("leadership of term {} has ended", leadership.term);
 }
 
-/// Renews the leadership.
-async fn keep(acting: Rc<Acting>, lease: u64) {
+/// Renews the leadership's lease until the term ends.
+async fn renew_leadership(acting: Rc<ActingBroker>, lease: u64) {
     while !acting.ended.get() {
-        match acting.server.state.touch(lease).await {
-            Ok(Some(until)) => acting.until.set(until),
+        match acting.server.state.renew(lease).await {
+            Ok(Some(until)) => acting.authority_until.set(until),
             Ok(None) => {}
-            Err(Lost) => acting.ended.set(true),
+            Err(LeadershipLost) => acting.ended.set(true),
         }
         Timer::after(Duration::from_millis(1_500)).await;
     }
 }
 
-/// Learns what waits, and what is not needed any more.
-async fn ask_home(acting: Rc<Acting>) {
+/// Asks the leader periodically which jobs could be offloaded and which are to be
+/// recalled.
+async fn poll_home(acting: Rc<ActingBroker>) {
     while !acting.ended.get() {
         let lent = {
-            let b = acting.broker.borrow();
-            b.jobs().map(|(j, l)| (j.to_owned(), l.award)).collect()
+            let broker = acting.broker.borrow();
+            broker
+                .jobs()
+                .map(|(j, l)| (j.to_owned(), l.award))
+                .collect()
         };
         let request = Request::OffloadCandidates { lent };
         if let Some(Reply::OffloadCandidates { jobs, recall }) =
             acting.server.home.ask(&request).await
         {
             for job in recall {
-                acting.tell_broker(Event::Recall(job));
+                acting.deliver(Event::Recall(job));
             }
-            let list = jobs.into_iter().map(home::waiting).collect();
-            acting.tell_broker(Event::Waiting(list));
+            let waiting_jobs = jobs.into_iter().map(home::waiting_job).collect();
+            acting.deliver(Event::Waiting(waiting_jobs));
         }
-        Timer::after(ASK).await;
+        Timer::after(HOME_POLL_INTERVAL).await;
     }
 }
 
-impl Acting {
+impl ActingBroker {
+    /// Whether the leadership still holds, so that effects may be executed.
     fn may_act(&self) -> bool {
-        !self.ended.get() && Instant::now() < self.until.get()
+        !self.ended.get() && Instant::now() < self.authority_until.get()
     }
 
-    fn tell(&self, told: &mut Counts) {
-        let b = self.broker.borrow();
-        if *told != b.counts {
-            *told = b.counts.clone();
+    fn log_counts(&self, logged: &mut Counts) {
+        let broker = self.broker.borrow();
+        if *logged != broker.counts {
+            *logged = broker.counts.clone();
             log::info!(
-                "{} jobs out, {} in doubt; in this term {} awards sent, {} done, {} calls, \
-                 {} transactions, {} lies",
-                b.jobs().count(),
-                b.unconfirmed_jobs(),
-                told.awards,
-                told.done,
-                told.calls,
-                told.writes,
-                told.violations
+                "{} offloaded jobs, {} unconfirmed; in this term {} awards sent, {} done, {} calls, \
+                 {} transactions, {} protocol violations",
+                broker.jobs().count(),
+                broker.unconfirmed_jobs(),
+                logged.awards,
+                logged.done,
+                logged.calls,
+                logged.writes,
+                logged.violations
             );
         }
     }
 
-    fn tell_broker(self: &Rc<Self>, event: Event) {
-        self.clone().go(|b, now| b.event(event, now));
+    fn deliver(self: &Rc<Self>, event: Event) {
+        self.clone().run_broker(|b, now| b.event(event, now));
     }
 
-    /// Lets the broker decide, and sets about what it wants done.
-    fn go(self: Rc<Self>, decide: impl FnOnce(&mut Broker, Millis) -> Vec<Effect>) {
+    /// Calls the broker and starts to execute the effects that it returns.
+    fn run_broker(self: Rc<Self>, decide: impl FnOnce(&mut Broker, Millis) -> Vec<Effect>) {
         if !self.may_act() {
             return;
         }
@@ -242,25 +257,25 @@
                 return;
             }
             let executor = self.server.executor.clone();
-            executor.spawn_high(self.clone().carry_out(effect)).detach();
+            executor.spawn_high(self.clone().execute(effect)).detach();
         }
     }
 
-    async fn carry_out(self: Rc<Self>, effect: Effect) {
+    async fn execute(self: Rc<Self>, effect: Effect) {
         if !self.may_act() {
             return;
         }
         let server = &self.server;
         match effect {
-            Effect::LedgerSync(Step::Write(n, change)) => {
+            Effect::LedgerSync(Step::Write(step, change)) => {
                 match server.state.write(self.term, &change).await {
-                    Ok(wrote) => self.tell_broker(Event::WriteOutcome(n, wrote)),
-                    Err(Lost) => self.ended.set(true),
+                    Ok(outcome) => self.deliver(Event::WriteOutcome(step, outcome)),
+                    Err(LeadershipLost) => self.ended.set(true),
                 }
             }
-            Effect::LedgerSync(Step::Read(n, key)) => {
+            Effect::LedgerSync(Step::Read(step, key)) => {
                 let found = server.state.get(&key).await;
-                self.tell_broker(Event::ReadOutcome(n, found));
+                self.deliver(Event::ReadOutcome(step, found));
             }
             Effect::Call {
                 market,
@@ -268,8 +283,8 @@
                 request,
             } => {
                 let sent = server.now();
-                let reply = self.call(market, &request).await;
-                self.tell_broker(Event::CallEnded { call, sent, reply });
+                let reply = self.call_market(market, &request).await;
+                self.deliver(Event::CallEnded { call, sent, reply });
             }
             Effect::MarkOffloaded {
                 job,
@@ -277,9 +292,9 @@
                 version,
             } => {
                 let market = {
-                    let b = self.broker.borrow();
-                    let offload = b.jobs().find(|(j, _)| *j == job);
-                    offload.map(|(_, l)| b.markets[l.market].name.clone())
+                    let broker = self.broker.borrow();
+                    let offload = broker.jobs().find(|(j, _)| *j == job);
+                    offload.map(|(_, l)| broker.markets[l.market].name.clone())
                 };
                 let Some(market) = market else { return };
                 let request = Request::Offload {
@@ -293,7 +308,7 @@
                     Some(Reply::OffloadMark(OffloadMark::No)) => Some(false),
                     _ => None,
                 };
-                self.tell_broker(Event::MarkOutcome { job, award, marked });
+                self.deliver(Event::MarkOutcome { job, award, marked });
             }
             Effect::EndOffload { job, award, end } => {
                 let request = Request::EndOffload {
@@ -305,37 +320,47 @@
                     server.home.ask(&request).await,
                     Some(Reply::OffloadEnded(true))
                 );
-                self.tell_broker(Event::EndOutcome { job, award, taken });
+                self.deliver(Event::EndOutcome { job, award, taken });
             }
             Effect::Resign => self.ended.set(true),
         }
     }
 
-    async fn call(
+    /// Sends a request to a market over TLS and validates the reply.
+    async fn call_market(
         &self,
         market: usize,
         request: &wire::Request,
     ) -> Result<wire::Reply, CallFailure> {
         let server = &self.server;
         let name = self.broker.borrow().markets[market].name.clone();
-        let addr = server.options.markets.get(&name);
-        let addr: SocketAddr = addr
+        let address = server.options.markets.get(&name);
+        let address: SocketAddr = address
             .and_then(|a| a.parse().ok())
             .ok_or(CallFailure::NoAnswer)?;
         let body = serde_json::to_vec(request).map_err(|_| CallFailure::Invalid)?;
-        let answer = http::call(&server.keys, addr, &name, PATH, body, CALL, wire::MAX_BODY).await;
+        let answer = http::call(
+            &server.keys,
+            address,
+            &name,
+            PATH,
+            body,
+            CALL_TIMEOUT,
+            wire::MAX_BODY,
+        )
+        .await;
         match answer {
-            Ok(a) if a.status == 200 => server.replies.read(&a.body).map_err(|why| {
-                log::warn!("market {name}: an answer is refused: {}", why.0);
+            Ok(a) if a.status == 200 => server.replies.read(&a.body).map_err(|refusal| {
+                log::warn!("market {name}: reply refused: {}", refusal.0);
                 CallFailure::Invalid
             }),
             Ok(a) => {
-                log::warn!("market {name} answers with status {}", a.status);
+                log::warn!("market {name}: reply with status {}", a.status);
                 Err(CallFailure::Invalid)
             }
             Err(e) => {
                 match e {
-                    CallError::TooLong => log::info!("market {name} is silent"),
+                    CallError::TooLong => log::info!("market {name}: no reply within the time-out"),
                     e => log::info!("market {name}: {e}"),
                 }
                 Err(CallFailure::NoAnswer)
--- a/crates/market/src/serve/state.rs
+++ b/crates/market/src/serve/state.rs
@@ -1,5 +1,5 @@
-//! The broker's side of the state service: its own prefix, its own share of
-//! the limits, and the leadership among brokers.
+//! Client of the state service for the broker: its own key prefix, its own share of
+//! the rate limits, and the leadership among the brokers of a home.
 
 use crate::{
     Millis,
@@ -19,13 +19,16 @@
 use serde_json::{Value, json};
 use std::{cell::RefCell, collections::BTreeMap, net::SocketAddr, time::Duration, time::Instant};
 
-const LIMIT: Duration = Duration::from_secs(2);
-/// Under the prefix: who acts.
-const BROKER: &str = "broker";
-/// Life of the leadership's lease, and what is kept off it.
-const LIFE: Millis = 6_000;
-const MARGIN: Millis = 500;
+/// Time-out of one request.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
+/// Key, under the prefix, of the record that names the acting broker.
+const LEADERSHIP_KEY: &str = "broker";
+/// Duration of the leadership's lease.
+const LEASE_MS: Millis = 6_000;
+/// Time by which a broker stops acting before its lease can expire.
+const LEASE_MARGIN_MS: Millis = 500;
 
+/// Client of the state service.
 pub struct State {
     addr: SocketAddr,
     http: Client,
@@ -34,26 +37,27 @@
     start: Instant,
 }
 
-/// A leadership among brokers.
+/// The leadership among brokers, as acquired.
 #[derive(Debug)]
-pub struct Held {
+pub struct Leadership {
     pub term: u64,
     pub lease: u64,
-    /// Until when it surely holds, if it isn't renewed.
-    pub until: Instant,
+    /// Time until which the leadership certainly holds without a renewal.
+    pub authority_until: Instant,
 }
 
-fn key(relative: &str) -> String {
+fn full_key(relative: &str) -> String {
     format!("{PREFIX}{relative}")
 }
 
-fn until(sent: Instant) -> Instant {
-    sent + Duration::from_millis(LIFE - MARGIN)
+/// Returns the end of the authority of a lease that was requested at `sent`.
+fn authority_end(sent: Instant) -> Instant {
+    sent + Duration::from_millis(LEASE_MS - LEASE_MARGIN_MS)
 }
 
-/// The record of who acts has gone, or is another's.
+/// The leadership record is gone or names another broker.
 #[derive(Debug, PartialEq)]
-pub struct Lost;
+pub struct LeadershipLost;
 
 impl State {
     pub fn new(settings: &Settings, share: f64) -> Self {
@@ -67,7 +71,8 @@
         }
     }
 
-    fn now(&self) -> u64 {
+    /// Returns the monotonic time that the rate limits use.
+    fn elapsed_ms(&self) -> u64 {
         self.start.elapsed().as_millis() as u64
     }
 
@@ -77,17 +82,22 @@
         path: &str,
         body: Option<Value>,
     ) -> Result<Answer, CallError> {
-        let wait = self.requests.borrow_mut().take_with_delay(self.now(), 1.0);
-        if wait > 0 {
-            Timer::after(Duration::from_millis(wait)).await;
+        let delay_ms = self
+            .requests
+            .borrow_mut()
+            .take_with_delay(self.elapsed_ms(), 1.0);
+        if delay_ms > 0 {
+            Timer::after(Duration::from_millis(delay_ms)).await;
         }
         let body = body.map(|b| b.to_string().into_bytes());
-        self.http.call(self.addr, method, path, body, LIMIT).await
+        self.http
+            .call(self.addr, method, path, body, REQUEST_TIMEOUT)
+            .await
     }
 
-    /// `Err`: it could not be read.
+    /// Reads a key: its value and version, if it exists; `Err`: not read.
     pub async fn get(&self, relative: &str) -> Result<Option<(Value, u64)>, ()> {
-        let path = format!("/kv/{}", key(relative));
+        let path = format!("/kv/{}", full_key(relative));
         match self.call(Method::Get, &path, None).await {
             Ok(a) if a.status == 200 => {
                 let item: pathwinch_protocol::state::Item =
@@ -99,23 +109,24 @@
         }
     }
 
-    /// Everything under the prefix but who acts, by relative key.
+    /// Lists all records under the prefix except the leadership record, by relative
+    /// key.
     pub async fn list(&self) -> Result<BTreeMap<String, (Value, u64)>, String> {
-        let (mut all, mut from) = (BTreeMap::new(), String::new());
+        let (mut all, mut after_key) = (BTreeMap::new(), String::new());
         loop {
-            let path = format!("/kv?under={PREFIX}&from={from}&most=500");
-            let a = self
+            let path = format!("/kv?under={PREFIX}&from={after_key}&most=500");
+            let answer = self
                 .call(Method::Get, &path, None)
                 .await
                 .map_err(|e| e.to_string())?;
-            if a.status != 200 {
-                return Err(format!("status {}", a.status));
+            if answer.status != 200 {
+                return Err(format!("status {}", answer.status));
             }
-            let page: Page = serde_json::from_slice(&a.body).map_err(|e| e.to_string())?;
+            let page: Page = serde_json::from_slice(&answer.body).map_err(|e| e.to_string())?;
             for item in page.items {
-                from.clone_from(&item.key);
+                after_key.clone_from(&item.key);
                 if let Some(relative) = item.key.strip_prefix(PREFIX)
-                    && relative != BROKER
+                    && relative != LEADERSHIP_KEY
                 {
                     all.insert(relative.to_owned(), (item.value, item.version));
                 }
@@ -126,29 +137,31 @@
         }
     }
 
-    async fn txn(&self, txn: &Txn) -> Result<Answer, CallError> {
-        let wait = self
+    /// Sends a transaction once the limit on writes allows it.
+    async fn commit(&self, txn: &Txn) -> Result<Answer, CallError> {
+        let delay_ms = self
             .writes
             .borrow_mut()
-            .take_with_delay(self.now(), txn.writes.len() as f64);
-        if wait > 0 {
-            Timer::after(Duration::from_millis(wait)).await;
+            .take_with_delay(self.elapsed_ms(), txn.writes.len() as f64);
+        if delay_ms > 0 {
+            Timer::after(Duration::from_millis(delay_ms)).await;
         }
         let body = serde_json::to_value(txn).unwrap_or_default();
         self.call(Method::Post, "/txn", Some(body)).await
     }
 
-    /// Writes what the books want, guarded by the leadership.
-    pub async fn write(&self, term: u64, change: &Change) -> Result<WriteOutcome, Lost> {
+    /// Applies a change in one transaction that has the leadership record as a
+    /// condition.
+    pub async fn write(&self, term: u64, change: &Change) -> Result<WriteOutcome, LeadershipLost> {
         let mut txn = Txn {
             conditions: vec![Condition {
-                key: key(BROKER),
+                key: full_key(LEADERSHIP_KEY),
                 version: term,
             }],
             writes: Vec::new(),
         };
         for (relative, version, value) in &change.writes {
-            let key = key(relative);
+            let key = full_key(relative);
             txn.conditions.push(Condition {
                 key: key.clone(),
                 version: *version,
@@ -162,33 +175,37 @@
                 None => Write::Delete { key },
             });
         }
-        let answer = match self.txn(&txn).await {
+        let answer = match self.commit(&txn).await {
             Ok(answer) => answer,
             Err(CallError::NotSent(_)) => return Ok(WriteOutcome::Rejected),
             Err(_) => return Ok(WriteOutcome::Unknown),
         };
-        let said: Option<Revision> = serde_json::from_slice(&answer.body).ok();
-        match (answer.status, said) {
+        let revision: Option<Revision> = serde_json::from_slice(&answer.body).ok();
+        match (answer.status, revision) {
             (200, Some(r)) => Ok(WriteOutcome::Done(r.revision)),
-            (409, Some(r)) if r.failed.contains(&key(BROKER)) => Err(Lost),
+            (409, Some(r)) if r.failed.contains(&full_key(LEADERSHIP_KEY)) => Err(LeadershipLost),
             (409, _) => Ok(WriteOutcome::Conflict),
             (429 | 503, _) => Ok(WriteOutcome::Rejected),
             (400, _) => {
-                log::error!("the state service refuses a transaction as malformed");
+                log::error!("state service: transaction refused as malformed (status 400)");
                 Ok(WriteOutcome::Rejected)
             }
             _ => Ok(WriteOutcome::Unknown),
         }
     }
 
-    /// Seeks the leadership once.
-    pub async fn acquire(&self, name: &str, incarnation: u64) -> Option<Held> {
-        if self.get(BROKER).await.ok()?.is_some() {
+    /// Tries once to acquire the leadership; `None` if another broker holds it or the
+    /// attempt failed.
+    pub async fn acquire(&self, name: &str, incarnation: u64) -> Option<Leadership> {
+        if self.get(LEADERSHIP_KEY).await.ok()?.is_some() {
             return None;
         }
         let sent = Instant::now();
-        let life = json!({ "life_ms": LIFE });
-        let answer = self.call(Method::Post, "/leases", Some(life)).await.ok()?;
+        let request = json!({ "life_ms": LEASE_MS });
+        let answer = self
+            .call(Method::Post, "/leases", Some(request))
+            .await
+            .ok()?;
         if answer.status != 200 {
             return None;
         }
@@ -198,34 +215,34 @@
         let record = json!({ "name": name, "incarnation": incarnation });
         let txn = Txn {
             conditions: vec![Condition {
-                key: key(BROKER),
+                key: full_key(LEADERSHIP_KEY),
                 version: 0,
             }],
             writes: vec![Write::Put {
-                key: key(BROKER),
+                key: full_key(LEADERSHIP_KEY),
                 value: record.clone(),
                 lease: Some(lease),
             }],
         };
-        let term = match self.txn(&txn).await {
+        let term = match self.commit(&txn).await {
             Ok(a) if a.status == 200 => serde_json::from_slice::<Revision>(&a.body)
                 .ok()
                 .map(|r| r.revision),
             Ok(_) => None,
-            // It may have been applied: what stands there tells.
-            Err(_) => match self.get(BROKER).await {
+            // The transaction may have been applied: the record tells.
+            Err(_) => match self.get(LEADERSHIP_KEY).await {
                 Ok(Some((found, version))) if found == record => Some(version),
                 _ => None,
             },
         };
         match term {
-            Some(term) => Some(Held {
+            Some(term) => Some(Leadership {
                 term,
                 lease,
-                until: until(sent),
+                authority_until: authority_end(sent),
             }),
             None => {
-                // Whatever is still on its way there ends with the lease.
+                // A transaction that is still in flight becomes void with its lease.
                 let path = format!("/leases/{lease}");
                 let _ = self.call(Method::Delete, &path, None).await;
                 None
@@ -233,13 +250,14 @@
         }
     }
 
-    /// Renews; the new end of the authority. `Err`: the lease is gone.
-    pub async fn touch(&self, lease: u64) -> Result<Option<Instant>, Lost> {
+    /// Renews the lease and returns the new end of the authority; `None`: no
+    /// answer; `Err`: the lease is gone.
+    pub async fn renew(&self, lease: u64) -> Result<Option<Instant>, LeadershipLost> {
         let sent = Instant::now();
         let path = format!("/leases/{lease}/touch");
         match self.call(Method::Post, &path, None).await {
-            Ok(a) if a.status == 200 => Ok(Some(until(sent))),
-            Ok(a) if a.status == 404 => Err(Lost),
+            Ok(a) if a.status == 200 => Ok(Some(authority_end(sent))),
+            Ok(a) if a.status == 404 => Err(LeadershipLost),
             _ => Ok(None),
         }
     }
