--- a/crates/market/src/options.rs
+++ b/crates/market/src/options.rs
@@ -56,6 +56,7 @@
     }
 }
 
+/// Maximum number of markets in the options.
 const MAX_MARKETS: usize = 100;
 
 fn seconds(key: &str, text: &str, low: f64, high: f64) -> Result<Millis> {
@@ -63,12 +64,14 @@
 }
 
 impl Options {
+    /// Reads and parses an INI file.
     pub fn load(path: &Path) -> Result<Self> {
         let text = std::fs::read_to_string(path)
             .with_context(|| format!("cannot read {}", path.display()))?;
         Self::parse(&text).with_context(|| path.display().to_string())
     }
 
+    /// Parses the text of an INI file.
     pub fn parse(text: &str) -> Result<Self> {
         let ini = Ini::load_from_str(text)?;
         let mut options = Options::default();
@@ -80,7 +83,7 @@
         }
         ensure!(
             options.markets.len() <= MAX_MARKETS,
-            "market: at most {MAX_MARKETS}"
+            "market: more than {MAX_MARKETS} markets"
         );
         ensure!(
             options.start_within_ms < options.tenancy_ms,
--- a/crates/market/src/wire.rs
+++ b/crates/market/src/wire.rs
@@ -1,21 +1,22 @@
-//! The market protocol, version 1. JSON over HTTP; the schemas under
-//! `crates/market/schemas` are made from these types, and what comes in is
-//! checked against them.
+//! Messages of the market protocol, version 1: JSON over HTTP. The schemas in
+//! `crates/market/schemas` are generated from these types, doc comments included,
+//! and incoming messages are validated against them. A `schemars` description
+//! keeps the published text where it differs from the doc comment.
 //!
-//! Times that a market must obey are on the market's own steady clock, within
-//! one of its epochs: a message that comes hours late, or reaches a market
-//! whose time of day is wrong, still means what it meant when it was sent.
+//! Deadlines that a market must observe are times on the market's own steady
+//! clock, in one of its epochs. A message that arrives hours late, or at a market
+//! with a wrong time of day, thus keeps its meaning.
 
 use crate::{Money, ranges::Ranges};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
 pub const VERSION: u16 = 1;
-/// Bodies beyond this are refused before they are read.
+/// Maximum size of a body in bytes. A larger one is refused before it is read.
 pub const MAX_BODY: usize = 1024 * 1024;
-/// Offers that one answer may have.
+/// Maximum number of offers in one reply.
 pub const MAX_OFFERS: usize = 1000;
-/// Awards or bids that one message may have.
+/// Maximum number of awards or bids in one message.
 pub const MAX_ROWS: usize = 1000;
 
 /// What a home asks of a market.
@@ -42,8 +43,9 @@
     Award(Award),
 }
 
-/// Renews what the home has here, and asks how it stands.
+/// Renews the home's tenancy at the market and asks for the state of its awards.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
+#[schemars(description = "Renews what the home has here, and asks how it stands.")]
 #[serde(deny_unknown_fields)]
 pub struct Sync {
     /// Everything awarded by this home may run until then; absent: unchanged.
@@ -141,9 +143,11 @@
 pub struct Reply {
     #[schemars(range(min = 1, max = 1))]
     pub v: u16,
-    /// Of the request that it answers.
+    /// Id of the request that the reply answers.
+    #[schemars(description = "Of the request that it answers.")]
     pub message: u64,
-    /// Changes when the market has lost what it knew.
+    /// Number that changes whenever the market has lost its state.
+    #[schemars(description = "Changes when the market has lost what it knew.")]
     pub epoch: u64,
     /// The market's steady clock as it answered.
     pub clock_ms: u64,
@@ -156,7 +160,8 @@
 #[serde(rename_all = "snake_case")]
 pub enum Say {
     Synced(Synced),
-    /// In the order of the bids.
+    /// Answers to the bids, in the order of the bids.
+    #[schemars(description = "In the order of the bids.")]
     Bids(#[schemars(length(max = 1000))] Vec<BidSaid>),
     Award(State),
     /// A broker of a later term was here: the asker must stop.
@@ -174,8 +179,9 @@
     pub awards: Vec<AwardSaid>,
 }
 
-/// Spare places.
+/// Free slots that a market offers at a price.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
+#[schemars(description = "Spare places.")]
 #[serde(deny_unknown_fields)]
 pub struct Offer {
     #[schemars(length(min = 1, max = 100))]
@@ -191,7 +197,9 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum BidSaid {
-    /// Kept until then, on the market's clock, at this price.
+    /// The market holds the slots for the bid until this time on its clock, at
+    /// this price.
+    #[schemars(description = "Kept until then, on the market's clock, at this price.")]
     Accepted {
         price: Money,
         until_ms: u64,
@@ -209,11 +217,14 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// Never heard of. It may still arrive, until its `start_by`.
+    /// The market does not know the award. It may still arrive, until its
+    /// `start_by`.
+    #[schemars(description = "Never heard of. It may still arrive, until its `start_by`.")]
     Unknown,
     /// It has not started and never will.
     Void,
-    /// Accepted; so many tasks have finished.
+    /// The award was accepted; `done` tasks have finished.
+    #[schemars(description = "Accepted; so many tasks have finished.")]
     Running { done: u32 },
     /// The market took it back, or it was recalled: nothing of it runs.
     Withdrawn { done: Ranges, charge: Money },
