--- a/crates/market/src/broker/bids.rs
+++ b/crates/market/src/broker/bids.rs
@@ -44,7 +44,7 @@
 #[derive(Debug, Default)]
 pub(super) struct BidTracker {
     jobs: BTreeMap<String, JobBids>,
-    by_bid: HashMap<u64, String>,
+    job_by_bid: HashMap<u64, String>,
     bid_count: u64,
 }
 
@@ -55,7 +55,7 @@
             return;
         };
         for bid in bids.pending {
-            self.by_bid.remove(&bid.bid);
+            self.job_by_bid.remove(&bid.bid);
             let released_bids = &mut markets[bid.market].released_bids;
             if bid.answer != Some(None) && released_bids.len() < MAX_ROWS {
                 released_bids.push(bid.bid);
@@ -66,7 +66,7 @@
     /// Marks bids as failed whose call got no usable reply.
     pub(super) fn mark_unanswered(&mut self, bids: &[u64], markets: &mut [Market]) {
         for bid in bids {
-            let Some(job) = self.by_bid.get(bid) else {
+            let Some(job) = self.job_by_bid.get(bid) else {
                 continue;
             };
             let Some(pending_bid) = self
@@ -215,6 +215,7 @@
         }
     }
 
+    /// Adds bids for a job at these offers to the rows for each market.
     fn place_bids<'a>(
         &mut self,
         job: &WaitingJob,
@@ -227,7 +228,7 @@
         for offer in offers {
             self.bidding.bid_count += 1;
             let bid = (self.term << 32) | self.bidding.bid_count;
-            self.bidding.by_bid.insert(bid, job.job.clone());
+            self.bidding.job_by_bid.insert(bid, job.job.clone());
             pending.push(PendingBid {
                 bid,
                 market: offer.market,
@@ -250,6 +251,7 @@
         self.bidding.jobs.insert(job.job.clone(), bids);
     }
 
+    /// Handles a market's answers to bids, in the order of the bids.
     pub(super) fn on_bid_reply(
         &mut self,
         market: usize,
@@ -266,7 +268,7 @@
                 BidSaid::Accepted { price, .. } => Some(*price),
                 BidSaid::Refused => None,
             };
-            let Some(job) = self.bidding.by_bid.get(bid) else {
+            let Some(job) = self.bidding.job_by_bid.get(bid) else {
                 // The bid was given up before its answer arrived.
                 if accepted.is_some() && self.markets[market].released_bids.len() < MAX_ROWS {
                     self.markets[market].released_bids.push(*bid);
@@ -313,7 +315,7 @@
                 .min_by(|a, b| cost(a.1, a.3).total_cmp(&cost(b.1, b.3)));
             if let Some((i, market, bid, price)) = best {
                 bids.pending.remove(i);
-                self.bidding.by_bid.remove(&bid);
+                self.bidding.job_by_bid.remove(&bid);
                 let (waiting_job, max_cost) = (bids.job.clone(), bids.max_cost);
                 self.record_intent(waiting_job, max_cost, market, bid, price, now);
             }
@@ -395,6 +397,8 @@
     job.estimate_s.max(1.0) / 3600.0
 }
 
+/// Returns the job in the form that the clearing takes; `None` if its team has no
+/// budget.
 fn job_bid(job: &WaitingJob, teams: &[&String], options: &Options) -> Option<JobBid> {
     Some(JobBid {
         slots: job.remaining_tasks(),
--- a/crates/market/src/broker/calls.rs
+++ b/crates/market/src/broker/calls.rs
@@ -229,7 +229,7 @@
                 self.report_violation(market, "state of an award that was not asked about");
                 continue;
             }
-            if let Some(job) = self.by_award.get(&reported.award).cloned() {
+            if let Some(job) = self.job_by_award.get(&reported.award).cloned() {
                 self.on_award_state(&job, reply, &reported.state, now);
             }
         }
--- a/crates/market/src/broker/mod.rs
+++ b/crates/market/src/broker/mod.rs
@@ -33,7 +33,7 @@
 pub enum Effect {
     /// A step at the state service. Writes additionally have the leadership
     /// record as a condition.
-    LedgerSync(Step),
+    StateStep(Step),
     /// A request to a market, answered by `Event::CallEnded` with the same
     /// call number.
     Call {
@@ -129,10 +129,13 @@
 #[derive(Debug)]
 pub struct OffloadedJob {
     pub award: u64,
+    /// Index of the market in `Broker::markets`.
     pub market: usize,
     pub team: String,
     pub tasks: u32,
+    /// Maximum charge.
     pub cap: Money,
+    /// Time on the market's clock until which it may accept the award.
     pub start_by: wire::Until,
     pub phase: Phase,
     /// Request to send to the market. It is not known after a restart; an award
@@ -161,18 +164,24 @@
     granted_until: Option<wire::Until>,
     next_sync: Millis,
     sync_in_flight: bool,
+    /// Awards whose end is recorded, to be reported with the next sync.
     settled_awards: Vec<u64>,
+    /// Bids to be released with the next sync.
     released_bids: Vec<u64>,
 }
 
 /// A call in flight and what its reply refers to.
 #[derive(Debug)]
 enum Call {
+    /// `until`: end of the tenancy that the call asks for; `asked`: awards whose
+    /// state it asks for.
     Sync {
         until: Option<wire::Until>,
         asked: Vec<u64>,
     },
+    /// Ids of the bids.
     Bids(Vec<u64>),
+    /// Id of the awarded job.
     Award(String),
 }
 
@@ -194,10 +203,10 @@
     award_count: u64,
     call_count: u64,
     pub markets: Vec<Market>,
-    by_name: HashMap<String, usize>,
+    market_by_name: HashMap<String, usize>,
     jobs: BTreeMap<String, OffloadedJob>,
     /// Job of each award that has not ended.
-    by_award: HashMap<u64, String>,
+    job_by_award: HashMap<u64, String>,
     /// Jobs whose next step may be due.
     ready: BTreeSet<String>,
     calls_in_flight: HashMap<u64, (usize, Call)>,
@@ -245,9 +254,9 @@
             award_count: 0,
             call_count: 0,
             markets: Vec::new(),
-            by_name: HashMap::new(),
+            market_by_name: HashMap::new(),
             jobs: BTreeMap::new(),
-            by_award: HashMap::new(),
+            job_by_award: HashMap::new(),
             ready: BTreeSet::new(),
             calls_in_flight: HashMap::new(),
             bidding: bids::BidTracker::default(),
@@ -272,7 +281,7 @@
     }
 
     fn market_index(&mut self, name: &str, configured: bool) -> usize {
-        if let Some(index) = self.by_name.get(name) {
+        if let Some(index) = self.market_by_name.get(name) {
             return *index;
         }
         self.markets.push(Market {
@@ -291,7 +300,8 @@
             settled_awards: Vec::new(),
             released_bids: Vec::new(),
         });
-        self.by_name.insert(name.to_owned(), self.markets.len() - 1);
+        self.market_by_name
+            .insert(name.to_owned(), self.markets.len() - 1);
         self.markets.len() - 1
     }
 
@@ -331,7 +341,7 @@
             // Whether the job was marked and the award sent is not recorded, so
             // the market is asked for the award's state.
             None => {
-                self.by_award.insert(record.award, job.to_owned());
+                self.job_by_award.insert(record.award, job.to_owned());
                 Phase::Awarded {
                     calling: false,
                     running: None,
@@ -464,7 +474,7 @@
             if matches!(step, Step::Write(..)) {
                 self.counts.writes += 1;
             }
-            self.effects.push(Effect::LedgerSync(step));
+            self.effects.push(Effect::StateStep(step));
         }
         std::mem::take(&mut self.effects)
     }
@@ -511,7 +521,7 @@
             } else if let Some(market) = key.strip_prefix(HORIZONS)
                 && let Some(horizon) =
                     value.and_then(|v| serde_json::from_value::<HorizonRecord>(v).ok())
-                && let Some(index) = self.by_name.get(market)
+                && let Some(index) = self.market_by_name.get(market)
             {
                 let market = &mut self.markets[*index];
                 market.tenancy.horizon_written(horizon.until_ms);
--- a/crates/market/src/broker/settle.rs
+++ b/crates/market/src/broker/settle.rs
@@ -125,7 +125,7 @@
             running,
         };
         let market = offload.market;
-        self.by_award.insert(message.award, job.to_owned());
+        self.job_by_award.insert(message.award, job.to_owned());
         self.counts.awards += 1;
         self.send_call(
             market,
@@ -242,7 +242,7 @@
         let Some(offload) = self.jobs.get_mut(job) else {
             return;
         };
-        self.by_award.remove(&offload.award);
+        self.job_by_award.remove(&offload.award);
         let market = &mut self.markets[offload.market];
         if market.settled_awards.len() < wire::MAX_ROWS && end.reason != EndReason::NotSent {
             market.settled_awards.push(offload.award);
--- a/crates/market/src/lib.rs
+++ b/crates/market/src/lib.rs
@@ -1,7 +1,7 @@
 //! Borrows spare capacity of neighbouring clusters (markets) for waiting jobs of
 //! the home cluster. All modules except `serve` work without clock or sockets:
 //! state, an event and the time go in, effects come out. `docs/markets.md` explains
-//! why a job never runs in two places.
+//! why this is safe.
 
 pub mod broker;
 pub mod call_policy;
--- a/crates/market/src/serve/home.rs
+++ b/crates/market/src/serve/home.rs
@@ -20,7 +20,7 @@
 
 /// The controllers of the home cluster.
 pub struct Home {
-    nodes: Vec<SocketAddr>,
+    controllers: Vec<SocketAddr>,
     /// Index of the controller that last answered as the leader.
     leader: Cell<usize>,
     peers: PeerClient,
@@ -30,7 +30,7 @@
     pub fn new(settings: &Settings) -> Self {
         let others = settings.peers.iter().map(|p| p.addr);
         Home {
-            nodes: std::iter::once(settings.peer_listen)
+            controllers: std::iter::once(settings.peer_listen)
                 .chain(others)
                 .collect(),
             leader: Cell::new(0),
@@ -42,16 +42,16 @@
     /// leader answered; a request that changes state may have been executed.
     pub async fn ask(&self, request: &Request) -> Option<Reply> {
         let first = self.leader.get();
-        for n in 0..self.nodes.len() {
-            let node = (first + n) % self.nodes.len();
+        for offset in 0..self.controllers.len() {
+            let index = (first + offset) % self.controllers.len();
             match self
                 .peers
-                .call(self.nodes[node], request, REQUEST_TIMEOUT)
+                .call(self.controllers[index], request, REQUEST_TIMEOUT)
                 .await
             {
                 Ok(Reply::NotLeader) | Err(_) => {}
                 Ok(reply) => {
-                    self.leader.set(node);
+                    self.leader.set(index);
                     return Some(reply);
                 }
             }
--- a/crates/market/src/serve/mod.rs
+++ b/crates/market/src/serve/mod.rs
@@ -267,13 +267,13 @@
         }
         let server = &self.server;
         match effect {
-            Effect::LedgerSync(Step::Write(step, change)) => {
+            Effect::StateStep(Step::Write(step, change)) => {
                 match server.state.write(self.term, &change).await {
                     Ok(outcome) => self.deliver(Event::WriteOutcome(step, outcome)),
                     Err(LeadershipLost) => self.ended.set(true),
                 }
             }
-            Effect::LedgerSync(Step::Read(step, key)) => {
+            Effect::StateStep(Step::Read(step, key)) => {
                 let found = server.state.get(&key).await;
                 self.deliver(Event::ReadOutcome(step, found));
             }
--- a/crates/market/src/serve/state.rs
+++ b/crates/market/src/serve/state.rs
@@ -30,7 +30,7 @@
 
 /// Client of the state service.
 pub struct State {
-    addr: SocketAddr,
+    address: SocketAddr,
     http: Client,
     requests: RefCell<TokenBucket>,
     writes: RefCell<TokenBucket>,
@@ -63,7 +63,7 @@
     pub fn new(settings: &Settings, share: f64) -> Self {
         let limits = &settings.cluster.state;
         State {
-            addr: settings.services.state,
+            address: settings.services.state,
             http: Client::new(4),
             requests: RefCell::new(TokenBucket::new(limits.rps * share, 1.0)),
             writes: RefCell::new(TokenBucket::new(limits.write_rps * share, 1.0)),
@@ -91,7 +91,7 @@
         }
         let body = body.map(|b| b.to_string().into_bytes());
         self.http
-            .call(self.addr, method, path, body, REQUEST_TIMEOUT)
+            .call(self.address, method, path, body, REQUEST_TIMEOUT)
             .await
     }
 
--- a/crates/market/tests/simulation/mod.rs
+++ b/crates/market/tests/simulation/mod.rs
@@ -232,7 +232,7 @@
                 return;
             }
             match effect {
-                Effect::LedgerSync(step) => {
+                Effect::StateStep(step) => {
                     let timeout = match &step {
                         Step::Write(n, _) => Event::WriteOutcome(*n, WriteOutcome::Unknown),
                         Step::Read(n, _) => Event::ReadOutcome(*n, Err(())),
