--- a/crates/market/src/wire.rs
+++ b/crates/market/src/wire.rs
@@ -27,7 +27,8 @@
     pub v: u16,
     /// The message's own id: repeating it changes nothing.
     pub message: u64,
-    /// Who asks; must be the name in the certificate.
+    /// Name of the home that asks; must equal the name in its certificate.
+    #[schemars(description = "Who asks; must be the name in the certificate.")]
     #[schemars(length(min = 1, max = 100))]
     pub home: String,
     /// The broker's term. A market refuses terms lower than one it has seen.
@@ -50,7 +51,8 @@
 pub struct Sync {
     /// Everything awarded by this home may run until then; absent: unchanged.
     pub until: Option<Until>,
-    /// Awards asked about.
+    /// Awards whose state the home asks for.
+    #[schemars(description = "Awards asked about.")]
     #[schemars(length(max = 1000))]
     pub awards: Vec<u64>,
     /// Awards that must not start any more, and end if they run.
@@ -81,7 +83,8 @@
     pub offer: String,
     #[schemars(range(min = 1, max = 100000))]
     pub slots: u32,
-    /// At most this for a slot and hour, in millionths.
+    /// Maximum price per slot and hour, in millionths of the price list's unit.
+    #[schemars(description = "At most this for a slot and hour, in millionths.")]
     pub price: Money,
 }
 
@@ -89,12 +92,15 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Award {
-    /// Never used again.
+    /// Unique id of the award; never reused.
+    #[schemars(description = "Never used again.")]
     pub award: u64,
     pub bid: u64,
-    /// Not to be accepted later than this.
+    /// Time after which the market must not accept the award.
+    #[schemars(description = "Not to be accepted later than this.")]
     pub start_by: Until,
-    /// At most this in all, in millionths.
+    /// Maximum total charge, in millionths of the price list's unit.
+    #[schemars(description = "At most this in all, in millionths.")]
     pub cap: Money,
     pub job: Job,
 }
@@ -104,11 +110,13 @@
 pub struct Job {
     #[schemars(length(min = 1, max = 100))]
     pub id: String,
-    /// All tasks at once or none.
+    /// Whether all tasks must run at the same time.
+    #[schemars(description = "All tasks at once or none.")]
     pub gang: bool,
     #[schemars(range(min = 1, max = 100000))]
     pub tasks: u32,
-    /// Already finished: not to be run.
+    /// Tasks that have finished and must not be run again.
+    #[schemars(description = "Already finished: not to be run.")]
     pub done: Ranges,
     pub slot: Slot,
     #[schemars(length(min = 1, max = 200))]
@@ -188,9 +196,11 @@
     pub offer: String,
     pub slot: Slot,
     pub slots: u32,
-    /// For a slot and hour, in millionths.
+    /// Price per slot and hour, in millionths of the price list's unit.
+    #[schemars(description = "For a slot and hour, in millionths.")]
     pub price: Money,
-    /// On the market's clock.
+    /// Time on the market's clock until which the offer is valid.
+    #[schemars(description = "On the market's clock.")]
     pub valid_until_ms: u64,
 }
 
@@ -221,7 +231,8 @@
     /// `start_by`.
     #[schemars(description = "Never heard of. It may still arrive, until its `start_by`.")]
     Unknown,
-    /// It has not started and never will.
+    /// The award has not started and never will.
+    #[schemars(description = "It has not started and never will.")]
     Void,
     /// The award was accepted; `done` tasks have finished.
     #[schemars(description = "Accepted; so many tasks have finished.")]
