--- a/crates/market/src/wire.rs
+++ b/crates/market/src/wire.rs
@@ -1,21 +1,22 @@
-//! The market protocol, version 1. JSON over HTTP; the schemas under
-//! `crates/market/schemas` are made from these types, and what comes in is
-//! checked against them.
+//! Messages of the market protocol, version 1: JSON over HTTP. The schemas in
+//! `crates/market/schemas` are generated from these types, doc comments included,
+//! and incoming messages are validated against them. A `schemars` description
+//! keeps the published text where it differs from the doc comment.
 //!
-//! Times that a market must obey are on the market's own steady clock, within
-//! one of its epochs: a message that comes hours late, or reaches a market
-//! whose time of day is wrong, still means what it meant when it was sent.
+//! Deadlines that a market must observe are times on the market's own steady
+//! clock, in one of its epochs. A message that arrives hours late, or at a market
+//! with a wrong time of day, thus keeps its meaning.
 
 use crate::{Money, ranges::Ranges};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
 pub const VERSION: u16 = 1;
-/// Bodies beyond this are refused before they are read.
+/// Maximum size of a body in bytes. A larger one is refused before it is read.
 pub const MAX_BODY: usize = 1024 * 1024;
-/// Offers that one answer may have.
+/// Maximum number of offers in one reply.
 pub const MAX_OFFERS: usize = 1000;
-/// Awards or bids that one message may have.
+/// Maximum number of awards or bids in one message.
 pub const MAX_ROWS: usize = 1000;
 
 /// What a home asks of a market.
@@ -26,7 +27,8 @@
     pub v: u16,
     /// The message's own id: repeating it changes nothing.
     pub message: u64,
-    /// Who asks; must be the name in the certificate.
+    /// Name of the home that asks; must equal the name in its certificate.
+    #[schemars(description = "Who asks; must be the name in the certificate.")]
     #[schemars(length(min = 1, max = 100))]
     pub home: String,
     /// The broker's term. A market refuses terms lower than one it has seen.
@@ -42,13 +44,15 @@
     Award(Award),
 }
 
-/// Renews what the home has here, and asks how it stands.
+/// Renews the home's tenancy at the market and asks for the state of its awards.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
+#[schemars(description = "Renews what the home has here, and asks how it stands.")]
 #[serde(deny_unknown_fields)]
 pub struct Sync {
     /// Everything awarded by this home may run until then; absent: unchanged.
     pub until: Option<Until>,
-    /// Awards asked about.
+    /// Awards whose state the home asks for.
+    #[schemars(description = "Awards asked about.")]
     #[schemars(length(max = 1000))]
     pub awards: Vec<u64>,
     /// Awards that must not start any more, and end if they run.
@@ -79,7 +83,8 @@
     pub offer: String,
     #[schemars(range(min = 1, max = 100000))]
     pub slots: u32,
-    /// At most this for a slot and hour, in millionths.
+    /// Maximum price per slot and hour, in millionths of the price list's unit.
+    #[schemars(description = "At most this for a slot and hour, in millionths.")]
     pub price: Money,
 }
 
@@ -87,12 +92,15 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Award {
-    /// Never used again.
+    /// Unique id of the award; never reused.
+    #[schemars(description = "Never used again.")]
     pub award: u64,
     pub bid: u64,
-    /// Not to be accepted later than this.
+    /// Time after which the market must not accept the award.
+    #[schemars(description = "Not to be accepted later than this.")]
     pub start_by: Until,
-    /// At most this in all, in millionths.
+    /// Maximum total charge, in millionths of the price list's unit.
+    #[schemars(description = "At most this in all, in millionths.")]
     pub cap: Money,
     pub job: Job,
 }
@@ -102,11 +110,13 @@
 pub struct Job {
     #[schemars(length(min = 1, max = 100))]
     pub id: String,
-    /// All tasks at once or none.
+    /// Whether all tasks must run at the same time.
+    #[schemars(description = "All tasks at once or none.")]
     pub gang: bool,
     #[schemars(range(min = 1, max = 100000))]
     pub tasks: u32,
-    /// Already finished: not to be run.
+    /// Tasks that have finished and must not be run again.
+    #[schemars(description = "Already finished: not to be run.")]
     pub done: Ranges,
     pub slot: Slot,
     #[schemars(length(min = 1, max = 200))]
@@ -141,9 +151,11 @@
 pub struct Reply {
     #[schemars(range(min = 1, max = 1))]
     pub v: u16,
-    /// Of the request that it answers.
+    /// Id of the request that the reply answers.
+    #[schemars(description = "Of the request that it answers.")]
     pub message: u64,
-    /// Changes when the market has lost what it knew.
+    /// Number that changes whenever the market has lost its state.
+    #[schemars(description = "Changes when the market has lost what it knew.")]
     pub epoch: u64,
     /// The market's steady clock as it answered.
     pub clock_ms: u64,
@@ -156,7 +168,8 @@
 #[serde(rename_all = "snake_case")]
 pub enum Say {
     Synced(Synced),
-    /// In the order of the bids.
+    /// Answers to the bids, in the order of the bids.
+    #[schemars(description = "In the order of the bids.")]
     Bids(#[schemars(length(max = 1000))] Vec<BidSaid>),
     Award(State),
     /// A broker of a later term was here: the asker must stop.
@@ -174,24 +187,29 @@
     pub awards: Vec<AwardSaid>,
 }
 
-/// Spare places.
+/// Free slots that a market offers at a price.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
+#[schemars(description = "Spare places.")]
 #[serde(deny_unknown_fields)]
 pub struct Offer {
     #[schemars(length(min = 1, max = 100))]
     pub offer: String,
     pub slot: Slot,
     pub slots: u32,
-    /// For a slot and hour, in millionths.
+    /// Price per slot and hour, in millionths of the price list's unit.
+    #[schemars(description = "For a slot and hour, in millionths.")]
     pub price: Money,
-    /// On the market's clock.
+    /// Time on the market's clock until which the offer is valid.
+    #[schemars(description = "On the market's clock.")]
     pub valid_until_ms: u64,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum BidSaid {
-    /// Kept until then, on the market's clock, at this price.
+    /// The market holds the slots for the bid until this time on its clock, at
+    /// this price.
+    #[schemars(description = "Kept until then, on the market's clock, at this price.")]
     Accepted {
         price: Money,
         until_ms: u64,
@@ -209,11 +227,15 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// Never heard of. It may still arrive, until its `start_by`.
+    /// The market does not know the award. It may still arrive, until its
+    /// `start_by`.
+    #[schemars(description = "Never heard of. It may still arrive, until its `start_by`.")]
     Unknown,
-    /// It has not started and never will.
+    /// The award has not started and never will.
+    #[schemars(description = "It has not started and never will.")]
     Void,
-    /// Accepted; so many tasks have finished.
+    /// The award was accepted; `done` tasks have finished.
+    #[schemars(description = "Accepted; so many tasks have finished.")]
     Running { done: u32 },
     /// The market took it back, or it was recalled: nothing of it runs.
     Withdrawn { done: Ranges, charge: Money },
