--- a/tests/dependency_answers.rs
+++ b/tests/dependency_answers.rs
@@ -186,7 +186,10 @@
 fn leader_gives_peers_no_state_when_dependencies_are_unread() {
     let mut sim = cancelled_dependency(27, vec![dependent(2, 1, &[1])]);
     let leader = change_leader_without_lookups(&mut sim);
-    assert_eq!(sim.told_to_peers(leader, &[id(2), id(1)]), [None, None]);
+    assert_eq!(
+        sim.answers_to_peer_polls(leader, &[id(2), id(1)]),
+        [None, None]
+    );
     sim.assert_no_violations();
 }
 
--- a/tests/dependency_lookups.rs
+++ b/tests/dependency_lookups.rs
@@ -30,7 +30,7 @@
 /// after the election, and the ends of the jobs that had been cancelled before within 0.2 s.
 /// Before the fix this test failed with the same wrong answer.
 #[test]
-fn late_lookup_cancels_no_job_that_took_the_index_of_the_one_that_waited() {
+fn late_lookup_cancels_no_new_job_when_its_index_was_reused() {
     let mut sim = Simulation::with_leader(1, 3, 0.0);
     sim.submit(job(1, Kind::Array, 40));
     sim.run(2_000);
--- a/tests/fault_combinations.rs
+++ b/tests/fault_combinations.rs
@@ -275,8 +275,8 @@
     }
 }
 
-/// Submits job `job_number` of a random kind if there is a leader that can accept it; returns whether it
-/// was submitted.
+/// Submits job `job_number` of a random kind if there is a leader that can accept it; returns
+/// whether it was submitted.
 fn submit_if_led(sim: &mut Simulation, job_number: u32) -> bool {
     let led = sim
         .leader()
@@ -441,9 +441,9 @@
         "{overlaps_by_pair:?}"
     );
     eprintln!(
-        "{seeds} runs, {overlaps} overlaps of {PAIRS} fault pairs, {starts} task starts, {cancelled} \
-         jobs cancelled, {expired} tasks killed by lease expiry, {uninformed} leaders stepped down \
-         as they could not prove that they know all cancellations"
+        "{seeds} runs, {overlaps} overlaps of {PAIRS} fault pairs, {starts} task starts, \
+         {cancelled} jobs cancelled, {expired} tasks killed by lease expiry, {uninformed} leaders \
+         stepped down as they could not prove that they know all cancellations"
     );
     assert!(starts as u64 > 10 * seeds && expired > 0 && cancelled as u64 > seeds);
 }
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -15,7 +15,7 @@
 /// Submits a job whose tasks fail on every machine; returns its id.
 fn submit_faulty_job(sim: &mut Simulation, job_number: u32, kind: Kind, tasks: u32) -> String {
     let spec = job(job_number, kind, tasks);
-    sim.faulty.insert(spec.id.clone());
+    sim.faulty_jobs.insert(spec.id.clone());
     let id = spec.id.clone();
     sim.submit(spec);
     id
@@ -179,7 +179,7 @@
     let mut urgent = job(1, Kind::Gang, 3);
     urgent.priority = Priority::High;
     urgent.image_gb = 10.0;
-    sim.faulty.insert(urgent.id.clone());
+    sim.faulty_jobs.insert(urgent.id.clone());
     sim.submit(urgent);
     sim.run_until(20_000, "suspected", |sim| suspected(sim, "j-000001"));
     // Tasks of lower priority fill the machines.
--- a/tests/leader_fixtures/mod.rs
+++ b/tests/leader_fixtures/mod.rs
@@ -16,6 +16,7 @@
 /// CPU cores of each machine.
 pub const CORES: usize = 100;
 
+/// Returns the settings of a cluster with one zone, one team and no peers.
 pub fn settings() -> Settings {
     Settings::parse(
         r#"{"host_name":"n0","area":"a","listen":"127.0.0.1:1","back":"127.0.0.1:2",
@@ -29,14 +30,18 @@
     .unwrap()
 }
 
+/// Returns the name of machine `number`.
 pub fn machine(number: usize) -> String {
     format!("i-{number:06}")
 }
 
+/// Returns a heartbeat without tasks of machine `number`, with sequence number `tick`, that
+/// acknowledges the token of term 1.
 pub fn report(number: usize, tick: u64) -> Heartbeat {
     report_in_term(1, number, tick)
 }
 
+/// The same as `report`, with an acknowledged token of `term`.
 pub fn report_in_term(term: u64, number: usize, tick: u64) -> Heartbeat {
     let text = format!(
         r#"{{"post":"{}","addr":"127.0.0.1:9","rig":"m","hall":"a","lendback":false,
@@ -101,6 +106,8 @@
     leader.cluster.job_handle(&id).unwrap()
 }
 
+/// Returns the record of job `number`, just accepted. `run_shape` and `urgency` are values of
+/// the submission's JSON fields.
 pub fn record(number: u32, run_shape: &str, urgency: &str, tasks: u32, cores: f64) -> JobRecord {
     let text = format!(
         r#"{{"ref":"j-{number:06}","job_family":"c","owner_crew":"t","run_shape":"{run_shape}",
--- a/tests/simulation/answers.rs
+++ b/tests/simulation/answers.rs
@@ -39,7 +39,7 @@
                     true => self.violations.push(format!(
                         "forgotten: accepted job {id} was refused with status {status}: {why}"
                     )),
-                    false => self.traffic.refusals_overtaken += u32::from(known.is_some()),
+                    false => self.traffic.overlapping_refusals += u32::from(known.is_some()),
                 }
                 if why.is_empty() || why.contains('\n') {
                     self.violations.push(format!(
@@ -74,7 +74,7 @@
     /// Checks read monotonicity: no answer may be older than one given before it by any
     /// node, also if the two requests overlapped.
     pub(super) fn check_state_answer(&mut self, id: &str, state: JobState) {
-        let (order, now) = (self.traffic.next(), self.now);
+        let (order, now) = (self.traffic.next_order(), self.now);
         let answered_state = self
             .traffic
             .answered_states
--- a/tests/simulation/check.rs
+++ b/tests/simulation/check.rs
@@ -101,7 +101,7 @@
         let mut all = vec![id.to_owned()];
         let mut seen = BTreeSet::new();
         while let Some(id) = all.pop() {
-            if self.cancelling.contains(&id) {
+            if self.cancel_requested.contains(&id) {
                 return true;
             }
             if seen.insert(id.clone())
@@ -114,7 +114,7 @@
     }
 
     /// Checks the invariants that hold at every step.
-    pub(super) fn check(&mut self) {
+    pub(super) fn check_invariants(&mut self) {
         let now = self.now;
         let mut found = Vec::new();
         for team in &self.settings.cluster.teams {
@@ -133,7 +133,10 @@
             if let Some((_, at)) = self.answered.get(&format!("{id}!"))
                 && now > at + CANCEL
             {
-                found.push(format!("ran_cancelled: {} still runs on worker {worker_id} past the time limit for a cancellation", t.name));
+                found.push(format!(
+                    "ran_cancelled: {} still runs on worker {worker_id} past the time limit",
+                    t.name
+                ));
             }
         }
         self.violations.extend(found);
@@ -175,8 +178,8 @@
             let dependencies_done = spec.dependencies.iter().all(|n| self.done(n));
             if !is_open
                 || !dependencies_done
-                || self.faulty.contains(id)
-                || self.cancelling.contains(id)
+                || self.faulty_jobs.contains(id)
+                || self.cancel_requested.contains(id)
             {
                 continue;
             }
--- a/tests/simulation/election.rs
+++ b/tests/simulation/election.rs
@@ -237,8 +237,8 @@
         self.nodes[node_id].exclusions = Exclusions::new(term, found.filter_map(peer));
     }
 
-    /// Returns the answer of node `peer_node`, which is peer `peer` of node `node_id`, to a request for a
-    /// promise.
+    /// Returns the answer of node `peer_node`, which is peer `peer` of node `node_id`, to a
+    /// request for a promise.
     fn ask_promise(
         &mut self,
         node_id: usize,
@@ -348,7 +348,7 @@
     }
 
     /// Probes the other nodes for the failure detector.
-    pub(super) fn ping(&mut self, node_id: usize) {
+    pub(super) fn probe_peers(&mut self, node_id: usize) {
         let now = self.now;
         for (peer, peer_node) in peers_of(node_id, self.nodes.len()).enumerate() {
             let contact = self.contact(node_id, peer_node);
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -104,8 +104,8 @@
 pub struct Node {
     pub alive: bool,
     /// Time of the restart after a crash.
-    pub back_at: Millis,
-    /// Time until which the process is paused; 0 if it was not paused.
+    pub restart_at: Millis,
+    /// Time until which the process is paused; 0 if the process is not paused.
     pub paused_until: Millis,
     pub election: Election,
     pub leader: Option<Leader>,
@@ -171,7 +171,7 @@
     /// Time of the next heartbeat.
     next_heartbeat_at: Millis,
     /// Time of the last heartbeat.
-    sent: Millis,
+    heartbeat_sent_at: Millis,
     /// Whether a heartbeat is due early, as the tasks have changed.
     report_due: bool,
     /// Node to which heartbeats are sent.
@@ -194,7 +194,7 @@
     pub workers: Vec<Worker>,
     pub specs: HashMap<String, JobSpec>,
     /// Jobs that a user asked to cancel.
-    cancelling: BTreeSet<String>,
+    cancel_requested: BTreeSet<String>,
     /// Time at which each job was first answered as accepted.
     submitted: HashMap<String, Millis>,
     /// Last state that a user was answered for each job, with the time of the first answer.
@@ -205,7 +205,7 @@
     /// Messages held by a fault of the network.
     held: Vec<Msg>,
     /// Partitions of nodes.
-    cuts: Vec<(usize, CutScope, Cut)>,
+    partitions: Vec<(usize, CutScope, Cut)>,
     /// A node whose messages of this step leave it only at the given time: its process is
     /// paused between its last check and the send.
     paused_sender: Option<(usize, Millis)>,
@@ -216,9 +216,9 @@
     /// Time that a new leader takes to read the records.
     pub load_ms: Millis,
     /// Heartbeats that a node relayed, by worker and sequence number.
-    relaying: BTreeSet<(usize, u64)>,
+    relayed_heartbeats: BTreeSet<(usize, u64)>,
     /// Delayed operations at the cloud: time, node, term and operation.
-    late_ops: Vec<(Millis, usize, u64, CloudOp)>,
+    delayed_cloud_ops: Vec<(Millis, usize, u64, CloudOp)>,
     /// Percentage of heartbeats that are delivered again, up to 30 s late.
     pub duplicate_percent: u32,
     /// Whether some heartbeats are kept and replayed to the next leader.
@@ -244,7 +244,7 @@
     /// Number of tasks that failed, on a faulty machine or as part of a faulty job.
     pub failed: u32,
     /// Faulty jobs: their tasks fail on every machine.
-    pub faulty: BTreeSet<String>,
+    pub faulty_jobs: BTreeSet<String>,
     /// Number of tasks killed as the lease of their worker expired.
     pub expired_tasks: usize,
     /// Machines returned to the cloud.
@@ -323,18 +323,18 @@
             nodes: Vec::new(),
             workers: Vec::new(),
             specs: HashMap::new(),
-            cancelling: BTreeSet::new(),
+            cancel_requested: BTreeSet::new(),
             submitted: HashMap::new(),
             answered: HashMap::new(),
             in_transit: Vec::new(),
             held: Vec::new(),
-            cuts: Vec::new(),
+            partitions: Vec::new(),
             paused_sender: None,
             write_latency_ms: 0,
             read_faults: lookups::ReadFaults::from_environment(),
             load_ms: 0,
-            relaying: BTreeSet::new(),
-            late_ops: Vec::new(),
+            relayed_heartbeats: BTreeSet::new(),
+            delayed_cloud_ops: Vec::new(),
             duplicate_percent: 0,
             keep_for_next_leader: false,
             kept_heartbeats: Vec::new(),
@@ -348,7 +348,7 @@
             violations: Vec::new(),
             starts: 0,
             failed: 0,
-            faulty: BTreeSet::new(),
+            faulty_jobs: BTreeSet::new(),
             expired_tasks: 0,
             returned: Vec::new(),
             machines_requested: 0,
@@ -406,7 +406,7 @@
             .collect();
         Node {
             alive: true,
-            back_at: 0,
+            restart_at: 0,
             paused_until: 0,
             election: Election::new(
                 &names[node_id],
@@ -455,7 +455,7 @@
             tasks: Vec::new(),
             lease_renewed_at: self.now + boot,
             next_heartbeat_at: self.now + boot,
-            sent: 0,
+            heartbeat_sent_at: 0,
             report_due: false,
             target: 0,
             fails_tasks: false,
@@ -500,7 +500,7 @@
 
     /// Puts the announced lower limits into effect.
     pub fn apply_lower_limits(&mut self) {
-        (self.store.txn_ops, self.store.value) = (4, 2048);
+        (self.store.max_txn_ops, self.store.max_value_bytes) = (4, 2048);
     }
 
     /// Returns a cluster of three nodes that has elected a leader.
@@ -629,7 +629,7 @@
         for worker_id in 0..self.workers.len() {
             self.step_worker(worker_id);
         }
-        self.check();
+        self.check_invariants();
         self.check_replicas();
     }
 }
--- a/tests/simulation/net.rs
+++ b/tests/simulation/net.rs
@@ -77,7 +77,7 @@
 
 impl Msg {
     /// The node and the worker between which the message travels, if it does.
-    fn ends(&self) -> Option<(usize, usize)> {
+    fn endpoints(&self) -> Option<(usize, usize)> {
         match self {
             Msg::Heartbeat(node_id, worker_id, ..)
             | Msg::DuplicateHeartbeat(node_id, worker_id, ..)
@@ -100,7 +100,7 @@
         node.alive = false;
         node.flushing = None;
         node.leader = None;
-        node.back_at = self.now + back;
+        node.restart_at = self.now + back;
         node.indeterminate = None;
         node.reads = lookups::ReadsInFlight::default();
         node.registry_reread_at = None;
@@ -110,26 +110,26 @@
     /// Partitions node `node_id` from these machines until `end_partitions`; packets are held.
     pub fn partition_from_workers(&mut self, node_id: usize, machines: &[usize]) {
         for machine in machines {
-            self.cuts
+            self.partitions
                 .push((node_id, CutScope::Worker(*machine), Cut::Hold));
         }
     }
 
     /// Partitions node `node_id` from `scope` until `end_partitions`.
     pub fn partition(&mut self, node_id: usize, scope: CutScope, kind: Cut) {
-        self.cuts.push((node_id, scope, kind));
+        self.partitions.push((node_id, scope, kind));
     }
 
     /// Ends all partitions of node `node_id`; held messages, transactions and operations at the
     /// cloud go through.
     pub fn end_partitions(&mut self, node_id: usize) {
-        self.cuts.retain(|(n, ..)| *n != node_id);
+        self.partitions.retain(|(n, ..)| *n != node_id);
         for (apply_at, node, _) in self.store.held.iter_mut() {
             if *node == node_id && *apply_at == Millis::MAX {
                 *apply_at = self.now;
             }
         }
-        for (apply_at, node, ..) in self.late_ops.iter_mut() {
+        for (apply_at, node, ..) in self.delayed_cloud_ops.iter_mut() {
             if *node == node_id && *apply_at == Millis::MAX {
                 *apply_at = self.now;
             }
@@ -232,7 +232,7 @@
 
     fn release_held(&mut self) {
         for message in std::mem::take(&mut self.held) {
-            match message.ends() {
+            match message.endpoints() {
                 Some((node_id, worker_id)) => self.send(node_id, worker_id, 5, message),
                 None => self.in_transit.push((self.now + 5, message)),
             }
@@ -252,7 +252,7 @@
             _ => false,
         };
         let mut link = Link::Up;
-        for (n, scope, kind) in &self.cuts {
+        for (n, scope, kind) in &self.partitions {
             let own = hits(*n, *scope, other);
             let theirs = other == Endpoint::Node(*n)
                 && (*scope == CutScope::All || *scope == CutScope::Node(node_id));
@@ -276,7 +276,7 @@
     /// Returns how a node is partitioned from everything, if it is.
     pub fn is_cut_off(&self, node_id: usize) -> Option<Cut> {
         let of = |(n, scope, _): &&(usize, CutScope, Cut)| *n == node_id && *scope == CutScope::All;
-        self.cuts.iter().find(of).map(|(_, _, kind)| *kind)
+        self.partitions.iter().find(of).map(|(_, _, kind)| *kind)
     }
 
     /// Whether the state service answers node `node_id`.
@@ -284,7 +284,8 @@
         !self.store.refuses(node_id) && self.link(node_id, Endpoint::State) == Link::Up
     }
 
-    /// Returns the immediate result of a request of node `node_id` to node `peer_node`; `None`: no answer.
+    /// Returns the immediate result of a request of node `node_id` to node `peer_node`; `None`:
+    /// no answer.
     pub(super) fn contact(&self, node_id: usize, peer_node: usize) -> Option<PeerHealth> {
         match self.link(node_id, Endpoint::Node(peer_node)) {
             Link::Hold => None,
@@ -297,8 +298,8 @@
 
     // ---- messages in transit ----
 
-    /// Sends a message between node `node_id` and worker `worker_id`, in either direction, subject to the
-    /// faults of the link.
+    /// Sends a message between node `node_id` and worker `worker_id`, in either direction,
+    /// subject to the faults of the link.
     pub(super) fn send(&mut self, node_id: usize, worker_id: usize, delay: Millis, msg: Msg) {
         let from_node = matches!(msg, Msg::HeartbeatReply(..) | Msg::DirectCommand(..));
         let stalled = self
@@ -389,10 +390,10 @@
             }
             Msg::Heartbeat(i, w, report, sent) => self.receive_heartbeat(i, w, report, sent),
             Msg::DuplicateHeartbeat(node_id, _, report) => {
-                self.answer(node_id, &report);
+                self.respond_to_heartbeat(node_id, &report);
             }
             Msg::RelayedHeartbeat(via, node_id, worker_id, report, sent) => {
-                let reply = self.answer(node_id, &report);
+                let reply = self.respond_to_heartbeat(node_id, &report);
                 if reply.is_some() && self.link(via, Endpoint::Node(node_id)) == Link::Up {
                     let (incarnation, seq) = (report.incarnation, report.seq);
                     self.send(
@@ -413,8 +414,8 @@
         }
     }
 
-    /// Worker `worker_id` receives node `node_id`'s answer to its heartbeat. Without a response the worker
-    /// turns to the node's redirect target.
+    /// Worker `worker_id` receives node `node_id`'s answer to its heartbeat. Without a response
+    /// the worker turns to the node's redirect target.
     fn receive_reply(
         &mut self,
         worker_id: usize,
@@ -434,7 +435,7 @@
             let leader = self.known_leader(node_id);
             let peers: Vec<usize> = peers_of(node_id, nodes).collect();
             let leads = self.nodes[node_id].election.leadership().is_some();
-            let relayed = self.relaying.remove(&(worker_id, seq));
+            let relayed = self.relayed_heartbeats.remove(&(worker_id, seq));
             let failure_detector = &mut self.nodes[node_id].failure_detector;
             let redirect = match (leads, relayed) {
                 (true, _) => RedirectTarget::Any,
@@ -449,7 +450,7 @@
             worker.heartbeat_in_flight = None;
             worker.target = target;
             worker.next_heartbeat_at = now + pause;
-            worker.sent = now.max(500) + pause - 500;
+            worker.heartbeat_sent_at = now.max(500) + pause - 500;
             return;
         };
         let worker = &mut self.workers[worker_id];
@@ -541,7 +542,11 @@
     }
 
     /// Passes a heartbeat to node `node_id`; returns the response if the node leads.
-    fn answer(&mut self, node_id: usize, report: &Heartbeat) -> Option<HeartbeatResponse> {
+    fn respond_to_heartbeat(
+        &mut self,
+        node_id: usize,
+        report: &Heartbeat,
+    ) -> Option<HeartbeatResponse> {
         let now = self.now;
         let node = &mut self.nodes[node_id];
         if !node.alive {
@@ -553,8 +558,8 @@
         Some(reply)
     }
 
-    /// Node `node_id` receives the heartbeat of worker `worker_id`, and answers it or relays it to the
-    /// leader.
+    /// Node `node_id` receives the heartbeat of worker `worker_id`, and answers it or relays it
+    /// to the leader.
     fn receive_heartbeat(
         &mut self,
         node_id: usize,
@@ -566,7 +571,7 @@
             return;
         }
         let now = self.now;
-        let reply = self.answer(node_id, &report);
+        let reply = self.respond_to_heartbeat(node_id, &report);
         let (incarnation, seq) = (report.incarnation, report.seq);
         if reply.is_none()
             && let Some(leader) = self.known_leader(node_id)
@@ -588,7 +593,7 @@
             ));
             let no_relay_reply =
                 Msg::HeartbeatReply(worker_id, node_id, None, incarnation, seq, sent);
-            self.relaying.insert((worker_id, seq));
+            self.relayed_heartbeats.insert((worker_id, seq));
             self.in_transit.push((now + 800, no_relay_reply));
             return;
         }
--- a/tests/simulation/nodes.rs
+++ b/tests/simulation/nodes.rs
@@ -19,7 +19,7 @@
         for (_, _, lease, sent) in due {
             self.nodes[node_id].election.renewed(lease, sent);
         }
-        self.ping(node_id);
+        self.probe_peers(node_id);
         self.step_request_budget(node_id);
         if now >= self.nodes[node_id].next_election_step {
             self.step_election(node_id);
@@ -124,10 +124,12 @@
             match (stalled, self.is_cut_off(node_id)) {
                 // The process is paused between its check and the send: the operation is
                 // executed after the pause.
-                (Some((_, until)), _) => self.late_ops.push((until, node_id, term, op)),
+                (Some((_, until)), _) => self.delayed_cloud_ops.push((until, node_id, term, op)),
                 // The node is partitioned: the operation is executed when the partition ends.
-                (None, Some(_)) => self.late_ops.push((Millis::MAX, node_id, term, op)),
-                (None, None) => self.cloud(node_id, term, op),
+                (None, Some(_)) => self
+                    .delayed_cloud_ops
+                    .push((Millis::MAX, node_id, term, op)),
+                (None, None) => self.execute_cloud_op(node_id, term, op),
             }
         }
     }
@@ -138,7 +140,7 @@
         let now = self.now;
         let nodes = self.nodes.len();
         if !self.nodes[node_id].alive {
-            if self.nodes[node_id].back_at <= now {
+            if self.nodes[node_id].restart_at <= now {
                 self.nodes[node_id] = self.started_node(node_id, nodes);
             }
             return false;
@@ -157,18 +159,18 @@
 
     /// Executes delayed operations at the cloud that are due.
     pub(super) fn step_cloud(&mut self) {
-        let (due, later) = std::mem::take(&mut self.late_ops)
+        let (due, later) = std::mem::take(&mut self.delayed_cloud_ops)
             .into_iter()
             .partition(|(at, ..)| *at <= self.now);
-        self.late_ops = later;
+        self.delayed_cloud_ops = later;
         for (_, node_id, term, op) in due {
-            self.cloud(node_id, term, op);
+            self.execute_cloud_op(node_id, term, op);
         }
     }
 
     /// Executes an operation at the cloud, and passes the result to the leader that sent it if
     /// its term still lasts.
-    fn cloud(&mut self, node_id: usize, term: u64, op: CloudOp) {
+    fn execute_cloud_op(&mut self, node_id: usize, term: u64, op: CloudOp) {
         let now = self.now;
         match op {
             CloudOp::MachineRequest(request) => {
@@ -230,7 +232,7 @@
         let node = &mut self.nodes[node_id];
         if let Some((at, plan, result)) = node.flushing.take() {
             match now >= at {
-                true => self.flushed(node_id, plan, result),
+                true => self.finish_flush(node_id, plan, result),
                 false => node.flushing = Some((at, plan, result)),
             }
             return;
@@ -252,13 +254,13 @@
         }
         let result = self.transact(node_id, &plan.txn);
         match self.rng.u64(0..=self.write_latency_ms) {
-            _ if self.write_latency_ms == 0 => self.flushed(node_id, plan, result),
+            _ if self.write_latency_ms == 0 => self.finish_flush(node_id, plan, result),
             later => self.nodes[node_id].flushing = Some((now + later, plan, result)),
         }
     }
 
     /// Passes the outcome of a transaction to the leader.
-    fn flushed(&mut self, node_id: usize, plan: WritePlan, result: TxnResult) {
+    fn finish_flush(&mut self, node_id: usize, plan: WritePlan, result: TxnResult) {
         let now = self.now;
         let node = &mut self.nodes[node_id];
         let leader = node.leader.as_mut().unwrap();
--- a/tests/simulation/requests.rs
+++ b/tests/simulation/requests.rs
@@ -262,7 +262,11 @@
     }
 
     /// Returns what node `node_id`, which leads, answers its peers' polls of these jobs.
-    pub fn told_to_peers(&mut self, node_id: usize, ids: &[String]) -> Vec<Option<JobState>> {
+    pub fn answers_to_peer_polls(
+        &mut self,
+        node_id: usize,
+        ids: &[String],
+    ) -> Vec<Option<JobState>> {
         let states = self.view(node_id, self.now, |view| polled(view, ids));
         let states = states.expect("the node leads").into_iter();
         states.map(|known| known.map(|(state, ..)| state)).collect()
@@ -321,7 +325,7 @@
         due: Millis,
         first_event: NextEvent,
     ) {
-        let serial = self.traffic.next();
+        let serial = self.traffic.next_order();
         self.traffic.in_flight.push(InFlight {
             serial,
             node: node_id,
@@ -358,7 +362,7 @@
         if let (NextEvent::Sent, Recipient::User(history_index)) =
             (&in_flight.next_event, in_flight.recipient)
         {
-            self.traffic.history[history_index].order = self.traffic.next();
+            self.traffic.history[history_index].order = self.traffic.next_order();
             if !self.reaches(node_id) {
                 return;
             }
@@ -454,7 +458,7 @@
         match next {
             Next::Answer(answer) => {
                 if let Some(unfinished) = in_flight.request.unfinished_work() {
-                    let serial = self.traffic.next();
+                    let serial = self.traffic.next_order();
                     self.traffic.in_flight.push(InFlight {
                         serial,
                         node: in_flight.node,
--- a/tests/simulation/store.rs
+++ b/tests/simulation/store.rs
@@ -16,9 +16,9 @@
 /// The state service.
 pub struct Store {
     /// Maximum number of writes in a transaction.
-    pub txn_ops: usize,
+    pub max_txn_ops: usize,
     /// Maximum size of a value in bytes.
-    pub value: usize,
+    pub max_value_bytes: usize,
     pub revision: u64,
     /// Values with the revisions of their last change.
     pub kv: BTreeMap<String, (Value, u64)>,
@@ -54,8 +54,8 @@
 impl Default for Store {
     fn default() -> Self {
         Store {
-            txn_ops: 12,
-            value: 8192,
+            max_txn_ops: 12,
+            max_value_bytes: 8192,
             revision: 0,
             kv: BTreeMap::new(),
             unavailable: false,
@@ -80,7 +80,7 @@
     /// Applies a transaction; returns its revision, or `Err` with the keys whose conditions
     /// failed. Panics if the transaction is over a limit of the service.
     pub fn apply(&mut self, txn: &Txn) -> Result<u64, Vec<String>> {
-        let ops = self.txn_ops;
+        let ops = self.max_txn_ops;
         assert!(
             txn.writes.len() <= ops && txn.conditions.len() <= 4 * ops,
             "transaction over the limit on operations (txn_ops)"
@@ -116,7 +116,7 @@
                         None => self.attached.remove(key),
                     };
                     assert!(
-                        value.to_string().len() <= self.value,
+                        value.to_string().len() <= self.max_value_bytes,
                         "value of {key} over the limit on its size (value_kb)"
                     );
                     self.kv.insert(key.clone(), (value.clone(), self.revision));
--- a/tests/simulation/users.rs
+++ b/tests/simulation/users.rs
@@ -80,7 +80,7 @@
     pub(super) unanswered: HashMap<String, Millis>,
     /// Number of refusals of jobs that another node had just answered as accepted; the
     /// refused request was sent before that answer.
-    pub refusals_overtaken: u32,
+    pub overlapping_refusals: u32,
     /// Jobs that no node may accept, as their submissions are invalid.
     pub infeasible: BTreeSet<String>,
     /// Maximum latency between two nodes, or of a round trip to the state service.
@@ -91,7 +91,7 @@
 
 impl UserTraffic {
     /// Returns the next position in the order of requests and answers.
-    pub(super) fn next(&mut self) -> u64 {
+    pub(super) fn next_order(&mut self) -> u64 {
         self.order += 1;
         self.order
     }
@@ -115,7 +115,7 @@
             self.check_missing_answer(ask.id());
             return None;
         }
-        let sent = self.traffic.next();
+        let sent = self.traffic.next_order();
         let answer = self
             .complete_now(node_id, &ask, &mut ask.request(false))
             .ok()
@@ -132,7 +132,7 @@
     /// the answer appears as time passes.
     pub fn request_later(&mut self, after: Millis, node_id: usize, ask: UserRequest) -> usize {
         if let UserRequest::Cancel(id) = &ask {
-            self.cancelling.insert(id.clone());
+            self.cancel_requested.insert(id.clone());
         }
         if let UserRequest::Submit(spec) = &ask {
             let known = self.specs.entry(spec.id.clone());
@@ -233,7 +233,7 @@
 
     /// Cancels a job repeatedly until the cancellation is confirmed, as a user would.
     pub fn cancel(&mut self, id: &str) {
-        self.cancelling.insert(id.to_owned());
+        self.cancel_requested.insert(id.to_owned());
         for _ in 0..600 {
             if let Some(node_id) = self.leader().filter(|node_id| self.reaches(*node_id))
                 && let Some(Answer::State(..)) =
@@ -248,14 +248,14 @@
 
     /// Passes a user's cancellation to the leader without waiting for the answer.
     pub fn request_cancellation(&mut self, id: &str) {
-        self.cancelling.insert(id.to_owned());
+        self.cancel_requested.insert(id.to_owned());
         let leader = self.leader().expect("a node leads");
         self.nodes[leader].leader.as_mut().unwrap().cancel(id);
     }
 
     /// Records that a user was answered that the job is cancelled.
     pub fn answer_cancelled(&mut self, id: &str) {
-        self.cancelling.insert(id.to_owned());
+        self.cancel_requested.insert(id.to_owned());
         self.check_state_answer(id, JobState::Cancelled);
     }
 }
--- a/tests/simulation/workers.rs
+++ b/tests/simulation/workers.rs
@@ -164,7 +164,7 @@
         if std::mem::take(&mut worker.paused_until) > 0 {
             // The machine's tasks were paused as well: their ends move by the time since the
             // last heartbeat.
-            let since_last_heartbeat = now - worker.sent.min(now);
+            let since_last_heartbeat = now - worker.heartbeat_sent_at.min(now);
             let running = |t: &&mut Task| t.state == TaskState::Running;
             let tasks = worker.tasks.iter_mut().filter(running);
             tasks.for_each(|t| t.until = t.until.saturating_add(since_last_heartbeat));
@@ -183,7 +183,9 @@
         for t in worker.tasks.iter_mut().filter(|t| now >= t.until) {
             let spec = &self.specs[t.name.rsplit_once('/').unwrap().0];
             match t.state {
-                TaskState::Fetching if worker.fails_tasks || self.faulty.contains(&spec.id) => {
+                TaskState::Fetching
+                    if worker.fails_tasks || self.faulty_jobs.contains(&spec.id) =>
+                {
                     t.state = TaskState::Exited;
                     t.exit_reason = Some(ExitReason::Error);
                     self.failed += 1;
@@ -216,10 +218,11 @@
             worker.next_heartbeat_at = now + 1000;
         }
         if worker.heartbeat_in_flight.is_none()
-            && (now >= worker.next_heartbeat_at || (worker.report_due && now >= worker.sent + 500))
+            && (now >= worker.next_heartbeat_at
+                || (worker.report_due && now >= worker.heartbeat_sent_at + 500))
         {
             worker.next_heartbeat_at = now + 1000;
-            worker.sent = now;
+            worker.heartbeat_sent_at = now;
             worker.report_due = false;
             let target = worker.target;
             let refused = self.link(target, Endpoint::Worker(worker_id)) == Link::Reset
