--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -236,7 +236,7 @@
     pub fault_free: bool,
     /// Direct commands without an answer: node, term, machine, token.
     directs: BTreeSet<(usize, u64, String, u64)>,
-    /// Extra delay of direct commands to a worker.
+    /// Delay of direct commands to a worker; 5 ms for workers without an entry.
     pub direct_command_delay: HashMap<usize, Millis>,
     pub violations: Vec<String>,
     /// Number of task starts.
--- a/tests/simulation/workers.rs
+++ b/tests/simulation/workers.rs
@@ -79,7 +79,7 @@
                         .iter()
                         .filter(|t| t.state != TaskState::Exited)
                         .count();
-                    let exit_reason = if is_duplicate {
+                    let rejection = if is_duplicate {
                         Some(ExitReason::DuplicateTask)
                     } else if live_tasks >= 2 {
                         Some(ExitReason::InsufficientResources)
@@ -91,12 +91,12 @@
                     worker.tasks.push(Task {
                         name: task,
                         attempt,
-                        state: if exit_reason.is_some() {
+                        state: if rejection.is_some() {
                             TaskState::Exited
                         } else {
                             TaskState::Fetching
                         },
-                        exit_reason: exit_reason,
+                        exit_reason: rejection,
                         until: now + fetch_ms,
                     });
                 }
