--- a/tests/dependencies.rs
+++ b/tests/dependencies.rs
@@ -152,7 +152,7 @@
     }
     assert!(
         completions > 0 && cancellations > 0,
-        "{completions} {cancellations}"
+        "{completions} completions, {cancellations} cancellations"
     );
 }
 
--- a/tests/fault_combinations.rs
+++ b/tests/fault_combinations.rs
@@ -394,7 +394,7 @@
     let duration = sim.now - faults_ended_at;
     assert!(
         duration < 240_000,
-        "seed {seed}: all jobs ended after {duration} ms only"
+        "seed {seed}: all jobs ended only after {duration} ms"
     );
     assert!(
         sim.violations.is_empty(),
--- a/tests/simulation/net.rs
+++ b/tests/simulation/net.rs
@@ -37,6 +37,7 @@
     All,
 }
 
+/// An endpoint of a link from a controller.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum Endpoint {
     State,
@@ -44,6 +45,7 @@
     Node(usize),
 }
 
+/// State of a link: messages pass, are held, or are refused.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum Link {
     Up,
@@ -51,13 +53,15 @@
     Reset,
 }
 
+/// A message in transit.
 #[derive(Clone)]
 pub(super) enum Msg {
-    /// To a node, from a worker, with the time it was sent.
+    /// To a node, from a worker, with the time the heartbeat was sent.
     Heartbeat(usize, usize, Heartbeat, Millis),
     /// A heartbeat delivered again; its answer is discarded.
     DuplicateHeartbeat(usize, usize, Heartbeat),
-    /// Relayed by the first node to the second, from a worker, with the time it was sent.
+    /// Relayed by the first node to the second, from a worker, with the time the heartbeat
+    /// was sent.
     RelayedHeartbeat(usize, usize, usize, Heartbeat, Millis),
     /// To a worker, from a node: the response, the heartbeat's incarnation and sequence
     /// number, and the time the heartbeat was sent.
@@ -76,7 +80,7 @@
 }
 
 impl Msg {
-    /// The node and the worker between which the message travels, if it does.
+    /// Returns the node and the worker between which the message travels, if it does.
     fn endpoints(&self) -> Option<(usize, usize)> {
         match self {
             Msg::Heartbeat(node_id, worker_id, ..)
@@ -94,13 +98,14 @@
 impl Simulation {
     // ---- faults ----
 
-    /// Node `node_id` crashes, loses its memory, and restarts after `back` milliseconds.
-    pub fn crash(&mut self, node_id: usize, back: Millis) {
+    /// Node `node_id` crashes, loses its memory, and restarts after
+    /// `restart_delay` milliseconds.
+    pub fn crash(&mut self, node_id: usize, restart_delay: Millis) {
         let node = &mut self.nodes[node_id];
         node.alive = false;
         node.flushing = None;
         node.leader = None;
-        node.restart_at = self.now + back;
+        node.restart_at = self.now + restart_delay;
         node.indeterminate = None;
         node.reads = lookups::ReadsInFlight::default();
         node.registry_reread_at = None;
@@ -155,12 +160,13 @@
     /// Messages in transit to the agent are lost with their connections.
     pub fn restart_machine(&mut self, worker_id: usize) {
         let now = self.now;
-        let to_it = |m: &Msg| match m {
+        let is_to_worker = |message: &Msg| match message {
             Msg::DirectCommand(_, to, ..) | Msg::HeartbeatReply(to, ..) => *to == worker_id,
             _ => false,
         };
-        self.in_transit.retain(|(_, m)| !to_it(m));
-        self.held.retain(|m| !to_it(m));
+        self.in_transit
+            .retain(|(_, message)| !is_to_worker(message));
+        self.held.retain(|message| !is_to_worker(message));
         let worker = &mut self.workers[worker_id];
         worker.tasks.clear();
         (worker.incarnation, worker.seq, worker.token) = (1, 0, 0);
--- a/tests/simulation/requests.rs
+++ b/tests/simulation/requests.rs
@@ -22,13 +22,13 @@
     /// The user sends the request.
     Sent,
     Event(Event),
-    /// The poll reaches the leader, this node; with the time the poll was sent.
+    /// The poll reaches the leader: index of the leader's node, and time the poll was sent.
     AtLeader(usize, Millis),
-    /// The read reaches the state service; with the time the read was sent.
+    /// The read reaches the state service: time the read was sent.
     ReadState(Millis),
     Look(Vec<String>),
     Write(Txn),
-    /// The forwarded request reaches the leader, this node.
+    /// The forwarded request reaches the leader: index of the leader's node.
     AtForwardTarget(usize),
     /// The answer reaches the user or the node that forwarded the request.
     Answer(Option<Answer>),
@@ -57,7 +57,7 @@
 }
 
 impl Simulation {
-    /// Calls `f` with the view of node `node_id` that the steps of requests work on.
+    /// Calls `action` with the state of node `node_id` that the steps of requests read and change.
     fn view<T>(
         &mut self,
         node_id: usize,
