--- a/examples/limits/main.rs
+++ b/examples/limits/main.rs
@@ -219,7 +219,7 @@
             for _ in 0..count {
                 std::hint::black_box(replica.latest_first());
                 let mut leader = loaded_leader(size, size / 5 + 1)?;
-                leader.inherit(7, Some(replica.clone()));
+                leader.set_inherited_replica(7, Some(replica.clone()));
                 leader.load_standbys(Some((
                     StandbyRecord {
                         term: 1,
--- a/src/control/leader/dependencies.rs
+++ b/src/control/leader/dependencies.rs
@@ -111,7 +111,7 @@
                     j.id
                 );
                 j.cancel_requested = true;
-                self.events.tally.cancelled_with_dependency += 1;
+                self.events.metric_counts.cancelled_with_dependency += 1;
             }
         }
     }
--- a/src/control/leader/expiry.rs
+++ b/src/control/leader/expiry.rs
@@ -154,7 +154,7 @@
                     || job_state.cancel_indeterminate
                     || job_state.spec.kind == Kind::Gang
                         && job_state.waiting_count() > 0
-                        && self.hears_all_tasks_of(handle)
+                        && self.knows_all_tasks_of(handle)
                         && self.gang_to_complete(handle).is_none())
             {
                 to_stop.push(handle);
--- a/src/control/leader/failover.rs
+++ b/src/control/leader/failover.rs
@@ -50,7 +50,7 @@
 
 impl Leader {
     /// Sets the incarnation of this node and the replica that it kept as a standby.
-    pub fn inherit(&mut self, incarnation: u64, replica: Option<Replica>) {
+    pub fn set_inherited_replica(&mut self, incarnation: u64, replica: Option<Replica>) {
         self.recovery.failover.inherited = Some((incarnation, replica));
     }
 
@@ -67,7 +67,7 @@
 
     /// Whether the state of every task of the job is known: no task is on a machine that
     /// has not been confirmed in this term.
-    pub(super) fn hears_all_tasks_of(&self, job_handle: JobHandle) -> bool {
+    pub(super) fn knows_all_tasks_of(&self, job_handle: JobHandle) -> bool {
         if self.recovery.settled || !self.recovery.failover.warm {
             return self.recovery.settled;
         }
@@ -98,7 +98,7 @@
                     self.restore_from_replica(&replica, now);
                 self.recovery.failover.warm = true;
                 self.changed = true;
-                self.events.tally.took_over = Some("warm");
+                self.events.metric_counts.takeover = Some("warm");
                 log::info!(
                     "term {} takes over warm from term {}: restored {restored_tasks} tasks, {unconfirmed_machines} machines not confirmed yet",
                     self.term,
@@ -108,7 +108,7 @@
             (Ok(()), None) => {}
             (Err(reason), _) => {
                 self.recovery.failover.cold_reason = Some(reason.text());
-                self.events.tally.took_over = Some(reason.text());
+                self.events.metric_counts.takeover = Some(reason.text());
                 log::info!("term {} takes over cold: {}", self.term, reason.text());
             }
         }
--- a/src/control/leader/headroom.rs
+++ b/src/control/leader/headroom.rs
@@ -1,7 +1,7 @@
 //! Headroom: capacity kept free for work of high priority, derived from recent arrivals and
 //! from the capacity that services need after the loss of a machine.
 //!
-//! Owns `Class` and `Headroom`. Called by the scheduling cycle, scale-in and scale-out.
+//! Owns `JobClass` and `Headroom`. Called by the scheduling cycle, scale-in and scale-out.
 //! This module only counts; it does not place tasks or reserve capacity.
 
 use super::Leader;
@@ -22,7 +22,7 @@
 
 /// A class of jobs: jobs of one kind and priority whose tasks need the same capacity.
 #[derive(Debug, PartialEq)]
-pub(super) struct Class {
+pub(super) struct JobClass {
     pub(super) kind: Kind,
     pub(super) priority: Priority,
     pub(super) need: Resources,
@@ -42,7 +42,7 @@
     pub(super) wanted: i64,
 }
 
-impl Class {
+impl JobClass {
     /// Returns the headroom for `wanted` tasks of this class, with no capacity counted yet.
     fn headroom_for(&self, wanted: i64) -> Headroom {
         Headroom {
@@ -69,7 +69,7 @@
 
     /// Returns how many fewer tasks would fit into `free` if a task with this need were placed
     /// there.
-    pub(super) fn loss(&self, free: &Resources, need: &Resources) -> i64 {
+    pub(super) fn tasks_lost_by_placing(&self, free: &Resources, need: &Resources) -> i64 {
         self.tasks_in(free) - self.tasks_in(&free.minus(*need))
     }
 }
@@ -79,7 +79,7 @@
         let Some(job) = self.cluster.job(handle) else {
             return;
         };
-        let class = Class {
+        let class = JobClass {
             kind: job.spec.kind,
             priority: job.spec.priority,
             need: job.need,
@@ -148,7 +148,7 @@
                 most = most.max(machine.tasks.iter().filter(of_class).count() as i64);
                 if machine.schedulable() && headroom.covers(machine.type_ix, machine.spot) {
                     let mut free = machine.free();
-                    free += self.held_by_batches(machine);
+                    free += self.resources_held_by_batch_jobs(machine);
                     headroom.fits += headroom.tasks_in(&free);
                 }
             }
@@ -162,7 +162,7 @@
         out
     }
 
-    pub(super) fn held_by_batches(&self, machine: &Machine) -> Resources {
+    pub(super) fn resources_held_by_batch_jobs(&self, machine: &Machine) -> Resources {
         let mut held = Resources::default();
         for assignment in machine
             .tasks
--- a/src/control/leader/heartbeats.rs
+++ b/src/control/leader/heartbeats.rs
@@ -94,7 +94,7 @@
                 job_state.has_run = true;
                 let waited_s = (now - job_state.known_since) as f64 / 1000.0;
                 self.events
-                    .tally
+                    .metric_counts
                     .waits
                     .push((job_state.spec.class.clone(), waited_s));
             }
@@ -116,8 +116,8 @@
     pub(super) fn count_commands(&mut self, commands: &[Command]) {
         for command in commands {
             match command {
-                Command::Start { .. } => self.events.tally.starts += 1,
-                Command::Stop { .. } => self.events.tally.stops += 1,
+                Command::Start { .. } => self.events.metric_counts.starts += 1,
+                Command::Stop { .. } => self.events.metric_counts.stops += 1,
                 Command::Reap { .. } => {}
             }
         }
--- a/src/control/leader/mod.rs
+++ b/src/control/leader/mod.rs
@@ -40,7 +40,7 @@
 pub use inventory::CloudOp;
 pub use job_status::Withheld;
 pub use persistence::{WriteIntent, WritePlan, acceptance_with_feed_entry};
-pub use status::Tally;
+pub use status::MetricCounts;
 
 use super::{
     final_states::FinalStates, placement::Policy, safety_bounds::SafetyBounds, standby::Standbys,
--- a/src/control/leader/persistence.rs
+++ b/src/control/leader/persistence.rs
@@ -531,7 +531,7 @@
     /// as ended, because a user may have read the records already: tasks of a
     /// cancelled job must not keep running through an outage, and a job whose
     /// terminal state was read must not be reported as unfinished.
-    pub fn outcome_unknown(&mut self, plan: &WritePlan) {
+    pub fn on_outcome_unknown(&mut self, plan: &WritePlan) {
         log::info!(
             "outcome of a write in term {} is unknown: {}",
             self.term,
@@ -559,7 +559,7 @@
     }
 
     /// Applies the current value and version of one of the `keys_to_reread`. All
-    /// of these keys must have been read before `reconciled` is called.
+    /// of these keys must have been read before `finish_reconciliation` is called.
     pub fn reconcile_key(
         &mut self,
         key: &str,
@@ -659,7 +659,7 @@
 
     /// Ends the reconciliation of a transaction, after all of its keys have been
     /// read: writes that were not applied can be planned again.
-    pub fn reconciled(&mut self, plan: &WritePlan) {
+    pub fn finish_reconciliation(&mut self, plan: &WritePlan) {
         // The values that were read may have made machines or jobs ready.
         self.changed = true;
         for intent in &plan.intents {
--- a/src/control/leader/recovery.rs
+++ b/src/control/leader/recovery.rs
@@ -89,7 +89,7 @@
     /// Whether enough machines are confirmed to conclude that capacity is short: no more
     /// unconfirmed machines than a tenth of those that are up, or all heartbeats are due.
     /// Guards against preempting for work that fits on a machine confirmed a second later.
-    pub(super) fn heard_from_most(&self, now: Millis) -> bool {
+    pub(super) fn most_machines_confirmed(&self, now: Millis) -> bool {
         self.settled
             || 10 * self.unconfirmed_machines <= self.responsive_machines
             || now >= self.heartbeats_due_at
@@ -110,7 +110,7 @@
     fn record_phase_duration(&mut self, phase: &'static str, duration_ms: Millis) {
         log::info!("term {}: {phase} phase took {duration_ms} ms", self.term);
         self.events
-            .tally
+            .metric_counts
             .phases
             .push((phase, duration_ms as f64 / 1000.0));
     }
--- a/src/control/leader/scale_out.rs
+++ b/src/control/leader/scale_out.rs
@@ -263,7 +263,9 @@
                     machine: handle,
                 });
             }
-            supply.held_by_batches.push(self.held_by_batches(machine));
+            supply
+                .held_by_batches
+                .push(self.resources_held_by_batch_jobs(machine));
             supply.bins.push(Bin {
                 type_ix: machine.type_ix,
                 zone: machine.zone,
@@ -443,7 +445,7 @@
 
     /// Applies the response to a request: the names of the new machines. `None` if there was
     /// no response; the machines, if there are any, then appear in the machine list.
-    pub fn scale_out_answered(
+    pub fn on_scale_out_response(
         &mut self,
         request: &MachineRequest,
         names: Option<&[String]>,
@@ -459,7 +461,7 @@
             request.zone,
             if request.spot { ", spot" } else { "" }
         );
-        self.events.tally.rented += names.len() as u64;
+        self.events.metric_counts.machines_added += names.len() as u64;
         for name in names {
             let new_machine = NewMachine {
                 name,
@@ -488,7 +490,7 @@
     }
 
     /// Applies the cloud's response to a release. If `ok`, the machines have been deleted.
-    pub fn released(&mut self, names: &[String], ok: bool, now: Millis) {
+    pub fn on_release_response(&mut self, names: &[String], ok: bool, now: Millis) {
         for name in names {
             let Some(handle) = self.cluster.machine_handle(name) else {
                 continue;
@@ -506,7 +508,7 @@
                     .conditional_deletes
                     .push((machine_key(name), machine.record_version));
             }
-            self.events.tally.released += 1;
+            self.events.metric_counts.released += 1;
             self.cluster.remove_machine(handle);
             self.scaling.released.insert(name.clone(), now);
             self.changed = true;
--- a/src/control/leader/scheduling.rs
+++ b/src/control/leader/scheduling.rs
@@ -4,7 +4,7 @@
 //! Owned by `Leader`; read and changed by the scheduling modules (queue, scheduling cycle,
 //! fleet view, headroom, quotas). It holds no cluster state, and none of it is stored.
 
-use super::{headroom::Class, scheduling_cycle::SchedulingCycle};
+use super::{headroom::JobClass, scheduling_cycle::SchedulingCycle};
 use crate::{
     control::placement::{Policy, fleet::Fleet},
     state::{
@@ -26,7 +26,7 @@
     /// Recent job arrivals: arrival time, index into `classes`, number of tasks.
     pub(super) arrivals: VecDeque<(Millis, usize, u32)>,
     /// Distinct job classes seen in this term, for headroom.
-    pub(super) classes: Vec<Class>,
+    pub(super) classes: Vec<JobClass>,
     /// Earliest time at which machines are considered for draining again.
     pub(super) next_drain_at: Millis,
     /// Time at which a scheduling cycle runs even if nothing has changed.
--- a/src/control/leader/scheduling_cycle.rs
+++ b/src/control/leader/scheduling_cycle.rs
@@ -83,7 +83,7 @@
         self.scheduling.queue_buffer = std::mem::take(&mut cycle.order);
         // Capacity that became free during this cycle is not offered before the next one.
         self.refresh_fleet(now);
-        if self.recovery.heard_from_most(now) {
+        if self.recovery.most_machines_confirmed(now) {
             self.preempt_for_waiting(&cycle.unplaced_jobs, now);
         }
         self.end_cycle();
--- a/src/control/leader/spec_chunks.rs
+++ b/src/control/leader/spec_chunks.rs
@@ -90,7 +90,7 @@
 impl Leader {
     /// Notes whether every controller runs this version. Once it has been `true`, specs may be
     /// written in chunks.
-    pub fn upgraded(&mut self, complete: bool) {
+    pub fn set_all_controllers_upgraded(&mut self, complete: bool) {
         self.spec_uploads.allowed |= complete;
     }
 
@@ -127,7 +127,10 @@
     /// Returns the chunks of a long spec and the transactions that write them before the job
     /// is accepted, or `None` if the spec is stored inline. Each transaction holds the
     /// condition on this term, so that none can rewrite a chunk that a later leader deleted.
-    pub fn pieces_first(&self, spec: &JobSpec) -> anyhow::Result<Option<(SpecChunks, Vec<Txn>)>> {
+    pub fn spec_chunk_writes(
+        &self,
+        spec: &JobSpec,
+    ) -> anyhow::Result<Option<(SpecChunks, Vec<Txn>)>> {
         let limits = self.settings.cluster.state.always();
         if !self.spec_uploads.allowed || keys::fits(keys::inline_record_size(spec), limits.value_kb)
         {
--- a/src/control/leader/status.rs
+++ b/src/control/leader/status.rs
@@ -1,6 +1,6 @@
 //! Status for operators and counts for metrics.
 //!
-//! Owns `Events` and `Tally`. Called by the request handlers and the metrics loop; status
+//! Owns `Events` and `MetricCounts`. Called by the request handlers and the metrics loop; status
 //! is computed only on request. Responses must fit into a frame, so names are truncated and
 //! the number of rows is limited. This module never influences a decision of the leader.
 
@@ -27,7 +27,7 @@
 /// Events of this term, kept for status, metrics and fault attribution.
 #[derive(Default)]
 pub(super) struct Events {
-    pub(super) tally: Tally,
+    pub(super) metric_counts: MetricCounts,
     pub(super) recent_failures: VecDeque<TaskFailureEvent>,
     /// Jobs that have a failed task and of which no task has run.
     pub(super) suspects: Vec<JobHandle>,
@@ -41,15 +41,15 @@
 /// listed as a problem.
 const SLOW_BOOT_FACTOR: u64 = 3;
 
-/// Counts for metrics, accumulated since the last call of `take_tally`.
+/// Counts for metrics, accumulated since the last call of `take_metric_counts`.
 #[derive(Debug, Default)]
-pub struct Tally {
+pub struct MetricCounts {
     /// Number of tasks that failed.
     pub failed: u64,
     /// Number of tasks stopped to make room for other work.
     pub preempted: u64,
     /// Number of machines that the cloud added.
-    pub rented: u64,
+    pub machines_added: u64,
     /// Number of machines that the cloud deleted.
     pub released: u64,
     /// For each job that started to run for the first time: its class, and the seconds from
@@ -58,7 +58,7 @@
     /// Completed phases of the recovery, with their durations in seconds.
     pub phases: Vec<(&'static str, f64)>,
     /// How this leader took over: `warm`, or the reason why it took over cold.
-    pub took_over: Option<&'static str>,
+    pub takeover: Option<&'static str>,
     /// Number of jobs that were cancelled because a job they depend on was cancelled.
     pub cancelled_with_dependency: u64,
     /// Number of start commands sent.
@@ -94,7 +94,7 @@
         reason: ExitReason,
         now: Millis,
     ) {
-        self.events.tally.failed += 1;
+        self.events.metric_counts.failed += 1;
         if self.events.recent_failures.len() >= MAX_RECENT_FAILURES {
             self.events.recent_failures.pop_front();
         }
@@ -104,8 +104,8 @@
     }
 
     /// Returns the counts accumulated since the last call, and resets them.
-    pub fn take_tally(&mut self) -> Tally {
-        std::mem::take(&mut self.events.tally)
+    pub fn take_metric_counts(&mut self) -> MetricCounts {
+        std::mem::take(&mut self.events.metric_counts)
     }
 
     fn pending_reason(&self, job: &Job) -> PendingReason {
@@ -152,7 +152,7 @@
     }
 
     /// Returns the status of the cluster, for the `status` request.
-    pub fn picture(&self, now: Millis) -> ClusterStatus {
+    pub fn cluster_status(&self, now: Millis) -> ClusterStatus {
         let mut status = ClusterStatus {
             term: self.term,
             since_s: (now - self.recovery.elected_at) as f64 / 1000.0,
--- a/src/control/leader/task_placement.rs
+++ b/src/control/leader/task_placement.rs
@@ -63,7 +63,7 @@
         let leaves_headroom = |class_headroom: &Headroom| {
             class_headroom.priority <= job.effective_priority
                 || !class_headroom.covers(machine_view.type_ix, machine_view.spot)
-                || match class_headroom.loss(&machine_view.free, &job.need) {
+                || match class_headroom.tasks_lost_by_placing(&machine_view.free, &job.need) {
                     0 => true,
                     loss => class_headroom.fits - loss >= class_headroom.wanted,
                 }
@@ -145,7 +145,8 @@
         if let Some(machine_view) = self.scheduling.fleet.machine_view(machine.index()) {
             for class_headroom in headroom.iter_mut() {
                 if class_headroom.covers(machine_view.type_ix, machine_view.spot) {
-                    class_headroom.fits -= class_headroom.loss(&machine_view.free, need);
+                    class_headroom.fits -=
+                        class_headroom.tasks_lost_by_placing(&machine_view.free, need);
                 }
             }
         }
@@ -287,7 +288,7 @@
             0 => None,
             // A new attempt must wait until the tasks of an attempt that had started are gone.
             _ => match self.gang_to_complete(job_handle) {
-                Some(attempt) if self.hears_all_tasks_of(job_handle) => Some(attempt),
+                Some(attempt) if self.knows_all_tasks_of(job_handle) => Some(attempt),
                 _ => return false,
             },
         };
@@ -391,7 +392,7 @@
                 cached += 1;
                 let mut free = other.free();
                 fit += i32::from(other.schedulable() && job.need.fits(&free));
-                free += self.held_by_batches(other);
+                free += self.resources_held_by_batch_jobs(other);
                 batch += i32::from(other.schedulable() && job.need.fits(&free));
             }
             log::debug!(
--- a/src/control/leader/victims.rs
+++ b/src/control/leader/victims.rs
@@ -246,7 +246,7 @@
     pub(super) fn preempt(&mut self, job_handle: JobHandle, preemption: Preemption, now: Millis) {
         let id = self.cluster.job(job_handle).map(|j| j.id.clone());
         self.set_reason(job_handle, PendingReason::RoomBeingMade);
-        self.events.tally.preempted += preemption.victims.len() as u64;
+        self.events.metric_counts.preempted += preemption.victims.len() as u64;
         let Some(machine) = self.cluster.machine_mut(preemption.machine) else {
             return;
         };
--- a/src/control/requests/submit.rs
+++ b/src/control/requests/submit.rs
@@ -309,9 +309,9 @@
         let Some(leader) = view.acting_leader() else {
             return Next::Answer(Answer::later(LEADERSHIP_CHANGING));
         };
-        leader.upgraded(upgraded);
+        leader.set_all_controllers_upgraded(upgraded);
         let term = leader.term;
-        match leader.pieces_first(spec) {
+        match leader.spec_chunk_writes(spec) {
             Ok(None) => self.record(term, None, false, view),
             Ok(Some((chunks, txns))) => {
                 self.write_chunk(term, chunks, txns.into_iter(), false, view)
--- a/src/server/cloud.rs
+++ b/src/server/cloud.rs
@@ -226,7 +226,7 @@
             }
         };
         self.in_term(term, |leader, now| {
-            leader.scale_out_answered(&request, names.as_deref(), now)
+            leader.on_scale_out_response(&request, names.as_deref(), now)
         });
     }
 
@@ -241,7 +241,7 @@
             .await;
         let is_released = result.and_then(CloudAnswer::success).is_ok();
         self.in_term(term, |leader, now| {
-            leader.released(&names, is_released, now)
+            leader.on_release_response(&names, is_released, now)
         });
     }
 }
--- a/src/server/control_loop.rs
+++ b/src/server/control_loop.rs
@@ -15,7 +15,9 @@
     store::STATE_TIMEOUT,
 };
 use crate::{
-    control::leader::{CloudOp, DirectDelivery, DirectDeliveryOutcome, Leader, Tally, WritePlan},
+    control::leader::{
+        CloudOp, DirectDelivery, DirectDeliveryOutcome, Leader, MetricCounts, WritePlan,
+    },
     control::requests::{Found, TxnResult, final_status},
     protocol::workers::Heartbeat,
     state::{
@@ -78,7 +80,7 @@
     direct_deliveries: Vec<DirectDelivery>,
     cloud_ops: Vec<CloudOp>,
     machine_list_due: bool,
-    tally: Tally,
+    metric_counts: MetricCounts,
 }
 
 /// Runs control rounds for as long as the process runs. A round without authority has
@@ -117,8 +119,14 @@
         };
         let term = plan.term;
         let leadership = self.election.borrow().leadership();
-        self.log_commands(leadership, plan.tally.starts, plan.tally.stops);
-        self.metrics.borrow_mut().add_tally(plan.tally);
+        self.log_commands(
+            leadership,
+            plan.metric_counts.starts,
+            plan.metric_counts.stops,
+        );
+        self.metrics
+            .borrow_mut()
+            .add_metric_counts(plan.metric_counts);
         let seconds = round_began.elapsed().as_secs_f64();
         self.metrics.borrow().observe_round_time(seconds);
         self.update_standbys(term);
@@ -143,14 +151,14 @@
         let wall_ms = self.wall_ms();
         let upgraded = self.upgrade.is_complete();
         self.with_authority(|leader, now| {
-            leader.upgraded(upgraded);
+            leader.set_all_controllers_upgraded(upgraded);
             leader.tick(now, wall_ms);
             RoundPlan {
                 term: leader.term,
                 direct_deliveries: leader.direct_deliveries(now),
                 cloud_ops: leader.cloud_ops(now, wall_ms),
                 machine_list_due: leader.list_due(now),
-                tally: leader.take_tally(),
+                metric_counts: leader.take_metric_counts(),
             }
         })
     }
@@ -328,12 +336,12 @@
                 if matches!(refused, TxnResult::Rejected) {
                     self.budgets.txn_rejected(changes);
                 }
-                self.in_term(term, |leader, _| leader.reconciled(&plan));
+                self.in_term(term, |leader, _| leader.finish_reconciliation(&plan));
                 Timer::after(REFUSED_WRITE_PAUSE).await;
             }
             TxnResult::Conflict(_) | TxnResult::Unknown => {
                 self.metrics.borrow().indeterminate_writes.inc();
-                self.in_term(term, |leader, _| leader.outcome_unknown(&plan));
+                self.in_term(term, |leader, _| leader.on_outcome_unknown(&plan));
                 self.reread(term, &plan).await;
             }
         }
@@ -361,7 +369,7 @@
             for (key, item) in found {
                 leader.reconcile_key(&key, item, now);
             }
-            leader.reconciled(plan);
+            leader.finish_reconciliation(plan);
             leader.log_reconciliation(plan);
         });
     }
--- a/src/server/leadership/campaign.rs
+++ b/src/server/leadership/campaign.rs
@@ -219,7 +219,7 @@
             .replica_receiver
             .borrow_mut()
             .take_replica(term);
-        leader.inherit(attempt.record.incarnation, replica);
+        leader.set_inherited_replica(attempt.record.incarnation, replica);
         leader.set_leaderless_time(self.election.borrow().leaderless_for(self.now()));
         self.exclusions.take();
         *self.leader.borrow_mut() = Some(leader);
--- a/src/server/metrics.rs
+++ b/src/server/metrics.rs
@@ -9,7 +9,7 @@
 
 use super::Node;
 use crate::{
-    control::{election::AuthorityBasis, leader::Tally},
+    control::{election::AuthorityBasis, leader::MetricCounts},
     protocol::users::JobState,
     state::{
         Millis,
@@ -342,21 +342,21 @@
         self.step_downs.get_or_create(&StepDownLabel { why }).inc();
     }
 
-    pub(super) fn add_tally(&mut self, tally: Tally) {
-        self.task_failures.inc_by(tally.failed);
-        self.preemptions.inc_by(tally.preempted);
-        self.machines_rented.inc_by(tally.rented);
-        self.machines_released.inc_by(tally.released);
+    pub(super) fn add_metric_counts(&mut self, metric_counts: MetricCounts) {
+        self.task_failures.inc_by(metric_counts.failed);
+        self.preemptions.inc_by(metric_counts.preempted);
+        self.machines_rented.inc_by(metric_counts.machines_added);
+        self.machines_released.inc_by(metric_counts.released);
         self.cancelled_with_dependency
-            .inc_by(tally.cancelled_with_dependency);
-        for (phase, seconds) in tally.phases {
+            .inc_by(metric_counts.cancelled_with_dependency);
+        for (phase, seconds) in metric_counts.phases {
             let phase = RecoveryPhaseLabel { phase };
             self.recovery_seconds.get_or_create(&phase).observe(seconds);
         }
-        if let Some(how) = tally.took_over {
+        if let Some(how) = metric_counts.takeover {
             self.takeovers.get_or_create(&FailoverLabel { how }).inc();
         }
-        for (class, waited) in tally.waits {
+        for (class, waited) in metric_counts.waits {
             let known = self.classes.contains(&class);
             let class = match known || self.classes.len() < MAX_CLASSES {
                 true => class,
--- a/src/server/status.rs
+++ b/src/server/status.rs
@@ -43,7 +43,8 @@
                 .map(|(at, p)| (*at, p.term));
             let is_fresh =
                 last.is_some_and(|(at, of)| now < at + MIN_REBUILD_INTERVAL_MS && Some(of) == term);
-            if !is_fresh && let Some(cluster_status) = self.with_authority(|l, now| l.picture(now))
+            if !is_fresh
+                && let Some(cluster_status) = self.with_authority(|l, now| l.cluster_status(now))
             {
                 *self.last_cluster_status.borrow_mut() = Some((now, cluster_status));
             }
--- a/tests/offload.rs
+++ b/tests/offload.rs
@@ -98,7 +98,7 @@
     assert!(explanation.verdict.unwrap().contains("north"));
     let now = sim.now;
     assert_eq!(
-        current_leader(&mut sim).picture(now).lent,
+        current_leader(&mut sim).cluster_status(now).lent,
         [("north".to_owned(), 1)]
     );
     free_capacity(&mut sim);
--- a/tests/partitioned_leaders.rs
+++ b/tests/partitioned_leaders.rs
@@ -417,11 +417,11 @@
         let plan = leader_state
             .plan_writes(12)
             .expect("the final record is planned");
-        leader_state.outcome_unknown(&plan);
+        leader_state.on_outcome_unknown(&plan);
         for key in pathwinch::control::leader::Leader::keys_to_reread(&plan) {
             leader_state.reconcile_key(&key, sim.store.kv.get(&key).cloned(), sim.now);
         }
-        leader_state.reconciled(&plan);
+        leader_state.finish_reconciliation(&plan);
         sim.store.apply(&plan.txn).expect("the late write applies");
         let answered_state = sim.poll(other, &id(1)).expect("an answer from the record");
         assert!(matches!(
@@ -458,11 +458,11 @@
     };
     let older = done(&mut sim, 8_500);
     let leader_state = sim.nodes[leader].leader.as_mut().unwrap();
-    leader_state.outcome_unknown(&older);
+    leader_state.on_outcome_unknown(&older);
     for key in pathwinch::control::leader::Leader::keys_to_reread(&older) {
         leader_state.reconcile_key(&key, sim.store.kv.get(&key).cloned(), sim.now);
     }
-    leader_state.reconciled(&older);
+    leader_state.finish_reconciliation(&older);
     let newer = done(&mut sim, 8_501);
     let revision = sim
         .store
--- a/tests/placement_scenarios.rs
+++ b/tests/placement_scenarios.rs
@@ -379,14 +379,18 @@
     assert_eq!(reason(&mut sim, "j-000003"), Some(PendingReason::NoRoom));
     let leader = sim.leader().unwrap();
     let now = sim.now;
-    let picture = sim.nodes[leader].leader.as_ref().unwrap().picture(now);
-    let group = picture
+    let cluster_status = sim.nodes[leader]
+        .leader
+        .as_ref()
+        .unwrap()
+        .cluster_status(now);
+    let group = cluster_status
         .groups
         .iter()
         .find(|group| group.team == "u")
         .unwrap();
     assert_eq!((group.waiting, group.late_jobs), (2, 1));
-    assert_eq!(picture.fleet.iter().map(|entry| entry.up).sum::<u32>(), 2);
+    assert_eq!(cluster_status.fleet.iter().map(|entry| entry.up).sum::<u32>(), 2);
     sim.assert_no_violations();
 }
 
@@ -445,7 +449,7 @@
     let job = leader_state.cluster.job_handle("j-000002").unwrap();
     let inspections_before = leader_state.cluster.inspections();
     // Reports a change, so that the next tick runs a full scheduling cycle.
-    leader_state.reconciled(&WritePlan {
+    leader_state.finish_reconciliation(&WritePlan {
         txn: Txn::default(),
         intents: Vec::new(),
     });
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -255,7 +255,7 @@
     let leader = sim.leader().unwrap();
     sim.run(LEASE + 6_000);
     let leader_state = sim.nodes[leader].leader.as_mut().unwrap();
-    let phases = leader_state.take_tally().phases;
+    let phases = leader_state.take_metric_counts().phases;
     let names: Vec<_> = phases.iter().map(|(name, _)| *name).collect();
     assert_eq!(names, ["loading", "settling", "starting"]);
     let lease = LEASE as f64 / 1000.0;
--- a/tests/reused_indices.rs
+++ b/tests/reused_indices.rs
@@ -62,7 +62,7 @@
     accept(&mut leader_state, 1, "array", 1);
     leader_state.tick(200, 200);
     report_tasks(&mut leader_state, 0, 2, TaskState::Exited, 210);
-    leader_state.released(&[machine(0)], true, 220);
+    leader_state.on_release_response(&[machine(0)], true, 220);
     add_machine(&mut leader_state, 1, 230);
     accept_with_priority(&mut leader_state, 2, "array", "urgent", 1, 100.0);
     leader_state.tick(240, 240);
--- a/tests/simulation/election.rs
+++ b/tests/simulation/election.rs
@@ -223,7 +223,7 @@
         let node = &mut self.nodes[node_id];
         leader.final_states = std::mem::take(&mut node.final_states);
         let replica = node.follower.take_replica(term);
-        leader.inherit(node.election.incarnation, replica);
+        leader.set_inherited_replica(node.election.incarnation, replica);
         node.leader = Some(leader);
         node.records_read_at = now + self.load_ms;
         let found = self.store.list(records::EXCLUSIONS);
--- a/tests/simulation/lookups.rs
+++ b/tests/simulation/lookups.rs
@@ -281,7 +281,7 @@
         for (key, item) in answer.read {
             leader.reconcile_key(&key, item, now);
         }
-        leader.reconciled(&plan);
+        leader.finish_reconciliation(&plan);
         false
     }
 }
--- a/tests/simulation/nodes.rs
+++ b/tests/simulation/nodes.rs
@@ -40,7 +40,7 @@
             self.load_records(node_id);
         }
         let leader = self.nodes[node_id].leader.as_mut().unwrap();
-        leader.upgraded(!self.mixed_versions);
+        leader.set_all_controllers_upgraded(!self.mixed_versions);
         leader.tick(now, now);
         if reaches_state && !stalled {
             self.read_dependencies(node_id);
@@ -184,7 +184,7 @@
                 if let Some(leader_of_term) =
                     leader.filter(|leader_of_term| leader_of_term.term == term)
                 {
-                    leader_of_term.scale_out_answered(&request, Some(&names), now);
+                    leader_of_term.on_scale_out_response(&request, Some(&names), now);
                 }
             }
             CloudOp::Release(names) => {
@@ -201,7 +201,7 @@
                 if let Some(leader_of_term) =
                     leader.filter(|leader_of_term| leader_of_term.term == term)
                 {
-                    leader_of_term.released(&names, true, now);
+                    leader_of_term.on_release_response(&names, true, now);
                 }
             }
         }
@@ -216,7 +216,7 @@
         let leader = node.leader.as_mut().unwrap();
         if let Some((at, plan)) = node.indeterminate.take() {
             if now >= at {
-                leader.outcome_unknown(&plan);
+                leader.on_outcome_unknown(&plan);
             }
             if now < at || !reaches || stalled.is_some() {
                 node.indeterminate = Some((at, plan));
@@ -268,11 +268,11 @@
                 self.resign(node_id, false);
             }
             TxnResult::Conflict(_) => {
-                leader.outcome_unknown(&plan);
+                leader.on_outcome_unknown(&plan);
                 node.indeterminate = Some((now, plan));
             }
             TxnResult::Unknown => node.indeterminate = Some((now + 1500, plan)),
-            TxnResult::Refused | TxnResult::Rejected => leader.reconciled(&plan),
+            TxnResult::Refused | TxnResult::Rejected => leader.finish_reconciliation(&plan),
         }
     }
 }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -127,7 +127,7 @@
     let spec = job_with_long_spec(1, 6);
     let old = sim.leader().unwrap();
     let leader_state = sim.nodes[old].leader.as_mut().unwrap();
-    let (_, first) = leader_state.pieces_first(&spec).unwrap().unwrap();
+    let (_, first) = leader_state.spec_chunk_writes(&spec).unwrap().unwrap();
     let chunk_txn = first[0].clone();
     sim.store.apply(&chunk_txn).unwrap();
     let chunk_count = sim.store.list(SPEC_CHUNKS).len();
--- a/tests/warm_takeover.rs
+++ b/tests/warm_takeover.rs
@@ -30,7 +30,7 @@
     assert!(receiver.apply_part(part, 0));
     let settings = Rc::new(simulation::settings(0.0));
     let mut leader = Leader::new(settings, Options::default(), simulation::types(), 9, 0);
-    leader.inherit(7, receiver.take_replica(9));
+    leader.set_inherited_replica(7, receiver.take_replica(9));
     let record = StandbyRecord {
         term: 5,
         named: vec![("n0".into(), 7)],
