--- a/src/control/leader/fleet_view.rs
+++ b/src/control/leader/fleet_view.rs
@@ -49,8 +49,11 @@
             let present = machine.and_then(|machine| self.cluster.machine(machine));
             let view = present.filter(|m| m.schedulable()).map(machine_view);
             if !scheduling.in_cycle {
-                scheduling.fleet.set(index, view, now);
-            } else if scheduling.fleet.set_without_gain(index, view, now) {
+                scheduling.fleet.update_machine(index, view, now);
+            } else if scheduling
+                .fleet
+                .update_machine_without_gain(index, view, now)
+            {
                 scheduling.machines_with_gain.extend(machine);
             }
         }
--- a/src/control/leader/scale_out.rs
+++ b/src/control/leader/scale_out.rs
@@ -8,7 +8,7 @@
 
 use super::{Leader, millis, zone_health::ZoneHealth};
 use crate::{
-    control::provision::{self, Bin, Demand, Offer, PlannedMachines},
+    control::provision::{self, CapacityBin, Demand, Offer, PlannedMachines},
     protocol::{
         cloud::{MAX_MACHINES_PER_REQUEST, MachineRequest},
         status::PendingReason,
@@ -101,7 +101,7 @@
 /// machine, in the same order.
 #[derive(Default)]
 struct Supply {
-    bins: Vec<Bin>,
+    bins: Vec<CapacityBin>,
     booting: Vec<BootingBin>,
     held_by_batches: Vec<Resources>,
 }
@@ -219,7 +219,7 @@
             &mut demand.urgent.demands,
             &mut bins,
             &offers,
-            provision::MAX_NEW,
+            provision::MAX_NEW_MACHINES_PER_ROUND,
         );
         // Batches may use the capacity that services and gangs leave.
         let mut spare_bins = bins.clone();
@@ -227,7 +227,7 @@
             &mut demand.batches.demands,
             &mut bins,
             &offers,
-            provision::BATCH_NEW,
+            provision::MAX_NEW_BATCH_MACHINES_PER_ROUND,
         ));
         self.record_supply_reasons(&demand.urgent);
         self.record_supply_reasons(&demand.batches);
@@ -239,7 +239,7 @@
             &mut self.spare_demands(),
             &mut spare_bins,
             &offers,
-            provision::MAX_NEW,
+            provision::MAX_NEW_MACHINES_PER_ROUND,
         ));
         let unused = booting
             .into_iter()
@@ -266,7 +266,7 @@
             supply
                 .held_by_batches
                 .push(self.resources_held_by_batch_jobs(machine));
-            supply.bins.push(Bin {
+            supply.bins.push(CapacityBin {
                 type_ix: machine.type_ix,
                 zone: machine.zone,
                 spot: machine.spot,
@@ -371,7 +371,7 @@
             .deadline_s
             .map(|deadline_s| deadline_s - age_s - self.boot_s(&job.types) - START_MARGIN_S);
         let live = i64::from(job.live_count);
-        provision::parallel(waiting, live, job.spec.estimate_s, time_left_s)
+        provision::tasks_to_start(waiting, live, job.spec.estimate_s, time_left_s)
     }
 
     /// Records what each job of the demand waits for. No supply reason is recorded for a job
--- a/src/control/leader/task_placement.rs
+++ b/src/control/leader/task_placement.rs
@@ -343,7 +343,7 @@
             tasks_by_zone[choice.zone] += 1;
             chosen.push(choice);
         }
-        self.scheduling.fleet.give_back(ranking, taken);
+        self.scheduling.fleet.undo_trial(ranking, taken);
         (chosen.len() == missing.len()).then_some(chosen)
     }
 
--- a/src/control/placement/fleet.rs
+++ b/src/control/placement/fleet.rs
@@ -1,7 +1,7 @@
 //! The fleet: the machines on which tasks may be placed, and rankings of these machines that
 //! are kept up to date as machines change.
 //!
-//! Owned by the leader's scheduling, which reports each change of a machine (`set`) and asks
+//! Owned by the leader's scheduling, which reports each change of a machine (`update_machine`) and asks
 //! for the best machine for a request (`choose`). A ranking applies the changes recorded
 //! since it was last used, so the cost of a choice grows with the number of changes, not
 //! with the size of the fleet. Withheld capacity must never be offered.
@@ -28,7 +28,7 @@
 /// Time in milliseconds after which an unused ranking is dropped.
 const RANKING_IDLE_MS: Millis = 30_000;
 /// Time in milliseconds for which a machine must have been empty to count as surplus.
-pub const SURPLUS: Millis = 3_000;
+pub const SURPLUS_AFTER_MS: Millis = 3_000;
 /// Maximum number of cached costs. The cache is emptied when it is full.
 const MAX_CACHED_COSTS: usize = 8_192;
 /// Added to the rank of a surplus machine, which is about to be released.
@@ -62,13 +62,13 @@
     view: MachineView,
     /// Resources withheld for a waiting gang; not included in `view.free`.
     withheld: Resources,
-    /// Whether the machine has been empty for `SURPLUS`.
+    /// Whether the machine has been empty for `SURPLUS_AFTER_MS`.
     surplus: bool,
 }
 
 /// A trial placement, with what is needed to undo it.
 #[derive(Debug)]
-pub struct Taken {
+pub struct TrialPlacement {
     machine: u32,
     /// The machine's entry in the ranking before the placement.
     entry: Option<RankingEntry>,
@@ -145,7 +145,7 @@
 
     /// Updates a machine. `view` does not account for withheld resources, which are deducted
     /// here; `None` if nothing may be placed on the machine.
-    pub fn set(&mut self, machine: u32, view: Option<MachineView>, now: Millis) {
+    pub fn update_machine(&mut self, machine: u32, view: Option<MachineView>, now: Millis) {
         let index = machine as usize;
         if self.slots.len() <= index {
             self.slots.resize_with(index + 1, || None);
@@ -154,7 +154,9 @@
         let slot = view.map(|mut view| {
             let withheld = withheld.unwrap_or_default();
             view.free -= withheld;
-            let surplus = view.idle_since.is_some_and(|since| now >= since + SURPLUS);
+            let surplus = view
+                .idle_since
+                .is_some_and(|since| now >= since + SURPLUS_AFTER_MS);
             Slot {
                 view,
                 withheld,
@@ -176,16 +178,16 @@
         self.record_change(machine);
     }
 
-    /// Updates a machine like `set`, but leaves out capacity that became free since the last
+    /// Updates a machine like `update_machine`, but leaves out capacity that became free since the last
     /// update. Returns whether there is any such capacity.
-    pub fn set_without_gain(
+    pub fn update_machine_without_gain(
         &mut self,
         machine: u32,
         view: Option<MachineView>,
         now: Millis,
     ) -> bool {
         let Some(mut view) = view else {
-            self.set(machine, None, now);
+            self.update_machine(machine, None, now);
             return false;
         };
         let slot = self.slots.get(machine as usize).and_then(Option::as_ref);
@@ -196,7 +198,7 @@
         before += slot.withheld;
         let gained = !view.free.fits(&before);
         view.free = view.free.least(&before);
-        self.set(machine, Some(view), now);
+        self.update_machine(machine, Some(view), now);
         gained
     }
 
@@ -210,7 +212,8 @@
             counts.remove(&view.free);
         }
         if let Some(since) = view.idle_since {
-            self.surplus_due.remove(&(since + SURPLUS, machine));
+            self.surplus_due
+                .remove(&(since + SURPLUS_AFTER_MS, machine));
         }
         self.capacity -= view.capacity;
         self.usable -= 1;
@@ -221,7 +224,7 @@
         let kind = (view.type_ix, view.zone, view.spot);
         self.free_counts.entry(kind).or_default().add(&view.free);
         if let Some(since) = view.idle_since.filter(|_| !slot.surplus) {
-            self.surplus_due.insert((since + SURPLUS, machine));
+            self.surplus_due.insert((since + SURPLUS_AFTER_MS, machine));
         }
         self.capacity += view.capacity;
         self.usable += 1;
@@ -232,7 +235,7 @@
         self.log.record(machine, self.slots.len());
     }
 
-    /// Marks machines that have been empty for `SURPLUS` by `now` as surplus.
+    /// Marks machines that have been empty for `SURPLUS_AFTER_MS` by `now` as surplus.
     pub fn advance(&mut self, now: Millis) {
         while let Some(&(due, machine)) = self.surplus_due.first()
             && due <= now
@@ -401,7 +404,7 @@
 
     /// Places a task of the ranking's request on a machine. The machine keeps its rank and its
     /// image state for the remaining tasks of the job.
-    pub fn take(&mut self, id: RankingId, machine: u32) -> Taken {
+    pub fn take(&mut self, id: RankingId, machine: u32) -> TrialPlacement {
         let need = self.rankings[id.0].request.need;
         let before = self.rankings[id.0].entry(machine);
         self.change_free(machine, |free| *free -= need);
@@ -411,14 +414,14 @@
             Some(RankingEntry { zone, key })
         });
         self.rankings[id.0].set_entry(machine, after);
-        Taken {
+        TrialPlacement {
             machine,
             entry: before,
         }
     }
 
     /// Undoes trial placements, given in the order in which they were made.
-    pub fn give_back(&mut self, id: RankingId, trial: Vec<Taken>) {
+    pub fn undo_trial(&mut self, id: RankingId, trial: Vec<TrialPlacement>) {
         let need = self.rankings[id.0].request.need;
         for taken in trial.into_iter().rev() {
             self.change_free(taken.machine, |free| *free += need);
--- a/src/control/provision.rs
+++ b/src/control/provision.rs
@@ -28,7 +28,7 @@
 
 /// A machine that exists, is booting or is planned, with its free resources.
 #[derive(Debug, Clone)]
-pub struct Bin {
+pub struct CapacityBin {
     /// Index of the machine type.
     pub type_ix: usize,
     /// Index of the zone.
@@ -71,10 +71,11 @@
 
 /// Maximum number of new machines for batch jobs in a scale-out round. Remaining demand waits
 /// for the next round, as some of it will have found capacity by then.
-pub const BATCH_NEW: usize = 12;
+pub const MAX_NEW_BATCH_MACHINES_PER_ROUND: usize = 12;
 /// Maximum number of new machines in a scale-out round: as many as four requests may ask for.
 /// The next round follows within a second or two.
-pub const MAX_NEW: usize = 4 * crate::protocol::cloud::MAX_MACHINES_PER_REQUEST as usize;
+pub const MAX_NEW_MACHINES_PER_ROUND: usize =
+    4 * crate::protocol::cloud::MAX_MACHINES_PER_REQUEST as usize;
 
 /// Plans at most `max_new` machines for the demands, in the given order. Tasks that fit into
 /// `bins` need no new machine. Afterwards `bins` holds the remaining free resources, including
@@ -82,7 +83,7 @@
 /// no offer.
 pub fn plan(
     demands: &mut [Demand],
-    bins: &mut Vec<Bin>,
+    bins: &mut Vec<CapacityBin>,
     offers: &[Offer],
     max_new: usize,
 ) -> Vec<PlannedMachines> {
@@ -99,7 +100,7 @@
             new_machines += 1;
             tasks_left -= best.tasks;
             by_zone.add(best.offer.zone, best.tasks);
-            bins.push(Bin {
+            bins.push(CapacityBin {
                 type_ix: best.offer.type_ix,
                 zone: best.offer.zone,
                 spot: best.offer.spot,
@@ -149,7 +150,7 @@
 
     /// Assigns tasks to existing, booting and planned machines. Returns the number of tasks
     /// that found no capacity.
-    fn fill_bins(&self, bins: &mut [Bin], by_zone: &mut TasksByZone) -> i64 {
+    fn fill_bins(&self, bins: &mut [CapacityBin], by_zone: &mut TasksByZone) -> i64 {
         let mut tasks_left = self.count;
         for bin in bins.iter_mut() {
             if tasks_left == 0 || !self.allows(bin.type_ix, bin.zone, bin.spot) {
@@ -234,7 +235,7 @@
 /// job is done in time. `time_left_s` is the time left once a new machine is up. The number
 /// of rounds of tasks is not counted on the machines that are already up: that requests fewer
 /// machines, but too late when estimates are low.
-pub fn parallel(waiting: i64, live: i64, estimate_s: f64, time_left_s: Option<f64>) -> i64 {
+pub fn tasks_to_start(waiting: i64, live: i64, estimate_s: f64, time_left_s: Option<f64>) -> i64 {
     // Estimates are often wrong by half, and the image may have to be fetched in addition.
     let task_s = estimate_s.max(1.0) * ESTIMATE_FACTOR + FETCH_MARGIN_S;
     // If a new machine would come too late for the deadline, the default time applies: it is
--- a/src/control/provision/tests.rs
+++ b/src/control/provision/tests.rs
@@ -27,7 +27,7 @@
 
 #[test]
 fn plan_uses_booting_capacity_before_new_machines() {
-    let mut bins = vec![Bin {
+    let mut bins = vec![CapacityBin {
         type_ix: 0,
         zone: 0,
         spot: false,
@@ -53,11 +53,11 @@
 
 #[test]
 fn parallel_is_lower_when_batch_has_time_left() {
-    assert_eq!(parallel(20, 0, 30.0, Some(30.0)), 20);
-    assert_eq!(parallel(20, 0, 30.0, Some(200.0)), 5);
-    assert_eq!(parallel(20, 6, 30.0, Some(200.0)), 1);
-    assert_eq!(parallel(3, 10, 30.0, Some(400.0)), 0);
+    assert_eq!(tasks_to_start(20, 0, 30.0, Some(30.0)), 20);
+    assert_eq!(tasks_to_start(20, 0, 30.0, Some(200.0)), 5);
+    assert_eq!(tasks_to_start(20, 6, 30.0, Some(200.0)), 1);
+    assert_eq!(tasks_to_start(3, 10, 30.0, Some(400.0)), 0);
     // The time left is too short for a machine that has to boot first, so the default time
     // applies.
-    assert_eq!(parallel(20, 0, 30.0, Some(5.0)), 4);
+    assert_eq!(tasks_to_start(20, 0, 30.0, Some(5.0)), 4);
 }
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -4,7 +4,7 @@
 use pathwinch::{
     control::placement::{
         Policy,
-        fleet::{Fleet, MachineView, Request, SURPLUS},
+        fleet::{Fleet, MachineView, Request, SURPLUS_AFTER_MS},
         fragmentation, load,
     },
     options::LoadResource,
@@ -58,7 +58,7 @@
 fn chosen(machines: &[MachineView], need: Resources) -> Option<u32> {
     let mut fleet = Fleet::new(policy());
     for (machine, view) in machines.iter().enumerate() {
-        fleet.set(machine as u32, Some(view.clone()), 0);
+        fleet.update_machine(machine as u32, Some(view.clone()), 0);
     }
     let ranking = fleet.ranking(&request(need), 0);
     let choice = fleet.choose(ranking, |_| true, |_| false, |_, _| true);
@@ -143,7 +143,10 @@
             rank += 1_000_000;
         }
         let empty = view.free == view.capacity;
-        let surplus = empty && view.idle_since.is_some_and(|since| now >= since + SURPLUS);
+        let surplus = empty
+            && view
+                .idle_since
+                .is_some_and(|since| now >= since + SURPLUS_AFTER_MS);
         if surplus && !caches_image {
             rank += 1_000;
         }
@@ -234,7 +237,7 @@
         let usable = rng.u32(..8) > 0;
         self.views[machine] = usable.then_some(view);
         self.fleet
-            .set(machine as u32, self.views[machine].clone(), self.now);
+            .update_machine(machine as u32, self.views[machine].clone(), self.now);
     }
 
     fn request(&mut self) -> Request {
@@ -293,7 +296,7 @@
             chosen.push(choice.machine);
         }
         if gang && chosen.len() < tasks {
-            self.fleet.give_back(ranking, trial);
+            self.fleet.undo_trial(ranking, trial);
             return 0;
         }
         for machine in &chosen {
@@ -313,7 +316,8 @@
         if !view.images.contains(&request.image) {
             view.images.push(request.image);
         }
-        self.fleet.set(machine, Some(view.clone()), self.now);
+        self.fleet
+            .update_machine(machine, Some(view.clone()), self.now);
     }
 }
 
@@ -348,16 +352,16 @@
     let mut fleet = Fleet::new(policy());
     let wanted = request(Resources::need(2.0, 0.0, 4.0));
     for machine in 0..100 {
-        fleet.set(machine, Some(machine_view(SMALL, SMALL)), 0);
+        fleet.update_machine(machine, Some(machine_view(SMALL, SMALL)), 0);
     }
     fleet.ranking(&wanted, 0);
     for round in 0..50u32 {
         for machine in 0..100 {
             let free = (f64::from(machine % 7 + round % 2), 0.0, 32.0);
-            fleet.set(machine, Some(machine_view(SMALL, free)), 0);
+            fleet.update_machine(machine, Some(machine_view(SMALL, free)), 0);
         }
     }
-    fleet.set(42, None, 0);
+    fleet.update_machine(42, None, 0);
     let ranking = fleet.ranking(&wanted, 0);
     let expected: Vec<u32> = fleet
         .machine_views()
@@ -372,10 +376,10 @@
 fn gang_reservation_hides_capacity_until_released() {
     let mut fleet = Fleet::new(policy());
     let need = Resources::need(4.0, 0.0, 4.0);
-    fleet.set(0, Some(machine_view(SMALL, SMALL)), 0);
+    fleet.update_machine(0, Some(machine_view(SMALL, SMALL)), 0);
     fleet.withhold(0, need.scaled(2));
     // An update of the machine does not release the withheld capacity.
-    fleet.set(0, Some(machine_view(SMALL, SMALL)), 0);
+    fleet.update_machine(0, Some(machine_view(SMALL, SMALL)), 0);
     assert!(!fleet.may_fit(&need, |_, _, _| true));
     let ranking = fleet.ranking(&request(need), 0);
     assert_eq!(
--- a/tests/placement_scenarios.rs
+++ b/tests/placement_scenarios.rs
@@ -390,7 +390,14 @@
         .find(|group| group.team == "u")
         .unwrap();
     assert_eq!((group.waiting, group.late_jobs), (2, 1));
-    assert_eq!(cluster_status.fleet.iter().map(|entry| entry.up).sum::<u32>(), 2);
+    assert_eq!(
+        cluster_status
+            .fleet
+            .iter()
+            .map(|entry| entry.up)
+            .sum::<u32>(),
+        2
+    );
     sim.assert_no_violations();
 }
 
