--- a/src/control/leader/dependencies.rs
+++ b/src/control/leader/dependencies.rs
@@ -44,7 +44,7 @@
     }
 
     /// Links a job that became known to its dependencies and to the jobs that depend on it.
-    pub(super) fn link(&mut self, handle: JobHandle) {
+    pub(super) fn link_dependencies(&mut self, handle: JobHandle) {
         let Some(job) = self.cluster.job(handle) else {
             return;
         };
@@ -56,7 +56,7 @@
         if !dependencies.is_empty() {
             self.dependencies.add(handle, own_priority, dependencies);
         }
-        if self.dependencies.is_awaited(&id) {
+        if self.dependencies.has_unknown_dependents(&id) {
             let state = self.state_of_job(handle);
             self.dependencies.resolve(&id, state);
         }
@@ -118,7 +118,7 @@
 
     /// Records since when final states of dependencies have been unread, and logs when the
     /// last of them has been read.
-    pub(super) fn note_unread_dependencies(&mut self, now: Millis) {
+    pub(super) fn track_unread_dependencies(&mut self, now: Millis) {
         match (
             self.dependencies.unknown_count(),
             self.dependencies_unread_since,
@@ -160,14 +160,14 @@
 
     /// Applies the final state of a dependency that was looked up, as read from its record at
     /// the given revision.
-    pub fn dependency_ended(&mut self, status: &JobStatus, revision: u64, now: Millis) {
+    pub fn apply_dependency_state(&mut self, status: &JobStatus, revision: u64, now: Millis) {
         log::info!(
             "dependencies: job {} is {} by its record at revision {revision}, read in term {}; \
              {} jobs depend on it",
             status.id,
             status.state,
             self.term,
-            self.dependencies.awaiting(&status.id),
+            self.dependencies.dependents_of_unknown(&status.id),
         );
         self.remember_final_state(status, now);
         let state = match status.state {
--- a/src/control/leader/gang_reservation.rs
+++ b/src/control/leader/gang_reservation.rs
@@ -47,7 +47,7 @@
     pub(super) fn waits_for_capacity_only(&self, job_handle: JobHandle) -> bool {
         self.cluster.job(job_handle).is_some_and(|job| {
             (job.live_count == 0 || self.gang_to_complete(job_handle).is_some())
-                && self.within_limit(job.team, &job.need, i64::from(job.waiting_count()))
+                && self.within_team_quota(job.team, &job.need, i64::from(job.waiting_count()))
         })
     }
 
--- a/src/control/leader/loading.rs
+++ b/src/control/leader/loading.rs
@@ -49,7 +49,7 @@
                 loaded_job.failures = JobFailures::inherited_suspicion(now);
             }
         }
-        self.link(handle);
+        self.link_dependencies(handle);
         let age_ms = self.wall_ms.saturating_sub(acceptance_ms);
         if self
             .cluster
--- a/src/control/leader/mod.rs
+++ b/src/control/leader/mod.rs
@@ -204,7 +204,7 @@
             }
         }
         self.apply_dependency_changes(now);
-        self.note_unread_dependencies(now);
+        self.track_unread_dependencies(now);
         self.stop_cancelled_and_broken_gangs();
         self.checkpoint_before_reclaim();
         let backoff_expired = self
--- a/src/control/leader/preemption.rs
+++ b/src/control/leader/preemption.rs
@@ -152,7 +152,7 @@
         let mut preempted_machines = 0;
         while tasks_left > 0
             && preempted_before + preempted_machines < MAX_PREEMPTED_MACHINES
-            && self.within_limit(team, &need, 1)
+            && self.within_team_quota(team, &need, 1)
         {
             let candidate = self.cheapest_preemption(job_handle, priority, now, |z| {
                 zone_limit.is_none_or(|limit| tasks_by_zone.get(z).copied().unwrap_or(0) < limit)
--- a/src/control/leader/quotas.rs
+++ b/src/control/leader/quotas.rs
@@ -43,7 +43,7 @@
     }
 
     /// Whether the team may run `n` more tasks of this need within its quota.
-    pub(super) fn within_limit(&self, team: usize, need: &Resources, n: i64) -> bool {
+    pub(super) fn within_team_quota(&self, team: usize, need: &Resources, n: i64) -> bool {
         let unconfirmed = self
             .scheduling
             .unconfirmed_usage
@@ -55,7 +55,7 @@
 
     /// Returns how many tasks of this need, at most `n`, the team may run within its quota in
     /// addition to the planned resources.
-    pub(super) fn most_within_limit(
+    pub(super) fn max_tasks_within_team_quota(
         &self,
         team: usize,
         need: &Resources,
@@ -68,6 +68,6 @@
             .get(team)
             .copied()
             .unwrap_or_default();
-        self.cluster.max_within_quota(team, need, n, planned)
+        self.cluster.max_tasks_within_quota(team, need, n, planned)
     }
 }
--- a/src/control/leader/scale_out.rs
+++ b/src/control/leader/scale_out.rs
@@ -346,7 +346,8 @@
             }
             // Tasks beyond the team's limit need no machine yet.
             let usage = planned_usage.entry(job.team).or_default();
-            let count = self.most_within_limit(job.team, &job.need, job.waiting_count(), *usage);
+            let count =
+                self.max_tasks_within_team_quota(job.team, &job.need, job.waiting_count(), *usage);
             *usage += job.need.scaled(count);
             if count <= 0 {
                 continue;
--- a/src/control/leader/scheduling_cycle.rs
+++ b/src/control/leader/scheduling_cycle.rs
@@ -211,7 +211,7 @@
         let is_gang = job.spec.kind == Kind::Gang;
         let (team, need) = (job.team, job.need);
         let is_starving = self.is_starving(job);
-        cycle.quota_allowed_one = self.within_limit(team, &need, 1);
+        cycle.quota_allowed_one = self.within_team_quota(team, &need, 1);
         let Some(ranking) = self.ranking_for(job_handle, now) else {
             return PlacementOutcome::Placed;
         };
@@ -266,7 +266,7 @@
         }
         if !has_placement_constraint
             && cycle.quota_allowed_one
-            && self.within_limit(team, &shape.need, 1)
+            && self.within_team_quota(team, &shape.need, 1)
         {
             cycle.full_shapes.push(shape);
         }
@@ -282,7 +282,7 @@
         let reason = if is_gang && job.live_count > 0 && self.gang_to_complete(job_handle).is_none()
         {
             PendingReason::OldAttempt
-        } else if !self.within_limit(job.team, &job.need, i64::from(tasks_at_once)) {
+        } else if !self.within_team_quota(job.team, &job.need, i64::from(tasks_at_once)) {
             PendingReason::TeamLimit
         } else if has_reservation {
             PendingReason::RoomBeingMade
--- a/src/control/leader/task_placement.rs
+++ b/src/control/leader/task_placement.rs
@@ -209,7 +209,7 @@
                 return PlacementOutcome::Incomplete;
             }
             placed += 1;
-            if !self.within_limit(team, &need, 1) {
+            if !self.within_team_quota(team, &need, 1) {
                 return PlacementOutcome::Incomplete;
             }
             if !self.take_step() {
@@ -292,7 +292,7 @@
                 _ => return false,
             },
         };
-        if !self.within_limit(team, &need, missing.len() as i64) {
+        if !self.within_team_quota(team, &need, missing.len() as i64) {
             return false;
         }
         for only_zone in self.gang_zones(job_handle) {
--- a/src/server/control_loop.rs
+++ b/src/server/control_loop.rs
@@ -276,7 +276,7 @@
                     }
                     Some(Ok(Found::Final(record, version))) => {
                         metrics.count_dependency_lookup(record.state.name());
-                        leader.dependency_ended(&final_status(&id, &record), version, now);
+                        leader.apply_dependency_state(&final_status(&id, &record), version, now);
                     }
                     Some(Ok(Found::Nothing)) | None => {
                         unresolved.push(UnreadDependency::new(id, "no record"));
--- a/src/state/cluster/quota.rs
+++ b/src/state/cluster/quota.rs
@@ -22,7 +22,7 @@
 
     /// Returns how many more tasks that need `need` each, at most `tasks`, the team may
     /// run in addition to its known usage and `unconfirmed`.
-    pub fn max_within_quota(
+    pub fn max_tasks_within_quota(
         &self,
         team: usize,
         need: &Resources,
--- a/src/state/dependencies.rs
+++ b/src/state/dependencies.rs
@@ -140,7 +140,7 @@
 
     /// Whether jobs depend on an unknown job with this id. If so, pass the job's state
     /// to `resolve`.
-    pub fn is_awaited(&self, id: &str) -> bool {
+    pub fn has_unknown_dependents(&self, id: &str) -> bool {
         self.waiting_for_unknown.contains_key(id)
     }
 
@@ -150,7 +150,7 @@
     }
 
     /// Number of jobs that depend on the unknown job with this id.
-    pub fn awaiting(&self, id: &str) -> usize {
+    pub fn dependents_of_unknown(&self, id: &str) -> usize {
         self.waiting_for_unknown.get(id).map_or(0, Vec::len)
     }
 
--- a/src/state/dependencies/tests.rs
+++ b/src/state/dependencies/tests.rs
@@ -154,7 +154,7 @@
         (graph.readiness(handle(1)), graph.readiness(handle(2))),
         (Readiness::Unresolved, Readiness::Blocked)
     );
-    assert!(graph.is_awaited("j-000000"));
+    assert!(graph.has_unknown_dependents("j-000000"));
     graph.resolve("j-000000", DependencyState::Cancelled);
     assert_eq!(graph.take_changes().cancellations.len(), 19_999);
     // A dependent that is added later is cancelled as well, and stays blocked.
@@ -286,7 +286,7 @@
             Low,
             [(name(number - 1).as_str(), DependencyState::Unknown)],
         );
-        if graph.is_awaited(&name(number)) {
+        if graph.has_unknown_dependents(&name(number)) {
             graph.resolve(&name(number), DependencyState::Live(handle(number), Low));
         }
     }
--- a/tests/simulation/lookups.rs
+++ b/tests/simulation/lookups.rs
@@ -127,7 +127,7 @@
                     leader.accepted(self.store.job_record(&id, value), version, now);
                 }
                 FoundJob::Final(record, version) => {
-                    leader.dependency_ended(&final_status(&id, &record), version, now);
+                    leader.apply_dependency_state(&final_status(&id, &record), version, now);
                 }
                 FoundJob::Nothing => leader.requeue_dependency_lookups(vec![id]),
             }
