--- a/src/control/leader/fleet_view.rs
+++ b/src/control/leader/fleet_view.rs
@@ -54,7 +54,7 @@
                 .fleet
                 .update_machine_without_gain(index, view, now)
             {
-                scheduling.machines_with_gain.extend(machine);
+                scheduling.machines_with_new_capacity.extend(machine);
             }
         }
         scheduling.fleet.advance(now);
@@ -64,7 +64,7 @@
     pub(super) fn end_cycle(&mut self) {
         self.scheduling.in_cycle = false;
         self.scheduling.fleet.release_withheld();
-        for machine in std::mem::take(&mut self.scheduling.machines_with_gain) {
+        for machine in std::mem::take(&mut self.scheduling.machines_with_new_capacity) {
             self.cluster.mark_stale(machine);
         }
     }
--- a/src/control/leader/offload.rs
+++ b/src/control/leader/offload.rs
@@ -42,7 +42,7 @@
 impl Leader {
     /// Returns at most `max_offers` waiting jobs that the market client may offload, longest
     /// waiting first. Empty until recovery has settled.
-    pub fn lendable(&self, max_offers: usize) -> Vec<OffloadCandidate> {
+    pub fn offload_candidates(&self, max_offers: usize) -> Vec<OffloadCandidate> {
         // Before recovery has settled, tasks of a job may still run on a machine that has
         // sent no heartbeat.
         if !self.recovery.settled {
@@ -127,7 +127,7 @@
 
     /// Returns the offloaded jobs that the market client is to call back, of the given jobs
     /// and awards: jobs that are over, cancelled, or offloaded under another award.
-    pub fn not_needed(&self, offloaded: &[(String, u64)]) -> Vec<String> {
+    pub fn jobs_to_call_back(&self, offloaded: &[(String, u64)]) -> Vec<String> {
         let needed = |id: &str, award: u64| {
             let job = self
                 .cluster
@@ -145,7 +145,12 @@
 
     /// Requests that the offload target is recorded, and returns whether it is recorded. The
     /// write is conditional on `version`, the version of the award's record.
-    pub fn lend(&mut self, id: &str, target: OffloadTarget, version: u64) -> OffloadMark {
+    pub fn request_offload(
+        &mut self,
+        id: &str,
+        target: OffloadTarget,
+        version: u64,
+    ) -> OffloadMark {
         let Some(handle) = self.cluster.job_handle(id) else {
             return OffloadMark::No;
         };
@@ -183,7 +188,7 @@
     /// Marks the completed tasks of a job that comes back, given as ranges with both ends
     /// included, and requests the removal of its target. Returns whether the removal is
     /// durable or there is nothing to remove.
-    pub fn take_back(&mut self, id: &str, award: u64, completed: &[(u32, u32)]) -> bool {
+    pub fn return_offloaded_job(&mut self, id: &str, award: u64, completed: &[(u32, u32)]) -> bool {
         if completed.iter().any(|(first, last)| first > last) {
             return false;
         }
@@ -292,7 +297,7 @@
     /// Handles the version of an award's record as it was read. If it differs from the version
     /// on which the target's write is conditional, the target can't be recorded any more and
     /// the offload is refused.
-    pub(super) fn award_seen(&mut self, id: &str, found_version: u64) {
+    pub(super) fn check_award_version(&mut self, id: &str, found_version: u64) {
         if let Some(job) = self
             .cluster
             .job_handle(id)
--- a/src/control/leader/persistence.rs
+++ b/src/control/leader/persistence.rs
@@ -567,7 +567,7 @@
         now: Millis,
     ) {
         if let Some(id) = key.strip_prefix(AWARDS) {
-            self.award_seen(id, found.map_or(0, |(_, version)| version));
+            self.check_award_version(id, found.map_or(0, |(_, version)| version));
         } else if let Some(id) = key.strip_prefix(keys::FINALS) {
             self.reconcile_final_record(id, found, now);
         } else if let Some(id) = key.strip_prefix(keys::JOBS) {
--- a/src/control/leader/queue.rs
+++ b/src/control/leader/queue.rs
@@ -21,7 +21,7 @@
     /// Returns the waiting jobs in the order in which they are served.
     pub(super) fn queue(&mut self, now: Millis) -> Vec<JobHandle> {
         self.refresh_fleet(now);
-        let mut order = std::mem::take(&mut self.scheduling.queue_buffer);
+        let mut order = std::mem::take(&mut self.scheduling.job_order_buffer);
         order.clear();
         let jobs = self.cluster.jobs.iter();
         let schedulable = jobs.filter(|(_, job)| is_schedulable_job(job));
--- a/src/control/leader/scale_out.rs
+++ b/src/control/leader/scale_out.rs
@@ -359,7 +359,7 @@
                 demand.urgent.add(handle, job, count);
             }
         }
-        self.scheduling.queue_buffer = order;
+        self.scheduling.job_order_buffer = order;
         demand
     }
 
--- a/src/control/leader/scheduling.rs
+++ b/src/control/leader/scheduling.rs
@@ -22,7 +22,7 @@
     /// first. The first ones are the placement policy's shapes if none are configured.
     pub(super) seen_shapes: Vec<(Resources, u64)>,
     /// Allocation reused for the job order of the next cycle.
-    pub(super) queue_buffer: Vec<JobHandle>,
+    pub(super) job_order_buffer: Vec<JobHandle>,
     /// Recent job arrivals: arrival time, index into `classes`, number of tasks.
     pub(super) arrivals: VecDeque<(Millis, usize, u32)>,
     /// Distinct job classes seen in this term, for headroom.
@@ -44,7 +44,7 @@
     /// Whether a scheduling cycle is running or interrupted.
     pub(super) in_cycle: bool,
     /// Machines on which capacity became free since the current cycle began.
-    pub(super) machines_with_gain: BTreeSet<MachineHandle>,
+    pub(super) machines_with_new_capacity: BTreeSet<MachineHandle>,
     /// Number of steps left before the current cycle is interrupted.
     pub(super) steps_left: u32,
 }
@@ -55,11 +55,11 @@
             fleet: Fleet::new(policy.clone()),
             interrupted_cycle: None,
             in_cycle: false,
-            machines_with_gain: BTreeSet::new(),
+            machines_with_new_capacity: BTreeSet::new(),
             steps_left: 0,
             policy,
             seen_shapes: Vec::new(),
-            queue_buffer: Vec::new(),
+            job_order_buffer: Vec::new(),
             arrivals: VecDeque::new(),
             classes: Vec::new(),
             next_drain_at: 0,
--- a/src/control/leader/scheduling_cycle.rs
+++ b/src/control/leader/scheduling_cycle.rs
@@ -80,7 +80,7 @@
             }
             cycle.next += 1;
         }
-        self.scheduling.queue_buffer = std::mem::take(&mut cycle.order);
+        self.scheduling.job_order_buffer = std::mem::take(&mut cycle.order);
         // Capacity that became free during this cycle is not offered before the next one.
         self.refresh_fleet(now);
         if self.recovery.most_machines_confirmed(now) {
@@ -103,7 +103,7 @@
             for handle in &order {
                 self.set_reason(*handle, PendingReason::NoRoom);
             }
-            self.scheduling.queue_buffer = order;
+            self.scheduling.job_order_buffer = order;
             return None;
         }
         let headroom_ahead_ms = millis(self.options.keep_s);
--- a/src/control/leader/victims.rs
+++ b/src/control/leader/victims.rs
@@ -108,7 +108,10 @@
         let job = self.cluster.job(job_handle)?;
         let machine = self.cluster.machine(machine_handle)?;
         let allowed = machine.schedulable()
-            && !self.scheduling.machines_with_gain.contains(&machine_handle)
+            && !self
+                .scheduling
+                .machines_with_new_capacity
+                .contains(&machine_handle)
             && machine.reserved_for.is_none_or(|(_, until)| now >= until)
             && job.allows(machine)
             && job.need.fits(&machine.capacity);
--- a/src/server/market.rs
+++ b/src/server/market.rs
@@ -29,8 +29,8 @@
     pub(super) fn offload_candidates(&self, offloaded: &[(String, u64)]) -> Reply {
         self.with_authority(|leader, _| {
             leader.loaded().then(|| Reply::OffloadCandidates {
-                jobs: leader.lendable(MAX_OFFLOAD_CANDIDATES),
-                recall: leader.not_needed(offloaded),
+                jobs: leader.offload_candidates(MAX_OFFLOAD_CANDIDATES),
+                recall: leader.jobs_to_call_back(offloaded),
             })
         })
         .flatten()
@@ -57,7 +57,7 @@
                 if !leader.loaded() {
                     return None;
                 }
-                let mark = leader.lend(id, target.clone(), version);
+                let mark = leader.request_offload(id, target.clone(), version);
                 Some((mark, mark != OffloadMark::NotYet))
             })
             .flatten()
@@ -73,7 +73,7 @@
                 if !leader.loaded() {
                     return None;
                 }
-                let ended = leader.take_back(id, award, done);
+                let ended = leader.return_offloaded_job(id, award, done);
                 Some((ended, ended))
             })
             .flatten()
--- a/tests/offload.rs
+++ b/tests/offload.rs
@@ -57,7 +57,7 @@
 
 fn offload(sim: &mut Simulation, award: u64, version: u64) -> OffloadMark {
     for _ in 0..100 {
-        let mark = current_leader(sim).lend(ID, target(award), version);
+        let mark = current_leader(sim).request_offload(ID, target(award), version);
         if mark != OffloadMark::NotYet {
             return mark;
         }
@@ -66,9 +66,9 @@
     OffloadMark::NotYet
 }
 
-fn take_back(sim: &mut Simulation, award: u64, done: &[(u32, u32)]) {
+fn return_offloaded_job(sim: &mut Simulation, award: u64, done: &[(u32, u32)]) {
     sim.run_until(5_000, "job taken back", |sim| {
-        current_leader(sim).take_back(ID, award, done)
+        current_leader(sim).return_offloaded_job(ID, award, done)
     });
 }
 
@@ -114,9 +114,9 @@
         (0, Some(JobState::Queued))
     );
     // Two tasks come back done; the other two run locally.
-    take_back(&mut sim, 7, &[(1, 2)]);
+    return_offloaded_job(&mut sim, 7, &[(1, 2)]);
     sim.run_until(30_000, "others run", |sim| sim.running(ID) == 2);
-    take_back(&mut sim, 7, &[(0, 3)]);
+    return_offloaded_job(&mut sim, 7, &[(0, 3)]);
     assert_eq!(sim.running(ID), 2, "a repeated return changes nothing");
     sim.assert_no_violations();
 }
@@ -126,9 +126,9 @@
     let mut sim = with_waiting_job();
     let version = write_award_record(&mut sim, false);
     assert_eq!(offload(&mut sim, 7, version), OffloadMark::Yes);
-    take_back(&mut sim, 7, &[(0, 3)]);
+    return_offloaded_job(&mut sim, 7, &[(0, 3)]);
     sim.run_until(5_000, "done", |sim| sim.poll(0, ID) == Some(JobState::Done));
-    take_back(&mut sim, 7, &[]);
+    return_offloaded_job(&mut sim, 7, &[]);
     assert_eq!(sim.poll(1, ID), Some(JobState::Done));
 }
 
@@ -153,7 +153,7 @@
         let mut sim = with_waiting_job();
         let version = write_award_record(&mut sim, false);
         sim.store.late_writes = vec![4_000];
-        current_leader(&mut sim).lend(ID, target(7), version);
+        current_leader(&mut sim).request_offload(ID, target(7), version);
         if award_ends {
             sim.run(200);
             write_award_record(&mut sim, true);
@@ -161,7 +161,7 @@
         free_capacity(&mut sim);
         if award_ends {
             sim.run_until(40_000, "local start", |sim| sim.running(ID) > 0);
-            assert!(current_leader(&mut sim).take_back(ID, 7, &[]));
+            assert!(current_leader(&mut sim).return_offloaded_job(ID, 7, &[]));
         } else {
             assert_eq!(offload(&mut sim, 7, version), OffloadMark::Yes);
             assert_eq!(sim.running(ID), 0);
@@ -177,28 +177,32 @@
     let node = sim.leader().unwrap();
     let leader_state = sim.nodes[node].leader.as_mut().unwrap();
     assert_eq!(
-        leader_state.lend("j-000002", target(9), version),
+        leader_state.request_offload("j-000002", target(9), version),
         OffloadMark::No
     );
     assert_eq!(
-        leader_state.lend("j-000009", target(9), version),
+        leader_state.request_offload("j-000009", target(9), version),
         OffloadMark::No
     );
     let offered: Vec<String> = leader_state
-        .lendable(10)
+        .offload_candidates(10)
         .into_iter()
         .map(|candidate| candidate.spec.id)
         .collect();
     assert_eq!(offered, [ID]);
     assert_eq!(offload(&mut sim, 7, version), OffloadMark::Yes);
     let offloaded = [(ID.to_owned(), 7)];
-    assert!(current_leader(&mut sim).lendable(10).is_empty());
-    assert!(current_leader(&mut sim).not_needed(&offloaded).is_empty());
+    assert!(current_leader(&mut sim).offload_candidates(10).is_empty());
+    assert!(
+        current_leader(&mut sim)
+            .jobs_to_call_back(&offloaded)
+            .is_empty()
+    );
     sim.cancel(ID);
     sim.run(2_000);
-    assert_eq!(current_leader(&mut sim).not_needed(&offloaded), [ID]);
+    assert_eq!(current_leader(&mut sim).jobs_to_call_back(&offloaded), [ID]);
     assert_eq!(sim.poll(0, ID), Some(JobState::Cancelled));
-    take_back(&mut sim, 7, &[(0, 3)]);
+    return_offloaded_job(&mut sim, 7, &[(0, 3)]);
     assert_eq!(
         sim.poll(0, ID),
         Some(JobState::Cancelled),
@@ -224,12 +228,12 @@
     let revision_before = sim.store.revision;
     for (index, id) in ids.iter().enumerate() {
         let version = if index == 2 { version - 1 } else { version };
-        current_leader(&mut sim).lend(id, target(7), version);
+        current_leader(&mut sim).request_offload(id, target(7), version);
     }
     sim.run(2_000);
     let marks: Vec<OffloadMark> = ids
         .iter()
-        .map(|id| current_leader(&mut sim).lend(id, target(7), version))
+        .map(|id| current_leader(&mut sim).request_offload(id, target(7), version))
         .collect();
     let mut expected = [OffloadMark::Yes; 6];
     expected[2] = OffloadMark::No;
