--- a/examples/limits/main.rs
+++ b/examples/limits/main.rs
@@ -217,7 +217,7 @@
                 .take_replica(2)
                 .context("the standby has no complete replica")?;
             for _ in 0..count {
-                std::hint::black_box(replica.latest_first());
+                std::hint::black_box(replica.placements_latest_first());
                 let mut leader = loaded_leader(size, size / 5 + 1)?;
                 leader.set_inherited_replica(7, Some(replica.clone()));
                 leader.load_standbys(Some((
--- a/src/control/leader/failover.rs
+++ b/src/control/leader/failover.rs
@@ -57,7 +57,7 @@
     /// Loads the standby record as it was read in this term.
     pub fn load_standbys(&mut self, found: Option<(StandbyRecord, u64)>) {
         self.recovery.failover.record = found.as_ref().map(|(r, _)| r.clone());
-        self.standbys.loaded(found);
+        self.standbys.registry_loaded(found);
     }
 
     /// Whether this leader took over warm.
@@ -87,7 +87,7 @@
             return;
         };
         let claim = FailoverClaim {
-            me: &self.settings.name,
+            node_name: &self.settings.name,
             incarnation,
             record: self.recovery.failover.record.as_ref(),
             replica: replica.as_ref(),
@@ -118,7 +118,7 @@
     /// cluster state. Confirmed machines have reported their tasks themselves. Returns
     /// the number of restored tasks and the number of unconfirmed machines.
     fn restore_from_replica(&mut self, replica: &Replica, now: Millis) -> (usize, usize) {
-        let all = replica.latest_first();
+        let all = replica.placements_latest_first();
         // Guards against running a task again that completed before the previous
         // leader could record it.
         for (_, job, ReplicatedTask(task, ..)) in all
@@ -216,12 +216,13 @@
         }
         let all_tasks_known = self.recovery.knows_all_tasks();
         self.standbys
-            .step(&mut self.cluster, all_tasks_known, answers, now)
+            .select_and_record(&mut self.cluster, all_tasks_known, answers, now)
     }
 
     /// Applies the outcome of the write of the standby record.
     pub fn standbys_written(&mut self, outcome: RegistryWriteOutcome, now: Millis) {
-        self.recovery.failover.starts_released |= self.standbys.written(outcome, now);
+        self.recovery.failover.starts_released |=
+            self.standbys.registry_write_finished(outcome, now);
     }
 
     /// Returns the number of standbys that are warm.
@@ -237,7 +238,7 @@
 
     /// Returns the next part of the replication stream to a peer, if there is one to send.
     pub fn next_replication_part(&mut self, peer: usize, now: Millis) -> Option<ReplicationPart> {
-        self.standbys.next(peer, &mut self.cluster, now)
+        self.standbys.next_part(peer, &mut self.cluster, now)
     }
 
     /// Applies a peer's response to a part: the peer's incarnation, and whether it applied
--- a/src/control/standby/failover_checks.rs
+++ b/src/control/standby/failover_checks.rs
@@ -58,7 +58,7 @@
 /// The input of the checks.
 pub struct FailoverClaim<'a> {
     /// Name of this node.
-    pub me: &'a str,
+    pub node_name: &'a str,
     /// Incarnation of this node.
     pub incarnation: u64,
     /// The record as read in this term, since when no other node can have changed it.
@@ -70,7 +70,7 @@
 impl Check {
     fn step(self, claim: &FailoverClaim) -> Result<Check, ColdReason> {
         let names = claim.record.map_or(&[][..], |r| &r.named);
-        let own_entry = names.iter().find(|(name, _)| name == claim.me);
+        let own_entry = names.iter().find(|(name, _)| name == claim.node_name);
         match (self, own_entry) {
             (Check::StandbyNamed, _) if names.is_empty() => Err(ColdReason::NoStandbyNamed),
             (Check::StandbyNamed, _) => Ok(Check::OwnName),
--- a/src/control/standby/failover_checks/tests.rs
+++ b/src/control/standby/failover_checks/tests.rs
@@ -15,7 +15,7 @@
     };
     let check_failover = |record: Option<StandbyRecord>, replica: Option<Replica>| {
         check_failover(&FailoverClaim {
-            me: "n1",
+            node_name: "n1",
             incarnation: 7,
             record: record.as_ref(),
             replica: replica.as_ref(),
--- a/src/control/standby/mod.rs
+++ b/src/control/standby/mod.rs
@@ -42,9 +42,9 @@
 /// The replicated state: the tasks that run, or may run, on machines.
 pub trait ReplicatedState {
     /// Number of changes so far.
-    fn changes(&self) -> u64;
+    fn change_count(&self) -> u64;
     /// The latest change whose start command was sent.
-    fn sent(&self) -> u64;
+    fn latest_sent_change(&self) -> u64;
     /// The tasks that run, or may run, on the machine.
     fn tasks_on(&self, machine: &str) -> MachineTasks;
     /// Machines on which any task runs or may run.
@@ -55,10 +55,10 @@
 }
 
 impl ReplicatedState for ClusterState {
-    fn changes(&self) -> u64 {
+    fn change_count(&self) -> u64 {
         self.change_count
     }
-    fn sent(&self) -> u64 {
+    fn latest_sent_change(&self) -> u64 {
         self.latest_sent_change
     }
     fn tasks_on(&self, machine: &str) -> MachineTasks {
@@ -121,7 +121,7 @@
     }
 
     /// Takes over the record as an earlier leader left it.
-    pub fn loaded(&mut self, found: Option<(StandbyRecord, u64)>) {
+    pub fn registry_loaded(&mut self, found: Option<(StandbyRecord, u64)>) {
         self.registry = StandbyRegistry::from_stored(found);
     }
 
@@ -150,7 +150,7 @@
     /// Each standby in the new record must know all tasks started so far, and counts
     /// from now on: no task may be started between the selection of the standbys and
     /// the planning of the write.
-    pub fn step(
+    pub fn select_and_record(
         &mut self,
         state: &mut impl ReplicatedState,
         complete: bool,
@@ -220,7 +220,7 @@
         let ready = |peer: &&usize| {
             let stream = &self.streams[**peer];
             supported_by_all
-                && stream.is_warm(state.sent())
+                && stream.is_warm(state.latest_sent_change())
                 && stream.is_same_incarnation(named(stream))
         };
         let names = selected
@@ -254,7 +254,7 @@
 
     /// Returns the next part to send to a peer, if any. One part is in flight at a
     /// time.
-    pub fn next(
+    pub fn next_part(
         &mut self,
         peer: usize,
         state: &mut impl ReplicatedState,
@@ -290,7 +290,7 @@
 
     /// Applies the outcome of the write of the record. Returns whether more starts may
     /// be sent now.
-    pub fn written(&mut self, outcome: RegistryWriteOutcome, now: Millis) -> bool {
+    pub fn registry_write_finished(&mut self, outcome: RegistryWriteOutcome, now: Millis) -> bool {
         let before = self.confirmed_change();
         self.registry.write_finished(outcome, now);
         self.confirmed_change() > before
--- a/src/control/standby/replica.rs
+++ b/src/control/standby/replica.rs
@@ -111,7 +111,7 @@
     /// Returns machine, job and task, ordered by the change that placed the task, the
     /// latest first. If a task is listed on two machines, the later placement is valid,
     /// as the task had left the other machine by then.
-    pub fn latest_first(&self) -> Vec<(&str, &str, ReplicatedTask)> {
+    pub fn placements_latest_first(&self) -> Vec<(&str, &str, ReplicatedTask)> {
         let mut all: Vec<(&str, &str, ReplicatedTask)> = Vec::new();
         for (machine, jobs) in &self.machines {
             for (job, tasks) in jobs {
--- a/src/control/standby/replication_stream.rs
+++ b/src/control/standby/replication_stream.rs
@@ -179,7 +179,7 @@
         self.part = 0;
         self.changed_machines.clear();
         self.round = Some(Round {
-            up_to_change: state.changes(),
+            up_to_change: state.change_count(),
             remaining: state.occupied_machines(),
         });
     }
@@ -222,7 +222,7 @@
                 return None;
             }
             self.round = Some(Round {
-                up_to_change: state.changes(),
+                up_to_change: state.change_count(),
                 remaining: std::mem::take(&mut self.changed_machines),
             });
         }
--- a/tests/failover.rs
+++ b/tests/failover.rs
@@ -55,10 +55,10 @@
 }
 
 impl ReplicatedState for OneMachine {
-    fn changes(&self) -> u64 {
+    fn change_count(&self) -> u64 {
         self.changes
     }
-    fn sent(&self) -> u64 {
+    fn latest_sent_change(&self) -> u64 {
         self.sent
     }
     fn tasks_on(&self, machine: &str) -> MachineTasks {
@@ -320,7 +320,9 @@
                         RegistryWriteOutcome::Reread(found),
                         RegistryWriteOutcome::Done,
                     );
-                    leadership.standbys.written(write_outcome, now);
+                    leadership
+                        .standbys
+                        .registry_write_finished(write_outcome, now);
                 }
             }
         }
@@ -365,20 +367,20 @@
         }
         leadership.loaded = true;
         let claim = FailoverClaim {
-            me: &name(node_id),
+            node_name: &name(node_id),
             incarnation,
             record: record.as_ref().map(|(r, _)| r),
             replica: leadership.inherited_replica.as_ref(),
         };
         if failover_checks::check_failover(&claim).is_ok() {
             let replica = leadership.inherited_replica.take().unwrap_or_default();
-            for (_, _, ReplicatedTask(task, attempt, ..)) in replica.latest_first() {
+            for (_, _, ReplicatedTask(task, attempt, ..)) in replica.placements_latest_first() {
                 leadership.cluster_state.put(task, attempt, true);
             }
             leadership.complete = true;
         }
         leadership.inherited_replica = None;
-        leadership.standbys.loaded(record);
+        leadership.standbys.registry_loaded(record);
         true
     }
 
@@ -442,7 +444,7 @@
         }
         let peers: Vec<usize> = (0..NODES).filter(|standby| *standby != node_id).collect();
         let responds = |peer_index: usize| Some(peers[peer_index]) != unresponsive;
-        let txn = leadership.standbys.step(
+        let txn = leadership.standbys.select_and_record(
             &mut leadership.cluster_state,
             leadership.complete,
             responds,
@@ -463,7 +465,7 @@
             if let Some(part) =
                 leadership
                     .standbys
-                    .next(peer_index, &mut leadership.cluster_state, now)
+                    .next_part(peer_index, &mut leadership.cluster_state, now)
             {
                 leadership.parts_in_flight[*standby] = Some((part.stream, part.part));
                 // Bounds the states of a former leader, which would begin new streams forever.
@@ -505,7 +507,7 @@
         leadership.write_in_flight = false;
         leadership
             .standbys
-            .written(RegistryWriteOutcome::Reread(found), now);
+            .registry_write_finished(RegistryWriteOutcome::Reread(found), now);
         self.now += 250;
         true
     }
