--- a/src/control/acceptance_feed.rs
+++ b/src/control/acceptance_feed.rs
@@ -12,7 +12,7 @@
 #[derive(Debug, PartialEq)]
 pub enum Next {
     /// These entries were written: look up their jobs, then continue the watch.
-    Look(Vec<String>),
+    LookUp(Vec<String>),
     /// The position is older than the revisions that the watch still provides: list the
     /// entries, then continue the watch from the revision of the list.
     List,
@@ -50,7 +50,7 @@
             (200, Ok(watched)) => {
                 self.revision = watched.revision;
                 let entries = watched.events.into_iter().filter_map(|event| event.put);
-                Next::Look(entries.collect())
+                Next::LookUp(entries.collect())
             }
             (410, _) => Next::List,
             _ => Next::Pause,
--- a/src/control/acceptance_feed/tests.rs
+++ b/src/control/acceptance_feed/tests.rs
@@ -6,7 +6,7 @@
     let body = br#"{"ledger_rev":9,"log":[{"set":"n/j-000001","key_rev":8},{"drop":"n/x"}]}"#;
     assert_eq!(
         feed.answered(200, body),
-        Next::Look(vec!["n/j-000001".to_owned()])
+        Next::LookUp(vec!["n/j-000001".to_owned()])
     );
     assert_eq!(feed.answered(410, b"{}"), Next::List);
     feed.listed(20_000);
--- a/src/control/requests/cancel.rs
+++ b/src/control/requests/cancel.rs
@@ -31,8 +31,10 @@
         view: &mut NodeView,
     ) -> Next {
         match event {
-            Event::Begin if id.is_empty() => Next::Answer(Answer::Refused(404, NO_SUCH_JOB.into())),
-            Event::Begin => match (view.known_final_status(id), view.acting_leader()) {
+            Event::Arrived if id.is_empty() => {
+                Next::Answer(Answer::Refused(404, NO_SUCH_JOB.into()))
+            }
+            Event::Arrived => match (view.known_final_status(id), view.acting_leader()) {
                 (Some(status), _) => Next::Answer(Answer::known(status)),
                 (None, Some(leader)) if !leader.loaded() => {
                     Next::Answer(Answer::later(RECORDS_LOADING))
@@ -77,7 +79,7 @@
             (Some(Withheld::DependenciesUnread), None) | (None, Some(_)) => {
                 self.request_record(id, view)
             }
-            _ => Next::Look(vec![id.to_owned()]),
+            _ => Next::LookUp(vec![id.to_owned()]),
         }
     }
 
--- a/src/control/requests/mod.rs
+++ b/src/control/requests/mod.rs
@@ -25,7 +25,7 @@
 mod tests;
 mod view;
 
-pub use poll::polled;
+pub use poll::answer_peer_polls;
 pub use provenance::{Provenance, Reading, Source};
 pub use request::Request;
 pub use view::NodeView;
@@ -60,7 +60,7 @@
     /// The job is done or cancelled.
     Final(FinalRecord, u64),
     /// The job has no record.
-    Nothing,
+    NoRecord,
 }
 
 /// Results of reads by job id; a missing job was never accepted.
@@ -70,7 +70,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum TxnResult {
     /// The transaction was applied at this revision.
-    Done(u64),
+    Applied(u64),
     /// The transaction was not applied. Lists the keys whose versions differ.
     Conflict(Vec<String>),
     /// The transaction was not applied: it was refused, or not sent.
@@ -158,7 +158,7 @@
 #[derive(Debug)]
 pub enum Event {
     /// The request has arrived.
-    Begin,
+    Arrived,
     /// The leader's answer to the poll of a job.
     LeaderReplied(Reading),
     /// The job's state according to the records.
@@ -166,7 +166,7 @@
     /// The leader's answer to a forwarded request; `None` if there is none.
     Forwarded(Option<Answer>),
     /// Whether every controller runs this version.
-    Versions(bool),
+    VersionsChecked(bool),
     /// The records of the jobs that were looked up.
     LookupResults(LookupResults),
     /// The outcome of the write.
@@ -186,7 +186,7 @@
     /// leader.
     NotLeading,
     /// Do nothing: the request is finished, and no user waits for an answer.
-    Over,
+    Finished,
     /// Ask the leader for the job's status.
     AskLeader,
     /// Read the job's status from the records, in a batch with other jobs.
@@ -194,9 +194,9 @@
     /// Forward the request to the leader.
     Forward,
     /// Check whether every controller runs this version.
-    Versions,
+    CheckVersions,
     /// Read the records of these jobs.
-    Look(Vec<String>),
+    LookUp(Vec<String>),
     /// Perform this write; the flag tells whether it may wait for the write budget.
     Write(Txn, bool),
     /// Pause for this duration.
--- a/src/control/requests/poll.rs
+++ b/src/control/requests/poll.rs
@@ -12,8 +12,8 @@
 /// Performs one step of a poll.
 pub(super) fn step(id: &str, event: Event, view: &mut NodeView) -> Next {
     match event {
-        Event::Begin if id.is_empty() => Next::Answer(Answer::Refused(404, NO_SUCH_JOB.into())),
-        Event::Begin => begin(id, view),
+        Event::Arrived if id.is_empty() => Next::Answer(Answer::Refused(404, NO_SUCH_JOB.into())),
+        Event::Arrived => begin(id, view),
         Event::LeaderReplied(reading) => match reading.status {
             Some(status) => Next::Answer(Answer::known(status)),
             None => Next::ReadState,
@@ -52,7 +52,10 @@
 /// Returns the leader's answers to polls received by its peers, by job: state, number
 /// of tasks done, number of tasks running. `None` if this node is not the leader, or
 /// has not loaded the records.
-pub fn polled(view: &mut NodeView, ids: &[String]) -> Option<Vec<Option<(JobState, u32, u32)>>> {
+pub fn answer_peer_polls(
+    view: &mut NodeView,
+    ids: &[String],
+) -> Option<Vec<Option<(JobState, u32, u32)>>> {
     let now = view.now;
     let leader = view.acting_leader().filter(|leader| leader.loaded())?;
     let answer_for = |id: &String| {
--- a/src/control/requests/provenance.rs
+++ b/src/control/requests/provenance.rs
@@ -35,7 +35,7 @@
     #[default]
     Memory,
     /// The leader's cluster state, read at the leader itself.
-    Picture,
+    ClusterState,
     /// The leader's answer, received by another node.
     Leader,
     /// The records in the state service.
@@ -49,7 +49,7 @@
     pub fn text(self) -> &'static str {
         match self {
             Source::Memory => "remembered end",
-            Source::Picture => "leader's picture",
+            Source::ClusterState => "leader's picture",
             Source::Leader => "leader's word",
             Source::Record => "record",
             Source::Write => "own write",
@@ -79,7 +79,7 @@
 
     pub(super) fn cluster_state(now: Millis) -> Provenance {
         Provenance {
-            source: Source::Picture,
+            source: Source::ClusterState,
             read_at: now,
             revision: None,
         }
@@ -104,7 +104,7 @@
                 });
                 basis(Source::Record, requested_at, version)
             }
-            Event::Wrote(TxnResult::Done(version)) => {
+            Event::Wrote(TxnResult::Applied(version)) => {
                 basis(Source::Write, requested_at, Some(*version))
             }
             _ if leads => Provenance::cluster_state(now),
--- a/src/control/requests/settle.rs
+++ b/src/control/requests/settle.rs
@@ -27,32 +27,32 @@
         let now = view.now;
         // This node no longer leads; the next leader reads the records.
         let Some(leader) = view.of_term(self.term) else {
-            return Next::Over;
+            return Next::Finished;
         };
         match event {
-            Event::Begin => self.pause(),
-            Event::Waited if leader.status(id).is_some() => Next::Over,
-            Event::Waited => Next::Look(vec![id.to_owned()]),
+            Event::Arrived => self.pause(),
+            Event::Waited if leader.status(id).is_some() => Next::Finished,
+            Event::Waited => Next::LookUp(vec![id.to_owned()]),
             Event::LookupResults(mut results) => match results.remove(id) {
                 Some(Ok(Found::Live(record, version))) => {
                     log::info!(
                         "job {id}: the leader adopts an acceptance whose write had an unknown outcome"
                     );
                     leader.accepted(*record, version, now);
-                    Next::Over
+                    Next::Finished
                 }
                 _ => {
                     self.reads += 1;
                     self.pause()
                 }
             },
-            _ => Next::Over,
+            _ => Next::Finished,
         }
     }
 
     fn pause(&self) -> Next {
         READ_PAUSES_MS
             .get(self.reads)
-            .map_or(Next::Over, |ms| Next::Wait(*ms))
+            .map_or(Next::Finished, |ms| Next::Wait(*ms))
     }
 }
--- a/src/control/requests/submit.rs
+++ b/src/control/requests/submit.rs
@@ -91,10 +91,12 @@
         view: &mut NodeView,
     ) -> Next {
         match (std::mem::replace(&mut self.stage, Stage::Start), event) {
-            (_, Event::Begin) => self.begin(id, forwarded, view),
-            (_, Event::Versions(true)) if self.led_at_start => self.check_dependencies(id, view),
-            (_, Event::Versions(true)) => self.forward(),
-            (_, Event::Versions(false)) => Next::Answer(Answer::later(NOT_UPGRADED)),
+            (_, Event::Arrived) => self.begin(id, forwarded, view),
+            (_, Event::VersionsChecked(true)) if self.led_at_start => {
+                self.check_dependencies(id, view)
+            }
+            (_, Event::VersionsChecked(true)) => self.forward(),
+            (_, Event::VersionsChecked(false)) => Next::Answer(Answer::later(NOT_UPGRADED)),
             (Stage::Forwarded, Event::Forwarded(Some(answer))) => Next::Answer(answer),
             (Stage::Forwarded, Event::Forwarded(None)) => self.submit_without_leader(id, view),
             (_, Event::OverBudget) => Next::Answer(Answer::later(BUSY)),
@@ -114,7 +116,7 @@
             (Stage::Dependencies, Event::LookupResults(results)) => {
                 self.dependencies_looked_up(id, results, view)
             }
-            (Stage::SpecChunks(term, chunks, remaining), Event::Wrote(TxnResult::Done(_))) => {
+            (Stage::SpecChunks(term, chunks, remaining), Event::Wrote(TxnResult::Applied(_))) => {
                 self.write_chunk(term, chunks, remaining, true, view)
             }
             (Stage::Record(term, record), Event::Wrote(result)) => {
@@ -144,7 +146,7 @@
             (true, _) => self.submit_as_leader(id, view),
             // A leader of an older version would accept the job and start it at once,
             // ignoring its dependencies.
-            (false, true) => Next::Versions,
+            (false, true) => Next::CheckVersions,
             (false, false) => self.forward(),
         }
     }
@@ -183,7 +185,7 @@
             return Next::Answer(answer_if_unknown);
         }
         self.stage = Stage::JobLookup(answer_if_unknown);
-        Next::Look(vec![id.to_owned()])
+        Next::LookUp(vec![id.to_owned()])
     }
 
     /// Answers with the result of the lookup. The state of a job that depends on others
@@ -228,7 +230,7 @@
             .as_ref()
             .is_ok_and(|s| !s.dependencies.is_empty());
         match has_dependencies && !view.upgraded {
-            true => Next::Versions,
+            true => Next::CheckVersions,
             false => self.check_dependencies(id, view),
         }
     }
@@ -246,7 +248,7 @@
             Ok(unknown) if unknown.is_empty() => self.accept(view),
             Ok(unknown) => {
                 self.stage = Stage::Dependencies;
-                Next::Look(unknown)
+                Next::LookUp(unknown)
             }
         }
     }
@@ -269,7 +271,7 @@
                 Some(Ok(Found::Live(r, _))) if r.spec.kind == Kind::Service => {
                     refuse_service(&dependency)
                 }
-                Some(Ok(Found::Nothing)) | None => {
+                Some(Ok(Found::NoRecord)) | None => {
                     Answer::Refused(422, format!("waits_on: {dependency} was never accepted"))
                 }
                 Some(Err(e)) => return Next::Answer(Answer::records_unreadable(&e)),
@@ -372,7 +374,7 @@
         match &self.parsed {
             Ok(spec) if !spec.dependencies.is_empty() => {
                 self.stage = Stage::Dependencies;
-                Next::Look(spec.dependencies.clone())
+                Next::LookUp(spec.dependencies.clone())
             }
             _ => self.accept_without_leader(view),
         }
@@ -406,7 +408,7 @@
         view: &mut NodeView,
     ) -> Next {
         match (result, term) {
-            (TxnResult::Done(version), _) => {
+            (TxnResult::Applied(version), _) => {
                 // The job is recorded whether or not this node still leads, and the
                 // next leader will read the record.
                 let (status, now) = (record.status(), view.now);
--- a/src/control/requests/tests.rs
+++ b/src/control/requests/tests.rs
@@ -95,7 +95,7 @@
         let mut final_states = FinalStates::default();
         let mut poll = Request::poll(ID);
         assert!(matches!(
-            step(&mut poll, Event::Begin, &mut final_states),
+            step(&mut poll, Event::Arrived, &mut final_states),
             Next::AskLeader
         ));
         let event = match relayed {
@@ -115,7 +115,7 @@
     let body = format!(r#"{{"ref":"{ID}"}}"#);
     let mut submit = Request::submit(body.as_bytes(), false);
     assert!(matches!(
-        step(&mut submit, Event::Begin, &mut final_states),
+        step(&mut submit, Event::Arrived, &mut final_states),
         Next::Forward
     ));
     ended(&mut final_states);
@@ -134,7 +134,7 @@
 fn known_final_state_answers_every_request() {
     let mut final_states = FinalStates::default();
     let mut poll = Request::poll(ID);
-    step(&mut poll, Event::Begin, &mut final_states);
+    step(&mut poll, Event::Arrived, &mut final_states);
     let next = step(
         &mut poll,
         leader_replied(Some(JobState::Done)),
@@ -147,7 +147,7 @@
         Request::submit(body.as_bytes(), false),
         Request::cancel(ID, false),
     ] {
-        let next = step(&mut request, Event::Begin, &mut final_states);
+        let next = step(&mut request, Event::Arrived, &mut final_states);
         assert_eq!(state_of(next), JobState::Done);
     }
 }
@@ -156,7 +156,7 @@
 fn invalid_job_id_is_rejected_without_lookup() {
     let mut final_states = FinalStates::default();
     for mut request in [Request::poll("j-1"), Request::cancel("j-1", false)] {
-        let next = step(&mut request, Event::Begin, &mut final_states);
+        let next = step(&mut request, Event::Arrived, &mut final_states);
         assert!(matches!(next, Next::Answer(Answer::Refused(404, _))));
     }
 }
@@ -192,7 +192,7 @@
     for late in [MAX_READING_AGE_MS, MAX_READING_AGE_MS + 1] {
         let mut final_states = FinalStates::default();
         let mut poll = Request::poll(ID);
-        step_at(0, &mut poll, Event::Begin, &mut final_states);
+        step_at(0, &mut poll, Event::Arrived, &mut final_states);
         let reply = leader_replied(Some(JobState::Running));
         let next = step_at(late, &mut poll, reply, &mut final_states);
         if late == MAX_READING_AGE_MS {
@@ -211,7 +211,7 @@
     }
     let mut final_states = FinalStates::default();
     let mut poll = Request::poll(ID);
-    step_at(0, &mut poll, Event::Begin, &mut final_states);
+    step_at(0, &mut poll, Event::Arrived, &mut final_states);
     let (mut now, mut event) = (0, leader_replied(Some(JobState::Running)));
     for _ in 0..request::MAX_STALE_READS {
         now += 2 * MAX_READING_AGE_MS;
@@ -235,7 +235,7 @@
     let mut final_states = FinalStates::default();
     let body = format!(r#"{{"ref":"{ID}"}}"#);
     let mut submit = Request::submit(body.as_bytes(), false);
-    step_at(0, &mut submit, Event::Begin, &mut final_states);
+    step_at(0, &mut submit, Event::Arrived, &mut final_states);
     let refused = Answer::Refused(400, "pieces is missing".into());
     let event = Event::Forwarded(Some(refused));
     let next = step_at(
@@ -262,7 +262,7 @@
 fn final_state_read_is_held_then_answered_immediately() {
     let mut final_states = FinalStates::default();
     let mut poll = Request::poll(ID);
-    step_at(0, &mut poll, Event::Begin, &mut final_states);
+    step_at(0, &mut poll, Event::Arrived, &mut final_states);
     let read = read_at(0, JobState::Done);
     let Next::Wait(held) = step_at(10, &mut poll, read, &mut final_states) else {
         panic!("the final state was answered without being held");
@@ -271,12 +271,12 @@
     let next = step_at(10 + held, &mut poll, Event::Waited, &mut final_states);
     assert_eq!(state_of(next), JobState::Done);
     let mut again = Request::poll(ID);
-    let next = step_at(11 + held, &mut again, Event::Begin, &mut final_states);
+    let next = step_at(11 + held, &mut again, Event::Arrived, &mut final_states);
     assert_eq!(state_of(next), JobState::Done);
 
     let mut final_states = FinalStates::default();
     let mut poll = Request::poll(ID);
-    step_at(0, &mut poll, Event::Begin, &mut final_states);
+    step_at(0, &mut poll, Event::Arrived, &mut final_states);
     let next = step_at(
         10,
         &mut poll,
--- a/src/control/requests/view.rs
+++ b/src/control/requests/view.rs
@@ -115,7 +115,7 @@
                 status
             }
             Found::Final(record, _) => final_status(id, &record),
-            Found::Nothing => return None,
+            Found::NoRecord => return None,
         };
         self.remember(&status);
         Some(status)
--- a/src/server/client_api.rs
+++ b/src/server/client_api.rs
@@ -117,14 +117,14 @@
         id: &str,
         forwarded_request: Option<&Request>,
     ) -> Option<Answer> {
-        let mut event = Event::Begin;
+        let mut event = Event::Arrived;
         loop {
             event = match self.step(request, event) {
                 Next::Answer(answer) => {
                     self.log_answer(id, &answer, request.provenance());
                     return Some(answer);
                 }
-                Next::NotLeading | Next::Over => return None,
+                Next::NotLeading | Next::Finished => return None,
                 Next::AskLeader => match self.polls.leader.wait_for_answer(id).await {
                     Ok(reading) => Event::LeaderReplied(reading),
                     // The queue of polls is full.
@@ -135,8 +135,8 @@
                     Some(forwarded) => self.forward(forwarded, request.forward_limit()).await,
                     None => None,
                 }),
-                Next::Versions => Event::Versions(self.check_upgrade_complete().await),
-                Next::Look(ids) => Event::LookupResults(match &ids[..] {
+                Next::CheckVersions => Event::VersionsChecked(self.check_upgrade_complete().await),
+                Next::LookUp(ids) => Event::LookupResults(match &ids[..] {
                     [one] => {
                         let found = self
                             .lookup(one, RequestPriority::Acceptance)
--- a/src/server/control_loop.rs
+++ b/src/server/control_loop.rs
@@ -278,7 +278,7 @@
                         metrics.count_dependency_lookup(record.state.name());
                         leader.apply_dependency_state(&final_status(&id, &record), version, now);
                     }
-                    Some(Ok(Found::Nothing)) | None => {
+                    Some(Ok(Found::NoRecord)) | None => {
                         unresolved.push(UnreadDependency::new(id, "no record"));
                     }
                     Some(Err(e)) => unresolved.push(UnreadDependency::new(id, &e)),
@@ -323,7 +323,7 @@
             .charge_requests(now, RequestPriority::Leadership, 1);
         self.budgets.charge_changes(now, changes as f64);
         match self.run_txn(&plan.txn, STATE_TIMEOUT).await {
-            TxnResult::Done(revision) => {
+            TxnResult::Applied(revision) => {
                 self.budgets.txn_applied();
                 self.in_term(term, |leader, now| {
                     leader.writes_applied(&plan, revision, now);
--- a/src/server/dependency_reads.rs
+++ b/src/server/dependency_reads.rs
@@ -126,7 +126,7 @@
                         self.learn_job(ListedJob::of(*record), read_at);
                     }
                     Ok(Found::Final(record, _)) => self.learn_final(&id, &record),
-                    Ok(Found::Nothing) | Err(_) => continue,
+                    Ok(Found::NoRecord) | Err(_) => continue,
                 }
                 has_read = true;
             }
--- a/src/server/exclusions.rs
+++ b/src/server/exclusions.rs
@@ -130,7 +130,7 @@
             .change_exclusion(exclusion_txn(term, name, lease))
             .await
         {
-            TxnResult::Done(version) => {
+            TxnResult::Applied(version) => {
                 log::info!(
                     "excluded unresponsive controller {name} from elections until it responds"
                 );
@@ -156,7 +156,7 @@
             .change_exclusion(readmission_txn(term, name, version))
             .await
         {
-            TxnResult::Done(_) => {}
+            TxnResult::Applied(_) => {}
             // The exclusion no longer exists, or its version differs from the one that
             // this leader counted.
             TxnResult::Conflict(failed) if !failed.iter().any(|key| key == LEADER) => {}
--- a/src/server/leadership/campaign.rs
+++ b/src/server/leadership/campaign.rs
@@ -147,7 +147,7 @@
         let exclusion = records::exclusion_key(&attempt.record.node);
         let txn = attempt.txn(&exclusion);
         match self.run_txn(&txn, STEP_TIMEOUT).await {
-            TxnResult::Done(term) => self.begin_term(term, &attempt),
+            TxnResult::Applied(term) => self.begin_term(term, &attempt),
             TxnResult::Unknown => {
                 // Unless the leader's key proves that the attempt succeeded, its
                 // outcome stays unknown.
--- a/src/server/leadership/load_state.rs
+++ b/src/server/leadership/load_state.rs
@@ -88,7 +88,7 @@
             .await
             .ok()?;
         match feed.answered(answer.status, &answer.body) {
-            Next::Look(keys) => Some(keys),
+            Next::LookUp(keys) => Some(keys),
             Next::Pause => None,
             Next::List => {
                 let listing = self
--- a/src/server/poll_records.rs
+++ b/src/server/poll_records.rs
@@ -141,7 +141,7 @@
         Found::Final(record, version) => {
             return Ok(reading(began, final_status(id, &record), version));
         }
-        Found::Nothing => return Ok(Reading::nothing(began)),
+        Found::NoRecord => return Ok(Reading::nothing(began)),
     };
     let job = ListedJob::of(*record);
     let reading = reading(began, job.status.clone(), version);
--- a/src/server/polls.rs
+++ b/src/server/polls.rs
@@ -11,7 +11,7 @@
 use crate::{
     control::{
         polls::PollBatch,
-        requests::{Reading, polled},
+        requests::{Reading, answer_peer_polls},
     },
     protocol::{
         peers::{Reply, Request},
@@ -149,7 +149,7 @@
     /// Answers polls that another node forwarded.
     pub(super) fn answer_polls(&self, ids: &[String]) -> Reply {
         let ids = &ids[..ids.len().min(MAX_ROUND_JOBS)];
-        match self.with_view(|view| polled(view, ids)) {
+        match self.with_view(|view| answer_peer_polls(view, ids)) {
             Some(answers) => Reply::Polled(answers),
             None => Reply::NotLeader,
         }
--- a/src/server/standby.rs
+++ b/src/server/standby.rs
@@ -124,7 +124,7 @@
             .charge_requests(now, RequestPriority::Leadership, 1);
         self.budgets.charge_changes(now, 1.0);
         let outcome = match self.run_txn(&txn, STATE_TIMEOUT).await {
-            TxnResult::Done(version) => RegistryWriteOutcome::Done(version),
+            TxnResult::Applied(version) => RegistryWriteOutcome::Done(version),
             TxnResult::Refused | TxnResult::Rejected => RegistryWriteOutcome::Refused,
             TxnResult::Conflict(failed) if failed.iter().any(|key| key == LEADER) => {
                 self.step_down(term, super::leadership::StepDownReason::Replaced);
--- a/src/server/status.rs
+++ b/src/server/status.rs
@@ -122,7 +122,7 @@
                 state: record.state.to_string(),
                 done: record.done,
             },
-            Ok(Found::Nothing) => Explanation::NoSuchJob,
+            Ok(Found::NoRecord) => Explanation::NoSuchJob,
             Ok(Found::Live(..)) => Explanation::Unknown(
                 "the job has a record, but no leader that can explain its state is reachable"
                     .into(),
--- a/src/server/store.rs
+++ b/src/server/store.rs
@@ -420,7 +420,7 @@
     fn txn_result(&self, answer: &Answer, changes: u64) -> TxnResult {
         let decoded = serde_json::from_slice::<Revision>(&answer.body);
         match (answer.status, decoded) {
-            (200, Ok(applied)) => TxnResult::Done(applied.revision),
+            (200, Ok(applied)) => TxnResult::Applied(applied.revision),
             (409, Ok(conflict)) => TxnResult::Conflict(conflict.failed),
             (429 | 503, _) => {
                 self.metrics.borrow().state_refused.inc();
@@ -490,7 +490,7 @@
                 self.decode_record(FINALS, id, item.value, item.version, priority)
                     .await
             }
-            None => Ok(Found::Nothing),
+            None => Ok(Found::NoRecord),
         }
     }
 }
--- a/src/server/upgrade.rs
+++ b/src/server/upgrade.rs
@@ -150,7 +150,7 @@
             }],
         };
         match self.run_txn(&txn, STATE_TIMEOUT).await {
-            TxnResult::Done(_) => Ok(()),
+            TxnResult::Applied(_) => Ok(()),
             _ => Err(StoreError::NotWritten),
         }
     }
--- a/tests/compatibility/operators.rs
+++ b/tests/compatibility/operators.rs
@@ -951,7 +951,7 @@
     assert_eq!(AuthorityBasis::PeerPromises.text(), "promises");
     for (source, name) in [
         (Source::Memory, "remembered end"),
-        (Source::Picture, "leader's picture"),
+        (Source::ClusterState, "leader's picture"),
         (Source::Leader, "leader's word"),
         (Source::Record, "record"),
         (Source::Write, "own write"),
--- a/tests/simulation/election.rs
+++ b/tests/simulation/election.rs
@@ -147,7 +147,7 @@
         let (value, txn) = self.leader_key_txn(node_id, version, lease);
         self.nodes[node_id].election.indeterminate_lease = Some(lease);
         let term = match self.transact(node_id, &txn) {
-            TxnResult::Done(term) => term,
+            TxnResult::Applied(term) => term,
             // The outcome is unknown: the key is read back at once to learn it.
             TxnResult::Unknown if stalled.is_none() && self.reaches_state(node_id) => {
                 match self.store.kv.get(LEADER) {
--- a/tests/simulation/lookups.rs
+++ b/tests/simulation/lookups.rs
@@ -245,7 +245,7 @@
         let Some(body) = self.store.feed_since(feed.from()) else {
             return;
         };
-        if let acceptance_feed::Next::Look(keys) = feed.answered(200, &body) {
+        if let acceptance_feed::Next::LookUp(keys) = feed.answered(200, &body) {
             let found = keys.into_iter().map(|key| {
                 let id = key.trim_start_matches(records::ACCEPTANCES);
                 let record = self.store.kv.get(&records::job_key(id)).cloned();
--- a/tests/simulation/nodes.rs
+++ b/tests/simulation/nodes.rs
@@ -263,7 +263,7 @@
         let node = &mut self.nodes[node_id];
         let leader = node.leader.as_mut().unwrap();
         match result {
-            TxnResult::Done(revision) => leader.writes_applied(&plan, revision, now),
+            TxnResult::Applied(revision) => leader.writes_applied(&plan, revision, now),
             TxnResult::Conflict(failed) if failed.iter().any(|k| k == LEADER) => {
                 self.resign(node_id, false);
             }
--- a/tests/simulation/requests.rs
+++ b/tests/simulation/requests.rs
@@ -6,7 +6,9 @@
 use pathwinch::{
     control::{
         dependency_evidence::DependencyVerdict,
-        requests::{Event, Found, LookupResults, Next, NodeView, Reading, Request, polled},
+        requests::{
+            Event, Found, LookupResults, Next, NodeView, Reading, Request, answer_peer_polls,
+        },
     },
     state::{
         rate_limit::share::{self, Role},
@@ -90,7 +92,7 @@
         match (live, ended) {
             (Some((v, r)), _) => Found::Live(Box::new(self.store.job_record(id, v.clone())), *r),
             (None, Some((v, r))) => Found::Final(serde_json::from_value(v.clone()).unwrap(), *r),
-            (None, None) => Found::Nothing,
+            (None, None) => Found::NoRecord,
         }
     }
 
@@ -133,7 +135,7 @@
                 (Some(status), Some(version))
             }
             Found::Final(record, version) => (Some(final_status(id, &record)), Some(version)),
-            Found::Nothing => (None, None),
+            Found::NoRecord => (None, None),
         };
         Ok(Reading {
             started_at: began_at,
@@ -169,7 +171,7 @@
                         let status = final_status(id, &record);
                         self.view(node_id, self.now, |view| view.remember(&status));
                     }
-                    Found::Nothing => panic!("no record of {id}, which was accepted"),
+                    Found::NoRecord => panic!("no record of {id}, which was accepted"),
                 }
             }
         }
@@ -227,7 +229,7 @@
             return TxnResult::Unknown;
         }
         match self.store.apply(txn) {
-            Ok(revision) => TxnResult::Done(revision),
+            Ok(revision) => TxnResult::Applied(revision),
             Err(failed) => TxnResult::Conflict(failed),
         }
     }
@@ -263,7 +265,7 @@
 
     /// Returns what node `node_id`, which leads, answers its peers' polls of these jobs.
     pub fn told_to_peers(&mut self, node_id: usize, ids: &[String]) -> Vec<Option<JobState>> {
-        let states = self.view(node_id, self.now, |view| polled(view, ids));
+        let states = self.view(node_id, self.now, |view| answer_peer_polls(view, ids));
         let states = states.expect("the node leads").into_iter();
         states.map(|known| known.map(|(state, ..)| state)).collect()
     }
@@ -276,11 +278,11 @@
         request: &mut Request,
     ) -> Result<Option<Answer>, ()> {
         let mut now = self.now;
-        let mut event = Event::Begin;
+        let mut event = Event::Arrived;
         loop {
             event = match self.view(node_id, now, |view| request.step(event, view)) {
                 Next::Answer(answer) => return Ok(Some(answer)),
-                Next::NotLeading | Next::Over => return Ok(None),
+                Next::NotLeading | Next::Finished => return Ok(None),
                 // Only a final state that is withheld for some time is waited for.
                 Next::Wait(ms) if request.is_held() => {
                     self.run(ms + STEP);
@@ -292,15 +294,15 @@
                     let status = self.forward_target(node_id, now).and_then(|leader_id| {
                         let ids = [ask.id().to_owned()];
                         let known = self
-                            .view(leader_id, now, |view| polled(view, &ids))?
+                            .view(leader_id, now, |view| answer_peer_polls(view, &ids))?
                             .pop()?;
                         known.map(|k| status_of(&ids[0], k))
                     });
                     leader_replied(now, status)
                 }
                 Next::ReadState => Event::Read(self.read_state(node_id, ask.id(), now)),
-                Next::Versions => Event::Versions(!self.mixed_versions),
-                Next::Look(ids) => Event::LookupResults(self.read_records(node_id, &ids)),
+                Next::CheckVersions => Event::VersionsChecked(!self.mixed_versions),
+                Next::LookUp(ids) => Event::LookupResults(self.read_records(node_id, &ids)),
                 Next::Write(txn, _) => Event::Wrote(self.transact(node_id, &txn)),
                 Next::Forward => {
                     let leader = self.forward_target(node_id, now);
@@ -364,7 +366,7 @@
             }
             in_flight.process = self.nodes[node_id].election.incarnation;
             in_flight.due = now + self.draw_latency();
-            in_flight.next_event = NextEvent::Event(Event::Begin);
+            in_flight.next_event = NextEvent::Event(Event::Arrived);
             return self.traffic.in_flight.push(in_flight);
         }
         let node = &self.nodes[node_id];
@@ -389,7 +391,7 @@
                         && self.link(node_id, Endpoint::Node(leader_id)) == Link::Up;
                     let ids = [in_flight.ask.id().to_owned()];
                     let known = match answers {
-                        true => self.view(leader_id, now, |view| polled(view, &ids)),
+                        true => self.view(leader_id, now, |view| answer_peer_polls(view, &ids)),
                         false => None,
                     };
                     let known = known.and_then(|mut k| k.pop()?);
@@ -418,7 +420,7 @@
                     let is_reachable = self.reaches(leader_id)
                         && self.link(node_id, Endpoint::Node(leader_id)) == Link::Up;
                     if is_reachable {
-                        let begin = NextEvent::Event(Event::Begin);
+                        let begin = NextEvent::Event(Event::Arrived);
                         self.launch(
                             leader_id,
                             in_flight.ask.clone(),
@@ -463,12 +465,12 @@
                         ask: in_flight.ask.clone(),
                         request: unfinished,
                         due: in_flight.due,
-                        next_event: NextEvent::Event(Event::Begin),
+                        next_event: NextEvent::Event(Event::Arrived),
                     });
                 }
                 (latency, NextEvent::Answer(Some(answer)))
             }
-            Next::NotLeading | Next::Over => (latency, NextEvent::Answer(None)),
+            Next::NotLeading | Next::Finished => (latency, NextEvent::Answer(None)),
             Next::Wait(ms) => (ms, NextEvent::Event(Event::Waited)),
             Next::AskLeader => match leader {
                 Some(leader_id) => (latency, NextEvent::AtLeader(leader_id, in_flight.due)),
@@ -479,10 +481,10 @@
                 None => (0, NextEvent::Event(Event::Forwarded(None))),
             },
             Next::ReadState => (latency, NextEvent::ReadState(in_flight.due)),
-            Next::Look(ids) => (latency, NextEvent::Look(ids)),
-            Next::Versions => (
+            Next::LookUp(ids) => (latency, NextEvent::Look(ids)),
+            Next::CheckVersions => (
                 latency,
-                NextEvent::Event(Event::Versions(!self.mixed_versions)),
+                NextEvent::Event(Event::VersionsChecked(!self.mixed_versions)),
             ),
             Next::Write(txn, _) => match self.has_budget(in_flight.node, in_flight.due, &txn) {
                 true => (latency, NextEvent::Write(txn)),
--- a/tests/simulation/standbys.rs
+++ b/tests/simulation/standbys.rs
@@ -80,7 +80,7 @@
                 TxnResult::Refused | TxnResult::Rejected => {
                     leader.standbys_written(RegistryWriteOutcome::Refused, now);
                 }
-                TxnResult::Done(version) => {
+                TxnResult::Applied(version) => {
                     leader.standbys_written(RegistryWriteOutcome::Done(version), now)
                 }
                 TxnResult::Conflict(failed) if failed.iter().any(|k| k == LEADER) => {
