--- a/src/control/dependency_evidence/tests.rs
+++ b/src/control/dependency_evidence/tests.rs
@@ -13,7 +13,7 @@
         "gang_peer_s": 5.0, "cancel_s": 35.0
     }))
     .unwrap();
-    DependencyEvidence::new(&SafetyBounds::of(&workers))
+    DependencyEvidence::new(&SafetyBounds::from_worker_settings(&workers))
 }
 
 /// Returns the evidence of a dependency chain: job 3 depends on job 2, which depends on
--- a/src/control/election.rs
+++ b/src/control/election.rs
@@ -70,7 +70,7 @@
     NotExtended,
     /// A peer reaches the key-value store: if a renewal that starts from now on fails,
     /// the store is unavailable to this node alone.
-    RefusedAlone,
+    StoreReachableByPeer,
     /// The authority has ended, because this leader may have missed cancellations for
     /// longer than the staleness bound.
     CancellationsUnknown,
@@ -375,7 +375,7 @@
 
     /// Records that this process holds the leader's key, under a lease requested at
     /// `lease_requested`.
-    pub fn elected(&mut self, term: u64, lease: u64, lease_requested: Millis) {
+    pub fn record_election(&mut self, term: u64, lease: u64, lease_requested: Millis) {
         self.highest_term = self.highest_term.max(term);
         self.observed_leader = Some((self.node_name.clone(), term));
         self.indeterminate_lease = None;
@@ -393,7 +393,7 @@
     /// key is kept until the lease ends; it is replaced earlier only after this process
     /// has announced that it stopped. A renewal therefore proves as much as a read of
     /// the key.
-    pub fn renewed(&mut self, lease: u64, sent: Millis) {
+    pub fn record_renewal(&mut self, lease: u64, sent: Millis) {
         let Some(leadership) = self.leadership.as_mut().filter(|held| held.lease == lease) else {
             return;
         };
@@ -409,7 +409,7 @@
     /// Whether a failed renewal that began at `renewal_sent` shows that the store is
     /// unavailable to this node alone. A renewal that began before a peer reported
     /// success does not show it, as the outage may have ended in between.
-    pub fn is_refused_alone(&self, renewal_sent: Millis) -> bool {
+    pub fn store_fails_this_node_only(&self, renewal_sent: Millis) -> bool {
         self.leadership
             .and_then(|leadership| leadership.peer_reached_store_at)
             .is_some_and(|reached_store_at| renewal_sent >= reached_store_at)
@@ -435,7 +435,7 @@
         let Some(promises) = PromiseRound::collect(responses, leadership.cancellations_known_until)
         else {
             leadership.peer_reached_store_at.get_or_insert(now);
-            return PromiseOutcome::RefusedAlone;
+            return PromiseOutcome::StoreReachableByPeer;
         };
         if now < leadership.valid_until && promises.complete {
             leadership.apply_promises(&promises, sent, max_staleness);
@@ -502,7 +502,7 @@
 
     /// Records the announcement of the leader of `term` that it has stopped, so that
     /// its key may be replaced.
-    pub fn peer_resigned(&mut self, term: u64) {
+    pub fn record_peer_resignation(&mut self, term: u64) {
         self.resigned_term = Some(term);
         // A promise to that leader, or to an earlier one, is no longer needed.
         if term >= self.highest_term {
--- a/src/control/election/tests.rs
+++ b/src/control/election/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 fn bounds(cancel_s: f64) -> SafetyBounds {
-    SafetyBounds::of(&crate::protocol::settings::Workers {
+    SafetyBounds::from_worker_settings(&crate::protocol::settings::Workers {
         report_s: 1.0,
         lease_s: 10.0,
         gang_wait_s: 1.0,
@@ -39,8 +39,8 @@
 
 fn elected_leader(cancel_s: f64) -> Election {
     let mut election = Election::new("a", 1, bounds(cancel_s), 0);
-    election.elected(5, 1, 9_000);
-    election.renewed(1, 10_000);
+    election.record_election(5, 1, 9_000);
+    election.record_renewal(1, 10_000);
     election
 }
 
@@ -120,13 +120,13 @@
     );
     assert_eq!(election.authority(13_920), None);
     // A renewal of the lease restores the authority.
-    election.renewed(1, 14_000);
+    election.record_renewal(1, 14_000);
     assert_eq!(election.authority(14_001), Some(5));
     // A late response to a renewal of an earlier lease does not.
     let mut election = elected_leader(35.0);
     election.resign(5);
-    election.elected(9, 2, 12_000);
-    election.renewed(1, 15_000);
+    election.record_election(9, 2, 12_000);
+    election.record_renewal(1, 15_000);
     assert_eq!(election.authority(16_000), None);
 }
 
@@ -138,14 +138,16 @@
     let responses = [RUNNING_SINCE_START, PromiseResponse::StoreReachable];
     assert_eq!(
         election.extend_by_promises(13_500, responses, 13_510),
-        PromiseOutcome::RefusedAlone
+        PromiseOutcome::StoreReachableByPeer
     );
     // The renewal of that round may have been sent before the end of an outage.
-    assert!(!election.is_refused_alone(13_500) && election.is_refused_alone(13_510));
+    assert!(
+        !election.store_fails_this_node_only(13_500) && election.store_fails_this_node_only(13_510)
+    );
     let mut outage_over = elected_leader(35.0);
     outage_over.extend_by_promises(13_500, responses, 13_510);
-    outage_over.renewed(1, 13_520);
-    assert!(!outage_over.is_refused_alone(13_600));
+    outage_over.record_renewal(1, 13_520);
+    assert!(!outage_over.store_fails_this_node_only(13_600));
     assert_eq!(election.authority(13_900), None);
 }
 
@@ -195,7 +197,7 @@
 fn resignation_is_ignored_when_it_names_another_term() {
     let mut election = elected_leader(35.0);
     election.resign(5);
-    election.elected(9, 2, 12_000);
+    election.record_election(9, 2, 12_000);
     assert_eq!(election.resign(5), None);
     assert_eq!(election.authority(12_100), Some(9));
     assert!(election.resign(9).is_some());
@@ -207,8 +209,8 @@
 #[test]
 fn leaderless_time_is_counted_from_the_last_renewal_when_this_node_led() {
     let mut election = new_election("a");
-    election.elected(5, 1, 1_000);
-    election.renewed(1, 9_000);
+    election.record_election(5, 1, 1_000);
+    election.record_renewal(1, 9_000);
     election.resign(5);
     assert_eq!(election.leaderless_for(10_000), 1_000);
 }
--- a/src/control/failure_detector.rs
+++ b/src/control/failure_detector.rs
@@ -16,7 +16,7 @@
 use crate::state::Millis;
 
 /// A peer counts as unresponsive while a request to it has waited longer than this.
-pub const RESPONSE_PATIENCE_MS: Millis = 350;
+pub const UNRESPONSIVE_REQUEST_AGE_MS: Millis = 350;
 /// A peer that has been unresponsive for this long is persistently unresponsive, rather
 /// than slow.
 const UNRESPONSIVE_AFTER_MS: Millis = 2000;
@@ -171,7 +171,7 @@
             return PeerHealth::Unresponsive;
         };
         match peer.open_requests {
-            Some(open) if now > open.waiting_since + RESPONSE_PATIENCE_MS => {
+            Some(open) if now > open.waiting_since + UNRESPONSIVE_REQUEST_AGE_MS => {
                 PeerHealth::Unresponsive
             }
             _ => peer.last_health,
--- a/src/control/failure_detector/tests.rs
+++ b/src/control/failure_detector/tests.rs
@@ -5,11 +5,11 @@
     let mut detector = FailureDetector::new("n-0", &["n-1", "n-2", "n-3"]);
     detector.request_sent(0, 1000);
     assert_eq!(
-        detector.health(0, 1000 + RESPONSE_PATIENCE_MS),
+        detector.health(0, 1000 + UNRESPONSIVE_REQUEST_AGE_MS),
         PeerHealth::Healthy
     );
     assert_eq!(
-        detector.health(0, 1001 + RESPONSE_PATIENCE_MS),
+        detector.health(0, 1001 + UNRESPONSIVE_REQUEST_AGE_MS),
         PeerHealth::Unresponsive
     );
     // Two requests are open: an answer to one shows that the peer is only slow.
--- a/src/control/heartbeat_relay.rs
+++ b/src/control/heartbeat_relay.rs
@@ -45,7 +45,7 @@
 
     /// Records that the leader misses heartbeats of these machines and asks for a
     /// relay.
-    pub fn relay_requested(&mut self, machines: &[String], duration: Millis, now: Millis) {
+    pub fn request_relay(&mut self, machines: &[String], duration: Millis, now: Millis) {
         let until = now + duration.min(RELAY_MS);
         for machine in machines.iter().take(MAX_WORKERS / 2) {
             let worker = self.workers.entry(machine.clone()).or_default();
--- a/src/control/heartbeat_relay/tests.rs
+++ b/src/control/heartbeat_relay/tests.rs
@@ -5,7 +5,7 @@
     let mut relays = HeartbeatRelays::default();
     assert!(!relays.should_relay("i-1", 100));
     // The leader requests the relay, so the worker loses no time with a second attempt.
-    relays.relay_requested(&["i-1".into()], 15_000, 2_000);
+    relays.request_relay(&["i-1".into()], 15_000, 2_000);
     assert!(relays.should_relay("i-1", 5_000));
     assert!(relays.should_relay("i-1", 16_000));
     assert!(!relays.should_relay("i-2", 16_000));
--- a/src/control/leader/heartbeats.rs
+++ b/src/control/leader/heartbeats.rs
@@ -24,8 +24,8 @@
             // Leases must not expire while the records are being read. They must not be
             // renewed for long either, because the records that are still unread may hold
             // cancellations.
-            let limit_ms =
-                SafetyBounds::of(&self.settings.cluster.workers).max_answering_unloaded();
+            let limit_ms = SafetyBounds::from_worker_settings(&self.settings.cluster.workers)
+                .max_unloaded_response_time();
             return (now < self.recovery.elected_at + limit_ms).then(|| HeartbeatResponse {
                 fencing_token: self.term_token(),
                 commands: Vec::new(),
--- a/src/control/leader/mod.rs
+++ b/src/control/leader/mod.rs
@@ -160,7 +160,7 @@
     }
 
     fn lease_expiry(&self) -> Millis {
-        SafetyBounds::of(&self.settings.cluster.workers).lease_expiry()
+        SafetyBounds::from_worker_settings(&self.settings.cluster.workers).lease_expiry()
     }
 
     /// Whether the jobs and the machine registry have been read.
--- a/src/control/requests/request.rs
+++ b/src/control/requests/request.rs
@@ -8,7 +8,7 @@
 
 use super::{Answer, Event, Next, NodeView, cancel, poll, provenance::Provenance, settle, submit};
 use crate::{
-    control::safety_bounds::MAX_READING_AGE_MS,
+    control::safety_bounds::MAX_READ_AGE_MS,
     protocol::users::{JobSpec, is_valid_job_id},
     state::Millis,
 };
@@ -178,7 +178,7 @@
                     }
                 }
             }
-            _ if self.id.is_none() || self.provenance.age(view.now) <= MAX_READING_AGE_MS => {
+            _ if self.id.is_none() || self.provenance.age(view.now) <= MAX_READ_AGE_MS => {
                 Next::Answer(answer)
             }
             _ => self.read_again(answer, view),
--- a/src/control/requests/tests.rs
+++ b/src/control/requests/tests.rs
@@ -3,7 +3,7 @@
 
 use super::{Answer, Event, Next, NodeView, Reading, Request, request};
 use crate::{
-    control::{final_states::FinalStates, safety_bounds::MAX_READING_AGE_MS},
+    control::{final_states::FinalStates, safety_bounds::MAX_READ_AGE_MS},
     protocol::{
         settings::Settings,
         users::{JobState, JobStatus},
@@ -189,24 +189,19 @@
 /// another node may have reported the final state.
 #[test]
 fn stale_reading_is_reread_within_bound() {
-    for late in [MAX_READING_AGE_MS, MAX_READING_AGE_MS + 1] {
+    for late in [MAX_READ_AGE_MS, MAX_READ_AGE_MS + 1] {
         let mut final_states = FinalStates::default();
         let mut poll = Request::poll(ID);
         step_at(0, &mut poll, Event::Arrived, &mut final_states);
         let reply = leader_replied(Some(JobState::Running));
         let next = step_at(late, &mut poll, reply, &mut final_states);
-        if late == MAX_READING_AGE_MS {
+        if late == MAX_READ_AGE_MS {
             assert_eq!(state_of(next), JobState::Running);
             continue;
         }
         assert!(matches!(next, Next::ReadState), "{next:?}");
         let again = read_at(late, JobState::Queued);
-        let next = step_at(
-            late + MAX_READING_AGE_MS,
-            &mut poll,
-            again,
-            &mut final_states,
-        );
+        let next = step_at(late + MAX_READ_AGE_MS, &mut poll, again, &mut final_states);
         assert_eq!(state_of(next), JobState::Queued);
     }
     let mut final_states = FinalStates::default();
@@ -214,13 +209,13 @@
     step_at(0, &mut poll, Event::Arrived, &mut final_states);
     let (mut now, mut event) = (0, leader_replied(Some(JobState::Running)));
     for _ in 0..request::MAX_STALE_READS {
-        now += 2 * MAX_READING_AGE_MS;
+        now += 2 * MAX_READ_AGE_MS;
         let next = step_at(now, &mut poll, event, &mut final_states);
         assert!(matches!(next, Next::ReadState), "{next:?}");
         event = read_at(now, JobState::Running);
     }
     let next = step_at(
-        now + 2 * MAX_READING_AGE_MS,
+        now + 2 * MAX_READ_AGE_MS,
         &mut poll,
         event,
         &mut final_states,
@@ -238,20 +233,10 @@
     step_at(0, &mut submit, Event::Arrived, &mut final_states);
     let refused = Answer::Refused(400, "pieces is missing".into());
     let event = Event::Forwarded(Some(refused));
-    let next = step_at(
-        MAX_READING_AGE_MS + 1,
-        &mut submit,
-        event,
-        &mut final_states,
-    );
+    let next = step_at(MAX_READ_AGE_MS + 1, &mut submit, event, &mut final_states);
     assert!(matches!(next, Next::ReadState), "{next:?}");
-    let known = read_at(MAX_READING_AGE_MS + 1, JobState::Queued);
-    let next = step_at(
-        MAX_READING_AGE_MS + 10,
-        &mut submit,
-        known,
-        &mut final_states,
-    );
+    let known = read_at(MAX_READ_AGE_MS + 1, JobState::Queued);
+    let next = step_at(MAX_READ_AGE_MS + 10, &mut submit, known, &mut final_states);
     assert_eq!(state_of(next), JobState::Queued);
 }
 
@@ -267,7 +252,7 @@
     let Next::Wait(held) = step_at(10, &mut poll, read, &mut final_states) else {
         panic!("the final state was answered without being held");
     };
-    assert!(held > MAX_READING_AGE_MS && poll.is_held());
+    assert!(held > MAX_READ_AGE_MS && poll.is_held());
     let next = step_at(10 + held, &mut poll, Event::Waited, &mut final_states);
     assert_eq!(state_of(next), JobState::Done);
     let mut again = Request::poll(ID);
--- a/src/control/safety_bounds.rs
+++ b/src/control/safety_bounds.rs
@@ -25,13 +25,13 @@
 
 /// Maximum age of a job state that is not final when a node sends it to a user, counted
 /// from the start of the read.
-pub const MAX_READING_AGE_MS: Millis = 500;
+pub const MAX_READ_AGE_MS: Millis = 500;
 
 /// Returns how long a node that has learned a job's final state withholds it. After
 /// this time, every older answer has been sent by every node, and has reached its user
 /// unless the network was unusually slow.
 pub fn final_state_hold_ms() -> Millis {
-    max_local_duration(MAX_READING_AGE_MS)
+    max_local_duration(MAX_READ_AGE_MS)
 }
 
 fn clock_margin(duration: Millis) -> Millis {
@@ -59,7 +59,7 @@
 
 impl SafetyBounds {
     /// Derives the bounds from these worker settings.
-    pub fn of(workers: &Workers) -> Self {
+    pub fn from_worker_settings(workers: &Workers) -> Self {
         let millis = |seconds: f64| (seconds.max(0.0) * 1000.0) as Millis;
         SafetyBounds {
             worker_lease: millis(workers.lease_s),
@@ -97,7 +97,7 @@
     /// cancellation that the leader has not loaded may have been acknowledged to a user
     /// up to one worker lease ago; any machine that received a response later than that
     /// has been told to stop the task.
-    pub fn max_answering_unloaded(&self) -> Millis {
+    pub fn max_unloaded_response_time(&self) -> Millis {
         self.max_staleness().saturating_sub(self.lease_expiry())
     }
 }
--- a/src/control/safety_bounds/tests.rs
+++ b/src/control/safety_bounds/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 fn bounds(lease_s: f64, cancel_s: f64) -> SafetyBounds {
-    SafetyBounds::of(&Workers {
+    SafetyBounds::from_worker_settings(&Workers {
         report_s: 1.0,
         lease_s,
         gang_wait_s: 1.0,
@@ -36,8 +36,8 @@
         0,
         "the settings leave no time"
     );
-    assert_eq!(bounds(26.5, 56.5).max_answering_unloaded(), 0);
-    assert!(bounds(10.0, 35.0).max_answering_unloaded() > 10_000);
+    assert_eq!(bounds(26.5, 56.5).max_unloaded_response_time(), 0);
+    assert!(bounds(10.0, 35.0).max_unloaded_response_time() > 10_000);
 }
 
 #[test]
--- a/src/server/leadership/campaign.rs
+++ b/src/server/leadership/campaign.rs
@@ -198,7 +198,7 @@
         let lease = attempt.lease;
         self.election
             .borrow_mut()
-            .elected(term, lease, attempt.lease_requested);
+            .record_election(term, lease, attempt.lease_requested);
         log::info!(
             "elected leader of term {term} under lease {lease}, replacing version {} \
             of the leader's key; the lease was requested {} ms ago",
--- a/src/server/leadership/renew.rs
+++ b/src/server/leadership/renew.rs
@@ -156,7 +156,7 @@
         }
         match renewal {
             LeaseRenewal::Renewed => {
-                self.extend_authority(|election| election.renewed(leadership.lease, sent));
+                self.extend_authority(|election| election.record_renewal(leadership.lease, sent));
                 self.leadership.renewals_failing.set(false);
             }
             LeaseRenewal::Expired => self.step_down(leadership.term, StepDownReason::LeaseEnded),
@@ -253,7 +253,7 @@
                 self.step_down(leadership.term, StepDownReason::CancellationsUnknown);
                 return STEPPED_DOWN_PAUSE;
             }
-            PromiseOutcome::RefusedAlone => {
+            PromiseOutcome::StoreReachableByPeer => {
                 if self.last_renewal_fails(leadership).await {
                     self.step_down(leadership.term, StepDownReason::RefusedAlone);
                     return STEPPED_DOWN_PAUSE;
@@ -308,7 +308,7 @@
             Some(LeaseRenewal::Failed(_)) => {}
             None => renewal.detach(),
         }
-        self.election.borrow().is_refused_alone(sent)
+        self.election.borrow().store_fails_this_node_only(sent)
     }
 
     /// Answers a leader that asks this node for a promise not to campaign.
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -142,7 +142,7 @@
     ) -> Self {
         let peer_names: Vec<&str> = settings.peers.iter().map(|p| p.name.as_str()).collect();
         let failure_detector = FailureDetector::new(&settings.name, &peer_names);
-        let bounds = SafetyBounds::of(&settings.cluster.workers);
+        let bounds = SafetyBounds::from_worker_settings(&settings.cluster.workers);
         let election = Election::new(
             &settings.name,
             fastrand::u64(1..(1 << INCARNATION_BITS)),
--- a/src/server/peers.rs
+++ b/src/server/peers.rs
@@ -8,7 +8,7 @@
 
 use super::{HEARTBEAT_PATH, Node};
 use crate::{
-    control::failure_detector::{PeerHealth, RESPONSE_PATIENCE_MS},
+    control::failure_detector::{PeerHealth, UNRESPONSIVE_REQUEST_AGE_MS},
     protocol::peers::{Reply, Request},
     state::Millis,
     state::offload::OffloadTarget,
@@ -52,7 +52,7 @@
         for peer in due {
             let prober = node.clone();
             let probe = async move {
-                let timeout = Duration::from_millis(2 * RESPONSE_PATIENCE_MS);
+                let timeout = Duration::from_millis(2 * UNRESPONSIVE_REQUEST_AGE_MS);
                 // `call_peer` reports the result to the failure detector.
                 let _ = prober.call_peer(peer, &Request::greeting(), timeout).await;
             };
@@ -119,7 +119,7 @@
                 self.heartbeats
                     .relays
                     .borrow_mut()
-                    .relay_requested(&machines, for_ms, now);
+                    .request_relay(&machines, for_ms, now);
                 let election = self.election.borrow();
                 let leader = election
                     .leader(now)
@@ -169,7 +169,7 @@
             }
             Request::EndOffload { id, award, done } => self.end_offload(&id, award, &done).await,
             Request::Resigned { term } => {
-                self.election.borrow_mut().peer_resigned(term);
+                self.election.borrow_mut().record_peer_resignation(term);
                 Reply::Ok
             }
         }
--- a/tests/simulation/answers.rs
+++ b/tests/simulation/answers.rs
@@ -6,7 +6,7 @@
 //! in `Simulation::violations`.
 
 use super::*;
-use pathwinch::control::safety_bounds::MAX_READING_AGE_MS;
+use pathwinch::control::safety_bounds::MAX_READ_AGE_MS;
 use users::UserRequest;
 
 impl Simulation {
@@ -34,7 +34,7 @@
                     .and_then(|s| s.accepted);
                 let earliest_overlap = self
                     .now
-                    .saturating_sub(MAX_READING_AGE_MS + self.traffic.max_latency_ms + 2 * STEP);
+                    .saturating_sub(MAX_READ_AGE_MS + self.traffic.max_latency_ms + 2 * STEP);
                 match known.is_some_and(|(order, at)| order < sent || at < earliest_overlap) {
                     true => self.violations.push(format!(
                         "forgotten: accepted job {id} was refused with status {status}: {why}"
--- a/tests/simulation/election.rs
+++ b/tests/simulation/election.rs
@@ -31,7 +31,7 @@
             if notify_peers && self.contact(node_id, peer_node) == Some(PeerHealth::Healthy) {
                 self.nodes[peer_node]
                     .election
-                    .peer_resigned(leadership.term);
+                    .record_peer_resignation(leadership.term);
             }
         }
     }
@@ -73,7 +73,7 @@
         }
         if reaches && slow <= PROMISE_CHECK_TIMEOUT_MS {
             if slow == 0 {
-                self.nodes[node_id].election.renewed(lease, now);
+                self.nodes[node_id].election.record_renewal(lease, now);
             }
             let node = &mut self.nodes[node_id];
             let is_unfavourable = node.failure_detector.unfavourable_failover_position(now);
@@ -95,8 +95,8 @@
             .election
             .extend_by_promises(now, answers, now)
         {
-            PromiseOutcome::RefusedAlone => {
-                if self.nodes[node_id].election.is_refused_alone(now) {
+            PromiseOutcome::StoreReachableByPeer => {
+                if self.nodes[node_id].election.store_fails_this_node_only(now) {
                     self.resign(node_id, true);
                 }
             }
@@ -193,7 +193,9 @@
         let nodes = self.nodes.len();
         self.terms += 1;
         self.replay_kept_heartbeats();
-        self.nodes[node_id].election.elected(term, lease, now);
+        self.nodes[node_id]
+            .election
+            .record_election(term, lease, now);
         let mut settings = (*self.settings).clone();
         settings.name = format!("n{node_id}");
         settings.zone = self.zone_of(node_id).into();
@@ -409,7 +411,7 @@
                 reaches_any = true;
                 self.nodes[peer_node]
                     .heartbeat_relays
-                    .relay_requested(&machines, 15_000, now);
+                    .request_relay(&machines, 15_000, now);
             }
         }
         if !reaches_any && now > self.nodes[node_id].last_heartbeat + 5000 {
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -411,7 +411,7 @@
             election: Election::new(
                 &names[node_id],
                 self.rng.u64(1..1 << 50),
-                SafetyBounds::of(&self.settings.cluster.workers),
+                SafetyBounds::from_worker_settings(&self.settings.cluster.workers),
                 self.now,
             ),
             leader: None,
@@ -425,9 +425,9 @@
             next_exclusion_step: 0,
             heartbeat_relays: HeartbeatRelays::default(),
             final_states: FinalStates::default(),
-            dependency_evidence: Some(DependencyEvidence::new(&SafetyBounds::of(
-                &self.settings.cluster.workers,
-            ))),
+            dependency_evidence: Some(DependencyEvidence::new(
+                &SafetyBounds::from_worker_settings(&self.settings.cluster.workers),
+            )),
             next_election_step: self.now,
             next_relay_request: 0,
             last_heartbeat: 0,
--- a/tests/simulation/nodes.rs
+++ b/tests/simulation/nodes.rs
@@ -17,7 +17,7 @@
             .partition(|(at, of, ..)| *of == node_id && *at <= now);
         self.renewals = later;
         for (_, _, lease, sent) in due {
-            self.nodes[node_id].election.renewed(lease, sent);
+            self.nodes[node_id].election.record_renewal(lease, sent);
         }
         self.ping(node_id);
         self.step_request_budget(node_id);
