--- a/crates/lab/src/state.rs
+++ b/crates/lab/src/state.rs
@@ -112,7 +112,7 @@
 
     /// Lowers the limits to those announced in `next` of the settings, if there are any.
     pub fn apply_next_limits(&mut self, now: Millis) {
-        self.limits = self.limits.always();
+        self.limits = self.limits.strictest();
         self.request_limit.set_rate(now, self.limits.rps, 1.0);
         self.write_limit.set_rate(now, self.limits.write_rps, 1.0);
     }
--- a/crates/protocol/src/peers.rs
+++ b/crates/protocol/src/peers.rs
@@ -196,7 +196,7 @@
 impl Request {
     /// Returns a request that only probes the peer and asks for the leader that it
     /// knows.
-    pub fn greeting() -> Self {
+    pub fn probe() -> Self {
         Request::RelayHeartbeats {
             machines: Vec::new(),
             for_ms: 0,
--- a/crates/protocol/src/settings.rs
+++ b/crates/protocol/src/settings.rs
@@ -166,7 +166,7 @@
     /// Returns the lower of each limit and its future value. Requests within these
     /// limits are allowed before and after the change, so that the moment of the change
     /// need not be known.
-    pub fn always(&self) -> StateLimits {
+    pub fn strictest(&self) -> StateLimits {
         let next = self.next.unwrap_or_default();
         let lower = |current: f64, next: Option<f64>| next.map_or(current, |n| n.min(current));
         StateLimits {
--- a/crates/protocol/src/status.rs
+++ b/crates/protocol/src/status.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Maximum number of rows in each list.
-pub const MOST_ROWS: usize = 100;
+pub const MAX_LIST_ROWS: usize = 100;
 
 /// Reason why a task is not running, set by the code that made the decision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -300,7 +300,7 @@
         out.push_str(&line(item));
         out.push('\n');
     }
-    if list.len() >= MOST_ROWS {
+    if list.len() >= MAX_LIST_ROWS {
         out.push_str("  (more are not shown)\n");
     }
 }
--- a/src/control/dependency_evidence.rs
+++ b/src/control/dependency_evidence.rs
@@ -16,7 +16,7 @@
 };
 use crate::{
     protocol::users::JobState,
-    state::{Millis, bounded_cache::Recent},
+    state::{Millis, bounded_cache::BoundedCache},
 };
 use std::collections::BTreeSet;
 
@@ -55,7 +55,7 @@
 /// What a node has read of jobs on which other jobs depend.
 #[derive(Debug)]
 pub struct DependencyEvidence {
-    unfinished: Recent<Box<str>, UnfinishedJob>,
+    unfinished: BoundedCache<Box<str>, UnfinishedJob>,
     max_age: Millis,
 }
 
@@ -63,7 +63,7 @@
     /// Creates an empty store of evidence.
     pub fn new(bounds: &SafetyBounds) -> Self {
         DependencyEvidence {
-            unfinished: Recent::new(MAX_UNFINISHED_JOBS),
+            unfinished: BoundedCache::new(MAX_UNFINISHED_JOBS),
             max_age: bounds.max_dependency_reading_age(),
         }
     }
--- a/src/control/final_states.rs
+++ b/src/control/final_states.rs
@@ -10,13 +10,13 @@
 use super::safety_bounds::final_state_hold_ms;
 use crate::{
     protocol::users::{JobState, JobStatus},
-    state::{Millis, bounded_cache::Recent},
+    state::{Millis, bounded_cache::BoundedCache},
 };
 
 /// The most recently learned final states.
 #[derive(Debug)]
 pub struct FinalStates {
-    by_job: Recent<Box<str>, FinalState>,
+    by_job: BoundedCache<Box<str>, FinalState>,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -33,7 +33,7 @@
 impl Default for FinalStates {
     fn default() -> Self {
         FinalStates {
-            by_job: Recent::new(MAX_FINAL_STATES),
+            by_job: BoundedCache::new(MAX_FINAL_STATES),
         }
     }
 }
@@ -45,7 +45,7 @@
         let id = status.id.as_str();
         let known = self.by_job.get(id).copied();
         let visible_sooner = known.is_none_or(|known| visible_from < known.visible_from);
-        if !status.state.is_final() || self.by_job.is_young(id) && !visible_sooner {
+        if !status.state.is_final() || self.by_job.is_in_young_generation(id) && !visible_sooner {
             return;
         }
         let learned = FinalState {
--- a/src/control/key_pages.rs
+++ b/src/control/key_pages.rs
@@ -24,7 +24,7 @@
 
 /// The state of a read of some names under a prefix.
 #[derive(Debug)]
-pub struct Pages<'a> {
+pub struct PrefixRead<'a> {
     prefix: &'a str,
     /// The requested names, sorted and without duplicates.
     names: Vec<&'a str>,
@@ -34,12 +34,12 @@
     after: String,
 }
 
-impl<'a> Pages<'a> {
+impl<'a> PrefixRead<'a> {
     /// Starts a read of these names under the prefix, given in any order.
     pub fn new(prefix: &'a str, mut names: Vec<&'a str>) -> Self {
         names.sort_unstable();
         names.dedup();
-        Pages {
+        PrefixRead {
             prefix,
             names,
             next: 0,
--- a/src/control/key_pages/tests.rs
+++ b/src/control/key_pages/tests.rs
@@ -9,7 +9,7 @@
         let mut random_id = || format!("j-{:0w$}", rng.u32(0..3_000), w = rng.usize(6..9));
         let stored: BTreeSet<String> = (0..2_000).map(|_| format!("f/{}", random_id())).collect();
         let requested: Vec<String> = (0..1 + round * 4).map(|_| random_id()).collect();
-        let mut reader = Pages::new("f/", requested.iter().map(String::as_str).collect());
+        let mut reader = PrefixRead::new("f/", requested.iter().map(String::as_str).collect());
         let (mut found, mut page_count) = (BTreeSet::new(), 0);
         while let Some(PageRequest { after, max_keys }) = reader.next_page() {
             page_count += 1;
--- a/src/control/leader/offload.rs
+++ b/src/control/leader/offload.rs
@@ -227,7 +227,7 @@
             return None;
         }
         let mut plan = self.empty_plan();
-        let limits = self.settings.cluster.state.always();
+        let limits = self.settings.cluster.state.strictest();
         let max_writes = max_writes.min(limits.txn_ops);
         let value_kb = limits.value_kb;
         let mut bytes = 0;
@@ -270,7 +270,7 @@
 
     /// Adds writes that remove the targets of returned jobs whose completed tasks are recorded.
     pub(super) fn plan_offload_removals(&mut self, plan: &mut WritePlan, budget: &WriteBudget) {
-        let value_kb = self.settings.cluster.state.always().value_kb;
+        let value_kb = self.settings.cluster.state.strictest().value_kb;
         for handle in &self.write_queue.offload_changes {
             let Some(job) = self.cluster.job_mut(*handle) else {
                 continue;
--- a/src/control/leader/persistence.rs
+++ b/src/control/leader/persistence.rs
@@ -234,7 +234,7 @@
         {
             return Some(offloads);
         }
-        let limits = self.settings.cluster.state.always();
+        let limits = self.settings.cluster.state.strictest();
         let has_spare_rate = max_writes as f64 > limits.write_rps / 2.0;
         let mut budget = WriteBudget::new(max_writes.min(limits.txn_ops));
         let mut plan = self.empty_plan();
@@ -259,7 +259,7 @@
     /// Adds the writes of one pass for all jobs, within the budget. The first
     /// pass also adds spec chunks that must be written before a job's record.
     fn plan_job_writes(&mut self, pass: JobPass, plan: &mut WritePlan, budget: &mut WriteBudget) {
-        let value_kb = self.settings.cluster.state.always().value_kb;
+        let value_kb = self.settings.cluster.state.strictest().value_kb;
         let all_tasks_known = self.recovery.knows_all_tasks();
         for (handle, job) in self.cluster.jobs.iter_mut() {
             if !budget.can_take_job(plan) {
@@ -399,7 +399,7 @@
     /// Adds the most recently used images to the record, as many as fit into its
     /// value.
     fn with_images(&self, mut record: MachineRecord, images: &[u32]) -> MachineRecord {
-        let limit = self.settings.cluster.state.always().value_kb * 1024.0;
+        let limit = self.settings.cluster.state.strictest().value_kb * 1024.0;
         let without_images = serde_json::to_value(&record).map_or(0, |v| v.to_string().len());
         let mut bytes_left = (limit as usize).saturating_sub(without_images + IMAGE_LIST_BYTES);
         for image in images.iter().rev() {
@@ -811,7 +811,7 @@
     let mut segments = vec![0];
     for segment in 1..job.dirty_segments.len() {
         if job.dirty_segments[segment] && budget.has_write(plan) {
-            let value = serde_json::Value::String(job.completed.chunk(segment));
+            let value = serde_json::Value::String(job.completed.segment_text(segment));
             budget.put(plan, segment_key(&job.id, segment), value);
             segments.push(segment);
         }
@@ -872,7 +872,7 @@
         accepted_at_ms: job.accepted_at_ms,
         cancelled: cancelled || job.cancelled,
         suspected: job.failures.suspected,
-        completed: job.completed.chunk(0),
+        completed: job.completed.segment_text(0),
         offloaded_to,
     };
     record.stored()
--- a/src/control/leader/spec_chunks.rs
+++ b/src/control/leader/spec_chunks.rs
@@ -62,7 +62,7 @@
     ) {
         let upload = match self.uploads.entry(handle) {
             Entry::Occupied(entry) => entry.into_mut(),
-            Entry::Vacant(entry) => match spec_chunks::cut(&job.spec) {
+            Entry::Vacant(entry) => match spec_chunks::split(&job.spec) {
                 Ok((spec_chunks, values)) => entry.insert(SpecUpload {
                     spec_chunks,
                     values,
@@ -131,12 +131,12 @@
         &self,
         spec: &JobSpec,
     ) -> anyhow::Result<Option<(SpecChunks, Vec<Txn>)>> {
-        let limits = self.settings.cluster.state.always();
+        let limits = self.settings.cluster.state.strictest();
         if !self.spec_uploads.allowed || keys::fits(keys::inline_record_size(spec), limits.value_kb)
         {
             return Ok(None);
         }
-        let (spec_chunks, values) = spec_chunks::cut(spec)?;
+        let (spec_chunks, values) = spec_chunks::split(spec)?;
         let writes: Vec<Write> = values
             .into_iter()
             .map(|(key, value)| Write::Put {
@@ -167,7 +167,7 @@
         }
         self.cluster.job(handle).is_some_and(|job| {
             let spec_chunks = job.spec_chunks.as_ref();
-            spec_chunks.is_some_and(|chunks| chunks.names(&job.id, key))
+            spec_chunks.is_some_and(|chunks| chunks.contains_key(&job.id, key))
         })
     }
 
@@ -182,7 +182,7 @@
                 .job_handle(id)
                 .and_then(|handle| self.cluster.job(handle));
             let spec_chunks = job.and_then(|job| job.spec_chunks.as_ref());
-            if !spec_chunks.is_some_and(|chunks| chunks.names(id, &key)) {
+            if !spec_chunks.is_some_and(|chunks| chunks.contains_key(id, &key)) {
                 self.write_queue.conditional_deletes.push((key, version));
             }
         }
--- a/src/control/leader/status.rs
+++ b/src/control/leader/status.rs
@@ -10,8 +10,8 @@
     options::LoadResource,
     protocol::{
         status::{
-            ClusterStatus, Due, JobExplanation, JobGroup, MOST_ROWS, MachineGroup, MachineProblem,
-            PendingReason, TaskFailure, TeamUsage,
+            ClusterStatus, Due, JobExplanation, JobGroup, MAX_LIST_ROWS, MachineGroup,
+            MachineProblem, PendingReason, TaskFailure, TeamUsage,
         },
         workers::ExitReason,
     },
@@ -192,7 +192,7 @@
             let used = |team: &TeamUsage| team.cpus + team.gpus;
             used(b).total_cmp(&used(a))
         });
-        status.teams.truncate(MOST_ROWS);
+        status.teams.truncate(MAX_LIST_ROWS);
         self.add_machine_groups(&mut status, now);
         status
     }
@@ -238,7 +238,7 @@
             let key = |group: &JobGroup| (group.class.clone(), group.team.clone());
             b.waiting.cmp(&a.waiting).then(key(a).cmp(&key(b)))
         });
-        groups.truncate(MOST_ROWS);
+        groups.truncate(MAX_LIST_ROWS);
         groups
     }
 
@@ -292,7 +292,7 @@
             } else {
                 continue;
             };
-            if status.troubles.len() < MOST_ROWS {
+            if status.troubles.len() < MAX_LIST_ROWS {
                 status.troubles.push(MachineProblem {
                     machine: truncate_name(&machine.name),
                     why: reason.to_owned(),
@@ -306,7 +306,7 @@
         status
             .fleet
             .sort_by(|a, b| (&a.type_name, &a.zone, a.spot).cmp(&(&b.type_name, &b.zone, b.spot)));
-        status.fleet.truncate(MOST_ROWS);
+        status.fleet.truncate(MAX_LIST_ROWS);
     }
 
     fn offloaded_jobs_by_market(&self) -> Vec<(String, u32)> {
@@ -319,7 +319,7 @@
         {
             *jobs_by_market.entry(&target.market).or_default() += 1;
         }
-        let rows = jobs_by_market.into_iter().take(MOST_ROWS);
+        let rows = jobs_by_market.into_iter().take(MAX_LIST_ROWS);
         rows.map(|(market, jobs)| (truncate_name(market), jobs))
             .collect()
     }
@@ -401,7 +401,7 @@
             due: self.deadline_status(job, left_s),
             left_s,
             deadline_s: job.spec.deadline_s,
-            places: places.take(MOST_ROWS).collect(),
+            places: places.take(MAX_LIST_ROWS).collect(),
             needs,
             needs_all: needs_all as u32,
         })
--- a/src/control/placement/fleet.rs
+++ b/src/control/placement/fleet.rs
@@ -197,7 +197,7 @@
         let mut before = slot.view.free;
         before += slot.withheld;
         let gained = !view.free.fits(&before);
-        view.free = view.free.least(&before);
+        view.free = view.free.min_per_resource(&before);
         self.update_machine(machine, Some(view), now);
         gained
     }
--- a/src/control/requests/submit.rs
+++ b/src/control/requests/submit.rs
@@ -386,7 +386,7 @@
         };
         let state = &view.settings.cluster.state;
         let limit_kb = match view.upgraded {
-            true => state.always().value_kb,
+            true => state.strictest().value_kb,
             false => state.value_kb,
         };
         if !records::fits(records::inline_record_size(spec), limit_kb) {
--- a/src/server/audit_log.rs
+++ b/src/server/audit_log.rs
@@ -16,7 +16,7 @@
         requests::{Answer, Provenance},
     },
     protocol::users::JobState,
-    state::{Millis, bounded_cache::Recent, rate_limit::TokenBucket},
+    state::{Millis, bounded_cache::BoundedCache, rate_limit::TokenBucket},
 };
 use std::cell::{Cell, RefCell};
 
@@ -32,7 +32,7 @@
 /// Rate limits and deduplication of the audit log.
 pub(super) struct AuditLog {
     lines: RefCell<TokenBucket>,
-    last_answers: RefCell<Recent<Box<str>, JobState>>,
+    last_answers: RefCell<BoundedCache<Box<str>, JobState>>,
     commands: Cell<CommandCounts>,
 }
 
@@ -48,7 +48,7 @@
     fn default() -> Self {
         AuditLog {
             lines: RefCell::new(TokenBucket::new(LINES_PER_S, BURST_S)),
-            last_answers: RefCell::new(Recent::new(MAX_REMEMBERED_ANSWERS)),
+            last_answers: RefCell::new(BoundedCache::new(MAX_REMEMBERED_ANSWERS)),
             commands: Cell::default(),
         }
     }
--- a/src/server/budgets.rs
+++ b/src/server/budgets.rs
@@ -40,14 +40,14 @@
 
 impl Budgets {
     pub(super) fn new(settings: &Settings) -> Self {
-        let limits = settings.cluster.state.always();
+        let limits = settings.cluster.state.strictest();
         let nodes = settings.peers.len() + 1;
-        let request_rate = limits.rps * share::of_requests(Role::Leaderless, nodes);
-        let change_rate = limits.write_rps * share::of_changes(Role::Leaderless, nodes);
+        let request_rate = limits.rps * share::of_requests(Role::NoLeader, nodes);
+        let change_rate = limits.write_rps * share::of_writes(Role::NoLeader, nodes);
         let cloud_rate = settings.cluster.cloud.rps * CLOUD_SHARE;
         Budgets {
             requests: RefCell::new(RequestBudget::new(
-                Role::Leaderless,
+                Role::NoLeader,
                 request_rate,
                 STORE_BURST_S,
             )),
@@ -59,13 +59,13 @@
 
     /// Adjusts the shares to the node's role in the election.
     pub(super) fn set_role(&self, role: Role, settings: &Settings, now: Millis) {
-        let limits = settings.cluster.state.always();
+        let limits = settings.cluster.state.strictest();
         let nodes = settings.peers.len() + 1;
         let request_rate = limits.rps * share::of_requests(role, nodes);
         self.requests
             .borrow_mut()
             .set_role(now, role, request_rate, STORE_BURST_S);
-        let change_rate = limits.write_rps * share::of_changes(role, nodes);
+        let change_rate = limits.write_rps * share::of_writes(role, nodes);
         self.changes
             .borrow_mut()
             .set_rate(now, change_rate, STORE_BURST_S);
--- a/src/server/control_loop.rs
+++ b/src/server/control_loop.rs
@@ -190,8 +190,10 @@
             return;
         };
         let now = self.now();
-        let kept_for_users = share::kept_for_users(self.settings.cluster.state.always().write_rps);
-        let level = self.budgets.change_level(now) - kept_for_users;
+        let writes_reserved_for_submissions = share::writes_reserved_for_submissions(
+            self.settings.cluster.state.strictest().write_rps,
+        );
+        let level = self.budgets.change_level(now) - writes_reserved_for_submissions;
         let max_changes = (level.max(0.0) as usize).min(self.budgets.max_txn_changes());
         if max_changes < MIN_WRITE_CHANGES || self.budgets.request_level(now) < MIN_WRITE_REQUESTS {
             return;
--- a/src/server/leadership/renew.rs
+++ b/src/server/leadership/renew.rs
@@ -196,7 +196,7 @@
             let (node, zone) = (self.clone(), peer.zone.clone());
             let probe = async move {
                 let reply = node
-                    .call_peer(index, &Request::greeting(), PROBE_TIMEOUT)
+                    .call_peer(index, &Request::probe(), PROBE_TIMEOUT)
                     .await;
                 if reply.is_ok() {
                     node.in_term(term, |leader, now| leader.controller_responded(&zone, now));
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -264,9 +264,9 @@
         let role = {
             let election = self.election.borrow();
             match (election.leadership(), &election.observed_leader) {
-                (Some(_), _) => Role::Leads,
-                (None, Some(_)) => Role::Follows,
-                (None, None) => Role::Leaderless,
+                (Some(_), _) => Role::Leader,
+                (None, Some(_)) => Role::Follower,
+                (None, None) => Role::NoLeader,
             }
         };
         self.budgets.set_role(role, &self.settings, self.now());
--- a/src/server/peers.rs
+++ b/src/server/peers.rs
@@ -54,7 +54,7 @@
             let probe = async move {
                 let timeout = Duration::from_millis(2 * UNRESPONSIVE_REQUEST_AGE_MS);
                 // `call_peer` reports the result to the failure detector.
-                let _ = prober.call_peer(peer, &Request::greeting(), timeout).await;
+                let _ = prober.call_peer(peer, &Request::probe(), timeout).await;
             };
             node.executor.spawn_high(probe).detach();
         }
--- a/src/server/store.rs
+++ b/src/server/store.rs
@@ -10,7 +10,7 @@
 use super::Node;
 use crate::{
     control::{
-        key_pages::{PageRequest, Pages},
+        key_pages::{PageRequest, PrefixRead},
         requests::{Found, LookupResults, TxnResult},
     },
     protocol::state::{Item, Page, Revision, Txn},
@@ -337,7 +337,7 @@
     ) -> NamedRead {
         let mut result = NamedRead::default();
         let one_by_one = names.len() <= MAX_SINGLE_READS;
-        let mut pages = Pages::new(prefix, names);
+        let mut pages = PrefixRead::new(prefix, names);
         while let Some(PageRequest { after, max_keys }) = pages.next_page() {
             let read = match (
                 self.take_lookup_request(priority).await,
--- a/src/state/bounded_cache.rs
+++ b/src/state/bounded_cache.rs
@@ -9,16 +9,16 @@
 /// A bounded map of two generations: when the young generation is full, the old one is
 /// dropped and the young one takes its place.
 #[derive(Debug)]
-pub struct Recent<K, V> {
+pub struct BoundedCache<K, V> {
     young: HashMap<K, V>,
     old: HashMap<K, V>,
     max_entries: usize,
 }
 
-impl<K: Hash + Eq, V> Recent<K, V> {
+impl<K: Hash + Eq, V> BoundedCache<K, V> {
     /// Returns an empty map that holds at most `max_entries` entries.
     pub fn new(max_entries: usize) -> Self {
-        Recent {
+        BoundedCache {
             young: HashMap::new(),
             old: HashMap::new(),
             max_entries,
@@ -43,7 +43,7 @@
 
     /// Whether `key` is in the young generation, which is not the next one to be
     /// dropped.
-    pub fn is_young<Q: Hash + Eq + ?Sized>(&self, key: &Q) -> bool
+    pub fn is_in_young_generation<Q: Hash + Eq + ?Sized>(&self, key: &Q) -> bool
     where
         K: Borrow<Q>,
     {
--- a/src/state/bounded_cache/tests.rs
+++ b/src/state/bounded_cache/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn cache_keeps_latest_entries_when_its_bound_is_reached() {
-    let mut cache = Recent::new(10);
+    let mut cache = BoundedCache::new(10);
     for n in 0..100 {
         cache.insert(n, n);
         cache.insert(n, n + 1);
@@ -11,5 +11,5 @@
     assert_eq!(cache.get(&99), Some(&100));
     assert_eq!(cache.get(&95), Some(&96));
     assert_eq!(cache.get(&1), None);
-    assert!(cache.is_young(&99));
+    assert!(cache.is_in_young_generation(&99));
 }
--- a/src/state/cluster/job.rs
+++ b/src/state/cluster/job.rs
@@ -163,7 +163,7 @@
             accepted_this_term: false,
             known_since: now,
             completed_count: completed.count(),
-            dirty_segments: vec![false; completed.chunks()],
+            dirty_segments: vec![false; completed.segment_count()],
             completed,
             task_slots,
             first_waiting_hint: 0,
--- a/src/state/rate_limit.rs
+++ b/src/state/rate_limit.rs
@@ -15,11 +15,11 @@
     #[derive(Debug, Clone, Copy, PartialEq, Eq)]
     pub enum Role {
         /// The controller is the leader.
-        Leads,
+        Leader,
         /// Another controller is the leader.
-        Follows,
+        Follower,
         /// There is no leader.
-        Leaderless,
+        NoLeader,
     }
     use Role::*;
 
@@ -28,9 +28,9 @@
     pub fn of_requests(role: Role, nodes: usize) -> f64 {
         match (role, nodes) {
             (_, 0 | 1) => 0.9,
-            (Leads, _) => 0.55,
-            (Follows, n) => 0.35 / (n - 1) as f64,
-            (Leaderless, n) => 0.9 / n as f64,
+            (Leader, _) => 0.55,
+            (Follower, n) => 0.35 / (n - 1) as f64,
+            (NoLeader, n) => 0.9 / n as f64,
         }
     }
 
@@ -38,9 +38,9 @@
     /// leader can be reached. Without a leader every controller may use the whole
     /// share, first come, first served: it is not known beforehand which controller
     /// users contact.
-    pub fn of_changes(role: Role, nodes: usize) -> f64 {
+    pub fn of_writes(role: Role, nodes: usize) -> f64 {
         match (role, nodes) {
-            (Follows, 2..) => 0.45 / (nodes - 1) as f64,
+            (Follower, 2..) => 0.45 / (nodes - 1) as f64,
             _ => 0.9,
         }
     }
@@ -53,7 +53,7 @@
     /// Returns the number of writes that persistence leaves for submissions. Without
     /// this reserve, submissions would be refused when task progress has just used up
     /// the budget.
-    pub fn kept_for_users(rate: f64) -> f64 {
+    pub fn writes_reserved_for_submissions(rate: f64) -> f64 {
         (rate * RESERVED_FOR_USERS_S).clamp(1.0, MAX_WRITES_RESERVED_FOR_USERS)
     }
 }
--- a/src/state/records.rs
+++ b/src/state/records.rs
@@ -369,12 +369,12 @@
     }
 
     /// Number of segments of the bitmap.
-    pub fn chunks(&self) -> usize {
+    pub fn segment_count(&self) -> usize {
         self.0.len().div_ceil(SEGMENT_BYTES)
     }
 
     /// Returns one segment as base64, without trailing zero bytes.
-    pub fn chunk(&self, segment: usize) -> String {
+    pub fn segment_text(&self, segment: usize) -> String {
         let end = self.0.len().min((segment + 1) * SEGMENT_BYTES);
         let bytes = self.0.get(segment * SEGMENT_BYTES..end).unwrap_or(&[]);
         let last = bytes.iter().rposition(|byte| *byte != 0);
--- a/src/state/request_budget.rs
+++ b/src/state/request_budget.rs
@@ -71,7 +71,7 @@
     /// leader looks up dependencies.
     fn guaranteed_share(self, role: Role) -> f64 {
         match (self, role) {
-            (RequestPriority::DependencyLookup, Role::Leads) => LOOKUP_SHARE,
+            (RequestPriority::DependencyLookup, Role::Leader) => LOOKUP_SHARE,
             (RequestPriority::Poll, _) => POLL_SHARE,
             _ => 0.0,
         }
--- a/src/state/request_budget/tests.rs
+++ b/src/state/request_budget/tests.rs
@@ -9,13 +9,13 @@
     let rates = [60.0, 200.0, 700.0].into_iter();
     let sizes = rates.flat_map(|per_s| [(per_s, 3), (per_s, 7)]);
     sizes.flat_map(|(per_s, nodes)| {
-        let roles = [Role::Leads, Role::Follows, Role::Leaderless];
+        let roles = [Role::Leader, Role::Follower, Role::NoLeader];
         roles.map(|role| (role, per_s * share::of_requests(role, nodes)))
     })
 }
 
 fn leaders() -> impl Iterator<Item = f64> {
-    let leads = deployments().filter(|(role, _)| *role == Role::Leads);
+    let leads = deployments().filter(|(role, _)| *role == Role::Leader);
     leads.map(|(_, per_s)| per_s)
 }
 
@@ -44,7 +44,7 @@
 fn acceptances_leave_lookups_and_polls_their_share_at_every_rate() {
     let all = RequestPriority::ALL;
     for per_s in leaders() {
-        let taken = contend(Role::Leads, per_s, &all[1..], 1);
+        let taken = contend(Role::Leader, per_s, &all[1..], 1);
         for (priority, share) in [
             (RequestPriority::DependencyLookup, LOOKUP_SHARE),
             (RequestPriority::Poll, POLL_SHARE),
@@ -67,7 +67,7 @@
 fn lookups_leave_polls_their_share() {
     for per_s in leaders() {
         let demand = [RequestPriority::DependencyLookup, RequestPriority::Poll];
-        let taken = contend(Role::Leads, per_s, &demand, 1);
+        let taken = contend(Role::Leader, per_s, &demand, 1);
         let polls = taken[RequestPriority::Poll as usize];
         let guaranteed = (per_s * SECONDS as f64 * POLL_SHARE) as u64;
         assert!(polls + 1 >= guaranteed, "{per_s}: {taken:?}");
@@ -99,7 +99,7 @@
 fn full_bucket_serves_every_priority_however_small_it_is() {
     for per_s in [0.5, 1.0, 3.0, 5.0] {
         for priority in RequestPriority::ALL {
-            let mut budget = RequestBudget::new(Role::Leads, per_s, BURST_S);
+            let mut budget = RequestBudget::new(Role::Leader, per_s, BURST_S);
             assert!(budget.take(10_000, priority), "{per_s}: {priority:?}");
         }
     }
@@ -122,7 +122,7 @@
 /// burst.
 #[test]
 fn less_urgent_requests_leave_a_reserve_of_the_surplus() {
-    let mut budget = RequestBudget::new(Role::Leads, 100.0, BURST_S);
+    let mut budget = RequestBudget::new(Role::Leader, 100.0, BURST_S);
     let [_, acceptance, lookup, poll, listing] = RequestPriority::ALL;
     for priority in [listing, poll, lookup] {
         while budget.take(0, priority) {}
--- a/src/state/resources.rs
+++ b/src/state/resources.rs
@@ -53,14 +53,14 @@
     }
 
     /// Raises each amount to at least the other's.
-    pub fn widen(&mut self, other: &Resources) {
+    pub fn max_assign(&mut self, other: &Resources) {
         self.cpus = self.cpus.max(other.cpus);
         self.gpus = self.gpus.max(other.gpus);
         self.memory = self.memory.max(other.memory);
     }
 
     /// Returns the smaller of each amount.
-    pub fn least(&self, other: &Resources) -> Resources {
+    pub fn min_per_resource(&self, other: &Resources) -> Resources {
         Resources {
             cpus: self.cpus.min(other.cpus),
             gpus: self.gpus.min(other.gpus),
--- a/src/state/resources/tests.rs
+++ b/src/state/resources/tests.rs
@@ -13,7 +13,7 @@
         let machines: Vec<Resources> = (0..5).map(|_| any(8)).collect();
         let need = any(10);
         let mut widened = machines[0];
-        machines.iter().for_each(|m| widened.widen(m));
+        machines.iter().for_each(|m| widened.max_assign(m));
         let fits = machines.iter().any(|m| need.fits(m));
         assert!(!fits || need.fits(&widened), "{need:?} {machines:?}");
         fitting += u32::from(fits);
--- a/src/state/spec_chunks.rs
+++ b/src/state/spec_chunks.rs
@@ -45,7 +45,7 @@
     }
 
     /// Whether the key belongs to one of these chunks.
-    pub fn names(&self, id: &str, key: &str) -> bool {
+    pub fn contains_key(&self, id: &str, key: &str) -> bool {
         let number = key.strip_prefix(&self.prefix(id)).map(str::parse::<usize>);
         matches!(number, Some(Ok(n)) if n < self.count)
     }
@@ -58,7 +58,7 @@
 
 /// Splits a spec into chunks. Returns the reference for the job's record, and the keys
 /// and values that have to be written before a record may refer to them.
-pub fn cut(spec: &JobSpec) -> Result<(SpecChunks, Vec<(String, String)>)> {
+pub fn split(spec: &JobSpec) -> Result<(SpecChunks, Vec<(String, String)>)> {
     let bytes = serde_json::to_vec(spec)?;
     let mut hasher = DefaultHasher::new();
     hasher.write(&bytes);
--- a/tests/compatibility/operators.rs
+++ b/tests/compatibility/operators.rs
@@ -11,7 +11,7 @@
             StateLimits, Team, Workers,
         },
         status::{
-            ClusterStatus, Due, Explanation, JobExplanation, JobGroup, MOST_ROWS, MachineGroup,
+            ClusterStatus, Due, Explanation, JobExplanation, JobGroup, MAX_LIST_ROWS, MachineGroup,
             MachineProblem, PendingReason, StandbyStatus, Status, TaskFailure, TeamUsage,
         },
         users::{JobState, JobStatus},
@@ -776,7 +776,7 @@
     assert_pinned(ANSWERS, "status/bare", &bare);
     // A status without the fields that were added later.
     assert_reads_as(ANSWERS, "status/old", &bare);
-    assert_eq!(MOST_ROWS, 100);
+    assert_eq!(MAX_LIST_ROWS, 100);
 }
 
 fn full_job_explanation() -> JobExplanation {
--- a/tests/compatibility/stored.rs
+++ b/tests/compatibility/stored.rs
@@ -169,7 +169,7 @@
 
 #[test]
 fn job_record_with_spec_chunks_keeps_its_stored_form() {
-    let (chunks, values) = spec_chunks::cut(&long_spec()).unwrap();
+    let (chunks, values) = spec_chunks::split(&long_spec()).unwrap();
     let record = JobRecord {
         spec: long_spec(),
         spec_chunks: Some(chunks.clone()),
@@ -189,17 +189,17 @@
 
 #[test]
 fn long_spec_is_cut_into_the_same_chunks() {
-    let (chunks, values) = spec_chunks::cut(&long_spec()).unwrap();
+    let (chunks, values) = spec_chunks::split(&long_spec()).unwrap();
     assert_stored("pieces/values", &values);
     let stored_values: Vec<(String, String)> =
         serde_json::from_str(fixture(STORED, "pieces/values")).unwrap();
     let texts = stored_values.iter().map(|(_, text)| text.as_str());
     assert_eq!(spec_chunks::join(&chunks, texts).unwrap(), long_spec());
     for (key, _) in &stored_values {
-        assert!(chunks.names("j-000412", key), "{key}");
+        assert!(chunks.contains_key("j-000412", key), "{key}");
         assert_eq!(SpecChunks::job_of(key), Some("j-000412"));
     }
-    assert!(!chunks.names("j-000412", "p/j-000412/00/0000"));
+    assert!(!chunks.contains_key("j-000412", "p/j-000412/00/0000"));
 }
 
 #[test]
@@ -390,8 +390,8 @@
         assert!(bitmap.set(task) && !bitmap.set(task), "{task}");
     }
     assert!(!bitmap.set(20_000), "past the end");
-    assert_eq!(bitmap.chunks(), 3);
-    let chunks: Vec<String> = (0..4).map(|n| bitmap.chunk(n)).collect();
+    assert_eq!(bitmap.segment_count(), 3);
+    let chunks: Vec<String> = (0..4).map(|n| bitmap.segment_text(n)).collect();
     assert_stored("chunks", &chunks);
     let stored_values: Vec<String> = serde_json::from_str(fixture(STORED, "chunks")).unwrap();
     let mut read = TaskBitmap::with_len(20_000);
@@ -405,7 +405,7 @@
 #[test]
 fn bitmap_chunk_without_completed_tasks_is_empty() {
     let bitmap = TaskBitmap::with_len(8_193);
-    assert_eq!([bitmap.chunk(0), bitmap.chunk(1)], ["", ""]);
+    assert_eq!([bitmap.segment_text(0), bitmap.segment_text(1)], ["", ""]);
 }
 
 fn rewritten_json<T: Serialize + DeserializeOwned>(text: &str) -> serde_json::Value {
--- a/tests/compatibility/wire.rs
+++ b/tests/compatibility/wire.rs
@@ -14,7 +14,7 @@
     },
     state::{Condition, Event, Item, LeaseGranted, Page, Revision, Txn, Watched, Write},
     status::{
-        ClusterStatus, Due, Explanation, JobExplanation, JobGroup, MOST_ROWS, MachineGroup,
+        ClusterStatus, Due, Explanation, JobExplanation, JobGroup, MAX_LIST_ROWS, MachineGroup,
         MachineProblem, PendingReason, StandbyStatus, Status, TaskFailure, TeamUsage,
     },
     users::{JobSpec, JobState, JobStatus, Kind, MAX_TASKS, Priority},
@@ -235,7 +235,7 @@
     assert_eq!(MAX_OFFLOAD_CANDIDATES, 100);
     assert_eq!(MAX_TASKS, 100_000);
     assert_eq!(MAX_MACHINES_PER_REQUEST, 50);
-    assert_eq!(MOST_ROWS, 100);
+    assert_eq!(MAX_LIST_ROWS, 100);
     assert_eq!(parse_task_name("j-000412/4"), Some(("j-000412", 4)));
     assert_eq!(parse_task_name("j-000412"), None);
     assert_eq!(parse_task_name("j-000412/x"), None);
@@ -819,7 +819,7 @@
                 for_ms: 1300,
             },
         ),
-        ("request.greeting", Request::greeting()),
+        ("request.greeting", Request::probe()),
         (
             "request.follow",
             Request::Replicate(replication_part(machine_tasks())),
--- a/tests/input.rs
+++ b/tests/input.rs
@@ -131,9 +131,9 @@
 #[test]
 fn announced_limits_apply_when_lower() {
     let mut limits = settings(0.0).cluster.state;
-    assert_eq!(limits.always().value_kb, limits.value_kb);
+    assert_eq!(limits.strictest().value_kb, limits.value_kb);
     limits.next = serde_json::from_str(r#"{"value_kb":2.0,"write_rps":500.0,"other":1}"#).unwrap();
-    let effective = limits.always();
+    let effective = limits.strictest();
     assert_eq!(
         (effective.value_kb, effective.txn_ops),
         (2.0, limits.txn_ops)
@@ -238,7 +238,7 @@
 #[test]
 fn largest_status_fits_one_frame() {
     let name = "n".repeat(60);
-    let rows = || std::iter::repeat_n((), status::MOST_ROWS);
+    let rows = || std::iter::repeat_n((), status::MAX_LIST_ROWS);
     let cluster = status::ClusterStatus {
         groups: rows()
             .map(|_| status::JobGroup {
--- a/tests/simulation/request_budgets.rs
+++ b/tests/simulation/request_budgets.rs
@@ -31,7 +31,7 @@
     }
 
     pub(super) fn new_request_budget(&self) -> Option<NodeRequests> {
-        let role = Role::Leaderless;
+        let role = Role::NoLeader;
         let per_s = self.requests_per_s(role)?;
         Some(NodeRequests {
             budget: RequestBudget::new(role, per_s, BURST_S),
@@ -50,9 +50,9 @@
         let now = self.now;
         let election = &self.nodes[node_id].election;
         let role = match (election.leadership(), election.leader(now)) {
-            (Some(_), _) => Role::Leads,
-            (None, Some(_)) => Role::Follows,
-            (None, None) => Role::Leaderless,
+            (Some(_), _) => Role::Leader,
+            (None, Some(_)) => Role::Follower,
+            (None, None) => Role::NoLeader,
         };
         let Some(per_s) = self.requests_per_s(role) else {
             return;
--- a/tests/simulation/requests.rs
+++ b/tests/simulation/requests.rs
@@ -237,7 +237,7 @@
     /// Limits the writes per second that the state service accepts from all nodes.
     pub fn limit_write_rate(&mut self, rate: f64) {
         self.write_rate = rate;
-        let budget = || TokenBucket::new(rate * share::of_changes(Role::Leads, 3), 1.0);
+        let budget = || TokenBucket::new(rate * share::of_writes(Role::Leader, 3), 1.0);
         self.budgets = self.nodes.iter().map(|_| budget()).collect();
     }
 
@@ -248,7 +248,10 @@
 
     /// Returns the number of writes that the leader's record updates may make now.
     pub(super) fn write_budget(&mut self, node_id: usize) -> usize {
-        let (now, kept) = (self.now, share::kept_for_users(self.write_rate));
+        let (now, kept) = (
+            self.now,
+            share::writes_reserved_for_submissions(self.write_rate),
+        );
         let level = self.budgets.get_mut(node_id).map(|b| b.level(now) - kept);
         level.map_or(12, |l| l.max(0.0) as usize)
     }
