--- a/src/control/leader/dependencies.rs
+++ b/src/control/leader/dependencies.rs
@@ -95,7 +95,7 @@
                 dependent.accepted_this_term = true;
                 dependent.queued_since_ms = wall_ms;
             }
-            dependent.known_since = now;
+            dependent.waiting_since = now;
             dependent.reason = PendingReason::New;
             log::debug!(
                 "dependencies: job {} is ready, all its dependencies are done",
--- a/src/control/leader/direct_commands.rs
+++ b/src/control/leader/direct_commands.rs
@@ -104,9 +104,12 @@
                     // this worker process is the one that was answered last: a
                     // restarted one may have counted further, and so may a new
                     // incarnation that was never answered.
-                    DirectDeliveryOutcome::Executed(_) => machine_state.latest_possible_start = now,
+                    DirectDeliveryOutcome::Executed(_) => {
+                        machine_state.latest_possible_direct_start = now
+                    }
                     DirectDeliveryOutcome::NoAnswer => {
-                        machine_state.latest_possible_start = sent_at + DIRECT_COMMAND_TIMEOUT_MS
+                        machine_state.latest_possible_direct_start =
+                            sent_at + DIRECT_COMMAND_TIMEOUT_MS
                     }
                     DirectDeliveryOutcome::Refused(_) | DirectDeliveryOutcome::NotSent => {}
                 }
--- a/src/control/leader/expiry.rs
+++ b/src/control/leader/expiry.rs
@@ -39,7 +39,7 @@
         let report_interval_ms = millis(self.settings.cluster.workers.report_s);
         let mut responsive = 0;
         let mut names = Vec::new();
-        for machine in self.cluster.each_machine().filter(|machine| machine.up) {
+        for machine in self.cluster.machines().filter(|machine| machine.up) {
             if now
                 > machine.last_heartbeat.max(self.recovery.resumed_at)
                     + report_interval_ms
@@ -74,7 +74,8 @@
             }
             up += usize::from(machine.up);
             unconfirmed += usize::from(machine.contents_unknown);
-            overdue_count += usize::from(is_overdue || machine.up && machine.misses_responses());
+            overdue_count +=
+                usize::from(is_overdue || machine.up && machine.awaits_token_acknowledgement());
             let overdue_changed = machine.overdue != is_overdue;
             let lease_expired = (machine.up || machine.contents_unknown)
                 && now > machine.lease_start() + lease_expiry_ms;
@@ -163,7 +164,7 @@
         if to_stop.is_empty() {
             return;
         }
-        for machine in self.cluster.each_machine_mut() {
+        for machine in self.cluster.machines_mut() {
             for assignment in machine.tasks.iter_mut() {
                 if assignment.is_live()
                     && assignment.stop_grace_s.is_none()
--- a/src/control/leader/failover.rs
+++ b/src/control/leader/failover.rs
@@ -142,7 +142,7 @@
         {
             restored += usize::from(self.restore_task(machine, job, may_run, now));
         }
-        let unconfirmed_machines = self.cluster.each_machine().filter(|m| m.contents_unknown);
+        let unconfirmed_machines = self.cluster.machines().filter(|m| m.contents_unknown);
         (restored, unconfirmed_machines.count())
     }
 
--- a/src/control/leader/faults.rs
+++ b/src/control/leader/faults.rs
@@ -27,7 +27,7 @@
             return;
         };
         match reason {
-            ExitReason::Done => job.consecutive_refusals = 0,
+            ExitReason::Done => job.unsuccessful_starts = 0,
             ExitReason::Error => {
                 job.failures.record_failure(machine, now);
                 job.failures.delay_retry(now);
@@ -60,9 +60,9 @@
                 && (reason != ExitReason::Error || job_state.failures.has_succeeded)
         };
         if let Some(job_state) = self.cluster.job_mut(job_handle).filter(counts_as_refusal) {
-            job_state.consecutive_refusals += 1;
-            if job_state.consecutive_refusals > 2 {
-                job_state.backoff_until = now + (500 << job_state.consecutive_refusals.min(7));
+            job_state.unsuccessful_starts += 1;
+            if job_state.unsuccessful_starts > 2 {
+                job_state.backoff_until = now + (500 << job_state.unsuccessful_starts.min(7));
             }
         }
         if reason != ExitReason::Done
@@ -222,7 +222,7 @@
     /// Ends the quarantine, when it is due, of machines that can't be released because tasks
     /// still run on them.
     pub(super) fn retry_quarantined(&mut self, now: Millis) {
-        let all = self.cluster.machines_by_handle();
+        let all = self.cluster.machines_with_handles();
         let quarantined =
             all.filter(|(_, machine)| machine.failures.quarantined && machine.live_tasks() > 0);
         let quarantined: Vec<MachineHandle> = quarantined
--- a/src/control/leader/fleet_view.rs
+++ b/src/control/leader/fleet_view.rs
@@ -25,7 +25,7 @@
 fn machine_view(machine: &Machine) -> MachineView {
     let free = machine.free();
     MachineView {
-        type_ix: machine.type_ix,
+        type_index: machine.type_index,
         zone: machine.zone,
         spot: machine.spot,
         capacity: machine.capacity,
@@ -96,7 +96,7 @@
 
     /// Returns the seconds left until the nearest start objective that can still be met.
     pub(super) fn time_to_start_objective(&self, job: &Job, now: Millis) -> Option<f64> {
-        let age_s = (now - job.known_since) as f64 / 1000.0;
+        let age_s = (now - job.waiting_since) as f64 / 1000.0;
         let team = self.cluster.teams.get(job.team);
         let guaranteed = team.is_some_and(|t| {
             (job.need.gpus > 0 && t.gpus > 0.0) || (job.need.gpus == 0 && t.cpus > 0.0)
@@ -124,8 +124,8 @@
     /// The paper on which placement is based leaves open which kind of machine a job should
     /// run on; here cheaper kinds go first, and the method of the paper chooses among machines
     /// of one kind.
-    pub(super) fn task_price_rank(&self, need: &Resources, type_ix: usize, spot: bool) -> u32 {
-        let Some(machine_type) = self.cluster.types.get(type_ix) else {
+    pub(super) fn task_price_rank(&self, need: &Resources, type_index: usize, spot: bool) -> u32 {
+        let Some(machine_type) = self.cluster.types.get(type_index) else {
             return u32::MAX;
         };
         let whole_machine =
--- a/src/control/leader/gang_reservation.rs
+++ b/src/control/leader/gang_reservation.rs
@@ -65,7 +65,7 @@
             } else {
                 DEFAULT_GANG_WAIT_MS
             };
-            now > job.known_since + max_wait_ms
+            now > job.waiting_since + max_wait_ms
         })
     }
 
@@ -208,7 +208,7 @@
         let fetch_rate = chosen
             .iter()
             .filter_map(|machine_handle| self.cluster.machine(*machine_handle))
-            .map(|m| self.cluster.types[m.type_ix].fetch_gb_per_s)
+            .map(|m| self.cluster.types[m.type_index].fetch_gb_per_s)
             .fold(f64::INFINITY, f64::min)
             .max(0.001);
         let acceptable_loss = (victims::fetch_idle_core_s(job, fetch_rate)
--- a/src/control/leader/headroom.rs
+++ b/src/control/leader/headroom.rs
@@ -57,8 +57,8 @@
 }
 
 impl Headroom {
-    pub(super) fn covers(&self, type_ix: usize, spot: bool) -> bool {
-        self.types.get(type_ix).copied().unwrap_or(false) && (self.spot || !spot)
+    pub(super) fn covers(&self, type_index: usize, spot: bool) -> bool {
+        self.types.get(type_index).copied().unwrap_or(false) && (self.spot || !spot)
     }
 
     /// Returns the number of tasks that fit into `free`, at most `MAX_COUNTED_TASKS`, which
@@ -117,23 +117,23 @@
             let mut headroom = class.headroom_for(0);
             // Spare capacity is kept only on machine types whose price per task is at most
             // twice that of the cheapest one.
-            let price = |type_ix: usize| {
-                let machine_type = &self.cluster.types[type_ix];
+            let price = |type_index: usize| {
+                let machine_type = &self.cluster.types[type_index];
                 let machine_price = machine_type.price_of(class.spot);
                 let whole_machine =
                     Resources::offer(machine_type.cpus, machine_type.gpus, machine_type.memory_gb);
                 machine_price / (whole_machine.count(&class.need).max(1) as f64)
             };
             let lowest_price = (0..self.cluster.types.len())
-                .filter(|type_ix| class.types.get(*type_ix) == Some(&true))
+                .filter(|type_index| class.types.get(*type_index) == Some(&true))
                 .map(price)
                 .min_by(f64::total_cmp)
                 .unwrap_or(0.0);
-            for (type_ix, allowed) in headroom.types.iter_mut().enumerate() {
-                *allowed &= price(type_ix) <= 2.0 * lowest_price;
+            for (type_index, allowed) in headroom.types.iter_mut().enumerate() {
+                *allowed &= price(type_index) <= 2.0 * lowest_price;
             }
             let mut most = 0;
-            for machine in self.cluster.each_machine() {
+            for machine in self.cluster.machines() {
                 let of_class = |assignment: &&Assignment| {
                     assignment.is_live()
                         && assignment
@@ -146,7 +146,7 @@
                             })
                 };
                 most = most.max(machine.tasks.iter().filter(of_class).count() as i64);
-                if machine.schedulable() && headroom.covers(machine.type_ix, machine.spot) {
+                if machine.schedulable() && headroom.covers(machine.type_index, machine.spot) {
                     let mut free = machine.free();
                     free += self.resources_held_by_batch_jobs(machine);
                     headroom.fits += headroom.tasks_in(&free);
@@ -215,7 +215,7 @@
             }
             let mut headroom = class.headroom_for(wanted);
             for (_, machine) in self.scheduling.fleet.machine_views() {
-                if headroom.covers(machine.type_ix, machine.spot) {
+                if headroom.covers(machine.type_index, machine.spot) {
                     headroom.fits += headroom.tasks_in(&machine.free);
                 }
             }
--- a/src/control/leader/heartbeats.rs
+++ b/src/control/leader/heartbeats.rs
@@ -92,7 +92,7 @@
                 .filter(|job_state| !job_state.has_run)
             {
                 job_state.has_run = true;
-                let waited_s = (now - job_state.known_since) as f64 / 1000.0;
+                let waited_s = (now - job_state.waiting_since) as f64 / 1000.0;
                 self.events
                     .metric_counts
                     .waits
--- a/src/control/leader/inventory.rs
+++ b/src/control/leader/inventory.rs
@@ -96,7 +96,7 @@
         if self.recovery.settled || requested_at < self.list_reliable_from() {
             return;
         }
-        let machines = self.cluster.machines_by_handle();
+        let machines = self.cluster.machines_with_handles();
         let gone: Vec<MachineHandle> = machines
             .filter(|(_, machine)| machine.contents_unknown && machine.last_listed < requested_at)
             .map(|(machine_handle, _)| machine_handle)
@@ -198,7 +198,7 @@
                 && !machine.write_in_flight
                 && machine.live_tasks() == 0
         };
-        let all = self.cluster.machines_by_handle();
+        let all = self.cluster.machines_with_handles();
         let all = all
             .filter(|(_, machine)| due(machine))
             .map(|(machine_handle, _)| machine_handle);
@@ -227,13 +227,13 @@
     }
 
     fn price(&self, machine: &Machine) -> f64 {
-        self.cluster.types[machine.type_ix].price_of(machine.spot)
+        self.cluster.types[machine.type_index].price_of(machine.spot)
     }
 
     /// Returns how long a machine is kept idle. An on-demand machine is kept for less time than
     /// a spot machine of its type, in proportion to their prices.
     pub(super) fn idle_allowance(&self, machine: &Machine, idle_ms: Millis) -> Millis {
-        let machine_type = &self.cluster.types[machine.type_ix];
+        let machine_type = &self.cluster.types[machine.type_index];
         if machine.spot || machine_type.price <= machine_type.spot_price {
             return idle_ms;
         }
@@ -290,9 +290,9 @@
         if !self.is_idle_too_long(machine, now) {
             return None;
         }
-        let covering = |entry: &&mut Headroom| entry.covers(machine.type_ix, machine.spot);
+        let covering = |entry: &&mut Headroom| entry.covers(machine.type_index, machine.spot);
         let needed = headroom.iter().any(|entry| {
-            entry.covers(machine.type_ix, machine.spot)
+            entry.covers(machine.type_index, machine.spot)
                 && entry.fits - entry.tasks_in(&machine.capacity) < entry.wanted
         });
         if needed {
@@ -310,13 +310,13 @@
         self.recovery.settled
             && now >= machine.idle_since + self.idle_allowance(machine, idle_ms)
             // If most machines get no responses, the fault is on the side of this node.
-            && !(machine.misses_responses() && now < self.scaling.no_scale_out_until)
+            && !(machine.awaits_token_acknowledgement() && now < self.scaling.no_scale_out_until)
             && !machine.command_in_flight
     }
 
     /// Returns why a machine that is not up should be released, if it should.
     fn reason_to_release_down(&self, machine: &Machine, now: Millis) -> Option<&'static str> {
-        let boot_ms = millis(self.cluster.types[machine.type_ix].boot_s);
+        let boot_ms = millis(self.cluster.types[machine.type_index].boot_s);
         let registered = machine.registration == Registration::Present;
         let has_run = machine.incarnation > 0;
         if !has_run
@@ -364,7 +364,7 @@
         self.scheduling.next_drain_at = now + DRAIN_INTERVAL_MS;
         let idle_ms = millis(self.options.idle_s);
         let mut candidates: Vec<MachineHandle> = Vec::new();
-        for (machine_handle, machine) in self.cluster.machines_by_handle() {
+        for (machine_handle, machine) in self.cluster.machines_with_handles() {
             if machine.draining && machine.up && !machine.releasing {
                 // Only one machine is drained at a time.
                 if machine.live_tasks() > 0 {
@@ -396,7 +396,7 @@
                 // image while the services stop, and the services would have to fetch it.
                 for target in targets {
                     if let Some(machine) = self.cluster.machine_mut(target) {
-                        machine.closed_to_batches_until = now + SERVICE_MOVE_MS;
+                        machine.no_batch_tasks_until = now + SERVICE_MOVE_MS;
                     }
                 }
                 if let Some(machine) = self.cluster.machine_mut(machine_handle) {
@@ -421,7 +421,7 @@
 
     /// Returns the machines that services may be moved to.
     fn move_targets(&self) -> Vec<MoveTarget> {
-        let all = self.cluster.machines_by_handle();
+        let all = self.cluster.machines_with_handles();
         let open =
             all.filter(|(_, m)| m.schedulable() && m.reserved_for.is_none() && m.live_tasks() > 0);
         let target = |(machine, m): (MachineHandle, &Machine)| MoveTarget {
@@ -468,7 +468,7 @@
                                 || long_without_batches
                                     && price >= 2.0 * target.price
                                     && job.spec.image_gb
-                                        <= self.cluster.types[target_machine.type_ix]
+                                        <= self.cluster.types[target_machine.type_index]
                                             .fetch_gb_per_s
                                             * SHORT_FETCH_S)
                     })
--- a/src/control/leader/loading.rs
+++ b/src/control/leader/loading.rs
@@ -103,7 +103,7 @@
             machine.record_version = version;
             machine.releasing = record.releasing && !record.lease_expired;
             machine.release_recorded = machine.releasing;
-            machine.recorded_empty = record.releasing;
+            machine.may_be_recorded_empty = record.releasing;
             if record.quarantined {
                 machine.failures = MachineFailures::inherited_quarantine(now);
             }
@@ -130,7 +130,7 @@
     pub fn finish_loading(&mut self, now: Millis) {
         self.recovery.loaded = true;
         self.scheduling.arrivals.make_contiguous().sort_unstable();
-        for machine in self.cluster.each_machine_mut() {
+        for machine in self.cluster.machines_mut() {
             machine.last_answered = now;
         }
     }
--- a/src/control/leader/mod.rs
+++ b/src/control/leader/mod.rs
@@ -191,7 +191,7 @@
         self.fail_over(now);
         self.expire_leases(now);
         if !self.recovery.settled {
-            self.recovery.settled = !self.cluster.each_machine().any(|m| m.contents_unknown);
+            self.recovery.settled = !self.cluster.machines().any(|m| m.contents_unknown);
             if self.recovery.settled {
                 log::info!(
                     "term {} settled after {} ms: {} jobs, {} machines",
--- a/src/control/leader/partitions.rs
+++ b/src/control/leader/partitions.rs
@@ -105,7 +105,7 @@
         let Some(machine) = self.cluster.machine_mut(machine_handle) else {
             return;
         };
-        if !responses_lost || machine.misses_responses() {
+        if !responses_lost || machine.awaits_token_acknowledgement() {
             return;
         }
         log::info!(
--- a/src/control/leader/persistence.rs
+++ b/src/control/leader/persistence.rs
@@ -312,7 +312,7 @@
             if machine.write_in_flight {
                 continue;
             }
-            if machine.lease_expired() && !machine.releasing && !machine.recorded_empty {
+            if machine.lease_expired() && !machine.releasing && !machine.may_be_recorded_empty {
                 expired.push(machine_handle);
                 continue;
             }
@@ -360,7 +360,7 @@
         let registered = machine.registration == Registration::Present;
         let record = MachineRecord {
             addr: machine.addr.map(|a| a.to_string()).unwrap_or_default(),
-            type_name: self.cluster.types[machine.type_ix].name.clone(),
+            type_name: self.cluster.types[machine.type_index].name.clone(),
             zone: self.cluster.zones.name(machine.zone).to_owned(),
             spot: machine.spot,
             releasing: lease_expired || machine.releasing && registered,
@@ -392,7 +392,7 @@
             machine.quarantine_unrecorded = false;
             // Set before the outcome is known, because an indeterminate write may
             // be applied late.
-            machine.recorded_empty |= recorded_empty;
+            machine.may_be_recorded_empty |= recorded_empty;
         }
     }
 
@@ -459,7 +459,7 @@
                             matches!(intent, WriteIntent::MarkReleasing { .. });
                         // An earlier indeterminate write can't be applied any
                         // more, as this one changed the record's version.
-                        machine.recorded_empty &=
+                        machine.may_be_recorded_empty &=
                             !matches!(intent, WriteIntent::Registration { .. });
                     }
                 }
@@ -623,7 +623,7 @@
                 machine.record_version = version;
                 if let Ok(record) = serde_json::from_value::<MachineRecord>(value) {
                     machine.release_recorded = record.releasing && !record.lease_expired;
-                    machine.recorded_empty |= record.releasing;
+                    machine.may_be_recorded_empty |= record.releasing;
                 }
             }
             (Some(machine), None) => {
--- a/src/control/leader/preemption.rs
+++ b/src/control/leader/preemption.rs
@@ -108,7 +108,7 @@
 
     fn search_key(&self, job: &Job, now: Millis) -> SearchKey {
         let guaranteed = self.within_guarantee(job, now);
-        let any_image = now >= job.known_since + millis(GUARANTEE_S);
+        let any_image = now >= job.waiting_since + millis(GUARANTEE_S);
         SearchKey {
             gang: job.spec.kind == Kind::Gang && job.spec.tasks > 1,
             need: job.need,
@@ -180,7 +180,7 @@
         need: &Resources,
         now: Millis,
     ) -> i64 {
-        let reserved_machines = self.cluster.each_machine();
+        let reserved_machines = self.cluster.machines();
         let reserved_machines = reserved_machines.filter(|m| m.is_reserved_for(job_handle, now));
         reserved_machines.map(|m| m.capacity.count(need)).sum()
     }
--- a/src/control/leader/quotas.rs
+++ b/src/control/leader/quotas.rs
@@ -23,7 +23,7 @@
             if !self.job_settled(job)
                 && let Some(usage) = self.scheduling.unconfirmed_usage.get_mut(job.team)
             {
-                *usage += job.need.scaled(i64::from(job.possibly_running()));
+                *usage += job.need.scaled(i64::from(job.unplaced_count()));
             }
         }
     }
@@ -34,9 +34,9 @@
     pub(super) fn job_settled(&self, job: &Job) -> bool {
         self.recovery.knows_all_tasks()
             || job.accepted_this_term
-            || !self.cluster.each_machine().any(|m| {
+            || !self.cluster.machines().any(|m| {
                 m.contents_unknown
-                    && job.types.get(m.type_ix).copied().unwrap_or(true)
+                    && job.types.get(m.type_index).copied().unwrap_or(true)
                     && job.zone.is_none_or(|z| z == m.zone)
                     && (job.spec.spot || !m.spot)
             })
--- a/src/control/leader/recovery.rs
+++ b/src/control/leader/recovery.rs
@@ -145,7 +145,7 @@
         self.cluster.jobs.values().any(|job| {
             job.spec.kind != Kind::Array
                 && job.waiting_count() > 0
-                && job.known_since <= phase_started_at
+                && job.waiting_since <= phase_started_at
                 && !job.cancelled
                 && !job.cancel_requested
                 && !matches!(
--- a/src/control/leader/scale_out.rs
+++ b/src/control/leader/scale_out.rs
@@ -32,7 +32,7 @@
 /// at least one minute, so this is just under a minute.
 const MIN_CHARGE_MS: Millis = 57_000;
 /// Number of consecutive refused starts beyond which no machines are requested for a job.
-const MAX_CONSECUTIVE_REFUSALS: u32 = 5;
+const MAX_UNSUCCESSFUL_STARTS: u32 = 5;
 /// Time from a machine's boot to the first task start on it, in seconds.
 const START_MARGIN_S: f64 = 5.0;
 /// How long released machines are remembered once there are more than
@@ -77,9 +77,9 @@
         }
     }
 
-    fn is_refused(&self, type_ix: usize, zone: usize, spot: bool, now: Millis) -> bool {
+    fn is_refused(&self, type_index: usize, zone: usize, spot: bool, now: Millis) -> bool {
         let kind = MachineKind {
-            type_ix,
+            type_index,
             zone,
             spot,
         };
@@ -92,7 +92,7 @@
 /// A kind of machine: one entry of the price list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct MachineKind {
-    type_ix: usize,
+    type_index: usize,
     zone: usize,
     spot: bool,
 }
@@ -251,7 +251,7 @@
     /// Returns the capacity of the machines that exist or are expected to come up.
     fn supply(&self, now: Millis) -> Supply {
         let mut supply = Supply::default();
-        for (handle, machine) in self.cluster.machines_by_handle() {
+        for (handle, machine) in self.cluster.machines_with_handles() {
             let booting = self.is_expected_to_boot(machine, now);
             if !booting && !self.counts_as_supply(machine, now) {
                 continue;
@@ -267,7 +267,7 @@
                 .held_by_batches
                 .push(self.resources_held_by_batch_jobs(machine));
             supply.bins.push(CapacityBin {
-                type_ix: machine.type_ix,
+                type_index: machine.type_index,
                 zone: machine.zone,
                 spot: machine.spot,
                 free: machine.free(),
@@ -278,7 +278,7 @@
 
     /// Whether the machine is booting, and not for longer than 1.7 times its usual boot time.
     fn is_expected_to_boot(&self, machine: &Machine, now: Millis) -> bool {
-        let boot_ms = millis(self.cluster.types[machine.type_ix].boot_s);
+        let boot_ms = millis(self.cluster.types[machine.type_index].boot_s);
         !machine.up
             && machine.incarnation == 0
             && machine.registration == Registration::Absent
@@ -293,7 +293,7 @@
     fn counts_as_supply(&self, machine: &Machine, now: Millis) -> bool {
         let late = machine.overdue
             && now < machine.overdue_since + LATE_HEARTBEAT_MS
-            && machine.schedulable_once_heard();
+            && machine.schedulable_if_not_overdue();
         // While the tasks of a machine are unknown, all of its capacity counts as free,
         // because the tasks that may run there still count as waiting. After a warm failover
         // the tasks are known: a machine that stays unresponsive then offers no capacity
@@ -307,14 +307,14 @@
     /// Returns every kind of machine on the price list.
     fn offers(&self, now: Millis) -> Vec<Offer> {
         let mut offers = Vec::new();
-        for (type_ix, machine_type) in self.cluster.types.iter().enumerate() {
+        for (type_index, machine_type) in self.cluster.types.iter().enumerate() {
             for zone in &machine_type.zones {
                 let Some(zone) = self.cluster.zones.find(zone) else {
                     continue;
                 };
                 for spot in [false, true] {
                     offers.push(Offer {
-                        type_ix,
+                        type_index,
                         zone,
                         spot,
                         capacity: Resources::offer(
@@ -324,7 +324,7 @@
                         ),
                         price: machine_type.price_of(spot),
                         refused: self.is_zone_unreachable(zone, now)
-                            || self.scaling.is_refused(type_ix, zone, spot, now),
+                            || self.scaling.is_refused(type_index, zone, spot, now),
                     });
                 }
             }
@@ -341,7 +341,7 @@
             let Some(job) = self.cluster.job(handle) else {
                 continue;
             };
-            if job.failures.suspected || job.consecutive_refusals > MAX_CONSECUTIVE_REFUSALS {
+            if job.failures.suspected || job.unsuccessful_starts > MAX_UNSUCCESSFUL_STARTS {
                 continue;
             }
             // Tasks beyond the team's limit need no machine yet.
@@ -429,7 +429,7 @@
                 self.scaling.request_count += 1;
                 requests.push(MachineRequest {
                     request_id: format!("r-{}-{}", self.term, self.scaling.request_count),
-                    type_name: self.cluster.types[machines.type_ix].name.clone(),
+                    type_name: self.cluster.types[machines.type_index].name.clone(),
                     zone: self.cluster.zones.name(machines.zone).to_owned(),
                     spot: machines.spot,
                     count,
@@ -474,13 +474,13 @@
             self.cluster.insert_machine(new_machine, now);
         }
         if (names.len() as u32) < request.count
-            && let (Some(type_ix), Some(zone)) = (
+            && let (Some(type_index), Some(zone)) = (
                 self.cluster.type_index(&request.type_name),
                 self.cluster.zones.find(&request.zone),
             )
         {
             let kind = MachineKind {
-                type_ix,
+                type_index,
                 zone,
                 spot: request.spot,
             };
--- a/src/control/leader/scheduling_cycle.rs
+++ b/src/control/leader/scheduling_cycle.rs
@@ -193,7 +193,7 @@
 
     fn may_fit(&self, job_handle: JobHandle) -> bool {
         self.cluster.job(job_handle).is_some_and(|job| {
-            let allows = |type_ix, zone, spot| job.allows_kind(type_ix, zone, spot);
+            let allows = |type_index, zone, spot| job.allows_kind(type_index, zone, spot);
             self.scheduling.fleet.may_fit(&job.need, allows)
         })
     }
--- a/src/control/leader/status.rs
+++ b/src/control/leader/status.rs
@@ -244,13 +244,13 @@
 
     fn add_machine_groups(&self, status: &mut ClusterStatus, now: Millis) {
         let mut groups: Vec<((usize, usize, bool), MachineGroup, f64)> = Vec::new();
-        for machine in self.cluster.each_machine() {
-            let key = (machine.type_ix, machine.zone, machine.spot);
+        for machine in self.cluster.machines() {
+            let key = (machine.type_index, machine.zone, machine.spot);
             let group_index = match groups.iter().position(|(k, ..)| *k == key) {
                 Some(group_index) => group_index,
                 None => {
                     let group = MachineGroup {
-                        type_name: truncate_name(&self.cluster.types[machine.type_ix].name),
+                        type_name: truncate_name(&self.cluster.types[machine.type_index].name),
                         zone: truncate_name(self.cluster.zones.name(machine.zone)),
                         spot: machine.spot,
                         ..MachineGroup::default()
@@ -269,12 +269,12 @@
             } else if machine.incarnation == 0 && !machine.contents_unknown {
                 group.booting += 1;
             }
-            let boot_ms = millis(self.cluster.types[machine.type_ix].boot_s);
+            let boot_ms = millis(self.cluster.types[machine.type_index].boot_s);
             let reason = if machine.failures.quarantined {
                 "set aside: jobs that run elsewhere, or several, fail on it"
             } else if machine.contents_unknown {
                 "not heard in this term"
-            } else if machine.up && machine.misses_responses() {
+            } else if machine.up && machine.awaits_token_acknowledgement() {
                 "reports, but does not get answers or orders"
             } else if machine.overdue {
                 "its reports are overdue"
@@ -369,7 +369,7 @@
         let (needs, needs_all) = self.unfinished_dependencies(handle, MAX_LISTED_DEPENDENCIES);
         let left_s = self.time_to_deadline_s(handle, job, &self.inherited_deadlines());
         let blocked = !job.offload.is_local() || job.readiness != Readiness::Ready;
-        let places = self.cluster.each_machine().flat_map(|m| {
+        let places = self.cluster.machines().flat_map(|m| {
             let own_tasks = m
                 .tasks
                 .iter()
--- a/src/control/leader/task_placement.rs
+++ b/src/control/leader/task_placement.rs
@@ -62,13 +62,13 @@
         };
         let leaves_headroom = |class_headroom: &Headroom| {
             class_headroom.priority <= job.effective_priority
-                || !class_headroom.covers(machine_view.type_ix, machine_view.spot)
+                || !class_headroom.covers(machine_view.type_index, machine_view.spot)
                 || match class_headroom.tasks_lost_by_placing(&machine_view.free, &job.need) {
                     0 => true,
                     loss => class_headroom.fits - loss >= class_headroom.wanted,
                 }
         };
-        (now >= machine.closed_to_batches_until || job.spec.kind != Kind::Array)
+        (now >= machine.no_batch_tasks_until || job.spec.kind != Kind::Array)
             && machine.available_to(job_handle, now)
             && headroom.iter().all(leaves_headroom)
             && job.allows(machine)
@@ -144,7 +144,7 @@
     fn take_headroom(&self, headroom: &mut [Headroom], machine: MachineHandle, need: &Resources) {
         if let Some(machine_view) = self.scheduling.fleet.machine_view(machine.index()) {
             for class_headroom in headroom.iter_mut() {
-                if class_headroom.covers(machine_view.type_ix, machine_view.spot) {
+                if class_headroom.covers(machine_view.type_index, machine_view.spot) {
                     class_headroom.fits -=
                         class_headroom.tasks_lost_by_placing(&machine_view.free, need);
                 }
@@ -384,7 +384,7 @@
             && let (Some(job), Some(machine_state)) =
                 (self.cluster.job(job_handle), self.cluster.machine(machine))
         {
-            let machines_with_image = self.cluster.each_machine();
+            let machines_with_image = self.cluster.machines();
             let machines_with_image =
                 machines_with_image.filter(|other| other.images.contains(&job.image));
             let (mut cached, mut batch, mut fit) = (0, 0, 0);
--- a/src/control/leader/victims.rs
+++ b/src/control/leader/victims.rs
@@ -63,7 +63,7 @@
 impl Leader {
     /// Returns the jobs for which some machine is reserved.
     pub(super) fn jobs_with_reservations(&self, now: Millis) -> HashSet<JobHandle> {
-        let reservations = self.cluster.each_machine().filter_map(|m| m.reserved_for);
+        let reservations = self.cluster.machines().filter_map(|m| m.reserved_for);
         let reservations = reservations.filter(|(_, until)| now < *until);
         reservations.map(|(job, _)| job).collect()
     }
@@ -71,7 +71,7 @@
     /// Whether some machine is reserved for the job.
     pub(super) fn has_reservation(&self, job_handle: JobHandle, now: Millis) -> bool {
         let is_reserved = |m: &Machine| m.is_reserved_for(job_handle, now);
-        self.cluster.each_machine().any(is_reserved)
+        self.cluster.machines().any(is_reserved)
     }
 
     /// Returns the preemption for one task of the job that loses the least work, preferring
@@ -125,7 +125,7 @@
             // On a machine without the image the job can no longer meet its objective, so other
             // teams' tasks are stopped there only after `GUARANTEE_S`.
             beyond_guarantees: guaranteed
-                && (!needs_fetch || now >= job.known_since + millis(GUARANTEE_S)),
+                && (!needs_fetch || now >= job.waiting_since + millis(GUARANTEE_S)),
             now,
         };
         let tasks = machine.tasks.iter().enumerate();
@@ -228,7 +228,7 @@
             return true;
         }
         let fetch_rate = self.cluster.machine(chosen.machine).map_or(1.0, |m| {
-            self.cluster.types[m.type_ix].fetch_gb_per_s.max(0.001)
+            self.cluster.types[m.type_index].fetch_gb_per_s.max(0.001)
         });
         let base_worth = match job.spec.kind {
             Kind::Service => SERVICE_BASE_LOSS_CORE_S,
@@ -314,7 +314,7 @@
             .filter(|o| o.kind == "guarantee")
             .filter_map(|o| o.within_s)
             .fold(GUARANTEE_S, f64::min);
-        if now < job.known_since + millis(guarantee_within_s / 5.0) {
+        if now < job.waiting_since + millis(guarantee_within_s / 5.0) {
             return false;
         }
         let Some(team) = self.cluster.teams.get(job.team) else {
--- a/src/control/placement/fleet.rs
+++ b/src/control/placement/fleet.rs
@@ -41,7 +41,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct MachineView {
     /// Index of the machine's type.
-    pub type_ix: usize,
+    pub type_index: usize,
     /// Index of the machine's zone.
     pub zone: usize,
     /// Whether the machine is a spot machine.
@@ -207,7 +207,7 @@
             return;
         };
         let view = &slot.view;
-        let kind = (view.type_ix, view.zone, view.spot);
+        let kind = (view.type_index, view.zone, view.spot);
         if let Some(counts) = self.free_counts.get_mut(&kind) {
             counts.remove(&view.free);
         }
@@ -221,7 +221,7 @@
 
     fn insert_machine(&mut self, machine: u32, slot: Slot) {
         let view = &slot.view;
-        let kind = (view.type_ix, view.zone, view.spot);
+        let kind = (view.type_index, view.zone, view.spot);
         self.free_counts.entry(kind).or_default().add(&view.free);
         if let Some(since) = view.idle_since.filter(|_| !slot.surplus) {
             self.surplus_due.insert((since + SURPLUS_AFTER_MS, machine));
@@ -253,8 +253,9 @@
     pub fn may_fit(&self, need: &Resources, allows: impl Fn(usize, usize, bool) -> bool) -> bool {
         self.free_counts
             .iter()
-            .any(|((type_ix, zone, spot), counts)| {
-                allows(*type_ix, *zone, *spot) && counts.most().is_some_and(|most| need.fits(&most))
+            .any(|((type_index, zone, spot), counts)| {
+                allows(*type_index, *zone, *spot)
+                    && counts.most().is_some_and(|most| need.fits(&most))
             })
     }
 
@@ -313,15 +314,15 @@
     fn entry(&self, request: &Request, machine: u32) -> Option<RankingEntry> {
         let slot = self.slots.get(machine as usize)?.as_ref()?;
         let view = &slot.view;
-        let allowed = request.types.get(view.type_ix).copied().unwrap_or(false)
+        let allowed = request.types.get(view.type_index).copied().unwrap_or(false)
             && (request.spot || !view.spot);
         if !allowed || !request.need.fits(&view.free) {
             return None;
         }
         let fetches_image = !view.images.contains(&request.image);
-        let ranks = request.type_ranks.get(view.type_ix);
+        let ranks = request.type_ranks.get(view.type_index);
         let mut rank = ranks.map_or(u32::MAX, |r| r[usize::from(view.spot)]);
-        if fetches_image && request.late.get(view.type_ix).copied().unwrap_or(false) {
+        if fetches_image && request.late.get(view.type_index).copied().unwrap_or(false) {
             rank = rank.saturating_add(LATE_RANK);
         }
         // A surplus machine is used only when the others have no capacity, unless it caches
@@ -398,7 +399,7 @@
     fn is_late(&self, request: &Request, machine: u32) -> bool {
         let late = self
             .machine_view(machine)
-            .map(|r| request.late.get(r.type_ix));
+            .map(|r| request.late.get(r.type_index));
         late.flatten().copied().unwrap_or(false)
     }
 
@@ -434,7 +435,7 @@
             return;
         };
         let view = &mut slot.view;
-        let kind = (view.type_ix, view.zone, view.spot);
+        let kind = (view.type_index, view.zone, view.spot);
         if let Some(counts) = self.free_counts.get_mut(&kind) {
             counts.remove(&view.free);
             change(&mut view.free);
--- a/src/control/provision.rs
+++ b/src/control/provision.rs
@@ -30,7 +30,7 @@
 #[derive(Debug, Clone)]
 pub struct CapacityBin {
     /// Index of the machine type.
-    pub type_ix: usize,
+    pub type_index: usize,
     /// Index of the zone.
     pub zone: usize,
     /// Whether the machine is a spot machine.
@@ -43,7 +43,7 @@
 #[derive(Debug, Clone)]
 pub struct Offer {
     /// Index of the machine type.
-    pub type_ix: usize,
+    pub type_index: usize,
     /// Index of the zone.
     pub zone: usize,
     /// Whether the machines are spot machines.
@@ -60,7 +60,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct PlannedMachines {
     /// Index of the machine type.
-    pub type_ix: usize,
+    pub type_index: usize,
     /// Index of the zone.
     pub zone: usize,
     /// Whether the machines are spot machines.
@@ -101,7 +101,7 @@
             tasks_left -= best.tasks;
             by_zone.add(best.offer.zone, best.tasks);
             bins.push(CapacityBin {
-                type_ix: best.offer.type_ix,
+                type_index: best.offer.type_index,
                 zone: best.offer.zone,
                 spot: best.offer.spot,
                 free: best.offer.capacity.minus(demand.need.scaled(best.tasks)),
@@ -136,8 +136,8 @@
 }
 
 impl Demand {
-    fn allows(&self, type_ix: usize, zone: usize, spot: bool) -> bool {
-        self.types.get(type_ix).copied().unwrap_or(false)
+    fn allows(&self, type_index: usize, zone: usize, spot: bool) -> bool {
+        self.types.get(type_index).copied().unwrap_or(false)
             && self.zone.is_none_or(|only| only == zone)
             && (self.spot || !spot)
     }
@@ -153,7 +153,7 @@
     fn fill_bins(&self, bins: &mut [CapacityBin], by_zone: &mut TasksByZone) -> i64 {
         let mut tasks_left = self.count;
         for bin in bins.iter_mut() {
-            if tasks_left == 0 || !self.allows(bin.type_ix, bin.zone, bin.spot) {
+            if tasks_left == 0 || !self.allows(bin.type_index, bin.zone, bin.spot) {
                 continue;
             }
             let allowance = self.zone_allowance(bin.zone, by_zone);
@@ -180,7 +180,7 @@
     ) -> Option<RankedOffer<'a>> {
         offers
             .iter()
-            .filter(|offer| !offer.refused && self.allows(offer.type_ix, offer.zone, offer.spot))
+            .filter(|offer| !offer.refused && self.allows(offer.type_index, offer.zone, offer.spot))
             .filter_map(|offer| {
                 let allowance = self.zone_allowance(offer.zone, by_zone);
                 let tasks = offer
@@ -206,14 +206,14 @@
 /// Adds one machine of the offer's kind to the plan.
 fn add_machine(planned: &mut Vec<PlannedMachines>, offer: &Offer) {
     let same_kind = |machines: &&mut PlannedMachines| {
-        machines.type_ix == offer.type_ix
+        machines.type_index == offer.type_index
             && machines.zone == offer.zone
             && machines.spot == offer.spot
     };
     match planned.iter_mut().find(same_kind) {
         Some(machines) => machines.count += 1,
         None => planned.push(PlannedMachines {
-            type_ix: offer.type_ix,
+            type_index: offer.type_index,
             zone: offer.zone,
             spot: offer.spot,
             count: 1,
--- a/src/control/provision/tests.rs
+++ b/src/control/provision/tests.rs
@@ -2,9 +2,9 @@
 
 use super::*;
 
-fn offer(type_ix: usize, spot: bool, cpus: f64, price: f64) -> Offer {
+fn offer(type_index: usize, spot: bool, cpus: f64, price: f64) -> Offer {
     Offer {
-        type_ix,
+        type_index,
         zone: 0,
         spot,
         capacity: Resources::offer(cpus, 0.0, cpus * 4.0),
@@ -28,7 +28,7 @@
 #[test]
 fn plan_uses_booting_capacity_before_new_machines() {
     let mut bins = vec![CapacityBin {
-        type_ix: 0,
+        type_index: 0,
         zone: 0,
         spot: false,
         free: Resources::offer(8.0, 0.0, 32.0),
--- a/src/state/cluster/images.rs
+++ b/src/state/cluster/images.rs
@@ -33,7 +33,7 @@
         }
         machine.images.push(image);
         let size_of = |image: &u32| self.image_gb.get(*image as usize).copied().unwrap_or(0.0);
-        let cache_gb = match self.types[machine.type_ix].cache_gb {
+        let cache_gb = match self.types[machine.type_index].cache_gb {
             configured_gb if configured_gb > 0.0 => configured_gb,
             _ => f64::INFINITY,
         };
--- a/src/state/cluster/job.rs
+++ b/src/state/cluster/job.rs
@@ -83,7 +83,7 @@
     pub accepted_this_term: bool,
     /// Monotonic clock time at which this leader first knew of the job, or at which its
     /// dependencies let it start, if that was later. Waiting times count from here.
-    pub known_since: Millis,
+    pub waiting_since: Millis,
     /// The job's complete tasks.
     pub completed: TaskBitmap,
     /// Number of complete tasks.
@@ -116,7 +116,7 @@
     pub ending_in_flight: bool,
     /// Number of starts since the last completed task that were refused or ended for an
     /// unknown reason, or that failed although another task of the job has run.
-    pub consecutive_refusals: u32,
+    pub unsuccessful_starts: u32,
     /// Monotonic clock time before which no task of the job is started.
     pub backoff_until: Millis,
     /// Failures of the job's tasks, for fault attribution.
@@ -161,7 +161,7 @@
             need: Resources::need(spec.cpus, spec.gpus, spec.memory_gb),
             accepted_at_ms: new.accepted_at_ms,
             accepted_this_term: false,
-            known_since: now,
+            waiting_since: now,
             completed_count: completed.count(),
             dirty_segments: vec![false; completed.segment_count()],
             completed,
@@ -176,7 +176,7 @@
             record_version: new.record_version,
             write_in_flight: false,
             ending_in_flight: false,
-            consecutive_refusals: 0,
+            unsuccessful_starts: 0,
             backoff_until: 0,
             failures: JobFailures::default(),
             has_run: false,
@@ -215,14 +215,14 @@
     /// Number of waiting tasks that may be started in this cluster now.
     pub fn waiting_count(&self) -> u32 {
         match self.readiness {
-            Readiness::Ready => self.possibly_running(),
+            Readiness::Ready => self.unplaced_count(),
             _ => 0,
         }
     }
 
-    /// Number of tasks that may run on machines whose heartbeats this leader has not
-    /// received yet: the waiting tasks, which an earlier leader may have started.
-    pub fn possibly_running(&self) -> u32 {
+    /// Number of tasks that are neither complete nor placed by this leader. An earlier
+    /// leader may have started them on machines that have sent no heartbeat yet.
+    pub fn unplaced_count(&self) -> u32 {
         match self.offload.is_local() && self.readiness != Readiness::Blocked {
             true => self.spec.tasks - self.completed_count - self.live_count,
             false => 0,
@@ -231,13 +231,13 @@
 
     /// Whether the job's spec allows tasks on this machine.
     pub fn allows(&self, machine: &Machine) -> bool {
-        self.allows_kind(machine.type_ix, machine.zone, machine.spot)
+        self.allows_kind(machine.type_index, machine.zone, machine.spot)
     }
 
     /// Whether the job's spec allows tasks on machines of this type, zone and kind
     /// (spot or on-demand).
-    pub fn allows_kind(&self, type_ix: usize, zone: usize, spot: bool) -> bool {
-        self.types.get(type_ix).copied().unwrap_or(false)
+    pub fn allows_kind(&self, type_index: usize, zone: usize, spot: bool) -> bool {
+        self.types.get(type_index).copied().unwrap_or(false)
             && self.zone.is_none_or(|only| only == zone)
             && (self.spec.spot || !spot)
     }
--- a/src/state/cluster/machine.rs
+++ b/src/state/cluster/machine.rs
@@ -164,7 +164,7 @@
     /// Address on which the machine's agent listens, once known.
     pub addr: Option<SocketAddr>,
     /// Index of the machine type.
-    pub type_ix: usize,
+    pub type_index: usize,
     /// Index of the zone.
     pub zone: usize,
     /// Whether the machine is a spot machine, which the cloud may reclaim.
@@ -221,7 +221,7 @@
     /// Time at which the direct start command that is in flight was sent.
     pub start_sent_at: Option<Millis>,
     /// Latest time at which the last direct start command can have reached the machine.
-    pub latest_possible_start: Millis,
+    pub latest_possible_direct_start: Millis,
     /// Time at which the last heartbeat was received.
     pub last_heartbeat: Millis,
     /// Whether the machine registry has a record of this machine.
@@ -237,7 +237,7 @@
     /// Whether the record says, or an indeterminate write may make it say, that nothing
     /// runs on the machine. Nothing is started on the machine before a record without
     /// that mark is known to be written.
-    pub recorded_empty: bool,
+    pub may_be_recorded_empty: bool,
     /// Whether the cloud was asked to release the machine.
     pub release_requested: bool,
     /// Monotonic clock time at which the cloud will reclaim the machine.
@@ -265,7 +265,7 @@
     pub last_batch_activity: Millis,
     /// Time until which no batch task is placed on the machine, because services are
     /// being moved to it.
-    pub closed_to_batches_until: Millis,
+    pub no_batch_tasks_until: Millis,
     /// Whether the machine is up but its heartbeats are overdue.
     pub overdue: bool,
     /// Time since which the heartbeats are overdue.
@@ -282,7 +282,7 @@
     /// Returns a machine of which only its identity and properties are known.
     pub(super) fn new(
         new: NewMachine<'_>,
-        type_ix: usize,
+        type_index: usize,
         machine_type: &MachineType,
         zone: usize,
         now: Millis,
@@ -290,7 +290,7 @@
         Machine {
             name: new.name.to_owned(),
             addr: new.addr.parse().ok(),
-            type_ix,
+            type_index,
             zone,
             spot: new.spot,
             capacity: Resources::offer(
@@ -315,14 +315,14 @@
             contents_unknown: false,
             last_answered: 0,
             start_sent_at: None,
-            latest_possible_start: 0,
+            latest_possible_direct_start: 0,
             last_heartbeat: 0,
             registration: Registration::Absent,
             record_version: 0,
             write_in_flight: false,
             releasing: false,
             release_recorded: false,
-            recorded_empty: false,
+            may_be_recorded_empty: false,
             release_requested: false,
             reclaim_at: None,
             state_since: now,
@@ -335,7 +335,7 @@
             images: Vec::new(),
             images_unrecorded: false,
             last_batch_activity: now,
-            closed_to_batches_until: 0,
+            no_batch_tasks_until: 0,
             overdue: false,
             overdue_since: 0,
             draining: false,
@@ -380,13 +380,13 @@
             .start_sent_at
             .map_or(0, |sent| sent + DIRECT_COMMAND_TIMEOUT_MS);
         self.last_answered
-            .max(self.latest_possible_start)
+            .max(self.latest_possible_direct_start)
             .max(in_flight)
     }
 
     /// Whether the machine sends heartbeats but has not acknowledged the required
     /// fencing token, so responses may not reach it.
-    pub fn misses_responses(&self) -> bool {
+    pub fn awaits_token_acknowledgement(&self) -> bool {
         self.acknowledged_token < self.required_token
     }
 
@@ -395,23 +395,23 @@
     pub fn awaits_record(&self) -> bool {
         self.up
             && !self.releasing
-            && (self.registration == Registration::Absent || self.recorded_empty)
+            && (self.registration == Registration::Absent || self.may_be_recorded_empty)
     }
 
     /// Whether new tasks may be placed on the machine.
     pub fn schedulable(&self) -> bool {
-        !self.overdue && self.schedulable_once_heard()
+        !self.overdue && self.schedulable_if_not_overdue()
     }
 
     /// Whether new tasks could be placed on the machine if its heartbeats were not
     /// overdue.
-    pub fn schedulable_once_heard(&self) -> bool {
+    pub fn schedulable_if_not_overdue(&self) -> bool {
         self.up
             && !self.releasing
-            && !self.recorded_empty
+            && !self.may_be_recorded_empty
             && !self.failures.quarantined
             && !self.draining
-            && !self.misses_responses()
+            && !self.awaits_token_acknowledgement()
             && self.reclaim_at.is_none()
             && self.registration == Registration::Present
     }
--- a/src/state/cluster/machines.rs
+++ b/src/state/cluster/machines.rs
@@ -74,21 +74,21 @@
     }
 
     /// Returns all machines. Counts as an inspection of each.
-    pub fn each_machine(&self) -> impl Iterator<Item = &Machine> {
+    pub fn machines(&self) -> impl Iterator<Item = &Machine> {
         self.count_inspections(self.machines.slot_count());
         self.machines.values()
     }
 
     /// Returns all machines for modification and marks all of them as stale. Counts as
     /// an inspection of each.
-    pub fn each_machine_mut(&mut self) -> impl Iterator<Item = &mut Machine> {
+    pub fn machines_mut(&mut self) -> impl Iterator<Item = &mut Machine> {
         self.count_inspections(self.machines.slot_count());
         self.stale_machines.mark_all();
         self.machines.values_mut()
     }
 
     /// Returns all machines with their handles. Counts as an inspection of each.
-    pub fn machines_by_handle(&self) -> impl Iterator<Item = (MachineHandle, &Machine)> {
+    pub fn machines_with_handles(&self) -> impl Iterator<Item = (MachineHandle, &Machine)> {
         self.count_inspections(self.machines.slot_count());
         self.machines.iter()
     }
@@ -139,9 +139,9 @@
         if let Some(handle) = self.machine_handle(new.name) {
             return Some(handle);
         }
-        let type_ix = self.type_index(new.type_name)?;
+        let type_index = self.type_index(new.type_name)?;
         let zone = self.zones.intern(new.zone) as usize;
-        let machine = Machine::new(new, type_ix, &self.types[type_ix], zone, now);
+        let machine = Machine::new(new, type_index, &self.types[type_index], zone, now);
         let name = machine.name.clone();
         let handle = self.machines.insert(machine);
         self.machine_handle_by_name.insert(name, handle);
--- a/src/state/cluster/replication.rs
+++ b/src/state/cluster/replication.rs
@@ -58,7 +58,7 @@
     /// Returns the names of the machines on which a task runs or may run, or has ended
     /// without being reaped.
     pub fn occupied_machines(&self) -> BTreeSet<String> {
-        let occupied = self.each_machine().filter(|m| !m.tasks.is_empty());
+        let occupied = self.machines().filter(|m| !m.tasks.is_empty());
         occupied.map(|m| m.name.clone()).collect()
     }
 }
--- a/tests/controllers.rs
+++ b/tests/controllers.rs
@@ -80,7 +80,7 @@
                     "seed {seed}"
                 );
                 assert!(
-                    !leader_state.cluster.each_machine().any(|m| m.overdue),
+                    !leader_state.cluster.machines().any(|m| m.overdue),
                     "seed {seed}"
                 );
             }
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -34,7 +34,7 @@
 fn quarantined_machines(sim: &mut Simulation) -> Vec<String> {
     let Some(i) = sim.leader() else { return vec![] };
     let cluster = &sim.nodes[i].leader.as_ref().unwrap().cluster;
-    let quarantined = cluster.each_machine().filter(|m| m.failures.quarantined);
+    let quarantined = cluster.machines().filter(|m| m.failures.quarantined);
     quarantined.map(|m| m.name.clone()).collect()
 }
 
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -33,7 +33,7 @@
 /// A machine of the first type and zone that is in use.
 fn machine_view(capacity: (f64, f64, f64), free: (f64, f64, f64)) -> MachineView {
     MachineView {
-        type_ix: 0,
+        type_index: 0,
         zone: 0,
         spot: false,
         capacity: offer(capacity),
@@ -135,8 +135,8 @@
     for (machine, view) in machines.iter().enumerate() {
         let Some(view) = view else { continue };
         let caches_image = view.images.contains(&request.image);
-        let mut rank = request.type_ranks[view.type_ix][usize::from(view.spot)];
-        if !caches_image && request.late[view.type_ix] {
+        let mut rank = request.type_ranks[view.type_index][usize::from(view.spot)];
+        if !caches_image && request.late[view.type_index] {
             rank += 10_000;
         }
         if failed_on.contains(&(machine as u32)) {
@@ -180,7 +180,7 @@
     let mut best: Option<usize> = None;
     for (index, candidate) in candidates.iter().enumerate() {
         let is_eligible =
-            request.types[candidate.view.type_ix] && (request.spot || !candidate.view.spot);
+            request.types[candidate.view.type_index] && (request.spot || !candidate.view.spot);
         if !is_eligible || !request.need.fits(&candidate.view.free) || !allowed(candidate) {
             continue;
         }
@@ -218,15 +218,15 @@
     /// Replaces the machine by a random one: idle, partly in use or unusable.
     fn change_machine(&mut self, machine: usize) {
         let rng = &mut self.rng;
-        let type_ix = rng.usize(..2);
-        let capacity = offer(CAPACITIES[type_ix]);
+        let type_index = rng.usize(..2);
+        let capacity = offer(CAPACITIES[type_index]);
         let used = match rng.u32(..3) {
             0 => Resources::default(),
             _ => Resources::need(f64::from(rng.u32(..48)), 0.0, f64::from(rng.u32(..200))),
         };
         let free = capacity.minus(used);
         let view = MachineView {
-            type_ix,
+            type_index,
             zone: rng.usize(..ZONES),
             spot: rng.bool(),
             capacity,
@@ -289,7 +289,7 @@
             };
             let candidate = &candidates[index];
             assert_eq!(choice.zone, candidate.view.zone);
-            let late = !candidate.caches_image && request.late[candidate.view.type_ix];
+            let late = !candidate.caches_image && request.late[candidate.view.type_index];
             assert_eq!(choice.late, late);
             candidates[index].view.free -= request.need;
             trial.push(self.fleet.take(ranking, choice.machine));
--- a/tests/placement_scenarios.rs
+++ b/tests/placement_scenarios.rs
@@ -132,7 +132,7 @@
     let cluster = &sim.nodes[leader].leader.as_ref().unwrap().cluster;
     assert!(
         cluster
-            .each_machine()
+            .machines()
             .all(|machine| machine.reserved_for.is_none())
     );
     sim.assert_no_violations();
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -289,7 +289,7 @@
         if still_listed {
             let unresponsive = leader_state
                 .cluster
-                .each_machine()
+                .machines()
                 .find(|machine| machine.contents_unknown)
                 .unwrap();
             let listed = serde_json::json!({
--- a/tests/scheduling_cycles.rs
+++ b/tests/scheduling_cycles.rs
@@ -262,7 +262,7 @@
     for now in 300..304 {
         new_leader.tick(now, now);
     }
-    let all = new_leader.cluster.each_machine().flat_map(|m| &m.tasks);
+    let all = new_leader.cluster.machines().flat_map(|m| &m.tasks);
     let all: Vec<&str> = all.map(|a| a.name.as_str()).collect();
     let distinct: BTreeSet<&str> = all.iter().copied().collect();
     assert_eq!((distinct.len(), all.len()), (1_500, 1_500));
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -577,7 +577,7 @@
                     leader.settled()
                 );
             }
-            for machine in leader.cluster.each_machine() {
+            for machine in leader.cluster.machines() {
                 eprintln!(
                     "machine {}: up {}, contents unknown {}, registration {:?}, record version {}, write in flight {}, releasing {}, tasks {:?}",
                     machine.name,
--- a/tests/simulation/nodes.rs
+++ b/tests/simulation/nodes.rs
@@ -102,7 +102,7 @@
         node.acceptance_feed = Some(AcceptanceFeed::new(leader.term));
         leader.finish_loading(now);
         if self.skip_lease_wait {
-            for machine in leader.cluster.each_machine_mut() {
+            for machine in leader.cluster.machines_mut() {
                 machine.contents_unknown = false;
             }
         }
