--- a/src/control/leader/inventory.rs
+++ b/src/control/leader/inventory.rs
@@ -306,7 +306,7 @@
 
     /// Whether an empty machine has been idle for longer than idle machines are kept.
     fn is_idle_too_long(&self, machine: &Machine, now: Millis) -> bool {
-        let idle_ms = millis(self.options.idle_s);
+        let idle_ms = millis(self.options.idle_timeout_s);
         self.recovery.settled
             && now >= machine.idle_since + self.idle_allowance(machine, idle_ms)
             // If most machines get no responses, the fault is on the side of this node.
@@ -362,7 +362,7 @@
             return;
         }
         self.scheduling.next_drain_at = now + DRAIN_INTERVAL_MS;
-        let idle_ms = millis(self.options.idle_s);
+        let idle_ms = millis(self.options.idle_timeout_s);
         let mut candidates: Vec<MachineHandle> = Vec::new();
         for (machine_handle, machine) in self.cluster.machines_with_handles() {
             if machine.draining && machine.up && !machine.releasing {
@@ -446,7 +446,7 @@
         // costs at least twice as much as the target. Between machines of the same price it does
         // not pay: 4 s of two replicas are 2% of what the worst 30 s counts.
         let long_without_batches =
-            now >= source.last_batch_activity + 3 * millis(self.options.idle_s);
+            now >= source.last_batch_activity + 3 * millis(self.options.idle_timeout_s);
         let mut moves: Vec<(MachineHandle, Resources)> = Vec::new();
         for assignment in source
             .tasks
--- a/src/control/leader/mod.rs
+++ b/src/control/leader/mod.rs
@@ -116,10 +116,10 @@
         let peers = settings.peers.iter();
         let peers = peers.map(|p| (p.name.clone(), p.zone != settings.zone));
         let report_interval_ms = millis(settings.cluster.workers.report_s);
-        let standbys = Standbys::new(term, options.warm, peers);
+        let standbys = Standbys::new(term, options.warm_standbys, peers);
         let policy = Policy {
-            threshold: options.threshold,
-            load: options.load,
+            busy_threshold: options.busy_threshold,
+            load_resource: options.load_resource,
             shapes: options.shapes.iter().map(Policy::shape).collect(),
         };
         Leader {
--- a/src/control/leader/scheduling_cycle.rs
+++ b/src/control/leader/scheduling_cycle.rs
@@ -106,7 +106,7 @@
             self.scheduling.job_order_buffer = order;
             return None;
         }
-        let headroom_ahead_ms = millis(self.options.keep_s);
+        let headroom_ahead_ms = millis(self.options.headroom_s);
         let headroom = self.headroom(ARRIVAL_WINDOW_MS, headroom_ahead_ms, now);
         let reserved_jobs = self.jobs_with_reservations(now);
         self.scheduling.in_cycle = true;
--- a/src/control/leader/task_placement.rs
+++ b/src/control/leader/task_placement.rs
@@ -130,7 +130,11 @@
             self.cluster
                 .machine(choice.machine)
                 .map_or("?", |m| &m.name),
-            placement::load(&machine_view.capacity, &machine_view.free, policy.load),
+            placement::load(
+                &machine_view.capacity,
+                &machine_view.free,
+                policy.load_resource
+            ),
             placement::fragmentation(&machine_view.capacity, &free_after, &policy.shapes),
             if choice.late {
                 ", image fetch misses the start objective"
--- a/src/control/placement/fleet.rs
+++ b/src/control/placement/fleet.rs
@@ -354,7 +354,8 @@
         let after = view.free.minus(request.need);
         Some(Key {
             rank,
-            busy: load(&view.capacity, &view.free, self.policy.load) >= self.policy.threshold,
+            busy: load(&view.capacity, &view.free, self.policy.load_resource)
+                >= self.policy.busy_threshold,
             cost: self.cost(&view.capacity, &after),
             fetches_image,
             free_cpus: view.free.cpus,
--- a/src/control/placement/mod.rs
+++ b/src/control/placement/mod.rs
@@ -11,7 +11,7 @@
 mod ranking;
 
 use crate::{
-    options::{LoadResource, Shape},
+    options::{LoadResource, TaskShape},
     state::resources::Resources,
 };
 
@@ -19,16 +19,16 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Policy {
     /// Load below which a machine is lazy; from this load on it is busy.
-    pub threshold: f64,
+    pub busy_threshold: f64,
     /// Resource whose requested share counts as load.
-    pub load: LoadResource,
+    pub load_resource: LoadResource,
     /// Common task shapes over which fragmentation is averaged.
     pub shapes: Vec<Resources>,
 }
 
 impl Policy {
     /// Returns the resources of a task shape as given in the operator's options.
-    pub fn shape(s: &Shape) -> Resources {
+    pub fn shape(s: &TaskShape) -> Resources {
         Resources::need(s.cpus, s.gpus, s.memory_gb)
     }
 }
--- a/src/options.rs
+++ b/src/options.rs
@@ -20,7 +20,7 @@
 /// Resources of a common kind of task. The fragmentation cost of a placement is
 /// averaged over these shapes.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Shape {
+pub struct TaskShape {
     pub cpus: f64,
     pub gpus: f64,
     pub memory_gb: f64,
@@ -30,33 +30,33 @@
 #[derive(Debug, Clone)]
 pub struct Options {
     /// Load, from 0 to 1, below which a machine is preferred for placement.
-    pub threshold: f64,
+    pub busy_threshold: f64,
     /// Resource that determines the load of a machine.
-    pub load: LoadResource,
+    pub load_resource: LoadResource,
     /// Common task shapes. If empty, they are learned from the submitted jobs.
-    pub shapes: Vec<Shape>,
+    pub shapes: Vec<TaskShape>,
     /// Number of seconds of expected high-priority arrivals for which batch jobs leave
     /// capacity free. 0 by default, as preemption makes room too.
-    pub keep_s: f64,
+    pub headroom_s: f64,
     /// Number of seconds in the queue after which a job none of whose tasks has run is
     /// placed first, until one of its tasks runs. 0 disables this.
-    pub begin_s: f64,
+    pub starvation_timeout_s: f64,
     /// Number of seconds for which an idle machine is kept before it is released.
-    pub idle_s: f64,
+    pub idle_timeout_s: f64,
     /// Number of standbys that are kept warm.
-    pub warm: usize,
+    pub warm_standbys: usize,
 }
 
 impl Default for Options {
     fn default() -> Self {
         Options {
-            threshold: 0.4,
-            load: LoadResource::Scarcest,
+            busy_threshold: 0.4,
+            load_resource: LoadResource::Scarcest,
             shapes: Vec::new(),
-            keep_s: 0.0,
-            begin_s: 180.0,
-            idle_s: 20.0,
-            warm: 2,
+            headroom_s: 0.0,
+            starvation_timeout_s: 180.0,
+            idle_timeout_s: 20.0,
+            warm_standbys: 2,
         }
     }
 }
@@ -77,9 +77,11 @@
             for (key, value) in props.iter() {
                 let name = format!("{}.{key}", section.unwrap_or(""));
                 match name.as_str() {
-                    "placement.threshold" => options.threshold = number(&name, value, 0.0, 1.0)?,
+                    "placement.threshold" => {
+                        options.busy_threshold = number(&name, value, 0.0, 1.0)?
+                    }
                     "placement.load" => {
-                        options.load = match value.trim() {
+                        options.load_resource = match value.trim() {
                             "scarcest" => LoadResource::Scarcest,
                             "cpu" => LoadResource::Cpu,
                             "gpu" => LoadResource::Gpu,
@@ -97,7 +99,7 @@
                                 fields.len() == 3,
                                 "{name}: {part:?} is not of the form CPUS/GPUS/GB"
                             );
-                            options.shapes.push(Shape {
+                            options.shapes.push(TaskShape {
                                 cpus: number(&name, fields[0], 0.0, 1e6)?,
                                 gpus: number(&name, fields[1], 0.0, 1e6)?,
                                 memory_gb: number(&name, fields[2], 0.0, 1e6)?,
@@ -105,10 +107,16 @@
                         }
                         ensure!(options.shapes.len() <= 16, "{name}: at most 16 shapes");
                     }
-                    "placement.keep_s" => options.keep_s = number(&name, value, 0.0, 3600.0)?,
-                    "placement.begin_s" => options.begin_s = number(&name, value, 0.0, 86_400.0)?,
-                    "provision.idle_s" => options.idle_s = number(&name, value, 0.0, 86_400.0)?,
-                    "standby.warm" => options.warm = number(&name, value, 0.0, 6.0)? as usize,
+                    "placement.keep_s" => options.headroom_s = number(&name, value, 0.0, 3600.0)?,
+                    "placement.begin_s" => {
+                        options.starvation_timeout_s = number(&name, value, 0.0, 86_400.0)?
+                    }
+                    "provision.idle_s" => {
+                        options.idle_timeout_s = number(&name, value, 0.0, 86_400.0)?
+                    }
+                    "standby.warm" => {
+                        options.warm_standbys = number(&name, value, 0.0, 6.0)? as usize
+                    }
                     _ => bail!("{name}: unknown section or key"),
                 }
             }
--- a/tests/compatibility/operators.rs
+++ b/tests/compatibility/operators.rs
@@ -4,7 +4,7 @@
 use super::{assert_pinned, assert_reads_as, fixture};
 use pathwinch::{
     control::{election::AuthorityBasis, requests::Source},
-    options::{LoadResource, Options, Shape},
+    options::{LoadResource, Options, TaskShape},
     protocol::{
         settings::{
             CloudLimits, Cluster, NextLimits, Objective, Peer, Quota, Services, Settings,
@@ -298,13 +298,13 @@
 #[test]
 fn options_keep_their_defaults() {
     let expected = Options {
-        threshold: 0.4,
-        load: LoadResource::Scarcest,
+        busy_threshold: 0.4,
+        load_resource: LoadResource::Scarcest,
         shapes: Vec::new(),
-        keep_s: 0.0,
-        begin_s: 180.0,
-        idle_s: 20.0,
-        warm: 2,
+        headroom_s: 0.0,
+        starvation_timeout_s: 180.0,
+        idle_timeout_s: 20.0,
+        warm_standbys: 2,
     };
     let expected = format!("{expected:?}");
     assert_eq!(format!("{:?}", Options::default()), expected);
@@ -318,24 +318,24 @@
     let text = "[placement]\nthreshold = 0.25\nload = gpu\nshapes = 4/0.5/11, 43/4/310\n\
                 keep_s = 1.5\nbegin_s = 2.5\n[provision]\nidle_s = 3.5\n[standby]\nwarm = 4\n";
     let expected = Options {
-        threshold: 0.25,
-        load: LoadResource::Gpu,
+        busy_threshold: 0.25,
+        load_resource: LoadResource::Gpu,
         shapes: vec![
-            Shape {
+            TaskShape {
                 cpus: 4.0,
                 gpus: 0.5,
                 memory_gb: 11.0,
             },
-            Shape {
+            TaskShape {
                 cpus: 43.0,
                 gpus: 4.0,
                 memory_gb: 310.0,
             },
         ],
-        keep_s: 1.5,
-        begin_s: 2.5,
-        idle_s: 3.5,
-        warm: 4,
+        headroom_s: 1.5,
+        starvation_timeout_s: 2.5,
+        idle_timeout_s: 3.5,
+        warm_standbys: 4,
     };
     assert_eq!(parsed_options(text), format!("{expected:?}"));
 }
@@ -349,7 +349,7 @@
         ("memory", LoadResource::Memory),
     ] {
         let read = Options::parse(&format!("[placement]\nload = {name}\n")).unwrap();
-        assert_eq!(read.load, load);
+        assert_eq!(read.load_resource, load);
     }
 }
 
--- a/tests/input.rs
+++ b/tests/input.rs
@@ -183,7 +183,7 @@
 #[test]
 fn example_options_parse_and_unknown_keys_fail() {
     let example = include_str!("../examples/pathwinch.ini");
-    assert_eq!(Options::parse(example).unwrap().threshold, 0.4);
+    assert_eq!(Options::parse(example).unwrap().busy_threshold, 0.4);
     for bad in [
         "[placement]\nthreshhold = 0.4",
         "[placement]\nthreshold = 1.4",
--- a/tests/job_liveness.rs
+++ b/tests/job_liveness.rs
@@ -278,12 +278,12 @@
 /// large job never starts.
 fn wait_of_large_job(
     seed: u64,
-    begin_s: f64,
+    starvation_timeout_s: f64,
     large_job: &dyn Fn(u32) -> JobSpec,
     priority: Priority,
 ) -> u64 {
     let mut sim = Simulation::new(seed, 4, 0.0);
-    sim.begin_s = begin_s;
+    sim.starvation_timeout_s = starvation_timeout_s;
     sim.run_until(10_000, "a leader", |sim| sim.leader().is_some());
     let small_job = |number: u32| {
         let mut spec = job(number, Kind::Array, 4);
@@ -312,7 +312,7 @@
         spec
     };
     let large_gang = |number: u32| job(number, Kind::Gang, 8);
-    let bound = pathwinch::options::Options::default().begin_s;
+    let bound = pathwinch::options::Options::default().starvation_timeout_s;
     for (seed, priority) in [(11, Priority::Normal), (12, Priority::High)] {
         let waited = wait_of_large_job(seed, bound, &large_batch, priority);
         assert!(waited < 240_000, "a large batch started after {waited} ms");
@@ -326,9 +326,9 @@
 
 #[test]
 fn start_bound_changes_nothing_without_contention() {
-    let start_log = |begin_s: f64| {
+    let start_log = |starvation_timeout_s: f64| {
         let mut sim = Simulation::new(14, 5, 48.0);
-        (sim.begin_s, sim.cloud_grants) = (begin_s, true);
+        (sim.starvation_timeout_s, sim.cloud_grants) = (starvation_timeout_s, true);
         sim.run_until(10_000, "a leader", |sim| sim.leader().is_some());
         for number in 1..60 {
             let kind = [Kind::Array, Kind::Gang, Kind::Array][number as usize % 3];
@@ -341,7 +341,7 @@
         sim.assert_no_violations();
         sim.start_log
     };
-    let bound = pathwinch::options::Options::default().begin_s;
+    let bound = pathwinch::options::Options::default().starvation_timeout_s;
     let starts = start_log(bound);
     assert!(starts.len() > 150);
     assert_eq!(starts, start_log(0.0));
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -16,8 +16,8 @@
 
 fn policy() -> Policy {
     Policy {
-        threshold: 0.4,
-        load: LoadResource::Scarcest,
+        busy_threshold: 0.4,
+        load_resource: LoadResource::Scarcest,
         shapes: vec![
             Resources::need(2.0, 1.0, 4.0),
             Resources::need(4.0, 0.0, 8.0),
@@ -171,7 +171,11 @@
         let after = candidate.view.free.minus(request.need);
         (
             candidate.rank,
-            load(&candidate.view.capacity, &candidate.view.free, policy.load) >= policy.threshold,
+            load(
+                &candidate.view.capacity,
+                &candidate.view.free,
+                policy.load_resource,
+            ) >= policy.busy_threshold,
             fragmentation(&candidate.view.capacity, &after, &policy.shapes),
             !candidate.caches_image,
             candidate.view.free.cpus,
--- a/tests/simulation/election.rs
+++ b/tests/simulation/election.rs
@@ -214,8 +214,8 @@
             Options {
                 // Without grants of the cloud a returned machine could not be replaced, so
                 // idle machines are kept.
-                idle_s: if self.cloud_grants { 20.0 } else { 36_000.0 },
-                begin_s: self.begin_s,
+                idle_timeout_s: if self.cloud_grants { 20.0 } else { 36_000.0 },
+                starvation_timeout_s: self.starvation_timeout_s,
                 ..Options::default()
             },
             types(),
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -265,7 +265,7 @@
     /// Whether the cloud grants requested machines.
     pub cloud_grants: bool,
     /// Value of the option of this name, which bounds the wait of large jobs.
-    pub begin_s: f64,
+    pub starvation_timeout_s: f64,
     /// Every task start: time, worker and task.
     pub start_log: Vec<(Millis, usize, String)>,
     /// Whether some nodes may run another version.
@@ -358,7 +358,7 @@
             fetch_ms: 300,
             skip_lease_wait: false,
             cloud_grants: false,
-            begin_s: Options::default().begin_s,
+            starvation_timeout_s: Options::default().starvation_timeout_s,
             start_log: Vec::new(),
             mixed_versions: false,
             standbys: true,
