--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -16,7 +16,7 @@
 use futures_lite::future;
 use measure::{Counters, Usage};
 use plan::Plan;
-use report::{ClassRow, Heartbeat, RoleRow, Times, WorkerRow};
+use report::{ClassRow, RoleRow, ScaleReport, Times, WorkerRow};
 use std::{
     cell::Cell,
     path::Path,
@@ -35,7 +35,7 @@
 
 /// Runs the plan with the controller program `program` and returns the report. The
 /// settings and logs of the controllers go to `dir`.
-pub fn run(plan: Plan, program: &Path, dir: &Path) -> Result<Heartbeat> {
+pub fn run(plan: Plan, program: &Path, dir: &Path) -> Result<ScaleReport> {
     let base = PreparedTestbed::new(plan.site(), dir)?;
     let testbed = base.testbed.clone();
     let children = Children::new(dir.to_owned(), base.programs(program));
@@ -121,7 +121,7 @@
 
 impl ScaleRun<'_> {
     /// Starts the load, waits for the warm-up, measures and builds the report.
-    async fn measure(&self) -> Result<Heartbeat> {
+    async fn measure(&self) -> Result<ScaleReport> {
         up::until_ready(&self.testbed).await;
         self.testbed.object_store.borrow_mut().take_starts();
         self.users.start();
@@ -301,7 +301,7 @@
         }
     }
 
-    fn report(&self, seconds: f64) -> Heartbeat {
+    fn report(&self, seconds: f64) -> ScaleReport {
         let figures = self.users.take_figures();
         let classes: Vec<ClassRow> = self
             .plan
@@ -310,7 +310,7 @@
             .zip(&figures.classes)
             .map(|(class, figures_of_class)| class_row(class, figures_of_class, seconds))
             .collect();
-        Heartbeat {
+        ScaleReport {
             machines: self.plan.site_machines(),
             controllers: self.plan.controllers,
             teams: self.plan.teams,
@@ -329,7 +329,7 @@
             answers_checked: self.users.answers_checked(),
             controllers_ended: self.controllers_killed.get(),
             rules_broken: self.rules_broken(),
-            ..Heartbeat::default()
+            ..ScaleReport::default()
         }
     }
 
--- a/crates/lab/src/scale/report.rs
+++ b/crates/lab/src/scale/report.rs
@@ -92,7 +92,7 @@
 
 /// The report of a scale run.
 #[derive(Debug, Clone, Default, Serialize)]
-pub struct Heartbeat {
+pub struct ScaleReport {
     pub machines: u32,
     pub controllers: usize,
     pub teams: usize,
@@ -118,7 +118,7 @@
     pub rules_broken: Vec<String>,
 }
 
-impl Heartbeat {
+impl ScaleReport {
     /// Returns the report as text for the terminal.
     pub fn text(&self) -> String {
         let mut out = String::new();
--- a/examples/limits/main.rs
+++ b/examples/limits/main.rs
@@ -223,7 +223,7 @@
                 leader.load_standbys(Some((
                     StandbyRecord {
                         term: 1,
-                        named: vec![("n0".into(), 7)],
+                        standbys: vec![("n0".into(), 7)],
                         known_to_all: true,
                     },
                     1,
--- a/src/control/standby/failover_checks.rs
+++ b/src/control/standby/failover_checks.rs
@@ -69,7 +69,7 @@
 
 impl Check {
     fn step(self, claim: &FailoverClaim) -> Result<Check, ColdReason> {
-        let names = claim.record.map_or(&[][..], |r| &r.named);
+        let names = claim.record.map_or(&[][..], |r| &r.standbys);
         let own_entry = names.iter().find(|(name, _)| name == claim.node_name);
         match (self, own_entry) {
             (Check::StandbyNamed, _) if names.is_empty() => Err(ColdReason::NoStandbyNamed),
--- a/src/control/standby/failover_checks/tests.rs
+++ b/src/control/standby/failover_checks/tests.rs
@@ -6,7 +6,7 @@
 fn failover_is_cold_when_any_check_fails() {
     let record = |term, name: &str, i| StandbyRecord {
         term,
-        named: vec![(name.into(), i)],
+        standbys: vec![(name.into(), i)],
         known_to_all: true,
     };
     let replica = |term| Replica {
--- a/src/control/standby/mod.rs
+++ b/src/control/standby/mod.rs
@@ -165,7 +165,7 @@
                 ..StandbyRecord::default()
             },
         };
-        if !self.registry.belongs_to(self.term) && wanted_record.named.is_empty() {
+        if !self.registry.belongs_to(self.term) && wanted_record.standbys.is_empty() {
             let keeps_previous_record = match self.replicating_since {
                 Some(at) => now < at + HANDOVER_GRACE_MS,
                 None => !self.starts_wanted,
@@ -231,7 +231,7 @@
         named.sort();
         StandbyRecord {
             term: self.term,
-            named,
+            standbys: named,
             known_to_all: supported_by_all,
         }
     }
--- a/src/control/standby/registry.rs
+++ b/src/control/standby/registry.rs
@@ -51,14 +51,15 @@
     pub(super) fn belongs_to(&self, term: u64) -> bool {
         self.record
             .as_ref()
-            .is_none_or(|r| r.term == term || r.named.is_empty())
+            .is_none_or(|r| r.term == term || r.standbys.is_empty())
     }
 
     /// Returns all standbys that the record of `term` names, or that a write with an
     /// unknown outcome may name.
     pub(super) fn counted_standbys(&self, term: u64) -> impl Iterator<Item = &(String, u64)> {
         let all = self.record.iter().chain(&self.indeterminate);
-        all.filter(move |r| r.term == term).flat_map(|r| &r.named)
+        all.filter(move |r| r.term == term)
+            .flat_map(|r| &r.standbys)
     }
 
     pub(super) fn known_to_all(&self) -> bool {
@@ -74,9 +75,9 @@
         let empty_record = StandbyRecord::default();
         let current = self.record.as_ref().unwrap_or(&empty_record);
         let same_content =
-            current.named == wanted.named && current.known_to_all == wanted.known_to_all;
+            current.standbys == wanted.standbys && current.known_to_all == wanted.known_to_all;
         // The term of the record matters only if the record names a standby.
-        let same_term = wanted.named.is_empty() || current.term == wanted.term;
+        let same_term = wanted.standbys.is_empty() || current.term == wanted.term;
         if same_content && same_term && self.indeterminate.is_empty() {
             return None;
         }
@@ -110,7 +111,7 @@
                 let record = self.indeterminate.pop();
                 self.set_record(record.map(|r| (r, version)));
                 if let Some(r) = &self.record {
-                    let names: Vec<&str> = r.named.iter().map(|(n, _)| n.as_str()).collect();
+                    let names: Vec<&str> = r.standbys.iter().map(|(n, _)| n.as_str()).collect();
                     log::info!("standbys of term {}: {}", r.term, names.join(", "));
                 }
             }
--- a/src/server/standby.rs
+++ b/src/server/standby.rs
@@ -163,7 +163,7 @@
             .unwrap_or_default();
         let is_registered = {
             let election = self.election.borrow();
-            record.named.iter().any(|(name, incarnation)| {
+            record.standbys.iter().any(|(name, incarnation)| {
                 *name == election.node_name && *incarnation == election.incarnation
             })
         };
@@ -172,6 +172,10 @@
             let peer = peers.iter().position(|peer| peer.name == *name);
             peer.is_some_and(|peer| self.peer_health(peer) == PeerHealth::Healthy)
         };
-        !is_registered && record.named.iter().any(|(name, _)| is_healthy_peer(name))
+        !is_registered
+            && record
+                .standbys
+                .iter()
+                .any(|(name, _)| is_healthy_peer(name))
     }
 }
--- a/src/state/records.rs
+++ b/src/state/records.rs
@@ -122,7 +122,7 @@
     pub term: u64,
     /// Names of the standbys with their incarnations.
     #[serde(rename = "n")]
-    pub named: Vec<(String, u64)>,
+    pub standbys: Vec<(String, u64)>,
     /// Whether every controller runs a version that knows this record. A version that
     /// does not know it would lead, and start tasks, without changing the record.
     #[serde(rename = "k", default)]
@@ -136,7 +136,7 @@
         serde_json::from_value(value).unwrap_or_else(|e| {
             log::error!("cannot parse record {STANDBYS}, assuming that it names a standby: {e}");
             StandbyRecord {
-                named: vec![(String::new(), 0)],
+                standbys: vec![(String::new(), 0)],
                 ..StandbyRecord::default()
             }
         })
--- a/tests/compatibility/stored.rs
+++ b/tests/compatibility/stored.rs
@@ -234,7 +234,7 @@
 fn standby_record_keeps_its_stored_form() {
     let full = StandbyRecord {
         term: 9,
-        named: vec![("winch-2".into(), 5), ("winch-3".into(), 6)],
+        standbys: vec![("winch-2".into(), 5), ("winch-3".into(), 6)],
         known_to_all: true,
     };
     assert_stored("standbys/full", &full);
@@ -252,7 +252,7 @@
     let read = StandbyRecord::read(serde_json::json!({ "t": "x" }));
     let unknown_standby = StandbyRecord {
         term: 0,
-        named: vec![(String::new(), 0)],
+        standbys: vec![(String::new(), 0)],
         known_to_all: false,
     };
     assert_eq!(read, unknown_standby);
--- a/tests/failover.rs
+++ b/tests/failover.rs
@@ -206,7 +206,7 @@
             .record
             .as_ref()
             .expect("the standby registry is written");
-        assert_eq!(record.named.len(), 2);
+        assert_eq!(record.standbys.len(), 2);
         state.remaining = remaining;
         state
     }
@@ -301,7 +301,7 @@
                     self.revision += 1;
                     let record = StandbyRecord {
                         term,
-                        named,
+                        standbys: named,
                         known_to_all: true,
                     };
                     self.record = Some((record, self.revision));
@@ -533,7 +533,7 @@
         });
         let pending_starts: Vec<(u64, u32, u64)> = possible.collect();
         if let Some((record, _)) = &self.record {
-            for (node_name, incarnation) in &record.named {
+            for (node_name, incarnation) in &record.standbys {
                 let node = (0..NODES).find(|j| name(*j) == *node_name)?;
                 let node = &self.nodes[node];
                 if node.incarnation != *incarnation || node.lead.is_some() {
@@ -624,7 +624,10 @@
     let Write::Put { value, .. } = &txn.writes[0] else {
         panic!("the registry write is not a put");
     };
-    (condition.version, StandbyRecord::read(value.clone()).named)
+    (
+        condition.version,
+        StandbyRecord::read(value.clone()).standbys,
+    )
 }
 
 fn hash(state: &State) -> u64 {
--- a/tests/leader_fixtures/mod.rs
+++ b/tests/leader_fixtures/mod.rs
@@ -49,7 +49,7 @@
 
 /// Returns the leader of `term` with `machines` machine records loaded and no heartbeat
 /// received yet.
-pub fn unheard(term: u64, machines: usize) -> Leader {
+pub fn leader_without_heartbeats(term: u64, machines: usize) -> Leader {
     let types = format!(
         r#"[{{"sku":"m","cores":{CORES},"memory_gb":1000.0,"local_gb":50.0,"fetch_gb_per_s":1.0,
             "price":3.5,"market_price":1.4,"startup_s":20.0,"halls":["a"]}}]"#,
--- a/tests/reused_indices.rs
+++ b/tests/reused_indices.rs
@@ -3,7 +3,7 @@
 
 mod leader_fixtures;
 
-use leader_fixtures::{accept, accept_with_priority, machine, report, unheard};
+use leader_fixtures::{accept, accept_with_priority, leader_without_heartbeats, machine, report};
 use pathwinch::{
     control::leader::Leader,
     protocol::workers::{ExitReason, TaskState, TaskStatus},
@@ -14,7 +14,7 @@
 
 /// A leader with one empty machine.
 fn leader() -> Leader {
-    let mut leader_state = unheard(1, 1);
+    let mut leader_state = leader_without_heartbeats(1, 1);
     leader_state.finish_loading(0);
     assert!(leader_state.on_heartbeat(&report(0, 1), 100).is_some());
     leader_state.tick(100, 100);
--- a/tests/scale_run.rs
+++ b/tests/scale_run.rs
@@ -4,7 +4,7 @@
 use pathwinch_lab::scale::{
     self,
     plan::{Faults, Plan},
-    report::Heartbeat,
+    report::ScaleReport,
 };
 use std::path::Path;
 
@@ -29,7 +29,7 @@
 }
 
 /// Runs the plan, with its logs in a temporary directory that is removed after the run.
-fn run(plan: Plan, name: &str) -> Heartbeat {
+fn run(plan: Plan, name: &str) -> ScaleReport {
     let dir = std::env::temp_dir().join(format!("pathwinch-{name}-{}", std::process::id()));
     let program = Path::new(env!("CARGO_BIN_EXE_pathwinch"));
     let report = scale::run(plan, program, &dir).unwrap();
--- a/tests/scheduling_cycles.rs
+++ b/tests/scheduling_cycles.rs
@@ -4,7 +4,8 @@
 mod leader_fixtures;
 
 use leader_fixtures::{
-    CORES, accept, accept_with_cores, accept_with_priority, record, report, report_in_term, unheard,
+    CORES, accept, accept_with_cores, accept_with_priority, leader_without_heartbeats, record,
+    report, report_in_term,
 };
 use pathwinch::{
     control::leader::Leader,
@@ -19,7 +20,7 @@
 
 /// A leader that has received a heartbeat of each of its machines; all are empty.
 fn settled_leader() -> Leader {
-    let mut leader = unheard(1, MACHINES);
+    let mut leader = leader_without_heartbeats(1, MACHINES);
     leader.finish_loading(0);
     for n in 0..MACHINES {
         assert!(leader.on_heartbeat(&report(n, 1), 100).is_some());
@@ -244,7 +245,7 @@
     let job = accept(&mut first, 1, "array", 1_500);
     first.tick(200, 200);
     assert!(first.has_work() && placed_tasks(&first, job) < 1_000);
-    let mut new_leader = unheard(2, MACHINES);
+    let mut new_leader = leader_without_heartbeats(2, MACHINES);
     let job = new_leader.load_job(record(1, "array", "normal", 1_500, 1.0), 1, 0);
     new_leader.finish_loading(0);
     for n in 0..MACHINES {
--- a/tests/simulation/standbys.rs
+++ b/tests/simulation/standbys.rs
@@ -21,7 +21,7 @@
         let Some((record, _)) = self.standby_registry() else {
             return Vec::new();
         };
-        let registered = record.named.iter();
+        let registered = record.standbys.iter();
         let node = |(name, incarnation): &(String, u64)| {
             let standby: usize = name[1..].parse().unwrap();
             let n = &self.nodes[standby];
--- a/tests/warm_takeover.rs
+++ b/tests/warm_takeover.rs
@@ -33,7 +33,7 @@
     leader.set_inherited_replica(7, receiver.take_replica(9));
     let record = StandbyRecord {
         term: 5,
-        named: vec![("n0".into(), 7)],
+        standbys: vec![("n0".into(), 7)],
         known_to_all: true,
     };
     leader.load_standbys(Some((record, 6)));
