--- a/src/control/requests/mod.rs
+++ b/src/control/requests/mod.rs
@@ -41,7 +41,8 @@
 use std::collections::HashMap;
 
 const LEADERSHIP_CHANGING: &str = "leadership is changing";
-const NO_LEADER: &str = "no leader can be reached";
+/// Answer for a request that only a leader can complete while none can be reached.
+pub const NO_LEADER: &str = "no leader can be reached";
 const RECORDS_LOADING: &str = "a new leader is still loading the records";
 /// Answer for a job that will be cancelled because one of its dependencies is
 /// cancelled.
--- a/src/server/client_api.rs
+++ b/src/server/client_api.rs
@@ -9,7 +9,7 @@
 
 use super::Node;
 use crate::{
-    control::requests::{Answer, Event, Next, NodeView, Request as UserRequest},
+    control::requests::{Answer, Event, NO_LEADER, Next, NodeView, Request as UserRequest},
     protocol::peers::{Reply, Request},
     state::{Millis, request_budget::RequestPriority},
     transport::server::HttpResponse,
@@ -65,7 +65,7 @@
     ) -> HttpResponse {
         self.answer(method, path, body, false)
             .await
-            .unwrap_or_else(|| HttpResponse::later("no leader is reachable"))
+            .unwrap_or_else(|| HttpResponse::later(NO_LEADER))
     }
 
     /// Answers a request that another node forwarded. Returns `None` if this node
--- a/src/server/status.rs
+++ b/src/server/status.rs
@@ -124,8 +124,7 @@
             },
             Ok(Found::NoRecord) => Explanation::NoSuchJob,
             Ok(Found::Live(..)) => Explanation::Unknown(
-                "the job has a record, but no leader that can explain its state is reachable"
-                    .into(),
+                "the job is recorded, but no leader that knows more can be reached".into(),
             ),
             Err(e) => Explanation::Unknown(format!("failed to read the job records: {e}")),
         }
