--- a/src/control/leader/queue.rs
+++ b/src/control/leader/queue.rs
@@ -54,9 +54,9 @@
         order
     }
 
-    /// Whether the job has been queued for `starvation_timeout_s` without any task having run, so that it is
-    /// served before all jobs that aren't starving. Guards against starvation of large jobs
-    /// by a stream of smaller, later or more urgent ones.
+    /// Whether the job has been queued for `starvation_timeout_s` without any task having run,
+    /// so that it is served before all jobs that aren't starving. Guards against starvation
+    /// of large jobs by a stream of smaller, later or more urgent ones.
     pub(super) fn is_starving(&self, job: &Job) -> bool {
         if !self.waited_long(job) || job.has_run || job.completed_count > 0 || job.live_count > 0 {
             return false;
@@ -66,7 +66,8 @@
         job.spec.kind != Kind::Gang || job.spec.tasks == 1 || !self.is_best_effort(job)
     }
 
-    /// Whether the job has been queued for `starvation_timeout_s` seconds; 0 disables starvation handling.
+    /// Whether the job has been queued for `starvation_timeout_s`; 0 disables starvation
+    /// handling.
     fn waited_long(&self, job: &Job) -> bool {
         let waited_ms = self.wall_ms.saturating_sub(job.queued_since_ms);
         let bound_ms = millis(self.options.starvation_timeout_s);
--- a/src/control/leader/scale_out.rs
+++ b/src/control/leader/scale_out.rs
@@ -31,7 +31,7 @@
 /// Age after which a booting machine that is not needed is released. The cloud charges for
 /// at least one minute, so this is just under a minute.
 const MIN_CHARGE_MS: Millis = 57_000;
-/// Number of consecutive refused starts beyond which no machines are requested for a job.
+/// Number of unsuccessful starts beyond which no machines are requested for a job.
 const MAX_UNSUCCESSFUL_STARTS: u32 = 5;
 /// Time from a machine's boot to the first task start on it, in seconds.
 const START_MARGIN_S: f64 = 5.0;
--- a/src/state/dependencies/tests.rs
+++ b/src/state/dependencies/tests.rs
@@ -164,7 +164,10 @@
         [("j-000005", DependencyState::Live(handle(5), Low))],
     );
     let cancellations = graph.take_changes().cancellations;
-    let jobs: Vec<JobHandle> = cancellations.iter().map(|graph| graph.job).collect();
+    let jobs: Vec<JobHandle> = cancellations
+        .iter()
+        .map(|cancellation| cancellation.job)
+        .collect();
     assert_eq!(jobs, [handle(20_000)]);
     graph.job_ended(handle(5), false);
     assert_eq!(graph.readiness(handle(20_000)), Readiness::Blocked);
--- a/tests/simulation/workers.rs
+++ b/tests/simulation/workers.rs
@@ -96,7 +96,7 @@
                         } else {
                             TaskState::Fetching
                         },
-                        exit_reason: exit_reason,
+                        exit_reason,
                         until: now + fetch_ms,
                     });
                 }
