--- a/src/control/standby/mod.rs
+++ b/src/control/standby/mod.rs
@@ -227,11 +227,11 @@
             .iter()
             .filter(ready)
             .map(|peer| self.streams[*peer].identity());
-        let mut named: Vec<(String, u64)> = names.flatten().collect();
-        named.sort();
+        let mut standbys: Vec<(String, u64)> = names.flatten().collect();
+        standbys.sort();
         StandbyRecord {
             term: self.term,
-            standbys: named,
+            standbys,
             known_to_all: supported_by_all,
         }
     }
--- a/tests/failover.rs
+++ b/tests/failover.rs
@@ -294,14 +294,14 @@
                     self.on_worker.insert((task, attempt));
                 }
             }
-            Msg::Write(node_id, incarnation, term, version, named) => {
+            Msg::Write(node_id, incarnation, term, version, standbys) => {
                 let current_version = self.record.as_ref().map_or(0, |(_, v)| *v);
                 let still_leads = self.leader_key.is_some_and(|(t, _)| t == term);
                 let done = (still_leads && current_version == version).then(|| {
                     self.revision += 1;
                     let record = StandbyRecord {
                         term,
-                        standbys: named,
+                        standbys,
                         known_to_all: true,
                     };
                     self.record = Some((record, self.revision));
