--- a/examples/limits/main.rs
+++ b/examples/limits/main.rs
@@ -217,13 +217,13 @@
                 .take_replica(2)
                 .context("the standby has no complete replica")?;
             for _ in 0..count {
-                std::hint::black_box(replica.latest_first());
+                std::hint::black_box(replica.placements_latest_first());
                 let mut leader = loaded_leader(size, size / 5 + 1)?;
-                leader.inherit(7, Some(replica.clone()));
+                leader.set_inherited_replica(7, Some(replica.clone()));
                 leader.load_standbys(Some((
                     StandbyRecord {
                         term: 1,
-                        named: vec![("n0".into(), 7)],
+                        standbys: vec![("n0".into(), 7)],
                         known_to_all: true,
                     },
                     1,
--- a/src/control/leader/failover.rs
+++ b/src/control/leader/failover.rs
@@ -50,14 +50,14 @@
 
 impl Leader {
     /// Sets the incarnation of this node and the replica that it kept as a standby.
-    pub fn inherit(&mut self, incarnation: u64, replica: Option<Replica>) {
+    pub fn set_inherited_replica(&mut self, incarnation: u64, replica: Option<Replica>) {
         self.recovery.failover.inherited = Some((incarnation, replica));
     }
 
     /// Loads the standby record as it was read in this term.
     pub fn load_standbys(&mut self, found: Option<(StandbyRecord, u64)>) {
         self.recovery.failover.record = found.as_ref().map(|(r, _)| r.clone());
-        self.standbys.loaded(found);
+        self.standbys.registry_loaded(found);
     }
 
     /// Whether this leader took over warm.
@@ -67,7 +67,7 @@
 
     /// Whether the state of every task of the job is known: no task is on a machine that
     /// has not been confirmed in this term.
-    pub(super) fn hears_all_tasks_of(&self, job_handle: JobHandle) -> bool {
+    pub(super) fn knows_all_tasks_of(&self, job_handle: JobHandle) -> bool {
         if self.recovery.settled || !self.recovery.failover.warm {
             return self.recovery.settled;
         }
@@ -87,7 +87,7 @@
             return;
         };
         let claim = FailoverClaim {
-            me: &self.settings.name,
+            node_name: &self.settings.name,
             incarnation,
             record: self.recovery.failover.record.as_ref(),
             replica: replica.as_ref(),
@@ -98,7 +98,7 @@
                     self.restore_from_replica(&replica, now);
                 self.recovery.failover.warm = true;
                 self.changed = true;
-                self.events.tally.took_over = Some("warm");
+                self.events.metric_counts.takeover = Some("warm");
                 log::info!(
                     "term {} takes over warm from term {}: restored {restored_tasks} tasks, {unconfirmed_machines} machines not confirmed yet",
                     self.term,
@@ -108,7 +108,7 @@
             (Ok(()), None) => {}
             (Err(reason), _) => {
                 self.recovery.failover.cold_reason = Some(reason.text());
-                self.events.tally.took_over = Some(reason.text());
+                self.events.metric_counts.takeover = Some(reason.text());
                 log::info!("term {} takes over cold: {}", self.term, reason.text());
             }
         }
@@ -118,7 +118,7 @@
     /// cluster state. Confirmed machines have reported their tasks themselves. Returns
     /// the number of restored tasks and the number of unconfirmed machines.
     fn restore_from_replica(&mut self, replica: &Replica, now: Millis) -> (usize, usize) {
-        let all = replica.latest_first();
+        let all = replica.placements_latest_first();
         // Guards against running a task again that completed before the previous
         // leader could record it.
         for (_, job, ReplicatedTask(task, ..)) in all
@@ -142,7 +142,7 @@
         {
             restored += usize::from(self.restore_task(machine, job, may_run, now));
         }
-        let unconfirmed_machines = self.cluster.each_machine().filter(|m| m.contents_unknown);
+        let unconfirmed_machines = self.cluster.machines().filter(|m| m.contents_unknown);
         (restored, unconfirmed_machines.count())
     }
 
@@ -216,12 +216,13 @@
         }
         let all_tasks_known = self.recovery.knows_all_tasks();
         self.standbys
-            .step(&mut self.cluster, all_tasks_known, answers, now)
+            .select_and_record(&mut self.cluster, all_tasks_known, answers, now)
     }
 
     /// Applies the outcome of the write of the standby record.
     pub fn standbys_written(&mut self, outcome: RegistryWriteOutcome, now: Millis) {
-        self.recovery.failover.starts_released |= self.standbys.written(outcome, now);
+        self.recovery.failover.starts_released |=
+            self.standbys.registry_write_finished(outcome, now);
     }
 
     /// Returns the number of standbys that are warm.
@@ -237,7 +238,7 @@
 
     /// Returns the next part of the replication stream to a peer, if there is one to send.
     pub fn next_replication_part(&mut self, peer: usize, now: Millis) -> Option<ReplicationPart> {
-        self.standbys.next(peer, &mut self.cluster, now)
+        self.standbys.next_part(peer, &mut self.cluster, now)
     }
 
     /// Applies a peer's response to a part: the peer's incarnation, and whether it applied
--- a/src/control/leader/fleet_view.rs
+++ b/src/control/leader/fleet_view.rs
@@ -25,7 +25,7 @@
 fn machine_view(machine: &Machine) -> MachineView {
     let free = machine.free();
     MachineView {
-        type_ix: machine.type_ix,
+        type_index: machine.type_index,
         zone: machine.zone,
         spot: machine.spot,
         capacity: machine.capacity,
@@ -49,9 +49,12 @@
             let present = machine.and_then(|machine| self.cluster.machine(machine));
             let view = present.filter(|m| m.schedulable()).map(machine_view);
             if !scheduling.in_cycle {
-                scheduling.fleet.set(index, view, now);
-            } else if scheduling.fleet.set_without_gain(index, view, now) {
-                scheduling.machines_with_gain.extend(machine);
+                scheduling.fleet.update_machine(index, view, now);
+            } else if scheduling
+                .fleet
+                .update_machine_without_gain(index, view, now)
+            {
+                scheduling.machines_with_new_capacity.extend(machine);
             }
         }
         scheduling.fleet.advance(now);
@@ -61,7 +64,7 @@
     pub(super) fn end_cycle(&mut self) {
         self.scheduling.in_cycle = false;
         self.scheduling.fleet.release_withheld();
-        for machine in std::mem::take(&mut self.scheduling.machines_with_gain) {
+        for machine in std::mem::take(&mut self.scheduling.machines_with_new_capacity) {
             self.cluster.mark_stale(machine);
         }
     }
@@ -93,7 +96,7 @@
 
     /// Returns the seconds left until the nearest start objective that can still be met.
     pub(super) fn time_to_start_objective(&self, job: &Job, now: Millis) -> Option<f64> {
-        let age_s = (now - job.known_since) as f64 / 1000.0;
+        let age_s = (now - job.waiting_since) as f64 / 1000.0;
         let team = self.cluster.teams.get(job.team);
         let guaranteed = team.is_some_and(|t| {
             (job.need.gpus > 0 && t.gpus > 0.0) || (job.need.gpus == 0 && t.cpus > 0.0)
@@ -121,8 +124,8 @@
     /// The paper on which placement is based leaves open which kind of machine a job should
     /// run on; here cheaper kinds go first, and the method of the paper chooses among machines
     /// of one kind.
-    pub(super) fn task_price_rank(&self, need: &Resources, type_ix: usize, spot: bool) -> u32 {
-        let Some(machine_type) = self.cluster.types.get(type_ix) else {
+    pub(super) fn task_price_rank(&self, need: &Resources, type_index: usize, spot: bool) -> u32 {
+        let Some(machine_type) = self.cluster.types.get(type_index) else {
             return u32::MAX;
         };
         let whole_machine =
--- a/src/control/leader/headroom.rs
+++ b/src/control/leader/headroom.rs
@@ -1,7 +1,7 @@
 //! Headroom: capacity kept free for work of high priority, derived from recent arrivals and
 //! from the capacity that services need after the loss of a machine.
 //!
-//! Owns `Class` and `Headroom`. Called by the scheduling cycle, scale-in and scale-out.
+//! Owns `JobClass` and `Headroom`. Called by the scheduling cycle, scale-in and scale-out.
 //! This module only counts; it does not place tasks or reserve capacity.
 
 use super::Leader;
@@ -22,7 +22,7 @@
 
 /// A class of jobs: jobs of one kind and priority whose tasks need the same capacity.
 #[derive(Debug, PartialEq)]
-pub(super) struct Class {
+pub(super) struct JobClass {
     pub(super) kind: Kind,
     pub(super) priority: Priority,
     pub(super) need: Resources,
@@ -42,7 +42,7 @@
     pub(super) wanted: i64,
 }
 
-impl Class {
+impl JobClass {
     /// Returns the headroom for `wanted` tasks of this class, with no capacity counted yet.
     fn headroom_for(&self, wanted: i64) -> Headroom {
         Headroom {
@@ -57,8 +57,8 @@
 }
 
 impl Headroom {
-    pub(super) fn covers(&self, type_ix: usize, spot: bool) -> bool {
-        self.types.get(type_ix).copied().unwrap_or(false) && (self.spot || !spot)
+    pub(super) fn covers(&self, type_index: usize, spot: bool) -> bool {
+        self.types.get(type_index).copied().unwrap_or(false) && (self.spot || !spot)
     }
 
     /// Returns the number of tasks that fit into `free`, at most `MAX_COUNTED_TASKS`, which
@@ -69,7 +69,7 @@
 
     /// Returns how many fewer tasks would fit into `free` if a task with this need were placed
     /// there.
-    pub(super) fn loss(&self, free: &Resources, need: &Resources) -> i64 {
+    pub(super) fn tasks_lost_by_placing(&self, free: &Resources, need: &Resources) -> i64 {
         self.tasks_in(free) - self.tasks_in(&free.minus(*need))
     }
 }
@@ -79,7 +79,7 @@
         let Some(job) = self.cluster.job(handle) else {
             return;
         };
-        let class = Class {
+        let class = JobClass {
             kind: job.spec.kind,
             priority: job.spec.priority,
             need: job.need,
@@ -117,23 +117,23 @@
             let mut headroom = class.headroom_for(0);
             // Spare capacity is kept only on machine types whose price per task is at most
             // twice that of the cheapest one.
-            let price = |type_ix: usize| {
-                let machine_type = &self.cluster.types[type_ix];
+            let price = |type_index: usize| {
+                let machine_type = &self.cluster.types[type_index];
                 let machine_price = machine_type.price_of(class.spot);
                 let whole_machine =
                     Resources::offer(machine_type.cpus, machine_type.gpus, machine_type.memory_gb);
                 machine_price / (whole_machine.count(&class.need).max(1) as f64)
             };
             let lowest_price = (0..self.cluster.types.len())
-                .filter(|type_ix| class.types.get(*type_ix) == Some(&true))
+                .filter(|type_index| class.types.get(*type_index) == Some(&true))
                 .map(price)
                 .min_by(f64::total_cmp)
                 .unwrap_or(0.0);
-            for (type_ix, allowed) in headroom.types.iter_mut().enumerate() {
-                *allowed &= price(type_ix) <= 2.0 * lowest_price;
+            for (type_index, allowed) in headroom.types.iter_mut().enumerate() {
+                *allowed &= price(type_index) <= 2.0 * lowest_price;
             }
             let mut most = 0;
-            for machine in self.cluster.each_machine() {
+            for machine in self.cluster.machines() {
                 let of_class = |assignment: &&Assignment| {
                     assignment.is_live()
                         && assignment
@@ -146,9 +146,9 @@
                             })
                 };
                 most = most.max(machine.tasks.iter().filter(of_class).count() as i64);
-                if machine.schedulable() && headroom.covers(machine.type_ix, machine.spot) {
+                if machine.schedulable() && headroom.covers(machine.type_index, machine.spot) {
                     let mut free = machine.free();
-                    free += self.held_by_batches(machine);
+                    free += self.resources_held_by_batch_jobs(machine);
                     headroom.fits += headroom.tasks_in(&free);
                 }
             }
@@ -162,7 +162,7 @@
         out
     }
 
-    pub(super) fn held_by_batches(&self, machine: &Machine) -> Resources {
+    pub(super) fn resources_held_by_batch_jobs(&self, machine: &Machine) -> Resources {
         let mut held = Resources::default();
         for assignment in machine
             .tasks
@@ -215,7 +215,7 @@
             }
             let mut headroom = class.headroom_for(wanted);
             for (_, machine) in self.scheduling.fleet.machine_views() {
-                if headroom.covers(machine.type_ix, machine.spot) {
+                if headroom.covers(machine.type_index, machine.spot) {
                     headroom.fits += headroom.tasks_in(&machine.free);
                 }
             }
--- a/src/control/leader/heartbeats.rs
+++ b/src/control/leader/heartbeats.rs
@@ -24,8 +24,8 @@
             // Leases must not expire while the records are being read. They must not be
             // renewed for long either, because the records that are still unread may hold
             // cancellations.
-            let limit_ms =
-                SafetyBounds::of(&self.settings.cluster.workers).max_answering_unloaded();
+            let limit_ms = SafetyBounds::from_worker_settings(&self.settings.cluster.workers)
+                .max_unloaded_response_time();
             return (now < self.recovery.elected_at + limit_ms).then(|| HeartbeatResponse {
                 fencing_token: self.term_token(),
                 commands: Vec::new(),
@@ -92,9 +92,9 @@
                 .filter(|job_state| !job_state.has_run)
             {
                 job_state.has_run = true;
-                let waited_s = (now - job_state.known_since) as f64 / 1000.0;
+                let waited_s = (now - job_state.waiting_since) as f64 / 1000.0;
                 self.events
-                    .tally
+                    .metric_counts
                     .waits
                     .push((job_state.spec.class.clone(), waited_s));
             }
@@ -116,8 +116,8 @@
     pub(super) fn count_commands(&mut self, commands: &[Command]) {
         for command in commands {
             match command {
-                Command::Start { .. } => self.events.tally.starts += 1,
-                Command::Stop { .. } => self.events.tally.stops += 1,
+                Command::Start { .. } => self.events.metric_counts.starts += 1,
+                Command::Stop { .. } => self.events.metric_counts.stops += 1,
                 Command::Reap { .. } => {}
             }
         }
--- a/src/control/leader/mod.rs
+++ b/src/control/leader/mod.rs
@@ -40,7 +40,7 @@
 pub use inventory::CloudOp;
 pub use job_status::Withheld;
 pub use persistence::{WriteIntent, WritePlan, acceptance_with_feed_entry};
-pub use status::Tally;
+pub use status::MetricCounts;
 
 use super::{
     final_states::FinalStates, placement::Policy, safety_bounds::SafetyBounds, standby::Standbys,
@@ -116,10 +116,10 @@
         let peers = settings.peers.iter();
         let peers = peers.map(|p| (p.name.clone(), p.zone != settings.zone));
         let report_interval_ms = millis(settings.cluster.workers.report_s);
-        let standbys = Standbys::new(term, options.warm, peers);
+        let standbys = Standbys::new(term, options.warm_standbys, peers);
         let policy = Policy {
-            threshold: options.threshold,
-            load: options.load,
+            busy_threshold: options.busy_threshold,
+            load_resource: options.load_resource,
             shapes: options.shapes.iter().map(Policy::shape).collect(),
         };
         Leader {
@@ -160,7 +160,7 @@
     }
 
     fn lease_expiry(&self) -> Millis {
-        SafetyBounds::of(&self.settings.cluster.workers).lease_expiry()
+        SafetyBounds::from_worker_settings(&self.settings.cluster.workers).lease_expiry()
     }
 
     /// Whether the jobs and the machine registry have been read.
@@ -191,7 +191,7 @@
         self.fail_over(now);
         self.expire_leases(now);
         if !self.recovery.settled {
-            self.recovery.settled = !self.cluster.each_machine().any(|m| m.contents_unknown);
+            self.recovery.settled = !self.cluster.machines().any(|m| m.contents_unknown);
             if self.recovery.settled {
                 log::info!(
                     "term {} settled after {} ms: {} jobs, {} machines",
@@ -204,7 +204,7 @@
             }
         }
         self.apply_dependency_changes(now);
-        self.note_unread_dependencies(now);
+        self.track_unread_dependencies(now);
         self.stop_cancelled_and_broken_gangs();
         self.checkpoint_before_reclaim();
         let backoff_expired = self
--- a/src/control/leader/persistence.rs
+++ b/src/control/leader/persistence.rs
@@ -234,7 +234,7 @@
         {
             return Some(offloads);
         }
-        let limits = self.settings.cluster.state.always();
+        let limits = self.settings.cluster.state.strictest();
         let has_spare_rate = max_writes as f64 > limits.write_rps / 2.0;
         let mut budget = WriteBudget::new(max_writes.min(limits.txn_ops));
         let mut plan = self.empty_plan();
@@ -259,7 +259,7 @@
     /// Adds the writes of one pass for all jobs, within the budget. The first
     /// pass also adds spec chunks that must be written before a job's record.
     fn plan_job_writes(&mut self, pass: JobPass, plan: &mut WritePlan, budget: &mut WriteBudget) {
-        let value_kb = self.settings.cluster.state.always().value_kb;
+        let value_kb = self.settings.cluster.state.strictest().value_kb;
         let all_tasks_known = self.recovery.knows_all_tasks();
         for (handle, job) in self.cluster.jobs.iter_mut() {
             if !budget.can_take_job(plan) {
@@ -312,7 +312,7 @@
             if machine.write_in_flight {
                 continue;
             }
-            if machine.lease_expired() && !machine.releasing && !machine.recorded_empty {
+            if machine.lease_expired() && !machine.releasing && !machine.may_be_recorded_empty {
                 expired.push(machine_handle);
                 continue;
             }
@@ -360,7 +360,7 @@
         let registered = machine.registration == Registration::Present;
         let record = MachineRecord {
             addr: machine.addr.map(|a| a.to_string()).unwrap_or_default(),
-            type_name: self.cluster.types[machine.type_ix].name.clone(),
+            type_name: self.cluster.types[machine.type_index].name.clone(),
             zone: self.cluster.zones.name(machine.zone).to_owned(),
             spot: machine.spot,
             releasing: lease_expired || machine.releasing && registered,
@@ -392,14 +392,14 @@
             machine.quarantine_unrecorded = false;
             // Set before the outcome is known, because an indeterminate write may
             // be applied late.
-            machine.recorded_empty |= recorded_empty;
+            machine.may_be_recorded_empty |= recorded_empty;
         }
     }
 
     /// Adds the most recently used images to the record, as many as fit into its
     /// value.
     fn with_images(&self, mut record: MachineRecord, images: &[u32]) -> MachineRecord {
-        let limit = self.settings.cluster.state.always().value_kb * 1024.0;
+        let limit = self.settings.cluster.state.strictest().value_kb * 1024.0;
         let without_images = serde_json::to_value(&record).map_or(0, |v| v.to_string().len());
         let mut bytes_left = (limit as usize).saturating_sub(without_images + IMAGE_LIST_BYTES);
         for image in images.iter().rev() {
@@ -459,7 +459,7 @@
                             matches!(intent, WriteIntent::MarkReleasing { .. });
                         // An earlier indeterminate write can't be applied any
                         // more, as this one changed the record's version.
-                        machine.recorded_empty &=
+                        machine.may_be_recorded_empty &=
                             !matches!(intent, WriteIntent::Registration { .. });
                     }
                 }
@@ -531,7 +531,7 @@
     /// as ended, because a user may have read the records already: tasks of a
     /// cancelled job must not keep running through an outage, and a job whose
     /// terminal state was read must not be reported as unfinished.
-    pub fn outcome_unknown(&mut self, plan: &WritePlan) {
+    pub fn on_outcome_unknown(&mut self, plan: &WritePlan) {
         log::info!(
             "outcome of a write in term {} is unknown: {}",
             self.term,
@@ -559,7 +559,7 @@
     }
 
     /// Applies the current value and version of one of the `keys_to_reread`. All
-    /// of these keys must have been read before `reconciled` is called.
+    /// of these keys must have been read before `finish_reconciliation` is called.
     pub fn reconcile_key(
         &mut self,
         key: &str,
@@ -567,7 +567,7 @@
         now: Millis,
     ) {
         if let Some(id) = key.strip_prefix(AWARDS) {
-            self.award_seen(id, found.map_or(0, |(_, version)| version));
+            self.check_award_version(id, found.map_or(0, |(_, version)| version));
         } else if let Some(id) = key.strip_prefix(keys::FINALS) {
             self.reconcile_final_record(id, found, now);
         } else if let Some(id) = key.strip_prefix(keys::JOBS) {
@@ -623,7 +623,7 @@
                 machine.record_version = version;
                 if let Ok(record) = serde_json::from_value::<MachineRecord>(value) {
                     machine.release_recorded = record.releasing && !record.lease_expired;
-                    machine.recorded_empty |= record.releasing;
+                    machine.may_be_recorded_empty |= record.releasing;
                 }
             }
             (Some(machine), None) => {
@@ -659,7 +659,7 @@
 
     /// Ends the reconciliation of a transaction, after all of its keys have been
     /// read: writes that were not applied can be planned again.
-    pub fn reconciled(&mut self, plan: &WritePlan) {
+    pub fn finish_reconciliation(&mut self, plan: &WritePlan) {
         // The values that were read may have made machines or jobs ready.
         self.changed = true;
         for intent in &plan.intents {
@@ -811,7 +811,7 @@
     let mut segments = vec![0];
     for segment in 1..job.dirty_segments.len() {
         if job.dirty_segments[segment] && budget.has_write(plan) {
-            let value = serde_json::Value::String(job.completed.chunk(segment));
+            let value = serde_json::Value::String(job.completed.segment_text(segment));
             budget.put(plan, segment_key(&job.id, segment), value);
             segments.push(segment);
         }
@@ -872,7 +872,7 @@
         accepted_at_ms: job.accepted_at_ms,
         cancelled: cancelled || job.cancelled,
         suspected: job.failures.suspected,
-        completed: job.completed.chunk(0),
+        completed: job.completed.segment_text(0),
         offloaded_to,
     };
     record.stored()
--- a/src/control/leader/preemption.rs
+++ b/src/control/leader/preemption.rs
@@ -108,7 +108,7 @@
 
     fn search_key(&self, job: &Job, now: Millis) -> SearchKey {
         let guaranteed = self.within_guarantee(job, now);
-        let any_image = now >= job.known_since + millis(GUARANTEE_S);
+        let any_image = now >= job.waiting_since + millis(GUARANTEE_S);
         SearchKey {
             gang: job.spec.kind == Kind::Gang && job.spec.tasks > 1,
             need: job.need,
@@ -152,7 +152,7 @@
         let mut preempted_machines = 0;
         while tasks_left > 0
             && preempted_before + preempted_machines < MAX_PREEMPTED_MACHINES
-            && self.within_limit(team, &need, 1)
+            && self.within_team_quota(team, &need, 1)
         {
             let candidate = self.cheapest_preemption(job_handle, priority, now, |z| {
                 zone_limit.is_none_or(|limit| tasks_by_zone.get(z).copied().unwrap_or(0) < limit)
@@ -180,7 +180,7 @@
         need: &Resources,
         now: Millis,
     ) -> i64 {
-        let reserved_machines = self.cluster.each_machine();
+        let reserved_machines = self.cluster.machines();
         let reserved_machines = reserved_machines.filter(|m| m.is_reserved_for(job_handle, now));
         reserved_machines.map(|m| m.capacity.count(need)).sum()
     }
--- a/src/control/leader/quotas.rs
+++ b/src/control/leader/quotas.rs
@@ -23,7 +23,7 @@
             if !self.job_settled(job)
                 && let Some(usage) = self.scheduling.unconfirmed_usage.get_mut(job.team)
             {
-                *usage += job.need.scaled(i64::from(job.possibly_running()));
+                *usage += job.need.scaled(i64::from(job.unplaced_count()));
             }
         }
     }
@@ -34,16 +34,16 @@
     pub(super) fn job_settled(&self, job: &Job) -> bool {
         self.recovery.knows_all_tasks()
             || job.accepted_this_term
-            || !self.cluster.each_machine().any(|m| {
+            || !self.cluster.machines().any(|m| {
                 m.contents_unknown
-                    && job.types.get(m.type_ix).copied().unwrap_or(true)
+                    && job.types.get(m.type_index).copied().unwrap_or(true)
                     && job.zone.is_none_or(|z| z == m.zone)
                     && (job.spec.spot || !m.spot)
             })
     }
 
     /// Whether the team may run `n` more tasks of this need within its quota.
-    pub(super) fn within_limit(&self, team: usize, need: &Resources, n: i64) -> bool {
+    pub(super) fn within_team_quota(&self, team: usize, need: &Resources, n: i64) -> bool {
         let unconfirmed = self
             .scheduling
             .unconfirmed_usage
@@ -55,7 +55,7 @@
 
     /// Returns how many tasks of this need, at most `n`, the team may run within its quota in
     /// addition to the planned resources.
-    pub(super) fn most_within_limit(
+    pub(super) fn max_tasks_within_team_quota(
         &self,
         team: usize,
         need: &Resources,
@@ -68,6 +68,6 @@
             .get(team)
             .copied()
             .unwrap_or_default();
-        self.cluster.max_within_quota(team, need, n, planned)
+        self.cluster.max_tasks_within_quota(team, need, n, planned)
     }
 }
--- a/src/control/leader/scale_out.rs
+++ b/src/control/leader/scale_out.rs
@@ -8,7 +8,7 @@
 
 use super::{Leader, millis, zone_health::ZoneHealth};
 use crate::{
-    control::provision::{self, Bin, Demand, Offer, PlannedMachines},
+    control::provision::{self, CapacityBin, Demand, Offer, PlannedMachines},
     protocol::{
         cloud::{MAX_MACHINES_PER_REQUEST, MachineRequest},
         status::PendingReason,
@@ -31,8 +31,8 @@
 /// Age after which a booting machine that is not needed is released. The cloud charges for
 /// at least one minute, so this is just under a minute.
 const MIN_CHARGE_MS: Millis = 57_000;
-/// Number of consecutive refused starts beyond which no machines are requested for a job.
-const MAX_CONSECUTIVE_REFUSALS: u32 = 5;
+/// Number of unsuccessful starts beyond which no machines are requested for a job.
+const MAX_UNSUCCESSFUL_STARTS: u32 = 5;
 /// Time from a machine's boot to the first task start on it, in seconds.
 const START_MARGIN_S: f64 = 5.0;
 /// How long released machines are remembered once there are more than
@@ -77,9 +77,9 @@
         }
     }
 
-    fn is_refused(&self, type_ix: usize, zone: usize, spot: bool, now: Millis) -> bool {
+    fn is_refused(&self, type_index: usize, zone: usize, spot: bool, now: Millis) -> bool {
         let kind = MachineKind {
-            type_ix,
+            type_index,
             zone,
             spot,
         };
@@ -92,7 +92,7 @@
 /// A kind of machine: one entry of the price list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct MachineKind {
-    type_ix: usize,
+    type_index: usize,
     zone: usize,
     spot: bool,
 }
@@ -101,7 +101,7 @@
 /// machine, in the same order.
 #[derive(Default)]
 struct Supply {
-    bins: Vec<Bin>,
+    bins: Vec<CapacityBin>,
     booting: Vec<BootingBin>,
     held_by_batches: Vec<Resources>,
 }
@@ -219,7 +219,7 @@
             &mut demand.urgent.demands,
             &mut bins,
             &offers,
-            provision::MAX_NEW,
+            provision::MAX_NEW_MACHINES_PER_ROUND,
         );
         // Batches may use the capacity that services and gangs leave.
         let mut spare_bins = bins.clone();
@@ -227,7 +227,7 @@
             &mut demand.batches.demands,
             &mut bins,
             &offers,
-            provision::BATCH_NEW,
+            provision::MAX_NEW_BATCH_MACHINES_PER_ROUND,
         ));
         self.record_supply_reasons(&demand.urgent);
         self.record_supply_reasons(&demand.batches);
@@ -239,7 +239,7 @@
             &mut self.spare_demands(),
             &mut spare_bins,
             &offers,
-            provision::MAX_NEW,
+            provision::MAX_NEW_MACHINES_PER_ROUND,
         ));
         let unused = booting
             .into_iter()
@@ -251,7 +251,7 @@
     /// Returns the capacity of the machines that exist or are expected to come up.
     fn supply(&self, now: Millis) -> Supply {
         let mut supply = Supply::default();
-        for (handle, machine) in self.cluster.machines_by_handle() {
+        for (handle, machine) in self.cluster.machines_with_handles() {
             let booting = self.is_expected_to_boot(machine, now);
             if !booting && !self.counts_as_supply(machine, now) {
                 continue;
@@ -263,9 +263,11 @@
                     machine: handle,
                 });
             }
-            supply.held_by_batches.push(self.held_by_batches(machine));
-            supply.bins.push(Bin {
-                type_ix: machine.type_ix,
+            supply
+                .held_by_batches
+                .push(self.resources_held_by_batch_jobs(machine));
+            supply.bins.push(CapacityBin {
+                type_index: machine.type_index,
                 zone: machine.zone,
                 spot: machine.spot,
                 free: machine.free(),
@@ -276,7 +278,7 @@
 
     /// Whether the machine is booting, and not for longer than 1.7 times its usual boot time.
     fn is_expected_to_boot(&self, machine: &Machine, now: Millis) -> bool {
-        let boot_ms = millis(self.cluster.types[machine.type_ix].boot_s);
+        let boot_ms = millis(self.cluster.types[machine.type_index].boot_s);
         !machine.up
             && machine.incarnation == 0
             && machine.registration == Registration::Absent
@@ -291,7 +293,7 @@
     fn counts_as_supply(&self, machine: &Machine, now: Millis) -> bool {
         let late = machine.overdue
             && now < machine.overdue_since + LATE_HEARTBEAT_MS
-            && machine.schedulable_once_heard();
+            && machine.schedulable_if_not_overdue();
         // While the tasks of a machine are unknown, all of its capacity counts as free,
         // because the tasks that may run there still count as waiting. After a warm failover
         // the tasks are known: a machine that stays unresponsive then offers no capacity
@@ -305,14 +307,14 @@
     /// Returns every kind of machine on the price list.
     fn offers(&self, now: Millis) -> Vec<Offer> {
         let mut offers = Vec::new();
-        for (type_ix, machine_type) in self.cluster.types.iter().enumerate() {
+        for (type_index, machine_type) in self.cluster.types.iter().enumerate() {
             for zone in &machine_type.zones {
                 let Some(zone) = self.cluster.zones.find(zone) else {
                     continue;
                 };
                 for spot in [false, true] {
                     offers.push(Offer {
-                        type_ix,
+                        type_index,
                         zone,
                         spot,
                         capacity: Resources::offer(
@@ -322,7 +324,7 @@
                         ),
                         price: machine_type.price_of(spot),
                         refused: self.is_zone_unreachable(zone, now)
-                            || self.scaling.is_refused(type_ix, zone, spot, now),
+                            || self.scaling.is_refused(type_index, zone, spot, now),
                     });
                 }
             }
@@ -339,12 +341,13 @@
             let Some(job) = self.cluster.job(handle) else {
                 continue;
             };
-            if job.failures.suspected || job.consecutive_refusals > MAX_CONSECUTIVE_REFUSALS {
+            if job.failures.suspected || job.unsuccessful_starts > MAX_UNSUCCESSFUL_STARTS {
                 continue;
             }
             // Tasks beyond the team's limit need no machine yet.
             let usage = planned_usage.entry(job.team).or_default();
-            let count = self.most_within_limit(job.team, &job.need, job.waiting_count(), *usage);
+            let count =
+                self.max_tasks_within_team_quota(job.team, &job.need, job.waiting_count(), *usage);
             *usage += job.need.scaled(count);
             if count <= 0 {
                 continue;
@@ -356,7 +359,7 @@
                 demand.urgent.add(handle, job, count);
             }
         }
-        self.scheduling.queue_buffer = order;
+        self.scheduling.job_order_buffer = order;
         demand
     }
 
@@ -369,7 +372,7 @@
             .deadline_s
             .map(|deadline_s| deadline_s - age_s - self.boot_s(&job.types) - START_MARGIN_S);
         let live = i64::from(job.live_count);
-        provision::parallel(waiting, live, job.spec.estimate_s, time_left_s)
+        provision::tasks_to_start(waiting, live, job.spec.estimate_s, time_left_s)
     }
 
     /// Records what each job of the demand waits for. No supply reason is recorded for a job
@@ -426,7 +429,7 @@
                 self.scaling.request_count += 1;
                 requests.push(MachineRequest {
                     request_id: format!("r-{}-{}", self.term, self.scaling.request_count),
-                    type_name: self.cluster.types[machines.type_ix].name.clone(),
+                    type_name: self.cluster.types[machines.type_index].name.clone(),
                     zone: self.cluster.zones.name(machines.zone).to_owned(),
                     spot: machines.spot,
                     count,
@@ -443,7 +446,7 @@
 
     /// Applies the response to a request: the names of the new machines. `None` if there was
     /// no response; the machines, if there are any, then appear in the machine list.
-    pub fn scale_out_answered(
+    pub fn on_scale_out_response(
         &mut self,
         request: &MachineRequest,
         names: Option<&[String]>,
@@ -459,7 +462,7 @@
             request.zone,
             if request.spot { ", spot" } else { "" }
         );
-        self.events.tally.rented += names.len() as u64;
+        self.events.metric_counts.machines_added += names.len() as u64;
         for name in names {
             let new_machine = NewMachine {
                 name,
@@ -471,13 +474,13 @@
             self.cluster.insert_machine(new_machine, now);
         }
         if (names.len() as u32) < request.count
-            && let (Some(type_ix), Some(zone)) = (
+            && let (Some(type_index), Some(zone)) = (
                 self.cluster.type_index(&request.type_name),
                 self.cluster.zones.find(&request.zone),
             )
         {
             let kind = MachineKind {
-                type_ix,
+                type_index,
                 zone,
                 spot: request.spot,
             };
@@ -488,7 +491,7 @@
     }
 
     /// Applies the cloud's response to a release. If `ok`, the machines have been deleted.
-    pub fn released(&mut self, names: &[String], ok: bool, now: Millis) {
+    pub fn on_release_response(&mut self, names: &[String], ok: bool, now: Millis) {
         for name in names {
             let Some(handle) = self.cluster.machine_handle(name) else {
                 continue;
@@ -506,7 +509,7 @@
                     .conditional_deletes
                     .push((machine_key(name), machine.record_version));
             }
-            self.events.tally.released += 1;
+            self.events.metric_counts.released += 1;
             self.cluster.remove_machine(handle);
             self.scaling.released.insert(name.clone(), now);
             self.changed = true;
--- a/src/control/leader/scheduling_cycle.rs
+++ b/src/control/leader/scheduling_cycle.rs
@@ -80,10 +80,10 @@
             }
             cycle.next += 1;
         }
-        self.scheduling.queue_buffer = std::mem::take(&mut cycle.order);
+        self.scheduling.job_order_buffer = std::mem::take(&mut cycle.order);
         // Capacity that became free during this cycle is not offered before the next one.
         self.refresh_fleet(now);
-        if self.recovery.heard_from_most(now) {
+        if self.recovery.most_machines_confirmed(now) {
             self.preempt_for_waiting(&cycle.unplaced_jobs, now);
         }
         self.end_cycle();
@@ -103,10 +103,10 @@
             for handle in &order {
                 self.set_reason(*handle, PendingReason::NoRoom);
             }
-            self.scheduling.queue_buffer = order;
+            self.scheduling.job_order_buffer = order;
             return None;
         }
-        let headroom_ahead_ms = millis(self.options.keep_s);
+        let headroom_ahead_ms = millis(self.options.headroom_s);
         let headroom = self.headroom(ARRIVAL_WINDOW_MS, headroom_ahead_ms, now);
         let reserved_jobs = self.jobs_with_reservations(now);
         self.scheduling.in_cycle = true;
@@ -193,7 +193,7 @@
 
     fn may_fit(&self, job_handle: JobHandle) -> bool {
         self.cluster.job(job_handle).is_some_and(|job| {
-            let allows = |type_ix, zone, spot| job.allows_kind(type_ix, zone, spot);
+            let allows = |type_index, zone, spot| job.allows_kind(type_index, zone, spot);
             self.scheduling.fleet.may_fit(&job.need, allows)
         })
     }
@@ -211,7 +211,7 @@
         let is_gang = job.spec.kind == Kind::Gang;
         let (team, need) = (job.team, job.need);
         let is_starving = self.is_starving(job);
-        cycle.quota_allowed_one = self.within_limit(team, &need, 1);
+        cycle.quota_allowed_one = self.within_team_quota(team, &need, 1);
         let Some(ranking) = self.ranking_for(job_handle, now) else {
             return PlacementOutcome::Placed;
         };
@@ -266,7 +266,7 @@
         }
         if !has_placement_constraint
             && cycle.quota_allowed_one
-            && self.within_limit(team, &shape.need, 1)
+            && self.within_team_quota(team, &shape.need, 1)
         {
             cycle.full_shapes.push(shape);
         }
@@ -282,7 +282,7 @@
         let reason = if is_gang && job.live_count > 0 && self.gang_to_complete(job_handle).is_none()
         {
             PendingReason::OldAttempt
-        } else if !self.within_limit(job.team, &job.need, i64::from(tasks_at_once)) {
+        } else if !self.within_team_quota(job.team, &job.need, i64::from(tasks_at_once)) {
             PendingReason::TeamLimit
         } else if has_reservation {
             PendingReason::RoomBeingMade
--- a/src/control/leader/status.rs
+++ b/src/control/leader/status.rs
@@ -1,6 +1,6 @@
 //! Status for operators and counts for metrics.
 //!
-//! Owns `Events` and `Tally`. Called by the request handlers and the metrics loop; status
+//! Owns `Events` and `MetricCounts`. Called by the request handlers and the metrics loop; status
 //! is computed only on request. Responses must fit into a frame, so names are truncated and
 //! the number of rows is limited. This module never influences a decision of the leader.
 
@@ -10,8 +10,8 @@
     options::LoadResource,
     protocol::{
         status::{
-            ClusterStatus, Due, JobExplanation, JobGroup, MOST_ROWS, MachineGroup, MachineProblem,
-            PendingReason, TaskFailure, TeamUsage,
+            ClusterStatus, Due, JobExplanation, JobGroup, MAX_LIST_ROWS, MachineGroup,
+            MachineProblem, PendingReason, TaskFailure, TeamUsage,
         },
         workers::ExitReason,
     },
@@ -27,7 +27,7 @@
 /// Events of this term, kept for status, metrics and fault attribution.
 #[derive(Default)]
 pub(super) struct Events {
-    pub(super) tally: Tally,
+    pub(super) metric_counts: MetricCounts,
     pub(super) recent_failures: VecDeque<TaskFailureEvent>,
     /// Jobs that have a failed task and of which no task has run.
     pub(super) suspects: Vec<JobHandle>,
@@ -41,15 +41,15 @@
 /// listed as a problem.
 const SLOW_BOOT_FACTOR: u64 = 3;
 
-/// Counts for metrics, accumulated since the last call of `take_tally`.
+/// Counts for metrics, accumulated since the last call of `take_metric_counts`.
 #[derive(Debug, Default)]
-pub struct Tally {
+pub struct MetricCounts {
     /// Number of tasks that failed.
     pub failed: u64,
     /// Number of tasks stopped to make room for other work.
     pub preempted: u64,
     /// Number of machines that the cloud added.
-    pub rented: u64,
+    pub machines_added: u64,
     /// Number of machines that the cloud deleted.
     pub released: u64,
     /// For each job that started to run for the first time: its class, and the seconds from
@@ -58,7 +58,7 @@
     /// Completed phases of the recovery, with their durations in seconds.
     pub phases: Vec<(&'static str, f64)>,
     /// How this leader took over: `warm`, or the reason why it took over cold.
-    pub took_over: Option<&'static str>,
+    pub takeover: Option<&'static str>,
     /// Number of jobs that were cancelled because a job they depend on was cancelled.
     pub cancelled_with_dependency: u64,
     /// Number of start commands sent.
@@ -94,7 +94,7 @@
         reason: ExitReason,
         now: Millis,
     ) {
-        self.events.tally.failed += 1;
+        self.events.metric_counts.failed += 1;
         if self.events.recent_failures.len() >= MAX_RECENT_FAILURES {
             self.events.recent_failures.pop_front();
         }
@@ -104,8 +104,8 @@
     }
 
     /// Returns the counts accumulated since the last call, and resets them.
-    pub fn take_tally(&mut self) -> Tally {
-        std::mem::take(&mut self.events.tally)
+    pub fn take_metric_counts(&mut self) -> MetricCounts {
+        std::mem::take(&mut self.events.metric_counts)
     }
 
     fn pending_reason(&self, job: &Job) -> PendingReason {
@@ -152,7 +152,7 @@
     }
 
     /// Returns the status of the cluster, for the `status` request.
-    pub fn picture(&self, now: Millis) -> ClusterStatus {
+    pub fn cluster_status(&self, now: Millis) -> ClusterStatus {
         let mut status = ClusterStatus {
             term: self.term,
             since_s: (now - self.recovery.elected_at) as f64 / 1000.0,
@@ -192,7 +192,7 @@
             let used = |team: &TeamUsage| team.cpus + team.gpus;
             used(b).total_cmp(&used(a))
         });
-        status.teams.truncate(MOST_ROWS);
+        status.teams.truncate(MAX_LIST_ROWS);
         self.add_machine_groups(&mut status, now);
         status
     }
@@ -238,19 +238,19 @@
             let key = |group: &JobGroup| (group.class.clone(), group.team.clone());
             b.waiting.cmp(&a.waiting).then(key(a).cmp(&key(b)))
         });
-        groups.truncate(MOST_ROWS);
+        groups.truncate(MAX_LIST_ROWS);
         groups
     }
 
     fn add_machine_groups(&self, status: &mut ClusterStatus, now: Millis) {
         let mut groups: Vec<((usize, usize, bool), MachineGroup, f64)> = Vec::new();
-        for machine in self.cluster.each_machine() {
-            let key = (machine.type_ix, machine.zone, machine.spot);
+        for machine in self.cluster.machines() {
+            let key = (machine.type_index, machine.zone, machine.spot);
             let group_index = match groups.iter().position(|(k, ..)| *k == key) {
                 Some(group_index) => group_index,
                 None => {
                     let group = MachineGroup {
-                        type_name: truncate_name(&self.cluster.types[machine.type_ix].name),
+                        type_name: truncate_name(&self.cluster.types[machine.type_index].name),
                         zone: truncate_name(self.cluster.zones.name(machine.zone)),
                         spot: machine.spot,
                         ..MachineGroup::default()
@@ -269,12 +269,12 @@
             } else if machine.incarnation == 0 && !machine.contents_unknown {
                 group.booting += 1;
             }
-            let boot_ms = millis(self.cluster.types[machine.type_ix].boot_s);
+            let boot_ms = millis(self.cluster.types[machine.type_index].boot_s);
             let reason = if machine.failures.quarantined {
                 "set aside: jobs that run elsewhere, or several, fail on it"
             } else if machine.contents_unknown {
                 "not heard in this term"
-            } else if machine.up && machine.misses_responses() {
+            } else if machine.up && machine.awaits_token_acknowledgement() {
                 "reports, but does not get answers or orders"
             } else if machine.overdue {
                 "its reports are overdue"
@@ -292,7 +292,7 @@
             } else {
                 continue;
             };
-            if status.troubles.len() < MOST_ROWS {
+            if status.troubles.len() < MAX_LIST_ROWS {
                 status.troubles.push(MachineProblem {
                     machine: truncate_name(&machine.name),
                     why: reason.to_owned(),
@@ -306,7 +306,7 @@
         status
             .fleet
             .sort_by(|a, b| (&a.type_name, &a.zone, a.spot).cmp(&(&b.type_name, &b.zone, b.spot)));
-        status.fleet.truncate(MOST_ROWS);
+        status.fleet.truncate(MAX_LIST_ROWS);
     }
 
     fn offloaded_jobs_by_market(&self) -> Vec<(String, u32)> {
@@ -319,7 +319,7 @@
         {
             *jobs_by_market.entry(&target.market).or_default() += 1;
         }
-        let rows = jobs_by_market.into_iter().take(MOST_ROWS);
+        let rows = jobs_by_market.into_iter().take(MAX_LIST_ROWS);
         rows.map(|(market, jobs)| (truncate_name(market), jobs))
             .collect()
     }
@@ -369,7 +369,7 @@
         let (needs, needs_all) = self.unfinished_dependencies(handle, MAX_LISTED_DEPENDENCIES);
         let left_s = self.time_to_deadline_s(handle, job, &self.inherited_deadlines());
         let blocked = !job.offload.is_local() || job.readiness != Readiness::Ready;
-        let places = self.cluster.each_machine().flat_map(|m| {
+        let places = self.cluster.machines().flat_map(|m| {
             let own_tasks = m
                 .tasks
                 .iter()
@@ -401,7 +401,7 @@
             due: self.deadline_status(job, left_s),
             left_s,
             deadline_s: job.spec.deadline_s,
-            places: places.take(MOST_ROWS).collect(),
+            places: places.take(MAX_LIST_ROWS).collect(),
             needs,
             needs_all: needs_all as u32,
         })
--- a/src/control/leader/task_placement.rs
+++ b/src/control/leader/task_placement.rs
@@ -62,13 +62,13 @@
         };
         let leaves_headroom = |class_headroom: &Headroom| {
             class_headroom.priority <= job.effective_priority
-                || !class_headroom.covers(machine_view.type_ix, machine_view.spot)
-                || match class_headroom.loss(&machine_view.free, &job.need) {
+                || !class_headroom.covers(machine_view.type_index, machine_view.spot)
+                || match class_headroom.tasks_lost_by_placing(&machine_view.free, &job.need) {
                     0 => true,
                     loss => class_headroom.fits - loss >= class_headroom.wanted,
                 }
         };
-        (now >= machine.closed_to_batches_until || job.spec.kind != Kind::Array)
+        (now >= machine.no_batch_tasks_until || job.spec.kind != Kind::Array)
             && machine.available_to(job_handle, now)
             && headroom.iter().all(leaves_headroom)
             && job.allows(machine)
@@ -130,7 +130,11 @@
             self.cluster
                 .machine(choice.machine)
                 .map_or("?", |m| &m.name),
-            placement::load(&machine_view.capacity, &machine_view.free, policy.load),
+            placement::load(
+                &machine_view.capacity,
+                &machine_view.free,
+                policy.load_resource
+            ),
             placement::fragmentation(&machine_view.capacity, &free_after, &policy.shapes),
             if choice.late {
                 ", image fetch misses the start objective"
@@ -144,8 +148,9 @@
     fn take_headroom(&self, headroom: &mut [Headroom], machine: MachineHandle, need: &Resources) {
         if let Some(machine_view) = self.scheduling.fleet.machine_view(machine.index()) {
             for class_headroom in headroom.iter_mut() {
-                if class_headroom.covers(machine_view.type_ix, machine_view.spot) {
-                    class_headroom.fits -= class_headroom.loss(&machine_view.free, need);
+                if class_headroom.covers(machine_view.type_index, machine_view.spot) {
+                    class_headroom.fits -=
+                        class_headroom.tasks_lost_by_placing(&machine_view.free, need);
                 }
             }
         }
@@ -208,7 +213,7 @@
                 return PlacementOutcome::Incomplete;
             }
             placed += 1;
-            if !self.within_limit(team, &need, 1) {
+            if !self.within_team_quota(team, &need, 1) {
                 return PlacementOutcome::Incomplete;
             }
             if !self.take_step() {
@@ -287,11 +292,11 @@
             0 => None,
             // A new attempt must wait until the tasks of an attempt that had started are gone.
             _ => match self.gang_to_complete(job_handle) {
-                Some(attempt) if self.hears_all_tasks_of(job_handle) => Some(attempt),
+                Some(attempt) if self.knows_all_tasks_of(job_handle) => Some(attempt),
                 _ => return false,
             },
         };
-        if !self.within_limit(team, &need, missing.len() as i64) {
+        if !self.within_team_quota(team, &need, missing.len() as i64) {
             return false;
         }
         for only_zone in self.gang_zones(job_handle) {
@@ -342,7 +347,7 @@
             tasks_by_zone[choice.zone] += 1;
             chosen.push(choice);
         }
-        self.scheduling.fleet.give_back(ranking, taken);
+        self.scheduling.fleet.undo_trial(ranking, taken);
         (chosen.len() == missing.len()).then_some(chosen)
     }
 
@@ -383,7 +388,7 @@
             && let (Some(job), Some(machine_state)) =
                 (self.cluster.job(job_handle), self.cluster.machine(machine))
         {
-            let machines_with_image = self.cluster.each_machine();
+            let machines_with_image = self.cluster.machines();
             let machines_with_image =
                 machines_with_image.filter(|other| other.images.contains(&job.image));
             let (mut cached, mut batch, mut fit) = (0, 0, 0);
@@ -391,7 +396,7 @@
                 cached += 1;
                 let mut free = other.free();
                 fit += i32::from(other.schedulable() && job.need.fits(&free));
-                free += self.held_by_batches(other);
+                free += self.resources_held_by_batch_jobs(other);
                 batch += i32::from(other.schedulable() && job.need.fits(&free));
             }
             log::debug!(
--- a/src/control/provision/tests.rs
+++ b/src/control/provision/tests.rs
@@ -2,9 +2,9 @@
 
 use super::*;
 
-fn offer(type_ix: usize, spot: bool, cpus: f64, price: f64) -> Offer {
+fn offer(type_index: usize, spot: bool, cpus: f64, price: f64) -> Offer {
     Offer {
-        type_ix,
+        type_index,
         zone: 0,
         spot,
         capacity: Resources::offer(cpus, 0.0, cpus * 4.0),
@@ -27,8 +27,8 @@
 
 #[test]
 fn plan_uses_booting_capacity_before_new_machines() {
-    let mut bins = vec![Bin {
-        type_ix: 0,
+    let mut bins = vec![CapacityBin {
+        type_index: 0,
         zone: 0,
         spot: false,
         free: Resources::offer(8.0, 0.0, 32.0),
@@ -53,11 +53,11 @@
 
 #[test]
 fn parallel_is_lower_when_batch_has_time_left() {
-    assert_eq!(parallel(20, 0, 30.0, Some(30.0)), 20);
-    assert_eq!(parallel(20, 0, 30.0, Some(200.0)), 5);
-    assert_eq!(parallel(20, 6, 30.0, Some(200.0)), 1);
-    assert_eq!(parallel(3, 10, 30.0, Some(400.0)), 0);
+    assert_eq!(tasks_to_start(20, 0, 30.0, Some(30.0)), 20);
+    assert_eq!(tasks_to_start(20, 0, 30.0, Some(200.0)), 5);
+    assert_eq!(tasks_to_start(20, 6, 30.0, Some(200.0)), 1);
+    assert_eq!(tasks_to_start(3, 10, 30.0, Some(400.0)), 0);
     // The time left is too short for a machine that has to boot first, so the default time
     // applies.
-    assert_eq!(parallel(20, 0, 30.0, Some(5.0)), 4);
+    assert_eq!(tasks_to_start(20, 0, 30.0, Some(5.0)), 4);
 }
--- a/src/server/client_api.rs
+++ b/src/server/client_api.rs
@@ -9,7 +9,7 @@
 
 use super::Node;
 use crate::{
-    control::requests::{Answer, Event, Next, NodeView, Request as UserRequest},
+    control::requests::{Answer, Event, NO_LEADER, Next, NodeView, Request as UserRequest},
     protocol::peers::{Reply, Request},
     state::{Millis, request_budget::RequestPriority},
     transport::server::HttpResponse,
@@ -65,7 +65,7 @@
     ) -> HttpResponse {
         self.answer(method, path, body, false)
             .await
-            .unwrap_or_else(|| HttpResponse::later("no leader is reachable"))
+            .unwrap_or_else(|| HttpResponse::later(NO_LEADER))
     }
 
     /// Answers a request that another node forwarded. Returns `None` if this node
@@ -117,14 +117,14 @@
         id: &str,
         forwarded_request: Option<&Request>,
     ) -> Option<Answer> {
-        let mut event = Event::Begin;
+        let mut event = Event::Arrived;
         loop {
             event = match self.step(request, event) {
                 Next::Answer(answer) => {
                     self.log_answer(id, &answer, request.provenance());
                     return Some(answer);
                 }
-                Next::NotLeading | Next::Over => return None,
+                Next::NotLeading | Next::Finished => return None,
                 Next::AskLeader => match self.polls.leader.wait_for_answer(id).await {
                     Ok(reading) => Event::LeaderReplied(reading),
                     // The queue of polls is full.
@@ -135,8 +135,8 @@
                     Some(forwarded) => self.forward(forwarded, request.forward_limit()).await,
                     None => None,
                 }),
-                Next::Versions => Event::Versions(self.check_upgrade_complete().await),
-                Next::Look(ids) => Event::LookupResults(match &ids[..] {
+                Next::CheckVersions => Event::VersionsChecked(self.check_upgrade_complete().await),
+                Next::LookUp(ids) => Event::LookupResults(match &ids[..] {
                     [one] => {
                         let found = self
                             .lookup(one, RequestPriority::Acceptance)
--- a/src/server/leadership/campaign.rs
+++ b/src/server/leadership/campaign.rs
@@ -147,7 +147,7 @@
         let exclusion = records::exclusion_key(&attempt.record.node);
         let txn = attempt.txn(&exclusion);
         match self.run_txn(&txn, STEP_TIMEOUT).await {
-            TxnResult::Done(term) => self.begin_term(term, &attempt),
+            TxnResult::Applied(term) => self.begin_term(term, &attempt),
             TxnResult::Unknown => {
                 // Unless the leader's key proves that the attempt succeeded, its
                 // outcome stays unknown.
@@ -198,7 +198,7 @@
         let lease = attempt.lease;
         self.election
             .borrow_mut()
-            .elected(term, lease, attempt.lease_requested);
+            .record_election(term, lease, attempt.lease_requested);
         log::info!(
             "elected leader of term {term} under lease {lease}, replacing version {} \
             of the leader's key; the lease was requested {} ms ago",
@@ -219,7 +219,7 @@
             .replica_receiver
             .borrow_mut()
             .take_replica(term);
-        leader.inherit(attempt.record.incarnation, replica);
+        leader.set_inherited_replica(attempt.record.incarnation, replica);
         leader.set_leaderless_time(self.election.borrow().leaderless_for(self.now()));
         self.exclusions.take();
         *self.leader.borrow_mut() = Some(leader);
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -142,7 +142,7 @@
     ) -> Self {
         let peer_names: Vec<&str> = settings.peers.iter().map(|p| p.name.as_str()).collect();
         let failure_detector = FailureDetector::new(&settings.name, &peer_names);
-        let bounds = SafetyBounds::of(&settings.cluster.workers);
+        let bounds = SafetyBounds::from_worker_settings(&settings.cluster.workers);
         let election = Election::new(
             &settings.name,
             fastrand::u64(1..(1 << INCARNATION_BITS)),
@@ -264,9 +264,9 @@
         let role = {
             let election = self.election.borrow();
             match (election.leadership(), &election.observed_leader) {
-                (Some(_), _) => Role::Leads,
-                (None, Some(_)) => Role::Follows,
-                (None, None) => Role::Leaderless,
+                (Some(_), _) => Role::Leader,
+                (None, Some(_)) => Role::Follower,
+                (None, None) => Role::NoLeader,
             }
         };
         self.budgets.set_role(role, &self.settings, self.now());
--- a/src/server/status.rs
+++ b/src/server/status.rs
@@ -43,7 +43,8 @@
                 .map(|(at, p)| (*at, p.term));
             let is_fresh =
                 last.is_some_and(|(at, of)| now < at + MIN_REBUILD_INTERVAL_MS && Some(of) == term);
-            if !is_fresh && let Some(cluster_status) = self.with_authority(|l, now| l.picture(now))
+            if !is_fresh
+                && let Some(cluster_status) = self.with_authority(|l, now| l.cluster_status(now))
             {
                 *self.last_cluster_status.borrow_mut() = Some((now, cluster_status));
             }
@@ -121,10 +122,9 @@
                 state: record.state.to_string(),
                 done: record.done,
             },
-            Ok(Found::Nothing) => Explanation::NoSuchJob,
+            Ok(Found::NoRecord) => Explanation::NoSuchJob,
             Ok(Found::Live(..)) => Explanation::Unknown(
-                "the job has a record, but no leader that can explain its state is reachable"
-                    .into(),
+                "the job is recorded, but no leader that knows more can be reached".into(),
             ),
             Err(e) => Explanation::Unknown(format!("failed to read the job records: {e}")),
         }
--- a/src/state/records.rs
+++ b/src/state/records.rs
@@ -122,7 +122,7 @@
     pub term: u64,
     /// Names of the standbys with their incarnations.
     #[serde(rename = "n")]
-    pub named: Vec<(String, u64)>,
+    pub standbys: Vec<(String, u64)>,
     /// Whether every controller runs a version that knows this record. A version that
     /// does not know it would lead, and start tasks, without changing the record.
     #[serde(rename = "k", default)]
@@ -136,7 +136,7 @@
         serde_json::from_value(value).unwrap_or_else(|e| {
             log::error!("cannot parse record {STANDBYS}, assuming that it names a standby: {e}");
             StandbyRecord {
-                named: vec![(String::new(), 0)],
+                standbys: vec![(String::new(), 0)],
                 ..StandbyRecord::default()
             }
         })
@@ -369,12 +369,12 @@
     }
 
     /// Number of segments of the bitmap.
-    pub fn chunks(&self) -> usize {
+    pub fn segment_count(&self) -> usize {
         self.0.len().div_ceil(SEGMENT_BYTES)
     }
 
     /// Returns one segment as base64, without trailing zero bytes.
-    pub fn chunk(&self, segment: usize) -> String {
+    pub fn segment_text(&self, segment: usize) -> String {
         let end = self.0.len().min((segment + 1) * SEGMENT_BYTES);
         let bytes = self.0.get(segment * SEGMENT_BYTES..end).unwrap_or(&[]);
         let last = bytes.iter().rposition(|byte| *byte != 0);
--- a/tests/failover.rs
+++ b/tests/failover.rs
@@ -55,10 +55,10 @@
 }
 
 impl ReplicatedState for OneMachine {
-    fn changes(&self) -> u64 {
+    fn change_count(&self) -> u64 {
         self.changes
     }
-    fn sent(&self) -> u64 {
+    fn latest_sent_change(&self) -> u64 {
         self.sent
     }
     fn tasks_on(&self, machine: &str) -> MachineTasks {
@@ -206,7 +206,7 @@
             .record
             .as_ref()
             .expect("the standby registry is written");
-        assert_eq!(record.named.len(), 2);
+        assert_eq!(record.standbys.len(), 2);
         state.remaining = remaining;
         state
     }
@@ -294,14 +294,14 @@
                     self.on_worker.insert((task, attempt));
                 }
             }
-            Msg::Write(node_id, incarnation, term, version, named) => {
+            Msg::Write(node_id, incarnation, term, version, standbys) => {
                 let current_version = self.record.as_ref().map_or(0, |(_, v)| *v);
                 let still_leads = self.leader_key.is_some_and(|(t, _)| t == term);
                 let done = (still_leads && current_version == version).then(|| {
                     self.revision += 1;
                     let record = StandbyRecord {
                         term,
-                        named,
+                        standbys,
                         known_to_all: true,
                     };
                     self.record = Some((record, self.revision));
@@ -320,7 +320,9 @@
                         RegistryWriteOutcome::Reread(found),
                         RegistryWriteOutcome::Done,
                     );
-                    leadership.standbys.written(write_outcome, now);
+                    leadership
+                        .standbys
+                        .registry_write_finished(write_outcome, now);
                 }
             }
         }
@@ -365,20 +367,20 @@
         }
         leadership.loaded = true;
         let claim = FailoverClaim {
-            me: &name(node_id),
+            node_name: &name(node_id),
             incarnation,
             record: record.as_ref().map(|(r, _)| r),
             replica: leadership.inherited_replica.as_ref(),
         };
         if failover_checks::check_failover(&claim).is_ok() {
             let replica = leadership.inherited_replica.take().unwrap_or_default();
-            for (_, _, ReplicatedTask(task, attempt, ..)) in replica.latest_first() {
+            for (_, _, ReplicatedTask(task, attempt, ..)) in replica.placements_latest_first() {
                 leadership.cluster_state.put(task, attempt, true);
             }
             leadership.complete = true;
         }
         leadership.inherited_replica = None;
-        leadership.standbys.loaded(record);
+        leadership.standbys.registry_loaded(record);
         true
     }
 
@@ -442,7 +444,7 @@
         }
         let peers: Vec<usize> = (0..NODES).filter(|standby| *standby != node_id).collect();
         let responds = |peer_index: usize| Some(peers[peer_index]) != unresponsive;
-        let txn = leadership.standbys.step(
+        let txn = leadership.standbys.select_and_record(
             &mut leadership.cluster_state,
             leadership.complete,
             responds,
@@ -463,7 +465,7 @@
             if let Some(part) =
                 leadership
                     .standbys
-                    .next(peer_index, &mut leadership.cluster_state, now)
+                    .next_part(peer_index, &mut leadership.cluster_state, now)
             {
                 leadership.parts_in_flight[*standby] = Some((part.stream, part.part));
                 // Bounds the states of a former leader, which would begin new streams forever.
@@ -505,7 +507,7 @@
         leadership.write_in_flight = false;
         leadership
             .standbys
-            .written(RegistryWriteOutcome::Reread(found), now);
+            .registry_write_finished(RegistryWriteOutcome::Reread(found), now);
         self.now += 250;
         true
     }
@@ -531,7 +533,7 @@
         });
         let pending_starts: Vec<(u64, u32, u64)> = possible.collect();
         if let Some((record, _)) = &self.record {
-            for (node_name, incarnation) in &record.named {
+            for (node_name, incarnation) in &record.standbys {
                 let node = (0..NODES).find(|j| name(*j) == *node_name)?;
                 let node = &self.nodes[node];
                 if node.incarnation != *incarnation || node.lead.is_some() {
@@ -622,7 +624,10 @@
     let Write::Put { value, .. } = &txn.writes[0] else {
         panic!("the registry write is not a put");
     };
-    (condition.version, StandbyRecord::read(value.clone()).named)
+    (
+        condition.version,
+        StandbyRecord::read(value.clone()).standbys,
+    )
 }
 
 fn hash(state: &State) -> u64 {
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -4,7 +4,7 @@
 use pathwinch::{
     control::placement::{
         Policy,
-        fleet::{Fleet, MachineView, Request, SURPLUS},
+        fleet::{Fleet, MachineView, Request, SURPLUS_AFTER_MS},
         fragmentation, load,
     },
     options::LoadResource,
@@ -16,8 +16,8 @@
 
 fn policy() -> Policy {
     Policy {
-        threshold: 0.4,
-        load: LoadResource::Scarcest,
+        busy_threshold: 0.4,
+        load_resource: LoadResource::Scarcest,
         shapes: vec![
             Resources::need(2.0, 1.0, 4.0),
             Resources::need(4.0, 0.0, 8.0),
@@ -33,7 +33,7 @@
 /// A machine of the first type and zone that is in use.
 fn machine_view(capacity: (f64, f64, f64), free: (f64, f64, f64)) -> MachineView {
     MachineView {
-        type_ix: 0,
+        type_index: 0,
         zone: 0,
         spot: false,
         capacity: offer(capacity),
@@ -58,7 +58,7 @@
 fn chosen(machines: &[MachineView], need: Resources) -> Option<u32> {
     let mut fleet = Fleet::new(policy());
     for (machine, view) in machines.iter().enumerate() {
-        fleet.set(machine as u32, Some(view.clone()), 0);
+        fleet.update_machine(machine as u32, Some(view.clone()), 0);
     }
     let ranking = fleet.ranking(&request(need), 0);
     let choice = fleet.choose(ranking, |_| true, |_| false, |_, _| true);
@@ -135,15 +135,18 @@
     for (machine, view) in machines.iter().enumerate() {
         let Some(view) = view else { continue };
         let caches_image = view.images.contains(&request.image);
-        let mut rank = request.type_ranks[view.type_ix][usize::from(view.spot)];
-        if !caches_image && request.late[view.type_ix] {
+        let mut rank = request.type_ranks[view.type_index][usize::from(view.spot)];
+        if !caches_image && request.late[view.type_index] {
             rank += 10_000;
         }
         if failed_on.contains(&(machine as u32)) {
             rank += 1_000_000;
         }
         let empty = view.free == view.capacity;
-        let surplus = empty && view.idle_since.is_some_and(|since| now >= since + SURPLUS);
+        let surplus = empty
+            && view
+                .idle_since
+                .is_some_and(|since| now >= since + SURPLUS_AFTER_MS);
         if surplus && !caches_image {
             rank += 1_000;
         }
@@ -168,7 +171,11 @@
         let after = candidate.view.free.minus(request.need);
         (
             candidate.rank,
-            load(&candidate.view.capacity, &candidate.view.free, policy.load) >= policy.threshold,
+            load(
+                &candidate.view.capacity,
+                &candidate.view.free,
+                policy.load_resource,
+            ) >= policy.busy_threshold,
             fragmentation(&candidate.view.capacity, &after, &policy.shapes),
             !candidate.caches_image,
             candidate.view.free.cpus,
@@ -177,7 +184,7 @@
     let mut best: Option<usize> = None;
     for (index, candidate) in candidates.iter().enumerate() {
         let is_eligible =
-            request.types[candidate.view.type_ix] && (request.spot || !candidate.view.spot);
+            request.types[candidate.view.type_index] && (request.spot || !candidate.view.spot);
         if !is_eligible || !request.need.fits(&candidate.view.free) || !allowed(candidate) {
             continue;
         }
@@ -215,15 +222,15 @@
     /// Replaces the machine by a random one: idle, partly in use or unusable.
     fn change_machine(&mut self, machine: usize) {
         let rng = &mut self.rng;
-        let type_ix = rng.usize(..2);
-        let capacity = offer(CAPACITIES[type_ix]);
+        let type_index = rng.usize(..2);
+        let capacity = offer(CAPACITIES[type_index]);
         let used = match rng.u32(..3) {
             0 => Resources::default(),
             _ => Resources::need(f64::from(rng.u32(..48)), 0.0, f64::from(rng.u32(..200))),
         };
         let free = capacity.minus(used);
         let view = MachineView {
-            type_ix,
+            type_index,
             zone: rng.usize(..ZONES),
             spot: rng.bool(),
             capacity,
@@ -234,7 +241,7 @@
         let usable = rng.u32(..8) > 0;
         self.views[machine] = usable.then_some(view);
         self.fleet
-            .set(machine as u32, self.views[machine].clone(), self.now);
+            .update_machine(machine as u32, self.views[machine].clone(), self.now);
     }
 
     fn request(&mut self) -> Request {
@@ -286,14 +293,14 @@
             };
             let candidate = &candidates[index];
             assert_eq!(choice.zone, candidate.view.zone);
-            let late = !candidate.caches_image && request.late[candidate.view.type_ix];
+            let late = !candidate.caches_image && request.late[candidate.view.type_index];
             assert_eq!(choice.late, late);
             candidates[index].view.free -= request.need;
             trial.push(self.fleet.take(ranking, choice.machine));
             chosen.push(choice.machine);
         }
         if gang && chosen.len() < tasks {
-            self.fleet.give_back(ranking, trial);
+            self.fleet.undo_trial(ranking, trial);
             return 0;
         }
         for machine in &chosen {
@@ -313,7 +320,8 @@
         if !view.images.contains(&request.image) {
             view.images.push(request.image);
         }
-        self.fleet.set(machine, Some(view.clone()), self.now);
+        self.fleet
+            .update_machine(machine, Some(view.clone()), self.now);
     }
 }
 
@@ -348,16 +356,16 @@
     let mut fleet = Fleet::new(policy());
     let wanted = request(Resources::need(2.0, 0.0, 4.0));
     for machine in 0..100 {
-        fleet.set(machine, Some(machine_view(SMALL, SMALL)), 0);
+        fleet.update_machine(machine, Some(machine_view(SMALL, SMALL)), 0);
     }
     fleet.ranking(&wanted, 0);
     for round in 0..50u32 {
         for machine in 0..100 {
             let free = (f64::from(machine % 7 + round % 2), 0.0, 32.0);
-            fleet.set(machine, Some(machine_view(SMALL, free)), 0);
+            fleet.update_machine(machine, Some(machine_view(SMALL, free)), 0);
         }
     }
-    fleet.set(42, None, 0);
+    fleet.update_machine(42, None, 0);
     let ranking = fleet.ranking(&wanted, 0);
     let expected: Vec<u32> = fleet
         .machine_views()
@@ -372,10 +380,10 @@
 fn gang_reservation_hides_capacity_until_released() {
     let mut fleet = Fleet::new(policy());
     let need = Resources::need(4.0, 0.0, 4.0);
-    fleet.set(0, Some(machine_view(SMALL, SMALL)), 0);
+    fleet.update_machine(0, Some(machine_view(SMALL, SMALL)), 0);
     fleet.withhold(0, need.scaled(2));
     // An update of the machine does not release the withheld capacity.
-    fleet.set(0, Some(machine_view(SMALL, SMALL)), 0);
+    fleet.update_machine(0, Some(machine_view(SMALL, SMALL)), 0);
     assert!(!fleet.may_fit(&need, |_, _, _| true));
     let ranking = fleet.ranking(&request(need), 0);
     assert_eq!(
--- a/tests/reused_indices.rs
+++ b/tests/reused_indices.rs
@@ -3,7 +3,7 @@
 
 mod leader_fixtures;
 
-use leader_fixtures::{accept, accept_with_priority, machine, report, unheard};
+use leader_fixtures::{accept, accept_with_priority, leader_without_heartbeats, machine, report};
 use pathwinch::{
     control::leader::Leader,
     protocol::workers::{ExitReason, TaskState, TaskStatus},
@@ -14,7 +14,7 @@
 
 /// A leader with one empty machine.
 fn leader() -> Leader {
-    let mut leader_state = unheard(1, 1);
+    let mut leader_state = leader_without_heartbeats(1, 1);
     leader_state.finish_loading(0);
     assert!(leader_state.on_heartbeat(&report(0, 1), 100).is_some());
     leader_state.tick(100, 100);
@@ -62,7 +62,7 @@
     accept(&mut leader_state, 1, "array", 1);
     leader_state.tick(200, 200);
     report_tasks(&mut leader_state, 0, 2, TaskState::Exited, 210);
-    leader_state.released(&[machine(0)], true, 220);
+    leader_state.on_release_response(&[machine(0)], true, 220);
     add_machine(&mut leader_state, 1, 230);
     accept_with_priority(&mut leader_state, 2, "array", "urgent", 1, 100.0);
     leader_state.tick(240, 240);
--- a/tests/simulation/lookups.rs
+++ b/tests/simulation/lookups.rs
@@ -127,7 +127,7 @@
                     leader.accepted(self.store.job_record(&id, value), version, now);
                 }
                 FoundJob::Final(record, version) => {
-                    leader.dependency_ended(&final_status(&id, &record), version, now);
+                    leader.apply_dependency_state(&final_status(&id, &record), version, now);
                 }
                 FoundJob::Nothing => leader.requeue_dependency_lookups(vec![id]),
             }
@@ -245,7 +245,7 @@
         let Some(body) = self.store.feed_since(feed.from()) else {
             return;
         };
-        if let acceptance_feed::Next::Look(keys) = feed.answered(200, &body) {
+        if let acceptance_feed::Next::LookUp(keys) = feed.answered(200, &body) {
             let found = keys.into_iter().map(|key| {
                 let id = key.trim_start_matches(records::ACCEPTANCES);
                 let record = self.store.kv.get(&records::job_key(id)).cloned();
@@ -281,7 +281,7 @@
         for (key, item) in answer.read {
             leader.reconcile_key(&key, item, now);
         }
-        leader.reconciled(&plan);
+        leader.finish_reconciliation(&plan);
         false
     }
 }
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -265,7 +265,7 @@
     /// Whether the cloud grants requested machines.
     pub cloud_grants: bool,
     /// Value of the option of this name, which bounds the wait of large jobs.
-    pub begin_s: f64,
+    pub starvation_timeout_s: f64,
     /// Every task start: time, worker and task.
     pub start_log: Vec<(Millis, usize, String)>,
     /// Whether some nodes may run another version.
@@ -358,7 +358,7 @@
             fetch_ms: 300,
             skip_lease_wait: false,
             cloud_grants: false,
-            begin_s: Options::default().begin_s,
+            starvation_timeout_s: Options::default().starvation_timeout_s,
             start_log: Vec::new(),
             mixed_versions: false,
             standbys: true,
@@ -411,7 +411,7 @@
             election: Election::new(
                 &names[node_id],
                 self.rng.u64(1..1 << 50),
-                SafetyBounds::of(&self.settings.cluster.workers),
+                SafetyBounds::from_worker_settings(&self.settings.cluster.workers),
                 self.now,
             ),
             leader: None,
@@ -425,9 +425,9 @@
             next_exclusion_step: 0,
             heartbeat_relays: HeartbeatRelays::default(),
             final_states: FinalStates::default(),
-            dependency_evidence: Some(DependencyEvidence::new(&SafetyBounds::of(
-                &self.settings.cluster.workers,
-            ))),
+            dependency_evidence: Some(DependencyEvidence::new(
+                &SafetyBounds::from_worker_settings(&self.settings.cluster.workers),
+            )),
             next_election_step: self.now,
             next_relay_request: 0,
             last_heartbeat: 0,
@@ -577,7 +577,7 @@
                     leader.settled()
                 );
             }
-            for machine in leader.cluster.each_machine() {
+            for machine in leader.cluster.machines() {
                 eprintln!(
                     "machine {}: up {}, contents unknown {}, registration {:?}, record version {}, write in flight {}, releasing {}, tasks {:?}",
                     machine.name,
--- a/tests/simulation/nodes.rs
+++ b/tests/simulation/nodes.rs
@@ -17,7 +17,7 @@
             .partition(|(at, of, ..)| *of == node_id && *at <= now);
         self.renewals = later;
         for (_, _, lease, sent) in due {
-            self.nodes[node_id].election.renewed(lease, sent);
+            self.nodes[node_id].election.record_renewal(lease, sent);
         }
         self.probe_peers(node_id);
         self.step_request_budget(node_id);
@@ -40,7 +40,7 @@
             self.load_records(node_id);
         }
         let leader = self.nodes[node_id].leader.as_mut().unwrap();
-        leader.upgraded(!self.mixed_versions);
+        leader.set_all_controllers_upgraded(!self.mixed_versions);
         leader.tick(now, now);
         if reaches_state && !stalled {
             self.read_dependencies(node_id);
@@ -102,7 +102,7 @@
         node.acceptance_feed = Some(AcceptanceFeed::new(leader.term));
         leader.finish_loading(now);
         if self.skip_lease_wait {
-            for machine in leader.cluster.each_machine_mut() {
+            for machine in leader.cluster.machines_mut() {
                 machine.contents_unknown = false;
             }
         }
@@ -186,7 +186,7 @@
                 if let Some(leader_of_term) =
                     leader.filter(|leader_of_term| leader_of_term.term == term)
                 {
-                    leader_of_term.scale_out_answered(&request, Some(&names), now);
+                    leader_of_term.on_scale_out_response(&request, Some(&names), now);
                 }
             }
             CloudOp::Release(names) => {
@@ -203,7 +203,7 @@
                 if let Some(leader_of_term) =
                     leader.filter(|leader_of_term| leader_of_term.term == term)
                 {
-                    leader_of_term.released(&names, true, now);
+                    leader_of_term.on_release_response(&names, true, now);
                 }
             }
         }
@@ -218,7 +218,7 @@
         let leader = node.leader.as_mut().unwrap();
         if let Some((at, plan)) = node.indeterminate.take() {
             if now >= at {
-                leader.outcome_unknown(&plan);
+                leader.on_outcome_unknown(&plan);
             }
             if now < at || !reaches || stalled.is_some() {
                 node.indeterminate = Some((at, plan));
@@ -265,16 +265,16 @@
         let node = &mut self.nodes[node_id];
         let leader = node.leader.as_mut().unwrap();
         match result {
-            TxnResult::Done(revision) => leader.writes_applied(&plan, revision, now),
+            TxnResult::Applied(revision) => leader.writes_applied(&plan, revision, now),
             TxnResult::Conflict(failed) if failed.iter().any(|k| k == LEADER) => {
                 self.resign(node_id, false);
             }
             TxnResult::Conflict(_) => {
-                leader.outcome_unknown(&plan);
+                leader.on_outcome_unknown(&plan);
                 node.indeterminate = Some((now, plan));
             }
             TxnResult::Unknown => node.indeterminate = Some((now + 1500, plan)),
-            TxnResult::Refused | TxnResult::Rejected => leader.reconciled(&plan),
+            TxnResult::Refused | TxnResult::Rejected => leader.finish_reconciliation(&plan),
         }
     }
 }
