--- a/crates/cli/src/logging.rs
+++ b/crates/cli/src/logging.rs
@@ -10,7 +10,7 @@
 ///
 /// The environment variable `LOG_LEVEL` overrides `default_level`. Panics if a
 /// logger is already set, so each program calls this function once.
-pub fn log(default_level: &str) {
+pub fn init_logging(default_level: &str) {
     let env = env_logger::Env::new().filter_or(LEVEL_VARIABLE, default_level);
     env_logger::Builder::from_env(env)
         .format(|out, record| writeln!(out, "{} {}", record.level(), record.args()))
--- a/crates/cli/src/number.rs
+++ b/crates/cli/src/number.rs
@@ -33,7 +33,7 @@
 
 /// Parses `text` as the value of `key` and checks that the number is between
 /// `min` and `max`, both inclusive. Surrounding white space is ignored.
-pub fn number(key: &str, text: &str, min: f64, max: f64) -> Result<f64, NumberError> {
+pub fn parse_number(key: &str, text: &str, min: f64, max: f64) -> Result<f64, NumberError> {
     let value: f64 = text
         .trim()
         .parse()
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -193,7 +193,7 @@
 }
 
 fn main() -> ExitCode {
-    pathwinch_cli::log("warn");
+    pathwinch_cli::init_logging("warn");
     match start(Cli::parse()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
--- a/crates/market/src/main.rs
+++ b/crates/market/src/main.rs
@@ -173,7 +173,7 @@
 }
 
 fn main() -> ExitCode {
-    pathwinch_cli::log("info");
+    pathwinch_cli::init_logging("info");
     match run_command(Cli::parse()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
--- a/crates/market/src/options.rs
+++ b/crates/market/src/options.rs
@@ -4,7 +4,7 @@
 use crate::{Millis, Money, millis};
 use anyhow::{Context, Result, bail, ensure};
 use ini::Ini;
-use pathwinch_cli::number;
+use pathwinch_cli::parse_number;
 use std::{collections::BTreeMap, net::SocketAddr, path::Path};
 
 /// Settings of the broker.
@@ -60,7 +60,7 @@
 const MAX_MARKETS: usize = 100;
 
 fn seconds(key: &str, text: &str, low: f64, high: f64) -> Result<Millis> {
-    Ok(millis(number(key, text, low, high)?))
+    Ok(millis(parse_number(key, text, low, high)?))
 }
 
 impl Options {
@@ -99,16 +99,16 @@
                 self.classes = names.filter(|c| !c.is_empty()).collect();
             }
             ("lend", "after_s") => self.min_wait_ms = seconds(name, value, 0.0, 86_400.0)?,
-            ("lend", "floor_cpus") => self.local_floor_cpus = number(name, value, 0.0, 1e9)?,
-            ("lend", "worth") => self.max_rent_share = number(name, value, 0.0, 1.0)?,
-            ("lend", "jobs") => self.max_jobs = number(name, value, 1.0, 100_000.0)? as usize,
+            ("lend", "floor_cpus") => self.local_floor_cpus = parse_number(name, value, 0.0, 1e9)?,
+            ("lend", "worth") => self.max_rent_share = parse_number(name, value, 0.0, 1.0)?,
+            ("lend", "jobs") => self.max_jobs = parse_number(name, value, 1.0, 100_000.0)? as usize,
             ("award", "tenancy_s") => self.tenancy_ms = seconds(name, value, 5.0, 3_600.0)?,
             ("award", "clock_bound_s") => self.clock_bound_ms = seconds(name, value, 0.0, 60.0)?,
             ("award", "start_within_s") => self.start_within_ms = seconds(name, value, 1.0, 600.0)?,
             ("award", "every_s") => self.sync_interval_ms = seconds(name, value, 0.5, 60.0)?,
-            ("state", "share") => self.state_share = number(name, value, 0.001, 0.5)?,
+            ("state", "share") => self.state_share = parse_number(name, value, 0.001, 0.5)?,
             ("budget", team) => {
-                let units_per_day = number(name, value, 0.0, 1e9)?;
+                let units_per_day = parse_number(name, value, 0.0, 1e9)?;
                 self.budgets
                     .insert(team.to_owned(), (units_per_day * 1e6).round() as Money);
             }
--- a/src/main.rs
+++ b/src/main.rs
@@ -7,7 +7,7 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    pathwinch_cli::log("info");
+    pathwinch_cli::init_logging("info");
     match command::execute(command::Cli::parse()) {
         Ok(code) => code,
         Err(e) => {
--- a/src/options.rs
+++ b/src/options.rs
@@ -4,7 +4,7 @@
 
 use anyhow::{Context, Result, bail, ensure};
 use ini::Ini;
-use pathwinch_cli::number;
+use pathwinch_cli::parse_number;
 use std::path::Path;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -77,7 +77,9 @@
             for (key, value) in props.iter() {
                 let name = format!("{}.{key}", section.unwrap_or(""));
                 match name.as_str() {
-                    "placement.threshold" => options.threshold = number(&name, value, 0.0, 1.0)?,
+                    "placement.threshold" => {
+                        options.threshold = parse_number(&name, value, 0.0, 1.0)?
+                    }
                     "placement.load" => {
                         options.load = match value.trim() {
                             "scarcest" => LoadResource::Scarcest,
@@ -98,17 +100,21 @@
                                 "{name}: {part:?} is not of the form CPUS/GPUS/GB"
                             );
                             options.shapes.push(Shape {
-                                cpus: number(&name, fields[0], 0.0, 1e6)?,
-                                gpus: number(&name, fields[1], 0.0, 1e6)?,
-                                memory_gb: number(&name, fields[2], 0.0, 1e6)?,
+                                cpus: parse_number(&name, fields[0], 0.0, 1e6)?,
+                                gpus: parse_number(&name, fields[1], 0.0, 1e6)?,
+                                memory_gb: parse_number(&name, fields[2], 0.0, 1e6)?,
                             });
                         }
                         ensure!(options.shapes.len() <= 16, "{name}: at most 16 shapes");
                     }
-                    "placement.keep_s" => options.keep_s = number(&name, value, 0.0, 3600.0)?,
-                    "placement.begin_s" => options.begin_s = number(&name, value, 0.0, 86_400.0)?,
-                    "provision.idle_s" => options.idle_s = number(&name, value, 0.0, 86_400.0)?,
-                    "standby.warm" => options.warm = number(&name, value, 0.0, 6.0)? as usize,
+                    "placement.keep_s" => options.keep_s = parse_number(&name, value, 0.0, 3600.0)?,
+                    "placement.begin_s" => {
+                        options.begin_s = parse_number(&name, value, 0.0, 86_400.0)?
+                    }
+                    "provision.idle_s" => {
+                        options.idle_s = parse_number(&name, value, 0.0, 86_400.0)?
+                    }
+                    "standby.warm" => options.warm = parse_number(&name, value, 0.0, 6.0)? as usize,
                     _ => bail!("{name}: unknown section or key"),
                 }
             }
