--- a/crates/lab/src/markets.rs
+++ b/crates/lab/src/markets.rs
@@ -17,7 +17,7 @@
     authority::Authority,
     http,
     keys::{self, Texts, system_time},
-    reload::Followed,
+    reload::ReloadableKeys,
 };
 use pathwinch_transport::server::{HttpRequest, HttpResponse};
 use std::{
@@ -42,7 +42,7 @@
     pub name: &'static str,
     pub addr: SocketAddr,
     listener: TcpListener,
-    keys: Followed,
+    keys: ReloadableKeys,
 }
 
 /// The markets, and the files that the brokers need.
@@ -101,7 +101,7 @@
             name,
             addr,
             listener,
-            keys: Followed::new(key_texts, system_time())?,
+            keys: ReloadableKeys::new(key_texts, system_time())?,
         });
     }
     let options = dir.join("market.ini");
--- a/crates/market/src/serve/mod.rs
+++ b/crates/market/src/serve/mod.rs
@@ -25,7 +25,7 @@
 use pathwinch_tls::{
     http,
     keys::{Texts, system_time},
-    reload::{Followed, Seen},
+    reload::{ReloadOutcome, ReloadableKeys},
 };
 use pathwinch_transport::{client::CallError, priority_executor::PriorityExecutor};
 use state::{Leadership, LeadershipLost, State};
@@ -53,7 +53,7 @@
     options: Options,
     settings: Settings,
     executor: Rc<PriorityExecutor>,
-    keys: RefCell<Followed>,
+    keys: RefCell<ReloadableKeys>,
     key_dir: PathBuf,
     state: State,
     home: Home,
@@ -74,7 +74,7 @@
 /// Runs a broker until the process is killed. `key_dir` holds the home's
 /// certificate and key.
 pub fn run(settings: Settings, options: Options, key_dir: &Path) -> Result<()> {
-    let keys = Followed::new(Texts::read(key_dir)?, system_time())
+    let keys = ReloadableKeys::new(Texts::read(key_dir)?, system_time())
         .with_context(|| key_dir.display().to_string())?;
     let replies = Reader::new(&schema::reply()).map_err(|e| anyhow::anyhow!(e.0))?;
     let executor = Rc::new(PriorityExecutor::default());
@@ -110,14 +110,19 @@
 /// Reloads changed keys and warns of certificates that expire.
 async fn watch_keys(server: Rc<Server>) {
     loop {
-        let change = server.keys.borrow_mut().look(Texts::read(&server.key_dir));
+        let change = server
+            .keys
+            .borrow_mut()
+            .apply_files(Texts::read(&server.key_dir));
         match change {
-            Seen::Same => {}
-            Seen::Changed => log::info!("reloaded changed keys"),
-            Seen::Unusable(reason) => log::warn!("changed keys refused, old ones kept: {reason}"),
+            ReloadOutcome::Unchanged => {}
+            ReloadOutcome::Reloaded => log::info!("reloaded changed keys"),
+            ReloadOutcome::Rejected(reason) => {
+                log::warn!("changed keys refused, old ones kept: {reason}")
+            }
         }
         let now = server.now() / 1000;
-        if let Some(warning) = server.keys.borrow_mut().warning(now) {
+        if let Some(warning) = server.keys.borrow_mut().expiry_warning(now) {
             log::warn!("{warning}");
         }
         Timer::after(CHECK_INTERVAL).await;
--- a/crates/tls/src/http.rs
+++ b/crates/tls/src/http.rs
@@ -2,7 +2,7 @@
 //! identifies the caller by the name in the caller's certificate. The handler
 //! passed to [`serve`] produces the responses.
 
-use crate::{keys::read_certificate, reload::Followed};
+use crate::{keys::read_certificate, reload::ReloadableKeys};
 use async_io::{Async, Timer};
 use futures_lite::{AsyncRead, AsyncWrite};
 use futures_rustls::{TlsAcceptor, TlsConnector, TlsStream};
@@ -86,7 +86,7 @@
 /// to one byte more than `max_response_bytes`, so that the caller can tell that
 /// the body is too large.
 pub async fn call(
-    keys: &RefCell<Followed>,
+    keys: &RefCell<ReloadableKeys>,
     addr: SocketAddr,
     server_name: &str,
     path: &str,
@@ -132,7 +132,7 @@
 pub async fn serve<F, Fut>(
     executor: Rc<PriorityExecutor>,
     listener: TcpListener,
-    keys: Rc<RefCell<Followed>>,
+    keys: Rc<RefCell<ReloadableKeys>>,
     max_connections: usize,
     max_body_bytes: usize,
     handler: F,
--- a/crates/tls/src/reload.rs
+++ b/crates/tls/src/reload.rs
@@ -9,21 +9,21 @@
 use rustls::time_provider::TimeProvider;
 use std::{error::Error, sync::Arc};
 
-/// Result of checking the key files for changes.
+/// Result of applying the contents of the key files.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Seen {
+pub enum ReloadOutcome {
     /// The files are unchanged, or their unusable contents were reported before.
-    Same,
+    Unchanged,
     /// New keys are active.
-    Changed,
+    Reloaded,
     /// The files can't be used, for the given reason; the old keys remain active.
-    Unusable(String),
+    Rejected(String),
 }
 
 /// Active keys, and the state that is needed to replace them when the key files
 /// change.
 #[derive(Debug)]
-pub struct Followed {
+pub struct ReloadableKeys {
     time: Arc<dyn TimeProvider>,
     texts: Texts,
     keys: Keys,
@@ -34,10 +34,10 @@
     last_warning: Option<Left>,
 }
 
-impl Followed {
+impl ReloadableKeys {
     /// Loads the initial keys. Fails if they are unusable.
     pub fn new(texts: Texts, time: Arc<dyn TimeProvider>) -> Result<Self, KeyError> {
-        Ok(Followed {
+        Ok(ReloadableKeys {
             keys: Keys::load(&texts, &time)?,
             texts,
             time,
@@ -54,34 +54,34 @@
     /// Processes the current contents of the files. Incompletely written contents
     /// (a certificate whose key is not written yet) are rejected until the files
     /// match.
-    pub fn look(&mut self, found: Result<Texts, KeyError>) -> Seen {
+    pub fn apply_files(&mut self, found: Result<Texts, KeyError>) -> ReloadOutcome {
         let found = match found {
             Ok(found) => found,
-            Err(e) => return Seen::Unusable(format_error_chain(&e)),
+            Err(e) => return ReloadOutcome::Rejected(format_error_chain(&e)),
         };
         if found == self.texts {
             self.rejected = None;
-            return Seen::Same;
+            return ReloadOutcome::Unchanged;
         }
         if self.rejected.as_ref() == Some(&found) {
-            return Seen::Same;
+            return ReloadOutcome::Unchanged;
         }
         match Keys::load(&found, &self.time) {
             Ok(keys) => {
                 (self.keys, self.texts) = (keys, found);
                 (self.rejected, self.last_warning) = (None, None);
-                Seen::Changed
+                ReloadOutcome::Reloaded
             }
             Err(e) => {
                 self.rejected = Some(found);
-                Seen::Unusable(format_error_chain(&e))
+                ReloadOutcome::Rejected(format_error_chain(&e))
             }
         }
     }
 
     /// Returns a warning if the active certificate has expired or is due for
     /// renewal. Each number of days left is reported once, and so is the expiry.
-    pub fn warning(&mut self, now: Seconds) -> Option<String> {
+    pub fn expiry_warning(&mut self, now: Seconds) -> Option<String> {
         let state = left(self.keys.own.until, now);
         if state == Left::Enough || self.last_warning == Some(state) {
             return None;
--- a/crates/tls/tests/handshakes.rs
+++ b/crates/tls/tests/handshakes.rs
@@ -5,7 +5,7 @@
     DAY,
     authority::Authority,
     keys::{FixedTime, Keys, Left, Texts, left, read_certificate},
-    reload::{Followed, Seen},
+    reload::{ReloadOutcome, ReloadableKeys},
 };
 use rustls::{
     ClientConnection, ServerConnection, pki_types::ServerName, time_provider::TimeProvider,
@@ -151,37 +151,43 @@
         texts(&dir, &authority, "home", 40),
         texts(&dir, &authority, "home", 90),
     );
-    let mut followed = Followed::new(old.clone(), Arc::new(FixedTime(NOW))).unwrap();
-    assert_eq!(followed.look(Ok(old.clone())), Seen::Same);
+    let mut reloadable_keys = ReloadableKeys::new(old.clone(), Arc::new(FixedTime(NOW))).unwrap();
+    assert_eq!(
+        reloadable_keys.apply_files(Ok(old.clone())),
+        ReloadOutcome::Unchanged
+    );
     // The certificate file is new, the key file still the old one.
     let mismatched = Texts {
         certificate: new.certificate.clone(),
         ..old.clone()
     };
     assert!(matches!(
-        followed.look(Ok(mismatched.clone())),
-        Seen::Unusable(_)
+        reloadable_keys.apply_files(Ok(mismatched.clone())),
+        ReloadOutcome::Rejected(_)
     ));
     assert_eq!(
-        followed.look(Ok(mismatched)),
-        Seen::Same,
+        reloadable_keys.apply_files(Ok(mismatched)),
+        ReloadOutcome::Unchanged,
         "rejected contents are reported only once"
     );
-    assert_eq!(followed.keys().own.serial, 1);
-    assert_eq!(followed.warning(NOW), None);
-    let soon = followed.warning(NOW + 15 * DAY).unwrap();
+    assert_eq!(reloadable_keys.keys().own.serial, 1);
+    assert_eq!(reloadable_keys.expiry_warning(NOW), None);
+    let soon = reloadable_keys.expiry_warning(NOW + 15 * DAY).unwrap();
     assert_eq!(soon, "the certificate of home expires in 25 days");
     assert_eq!(
-        followed.warning(NOW + 15 * DAY),
+        reloadable_keys.expiry_warning(NOW + 15 * DAY),
         None,
         "a warning is returned once per day"
     );
-    assert_eq!(followed.look(Ok(new)), Seen::Changed);
-    assert_eq!(followed.keys().own.serial, 2);
-    assert_eq!(followed.warning(NOW + 15 * DAY), None);
+    assert_eq!(
+        reloadable_keys.apply_files(Ok(new)),
+        ReloadOutcome::Reloaded
+    );
+    assert_eq!(reloadable_keys.keys().own.serial, 2);
+    assert_eq!(reloadable_keys.expiry_warning(NOW + 15 * DAY), None);
     assert!(
-        followed
-            .warning(NOW + 91 * DAY)
+        reloadable_keys
+            .expiry_warning(NOW + 91 * DAY)
             .unwrap()
             .contains("has expired")
     );
@@ -214,12 +220,15 @@
     let dir = TempDir::new("missing");
     let authority = Authority::make(&dir.0, "city", 10, NOW).unwrap();
     let texts = texts(&dir, &authority, "home", 5);
-    let mut followed = Followed::new(texts, Arc::new(FixedTime(NOW))).unwrap();
+    let mut reloadable_keys = ReloadableKeys::new(texts, Arc::new(FixedTime(NOW))).unwrap();
     let missing = dir.0.join("own.pem");
     let expected = format!(
         "cannot read {}: No such file or directory (os error 2)",
         missing.display()
     );
-    assert_eq!(followed.look(Texts::read(&dir.0)), Seen::Unusable(expected));
-    assert_eq!(followed.keys().own.serial, 1);
+    assert_eq!(
+        reloadable_keys.apply_files(Texts::read(&dir.0)),
+        ReloadOutcome::Rejected(expected)
+    );
+    assert_eq!(reloadable_keys.keys().own.serial, 1);
 }
--- a/crates/tls/tests/loopback.rs
+++ b/crates/tls/tests/loopback.rs
@@ -5,7 +5,7 @@
     authority::Authority,
     http,
     keys::{FixedTime, Texts},
-    reload::Followed,
+    reload::ReloadableKeys,
 };
 use pathwinch_transport::{
     client::CallError, priority_executor::PriorityExecutor, server::HttpResponse,
@@ -22,7 +22,7 @@
 const NOW: u64 = 1_800_000_000;
 const TIMEOUT: Duration = Duration::from_secs(20);
 
-fn keys(dir: &Path, authority: &Authority, name: &str) -> Rc<RefCell<Followed>> {
+fn keys(dir: &Path, authority: &Authority, name: &str) -> Rc<RefCell<ReloadableKeys>> {
     let issued = authority.issue(name, 90, NOW).unwrap();
     let texts = Texts {
         certificate: issued.certificate,
@@ -30,8 +30,8 @@
         trusted: std::fs::read_to_string(dir.join("ca.pem")).unwrap(),
         revoked: String::new(),
     };
-    let followed = Followed::new(texts, Arc::new(FixedTime(NOW))).unwrap();
-    Rc::new(RefCell::new(followed))
+    let reloadable_keys = ReloadableKeys::new(texts, Arc::new(FixedTime(NOW))).unwrap();
+    Rc::new(RefCell::new(reloadable_keys))
 }
 
 #[test]
@@ -61,7 +61,7 @@
     );
     executor.spawn_high(serve).detach();
     async_io::block_on(executor.run(async {
-        let call = async |keys: &RefCell<Followed>, name: &str, bytes: usize| {
+        let call = async |keys: &RefCell<ReloadableKeys>, name: &str, bytes: usize| {
             http::call(keys, addr, name, "/x", vec![b'x'; bytes], TIMEOUT, 10_000).await
         };
         let answer = call(&home, "north", 900).await.unwrap();
