--- a/crates/lab/src/markets.rs
+++ b/crates/lab/src/markets.rs
@@ -16,7 +16,7 @@
 use pathwinch_tls::{
     authority::Authority,
     http,
-    keys::{self, Texts, system_time},
+    keys::{self, KeyFiles, system_time},
     reload::ReloadableKeys,
 };
 use pathwinch_transport::server::{HttpRequest, HttpResponse};
@@ -96,7 +96,7 @@
             TcpListener::bind("127.0.0.1:0").context("cannot bind a port on 127.0.0.1")?;
         let addr = listener.local_addr()?;
         options_text.push_str(&format!("{name} = {addr}\n"));
-        let key_texts = Texts::read(&install(name)?)?;
+        let key_texts = KeyFiles::read(&install(name)?)?;
         markets.push(Market {
             name,
             addr,
--- a/crates/market/src/keys.rs
+++ b/crates/market/src/keys.rs
@@ -6,7 +6,7 @@
 use pathwinch_tls::{
     Seconds,
     authority::Authority,
-    keys::{self, Left, Texts, left},
+    keys::{self, KeyFiles, RenewalState, renewal_state},
 };
 use std::{
     path::{Path, PathBuf},
@@ -100,18 +100,20 @@
     Ok(())
 }
 
-fn own_certificate(dir: &Path) -> Result<keys::Says> {
-    Ok(keys::Keys::load(&Texts::read(dir)?, &keys::system_time())
-        .with_context(|| dir.display().to_string())?
-        .own)
+fn own_certificate(dir: &Path) -> Result<keys::CertificateIdentity> {
+    Ok(
+        keys::Keys::load(&KeyFiles::read(dir)?, &keys::system_time())
+            .with_context(|| dir.display().to_string())?
+            .own,
+    )
 }
 
 fn validity_text(until: Seconds, revoked: bool) -> String {
-    match left(until, now()) {
+    match renewal_state(until, now()) {
         _ if revoked => "revoked".into(),
-        Left::Expired => "expired".into(),
-        Left::Soon { days } => format!("expires in {days} days: renew it"),
-        Left::Enough => format!("{} days left", (until - now()) / pathwinch_tls::DAY),
+        RenewalState::Expired => "expired".into(),
+        RenewalState::Due { days } => format!("expires in {days} days: renew it"),
+        RenewalState::NotDue => format!("{} days left", (until - now()) / pathwinch_tls::DAY),
     }
 }
 
@@ -124,7 +126,7 @@
             .collect(),
         false => {
             let own = own_certificate(dir)?;
-            vec![(own.serial, own.name, own.until, false)]
+            vec![(own.serial, own.name, own.expires_at, false)]
         }
     };
     if !json {
--- a/crates/market/src/serve/mod.rs
+++ b/crates/market/src/serve/mod.rs
@@ -24,7 +24,7 @@
 };
 use pathwinch_tls::{
     http,
-    keys::{Texts, system_time},
+    keys::{KeyFiles, system_time},
     reload::{ReloadOutcome, ReloadableKeys},
 };
 use pathwinch_transport::{client::CallError, priority_executor::PriorityExecutor};
@@ -74,7 +74,7 @@
 /// Runs a broker until the process is killed. `key_dir` holds the home's
 /// certificate and key.
 pub fn run(settings: Settings, options: Options, key_dir: &Path) -> Result<()> {
-    let keys = ReloadableKeys::new(Texts::read(key_dir)?, system_time())
+    let keys = ReloadableKeys::new(KeyFiles::read(key_dir)?, system_time())
         .with_context(|| key_dir.display().to_string())?;
     let replies = Reader::new(&schema::reply()).map_err(|e| anyhow::anyhow!(e.0))?;
     let executor = Rc::new(PriorityExecutor::default());
@@ -113,7 +113,7 @@
         let change = server
             .keys
             .borrow_mut()
-            .apply_files(Texts::read(&server.key_dir));
+            .apply_files(KeyFiles::read(&server.key_dir));
         match change {
             ReloadOutcome::Unchanged => {}
             ReloadOutcome::Reloaded => log::info!("reloaded changed keys"),
--- a/crates/tls/src/keys.rs
+++ b/crates/tls/src/keys.rs
@@ -1,16 +1,18 @@
 //! Keys of a process, loaded from a directory: its own certificate and private
 //! key, the trusted authorities, and the revocation lists.
 //!
-//! This module reads and writes the files ([`Texts`], [`install`]), parses
-//! certificates ([`Says`]), and builds the TLS configuration for both sides of
-//! a connection ([`Keys`]). Reloading of changed files is in [`crate::reload`].
+//! This module reads and writes the files ([`KeyFiles`], [`install`]), parses
+//! certificates ([`CertificateIdentity`]), and builds the TLS configuration for
+//! both sides of a connection ([`Keys`]). Reloading of changed files is in [`crate::reload`].
 
 mod certificate;
 mod directory;
 mod time;
 
-pub use certificate::{CertificateError, Left, Says, left, read_certificate};
-pub use directory::{CERTIFICATE_FILE, KEY_FILE, REVOKED_FILE, TRUSTED_FILE, Texts, install};
+pub use certificate::{
+    CertificateError, CertificateIdentity, RenewalState, read_certificate, renewal_state,
+};
+pub use directory::{CERTIFICATE_FILE, KEY_FILE, KeyFiles, REVOKED_FILE, TRUSTED_FILE, install};
 pub use time::{FixedTime, system_time};
 
 use crate::FileError;
@@ -65,7 +67,7 @@
 #[derive(Debug, Clone)]
 pub struct Keys {
     /// Identity and validity of the process's own certificate.
-    pub own: Says,
+    pub own: CertificateIdentity,
     /// TLS configuration for outgoing connections.
     pub client: Arc<ClientConfig>,
     /// TLS configuration for accepted connections.
@@ -79,7 +81,7 @@
 }
 
 impl Trust {
-    fn load(texts: &Texts) -> Result<Self, KeyError> {
+    fn load(texts: &KeyFiles) -> Result<Self, KeyError> {
         let mut roots = RootCertStore::empty();
         for certificate in CertificateDer::pem_slice_iter(texts.trusted.as_bytes()) {
             let certificate = certificate.map_err(invalid(TRUSTED_FILE))?;
@@ -101,7 +103,7 @@
 impl Keys {
     /// Parses the contents of the key files. The validity of certificates is
     /// checked against `time` at each handshake.
-    pub fn load(texts: &Texts, time: &Arc<dyn TimeProvider>) -> Result<Self, KeyError> {
+    pub fn load(texts: &KeyFiles, time: &Arc<dyn TimeProvider>) -> Result<Self, KeyError> {
         let chain = CertificateDer::pem_slice_iter(texts.certificate.as_bytes())
             .collect::<Result<Vec<_>, _>>()
             .map_err(invalid(CERTIFICATE_FILE))?;
--- a/crates/tls/src/keys/certificate.rs
+++ b/crates/tls/src/keys/certificate.rs
@@ -28,18 +28,20 @@
 
 /// Identity and expiry of a certificate.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Says {
+pub struct CertificateIdentity {
     /// Name of the installation to which the certificate was issued.
     pub name: String,
     /// Serial number assigned by the authority.
     pub serial: u64,
     /// Time of expiry.
-    pub until: Seconds,
+    pub expires_at: Seconds,
 }
 
 /// Reads the identity and expiry of a certificate without verifying the
 /// certificate.
-pub fn read_certificate(certificate: &CertificateDer<'_>) -> Result<Says, CertificateError> {
+pub fn read_certificate(
+    certificate: &CertificateDer<'_>,
+) -> Result<CertificateIdentity, CertificateError> {
     let (_, certificate) = X509Certificate::from_der(certificate)?;
     let names = certificate.subject_alternative_name()?;
     let name = names
@@ -50,22 +52,22 @@
             _ => None,
         });
     let serial = certificate.tbs_certificate.raw_serial();
-    Ok(Says {
+    Ok(CertificateIdentity {
         name: name.ok_or(CertificateError::NoDnsName)?,
         serial: serial
             .iter()
             .fold(0u64, |n, b| n.wrapping_shl(8) | u64::from(*b)),
-        until: u64::try_from(certificate.validity().not_after.timestamp()).unwrap_or(0),
+        expires_at: u64::try_from(certificate.validity().not_after.timestamp()).unwrap_or(0),
     })
 }
 
 /// Urgency of the renewal of a certificate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Left {
+pub enum RenewalState {
     /// Renewal is not due yet.
-    Enough,
+    NotDue,
     /// Fewer than 30 days are left, so the certificate is due for renewal.
-    Soon {
+    Due {
         /// Number of whole days left.
         days: u64,
     },
@@ -73,13 +75,13 @@
     Expired,
 }
 
-/// Returns how urgent the renewal of a certificate that expires at `until` is.
-pub fn left(until: Seconds, now: Seconds) -> Left {
-    if now > until {
-        return Left::Expired;
+/// Returns how urgent the renewal of a certificate that expires at `expires_at` is.
+pub fn renewal_state(expires_at: Seconds, now: Seconds) -> RenewalState {
+    if now > expires_at {
+        return RenewalState::Expired;
     }
-    match (until - now) / DAY {
-        days if days < RENEWAL_DAYS => Left::Soon { days },
-        _ => Left::Enough,
+    match (expires_at - now) / DAY {
+        days if days < RENEWAL_DAYS => RenewalState::Due { days },
+        _ => RenewalState::NotDue,
     }
 }
--- a/crates/tls/src/keys/directory.rs
+++ b/crates/tls/src/keys/directory.rs
@@ -23,7 +23,7 @@
 
 /// Contents of the files of a key directory, read together.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Texts {
+pub struct KeyFiles {
     /// The process's own certificate in PEM, followed by the intermediate
     /// certificates.
     pub certificate: String,
@@ -36,7 +36,7 @@
     pub revoked: String,
 }
 
-impl Texts {
+impl KeyFiles {
     /// Reads the files of a key directory. Only the file with the revocation
     /// lists may be missing.
     pub fn read(dir: &Path) -> Result<Self, KeyError> {
@@ -44,7 +44,7 @@
             true => read_limited(dir, REVOKED_FILE)?,
             false => String::new(),
         };
-        Ok(Texts {
+        Ok(KeyFiles {
             certificate: read_limited(dir, CERTIFICATE_FILE)?,
             key: read_limited(dir, KEY_FILE)?,
             trusted: read_limited(dir, TRUSTED_FILE)?,
--- a/crates/tls/src/reload.rs
+++ b/crates/tls/src/reload.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     Seconds,
-    keys::{KeyError, Keys, Left, Texts, left},
+    keys::{KeyError, KeyFiles, Keys, RenewalState, renewal_state},
 };
 use rustls::time_provider::TimeProvider;
 use std::{error::Error, sync::Arc};
@@ -25,18 +25,18 @@
 #[derive(Debug)]
 pub struct ReloadableKeys {
     time: Arc<dyn TimeProvider>,
-    texts: Texts,
+    texts: KeyFiles,
     keys: Keys,
     /// File contents that were rejected last, kept so that they are reported only
     /// once.
-    rejected: Option<Texts>,
+    rejected: Option<KeyFiles>,
     /// State for which the last expiry warning was returned.
-    last_warning: Option<Left>,
+    last_warning: Option<RenewalState>,
 }
 
 impl ReloadableKeys {
     /// Loads the initial keys. Fails if they are unusable.
-    pub fn new(texts: Texts, time: Arc<dyn TimeProvider>) -> Result<Self, KeyError> {
+    pub fn new(texts: KeyFiles, time: Arc<dyn TimeProvider>) -> Result<Self, KeyError> {
         Ok(ReloadableKeys {
             keys: Keys::load(&texts, &time)?,
             texts,
@@ -54,7 +54,7 @@
     /// Processes the current contents of the files. Incompletely written contents
     /// (a certificate whose key is not written yet) are rejected until the files
     /// match.
-    pub fn apply_files(&mut self, found: Result<Texts, KeyError>) -> ReloadOutcome {
+    pub fn apply_files(&mut self, found: Result<KeyFiles, KeyError>) -> ReloadOutcome {
         let found = match found {
             Ok(found) => found,
             Err(e) => return ReloadOutcome::Rejected(format_error_chain(&e)),
@@ -82,14 +82,16 @@
     /// Returns a warning if the active certificate has expired or is due for
     /// renewal. Each number of days left is reported once, and so is the expiry.
     pub fn expiry_warning(&mut self, now: Seconds) -> Option<String> {
-        let state = left(self.keys.own.until, now);
-        if state == Left::Enough || self.last_warning == Some(state) {
+        let state = renewal_state(self.keys.own.expires_at, now);
+        if state == RenewalState::NotDue || self.last_warning == Some(state) {
             return None;
         }
         self.last_warning = Some(state);
         let name = &self.keys.own.name;
         Some(match state {
-            Left::Soon { days } => format!("the certificate of {name} expires in {days} days"),
+            RenewalState::Due { days } => {
+                format!("the certificate of {name} expires in {days} days")
+            }
             _ => format!(
                 "the certificate of {name} has expired: other installations refuse its connections"
             ),
--- a/crates/tls/tests/handshakes.rs
+++ b/crates/tls/tests/handshakes.rs
@@ -4,7 +4,7 @@
 use pathwinch_tls::{
     DAY,
     authority::Authority,
-    keys::{FixedTime, Keys, Left, Texts, left, read_certificate},
+    keys::{FixedTime, KeyFiles, Keys, RenewalState, read_certificate, renewal_state},
     reload::{ReloadOutcome, ReloadableKeys},
 };
 use rustls::{
@@ -35,9 +35,9 @@
     std::fs::read_to_string(dir.0.join(name)).unwrap()
 }
 
-fn texts(dir: &TempDir, authority: &Authority, name: &str, days: u64) -> Texts {
+fn texts(dir: &TempDir, authority: &Authority, name: &str, days: u64) -> KeyFiles {
     let issued = authority.issue(name, days, NOW).unwrap();
-    Texts {
+    KeyFiles {
         certificate: issued.certificate,
         key: issued.key,
         trusted: file(dir, "ca.pem"),
@@ -45,7 +45,7 @@
     }
 }
 
-fn keys(texts: &Texts, now: u64) -> Keys {
+fn keys(texts: &KeyFiles, now: u64) -> Keys {
     let time: Arc<dyn TimeProvider> = Arc::new(FixedTime(now));
     Keys::load(texts, &time).unwrap()
 }
@@ -157,7 +157,7 @@
         ReloadOutcome::Unchanged
     );
     // The certificate file is new, the key file still the old one.
-    let mismatched = Texts {
+    let mismatched = KeyFiles {
         certificate: new.certificate.clone(),
         ..old.clone()
     };
@@ -191,7 +191,7 @@
             .unwrap()
             .contains("has expired")
     );
-    assert_eq!(left(NOW, NOW + 1), Left::Expired);
+    assert_eq!(renewal_state(NOW, NOW + 1), RenewalState::Expired);
 }
 
 #[test]
@@ -206,7 +206,7 @@
     assert_eq!(reopened.issue("home", 5, NOW).unwrap().made.serial, 3);
     assert!(reopened.revoke(2, NOW).is_err());
     assert!(reopened.issue("Home!", 5, NOW).is_err());
-    let wrong = Texts {
+    let wrong = KeyFiles {
         certificate: "garbage".into(),
         ..texts(&dir, &reopened, "home", 5)
     };
@@ -227,7 +227,7 @@
         missing.display()
     );
     assert_eq!(
-        reloadable_keys.apply_files(Texts::read(&dir.0)),
+        reloadable_keys.apply_files(KeyFiles::read(&dir.0)),
         ReloadOutcome::Rejected(expected)
     );
     assert_eq!(reloadable_keys.keys().own.serial, 1);
--- a/crates/tls/tests/loopback.rs
+++ b/crates/tls/tests/loopback.rs
@@ -4,7 +4,7 @@
 use pathwinch_tls::{
     authority::Authority,
     http,
-    keys::{FixedTime, Texts},
+    keys::{FixedTime, KeyFiles},
     reload::ReloadableKeys,
 };
 use pathwinch_transport::{
@@ -24,7 +24,7 @@
 
 fn keys(dir: &Path, authority: &Authority, name: &str) -> Rc<RefCell<ReloadableKeys>> {
     let issued = authority.issue(name, 90, NOW).unwrap();
-    let texts = Texts {
+    let texts = KeyFiles {
         certificate: issued.certificate,
         key: issued.key,
         trusted: std::fs::read_to_string(dir.join("ca.pem")).unwrap(),
