--- a/crates/lab/src/markets.rs
+++ b/crates/lab/src/markets.rs
@@ -70,7 +70,7 @@
     if dir.exists() {
         std::fs::remove_dir_all(&dir).with_context(|| dir.display().to_string())?;
     }
-    let authority = Authority::make(&dir.join("authority"), "lab", 90, now)?;
+    let authority = Authority::create(&dir.join("authority"), "lab", 90, now)?;
     let install = |name: &str| -> Result<PathBuf> {
         let key_dir = dir.join(name);
         let issued = authority.issue(name, 60, now)?;
@@ -78,7 +78,7 @@
             &key_dir,
             &issued,
             &authority.certificate()?,
-            &authority.revoked()?,
+            &authority.revocation_list()?,
         )?;
         Ok(key_dir)
     };
--- a/crates/market/src/keys.rs
+++ b/crates/market/src/keys.rs
@@ -90,12 +90,12 @@
         &args.to,
         &issued,
         &authority.certificate()?,
-        &authority.revoked()?,
+        &authority.revocation_list()?,
     )?;
     println!(
         "{}: certificate {} for {name}, valid for {days} days",
         args.to.display(),
-        issued.made.serial
+        issued.record.serial
     );
     Ok(())
 }
@@ -120,7 +120,7 @@
 fn show(dir: &Path, json: bool) -> Result<()> {
     let rows: Vec<(u64, String, Seconds, bool)> = match dir.join("ca.key").exists() {
         true => Authority::open(dir)?
-            .made()?
+            .issued_certificates()?
             .into_iter()
             .map(|m| (m.serial, m.name, m.until, m.revoked.is_some()))
             .collect(),
@@ -149,7 +149,7 @@
 pub fn run(command: Keys) -> Result<()> {
     match command {
         Keys::Authority { dir, name, days } => {
-            Authority::make(&dir, &name, days, now())?;
+            Authority::create(&dir, &name, days, now())?;
             println!(
                 "{}: created the certificate authority {name}",
                 dir.display()
--- a/crates/tls/src/authority.rs
+++ b/crates/tls/src/authority.rs
@@ -118,7 +118,7 @@
 #[derive(Debug, Clone)]
 pub struct IssuedCertificate {
     /// Ledger entry of the certificate.
-    pub made: CertificateRecord,
+    pub record: CertificateRecord,
     /// Certificate in PEM.
     pub certificate: String,
     /// Private key in PEM, which the authority does not keep.
@@ -135,7 +135,7 @@
 impl Authority {
     /// Creates an authority for the installation `name` in a directory that
     /// contains none. Its certificate is valid for `days` days.
-    pub fn make(dir: &Path, name: &str, days: u64, now: Seconds) -> Result<Self> {
+    pub fn create(dir: &Path, name: &str, days: u64, now: Seconds) -> Result<Self> {
         validate_request(name, days)?;
         file::create_dir(dir)?;
         let authority = Authority {
@@ -178,12 +178,12 @@
     }
 
     /// Returns the current revocation list in PEM.
-    pub fn revoked(&self) -> Result<String> {
+    pub fn revocation_list(&self) -> Result<String> {
         self.read(REVOCATION_LIST_FILE)
     }
 
     /// Returns the ledger entries of all certificates issued so far.
-    pub fn made(&self) -> Result<Vec<CertificateRecord>> {
+    pub fn issued_certificates(&self) -> Result<Vec<CertificateRecord>> {
         Ok(self.ledger()?.issued)
     }
 
@@ -204,7 +204,7 @@
         let key = KeyPair::generate()?;
         let certificate = installation_params(&record, now)?.signed_by(&key, &self.issuer()?)?;
         Ok(IssuedCertificate {
-            made: record,
+            record,
             certificate: certificate.pem(),
             key: key.serialize_pem(),
         })
--- a/crates/tls/tests/handshakes.rs
+++ b/crates/tls/tests/handshakes.rs
@@ -92,7 +92,7 @@
 #[test]
 fn handshake_succeeds_only_under_certified_name_when_both_are_trusted() {
     let dir = TempDir::new("names");
-    let authority = Authority::make(&dir.0, "city", 3650, NOW).unwrap();
+    let authority = Authority::create(&dir.0, "city", 3650, NOW).unwrap();
     let (home, north) = (
         texts(&dir, &authority, "home", 90),
         texts(&dir, &authority, "north", 90),
@@ -105,7 +105,7 @@
         "{other}"
     );
     assert!(
-        Authority::make(&dir.0, "city", 1, NOW).is_err(),
+        Authority::create(&dir.0, "city", 1, NOW).is_err(),
         "an existing authority is not overwritten"
     );
 }
@@ -113,8 +113,8 @@
 #[test]
 fn handshake_is_refused_when_certificate_is_expired_unknown_or_revoked() {
     let (dir, elsewhere) = (TempDir::new("refused"), TempDir::new("elsewhere"));
-    let authority = Authority::make(&dir.0, "city", 3650, NOW).unwrap();
-    let untrusted_authority = Authority::make(&elsewhere.0, "city", 3650, NOW).unwrap();
+    let authority = Authority::create(&dir.0, "city", 3650, NOW).unwrap();
+    let untrusted_authority = Authority::create(&elsewhere.0, "city", 3650, NOW).unwrap();
     let home = texts(&dir, &authority, "home", 90);
     let mut north = texts(&dir, &authority, "north", 900);
     // At this time the certificate of `home` has expired and that of `north` has
@@ -146,7 +146,7 @@
 #[test]
 fn reload_activates_usable_keys_and_rejects_others_when_files_change() {
     let dir = TempDir::new("reload");
-    let authority = Authority::make(&dir.0, "city", 3650, NOW).unwrap();
+    let authority = Authority::create(&dir.0, "city", 3650, NOW).unwrap();
     let (old, new) = (
         texts(&dir, &authority, "home", 40),
         texts(&dir, &authority, "home", 90),
@@ -197,13 +197,13 @@
 #[test]
 fn authority_skips_recorded_serials_and_errors_name_file_when_reopened() {
     let dir = TempDir::new("serials");
-    let authority = Authority::make(&dir.0, "city", 10, NOW).unwrap();
+    let authority = Authority::create(&dir.0, "city", 10, NOW).unwrap();
     authority.issue("home", 5, NOW).unwrap();
     // Simulates a process that ended directly after it recorded serial number 2.
     let ledger = file(&dir, "authority.json").replace("\"next\": 2", "\"next\": 3");
     std::fs::write(dir.0.join("authority.json"), ledger).unwrap();
     let reopened = Authority::open(&dir.0).unwrap();
-    assert_eq!(reopened.issue("home", 5, NOW).unwrap().made.serial, 3);
+    assert_eq!(reopened.issue("home", 5, NOW).unwrap().record.serial, 3);
     assert!(reopened.revoke(2, NOW).is_err());
     assert!(reopened.issue("Home!", 5, NOW).is_err());
     let wrong = KeyFiles {
@@ -218,7 +218,7 @@
 #[test]
 fn reload_reports_path_and_cause_when_files_are_missing() {
     let dir = TempDir::new("missing");
-    let authority = Authority::make(&dir.0, "city", 10, NOW).unwrap();
+    let authority = Authority::create(&dir.0, "city", 10, NOW).unwrap();
     let texts = texts(&dir, &authority, "home", 5);
     let mut reloadable_keys = ReloadableKeys::new(texts, Arc::new(FixedTime(NOW))).unwrap();
     let missing = dir.0.join("own.pem");
--- a/crates/tls/tests/loopback.rs
+++ b/crates/tls/tests/loopback.rs
@@ -39,8 +39,8 @@
     let dir = std::env::temp_dir().join(format!("pathwinch-tls-{}-loopback", std::process::id()));
     let _ = std::fs::remove_dir_all(&dir);
     let (own, other) = (dir.join("own"), dir.join("other"));
-    let city = Authority::make(&own, "city", 100, NOW).unwrap();
-    let untrusted_authority = Authority::make(&other, "city", 100, NOW).unwrap();
+    let city = Authority::create(&own, "city", 100, NOW).unwrap();
+    let untrusted_authority = Authority::create(&other, "city", 100, NOW).unwrap();
     let (home, north) = (keys(&own, &city, "home"), keys(&own, &city, "north"));
     let untrusted_home = keys(&other, &untrusted_authority, "home");
     let executor = Rc::new(PriorityExecutor::default());
