--- a/crates/lab/src/market.rs
+++ b/crates/lab/src/market.rs
@@ -39,27 +39,27 @@
 
 /// A job started or ended at the market.
 #[derive(Debug, PartialEq)]
-pub enum Did {
+pub enum JobEvent {
     Start(String),
     End(String),
 }
 
 /// A market that serves one home cluster.
-pub struct MarketSim {
+pub struct SimulatedMarket {
     pub name: String,
     /// Price of a slot for an hour, in millionths of the currency.
     pub price: u64,
     pub slots: u32,
     /// Rate of the market's clock; 1.0 is exact.
-    pub rate: f64,
+    pub clock_rate: f64,
     /// Probability per second that the market withdraws a running job.
-    pub withdraws: f64,
+    pub withdrawal_probability_per_s: f64,
     /// Probability that the market refuses an award whose bid it accepted.
-    pub refuses: f64,
+    pub award_refusal_probability: f64,
     /// Whether some of the answers are false, to test the checks of the broker.
-    pub lies: bool,
+    pub sends_false_answers: bool,
     /// Whether the market is unreachable; evaluated by the caller.
-    pub down: bool,
+    pub is_unreachable: bool,
     /// Changes when the market restarts without its memory.
     epoch: u64,
     /// When the epoch began; the market's clock counts from here.
@@ -74,24 +74,24 @@
     orphans: Vec<(Millis, String)>,
     rng: Rng,
     /// Number of awards accepted.
-    pub accepted: u64,
+    pub awards_accepted: u64,
     /// Number of bids accepted.
-    pub held: u64,
+    pub accepted_bids: u64,
     /// Number of bids released by the home.
-    pub released: u64,
+    pub bids_released: u64,
 }
 
-impl MarketSim {
+impl SimulatedMarket {
     pub fn new(name: &str, price: u64, slots: u32, seed: u64) -> Self {
-        MarketSim {
+        SimulatedMarket {
             name: name.into(),
             price,
             slots,
-            rate: 1.0,
-            withdraws: 0.0,
-            refuses: 0.0,
-            lies: false,
-            down: false,
+            clock_rate: 1.0,
+            withdrawal_probability_per_s: 0.0,
+            award_refusal_probability: 0.0,
+            sends_false_answers: false,
+            is_unreachable: false,
             epoch: seed * 1000 + 1,
             epoch_start: 0,
             term: 0,
@@ -99,14 +99,14 @@
             awards: BTreeMap::new(),
             orphans: Vec::new(),
             rng: Rng::with_seed(seed),
-            accepted: 0,
-            held: 0,
-            released: 0,
+            awards_accepted: 0,
+            accepted_bids: 0,
+            bids_released: 0,
         }
     }
 
     fn clock(&self, now: Millis) -> u64 {
-        ((now - self.epoch_start) as f64 * self.rate) as u64
+        ((now - self.epoch_start) as f64 * self.clock_rate) as u64
     }
 
     fn free(&self) -> u32 {
@@ -148,11 +148,11 @@
 
     /// Ends the jobs that are finished, withdrawn or past the tenancy. `passed` is the
     /// time in milliseconds since the last call.
-    pub fn step(&mut self, now: Millis, passed: Millis) -> Vec<Did> {
-        let mut did = Vec::new();
+    pub fn step(&mut self, now: Millis, passed: Millis) -> Vec<JobEvent> {
+        let mut events = Vec::new();
         self.orphans.retain(|(until, job)| {
             if *until <= now {
-                did.push(Did::End(job.clone()));
+                events.push(JobEvent::End(job.clone()));
             }
             *until > now
         });
@@ -162,7 +162,8 @@
             let Some(AwardStatus::Running(r)) = self.awards.get(&id).cloned() else {
                 continue;
             };
-            let is_withdrawn = self.rng.f64() < self.withdraws * passed as f64 / 1000.0;
+            let is_withdrawn =
+                self.rng.f64() < self.withdrawal_probability_per_s * passed as f64 / 1000.0;
             let state = if tenancy_expired || is_withdrawn {
                 self.withdrawn_state(&r, now)
             } else if now >= r.ends_at {
@@ -174,9 +175,9 @@
                 continue;
             };
             self.awards.insert(id, AwardStatus::Over(state));
-            did.push(Did::End(r.job));
+            events.push(JobEvent::End(r.job));
         }
-        did
+        events
     }
 
     fn state(&self, award: u64, now: Millis) -> State {
@@ -194,16 +195,16 @@
     }
 
     /// Handles a request; also returns the jobs that it started or ended.
-    pub fn handle(&mut self, request: &Request, now: Millis) -> (Reply, Vec<Did>) {
-        let mut did = Vec::new();
+    pub fn handle(&mut self, request: &Request, now: Millis) -> (Reply, Vec<JobEvent>) {
+        let mut events = Vec::new();
         let say = if request.term < self.term {
             Say::Fenced { term: self.term }
         } else {
             self.term = request.term;
             match &request.ask {
-                Ask::Sync(sync) => Say::Synced(self.sync(sync, now, &mut did)),
+                Ask::Sync(sync) => Say::Synced(self.sync(sync, now, &mut events)),
                 Ask::Bids(bids) => Say::Bids(bids.iter().map(|bid| self.bid(bid, now)).collect()),
-                Ask::Award(award) => Say::Award(self.award(award, now, &mut did)),
+                Ask::Award(award) => Say::Award(self.award(award, now, &mut events)),
             }
         };
         let reply = Reply {
@@ -214,21 +215,21 @@
             cleared: self.orphans.is_empty(),
             say,
         };
-        (reply, did)
+        (reply, events)
     }
 
     fn bid(&mut self, bid: &Bid, now: Millis) -> BidSaid {
         if bid.slots > self.free() || bid.price < self.price {
             return BidSaid::Refused;
         }
-        self.held += 1;
+        self.accepted_bids += 1;
         BidSaid::Accepted {
             price: self.price,
             until_ms: self.clock(now) + 10_000,
         }
     }
 
-    fn sync(&mut self, sync: &Sync, now: Millis, did: &mut Vec<Did>) -> Synced {
+    fn sync(&mut self, sync: &Sync, now: Millis, events: &mut Vec<JobEvent>) -> Synced {
         if let Some(until) = sync.until
             && until.epoch == self.epoch
             && self.clock(now) <= until.clock_ms
@@ -243,12 +244,12 @@
                 Some(AwardStatus::Running(r)) => {
                     let state = self.withdrawn_state(&r, now);
                     self.awards.insert(*award, AwardStatus::Over(state));
-                    did.push(Did::End(r.job));
+                    events.push(JobEvent::End(r.job));
                 }
                 Some(_) => {}
             }
         }
-        self.released += sync.release.len() as u64;
+        self.bids_released += sync.release.len() as u64;
         let mut awards: Vec<AwardSaid> = sync
             .awards
             .iter()
@@ -257,7 +258,7 @@
                 state: self.state(*award, now),
             })
             .collect();
-        if self.lies && self.rng.f64() < 0.1 {
+        if self.sends_false_answers && self.rng.f64() < 0.1 {
             self.falsify(&mut awards);
         }
         let offers = vec![Offer {
@@ -309,7 +310,7 @@
         }
     }
 
-    fn award(&mut self, award: &Award, now: Millis, did: &mut Vec<Did>) -> State {
+    fn award(&mut self, award: &Award, now: Millis, events: &mut Vec<JobEvent>) -> State {
         if self.awards.contains_key(&award.award) {
             return self.state(award.award, now);
         }
@@ -321,7 +322,7 @@
         let slots = award.job.tasks - award.job.done.count();
         let clock = self.clock(now);
         let late = clock > award.start_by.clock_ms || clock > self.tenancy_ends_at;
-        if late || slots > self.free() || self.rng.f64() < self.refuses {
+        if late || slots > self.free() || self.rng.f64() < self.award_refusal_probability {
             self.awards.insert(award.award, AwardStatus::Void);
             return State::Void;
         }
@@ -340,8 +341,8 @@
                 price,
             }),
         );
-        self.accepted += 1;
-        did.push(Did::Start(award.job.id.clone()));
+        self.awards_accepted += 1;
+        events.push(JobEvent::Start(award.job.id.clone()));
         State::Running { done: 0 }
     }
 }
--- a/crates/lab/src/markets.rs
+++ b/crates/lab/src/markets.rs
@@ -3,7 +3,7 @@
 
 use crate::{
     installation::Testbed,
-    market::{Did, MarketSim},
+    market::{JobEvent, SimulatedMarket},
 };
 use anyhow::{Context, Result};
 use async_io::Timer;
@@ -115,12 +115,12 @@
 
 /// Records jobs that started or ended at a market in the object store, which checks
 /// that no job runs in two places.
-fn record_changes(testbed: &Testbed, market: &str, changes: Vec<Did>) {
+fn record_changes(testbed: &Testbed, market: &str, changes: Vec<JobEvent>) {
     let mut object_store = testbed.object_store.borrow_mut();
     for change in changes {
         match change {
-            Did::Start(job) => object_store.job_offloaded(&job, market),
-            Did::End(job) => object_store.job_returned(&job, market),
+            JobEvent::Start(job) => object_store.job_offloaded(&job, market),
+            JobEvent::End(job) => object_store.job_returned(&job, market),
         }
     }
 }
@@ -129,7 +129,7 @@
 /// valid.
 pub async fn run(testbed: Rc<Testbed>, market: Market, number: u64) {
     let price = 10_000 + 2_000 * number;
-    let sim = MarketSim::new(market.name, price, 64, testbed.site.seed + number);
+    let sim = SimulatedMarket::new(market.name, price, 64, testbed.site.seed + number);
     let sim = Rc::new(RefCell::new(sim));
     let Ok(reader) = Reader::new(&schema::request()) else {
         return;
--- a/crates/market/examples/nights.rs
+++ b/crates/market/examples/nights.rs
@@ -30,7 +30,7 @@
     });
     world.crash_broker();
     if market_down {
-        world.markets[0].down = true;
+        world.markets[0].is_unreachable = true;
     }
     world.take_over();
     let (unconfirmed, started_at) = (world.broker().unconfirmed_jobs(), world.now);
@@ -74,7 +74,11 @@
     NightResult {
         in_time,
         jobs: world.jobs.len(),
-        offloaded: world.markets.iter().map(|market| market.accepted).sum(),
+        offloaded: world
+            .markets
+            .iter()
+            .map(|market| market.awards_accepted)
+            .sum(),
         cost: world.total_spent() as f64 / 1e6,
         messages: world.calls,
     }
--- a/crates/market/tests/random_histories.rs
+++ b/crates/market/tests/random_histories.rs
@@ -13,10 +13,10 @@
     let mut world = World::new(seed, jobs);
     world.take_over();
     for m in &mut world.markets {
-        m.withdraws = 0.01;
-        m.refuses = 0.05;
+        m.withdrawal_probability_per_s = 0.01;
+        m.award_refusal_probability = 0.05;
     }
-    world.markets[2].lies = seed.is_multiple_of(3);
+    world.markets[2].sends_false_answers = seed.is_multiple_of(3);
     for _ in 0..40 {
         world.faults = match world.rng.u32(0..4) {
             0 => Faults::default(),
@@ -37,7 +37,7 @@
         };
         world.store_down = world.rng.u32(0..10) == 0;
         for m in 0..world.markets.len() {
-            world.markets[m].down = world.rng.u32(0..8) == 0;
+            world.markets[m].is_unreachable = world.rng.u32(0..8) == 0;
             if world.rng.u32(0..12) == 0 {
                 let (memory, now) = (world.rng.bool(), world.now);
                 world.markets[m].restart(memory, now);
@@ -75,7 +75,7 @@
         for seed in (first..seeds).step_by(thread_count as usize) {
             let world = run_night(seed, 500);
             assert_eq!(world.check(), Vec::<String>::new(), "seed {seed}");
-            accepted += world.markets.iter().map(|m| m.accepted).sum::<u64>();
+            accepted += world.markets.iter().map(|m| m.awards_accepted).sum::<u64>();
             jobs += world.jobs.len();
             calls += world.calls;
         }
--- a/crates/market/tests/scenarios.rs
+++ b/crates/market/tests/scenarios.rs
@@ -29,15 +29,15 @@
 fn job_accepted_by_two_markets_is_awarded_to_one() {
     let mut world = fault_free_world(1);
     world.run_until("the job runs", |w| running(w) == 1);
-    let accepted_bids: Vec<u64> = world.markets.iter().map(|m| m.held).collect();
+    let accepted_bids: Vec<u64> = world.markets.iter().map(|m| m.accepted_bids).collect();
     assert_eq!(
         accepted_bids,
         [1, 1, 0],
         "bids at the best and the second-best offer"
     );
     world.run_until_settled();
-    let accepted: u64 = world.markets.iter().map(|m| m.accepted).sum();
-    assert_eq!((accepted, world.markets[1].released), (1, 1));
+    let accepted: u64 = world.markets.iter().map(|m| m.awards_accepted).sum();
+    assert_eq!((accepted, world.markets[1].bids_released), (1, 1));
     assert_eq!(world.check(), NO_VIOLATIONS);
 }
 
@@ -75,7 +75,7 @@
 fn finished_tasks_are_kept_when_a_market_withdraws_a_job() {
     let mut world = fault_free_world(30);
     for market in &mut world.markets {
-        market.withdraws = 0.1;
+        market.withdrawal_probability_per_s = 0.1;
     }
     let partly_done = |w: &World| {
         w.jobs
@@ -103,7 +103,7 @@
         .filter(|j| world.location(j) == Some("north"))
         .collect();
     assert!(!lost.is_empty());
-    world.markets[market_index].down = true;
+    world.markets[market_index].is_unreachable = true;
     let returned = |w: &World| lost.iter().all(|j| !w.broker().jobs().any(|(l, _)| l == j));
     world.run_until("all lost jobs returned home", move |world| {
         returned(world) || world.now > outage_start + 120_000
@@ -122,18 +122,18 @@
 #[test]
 fn market_gets_no_award_when_its_clock_is_slow() {
     let mut world = fault_free_world(40);
-    world.markets[0].rate = 0.9;
+    world.markets[0].clock_rate = 0.9;
     world.run(120_000);
     world.run_until_settled();
-    assert_eq!(world.markets[0].accepted, 0);
-    assert!(world.markets[1].accepted > 0);
+    assert_eq!(world.markets[0].awards_accepted, 0);
+    assert!(world.markets[1].awards_accepted > 0);
     assert_eq!(world.check(), NO_VIOLATIONS);
 }
 
 #[test]
 fn market_with_false_statements_is_paid_at_most_the_cap_and_then_excluded() {
     let mut world = fault_free_world(60);
-    world.markets[0].lies = true;
+    world.markets[0].sends_false_answers = true;
     world.run_until_settled();
     assert_eq!(world.check(), NO_VIOLATIONS);
     let north = world.broker().markets.iter().find(|m| m.name == "north");
@@ -168,11 +168,11 @@
     world.store_down = true;
     // Awards that were recorded before the outage may still start.
     world.run(12_000);
-    let accepted: u64 = world.markets.iter().map(|m| m.accepted).sum();
+    let accepted: u64 = world.markets.iter().map(|m| m.awards_accepted).sum();
     world.run(48_000);
     assert_eq!(
         accepted,
-        world.markets.iter().map(|m| m.accepted).sum::<u64>()
+        world.markets.iter().map(|m| m.awards_accepted).sum::<u64>()
     );
     world.store_down = false;
     world.run_until_settled();
@@ -225,7 +225,7 @@
     for (_, offload) in world.broker().jobs() {
         assert!(!matches!(offload.phase, Phase::Awarded { .. }) || offload.cap <= 20_000);
     }
-    let accepted: u64 = world.markets.iter().map(|m| m.accepted).sum();
+    let accepted: u64 = world.markets.iter().map(|m| m.awards_accepted).sum();
     assert!((1..100).contains(&accepted), "{accepted}");
     assert!(world.total_spent() <= 20_000, "{}", world.total_spent());
     for j in world.jobs.values_mut() {
--- a/crates/market/tests/simulation/mod.rs
+++ b/crates/market/tests/simulation/mod.rs
@@ -5,7 +5,7 @@
 #![allow(dead_code)]
 
 use fastrand::Rng;
-use pathwinch_lab::market::{Did, MarketSim};
+use pathwinch_lab::market::{JobEvent, SimulatedMarket};
 use pathwinch_market::{
     broker::{Broker, CallFailure, Effect, Event},
     clearing::Effort,
@@ -59,7 +59,7 @@
     pub rng: Rng,
     pub faults: Faults,
     pub jobs: BTreeMap<String, HomeJob>,
-    pub markets: Vec<MarketSim>,
+    pub markets: Vec<SimulatedMarket>,
     pub store: BTreeMap<String, (Value, u64)>,
     pub store_down: bool,
     revision: u64,
@@ -144,9 +144,9 @@
         World {
             now: START_TIME_MS,
             markets: vec![
-                MarketSim::new("north", 90_000, 120, seed + 1),
-                MarketSim::new("south", 100_000, 120, seed + 2),
-                MarketSim::new("west", 110_000, 120, seed + 3),
+                SimulatedMarket::new("north", 90_000, 120, seed + 1),
+                SimulatedMarket::new("south", 100_000, 120, seed + 2),
+                SimulatedMarket::new("west", 110_000, 120, seed + 3),
             ],
             rng,
             faults: Faults::default(),
@@ -312,7 +312,7 @@
                 ));
             }
             Message::Market(broker_index, market, call, sent, request) => {
-                if self.markets[market].down {
+                if self.markets[market].is_unreachable {
                     return;
                 }
                 let (reply, changes) = self.markets[market].handle(&request, self.now);
@@ -453,12 +453,12 @@
         }
     }
 
-    fn apply_market_changes(&mut self, market: usize, changes: Vec<Did>) {
+    fn apply_market_changes(&mut self, market: usize, changes: Vec<JobEvent>) {
         let name = self.markets[market].name.clone();
         for change in changes {
             match change {
-                Did::Start(job) => self.job_started(&job, &name),
-                Did::End(job) => self.job_ended(&job, &name),
+                JobEvent::Start(job) => self.job_started(&job, &name),
+                JobEvent::End(job) => self.job_ended(&job, &name),
             }
         }
     }
@@ -572,7 +572,7 @@
         self.faults = Faults::default();
         self.store_down = false;
         for market in &mut self.markets {
-            market.down = false;
+            market.is_unreachable = false;
         }
         for _ in 0..2_000 {
             if self.unanswered_jobs() == 0 && self.open_award_records() == 0 {
