--- a/crates/lab/src/markets.rs
+++ b/crates/lab/src/markets.rs
@@ -9,9 +9,9 @@
 use async_io::Timer;
 use http_types::Method;
 use pathwinch_market::{
-    schema::{self, Reader},
-    serve::PATH,
-    wire::{MAX_BODY, Request},
+    schema::{self, MessageReader},
+    serve::MARKET_PATH,
+    wire::{MAX_BODY_BYTES, Request},
 };
 use pathwinch_tls::{
     authority::Authority,
@@ -131,7 +131,7 @@
     let price = 10_000 + 2_000 * number;
     let sim = SimulatedMarket::new(market.name, price, 64, testbed.site.seed + number);
     let sim = Rc::new(RefCell::new(sim));
-    let Ok(reader) = Reader::new(&schema::request()) else {
+    let Ok(reader) = MessageReader::new(&schema::request()) else {
         return;
     };
     let reader = Rc::new(reader);
@@ -139,7 +139,7 @@
     let handler = move |peer: String, request: HttpRequest| {
         let (testbed, sim, reader) = (handler_testbed.clone(), handler_sim.clone(), reader.clone());
         async move {
-            if (request.method, request.path.as_str()) != (Method::Post, PATH) {
+            if (request.method, request.path.as_str()) != (Method::Post, MARKET_PATH) {
                 return HttpResponse::error(404, "no such path");
             }
             let body = request.body.unwrap_or_default();
@@ -163,7 +163,7 @@
         market.listener,
         Rc::new(RefCell::new(market.keys)),
         MAX_CONNECTIONS,
-        MAX_BODY,
+        MAX_BODY_BYTES,
         handler,
     );
     testbed.executor.spawn_high(serve).detach();
--- a/crates/market/src/broker/bids.rs
+++ b/crates/market/src/broker/bids.rs
@@ -8,7 +8,7 @@
 use crate::{
     clearing::{JobBid, PricedOffer, Problem},
     lending,
-    wire::{Ask, Award, Bid, BidSaid, Job, MAX_ROWS},
+    wire::{Ask, Award, Bid, BidSaid, Job, MAX_ITEMS_PER_MESSAGE},
 };
 
 /// Time after which an unanswered bid is given up.
@@ -57,7 +57,7 @@
         for bid in bids.pending {
             self.job_by_bid.remove(&bid.bid);
             let released_bids = &mut markets[bid.market].released_bids;
-            if bid.answer != Some(None) && released_bids.len() < MAX_ROWS {
+            if bid.answer != Some(None) && released_bids.len() < MAX_ITEMS_PER_MESSAGE {
                 released_bids.push(bid.bid);
             }
         }
@@ -78,7 +78,7 @@
             };
             pending_bid.answer = Some(None);
             // The market may have accepted the bid although its reply was lost.
-            if markets[pending_bid.market].released_bids.len() < MAX_ROWS {
+            if markets[pending_bid.market].released_bids.len() < MAX_ITEMS_PER_MESSAGE {
                 markets[pending_bid.market].released_bids.push(*bid);
             }
         }
@@ -94,7 +94,7 @@
 
 impl Broker {
     /// Returns the valid offers of trusted markets that can be called, whose clocks
-    /// are reliable and that hold fewer than half of `MAX_ROWS` jobs; the second
+    /// are reliable and that hold fewer than half of `MAX_ITEMS_PER_MESSAGE` jobs; the second
     /// list has the same offers in the form that the clearing takes.
     fn usable_offers(&self, now: Millis) -> (Vec<UsableOffer>, Vec<PricedOffer>) {
         let (mut offers, mut priced_offers) = (Vec::new(), Vec::new());
@@ -111,7 +111,7 @@
                 || !market.clock.observed_long_enough()
                 || !market.breaker.usable()
                 || !market.reputation.trusted()
-                || awards_here >= MAX_ROWS / 2
+                || awards_here >= MAX_ITEMS_PER_MESSAGE / 2
             {
                 continue;
             }
@@ -204,7 +204,7 @@
             );
         }
         for (market_index, bids) in rows {
-            for batch in bids.chunks(MAX_ROWS / 4) {
+            for batch in bids.chunks(MAX_ITEMS_PER_MESSAGE / 4) {
                 let bid_ids: Vec<u64> = batch.iter().map(|b| b.bid).collect();
                 if self.markets[market_index].breaker.admit(now, false) {
                     self.send_call(market_index, Call::Bids(bid_ids), Ask::Bids(batch.to_vec()));
@@ -270,7 +270,9 @@
             };
             let Some(job) = self.bidding.job_by_bid.get(bid) else {
                 // The bid was given up before its answer arrived.
-                if accepted.is_some() && self.markets[market].released_bids.len() < MAX_ROWS {
+                if accepted.is_some()
+                    && self.markets[market].released_bids.len() < MAX_ITEMS_PER_MESSAGE
+                {
                     self.markets[market].released_bids.push(*bid);
                 }
                 continue;
--- a/crates/market/src/broker/calls.rs
+++ b/crates/market/src/broker/calls.rs
@@ -4,7 +4,7 @@
 use crate::{
     call_policy::CallOutcome,
     clock::{Reading, ReadingStatus},
-    wire::{Ask, MAX_OFFERS, MAX_ROWS, Reply, Request, Say, Sync, Synced, VERSION},
+    wire::{Ask, MAX_ITEMS_PER_MESSAGE, MAX_OFFERS, Reply, Request, Say, Sync, Synced, VERSION},
 };
 use std::collections::HashSet;
 
@@ -55,7 +55,7 @@
                 .values()
                 .filter(|l| l.market == market_index && matches!(l.phase, Phase::Awarded { .. }))
                 .map(|l| (l.award, l.recall))
-                .take(MAX_ROWS)
+                .take(MAX_ITEMS_PER_MESSAGE)
                 .collect();
             let market = &mut self.markets[market_index];
             let has_awards = self.jobs.values().any(|l| l.market == market_index);
--- a/crates/market/src/broker/settle.rs
+++ b/crates/market/src/broker/settle.rs
@@ -244,7 +244,9 @@
         };
         self.job_by_award.remove(&offload.award);
         let market = &mut self.markets[offload.market];
-        if market.settled_awards.len() < wire::MAX_ROWS && end.reason != EndReason::NotSent {
+        if market.settled_awards.len() < wire::MAX_ITEMS_PER_MESSAGE
+            && end.reason != EndReason::NotSent
+        {
             market.settled_awards.push(offload.award);
         }
         let record = offload.record(&market.name, Some(end.clone()));
--- a/crates/market/src/schema.rs
+++ b/crates/market/src/schema.rs
@@ -3,7 +3,7 @@
 //! would accept numbers out of range and lists of any length, and its errors do
 //! not name the field.
 
-use crate::wire::{MAX_BODY, Reply, Request};
+use crate::wire::{MAX_BODY_BYTES, Reply, Request};
 use jsonschema::Validator;
 use serde::de::DeserializeOwned;
 use serde_json::Value;
@@ -19,7 +19,7 @@
 }
 
 /// Validates and parses messages of one schema.
-pub struct Reader {
+pub struct MessageReader {
     validator: Validator,
 }
 
@@ -30,17 +30,17 @@
 /// Length in bytes to which the description of an error is truncated.
 const MAX_VALUE_BYTES: usize = 120;
 
-impl Reader {
+impl MessageReader {
     pub fn new(schema: &Value) -> Result<Self, Refused> {
         jsonschema::validator_for(schema)
-            .map(|validator| Reader { validator })
+            .map(|validator| MessageReader { validator })
             .map_err(|e| Refused(format!("schema: {e}")))
     }
 
     /// Parses a message after checking its size and its schema.
     pub fn read<T: DeserializeOwned>(&self, body: &[u8]) -> Result<T, Refused> {
-        if body.len() > MAX_BODY {
-            return Err(Refused(format!("body: over {MAX_BODY} bytes")));
+        if body.len() > MAX_BODY_BYTES {
+            return Err(Refused(format!("body: over {MAX_BODY_BYTES} bytes")));
         }
         let value: Value =
             serde_json::from_slice(body).map_err(|e| Refused(format!("body: {e}")))?;
--- a/crates/market/src/schema/tests.rs
+++ b/crates/market/src/schema/tests.rs
@@ -28,7 +28,7 @@
 
 #[test]
 fn valid_reply_is_read_and_errors_name_the_field() {
-    let reader = Reader::new(&reply()).unwrap();
+    let reader = MessageReader::new(&reply()).unwrap();
     let reply = reply_with(Say::Synced(Synced::default()));
     let body = serde_json::to_vec(&reply).unwrap();
     assert_eq!(reader.read::<Reply>(&body), Ok(reply));
@@ -45,7 +45,7 @@
 
 #[test]
 fn too_many_offers_and_oversized_bodies_are_refused() {
-    let reader = Reader::new(&reply()).unwrap();
+    let reader = MessageReader::new(&reply()).unwrap();
     let offer = r#"{"offer":"o","slot":{"cpus":1,"gpus":0,"memory_gb":1},"slots":1,"price":1,"valid_until_ms":1}"#;
     let body = |n: usize| {
         let offers = vec![offer; n].join(",");
@@ -60,5 +60,5 @@
         .read::<Reply>(body(100_000).as_bytes())
         .unwrap_err()
         .0;
-    assert_eq!(oversized, format!("body: over {MAX_BODY} bytes"));
+    assert_eq!(oversized, format!("body: over {MAX_BODY_BYTES} bytes"));
 }
--- a/crates/market/src/serve/mod.rs
+++ b/crates/market/src/serve/mod.rs
@@ -11,7 +11,7 @@
     broker::{Broker, CallFailure, Counts, Effect, Event},
     ledger_sync::Step,
     options::Options,
-    schema::{self, Reader},
+    schema::{self, MessageReader},
     wire,
 };
 use anyhow::{Context, Result};
@@ -46,7 +46,7 @@
 /// Time-out of a call to a market.
 const CALL_TIMEOUT: Duration = Duration::from_secs(4);
 /// HTTP path of the market protocol.
-pub const PATH: &str = "/market/v1";
+pub const MARKET_PATH: &str = "/market/v1";
 
 /// What all terms of this process share.
 struct Server {
@@ -57,7 +57,7 @@
     key_dir: PathBuf,
     state: State,
     home: Home,
-    replies: Reader,
+    replies: MessageReader,
     start: Instant,
     start_ms: Millis,
 }
@@ -76,7 +76,7 @@
 pub fn run(settings: Settings, options: Options, key_dir: &Path) -> Result<()> {
     let keys = ReloadableKeys::new(KeyFiles::read(key_dir)?, system_time())
         .with_context(|| key_dir.display().to_string())?;
-    let replies = Reader::new(&schema::reply()).map_err(|e| anyhow::anyhow!(e.0))?;
+    let replies = MessageReader::new(&schema::reply()).map_err(|e| anyhow::anyhow!(e.0))?;
     let executor = Rc::new(PriorityExecutor::default());
     let server = Rc::new(Server {
         state: State::new(&settings, options.state_share),
@@ -348,10 +348,10 @@
             &server.keys,
             address,
             &name,
-            PATH,
+            MARKET_PATH,
             body,
             CALL_TIMEOUT,
-            wire::MAX_BODY,
+            wire::MAX_BODY_BYTES,
         )
         .await;
         match answer {
--- a/crates/market/src/wire.rs
+++ b/crates/market/src/wire.rs
@@ -13,11 +13,11 @@
 
 pub const VERSION: u16 = 1;
 /// Maximum size of a body in bytes. A larger one is refused before it is read.
-pub const MAX_BODY: usize = 1024 * 1024;
+pub const MAX_BODY_BYTES: usize = 1024 * 1024;
 /// Maximum number of offers in one reply.
 pub const MAX_OFFERS: usize = 1000;
 /// Maximum number of awards or bids in one message.
-pub const MAX_ROWS: usize = 1000;
+pub const MAX_ITEMS_PER_MESSAGE: usize = 1000;
 
 /// What a home asks of a market.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
--- a/crates/market/tests/compatibility.rs
+++ b/crates/market/tests/compatibility.rs
@@ -11,11 +11,11 @@
         reputation_key, spent_key,
     },
     reputation::{Outcome, Reputation},
-    schema::{self, Reader},
-    serve::PATH,
+    schema::{self, MessageReader},
+    serve::MARKET_PATH,
     wire::{
-        Ask, Award, AwardSaid, Bid, BidSaid, Job, MAX_BODY, MAX_OFFERS, MAX_ROWS, Offer, Reply,
-        Request, Say, Slot, State, Sync, Synced, Until, VERSION,
+        Ask, Award, AwardSaid, Bid, BidSaid, Job, MAX_BODY_BYTES, MAX_ITEMS_PER_MESSAGE,
+        MAX_OFFERS, Offer, Reply, Request, Say, Slot, State, Sync, Synced, Until, VERSION,
     },
 };
 use serde::{Serialize, de::DeserializeOwned};
@@ -67,7 +67,7 @@
     value: &T,
 ) {
     assert_pinned(name, value);
-    let reader = Reader::new(schema).unwrap();
+    let reader = MessageReader::new(schema).unwrap();
     let text = fixture(name);
     assert_eq!(reader.read::<T>(text.as_bytes()).as_ref(), Ok(value));
     let with_unknown_field = text.replacen('{', r#"{"later":1,"#, 1);
@@ -260,10 +260,10 @@
     assert_eq!(reputation_key("north"), "standing/north");
     assert_eq!(spent_key("vision"), "spent/vision");
     assert_eq!(SEQUENCE_KEY, "line");
-    assert_eq!(PATH, "/market/v1");
+    assert_eq!(MARKET_PATH, "/market/v1");
     assert_eq!(records::day(86_400_000 * 7 - 1), 6);
     assert_eq!(
-        (VERSION, MAX_BODY, MAX_OFFERS, MAX_ROWS),
+        (VERSION, MAX_BODY_BYTES, MAX_OFFERS, MAX_ITEMS_PER_MESSAGE),
         (1, 1_048_576, 1000, 1000)
     );
     for (name, outcome) in [
