--- a/crates/lab/src/market.rs
+++ b/crates/lab/src/market.rs
@@ -8,8 +8,8 @@
 use pathwinch_market::{
     ranges::Ranges,
     wire::{
-        Ask, Award, AwardSaid, Bid, BidSaid, Offer, Reply, Request, Say, Slot, State, Sync, Synced,
-        VERSION,
+        Award, AwardReport, AwardState, Bid, BidAnswer, Offer, Reply, ReplyBody, Request,
+        RequestBody, Slot, Sync, SyncReply, VERSION,
     },
 };
 use std::collections::BTreeMap;
@@ -34,7 +34,7 @@
 enum AwardStatus {
     Void,
     Running(Run),
-    Over(State),
+    Over(AwardState),
 }
 
 /// A job started or ended at the market.
@@ -117,13 +117,13 @@
         self.slots.saturating_sub(used.sum())
     }
 
-    fn withdrawn_state(&self, r: &Run, now: Millis) -> State {
+    fn withdrawn_state(&self, r: &Run, now: Millis) -> AwardState {
         let share = (now - r.started_at) as f64 / (r.ends_at - r.started_at).max(1) as f64;
         let done = match r.gang {
             true => 0,
             false => (f64::from(r.tasks) * share.min(0.99)) as u32,
         };
-        State::Withdrawn {
+        AwardState::Withdrawn {
             done: Ranges::all(done),
             charge: ((r.price as f64 * share) as u64).min(r.cap),
         }
@@ -167,7 +167,7 @@
             let state = if tenancy_expired || is_withdrawn {
                 self.withdrawn_state(&r, now)
             } else if now >= r.ends_at {
-                State::Done {
+                AwardState::Done {
                     result: format!("{}@{}", r.job, self.name),
                     charge: r.price.min(r.cap),
                 }
@@ -180,13 +180,13 @@
         events
     }
 
-    fn state(&self, award: u64, now: Millis) -> State {
+    fn state(&self, award: u64, now: Millis) -> AwardState {
         match self.awards.get(&award) {
-            None => State::Unknown,
-            Some(AwardStatus::Void) => State::Void,
+            None => AwardState::Unknown,
+            Some(AwardStatus::Void) => AwardState::Void,
             Some(AwardStatus::Running(r)) => {
                 let share = (now - r.started_at) as f64 / (r.ends_at - r.started_at).max(1) as f64;
-                State::Running {
+                AwardState::Running {
                     done: (f64::from(r.tasks) * share.min(1.0)) as u32,
                 }
             }
@@ -197,14 +197,16 @@
     /// Handles a request; also returns the jobs that it started or ended.
     pub fn handle(&mut self, request: &Request, now: Millis) -> (Reply, Vec<JobEvent>) {
         let mut events = Vec::new();
-        let say = if request.term < self.term {
-            Say::Fenced { term: self.term }
+        let body = if request.term < self.term {
+            ReplyBody::Fenced { term: self.term }
         } else {
             self.term = request.term;
-            match &request.ask {
-                Ask::Sync(sync) => Say::Synced(self.sync(sync, now, &mut events)),
-                Ask::Bids(bids) => Say::Bids(bids.iter().map(|bid| self.bid(bid, now)).collect()),
-                Ask::Award(award) => Say::Award(self.award(award, now, &mut events)),
+            match &request.body {
+                RequestBody::Sync(sync) => ReplyBody::Synced(self.sync(sync, now, &mut events)),
+                RequestBody::Bids(bids) => {
+                    ReplyBody::Bids(bids.iter().map(|bid| self.bid(bid, now)).collect())
+                }
+                RequestBody::Award(award) => ReplyBody::Award(self.award(award, now, &mut events)),
             }
         };
         let reply = Reply {
@@ -213,23 +215,23 @@
             epoch: self.epoch,
             clock_ms: self.clock(now),
             cleared: self.orphans.is_empty(),
-            say,
+            body,
         };
         (reply, events)
     }
 
-    fn bid(&mut self, bid: &Bid, now: Millis) -> BidSaid {
+    fn bid(&mut self, bid: &Bid, now: Millis) -> BidAnswer {
         if bid.slots > self.free() || bid.price < self.price {
-            return BidSaid::Refused;
+            return BidAnswer::Refused;
         }
         self.accepted_bids += 1;
-        BidSaid::Accepted {
+        BidAnswer::Accepted {
             price: self.price,
             until_ms: self.clock(now) + 10_000,
         }
     }
 
-    fn sync(&mut self, sync: &Sync, now: Millis, events: &mut Vec<JobEvent>) -> Synced {
+    fn sync(&mut self, sync: &Sync, now: Millis, events: &mut Vec<JobEvent>) -> SyncReply {
         if let Some(until) = sync.until
             && until.epoch == self.epoch
             && self.clock(now) <= until.clock_ms
@@ -250,10 +252,10 @@
             }
         }
         self.bids_released += sync.release.len() as u64;
-        let mut awards: Vec<AwardSaid> = sync
+        let mut awards: Vec<AwardReport> = sync
             .awards
             .iter()
-            .map(|award| AwardSaid {
+            .map(|award| AwardReport {
                 award: *award,
                 state: self.state(*award, now),
             })
@@ -272,17 +274,17 @@
             price: self.price,
             valid_until_ms: self.clock(now) + 30_000,
         }];
-        Synced { offers, awards }
+        SyncReply { offers, awards }
     }
 
-    fn falsify(&mut self, awards: &mut Vec<AwardSaid>) {
-        let false_end = State::Done {
+    fn falsify(&mut self, awards: &mut Vec<AwardReport>) {
+        let false_end = AwardState::Done {
             result: "something else".into(),
             charge: u64::MAX,
         };
         match self.rng.u32(0..3) {
             // Reports an award that was never given.
-            0 => awards.push(AwardSaid {
+            0 => awards.push(AwardReport {
                 award: self.rng.u64(..),
                 state: false_end,
             }),
@@ -290,10 +292,10 @@
             1 => {
                 if let Some(first) = awards
                     .iter()
-                    .find(|a| matches!(a.state, State::Done { .. }))
+                    .find(|a| matches!(a.state, AwardState::Done { .. }))
                 {
                     let award = first.award;
-                    awards.push(AwardSaid {
+                    awards.push(AwardReport {
                         award,
                         state: false_end,
                     });
@@ -302,7 +304,7 @@
             // Charges more than the award allows.
             _ => {
                 for a in awards.iter_mut() {
-                    if let State::Done { charge, .. } = &mut a.state {
+                    if let AwardState::Done { charge, .. } = &mut a.state {
                         *charge = u64::MAX;
                     }
                 }
@@ -310,21 +312,21 @@
         }
     }
 
-    fn award(&mut self, award: &Award, now: Millis, events: &mut Vec<JobEvent>) -> State {
+    fn award(&mut self, award: &Award, now: Millis, events: &mut Vec<JobEvent>) -> AwardState {
         if self.awards.contains_key(&award.award) {
             return self.state(award.award, now);
         }
         // The award is for an earlier epoch, which the market forgot, so it cannot tell
         // whether the job ran.
         if award.start_by.epoch != self.epoch {
-            return State::Unknown;
+            return AwardState::Unknown;
         }
         let slots = award.job.tasks - award.job.done.count();
         let clock = self.clock(now);
         let late = clock > award.start_by.clock_ms || clock > self.tenancy_ends_at;
         if late || slots > self.free() || self.rng.f64() < self.award_refusal_probability {
             self.awards.insert(award.award, AwardStatus::Void);
-            return State::Void;
+            return AwardState::Void;
         }
         let run = (award.job.estimate_s * 1000.0 * (0.5 + self.rng.f64())) as Millis;
         let price = u64::from(slots) * run * self.price / 3_600_000;
@@ -343,6 +345,6 @@
         );
         self.awards_accepted += 1;
         events.push(JobEvent::Start(award.job.id.clone()));
-        State::Running { done: 0 }
+        AwardState::Running { done: 0 }
     }
 }
--- a/crates/market/src/broker/bids.rs
+++ b/crates/market/src/broker/bids.rs
@@ -8,7 +8,7 @@
 use crate::{
     clearing::{JobBid, PricedOffer, Problem},
     lending,
-    wire::{Ask, Award, Bid, BidSaid, Job, MAX_ITEMS_PER_MESSAGE},
+    wire::{Award, Bid, BidAnswer, Job, MAX_ITEMS_PER_MESSAGE, RequestBody},
 };
 
 /// Time after which an unanswered bid is given up.
@@ -207,7 +207,11 @@
             for batch in bids.chunks(MAX_ITEMS_PER_MESSAGE / 4) {
                 let bid_ids: Vec<u64> = batch.iter().map(|b| b.bid).collect();
                 if self.markets[market_index].breaker.admit(now, false) {
-                    self.send_call(market_index, Call::Bids(bid_ids), Ask::Bids(batch.to_vec()));
+                    self.send_call(
+                        market_index,
+                        Call::Bids(bid_ids),
+                        RequestBody::Bids(batch.to_vec()),
+                    );
                 } else {
                     self.bidding.mark_unanswered(&bid_ids, &mut self.markets);
                 }
@@ -256,7 +260,7 @@
         &mut self,
         market: usize,
         bids: &[u64],
-        answers: &[BidSaid],
+        answers: &[BidAnswer],
         now: Millis,
     ) {
         if answers.len() != bids.len() {
@@ -265,8 +269,8 @@
         }
         for (bid, answer) in bids.iter().zip(answers) {
             let accepted = match answer {
-                BidSaid::Accepted { price, .. } => Some(*price),
-                BidSaid::Refused => None,
+                BidAnswer::Accepted { price, .. } => Some(*price),
+                BidAnswer::Refused => None,
             };
             let Some(job) = self.bidding.job_by_bid.get(bid) else {
                 // The bid was given up before its answer arrived.
--- a/crates/market/src/broker/calls.rs
+++ b/crates/market/src/broker/calls.rs
@@ -4,7 +4,10 @@
 use crate::{
     call_policy::CallOutcome,
     clock::{Reading, ReadingStatus},
-    wire::{Ask, MAX_ITEMS_PER_MESSAGE, MAX_OFFERS, Reply, Request, Say, Sync, Synced, VERSION},
+    wire::{
+        MAX_ITEMS_PER_MESSAGE, MAX_OFFERS, Reply, ReplyBody, Request, RequestBody, Sync, SyncReply,
+        VERSION,
+    },
 };
 use std::collections::HashSet;
 
@@ -17,7 +20,7 @@
 
 impl Broker {
     /// Queues a request to a market and remembers what its reply is for.
-    pub(super) fn send_call(&mut self, market: usize, call: Call, ask: Ask) {
+    pub(super) fn send_call(&mut self, market: usize, call: Call, body: RequestBody) {
         self.call_count += 1;
         self.counts.calls += 1;
         let number = self.call_count;
@@ -30,7 +33,7 @@
                 message: (self.term << 32) | number,
                 home: self.home.clone(),
                 term: self.term,
-                ask,
+                body,
             },
         });
     }
@@ -72,7 +75,11 @@
                 settled: std::mem::take(&mut market.settled_awards),
                 release: std::mem::take(&mut market.released_bids),
             };
-            self.send_call(market_index, Call::Sync { until, asked }, Ask::Sync(sync));
+            self.send_call(
+                market_index,
+                Call::Sync { until, asked },
+                RequestBody::Sync(sync),
+            );
         }
     }
 
@@ -116,11 +123,11 @@
         };
         let matches_call = reply.as_ref().is_ok_and(|r| {
             matches!(
-                (&call, &r.say),
-                (_, Say::Fenced { .. })
-                    | (Call::Sync { .. }, Say::Synced(_))
-                    | (Call::Bids(_), Say::Bids(_))
-                    | (Call::Award(_), Say::Award(_))
+                (&call, &r.body),
+                (_, ReplyBody::Fenced { .. })
+                    | (Call::Sync { .. }, ReplyBody::Synced(_))
+                    | (Call::Bids(_), ReplyBody::Bids(_))
+                    | (Call::Award(_), ReplyBody::Award(_))
             ) && r.message == (self.term << 32) | number
         });
         let outcome = match &reply {
@@ -151,7 +158,7 @@
 
     /// Checks the reply's term, epoch and clock before its content is used.
     fn on_reply(&mut self, market: usize, call: Call, sent: Millis, reply: Reply, now: Millis) {
-        if let Say::Fenced { term } = reply.say {
+        if let ReplyBody::Fenced { term } = reply.body {
             if term > self.term {
                 return self.resign();
             }
@@ -189,15 +196,19 @@
             }
             return;
         }
-        match (call, &reply.say) {
-            (Call::Sync { until, asked }, Say::Synced(synced)) => {
+        match (call, &reply.body) {
+            (Call::Sync { until, asked }, ReplyBody::Synced(synced)) => {
                 if until.is_some_and(|u| u.epoch == reply.epoch) {
                     self.markets[market].granted_until = until;
                 }
                 self.on_sync_reply(market, &asked, &reply, synced, now);
             }
-            (Call::Bids(bids), Say::Bids(rows)) => self.on_bid_reply(market, &bids, rows, now),
-            (Call::Award(job), Say::Award(state)) => self.on_award_state(&job, &reply, state, now),
+            (Call::Bids(bids), ReplyBody::Bids(rows)) => {
+                self.on_bid_reply(market, &bids, rows, now)
+            }
+            (Call::Award(job), ReplyBody::Award(state)) => {
+                self.on_award_state(&job, &reply, state, now)
+            }
             _ => {}
         }
     }
@@ -209,7 +220,7 @@
         market: usize,
         asked: &[u64],
         reply: &Reply,
-        synced: &Synced,
+        synced: &SyncReply,
         now: Millis,
     ) {
         let clock = reply.clock_ms;
--- a/crates/market/src/broker/mod.rs
+++ b/crates/market/src/broker/mod.rs
@@ -136,7 +136,7 @@
     /// Maximum charge.
     pub cap: Money,
     /// Time on the market's clock until which it may accept the award.
-    pub start_by: wire::Until,
+    pub start_by: wire::MarketTime,
     pub phase: Phase,
     /// Request to send to the market. It is not known after a restart; an award
     /// that the market has not accepted by then is recalled.
@@ -161,7 +161,7 @@
     next_reputation_write: Millis,
     offers: Vec<wire::Offer>,
     /// End of the last tenancy that the market has confirmed, on its own clock.
-    granted_until: Option<wire::Until>,
+    granted_until: Option<wire::MarketTime>,
     next_sync: Millis,
     sync_in_flight: bool,
     /// Awards whose end is recorded, to be reported with the next sync.
@@ -176,7 +176,7 @@
     /// `until`: end of the tenancy that the call asks for; `asked`: awards whose
     /// state it asks for.
     Sync {
-        until: Option<wire::Until>,
+        until: Option<wire::MarketTime>,
         asked: Vec<u64>,
     },
     /// Ids of the bids.
--- a/crates/market/src/broker/settle.rs
+++ b/crates/market/src/broker/settle.rs
@@ -3,7 +3,7 @@
 //! is certain.
 
 use super::*;
-use crate::{ranges::Ranges, wire::State};
+use crate::{ranges::Ranges, wire::AwardState};
 
 impl Broker {
     /// Adds the jobs whose next step has become due by time alone to the ready set.
@@ -130,7 +130,7 @@
         self.send_call(
             market,
             Call::Award(job.to_owned()),
-            wire::Ask::Award(message),
+            wire::RequestBody::Award(message),
         );
     }
 
@@ -139,7 +139,7 @@
         &mut self,
         job: &str,
         reply: &wire::Reply,
-        state: &State,
+        state: &AwardState,
         now: Millis,
     ) {
         let Some(offload) = self.jobs.get_mut(job) else {
@@ -153,20 +153,22 @@
         match state {
             // The market has lost its state. Until it reports that everything of
             // earlier epochs has ended, the award may run without its knowledge.
-            State::Unknown | State::Void if !same_epoch => {
+            AwardState::Unknown | AwardState::Void if !same_epoch => {
                 if reply.cleared {
                     self.conclude(job, Ranges::default(), None, 0, EndReason::Expired, now);
                 }
             }
             _ if !same_epoch => self.report_violation(market, "state for an award of a lost epoch"),
-            State::Running { done } if *done <= offload.tasks => *running = Some(*done),
-            State::Running { .. } => self.report_violation(market, "more tasks than the job has"),
-            State::Unknown if reply.clock_ms > offload.start_by.clock_ms => {
+            AwardState::Running { done } if *done <= offload.tasks => *running = Some(*done),
+            AwardState::Running { .. } => {
+                self.report_violation(market, "more tasks than the job has")
+            }
+            AwardState::Unknown if reply.clock_ms > offload.start_by.clock_ms => {
                 let reason = EndReason::Void;
                 self.conclude(job, Ranges::default(), None, 0, reason, now);
             }
-            State::Unknown if *calling => {}
-            State::Unknown => {
+            AwardState::Unknown if *calling => {}
+            AwardState::Unknown => {
                 let message = offload.message.clone().filter(|_| !offload.recall);
                 match message {
                     Some(message) => {
@@ -177,8 +179,10 @@
                     None => offload.recall = true,
                 }
             }
-            State::Void => self.conclude(job, Ranges::default(), None, 0, EndReason::Void, now),
-            State::Withdrawn { done, charge } => {
+            AwardState::Void => {
+                self.conclude(job, Ranges::default(), None, 0, EndReason::Void, now)
+            }
+            AwardState::Withdrawn { done, charge } => {
                 let mut done = done.clone();
                 if let Err(violation) = done.check(offload.tasks) {
                     done = Ranges::default();
@@ -186,7 +190,7 @@
                 }
                 self.conclude(job, done, None, *charge, EndReason::Withdrawn, now);
             }
-            State::Done { result, charge } => {
+            AwardState::Done { result, charge } => {
                 let all = Ranges::all(offload.tasks);
                 self.conclude(
                     job,
--- a/crates/market/src/clock.rs
+++ b/crates/market/src/clock.rs
@@ -6,7 +6,7 @@
 //! horizon nothing awarded at the market can be running, whether or not a
 //! renewal was ever answered.
 
-use crate::{Millis, wire::Until};
+use crate::{Millis, wire::MarketTime};
 
 /// Share by which the steady clocks of two machines may drift apart.
 const MAX_DRIFT: f64 = 0.0005;
@@ -105,17 +105,17 @@
     /// Returns the time on the market's clock that is `delay_ms` from now. It is
     /// never later there than intended, because the market's clock was read before
     /// its reply was received.
-    pub fn time_after(&self, now: Millis, delay_ms: Millis) -> Option<Until> {
+    pub fn time_after(&self, now: Millis, delay_ms: Millis) -> Option<MarketTime> {
         let reading = self.last.filter(|_| self.is_reliable())?;
         let elapsed_ms = now.saturating_sub(reading.received) as f64 * (1.0 - MAX_DRIFT);
-        Some(Until {
+        Some(MarketTime {
             epoch: reading.epoch,
             clock_ms: reading.clock_ms + elapsed_ms as u64 + delay_ms,
         })
     }
 
     /// Whether the market's own clock has certainly passed this time.
-    pub fn passed(&self, until: &Until) -> bool {
+    pub fn passed(&self, until: &MarketTime) -> bool {
         self.last
             .is_some_and(|r| r.epoch == until.epoch && r.clock_ms > until.clock_ms)
     }
@@ -169,7 +169,7 @@
 
     /// Returns the end of a renewal on the market's clock; `None` if it would go
     /// beyond the durable horizon or the clock is unreliable.
-    pub fn renewal(&self, clock: &Clock, now: Millis) -> Option<Until> {
+    pub fn renewal(&self, clock: &Clock, now: Millis) -> Option<MarketTime> {
         if self.latest_end(now) > self.horizon {
             return None;
         }
--- a/crates/market/src/records.rs
+++ b/crates/market/src/records.rs
@@ -1,6 +1,6 @@
 //! Records that the broker keeps in the state service, under its own key prefix.
 
-use crate::{Millis, Money, ranges::Ranges, reputation::Outcome, wire::Until};
+use crate::{Millis, Money, ranges::Ranges, reputation::Outcome, wire::MarketTime};
 use serde::{Deserialize, Serialize};
 
 /// Prefix of award records, one per offloaded job.
@@ -38,7 +38,7 @@
     pub tasks: u32,
     /// Maximum charge. It is reserved from the team's budget until the award ends.
     pub cap: Money,
-    pub start_by: Until,
+    pub start_by: MarketTime,
     /// How the award ended; absent: the award may be at the market or in transit.
     pub end: Option<End>,
 }
--- a/crates/market/src/schema/tests.rs
+++ b/crates/market/src/schema/tests.rs
@@ -1,16 +1,16 @@
 //! Unit tests of the parent module.
 
 use super::*;
-use crate::wire::{Say, Synced, VERSION};
+use crate::wire::{ReplyBody, SyncReply, VERSION};
 
-fn reply_with(say: Say) -> Reply {
+fn reply_with(body: ReplyBody) -> Reply {
     Reply {
         v: VERSION,
         message: 7,
         epoch: 1,
         clock_ms: 2,
         cleared: true,
-        say,
+        body,
     }
 }
 
@@ -29,7 +29,7 @@
 #[test]
 fn valid_reply_is_read_and_errors_name_the_field() {
     let reader = MessageReader::new(&reply()).unwrap();
-    let reply = reply_with(Say::Synced(Synced::default()));
+    let reply = reply_with(ReplyBody::Synced(SyncReply::default()));
     let body = serde_json::to_vec(&reply).unwrap();
     assert_eq!(reader.read::<Reply>(&body), Ok(reply));
     let refused = |body: &[u8]| reader.read::<Reply>(body).unwrap_err().0;
--- a/crates/market/src/wire.rs
+++ b/crates/market/src/wire.rs
@@ -33,12 +33,14 @@
     pub home: String,
     /// The broker's term. A market refuses terms lower than one it has seen.
     pub term: u64,
-    pub ask: Ask,
+    #[serde(rename = "ask")]
+    pub body: RequestBody,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
-pub enum Ask {
+#[schemars(rename = "Ask")]
+pub enum RequestBody {
     Sync(Sync),
     Bids(#[schemars(length(max = 1000))] Vec<Bid>),
     Award(Award),
@@ -50,7 +52,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Sync {
     /// Everything awarded by this home may run until then; absent: unchanged.
-    pub until: Option<Until>,
+    pub until: Option<MarketTime>,
     /// Awards whose state the home asks for.
     #[schemars(description = "Awards asked about.")]
     #[schemars(length(max = 1000))]
@@ -69,7 +71,8 @@
 /// A time on a market's steady clock, in one of its epochs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Until {
+#[schemars(rename = "Until")]
+pub struct MarketTime {
     pub epoch: u64,
     pub clock_ms: u64,
 }
@@ -98,7 +101,7 @@
     pub bid: u64,
     /// Time after which the market must not accept the award.
     #[schemars(description = "Not to be accepted later than this.")]
-    pub start_by: Until,
+    pub start_by: MarketTime,
     /// Maximum total charge, in millionths of the price list's unit.
     #[schemars(description = "At most this in all, in millionths.")]
     pub cap: Money,
@@ -161,17 +164,19 @@
     pub clock_ms: u64,
     /// Nothing awarded in an earlier epoch can be running any more.
     pub cleared: bool,
-    pub say: Say,
+    #[serde(rename = "say")]
+    pub body: ReplyBody,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
-pub enum Say {
-    Synced(Synced),
+#[schemars(rename = "Say")]
+pub enum ReplyBody {
+    Synced(SyncReply),
     /// Answers to the bids, in the order of the bids.
     #[schemars(description = "In the order of the bids.")]
-    Bids(#[schemars(length(max = 1000))] Vec<BidSaid>),
-    Award(State),
+    Bids(#[schemars(length(max = 1000))] Vec<BidAnswer>),
+    Award(AwardState),
     /// A broker of a later term was here: the asker must stop.
     Fenced {
         term: u64,
@@ -180,11 +185,12 @@
 
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Synced {
+#[schemars(rename = "Synced")]
+pub struct SyncReply {
     #[schemars(length(max = 1000))]
     pub offers: Vec<Offer>,
     #[schemars(length(max = 2000))]
-    pub awards: Vec<AwardSaid>,
+    pub awards: Vec<AwardReport>,
 }
 
 /// Free slots that a market offers at a price.
@@ -206,7 +212,8 @@
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
-pub enum BidSaid {
+#[schemars(rename = "BidSaid")]
+pub enum BidAnswer {
     /// The market holds the slots for the bid until this time on its clock, at
     /// this price.
     #[schemars(description = "Kept until then, on the market's clock, at this price.")]
@@ -219,14 +226,16 @@
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct AwardSaid {
+#[schemars(rename = "AwardSaid")]
+pub struct AwardReport {
     pub award: u64,
-    pub state: State,
+    pub state: AwardState,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
-pub enum State {
+#[schemars(rename = "State")]
+pub enum AwardState {
     /// The market does not know the award. It may still arrive, until its
     /// `start_by`.
     #[schemars(description = "Never heard of. It may still arrive, until its `start_by`.")]
--- a/crates/market/tests/compatibility.rs
+++ b/crates/market/tests/compatibility.rs
@@ -14,8 +14,9 @@
     schema::{self, MessageReader},
     serve::MARKET_PATH,
     wire::{
-        Ask, Award, AwardSaid, Bid, BidSaid, Job, MAX_BODY_BYTES, MAX_ITEMS_PER_MESSAGE,
-        MAX_OFFERS, Offer, Reply, Request, Say, Slot, State, Sync, Synced, Until, VERSION,
+        Award, AwardReport, AwardState, Bid, BidAnswer, Job, MAX_BODY_BYTES, MAX_ITEMS_PER_MESSAGE,
+        MAX_OFFERS, MarketTime, Offer, Reply, ReplyBody, Request, RequestBody, Slot, Sync,
+        SyncReply, VERSION,
     },
 };
 use serde::{Serialize, de::DeserializeOwned};
@@ -89,31 +90,31 @@
     }
 }
 
-fn until(epoch: u64) -> Until {
-    Until {
+fn until(epoch: u64) -> MarketTime {
+    MarketTime {
         epoch,
         clock_ms: epoch + 1000,
     }
 }
 
-fn request(ask: Ask) -> Request {
+fn request(body: RequestBody) -> Request {
     Request {
         v: VERSION,
         message: 11,
         home: "south".into(),
         term: 12,
-        ask,
+        body,
     }
 }
 
-fn reply(say: Say) -> Reply {
+fn reply(body: ReplyBody) -> Reply {
     Reply {
         v: VERSION,
         message: 13,
         epoch: 14,
         clock_ms: 15,
         cleared: true,
-        say,
+        body,
     }
 }
 
@@ -149,18 +150,21 @@
         release: vec![28],
     };
     let partly_done = Ranges(vec![(0, 3), (7, 7)]);
-    for (name, ask) in [
-        ("request.sync", Ask::Sync(sync)),
-        ("request.sync_empty", Ask::Sync(Sync::default())),
-        ("request.bids", Ask::Bids(vec![bid(30), bid(31)])),
-        ("request.bids_empty", Ask::Bids(Vec::new())),
-        ("request.award", Ask::Award(award(true, partly_done))),
+    for (name, body) in [
+        ("request.sync", RequestBody::Sync(sync)),
+        ("request.sync_empty", RequestBody::Sync(Sync::default())),
+        ("request.bids", RequestBody::Bids(vec![bid(30), bid(31)])),
+        ("request.bids_empty", RequestBody::Bids(Vec::new())),
+        (
+            "request.award",
+            RequestBody::Award(award(true, partly_done)),
+        ),
         (
             "request.award_bare",
-            Ask::Award(award(false, Ranges::default())),
+            RequestBody::Award(award(false, Ranges::default())),
         ),
     ] {
-        assert_message_pinned(name, &schema::request(), &request(ask));
+        assert_message_pinned(name, &schema::request(), &request(body));
     }
 }
 
@@ -175,42 +179,48 @@
     };
     let states = || {
         [
-            State::Unknown,
-            State::Void,
-            State::Running { done: 61 },
-            State::Withdrawn {
+            AwardState::Unknown,
+            AwardState::Void,
+            AwardState::Running { done: 61 },
+            AwardState::Withdrawn {
                 done: Ranges(vec![(0, 3), (7, 7)]),
                 charge: 62,
             },
-            State::Done {
+            AwardState::Done {
                 result: "r-1".into(),
                 charge: 63,
             },
         ]
     };
-    let synced = Synced {
+    let synced = SyncReply {
         offers: vec![offer(51), offer(56)],
         awards: states()
             .into_iter()
             .zip(70..)
-            .map(|(state, award)| AwardSaid { award, state })
+            .map(|(state, award)| AwardReport { award, state })
             .collect(),
     };
-    let accepted = BidSaid::Accepted {
+    let accepted = BidAnswer::Accepted {
         price: 81,
         until_ms: 82,
     };
-    for (name, say) in [
-        ("reply.synced", Say::Synced(synced)),
-        ("reply.synced_empty", Say::Synced(Synced::default())),
-        ("reply.bids", Say::Bids(vec![accepted, BidSaid::Refused])),
-        ("reply.fenced", Say::Fenced { term: 83 }),
+    for (name, body) in [
+        ("reply.synced", ReplyBody::Synced(synced)),
+        (
+            "reply.synced_empty",
+            ReplyBody::Synced(SyncReply::default()),
+        ),
+        (
+            "reply.bids",
+            ReplyBody::Bids(vec![accepted, BidAnswer::Refused]),
+        ),
+        ("reply.fenced", ReplyBody::Fenced { term: 83 }),
     ] {
-        assert_message_pinned(name, &schema::reply(), &reply(say));
+        assert_message_pinned(name, &schema::reply(), &reply(body));
     }
     let names = ["unknown", "void", "running", "withdrawn", "done"];
     for (name, state) in names.iter().zip(states()) {
-        let reply = reply(Say::Award(state));
+        let reply = reply(ReplyBody::Award(state));
         assert_message_pinned(&format!("reply.award_{name}"), &schema::reply(), &reply);
     }
 }
