--- a/crates/lab/src/market.rs
+++ b/crates/lab/src/market.rs
@@ -8,8 +8,8 @@
 use pathwinch_market::{
     ranges::Ranges,
     wire::{
-        Ask, Award, AwardSaid, Bid, BidSaid, Offer, Reply, Request, Say, Slot, State, Sync, Synced,
-        VERSION,
+        Award, AwardReport, AwardState, Bid, BidAnswer, Offer, Reply, ReplyBody, Request,
+        RequestBody, Slot, Sync, SyncReply, VERSION,
     },
 };
 use std::collections::BTreeMap;
@@ -34,32 +34,32 @@
 enum AwardStatus {
     Void,
     Running(Run),
-    Over(State),
+    Over(AwardState),
 }
 
 /// A job started or ended at the market.
 #[derive(Debug, PartialEq)]
-pub enum Did {
+pub enum JobEvent {
     Start(String),
     End(String),
 }
 
 /// A market that serves one home cluster.
-pub struct MarketSim {
+pub struct SimulatedMarket {
     pub name: String,
     /// Price of a slot for an hour, in millionths of the currency.
     pub price: u64,
     pub slots: u32,
     /// Rate of the market's clock; 1.0 is exact.
-    pub rate: f64,
+    pub clock_rate: f64,
     /// Probability per second that the market withdraws a running job.
-    pub withdraws: f64,
+    pub withdrawal_probability_per_s: f64,
     /// Probability that the market refuses an award whose bid it accepted.
-    pub refuses: f64,
+    pub award_refusal_probability: f64,
     /// Whether some of the answers are false, to test the checks of the broker.
-    pub lies: bool,
+    pub sends_false_answers: bool,
     /// Whether the market is unreachable; evaluated by the caller.
-    pub down: bool,
+    pub is_unreachable: bool,
     /// Changes when the market restarts without its memory.
     epoch: u64,
     /// When the epoch began; the market's clock counts from here.
@@ -74,24 +74,24 @@
     orphans: Vec<(Millis, String)>,
     rng: Rng,
     /// Number of awards accepted.
-    pub accepted: u64,
+    pub awards_accepted: u64,
     /// Number of bids accepted.
-    pub held: u64,
+    pub accepted_bids: u64,
     /// Number of bids released by the home.
-    pub released: u64,
+    pub bids_released: u64,
 }
 
-impl MarketSim {
+impl SimulatedMarket {
     pub fn new(name: &str, price: u64, slots: u32, seed: u64) -> Self {
-        MarketSim {
+        SimulatedMarket {
             name: name.into(),
             price,
             slots,
-            rate: 1.0,
-            withdraws: 0.0,
-            refuses: 0.0,
-            lies: false,
-            down: false,
+            clock_rate: 1.0,
+            withdrawal_probability_per_s: 0.0,
+            award_refusal_probability: 0.0,
+            sends_false_answers: false,
+            is_unreachable: false,
             epoch: seed * 1000 + 1,
             epoch_start: 0,
             term: 0,
@@ -99,14 +99,14 @@
             awards: BTreeMap::new(),
             orphans: Vec::new(),
             rng: Rng::with_seed(seed),
-            accepted: 0,
-            held: 0,
-            released: 0,
+            awards_accepted: 0,
+            accepted_bids: 0,
+            bids_released: 0,
         }
     }
 
     fn clock(&self, now: Millis) -> u64 {
-        ((now - self.epoch_start) as f64 * self.rate) as u64
+        ((now - self.epoch_start) as f64 * self.clock_rate) as u64
     }
 
     fn free(&self) -> u32 {
@@ -117,13 +117,13 @@
         self.slots.saturating_sub(used.sum())
     }
 
-    fn withdrawn_state(&self, r: &Run, now: Millis) -> State {
+    fn withdrawn_state(&self, r: &Run, now: Millis) -> AwardState {
         let share = (now - r.started_at) as f64 / (r.ends_at - r.started_at).max(1) as f64;
         let done = match r.gang {
             true => 0,
             false => (f64::from(r.tasks) * share.min(0.99)) as u32,
         };
-        State::Withdrawn {
+        AwardState::Withdrawn {
             done: Ranges::all(done),
             charge: ((r.price as f64 * share) as u64).min(r.cap),
         }
@@ -148,11 +148,11 @@
 
     /// Ends the jobs that are finished, withdrawn or past the tenancy. `passed` is the
     /// time in milliseconds since the last call.
-    pub fn step(&mut self, now: Millis, passed: Millis) -> Vec<Did> {
-        let mut did = Vec::new();
+    pub fn step(&mut self, now: Millis, passed: Millis) -> Vec<JobEvent> {
+        let mut events = Vec::new();
         self.orphans.retain(|(until, job)| {
             if *until <= now {
-                did.push(Did::End(job.clone()));
+                events.push(JobEvent::End(job.clone()));
             }
             *until > now
         });
@@ -162,11 +162,12 @@
             let Some(AwardStatus::Running(r)) = self.awards.get(&id).cloned() else {
                 continue;
             };
-            let is_withdrawn = self.rng.f64() < self.withdraws * passed as f64 / 1000.0;
+            let is_withdrawn =
+                self.rng.f64() < self.withdrawal_probability_per_s * passed as f64 / 1000.0;
             let state = if tenancy_expired || is_withdrawn {
                 self.withdrawn_state(&r, now)
             } else if now >= r.ends_at {
-                State::Done {
+                AwardState::Done {
                     result: format!("{}@{}", r.job, self.name),
                     charge: r.price.min(r.cap),
                 }
@@ -174,18 +175,18 @@
                 continue;
             };
             self.awards.insert(id, AwardStatus::Over(state));
-            did.push(Did::End(r.job));
+            events.push(JobEvent::End(r.job));
         }
-        did
+        events
     }
 
-    fn state(&self, award: u64, now: Millis) -> State {
+    fn state(&self, award: u64, now: Millis) -> AwardState {
         match self.awards.get(&award) {
-            None => State::Unknown,
-            Some(AwardStatus::Void) => State::Void,
+            None => AwardState::Unknown,
+            Some(AwardStatus::Void) => AwardState::Void,
             Some(AwardStatus::Running(r)) => {
                 let share = (now - r.started_at) as f64 / (r.ends_at - r.started_at).max(1) as f64;
-                State::Running {
+                AwardState::Running {
                     done: (f64::from(r.tasks) * share.min(1.0)) as u32,
                 }
             }
@@ -194,16 +195,18 @@
     }
 
     /// Handles a request; also returns the jobs that it started or ended.
-    pub fn handle(&mut self, request: &Request, now: Millis) -> (Reply, Vec<Did>) {
-        let mut did = Vec::new();
-        let say = if request.term < self.term {
-            Say::Fenced { term: self.term }
+    pub fn handle(&mut self, request: &Request, now: Millis) -> (Reply, Vec<JobEvent>) {
+        let mut events = Vec::new();
+        let body = if request.term < self.term {
+            ReplyBody::Fenced { term: self.term }
         } else {
             self.term = request.term;
-            match &request.ask {
-                Ask::Sync(sync) => Say::Synced(self.sync(sync, now, &mut did)),
-                Ask::Bids(bids) => Say::Bids(bids.iter().map(|bid| self.bid(bid, now)).collect()),
-                Ask::Award(award) => Say::Award(self.award(award, now, &mut did)),
+            match &request.body {
+                RequestBody::Sync(sync) => ReplyBody::Synced(self.sync(sync, now, &mut events)),
+                RequestBody::Bids(bids) => {
+                    ReplyBody::Bids(bids.iter().map(|bid| self.bid(bid, now)).collect())
+                }
+                RequestBody::Award(award) => ReplyBody::Award(self.award(award, now, &mut events)),
             }
         };
         let reply = Reply {
@@ -212,23 +215,23 @@
             epoch: self.epoch,
             clock_ms: self.clock(now),
             cleared: self.orphans.is_empty(),
-            say,
+            body,
         };
-        (reply, did)
+        (reply, events)
     }
 
-    fn bid(&mut self, bid: &Bid, now: Millis) -> BidSaid {
+    fn bid(&mut self, bid: &Bid, now: Millis) -> BidAnswer {
         if bid.slots > self.free() || bid.price < self.price {
-            return BidSaid::Refused;
+            return BidAnswer::Refused;
         }
-        self.held += 1;
-        BidSaid::Accepted {
+        self.accepted_bids += 1;
+        BidAnswer::Accepted {
             price: self.price,
             until_ms: self.clock(now) + 10_000,
         }
     }
 
-    fn sync(&mut self, sync: &Sync, now: Millis, did: &mut Vec<Did>) -> Synced {
+    fn sync(&mut self, sync: &Sync, now: Millis, events: &mut Vec<JobEvent>) -> SyncReply {
         if let Some(until) = sync.until
             && until.epoch == self.epoch
             && self.clock(now) <= until.clock_ms
@@ -243,21 +246,21 @@
                 Some(AwardStatus::Running(r)) => {
                     let state = self.withdrawn_state(&r, now);
                     self.awards.insert(*award, AwardStatus::Over(state));
-                    did.push(Did::End(r.job));
+                    events.push(JobEvent::End(r.job));
                 }
                 Some(_) => {}
             }
         }
-        self.released += sync.release.len() as u64;
-        let mut awards: Vec<AwardSaid> = sync
+        self.bids_released += sync.release.len() as u64;
+        let mut awards: Vec<AwardReport> = sync
             .awards
             .iter()
-            .map(|award| AwardSaid {
+            .map(|award| AwardReport {
                 award: *award,
                 state: self.state(*award, now),
             })
             .collect();
-        if self.lies && self.rng.f64() < 0.1 {
+        if self.sends_false_answers && self.rng.f64() < 0.1 {
             self.falsify(&mut awards);
         }
         let offers = vec![Offer {
@@ -271,17 +274,17 @@
             price: self.price,
             valid_until_ms: self.clock(now) + 30_000,
         }];
-        Synced { offers, awards }
+        SyncReply { offers, awards }
     }
 
-    fn falsify(&mut self, awards: &mut Vec<AwardSaid>) {
-        let false_end = State::Done {
+    fn falsify(&mut self, awards: &mut Vec<AwardReport>) {
+        let false_end = AwardState::Done {
             result: "something else".into(),
             charge: u64::MAX,
         };
         match self.rng.u32(0..3) {
             // Reports an award that was never given.
-            0 => awards.push(AwardSaid {
+            0 => awards.push(AwardReport {
                 award: self.rng.u64(..),
                 state: false_end,
             }),
@@ -289,10 +292,10 @@
             1 => {
                 if let Some(first) = awards
                     .iter()
-                    .find(|a| matches!(a.state, State::Done { .. }))
+                    .find(|a| matches!(a.state, AwardState::Done { .. }))
                 {
                     let award = first.award;
-                    awards.push(AwardSaid {
+                    awards.push(AwardReport {
                         award,
                         state: false_end,
                     });
@@ -301,7 +304,7 @@
             // Charges more than the award allows.
             _ => {
                 for a in awards.iter_mut() {
-                    if let State::Done { charge, .. } = &mut a.state {
+                    if let AwardState::Done { charge, .. } = &mut a.state {
                         *charge = u64::MAX;
                     }
                 }
@@ -309,21 +312,21 @@
         }
     }
 
-    fn award(&mut self, award: &Award, now: Millis, did: &mut Vec<Did>) -> State {
+    fn award(&mut self, award: &Award, now: Millis, events: &mut Vec<JobEvent>) -> AwardState {
         if self.awards.contains_key(&award.award) {
             return self.state(award.award, now);
         }
         // The award is for an earlier epoch, which the market forgot, so it cannot tell
         // whether the job ran.
         if award.start_by.epoch != self.epoch {
-            return State::Unknown;
+            return AwardState::Unknown;
         }
         let slots = award.job.tasks - award.job.done.count();
         let clock = self.clock(now);
         let late = clock > award.start_by.clock_ms || clock > self.tenancy_ends_at;
-        if late || slots > self.free() || self.rng.f64() < self.refuses {
+        if late || slots > self.free() || self.rng.f64() < self.award_refusal_probability {
             self.awards.insert(award.award, AwardStatus::Void);
-            return State::Void;
+            return AwardState::Void;
         }
         let run = (award.job.estimate_s * 1000.0 * (0.5 + self.rng.f64())) as Millis;
         let price = u64::from(slots) * run * self.price / 3_600_000;
@@ -340,8 +343,8 @@
                 price,
             }),
         );
-        self.accepted += 1;
-        did.push(Did::Start(award.job.id.clone()));
-        State::Running { done: 0 }
+        self.awards_accepted += 1;
+        events.push(JobEvent::Start(award.job.id.clone()));
+        AwardState::Running { done: 0 }
     }
 }
--- a/crates/lab/src/markets.rs
+++ b/crates/lab/src/markets.rs
@@ -3,21 +3,21 @@
 
 use crate::{
     installation::Testbed,
-    market::{Did, MarketSim},
+    market::{JobEvent, SimulatedMarket},
 };
 use anyhow::{Context, Result};
 use async_io::Timer;
 use http_types::Method;
 use pathwinch_market::{
-    schema::{self, Reader},
-    serve::PATH,
-    wire::{MAX_BODY, Request},
+    schema::{self, MessageReader},
+    serve::MARKET_PATH,
+    wire::{MAX_BODY_BYTES, Request},
 };
 use pathwinch_tls::{
     authority::Authority,
     http,
-    keys::{self, Texts, system_time},
-    reload::Followed,
+    keys::{self, KeyFiles, system_time},
+    reload::ReloadableKeys,
 };
 use pathwinch_transport::server::{HttpRequest, HttpResponse};
 use std::{
@@ -42,7 +42,7 @@
     pub name: &'static str,
     pub addr: SocketAddr,
     listener: TcpListener,
-    keys: Followed,
+    keys: ReloadableKeys,
 }
 
 /// The markets, and the files that the brokers need.
@@ -70,7 +70,7 @@
     if dir.exists() {
         std::fs::remove_dir_all(&dir).with_context(|| dir.display().to_string())?;
     }
-    let authority = Authority::make(&dir.join("authority"), "lab", 90, now)?;
+    let authority = Authority::create(&dir.join("authority"), "lab", 90, now)?;
     let install = |name: &str| -> Result<PathBuf> {
         let key_dir = dir.join(name);
         let issued = authority.issue(name, 60, now)?;
@@ -78,7 +78,7 @@
             &key_dir,
             &issued,
             &authority.certificate()?,
-            &authority.revoked()?,
+            &authority.revocation_list()?,
         )?;
         Ok(key_dir)
     };
@@ -96,12 +96,12 @@
             TcpListener::bind("127.0.0.1:0").context("cannot bind a port on 127.0.0.1")?;
         let addr = listener.local_addr()?;
         options_text.push_str(&format!("{name} = {addr}\n"));
-        let key_texts = Texts::read(&install(name)?)?;
+        let key_texts = KeyFiles::read(&install(name)?)?;
         markets.push(Market {
             name,
             addr,
             listener,
-            keys: Followed::new(key_texts, system_time())?,
+            keys: ReloadableKeys::new(key_texts, system_time())?,
         });
     }
     let options = dir.join("market.ini");
@@ -115,12 +115,12 @@
 
 /// Records jobs that started or ended at a market in the object store, which checks
 /// that no job runs in two places.
-fn record_changes(testbed: &Testbed, market: &str, changes: Vec<Did>) {
+fn record_changes(testbed: &Testbed, market: &str, changes: Vec<JobEvent>) {
     let mut object_store = testbed.object_store.borrow_mut();
     for change in changes {
         match change {
-            Did::Start(job) => object_store.job_offloaded(&job, market),
-            Did::End(job) => object_store.job_returned(&job, market),
+            JobEvent::Start(job) => object_store.job_offloaded(&job, market),
+            JobEvent::End(job) => object_store.job_returned(&job, market),
         }
     }
 }
@@ -129,9 +129,9 @@
 /// valid.
 pub async fn run(testbed: Rc<Testbed>, market: Market, number: u64) {
     let price = 10_000 + 2_000 * number;
-    let sim = MarketSim::new(market.name, price, 64, testbed.site.seed + number);
+    let sim = SimulatedMarket::new(market.name, price, 64, testbed.site.seed + number);
     let sim = Rc::new(RefCell::new(sim));
-    let Ok(reader) = Reader::new(&schema::request()) else {
+    let Ok(reader) = MessageReader::new(&schema::request()) else {
         return;
     };
     let reader = Rc::new(reader);
@@ -139,7 +139,7 @@
     let handler = move |peer: String, request: HttpRequest| {
         let (testbed, sim, reader) = (handler_testbed.clone(), handler_sim.clone(), reader.clone());
         async move {
-            if (request.method, request.path.as_str()) != (Method::Post, PATH) {
+            if (request.method, request.path.as_str()) != (Method::Post, MARKET_PATH) {
                 return HttpResponse::error(404, "no such path");
             }
             let body = request.body.unwrap_or_default();
@@ -163,7 +163,7 @@
         market.listener,
         Rc::new(RefCell::new(market.keys)),
         MAX_CONNECTIONS,
-        MAX_BODY,
+        MAX_BODY_BYTES,
         handler,
     );
     testbed.executor.spawn_high(serve).detach();
--- a/crates/market/src/keys.rs
+++ b/crates/market/src/keys.rs
@@ -6,7 +6,7 @@
 use pathwinch_tls::{
     Seconds,
     authority::Authority,
-    keys::{self, Left, Texts, left},
+    keys::{self, KeyFiles, RenewalState, renewal_state},
 };
 use std::{
     path::{Path, PathBuf},
@@ -90,41 +90,43 @@
         &args.to,
         &issued,
         &authority.certificate()?,
-        &authority.revoked()?,
+        &authority.revocation_list()?,
     )?;
     println!(
         "{}: certificate {} for {name}, valid for {days} days",
         args.to.display(),
-        issued.made.serial
+        issued.record.serial
     );
     Ok(())
 }
 
-fn own_certificate(dir: &Path) -> Result<keys::Says> {
-    Ok(keys::Keys::load(&Texts::read(dir)?, &keys::system_time())
-        .with_context(|| dir.display().to_string())?
-        .own)
+fn own_certificate(dir: &Path) -> Result<keys::CertificateIdentity> {
+    Ok(
+        keys::Keys::load(&KeyFiles::read(dir)?, &keys::system_time())
+            .with_context(|| dir.display().to_string())?
+            .own,
+    )
 }
 
 fn validity_text(until: Seconds, revoked: bool) -> String {
-    match left(until, now()) {
+    match renewal_state(until, now()) {
         _ if revoked => "revoked".into(),
-        Left::Expired => "expired".into(),
-        Left::Soon { days } => format!("expires in {days} days: renew it"),
-        Left::Enough => format!("{} days left", (until - now()) / pathwinch_tls::DAY),
+        RenewalState::Expired => "expired".into(),
+        RenewalState::Due { days } => format!("expires in {days} days: renew it"),
+        RenewalState::NotDue => format!("{} days left", (until - now()) / pathwinch_tls::DAY),
     }
 }
 
 fn show(dir: &Path, json: bool) -> Result<()> {
     let rows: Vec<(u64, String, Seconds, bool)> = match dir.join("ca.key").exists() {
         true => Authority::open(dir)?
-            .made()?
+            .issued_certificates()?
             .into_iter()
             .map(|m| (m.serial, m.name, m.until, m.revoked.is_some()))
             .collect(),
         false => {
             let own = own_certificate(dir)?;
-            vec![(own.serial, own.name, own.until, false)]
+            vec![(own.serial, own.name, own.expires_at, false)]
         }
     };
     if !json {
@@ -147,7 +149,7 @@
 pub fn run(command: Keys) -> Result<()> {
     match command {
         Keys::Authority { dir, name, days } => {
-            Authority::make(&dir, &name, days, now())?;
+            Authority::create(&dir, &name, days, now())?;
             println!(
                 "{}: created the certificate authority {name}",
                 dir.display()
--- a/crates/market/src/serve/mod.rs
+++ b/crates/market/src/serve/mod.rs
@@ -11,7 +11,7 @@
     broker::{Broker, CallFailure, Counts, Effect, Event},
     ledger_sync::Step,
     options::Options,
-    schema::{self, Reader},
+    schema::{self, MessageReader},
     wire,
 };
 use anyhow::{Context, Result};
@@ -24,8 +24,8 @@
 };
 use pathwinch_tls::{
     http,
-    keys::{Texts, system_time},
-    reload::{Followed, Seen},
+    keys::{KeyFiles, system_time},
+    reload::{ReloadOutcome, ReloadableKeys},
 };
 use pathwinch_transport::{client::CallError, priority_executor::PriorityExecutor};
 use state::{Leadership, LeadershipLost, State};
@@ -46,18 +46,18 @@
 /// Time-out of a call to a market.
 const CALL_TIMEOUT: Duration = Duration::from_secs(4);
 /// HTTP path of the market protocol.
-pub const PATH: &str = "/market/v1";
+pub const MARKET_PATH: &str = "/market/v1";
 
 /// What all terms of this process share.
 struct Server {
     options: Options,
     settings: Settings,
     executor: Rc<PriorityExecutor>,
-    keys: RefCell<Followed>,
+    keys: RefCell<ReloadableKeys>,
     key_dir: PathBuf,
     state: State,
     home: Home,
-    replies: Reader,
+    replies: MessageReader,
     start: Instant,
     start_ms: Millis,
 }
@@ -74,9 +74,9 @@
 /// Runs a broker until the process is killed. `key_dir` holds the home's
 /// certificate and key.
 pub fn run(settings: Settings, options: Options, key_dir: &Path) -> Result<()> {
-    let keys = Followed::new(Texts::read(key_dir)?, system_time())
+    let keys = ReloadableKeys::new(KeyFiles::read(key_dir)?, system_time())
         .with_context(|| key_dir.display().to_string())?;
-    let replies = Reader::new(&schema::reply()).map_err(|e| anyhow::anyhow!(e.0))?;
+    let replies = MessageReader::new(&schema::reply()).map_err(|e| anyhow::anyhow!(e.0))?;
     let executor = Rc::new(PriorityExecutor::default());
     let server = Rc::new(Server {
         state: State::new(&settings, options.state_share),
@@ -110,14 +110,19 @@
 /// Reloads changed keys and warns of certificates that expire.
 async fn watch_keys(server: Rc<Server>) {
     loop {
-        let change = server.keys.borrow_mut().look(Texts::read(&server.key_dir));
+        let change = server
+            .keys
+            .borrow_mut()
+            .apply_files(KeyFiles::read(&server.key_dir));
         match change {
-            Seen::Same => {}
-            Seen::Changed => log::info!("reloaded changed keys"),
-            Seen::Unusable(reason) => log::warn!("changed keys refused, old ones kept: {reason}"),
+            ReloadOutcome::Unchanged => {}
+            ReloadOutcome::Reloaded => log::info!("reloaded changed keys"),
+            ReloadOutcome::Rejected(reason) => {
+                log::warn!("changed keys refused, old ones kept: {reason}")
+            }
         }
         let now = server.now() / 1000;
-        if let Some(warning) = server.keys.borrow_mut().warning(now) {
+        if let Some(warning) = server.keys.borrow_mut().expiry_warning(now) {
             log::warn!("{warning}");
         }
         Timer::after(CHECK_INTERVAL).await;
@@ -343,10 +348,10 @@
             &server.keys,
             address,
             &name,
-            PATH,
+            MARKET_PATH,
             body,
             CALL_TIMEOUT,
-            wire::MAX_BODY,
+            wire::MAX_BODY_BYTES,
         )
         .await;
         match answer {
--- a/crates/tls/tests/handshakes.rs
+++ b/crates/tls/tests/handshakes.rs
@@ -4,8 +4,8 @@
 use pathwinch_tls::{
     DAY,
     authority::Authority,
-    keys::{FixedTime, Keys, Left, Texts, left, read_certificate},
-    reload::{Followed, Seen},
+    keys::{FixedTime, KeyFiles, Keys, RenewalState, read_certificate, renewal_state},
+    reload::{ReloadOutcome, ReloadableKeys},
 };
 use rustls::{
     ClientConnection, ServerConnection, pki_types::ServerName, time_provider::TimeProvider,
@@ -35,9 +35,9 @@
     std::fs::read_to_string(dir.0.join(name)).unwrap()
 }
 
-fn texts(dir: &TempDir, authority: &Authority, name: &str, days: u64) -> Texts {
+fn texts(dir: &TempDir, authority: &Authority, name: &str, days: u64) -> KeyFiles {
     let issued = authority.issue(name, days, NOW).unwrap();
-    Texts {
+    KeyFiles {
         certificate: issued.certificate,
         key: issued.key,
         trusted: file(dir, "ca.pem"),
@@ -45,7 +45,7 @@
     }
 }
 
-fn keys(texts: &Texts, now: u64) -> Keys {
+fn keys(texts: &KeyFiles, now: u64) -> Keys {
     let time: Arc<dyn TimeProvider> = Arc::new(FixedTime(now));
     Keys::load(texts, &time).unwrap()
 }
@@ -92,7 +92,7 @@
 #[test]
 fn handshake_succeeds_only_under_certified_name_when_both_are_trusted() {
     let dir = TempDir::new("names");
-    let authority = Authority::make(&dir.0, "city", 3650, NOW).unwrap();
+    let authority = Authority::create(&dir.0, "city", 3650, NOW).unwrap();
     let (home, north) = (
         texts(&dir, &authority, "home", 90),
         texts(&dir, &authority, "north", 90),
@@ -105,7 +105,7 @@
         "{other}"
     );
     assert!(
-        Authority::make(&dir.0, "city", 1, NOW).is_err(),
+        Authority::create(&dir.0, "city", 1, NOW).is_err(),
         "an existing authority is not overwritten"
     );
 }
@@ -113,8 +113,8 @@
 #[test]
 fn handshake_is_refused_when_certificate_is_expired_unknown_or_revoked() {
     let (dir, elsewhere) = (TempDir::new("refused"), TempDir::new("elsewhere"));
-    let authority = Authority::make(&dir.0, "city", 3650, NOW).unwrap();
-    let untrusted_authority = Authority::make(&elsewhere.0, "city", 3650, NOW).unwrap();
+    let authority = Authority::create(&dir.0, "city", 3650, NOW).unwrap();
+    let untrusted_authority = Authority::create(&elsewhere.0, "city", 3650, NOW).unwrap();
     let home = texts(&dir, &authority, "home", 90);
     let mut north = texts(&dir, &authority, "north", 900);
     // At this time the certificate of `home` has expired and that of `north` has
@@ -146,61 +146,67 @@
 #[test]
 fn reload_activates_usable_keys_and_rejects_others_when_files_change() {
     let dir = TempDir::new("reload");
-    let authority = Authority::make(&dir.0, "city", 3650, NOW).unwrap();
+    let authority = Authority::create(&dir.0, "city", 3650, NOW).unwrap();
     let (old, new) = (
         texts(&dir, &authority, "home", 40),
         texts(&dir, &authority, "home", 90),
     );
-    let mut followed = Followed::new(old.clone(), Arc::new(FixedTime(NOW))).unwrap();
-    assert_eq!(followed.look(Ok(old.clone())), Seen::Same);
+    let mut reloadable_keys = ReloadableKeys::new(old.clone(), Arc::new(FixedTime(NOW))).unwrap();
+    assert_eq!(
+        reloadable_keys.apply_files(Ok(old.clone())),
+        ReloadOutcome::Unchanged
+    );
     // The certificate file is new, the key file still the old one.
-    let mismatched = Texts {
+    let mismatched = KeyFiles {
         certificate: new.certificate.clone(),
         ..old.clone()
     };
     assert!(matches!(
-        followed.look(Ok(mismatched.clone())),
-        Seen::Unusable(_)
+        reloadable_keys.apply_files(Ok(mismatched.clone())),
+        ReloadOutcome::Rejected(_)
     ));
     assert_eq!(
-        followed.look(Ok(mismatched)),
-        Seen::Same,
+        reloadable_keys.apply_files(Ok(mismatched)),
+        ReloadOutcome::Unchanged,
         "rejected contents are reported only once"
     );
-    assert_eq!(followed.keys().own.serial, 1);
-    assert_eq!(followed.warning(NOW), None);
-    let soon = followed.warning(NOW + 15 * DAY).unwrap();
+    assert_eq!(reloadable_keys.keys().own.serial, 1);
+    assert_eq!(reloadable_keys.expiry_warning(NOW), None);
+    let soon = reloadable_keys.expiry_warning(NOW + 15 * DAY).unwrap();
     assert_eq!(soon, "the certificate of home expires in 25 days");
     assert_eq!(
-        followed.warning(NOW + 15 * DAY),
+        reloadable_keys.expiry_warning(NOW + 15 * DAY),
         None,
         "a warning is returned once per day"
     );
-    assert_eq!(followed.look(Ok(new)), Seen::Changed);
-    assert_eq!(followed.keys().own.serial, 2);
-    assert_eq!(followed.warning(NOW + 15 * DAY), None);
+    assert_eq!(
+        reloadable_keys.apply_files(Ok(new)),
+        ReloadOutcome::Reloaded
+    );
+    assert_eq!(reloadable_keys.keys().own.serial, 2);
+    assert_eq!(reloadable_keys.expiry_warning(NOW + 15 * DAY), None);
     assert!(
-        followed
-            .warning(NOW + 91 * DAY)
+        reloadable_keys
+            .expiry_warning(NOW + 91 * DAY)
             .unwrap()
             .contains("has expired")
     );
-    assert_eq!(left(NOW, NOW + 1), Left::Expired);
+    assert_eq!(renewal_state(NOW, NOW + 1), RenewalState::Expired);
 }
 
 #[test]
 fn authority_skips_recorded_serials_and_errors_name_file_when_reopened() {
     let dir = TempDir::new("serials");
-    let authority = Authority::make(&dir.0, "city", 10, NOW).unwrap();
+    let authority = Authority::create(&dir.0, "city", 10, NOW).unwrap();
     authority.issue("home", 5, NOW).unwrap();
     // Simulates a process that ended directly after it recorded serial number 2.
     let ledger = file(&dir, "authority.json").replace("\"next\": 2", "\"next\": 3");
     std::fs::write(dir.0.join("authority.json"), ledger).unwrap();
     let reopened = Authority::open(&dir.0).unwrap();
-    assert_eq!(reopened.issue("home", 5, NOW).unwrap().made.serial, 3);
+    assert_eq!(reopened.issue("home", 5, NOW).unwrap().record.serial, 3);
     assert!(reopened.revoke(2, NOW).is_err());
     assert!(reopened.issue("Home!", 5, NOW).is_err());
-    let wrong = Texts {
+    let wrong = KeyFiles {
         certificate: "garbage".into(),
         ..texts(&dir, &reopened, "home", 5)
     };
@@ -212,14 +218,17 @@
 #[test]
 fn reload_reports_path_and_cause_when_files_are_missing() {
     let dir = TempDir::new("missing");
-    let authority = Authority::make(&dir.0, "city", 10, NOW).unwrap();
+    let authority = Authority::create(&dir.0, "city", 10, NOW).unwrap();
     let texts = texts(&dir, &authority, "home", 5);
-    let mut followed = Followed::new(texts, Arc::new(FixedTime(NOW))).unwrap();
+    let mut reloadable_keys = ReloadableKeys::new(texts, Arc::new(FixedTime(NOW))).unwrap();
     let missing = dir.0.join("own.pem");
     let expected = format!(
         "cannot read {}: No such file or directory (os error 2)",
         missing.display()
     );
-    assert_eq!(followed.look(Texts::read(&dir.0)), Seen::Unusable(expected));
-    assert_eq!(followed.keys().own.serial, 1);
+    assert_eq!(
+        reloadable_keys.apply_files(KeyFiles::read(&dir.0)),
+        ReloadOutcome::Rejected(expected)
+    );
+    assert_eq!(reloadable_keys.keys().own.serial, 1);
 }
--- a/src/options.rs
+++ b/src/options.rs
@@ -4,7 +4,7 @@
 
 use anyhow::{Context, Result, bail, ensure};
 use ini::Ini;
-use pathwinch_cli::number;
+use pathwinch_cli::parse_number;
 use std::path::Path;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -78,7 +78,7 @@
                 let name = format!("{}.{key}", section.unwrap_or(""));
                 match name.as_str() {
                     "placement.threshold" => {
-                        options.busy_threshold = number(&name, value, 0.0, 1.0)?
+                        options.busy_threshold = parse_number(&name, value, 0.0, 1.0)?
                     }
                     "placement.load" => {
                         options.load_resource = match value.trim() {
@@ -100,22 +100,24 @@
                                 "{name}: {part:?} is not of the form CPUS/GPUS/GB"
                             );
                             options.shapes.push(TaskShape {
-                                cpus: number(&name, fields[0], 0.0, 1e6)?,
-                                gpus: number(&name, fields[1], 0.0, 1e6)?,
-                                memory_gb: number(&name, fields[2], 0.0, 1e6)?,
+                                cpus: parse_number(&name, fields[0], 0.0, 1e6)?,
+                                gpus: parse_number(&name, fields[1], 0.0, 1e6)?,
+                                memory_gb: parse_number(&name, fields[2], 0.0, 1e6)?,
                             });
                         }
                         ensure!(options.shapes.len() <= 16, "{name}: at most 16 shapes");
                     }
-                    "placement.keep_s" => options.headroom_s = number(&name, value, 0.0, 3600.0)?,
+                    "placement.keep_s" => {
+                        options.headroom_s = parse_number(&name, value, 0.0, 3600.0)?
+                    }
                     "placement.begin_s" => {
-                        options.starvation_timeout_s = number(&name, value, 0.0, 86_400.0)?
+                        options.starvation_timeout_s = parse_number(&name, value, 0.0, 86_400.0)?
                     }
                     "provision.idle_s" => {
-                        options.idle_timeout_s = number(&name, value, 0.0, 86_400.0)?
+                        options.idle_timeout_s = parse_number(&name, value, 0.0, 86_400.0)?
                     }
                     "standby.warm" => {
-                        options.warm_standbys = number(&name, value, 0.0, 6.0)? as usize
+                        options.warm_standbys = parse_number(&name, value, 0.0, 6.0)? as usize
                     }
                     _ => bail!("{name}: unknown section or key"),
                 }
