--- a/crates/protocol/src/cloud.rs
+++ b/crates/protocol/src/cloud.rs
@@ -116,7 +116,8 @@
     /// State of the machine at the time that the list describes.
     #[serde(rename = "stage")]
     pub state: ListedState,
-    /// Seconds from the request for the machine to the time that the list describes.
+    /// Seconds from the request for the machine to the time that the cloud's machine list
+    /// describes.
     #[serde(default)]
     pub age_s: f64,
 }
--- a/src/control/exclusions.rs
+++ b/src/control/exclusions.rs
@@ -97,7 +97,8 @@
 impl Exclusions {
     /// Creates the exclusions of a new term. `recorded`: exclusions of earlier terms,
     /// with their versions. They prevent the election of a peer, but this leader does
-    /// not know when their lease ends, so they are not counted.
+    /// not know when their lease ends, so none of them counts in place of the peer's
+    /// promise when the leader extends its authority.
     pub fn new(term: u64, recorded: impl IntoIterator<Item = (usize, u64)>) -> Self {
         Exclusions {
             term,
--- a/src/control/leader/preemption.rs
+++ b/src/control/leader/preemption.rs
@@ -39,8 +39,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Guaranteed {
     team: usize,
-    /// Image that a machine must cache for tasks beyond other teams' guarantees to be stopped
-    /// on it; `None` once the job has waited for `GUARANTEE_S`.
+    /// The job's image. Tasks beyond other teams' guarantees are stopped only on machines that
+    /// cache this image. `None` once the job has waited for `GUARANTEE_S`: from then on, such
+    /// tasks are stopped on any machine.
     image: Option<u32>,
 }
 
--- a/src/control/provision.rs
+++ b/src/control/provision.rs
@@ -232,9 +232,9 @@
 const MIN_RUN_FACTOR: f64 = 0.7;
 
 /// Returns how many tasks of a batch job must be started beside the `live` ones so that the
-/// job is done in time. `time_left_s` is the time left once a new machine is up. The number
-/// of rounds of tasks is not counted on the machines that are already up: that requests fewer
-/// machines, but too late when estimates are low.
+/// job is done in time. `time_left_s` is the time left once a new machine is up. Rejected
+/// alternative: counting how many rounds of tasks the machines that are already up can run.
+/// That requests fewer machines, but requests them too late when estimates are low.
 pub fn tasks_to_start(waiting: i64, live: i64, estimate_s: f64, time_left_s: Option<f64>) -> i64 {
     // Estimates are often wrong by half, and the image may have to be fetched in addition.
     let task_s = estimate_s.max(1.0) * ESTIMATE_FACTOR + FETCH_MARGIN_S;
--- a/src/server/control_loop.rs
+++ b/src/server/control_loop.rs
@@ -33,10 +33,11 @@
     time::{Duration, Instant},
 };
 
-/// Maximum time between two rounds, and the pause before each round. Events start a
-/// round sooner, but always after the pause, so that a batch of heartbeats is handled
-/// in one round.
+/// Maximum time between two rounds, apart from the pause before each round: for this
+/// long the control loop waits for an event. An event ends the wait sooner.
 const TICK_INTERVAL: Duration = Duration::from_millis(200);
+/// Pause before each round. Also after an event, the round starts only after this pause,
+/// so that a batch of heartbeats is handled in one round.
 const MIN_TICK_PAUSE: Duration = Duration::from_millis(15);
 
 /// Time between two rounds in milliseconds above which the process counts as having
--- a/src/state/cluster/machines.rs
+++ b/src/state/cluster/machines.rs
@@ -30,8 +30,8 @@
         self.machines.handle_at(index)
     }
 
-    /// Returns the machine that currently has this index, with its handle. Counts as an
-    /// inspection.
+    /// Returns the machine that currently has this index, with its handle. Each call adds
+    /// one to the count of machine inspections, with which tests bound the work per event.
     pub fn machine_at(&self, index: u32) -> Option<(MachineHandle, &Machine)> {
         self.count_inspections(1);
         self.machines.entry_at(index)
--- a/tests/failover.rs
+++ b/tests/failover.rs
@@ -231,7 +231,8 @@
             add(&|s| s.load(i));
             add(&|s| s.receive_heartbeat(i));
             add(&|s| {
-                // A round that changes nothing is no event and does not count.
+                // A leader's round that changes nothing is not an event of the model, and
+                // is not counted towards the bound on rounds.
                 let before = s.clone();
                 s.run_round(i, None) && *s != before && s.spend(|b| &mut b.rounds)
             });
--- a/tests/partitioned_leaders.rs
+++ b/tests/partitioned_leaders.rs
@@ -477,8 +477,9 @@
 }
 
 /// An agent restarts at once, with incarnation one again. A direct command reaches
-/// it before its first heartbeat, and then its machine is partitioned. Its lease
-/// runs from its own start, which is later than the last heartbeat response.
+/// it before its first heartbeat, and then its machine is partitioned. The lease of
+/// the restarted agent runs from the start of that agent, which is later than the
+/// last heartbeat response.
 /// Guards against starting the task elsewhere while it still runs on that machine
 /// (seen in one of 1,859 simulated days with random faults).
 #[test]
--- a/tests/simulation/lookups.rs
+++ b/tests/simulation/lookups.rs
@@ -18,9 +18,9 @@
 /// Approximate number of jobs, with random ids, that one page of final records covers.
 const NAMES_PER_PAGE: usize = 16;
 
-/// Maximum number of random refusals in a row. Even with changes of leader in between,
-/// they take well under the time limit for a cancellation. A test in `dependency_lookups`
-/// covers longer periods of refusals.
+/// Maximum number of dependency lookups in a row that are refused at random. Even with
+/// changes of leader in between, these refusals take well under the time limit for a
+/// cancellation. A test in `dependency_lookups` covers longer periods of refusals.
 const MAX_REFUSED_IN_A_ROW: u32 = 6;
 
 /// Faults of the leader's reads. By default each read is answered in the same step.
@@ -28,7 +28,7 @@
 pub struct ReadFaults {
     /// Maximum latency of an answer.
     pub max_latency_ms: Millis,
-    /// Number of the next dependency lookups that are refused.
+    /// How many of the coming dependency lookups are refused, starting with the next one.
     pub refused_lookups: u32,
     /// Percentage of dependency lookups that are refused, at most `MAX_REFUSED_IN_A_ROW` in
     /// a row.
--- a/tests/simulation/nodes.rs
+++ b/tests/simulation/nodes.rs
@@ -122,8 +122,8 @@
         for op in ops {
             let stalled = self.paused_sender.filter(|(n, _)| *n == node_id);
             match (stalled, self.is_cut_off(node_id)) {
-                // The process is paused between its check and the send: the operation is
-                // executed after the pause.
+                // The leader's process is paused after its last check and before it sends the
+                // operation to the cloud: the operation is executed after the pause.
                 (Some((_, until)), _) => self.delayed_cloud_ops.push((until, node_id, term, op)),
                 // The node is partitioned: the operation is executed when the partition ends.
                 (None, Some(_)) => self
--- a/tests/simulation/requests.rs
+++ b/tests/simulation/requests.rs
@@ -26,7 +26,7 @@
     Event(Event),
     /// The poll reaches the leader: index of the leader's node, and time the poll was sent.
     AtLeader(usize, Millis),
-    /// The read reaches the state service: time the read was sent.
+    /// The read reaches the state service. The field is the time at which the read was sent.
     ReadState(Millis),
     Look(Vec<String>),
     Write(Txn),
--- a/tests/standby.rs
+++ b/tests/standby.rs
@@ -363,8 +363,9 @@
     sim.assert_no_violations();
 }
 
-/// A leader is placed unfavourably when the node that workers try next after it hangs.
-/// It yields to a node that has come back only once that node is warm.
+/// A leader is placed unfavourably when the process of the node that workers try next
+/// after the leader hangs. The leader yields to a node that has come back only once
+/// that node is warm.
 #[test]
 fn unfavourably_placed_leader_yields_only_to_warm_standby() {
     let mut sim = cluster_with_warm_standbys(155, 6, 3);
